--- /dev/null
+++ b/internal/lab/rig/rig.go
@@ -0,0 +1,269 @@
+// Package rig runs one whole limiter in the test's own process, on real loopback sockets, before peers that the test holds in
+// its hand: each read, write, half-close and reset of a peer is a line of the test, so that the order of events is the test's.
+package rig
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/choice"
+	"ospreycroft/internal/limiter"
+	"ospreycroft/internal/resp"
+	"ospreycroft/internal/settings"
+	"ospreycroft/internal/sockets"
+)
+
+// Patience is how long a test waits for what must happen.
+const Patience = 5 * time.Second
+
+// Rig is a running limiter.
+type Rig struct {
+	Address string
+	Limiter *limiter.Limiter // the reducer's own: only to be looked at before Stop or after Ended
+	Sockets *sockets.Sockets
+	stop    sync.Once
+	stopped chan struct{}
+	ended   chan struct{}
+	renewed chan *settings.Config
+	config  settings.Config
+}
+
+// Config is a configuration for these servers, named s0, s1 and so on: classes read (idempotent), write (non-idempotent) and
+// keyed (all servers drop its repeats), one plan, no counter, and a list service at a port where nobody is.
+func Config(servers ...*Peer) *settings.Config {
+	type entry struct {
+		ID        string `json:"instanceId"`
+		HostPort  string `json:"hostPort"`
+		Lifecycle string `json:"lifecycle"`
+	}
+	entries := make([]entry, len(servers))
+	for i, s := range servers {
+		entries[i] = entry{fmt.Sprint("s", i), s.Address, "in_service"}
+	}
+	known, _ := json.Marshal(map[string]any{"generation": 1, "reset": true, "instances": entries})
+	second := int64(time.Second)
+	return &settings.Config{Name: "rig", Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 256, Known: known,
+		Settings: &settings.Settings{IdleClose: 15 * second, Settings: &choice.Settings{
+			Tracks: map[string]*choice.Track{
+				"read":  {Agreed: second, Benefit: 1},
+				"write": {Agreed: second, Effect: choice.Binding, Benefit: 1},
+				"keyed": {Agreed: second, Effect: choice.Fingerprinted, Group: choice.GroupAll, Repeats: 2 * second, Benefit: 1},
+			},
+			Plans:     map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, Benefit: 1}},
+			MostUnits: 64, LongestLease: 60 * second, Limiters: 1, ColdFrom: 0.5, WarmWithin: 10 * second,
+			DialTimeout: second / 4, MostShots: 3, MostAdvice: 2 * second, Cancelling: true, Granularity: 4e6}}}
+}
+
+// Start starts a limiter and ends it with the test, whether all was answered or not.
+func Start(t testing.TB, config *settings.Config) *Rig {
+	t.Helper()
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	r := &Rig{Address: free.Addr().String(), stopped: make(chan struct{}), ended: make(chan struct{}),
+		renewed: make(chan *settings.Config), config: *config}
+	_ = free.Close()
+	r.Sockets, err = sockets.Listen(r.Address, limiter.MostClients(config), config.Sockets)
+	require.NoError(t, err)
+	start := time.Now()
+	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
+	r.Limiter, err = limiter.New(clock(), config, r.Sockets)
+	require.NoError(t, err)
+	go func() {
+		r.Sockets.Run(clock, r.Limiter, r.stopped, r.renewed)
+		close(r.ended)
+	}()
+	t.Cleanup(func() {
+		r.Stop()
+		r.Sockets.Halt()
+		<-r.ended
+	})
+	return r
+}
+
+// Stop is SIGTERM; a second one changes nothing.
+func (r *Rig) Stop() { r.stop.Do(func() { close(r.stopped) }) }
+
+// Renew is SIGHUP with a configuration that change has changed.
+func (r *Rig) Renew(change func(*settings.Config)) {
+	next := r.config
+	change(&next)
+	r.renewed <- &next
+}
+
+// Ended is closed once the limiter has finished.
+func (r *Rig) Ended() <-chan struct{} { return r.ended }
+
+// Finish waits until the limiter has finished.
+func (r *Rig) Finish(t testing.TB, within time.Duration) {
+	t.Helper()
+	select {
+	case <-r.ended:
+	case <-time.After(within):
+		t.Fatal("the limiter has not finished")
+	}
+}
+
+// Peer is a listener: a server, the counter or the list service.
+type Peer struct {
+	Address string
+	ln      net.Listener
+}
+
+// Listen opens one on loopback.
+func Listen(t testing.TB) *Peer {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = ln.Close() })
+	return &Peer{Address: ln.Addr().String(), ln: ln}
+}
+
+// Accept is the limiter's next connection to the peer.
+func (p *Peer) Accept(t testing.TB) *Conn {
+	t.Helper()
+	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patience))
+	c, err := p.ln.Accept()
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = c.Close() })
+	return &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}
+}
+
+// None fails the test if the limiter opens a connection to the peer within a time.
+func (p *Peer) None(t testing.TB, within time.Duration) {
+	t.Helper()
+	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(within))
+	if c, err := p.ln.Accept(); err == nil {
+		_ = c.Close()
+		t.Fatal("the limiter has opened a connection")
+	}
+}
+
+// Close closes the listener: new connections are refused.
+func (p *Peer) Close() { _ = p.ln.Close() }
+
+// Conn is one connection, from the peer's side.
+type Conn struct {
+	TCP *net.TCPConn
+	in  *bufio.Reader
+}
+
+// Dial connects a client.
+func (r *Rig) Dial(t testing.TB) *Conn {
+	t.Helper()
+	c, err := net.DialTimeout("tcp", r.Address, Patience)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = c.Close() })
+	return &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}
+}
+
+// Request is one request's command; class read, write or keyed, with so many milliseconds to live.
+func Request(id, class string, left int) string {
+	list := fmt.Sprintf("c=%s,t=plain,d=%d,units=1,spread=1,first=0", class, left)
+	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(list)}
+	if class != "read" {
+		words[0] = []byte("SVC.SUBMIT")
+		words = append(words, []byte("BODY"))
+	}
+	return string(resp.AppendCommand(nil, words...))
+}
+
+// Say writes.
+func (c *Conn) Say(t testing.TB, text string) {
+	t.Helper()
+	_ = c.TCP.SetWriteDeadline(time.Now().Add(Patience))
+	_, err := io.WriteString(c.TCP, text)
+	require.NoError(t, err)
+}
+
+// Serve answers a command with a value.
+func (c *Conn) Serve(t testing.TB, value string) {
+	t.Helper()
+	c.Say(t, Served(value))
+}
+
+// Served is a server's whole answer.
+func Served(value string) string {
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
+}
+
+// Line reads one line, without its end.
+func (c *Conn) Line(t testing.TB) string {
+	t.Helper()
+	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
+	line, err := c.in.ReadString('\n')
+	require.NoError(t, err, "read %q", line)
+	return strings.TrimRight(line, "\r\n")
+}
+
+// Command reads one command whole and gives its words.
+func (c *Conn) Command(t testing.TB) []string {
+	t.Helper()
+	var n int
+	_, err := fmt.Sscanf(c.Line(t), "*%d", &n)
+	require.NoError(t, err)
+	words := make([]string, n)
+	for i := range words {
+		words[i] = c.bulk(t)
+	}
+	return words
+}
+
+func (c *Conn) bulk(t testing.TB) string {
+	t.Helper()
+	var n int
+	_, err := fmt.Sscanf(c.Line(t), "$%d", &n)
+	require.NoError(t, err)
+	text := make([]byte, n+2)
+	_, err = io.ReadFull(c.in, text)
+	require.NoError(t, err)
+	return string(text[:n])
+}
+
+// Answer reads one answer to a client: the value behind "$", or the line of an error, "-" and all.
+func (c *Conn) Answer(t testing.TB) string {
+	t.Helper()
+	line := c.Line(t)
+	if !strings.HasPrefix(line, "$") {
+		return line
+	}
+	var n int
+	_, err := fmt.Sscanf(line, "$%d", &n)
+	require.NoError(t, err)
+	text := make([]byte, n+2)
+	_, err = io.ReadFull(c.in, text)
+	require.NoError(t, err)
+	return "$" + string(text[:n])
+}
+
+// Rest reads all that comes until the connection ends, and how it ended: nil for an end in order.
+func (c *Conn) Rest(t testing.TB) (string, error) {
+	t.Helper()
+	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
+	text, err := io.ReadAll(c.in)
+	return string(text), err
+}
+
+// Quiet fails the test if anything comes, an end as well, within a time.
+func (c *Conn) Quiet(t testing.TB, within time.Duration) {
+	t.Helper()
+	_ = c.TCP.SetReadDeadline(time.Now().Add(within))
+	_, err := c.in.Peek(1)
+	var slow net.Error
+	require.ErrorAs(t, err, &slow, "something has come")
+	require.True(t, slow.Timeout(), "the connection has ended: %v", err)
+}
+
+// Reset breaks the connection off.
+func (c *Conn) Reset() {
+	_ = c.TCP.SetLinger(0)
+	_ = c.TCP.Close()
+}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -55,6 +55,7 @@
 	now   batch
 	read  int // of the present batch's bytes
 	wake  int64
+	halt  atomic.Bool
 }
 
 // Listen opens the address for clients; at most so many of their connections are held at once.
@@ -188,6 +189,10 @@
 func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
 	timer := time.NewTimer(0)
 	for !l.Finished() {
+		if s.halt.Load() {
+			s.engine.Stop()
+			return
+		}
 		select {
 		case <-s.waking:
 		case <-timer.C:
@@ -210,6 +215,15 @@
 	}
 }
 
+// Halt ends Run whatever is owed, as the end of its process would.
+func (s *Sockets) Halt() {
+	s.halt.Store(true)
+	select {
+	case s.waking <- struct{}{}:
+	default:
+	}
+}
+
 // Wake is an effect.
 func (s *Sockets) Wake(at int64) { s.wake = at }
 
