--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,10 +1,8 @@
 // Package choice holds every decision of the gateway, all of them in this file.
-//
 // A Limiter is one instance. Its caller makes it with New and then calls Members, Job, Answer, Counted,
 // Probed, Left and Woken as things happen, each with the clock in nanoseconds; Ready tells when clients
 // should come. The limiter acts through the Deeds it was given, in types.go with the settings; state.go has
 // the records that it keeps. It is not safe for concurrent use.
-//
 // The ordinary path is Reserve and Reconcile (docs/design.md). Servers take turns in a weighted rotation,
 // in a large fleet those of the limiter's circle. Beside it stand these mechanisms:
 //  1. ceiling: each limiter's own part of a hard ceiling, which every first shot must fit;
@@ -260,8 +258,7 @@
 }
 
 // asked tells whether a crowded counter is asked for a customer: always for some, the same at all limiters
-// (a count of a part of the use says little), more of them where going beyond the quota costs more. The rest
-// find out if it is back.
+// (a count of a part of the use says little), more where going beyond costs more. The rest see if it is back.
 func (l *Limiter) asked(a *account) bool {
 	stake := max(0, a.plan.BeyondCosts-a.plan.BeyondEarns) * a.plan.Benefit
 	l.stake += (stake - l.stake) / fade
@@ -308,8 +305,7 @@
 	a.owed = 0
 }
 
-// count makes a call. What a reservation carries along may bring its amount below 0, so that tells nothing
-// of its purpose.
+// count makes a call; what a reservation carries along may bring its amount below 0.
 func (l *Limiter) count(j *job, amount float64, back bool) {
 	l.calls[j.name] = append(l.calls[j.name], call{j, j.account, amount, back})
 	l.deeds.Count(j.name, amount, 2*l.span(j.account))
@@ -450,8 +446,7 @@
 	return 1 + nanos((units-a.ceiling.level)/a.ceiling.rate)
 }
 
-// place sends the first shot, or rejects the job for want of room. The ceiling is looked at again: others
-// of the customer may have gone out while this one waited for the counter.
+// place sends the first shot if there is room, and in the ceiling still: others may have gone out meanwhile.
 func (l *Limiter) place(now int64, j *job) {
 	a, wait, cause := j.account, j.account.overCeiling(now, j.units), ForCeiling
 	var s *server
@@ -468,7 +463,8 @@
 	a.quota.level -= j.charge
 	a.slice.level -= j.charge
 	if !j.reserved && a.quota.rate > 0 {
-		a.owed += j.charge * l.turn(now, a)
+		j.weight = l.turn(now, a)
+		a.owed, j.name = a.owed+j.charge*j.weight, a.name()
 	}
 	if a.ceiling.fill(now); a.plan.CeilingRate > 0 { // one that never fills would never be forgotten
 		a.ceiling.level -= j.units
@@ -583,8 +579,7 @@
 	return seconds(r.Work)
 }
 
-// pick takes the next server in the weighted rotation. A server without room passes, and so does one that
-// holds more than its share of what is out.
+// pick takes the next in the weighted rotation; those that hold more than their share of what is out pass.
 func (l *Limiter) pick(now int64, j *job) *server {
 	able := l.able(now, j)
 	out, sum := j.units, 0.0
@@ -631,7 +626,7 @@
 	// Clients that were told the same time would come back together.
 	after = max(l.set.Granularity, after) + int64(l.rng.Float64()*float64(l.beat))
 	l.deeds.Reject(j.id, min(after, l.set.MostAdvice), cause)
-	l.drop(j)
+	l.drop(now, j)
 }
 
 // finish ends a job that cannot be served any more: rejected if that is true and harmless, else written off.
@@ -641,7 +636,7 @@
 		if sh.maybe && (j.track.Effect == Binding || marked) {
 			l.move(j, WrittenOff)
 			l.deeds.WriteOff(j.id)
-			l.drop(j)
+			l.drop(now, j)
 			return
 		}
 	}
@@ -657,10 +652,13 @@
 	sh := j.shots[r.Shot]
 	sh.open = false
 	j.open--
+	j.spent = j.spent || r.Outcome != Unconnected && r.Outcome != Moot
 	sh.maybe = r.Outcome != Full && r.Outcome != Unconnected && r.Outcome != Moot
 	l.learn(now, sh, r)
-	if r.Outcome == Done && r.Final && !j.ended() {
+	if r.Outcome == Done { // of a client that has gone too
 		l.settle(now, j, r.Units)
+	}
+	if r.Outcome == Done && r.Final && !j.ended() {
 		if !sh.late { // well spent: where some servers are bad and others good, more may follow
 			l.spare += float64(len(j.shots) - 1)
 		}
@@ -670,7 +668,7 @@
 		l.move(j, Abandoned)
 	}
 	if j.ended() {
-		l.drop(j)
+		l.drop(now, j)
 		return
 	}
 	if j.open == 0 && !l.again(now, j) {
@@ -890,7 +888,7 @@
 func (l *Limiter) Left(now int64, id string) {
 	if j := l.jobs[id]; j != nil && !j.ended() {
 		l.move(j, Abandoned)
-		l.drop(j)
+		l.drop(now, j)
 	}
 }
 
@@ -928,11 +926,21 @@
 	j.state = to
 }
 
-// drop forgets an ended job once nothing of it is out.
-func (l *Limiter) drop(j *job) {
+// drop forgets an ended job once nothing of it is out. If no server got it whole all that it took goes back.
+func (l *Limiter) drop(now int64, j *job) {
 	delete(l.timers, j.token)
-	if j.open == 0 {
-		delete(l.jobs, j.id)
+	if j.open > 0 || l.jobs[j.id] != j {
+		return
+	}
+	delete(l.jobs, j.id)
+	if a := j.account; len(j.shots) > 0 && !j.spent {
+		a.quota.level = math.Min(a.quota.depth, a.quota.fill(now)+j.charge)
+		a.slice.level = math.Min(a.slice.depth, a.slice.fill(now)+j.charge)
+		a.ceiling.level = math.Min(a.ceiling.depth, a.ceiling.fill(now)+j.units)
+		if !j.reserved && a.quota.rate > 0 && j.name == a.name() {
+			a.owed -= j.charge * j.weight
+		}
+		l.release(now, j, j.charge)
 	}
 }
 
--- /dev/null
+++ b/choice/owed_test.go
@@ -0,0 +1,63 @@
+package choice
+
+import "testing"
+
+// TestGivenBack: what a request took goes back, once, if no server got it whole, whoever ended it and whether the counter or the
+// slice let it in; else the units are taken, and the true ones are settled even if the client has gone.
+func TestGivenBack(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		outcomes []Outcome
+		gone     bool // the client leaves before the last of them
+		units    float64
+		back     float64 // what is added back to the counter
+	}{
+		{"the connection never came up and the client has gone", []Outcome{Moot}, true, 0, -2},
+		{"refused, and the client has gone", []Outcome{Unconnected}, true, 0, -2},
+		{"no connection came up, three times", []Outcome{Unconnected, Unconnected, Unconnected}, false, 0, -2},
+		{"turned away, and the client has gone", []Outcome{Full}, true, 0, 0},
+		{"it may have run, and then no connection", []Outcome{Reset, Unconnected}, true, 0, 0},
+		{"served after the client had gone", []Outcome{Done}, true, 3, 1},
+		{"served", []Outcome{Done}, false, 3, 1},
+	} {
+		for _, slice := range []bool{false, true} {
+			l, d := made()
+			l.spare = 9
+			l.Members(0, false, []Entry{{ID: "c", Zone: "y", Hint: 1}})
+			opens(l, "hard", second)
+			if slice {
+				l.asks = 0
+			}
+			l.Job(second, arrival("j", "read", "hard"))
+			j := l.jobs["j"]
+			a := j.account
+			if !slice {
+				l.Counted(second, j.name, Done, 2)
+			}
+			level, owed := a.slice.level, a.owed
+			for i, o := range c.outcomes {
+				if c.gone && i == len(c.outcomes)-1 {
+					l.Left(second, "j")
+				}
+				d.did = nil
+				l.Answer(second, Reply{Job: "j", Shot: i, Outcome: o, Final: j.ended() || o == Done, Units: c.units})
+			}
+			counted := 0
+			for _, did := range d.did {
+				if did == "count -2" || did == "count 1" {
+					counted++
+				}
+			}
+			switch want := c.back; {
+			case slice && a.owed != owed+want, !slice && (counted != 0) != (want != 0), a.slice.level != level-want:
+				t.Errorf("%s, slice %v: did %q, owed %v before and %v, slice %v before and %v", c.name, slice, d.did, owed, a.owed,
+					level, a.slice.level)
+			case (a.ceiling.level == 4) != (want < 0): // it held 4 before the request
+				t.Errorf("%s, slice %v: the ceiling's part holds %v", c.name, slice, a.ceiling.level)
+			}
+			if len(l.jobs) > 0 {
+				t.Errorf("%s: it is not forgotten", c.name)
+			}
+		}
+	}
+}
--- a/choice/state.go
+++ b/choice/state.go
@@ -25,8 +25,9 @@
 	shots    []*shot
 	open     int // shots that are out
 	reserved bool
-	weight   float64 // what one unit weighs in the window that has the reservation
-	name     uint64  // the count that holds the reservation
+	spent    bool    // a server got it whole, so its units are taken
+	weight   float64 // what one unit weighs in the window that has the reservation, or is owed it
+	name     uint64  // the count that holds the reservation, or is owed it
 	lease    int64   // when that count is forgotten
 }
 
