--- a/internal/lab/memfleet/process.go
+++ b/internal/lab/memfleet/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"ospreycroft/internal/limiter"
 	"ospreycroft/internal/settings"
@@ -93,17 +94,18 @@
 
 // resume is SIGCONT: what came meanwhile is there at once, and so is every timer. Which the process sees first is open.
 func (p *process) resume() {
-	waiting := p.waiting
-	p.stopped, p.waiting = false, nil
+	p.stopped = false
 	if p.f.rng.IntN(2) == 0 {
 		p.due()
 	}
-	for _, w := range waiting {
-		if p.dead {
-			return
-		}
+	for len(p.waiting) > 0 && !p.dead {
+		w := p.waiting[0]
+		p.waiting = p.waiting[1:]
 		p.take(w.h, w.bytes)
 	}
+	if p.waiting = nil; p.dead {
+		return
+	}
 	p.due()
 }
 
@@ -185,10 +187,13 @@
 	return s.taken()
 }
 
-// Heard is an effect.
-func (p *process) Heard(id limiter.ID) bool {
-	s := p.sides[id]
-	return s == nil || s.over || s.far.got >= s.wrote
+// Leave is an effect.
+func (p *process) Leave(id limiter.ID, _, _ int64) bool {
+	if slices.ContainsFunc(p.waiting, func(w told) bool { return w.h.Conn == id && w.h.Size > 0 }) {
+		return false
+	}
+	p.Close(id)
+	return true
 }
 
 // Queued is an effect.
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -55,29 +55,30 @@
 // makeRoom closes clients' connections without an open job, so that others can come: first those that never brought
 // one and had time to, then the one idle longest.
 func (l *Limiter) makeRoom() {
-	for l.crowded() {
-		since := l.now - l.set.DialTimeout/settled
-		victim := l.idlest(&l.strangers, since)
-		if victim == nil {
-			victim = l.idlest(&l.regulars, since)
-		}
-		if victim == nil {
-			return
-		}
-		l.over(victim.c, Unused)
+	since := l.now - l.set.DialTimeout/settled
+	for l.crowded() && (l.partIdlest(&l.strangers, since) || l.partIdlest(&l.regulars, since)) {
 	}
 }
 
-// idlest is the first of a list that has been idle since a time.
-func (l *Limiter) idlest(clients *list.List, since int64) *client {
+// partIdlest closes the first of a list that has been idle since a time, and tells whether there is one.
+func (l *Limiter) partIdlest(clients *list.List, since int64) bool {
 	for e := clients.Front(); e != nil; e = e.Next() {
 		if cl := e.Value.(*client); cl.used > since {
-			return nil
-		} else if cl.idle() {
-			return cl
+			return false
+		} else if cl.idle() && cl.part() {
+			return true
 		}
 	}
-	return nil
+	return false
+}
+
+// part closes the connection, which owes nothing, unless a command has come on it in this very moment.
+func (cl *client) part() bool {
+	if !cl.l.effects.Leave(cl.c.id, cl.l.set.DialTimeout, cl.l.set.IdleClose) {
+		return false
+	}
+	cl.l.over(cl.c, Unused)
+	return true
 }
 
 // visit looks at the clients at intervals. One that says nothing or half a command is closed: it would hold its place
@@ -94,8 +95,9 @@
 				cl.refuse("too slow")
 			case !cl.idle(): // an answer is on its way into the kernel
 			case !cl.regular, idle > l.set.IdleClose/idleShare:
-				l.seen.silent++
-				l.over(cl.c, Unused)
+				if cl.part() {
+					l.seen.silent++
+				}
 			}
 		}
 	}
@@ -147,27 +149,28 @@
 	return len(cl.answers) == 0 && (cl.deaf || len(cl.c.in.Bytes()) == 0) && cl.l.effects.Written(cl.c.id) >= cl.c.sent
 }
 
-// leave closes the connection as soon as that loses nothing. Its client may send on until it finds the end, and what comes
-// on a connection that is closed brings a reset, which would destroy answers on their way. In a process that goes on these are
-// few and the descriptor is needed; at its end every connection is closed so, once the client's machine has all answers.
-// It is closed whole: a job that were read on a connection of which only the sending has ended would be taken and lost.
+// leave ends the connection as soon as all is answered: our sending first, behind the last answer, so that it arrives, and nothing
+// is read from then on. Its client may send on until it finds the end; what was never read it sends again elsewhere.
 func (cl *client) leave() {
 	l := cl.l
-	cl.closing = true
-	if len(cl.answers) > 0 || cl.parting {
+	if cl.closing = true; len(cl.answers) > 0 || cl.idle() && cl.part() {
 		return
 	}
-	if cl.idle() && (l.stopping == 0 || l.now-cl.wrote > l.set.DialTimeout || l.effects.Heard(cl.c.id)) {
+	// One that was refused may send on for ever, or never read.
+	waited := l.now - cl.wrote
+	if cl.deaf && (waited > l.set.IdleClose || waited > l.set.DialTimeout && l.effects.Written(cl.c.id) >= cl.c.sent) {
 		l.over(cl.c, Unused)
 		return
 	}
 	// The rest of an answer is on its way, or the rest of a command to us.
-	cl.parting = true
-	l.at(l.now+l.set.Granularity, func() {
-		if cl.parting = false; l.conns[cl.c.id] == cl.c {
-			cl.leave()
-		}
-	})
+	if !cl.parting {
+		cl.parting = true
+		l.at(l.now+l.set.Granularity, func() {
+			if cl.parting = false; l.conns[cl.c.id] == cl.c {
+				cl.leave()
+			}
+		})
+	}
 }
 
 func (cl *client) up() {}
@@ -193,6 +196,9 @@
 
 // read takes the commands that have come, and answers together what can be answered at once.
 func (cl *client) read(b []byte) (used int, err error) {
+	if !cl.l.effects.Alive(cl.c.id) {
+		return len(b), nil // it has gone, and waits for nothing: its end is told next
+	}
 	cl.reading = true
 	for n := 1; n > 0 && used < len(b) && !cl.deaf; used += n {
 		n = cl.next(b[used:])
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -57,8 +57,10 @@
 	// Close ends the connection, if it has not ended yet; no happening follows. It tells how many bytes the
 	// kernel had taken, which will not become more.
 	Close(id ID) int64
-	// Heard tells whether the other side's machine has all that was written; true where that cannot be known.
-	Heard(id ID) bool
+	// Leave ends a client's connection unless bytes have come on it that no happening has told of yet, and tells whether it did.
+	// What was written arrives; what comes from then on is never read. It is broken off so long after, if the client does not end
+	// it, but not while its machine lacks bytes, which may last up to the longest time.
+	Leave(id ID, after, most int64) bool
 	// Queued tells whether some clients wait in the kernel to be let in.
 	Queued() bool
 	// Wake asks for Due at a time; only the latest wish counts.
@@ -254,6 +256,9 @@
 	if l.conns[c.id] == c {
 		l.buffered += int64(c.in.Size()) - c.size
 		c.size = int64(c.in.Size())
+		if cl, is := c.party.(*client); is && cl.closing {
+			cl.leave()
+		}
 	}
 }
 
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -27,8 +27,8 @@
 	coming string
 	wake   int64
 
-	unheard map[ID]bool // its client's machine has not got all
-	full    bool        // clients wait to be let in
+	full   bool        // clients wait to be let in
+	unread map[ID]bool // bytes have come that no event has told of
 }
 
 func (w *wire) Dial(address string, _ int64) ID {
@@ -49,9 +49,9 @@
 	w.closed = append(w.closed, id)
 	return w.Written(id)
 }
-func (w *wire) Wake(at int64)    { w.wake = at }
-func (w *wire) Heard(id ID) bool { return !w.unheard[id] }
-func (w *wire) Queued() bool     { return w.full }
+func (w *wire) Wake(at int64)                { w.wake = at }
+func (w *wire) Leave(id ID, _, _ int64) bool { return !w.unread[id] }
+func (w *wire) Queued() bool                 { return w.full }
 
 // pass lets the time pass as it does on sockets: nothing is due for longer than a wake takes.
 func (w *wire) pass(l *Limiter, to int64) {
@@ -1061,16 +1061,15 @@
 				"%d jobs, wrote %q", len(l.jobs), w.wrote[visitor+1])
 		})
 	}
-	t.Run("answers are with the client's machine before its connection is closed", func(t *testing.T) {
+	t.Run("a command that has come in the moment of closing is answered first", func(t *testing.T) {
 		l, w, id := stopped()
-		w.unheard = map[ID]bool{visitor: true}
+		w.unread = map[ID]bool{visitor: true}
 		w.say(l, lingers-1, id, answer)
 		w.pass(l, lingers+second/10)
-		require.False(t, slices.Contains(w.closed, visitor), "a reset may destroy the answer")
+		require.False(t, slices.Contains(w.closed, visitor), "it would be lost")
+		delete(w.unread, visitor)
 		w.say(l, lingers+second/10, visitor, command("k", "read", "480")) // what is read is taken, and has its answer
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n"+busy)
-		delete(w.unheard, visitor)
-		w.pass(l, lingers+second/8)
 		require.True(t, slices.Contains(w.closed, visitor), "it has the answer")
 	})
 	t.Run("what is added back is waited for", func(t *testing.T) {
--- /dev/null
+++ b/internal/sockets/leave_test.go
@@ -0,0 +1,228 @@
+package sockets
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/choice"
+	"ospreycroft/internal/limiter"
+	"ospreycroft/internal/settings"
+)
+
+// drive steps a whole limiter on real sockets by a clock of the test's: the poller reads as ever, and the reducer learns of it
+// when the test says so.
+type drive struct {
+	t       *testing.T
+	s       *Sockets
+	l       *limiter.Limiter
+	now     int64
+	address string
+}
+
+func driven(t *testing.T, descriptors int, server net.Listener) *drive {
+	t.Helper()
+	s, address := listening(t, descriptors/2)
+	entries := "[]"
+	if server != nil {
+		entries = `[{"instanceId":"s","hostPort":"` + server.Addr().String() + `","lifecycle":"in_service"}]`
+	}
+	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: descriptors,
+		Known: []byte(`{"generation":1,"instances":` + entries + `}`),
+		Settings: &settings.Settings{IdleClose: 15e9, Settings: &choice.Settings{
+			Tracks: map[string]*choice.Track{"c": {Agreed: 1e9, Benefit: 1}}, Plans: map[string]*choice.Plan{"p": {}},
+			MostUnits: 64, Limiters: 1, MostShots: 1, WarmWithin: 1, DialTimeout: 25e7, Granularity: 4e6}}}
+	d := &drive{t: t, s: s, address: address, now: 1e15}
+	var err error
+	d.l, err = limiter.New(d.now, config, s)
+	require.NoError(t, err)
+	d.turn(0)
+	return d
+}
+
+// turn tells the reducer all that the poller has read, so much time later.
+func (d *drive) turn(later int64) {
+	d.now += later
+	d.s.take()
+	for _, h := range d.s.now.happenings {
+		end := d.s.read + h.Size
+		if l := d.s.links[h.Conn]; l != nil {
+			l.told += int64(h.Size)
+		}
+		d.l.Step(d.now, h)
+		d.s.read = end
+	}
+	d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+}
+
+// until turns until something holds.
+func (d *drive) until(what string, holds func() bool) {
+	d.t.Helper()
+	require.Eventually(d.t, func() bool { d.turn(0); return holds() }, patience, time.Millisecond, what)
+}
+
+// read tells whether bytes of a client wait for the reducer.
+func (d *drive) read() bool {
+	d.s.mutex.Lock()
+	defer d.s.mutex.Unlock()
+	return len(d.s.next.bytes) > 0
+}
+
+func (d *drive) dial() net.Conn {
+	d.t.Helper()
+	c, err := net.Dial("tcp", d.address)
+	require.NoError(d.t, err)
+	d.t.Cleanup(func() { _ = c.Close() })
+	return c
+}
+
+func ask(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	_, err := io.WriteString(c, text)
+	require.NoError(t, err)
+}
+
+func answer(t *testing.T, c net.Conn, want string) {
+	t.Helper()
+	got := make([]byte, len(want))
+	_ = c.SetReadDeadline(time.Now().Add(patience))
+	n, err := io.ReadFull(c, got)
+	require.NoError(t, err, "read %q", got[:n])
+	require.Equal(t, want, string(got))
+}
+
+const ping = "*1\r\n$4\r\nPING\r\n"
+
+// TestCommandAsItCloses: a command that the poller has read when the limiter closes its resting connection is answered. It would
+// be lost: the client cannot know that it was not taken. Each case closes for another reason, with the command read and not told.
+func TestCommandAsItCloses(t *testing.T) {
+	for name, closes := range map[string]func(d *drive){
+		"idle for long": func(d *drive) {
+			for range 40 {
+				d.now += 1e8
+				d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+			}
+		},
+		"the process ends": func(d *drive) {
+			d.l.Step(d.now, limiter.Happening{Kind: limiter.Stopping})
+			d.now += 4e8
+			d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+			d.now += 11e7
+			d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+		},
+		"room for others": func(d *drive) {
+			d.now += 7e7
+			for id := range limiter.ID(8) { // makes the limiter full: a quarter of its descriptors is eight
+				d.l.Step(d.now, limiter.Happening{Kind: limiter.Accepted, Conn: 1000 + id})
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := driven(t, 32, nil)
+			client := d.dial()
+			ask(t, client, ping)
+			d.until("its first command is answered", func() bool { return d.s.links[1] != nil && d.s.Written(1) > 0 || answered(d, 2) })
+			answer(t, client, "-LOADING not ready yet\r\n")
+			ask(t, client, ping)
+			require.Eventually(t, d.read, patience, time.Millisecond, "the poller has read it")
+			closes(d)
+			d.turn(0)
+			_ = client.SetReadDeadline(time.Now().Add(patience))
+			line := make([]byte, 64)
+			n, err := client.Read(line)
+			require.NoError(t, err, "the command was dropped")
+			require.True(t, strings.HasPrefix(string(line[:n]), "-LOADING") || strings.HasPrefix(string(line[:n]), "+PONG"), "%q", line[:n])
+		})
+	}
+}
+
+// answered tells whether any client's connection was written to.
+func answered(d *drive, least limiter.ID) bool {
+	for id := range d.s.links {
+		if id >= least && d.s.Written(id) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// TestCommandsOfTheGone: of a client that has sent many commands and closed before the reducer came to them none is taken.
+func TestCommandsOfTheGone(t *testing.T) {
+	server, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { _ = server.Close() }()
+	d := driven(t, 64, server)
+	request := func(id string) string {
+		list := "c=c,t=p,d=4000,units=1,spread=1,first=0"
+		return "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n000000000000000f\r\n$2\r\n" + id + "\r\n$39\r\n" + list + "\r\n"
+	}
+	gone := d.dial()
+	ask(t, gone, request("g1")+request("g2")+request("g3"))
+	require.NoError(t, gone.Close())
+	ends := func() bool { // all of it and its end wait for the reducer
+		d.s.mutex.Lock()
+		defer d.s.mutex.Unlock()
+		size, ended := 0, false
+		for _, h := range d.s.next.happenings {
+			size, ended = size+h.Size, ended || h.Kind == limiter.Ended && size > 0
+		}
+		return ended
+	}
+	require.Eventually(t, ends, patience, time.Millisecond)
+	d.turn(0)
+	stays := d.dial()
+	ask(t, stays, request("st"))
+	accepted := make(chan string, 8)
+	go func() {
+		for c, err := server.Accept(); err == nil; c, err = server.Accept() {
+			text := make([]byte, 1<<12)
+			n, _ := c.Read(text)
+			accepted <- string(text[:n])
+		}
+	}()
+	got := ""
+	d.until("the request of the client that stays is sent on", func() bool {
+		select {
+		case got = <-accepted:
+			return true
+		default:
+			return false
+		}
+	})
+	require.Contains(t, got, "st", "a request of the client that had gone was sent on")
+	require.Empty(t, accepted)
+}
+
+// TestCommandAsItFinishes: the limiter has nothing left to do, and in that moment a client comes in and its command is read. The
+// clock that Run asks is the test's: it brings the client before it tells the time at which all is over.
+func TestCommandAsItFinishes(t *testing.T) {
+	d := driven(t, 64, nil)
+	base := time.Now()
+	var late net.Conn
+	stopped := int64(0)
+	stop := make(chan struct{})
+	clock := func() int64 {
+		now := d.now + int64(time.Since(base))
+		if stopped == 0 {
+			stopped = now
+		}
+		if late == nil && now >= stopped+7e8 { // it finishes then
+			late = d.dial()
+			ask(t, late, ping)
+			require.Eventually(t, d.read, patience, time.Millisecond)
+		}
+		return now
+	}
+	close(stop)
+	d.s.Run(clock, d.l, stop, nil)
+	require.NotNil(t, late, "it finished before the client came")
+	_ = late.SetReadDeadline(time.Now().Add(patience))
+	line := make([]byte, 64)
+	n, err := late.Read(line)
+	require.NoError(t, err, "the command was dropped")
+	require.NotZero(t, n)
+}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -5,9 +5,11 @@
 import (
 	"context"
 	"errors"
+	"io"
 	"log"
 	"net"
 	"runtime"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -21,6 +23,12 @@
 	"ospreycroft/internal/settings"
 )
 
+// pieces is how many bytes the poller takes at a time.
+const pieces = 32 << 10
+
+// looks is how often connections that were left are looked at, nanoseconds.
+const looks = 5e6
+
 // mostWaiting is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
 const mostWaiting = 4 << 20
 
@@ -31,7 +39,10 @@
 	cancel  context.CancelFunc        // ends the dialling; nil for a client's connection
 	unasked atomic.Bool               // the reducer has closed it
 	written atomic.Int64
-	gate    *gate // of a client's connection
+	gate    *gate      // of a client's connection
+	reading sync.Mutex // held from before bytes leave the kernel until they are posted
+	posted  int64      // bytes, under reading
+	told    int64      // bytes of them that the reducer was told of; its own
 }
 
 // batch is what waits for the reducer: happenings, and the bytes that they tell of, in order.
@@ -56,6 +67,7 @@
 	read  int // of the present batch's bytes
 	wake  int64
 	halt  atomic.Bool
+	left  []*link // connections that were left and may not be closed yet
 }
 
 // Listen opens the address for clients; at most so many of their connections are held at once.
@@ -87,9 +99,10 @@
 		c.SetSession(l)
 		s.post(l, limiter.Happening{Kind: limiter.Accepted}, nil)
 	})
-	s.engine.OnData(func(c *nbio.Conn, data []byte) {
+	into := make([]byte, pieces) // there is one poller
+	s.engine.OnRead(func(c *nbio.Conn) {
 		if l, is := c.Session().(*link); is {
-			s.post(l, limiter.Happening{Kind: limiter.Readable, Size: len(data)}, data)
+			s.pull(l, c, into)
 		}
 	})
 	s.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
@@ -106,10 +119,10 @@
 		if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 			end = limiter.PeerReset
 		}
-		s.post(l, limiter.Happening{Kind: limiter.Ended, End: end}, nil)
 		if l.gate != nil {
 			l.gate.leave()
 		}
+		s.post(l, limiter.Happening{Kind: limiter.Ended, End: end}, nil)
 	})
 	if err := s.engine.Start(); err != nil {
 		return nil, refused(address, err)
@@ -145,6 +158,43 @@
 	return &link{id: s.lastID, cancel: cancel, gate: gate}
 }
 
+// pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of its
+// leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere.
+func (s *Sockets) pull(l *link, c *nbio.Conn, into []byte) {
+	s.mutex.Lock() // the record was made under it, on another goroutine
+	client := l.gate != nil
+	s.mutex.Unlock()
+	end := s.drain(l, c, into, client)
+	if end != nil {
+		_ = c.CloseWithError(end)
+	}
+	// The poller would go to sleep in the kernel next and hold the one thread for Go code until the runtime
+	// notices; so the reducer goes first.
+	runtime.Gosched()
+}
+
+func (s *Sockets) drain(l *link, c *nbio.Conn, into []byte, client bool) (end error) {
+	l.reading.Lock()
+	defer l.reading.Unlock()
+	for {
+		if client && l.unasked.Load() {
+			return nil // its end is seen apart from what was not read
+		}
+		n, err := c.Read(into)
+		switch {
+		case n > 0:
+			l.posted += int64(n)
+			s.post(l, limiter.Happening{Kind: limiter.Readable, Size: n}, into[:n])
+		case err == nil:
+			return io.EOF
+		case errors.Is(err, syscall.EAGAIN):
+			return nil
+		case !errors.Is(err, syscall.EINTR):
+			return err
+		}
+	}
+}
+
 // post hands a happening on a connection to the reducer.
 func (s *Sockets) post(l *link, h limiter.Happening, data []byte) {
 	s.mutex.Lock()
@@ -164,9 +214,6 @@
 		case s.waking <- struct{}{}:
 		default:
 		}
-		// The poller would go to sleep in the kernel next and hold the one thread for Go code until the runtime
-		// notices; so the reducer goes first.
-		runtime.Gosched()
 	}
 }
 
@@ -188,7 +235,7 @@
 // Run tells the limiter what happens until it has finished.
 func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
 	timer := time.NewTimer(0)
-	for !l.Finished() {
+	for !l.Finished() || s.waits() || s.owes() {
 		if s.halt.Load() {
 			s.engine.Stop()
 			return
@@ -205,16 +252,30 @@
 		s.take()
 		for _, h := range s.now.happenings {
 			end := s.read + h.Size
+			if l := s.links[h.Conn]; l != nil {
+				l.told += int64(h.Size)
+			}
 			l.Step(clock(), h)
 			s.read = end // whether the reducer has read them or not
 		}
 		if now := clock(); s.wake <= now {
 			l.Step(now, limiter.Happening{Kind: limiter.Due})
 		}
-		timer.Reset(time.Duration(max(0, s.wake-clock())))
+		wait := max(0, s.wake-clock())
+		if len(s.left) > 0 && l.Finished() { // nothing tells that a client's machine has all
+			wait = min(wait, looks)
+		}
+		timer.Reset(time.Duration(wait))
 	}
 }
 
+// waits tells whether something has happened that the reducer has not been told.
+func (s *Sockets) waits() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.next.happenings) > 0
+}
+
 // Halt ends Run whatever is owed, as the end of its process would.
 func (s *Sockets) Halt() {
 	s.halt.Store(true)
@@ -266,7 +327,7 @@
 	c.SetSession(l)
 	l.conn.Store(c)
 	if _, err = s.engine.AddConn(c); err == nil && l.unasked.Load() {
-		shut(c)
+		shut(c, syscall.SHUT_RDWR)
 	}
 	return err
 }
@@ -308,40 +369,91 @@
 		l.cancel()
 	}
 	if c := l.conn.Load(); c != nil {
-		shut(c)
+		shut(c, syscall.SHUT_RDWR)
 	}
 	return l.written.Load()
 }
 
-// Heard is an effect. The kernel counts what the other side's machine has not acknowledged.
-func (s *Sockets) Heard(id limiter.ID) bool {
+// Leave is an effect. From the look at what has come until the sending has ended the poller reads nothing: it holds the lock as
+// long as bytes are out of the kernel and not posted. Both directions end when the client has ended its own, or after a time
+// unless its machine still lacks bytes: to close over what was not read breaks the connection off, and takes these along.
+func (s *Sockets) Leave(id limiter.ID, after, most int64) bool {
 	l := s.links[id]
 	if l == nil {
 		return true
 	}
+	if !l.reading.TryLock() {
+		return false
+	}
+	defer l.reading.Unlock()
+	if l.posted > l.told {
+		return false
+	}
+	delete(s.links, id)
+	l.unasked.Store(true)
 	c := l.conn.Load()
+	if !shut(c, syscall.SHUT_WR) {
+		return true
+	}
+	s.left = append(slices.DeleteFunc(s.left, (*link).closed), l)
+	var wait func(so int64)
+	wait = func(so int64) {
+		time.AfterFunc(time.Duration(after), func() {
+			if so < most && asks(c, syscall.TIOCOUTQ) > 0 {
+				wait(so + after)
+				return
+			}
+			shut(c, syscall.SHUT_RDWR)
+		})
+	}
+	wait(after)
+	return true
+}
+
+func (l *link) closed() bool {
+	closed, _ := l.conn.Load().IsClosed()
+	return closed
+}
+
+// owes tells whether the end of the process could break off a connection that was left: its client's machine lacks bytes, or has
+// sent some that were not read.
+func (s *Sockets) owes() bool {
+	s.left = slices.DeleteFunc(s.left, func(l *link) bool {
+		c := l.conn.Load()
+		return asks(c, syscall.TIOCOUTQ) <= 0 && asks(c, syscall.TIOCINQ) <= 0
+	})
+	return len(s.left) > 0
+}
+
+// asks asks the kernel how many bytes wait on a connection; 0 where that cannot be known.
+func asks(c *nbio.Conn, which uintptr) int {
 	c.Lock()
 	defer c.Unlock()
+	waiting := int32(0)
 	if closed, _ := c.IsClosed(); closed {
-		return true
+		return 0
 	}
-	waiting := int32(0)
-	_, _, failed := syscall.Syscall(syscall.SYS_IOCTL, uintptr(c.Hash()), syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&waiting)))
-	return failed != 0 || waiting <= 0
+	if _, _, failed := syscall.Syscall(syscall.SYS_IOCTL, uintptr(c.Hash()), which, uintptr(unsafe.Pointer(&waiting))); failed != 0 {
+		return 0
+	}
+	return int(waiting)
 }
 
 // Queued is an effect. The listener stays open until the process ends: on the fleet's bench the goroutine that closed it stood still for a
 // second and more, and with it the reducer.
 func (s *Sockets) Queued() bool { return s.gate.full.Load() }
 
-// shut ends both directions and leaves closing the descriptor to the poller, which sees the end next. Were it
-// closed here, what the poller still has to tell of it could hit a new connection with the same number.
-func shut(c *nbio.Conn) {
+// shut ends one or both directions and leaves closing the descriptor to the poller, which sees the end next. Were it
+// closed here, what the poller still has to tell of it could hit a new connection with the same number. It tells whether there
+// was something to end.
+func shut(c *nbio.Conn, how int) bool {
 	c.Lock()
 	defer c.Unlock()
-	if closed, _ := c.IsClosed(); !closed {
-		if err := syscall.Shutdown(c.Hash(), syscall.SHUT_RDWR); err != nil && err != syscall.ENOTCONN {
-			log.Printf("event=shutdown error=%q", err)
-		}
+	if closed, _ := c.IsClosed(); closed {
+		return false
+	}
+	if err := syscall.Shutdown(c.Hash(), how); err != nil && err != syscall.ENOTCONN {
+		log.Printf("event=shutdown error=%q", err)
 	}
+	return true
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -245,18 +245,36 @@
 	}
 }
 
-// A connection tells when the other machine has all that was written.
-func TestHeard(t *testing.T) {
-	s, address := listening(t, 1)
-	far, err := net.Dial("tcp", address)
-	require.NoError(t, err)
-	h, _ := next(t, s)
-	_ = far.(*net.TCPConn).SetReadBuffer(1 << 12)
-	// More than its machine takes before it reads, and less than ours does.
-	s.Write(h.Conn, []byte(strings.Repeat("x", 1<<16)))
-	require.True(t, s.Written(h.Conn) >= 1<<16, "written %d", s.Written(h.Conn))
-	require.False(t, s.Heard(h.Conn), "it cannot have all")
-	_, err = io.ReadFull(far, make([]byte, 1<<16))
-	require.NoError(t, err)
-	require.Eventually(t, func() bool { return s.Heard(h.Conn) }, patience, time.Millisecond, "it has all")
+// TestLeave: a client that is left gets all that was written, however slowly it reads and whatever it goes on to send: nothing of
+// that is read, and no reset takes its answers along. One that never ends its own side is closed after the time.
+func TestLeave(t *testing.T) {
+	for _, ends := range []bool{true, false} {
+		t.Run(fmt.Sprintf("it ends its side: %v", ends), func(t *testing.T) {
+			s, address := listening(t, 1)
+			far, err := net.Dial("tcp", address)
+			require.NoError(t, err)
+			h, _ := next(t, s)
+			_ = far.(*net.TCPConn).SetReadBuffer(1 << 12)
+			text := strings.Repeat("x", 1<<16) // more than its machine takes before it reads, and less than ours does
+			s.Write(h.Conn, []byte(text))
+			require.True(t, s.Written(h.Conn) >= 1<<16, "written %d", s.Written(h.Conn))
+			const after = int64(50 * time.Millisecond)
+			require.True(t, s.Leave(h.Conn, after, int64(patience)))
+			require.True(t, s.owes())
+			_, err = io.WriteString(far, "late")
+			require.NoError(t, err)
+			time.Sleep(3 * time.Duration(after)) // it is not broken off while its machine lacks bytes
+			got := make([]byte, len(text))
+			_, err = io.ReadFull(far, got)
+			require.NoError(t, err)
+			if n, err := far.Read(got); ends {
+				require.Equal(t, io.EOF, err, "%q", got[:n])
+				_ = far.Close()
+			}
+			require.Eventually(t, func() bool { return s.left == nil || s.left[0].closed() }, patience, time.Millisecond, "it is closed")
+			if h := expect(t, s, limiter.Ended, h.Conn); h.Size > 0 {
+				t.Fatal("it was read")
+			}
+		})
+	}
 }
