--- /dev/null
+++ b/internal/ci/knownred/knownred_test.go
@@ -0,0 +1,113 @@
+package knownred
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+const good = "m/a TestRed: the peer is slow (issue 7)\n"
+
+func TestParse(t *testing.T) {
+	entries, err := Parse(good + "m/b TestTable/the_last:_one: why (at all) (issue 12)")
+	if err != nil || len(entries) != 2 {
+		t.Fatal(entries, err)
+	}
+	if e := entries[1]; e.Package != "m/b" || e.Test != "TestTable/the_last:_one" || e.Cause != "why (at all)" || e.Issue != "12" {
+		t.Error(e)
+	}
+	if entries, err := Parse(""); err != nil || entries != nil {
+		t.Error(entries, err)
+	}
+	fourth := strings.Repeat("x TestA: c (issue 1)\n", 4)
+	for i, p := range []string{"a", "b", "c", "d"} {
+		fourth = strings.Replace(fourth, "x ", p+" ", 1)
+		if _, err := Parse(fourth[:21*min(i+1, 3)]); err != nil {
+			t.Error(err)
+		}
+	}
+	for _, bad := range []string{
+		fourth, "\n", "# m/a\n", good + "\n", "\n" + good, " " + good, strings.Replace(good, "\n", "\r\n", 1),
+		"TestRed: c (issue 7)\n", "m/a: c (issue 7)\n", "m/a TestRed c (issue 7)\n", "m/a TestRed: (issue 7)\n",
+		"m/a TestRed: c\n", "m/a TestRed: c (issue 0)\n", "m/a TestRed: c (issue x)\n", "m/a TestRed: c (issue 7).\n",
+		"m/a  TestRed: c (issue 7)\n", "m/a Red: c (issue 7)\n", "m/a BenchmarkRed: c (issue 7)\n",
+		"m/a TestRed/: c (issue 7)\n", "m/a TestRed//x: c (issue 7)\n",
+		good + good, good + "m/a TestRed/sub: c (issue 8)\n", "m/a TestRed/sub: c (issue 8)\n" + good,
+	} {
+		if entries, err := Parse(bad); err == nil {
+			t.Errorf("%q is taken: %v", bad, entries)
+		}
+	}
+	if _, err := Parse(good + "m/a TestRedder: c (issue 8)\nm/b TestRed: c (issue 8)\n"); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestFlags(t *testing.T) {
+	for _, c := range []struct{ readme, flags string }{
+		{"text\n\n    mkdir bin && go build\n    go test ./...\n\ngo test x\n", ""},
+		{"    go test -p 2 -timeout=20m ./...\n", "-p 2 -timeout=20m"},
+	} {
+		if flags, err := Flags(c.readme); err != nil || strings.Join(flags, " ") != c.flags {
+			t.Error(c, flags, err)
+		}
+	}
+	for _, bad := range []string{
+		"", "go test ./...\n", "    go test ./...\n    go test -race ./...\n", "    go test ./choice\n", "    go test\n",
+		"    go test ./... && true\n", "    go test $X ./...\n", "    go test -run TestA ./...\n",
+		"    go test -skip=TestA ./...\n", "    go test --test.skip TestA ./...\n", "    go testing ./...\n",
+	} {
+		if flags, err := Flags(bad); err == nil {
+			t.Errorf("%q is taken: %q", bad, flags)
+		}
+	}
+}
+
+func TestCommands(t *testing.T) {
+	packages := []string{"m", "m/a", "m/b"}
+	red := func(text string) []Entry {
+		entries, err := Parse(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return entries
+	}
+	for _, c := range []struct {
+		entries []Entry
+		want    []string
+	}{
+		{nil, []string{"go test -v ./..."}},
+		{red(good), []string{"go test -v m m/b", "go test -v -skip ^TestRed$ m/a"}},
+		{red(good + "m TestT/a.b/c: c (issue 1)\nm TestT/d: c (issue 1)\n"), []string{
+			"go test -v m/b", `go test -v -skip ^TestT$/^a\.b$/^c$|^TestT$/^d$ m`, "go test -v -skip ^TestRed$ m/a"}},
+		{red(good + "m TestA: c (issue 1)\nm/b TestA: c (issue 1)\n"), []string{
+			"go test -v -skip ^TestA$ m", "go test -v -skip ^TestRed$ m/a", "go test -v -skip ^TestA$ m/b"}},
+	} {
+		var got []string
+		for _, words := range Commands([]string{"-v"}, packages, c.entries) {
+			got = append(got, strings.Join(words, " "))
+		}
+		if !slices.Equal(got, c.want) {
+			t.Errorf("got %q, want %q", got, c.want)
+		}
+	}
+}
+
+func TestJudge(t *testing.T) {
+	for _, c := range []struct {
+		events []Event
+		want   string
+		stays  bool
+	}{
+		{[]Event{{"run", "TestA"}, {"fail", "TestA"}, {"fail", ""}}, "still red", true},
+		{[]Event{{"run", "TestA"}, {"fail", ""}}, "still red", true},
+		{[]Event{{"run", "TestA"}, {"fail", "TestA/x"}, {"pass", "TestA"}}, "passes now", false},
+		{[]Event{{"run", "TestA"}, {"skip", "TestA"}}, "passes itself over", false},
+		{[]Event{{"run", "TestAB"}, {"fail", "TestAB"}}, "did not run", false},
+		{nil, "did not run", false},
+	} {
+		if got, stays := Judge(Entry{Test: "TestA"}, c.events); stays != c.stays || !strings.HasPrefix(got, c.want) {
+			t.Errorf("%v: %s, %v", c.events, got, stays)
+		}
+	}
+}
--- /dev/null
+++ b/internal/ci/knownred/main/main.go
@@ -0,0 +1,108 @@
+// The program runs README's test command from the root of the repository, but for the tests that KNOWN-RED.txt names;
+// those it runs apart. .ci/run calls it and tells the form of the file.
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"ospreycroft/internal/ci/knownred"
+)
+
+func main() {
+	if err := run(".", os.Stdout, os.Stderr); err != nil {
+		fmt.Fprintln(os.Stderr, "tests:", err)
+		os.Exit(1)
+	}
+}
+
+func run(root string, out, errs io.Writer) error {
+	readme, err := os.ReadFile(filepath.Join(root, "README.md"))
+	if err != nil {
+		return err
+	}
+	flags, err := knownred.Flags(string(readme))
+	if err != nil {
+		return err
+	}
+	text, err := os.ReadFile(filepath.Join(root, "KNOWN-RED.txt"))
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
+	entries, err := knownred.Parse(string(text))
+	if err != nil {
+		return fmt.Errorf("KNOWN-RED.txt: %w", err)
+	}
+	var packages []string
+	if len(entries) > 0 {
+		if packages, err = lines(root, errs, "go", "list", "./..."); err != nil {
+			return err
+		}
+		tests := map[string][]string{}
+		for _, e := range entries {
+			fmt.Fprintln(out, "known red, passed over:", e.Line)
+			if tests[e.Package] != nil || !slices.Contains(packages, e.Package) {
+				continue
+			}
+			list := append(append([]string{"go", "test"}, flags...), "-list", "^(Test|Fuzz|Example)", e.Package)
+			if tests[e.Package], err = lines(root, errs, list...); err != nil {
+				return fmt.Errorf("KNOWN-RED.txt: the tests of %s cannot be listed: %w", e.Package, err)
+			}
+		}
+		if err := knownred.Check(entries, packages, tests); err != nil {
+			return fmt.Errorf("KNOWN-RED.txt: %w", err)
+		}
+	}
+	var wrong []error
+	for _, words := range knownred.Commands(flags, packages, entries) {
+		fmt.Fprintln(out, strings.Join(words, " "))
+		if err := command(root, out, errs, words...).Run(); err != nil {
+			wrong = append(wrong, err)
+		}
+	}
+	for _, e := range entries {
+		var events bytes.Buffer
+		_ = command(root, &events, errs, knownred.Alone(flags, e)...).Run() // the events tell
+		verdict, stays := knownred.Judge(e, parse(&events))
+		fmt.Fprintf(out, "%s: %s\n", verdict, e.Line)
+		if !stays {
+			wrong = append(wrong, fmt.Errorf("KNOWN-RED.txt: %s %s %s", e.Package, e.Test, verdict))
+		}
+	}
+	return errors.Join(wrong...)
+}
+
+func command(root string, out, errs io.Writer, words ...string) *exec.Cmd {
+	c := exec.Command(words[0], words[1:]...)
+	c.Dir, c.Stdout, c.Stderr = root, out, errs
+	return c
+}
+
+func lines(root string, errs io.Writer, words ...string) ([]string, error) {
+	var out bytes.Buffer
+	err := command(root, &out, errs, words...).Run()
+	if err != nil {
+		fmt.Fprint(errs, out.String())
+	}
+	return strings.Split(strings.TrimSpace(out.String()), "\n"), err
+}
+
+func parse(from io.Reader) (events []knownred.Event) {
+	d := json.NewDecoder(from)
+	for {
+		var e knownred.Event
+		if d.Decode(&e) != nil {
+			return events
+		}
+		events = append(events, e)
+	}
+}
--- /dev/null
+++ b/internal/ci/knownred/main/main_test.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// A module of its own, in which a.TestRed and one sub-test fail.
+var module = map[string]string{
+	"go.mod":    "module scratch\n",
+	"README.md": "    go test -v ./...\n",
+	"a/a_test.go": `package a
+
+import "testing"
+
+func TestRed(t *testing.T) { t.Error("red") }
+func TestRedLonger(t *testing.T) {}
+func TestTable(t *testing.T) {
+	t.Run("red", func(t *testing.T) { t.Error("red") })
+	t.Run("redder", func(t *testing.T) {})
+}
+`,
+	"b/b_test.go": "package b\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) {}\n",
+	"c/c.go":      "package c\n",
+}
+
+func TestScratch(t *testing.T) {
+	const (
+		red = "scratch/a TestRed: red by its nature (issue 1)\n"
+		sub = "scratch/a TestTable/red: red by its nature (issue 2)\n"
+	)
+	root := t.TempDir()
+	write := func(name, text string) {
+		path := filepath.Join(root, name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for name, text := range module {
+		write(name, text)
+	}
+	t.Setenv("GOWORK", "off")
+	t.Setenv("GOFLAGS", "")
+	for _, c := range []struct {
+		name, file, wrong string
+		seen, unseen      []string
+	}{
+		{"no file", "-", "exit status", []string{"--- FAIL: TestRed ", "--- PASS: TestRedLonger"}, []string{"known red"}},
+		{"an empty file", "", "exit status", []string{"--- FAIL: TestRed "}, []string{"known red"}},
+		{"all that are red", red + sub, "",
+			[]string{"known red, passed over: " + red, "known red, passed over: " + sub, "still red: " + red, "still red: " + sub,
+				"--- PASS: TestRedLonger", "--- PASS: TestTable/redder", "--- PASS: TestRed ", "ok  \tscratch/b"},
+			[]string{"--- FAIL", "=== RUN   TestTable/red\n"}},
+		{"one left out", red, "exit status", []string{"--- FAIL: TestTable/red "}, []string{"--- FAIL: TestRed"}},
+		{"a green one", red + sub + strings.Replace(red, "/a", "/b", 1), "scratch/b TestRed passes now",
+			[]string{"passes now: take the line out: scratch/b TestRed"}, nil},
+		{"a fourth line", red + sub + "scratch/b TestX: x (issue 3)\nscratch/c TestX: x (issue 4)\n", "line 4", nil, []string{"---"}},
+		{"malformed", "scratch/a TestRed\n", "line 1", nil, []string{"---"}},
+		{"no such package", strings.Replace(red, "/a", "/z", 1), "no such package", nil, []string{"---"}},
+		{"no such test", strings.Replace(red, "Red", "Re", 1), "there is no test TestRe", nil, []string{"---"}},
+		{"no such sub-test", red + strings.Replace(sub, "/red:", "/re:", 1), "did not run", nil, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_ = os.Remove(filepath.Join(root, "KNOWN-RED.txt"))
+			if c.file != "-" {
+				write("KNOWN-RED.txt", c.file)
+			}
+			var out strings.Builder
+			err := run(root, &out, &out)
+			if (err != nil) != (c.wrong != "") || err != nil && !strings.Contains(err.Error(), c.wrong) {
+				t.Errorf("%v: wanted %q", err, c.wrong)
+			}
+			for _, s := range c.seen {
+				if !strings.Contains(out.String(), s) {
+					t.Errorf("not seen: %q", s)
+				}
+			}
+			for _, s := range c.unseen {
+				if strings.Contains(out.String(), s) {
+					t.Errorf("seen: %q", s)
+				}
+			}
+			if t.Failed() {
+				t.Log(out.String())
+			}
+		})
+	}
+	write("README.md", "Tests: see CI.\n")
+	if err := run(root, os.Stderr, os.Stderr); err == nil || !strings.Contains(err.Error(), "one is wanted") {
+		t.Error("a README without a test command is taken:", err)
+	}
+}
