--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,8 +1,8 @@
 // Package choice holds every decision of the gateway, all of them in this file.
 // A Limiter is one instance. Its caller makes it with New and then calls Members, Job, Answer, Counted,
-// Probed, Left and Woken as things happen, each with the clock in nanoseconds; Ready tells when clients
-// should come. The limiter acts through the Deeds it was given, in types.go with the settings; state.go has
-// the records that it keeps. It is not safe for concurrent use.
+// Probed, Left, Woken and Closing as things happen, each with the clock in nanoseconds; Ready tells when
+// clients should come. The limiter acts through the Deeds it was given, in types.go with the settings;
+// state.go has the records that it keeps. It is not safe for concurrent use.
 // The ordinary path is Reserve and Reconcile (docs/design.md). Servers take turns in a weighted rotation,
 // in a large fleet those of the limiter's circle. Beside it stand these mechanisms:
 //  1. ceiling: each limiter's own part of a hard ceiling, which every first shot must fit;
@@ -18,6 +18,7 @@
 	"cmp"
 	"fmt"
 	"hash/fnv"
+	"maps"
 	"math"
 	"math/rand"
 	"slices"
@@ -374,13 +375,10 @@
 	if c.back {
 		return
 	}
-	if j.state != Reserving {
-		l.release(now, j, j.charge)
-		return
-	}
-	if a.quota.level < j.charge {
-		l.release(now, j, j.charge)
-		l.reject(now, j, nanos((j.charge-a.quota.level)/a.quota.rate), ForQuota)
+	if gone := j.state != Reserving; gone || a.quota.level < j.charge {
+		if l.release(now, j, j.charge); !gone {
+			l.reject(now, j, nanos((j.charge-a.quota.level)/a.quota.rate), ForQuota)
+		}
 		return
 	}
 	l.place(now, j)
@@ -458,10 +456,7 @@
 		l.reject(now, j, wait, cause)
 		return
 	}
-	a.quota.fill(now)
-	a.slice.fill(now)
-	a.quota.level -= j.charge
-	a.slice.level -= j.charge
+	a.quota.level, a.slice.level = a.quota.fill(now)-j.charge, a.slice.fill(now)-j.charge
 	if !j.reserved && a.quota.rate > 0 {
 		j.weight = l.turn(now, a)
 		a.owed, j.name = a.owed+j.charge*j.weight, a.name()
@@ -476,10 +471,8 @@
 
 func (l *Limiter) send(now int64, j *job, s *server) {
 	sh := &shot{job: j, server: s, number: len(j.shots), at: now, open: true, maybe: true}
-	j.shots = append(j.shots, sh)
-	j.open++
-	s.shots = append(s.shots, sh)
-	s.out += j.units
+	j.shots, j.open = append(j.shots, sh), j.open+1
+	s.shots, s.out = append(s.shots, sh), s.out+j.units
 	l.deeds.Send(j.id, s.id)
 }
 
@@ -600,15 +593,13 @@
 		if s.out/w > out/sum {
 			continue
 		}
-		turn += w
-		s.credit += w
+		turn, s.credit = turn+w, s.credit+w
 		if best == nil || s.credit > best.credit {
 			best = s
 		}
 	}
 	if best != nil {
-		best.credit -= turn
-		best.turns--
+		best.credit, best.turns = best.credit-turn, best.turns-1
 	}
 	return best
 }
@@ -650,8 +641,7 @@
 		return
 	}
 	sh := j.shots[r.Shot]
-	sh.open = false
-	j.open--
+	sh.open, j.open = false, j.open-1
 	j.spent = j.spent || r.Outcome != Unconnected && r.Outcome != Moot
 	sh.maybe = r.Outcome != Full && r.Outcome != Unconnected && r.Outcome != Moot
 	l.learn(now, sh, r)
@@ -719,8 +709,7 @@
 func (l *Limiter) learn(now int64, sh *shot, r Reply) {
 	s, u := sh.server, sh.job.units
 	l.overdue(now, sh)
-	s.shots = slices.DeleteFunc(s.shots, func(o *shot) bool { return o == sh })
-	s.out = max(0, s.out-u)
+	s.shots, s.out = slices.DeleteFunc(s.shots, func(o *shot) bool { return o == sh }), max(0, s.out-u)
 	switch r.Outcome {
 	case Done:
 		s.heard, s.bad = now, s.bad*(1-badStep)
@@ -819,18 +808,15 @@
 			}
 			continue
 		}
-		l.load += s.out / beats
-		if len(s.shots) == 0 {
-			continue
-		}
-		first := s.shots[0]
-		quiet := now - max(s.heard, first.at)
-		wait := first.job.track.Agreed
-		if len(s.shots) > 1 {
-			wait = wait * 2 / 3
-		}
-		if quiet > wait {
-			l.setAside(now, s, "is silent")
+		if l.load += s.out / beats; len(s.shots) > 0 {
+			first := s.shots[0]
+			wait := first.job.track.Agreed
+			if len(s.shots) > 1 {
+				wait = wait * 2 / 3
+			}
+			if now-max(s.heard, first.at) > wait {
+				l.setAside(now, s, "is silent")
+			}
 		}
 	}
 	for _, s := range l.order {
@@ -892,6 +878,21 @@
 	}
 }
 
+// Closing says that the process ends and nothing is out any more: what is owed to the counter is added now,
+// since no later call would bring it.
+func (l *Limiter) Closing(now int64) {
+	for _, id := range slices.Sorted(maps.Keys(l.accounts)) {
+		a := l.accounts[id]
+		if a.owed != 0 {
+			l.turn(now, a) // what is owed to a window that has passed fades with it
+		}
+		if a.owed != 0 && l.set.CounterWait > 0 {
+			l.count(&job{account: a, name: a.name()}, a.owed, true)
+			a.owed = 0
+		}
+	}
+}
+
 // Woken takes a timer that was asked for.
 func (l *Limiter) Woken(now, token int64) {
 	if token == 0 {
--- a/choice/owed_test.go
+++ b/choice/owed_test.go
@@ -61,3 +61,24 @@
 		}
 	}
 }
+
+// TestClosing: at the end of the process what is owed is added, customer by customer, once; what fades with its window is not.
+func TestClosing(t *testing.T) {
+	l, d := made()
+	for id, owed := range map[uint64]float64{7: 2, 3: -1, 5: 0} {
+		a := l.accountOf(0, Arrival{Customer: id, Spread: 1}, l.set.Plans["plain"])
+		l.turn(0, a)
+		a.owed = owed
+	}
+	l.Closing(0)
+	expect(t, d, "count -1", "count 2")
+	l.Closing(0)
+	if len(d.did) != 2 {
+		t.Fatalf("did %q", d.did)
+	}
+	l.accounts[7].owed, l.accounts[3].owed = 2, -1
+	l.Closing(4 * l.span(l.accounts[7]))
+	if len(d.did) != 3 {
+		t.Fatalf("did %q: what was owed back to a window that has passed is not added", d.did)
+	}
+}
--- a/internal/limiter/jobs.go
+++ b/internal/limiter/jobs.go
@@ -68,7 +68,7 @@
 	j.before, j.past = j.words[3][:before], j.words[3][past:]
 	l.tolls.taken++
 	l.held += j.size
-	l.jobs[j.id] = j
+	l.jobs[j.id], l.settled = j, false
 	return j
 }
 
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -117,6 +117,7 @@
 	ready               bool
 	stopping            int64 // until when clients still come once the end was asked for, 0 before
 	wake                wake
+	settled             bool  // what is owed to the counter was added before the end
 	quiet               int64 // the latest time at which an answer was written
 	scratch             []byte
 	words               [][]byte
@@ -237,9 +238,20 @@
 		l.over(c, h.End)
 	}
 	l.tell()
+	l.close()
 	l.arm()
 }
 
+// close lets the module add what it owes to the counter, once the process is to end and nothing is out; again if a request came
+// after all.
+func (l *Limiter) close() {
+	if l.stopping != 0 && l.now >= l.stopping && len(l.jobs) == 0 && !l.settled {
+		l.settled = true
+		l.logic.Closing(l.now)
+		l.tell()
+	}
+}
+
 // consume lets the other side's bytes be used as far as they are whole.
 func (l *Limiter) consume(c *conn) {
 	c.since = l.now
@@ -432,13 +444,9 @@
 
 // Finished tells whether nothing is left to do after Stopping.
 func (l *Limiter) Finished() bool {
-	if l.stopping == 0 || l.now < l.stopping+lastLook || l.effects.Queued() {
+	// An attempt that is out may still tell the true units, if its client has gone as well; it ends by its deadline.
+	if l.stopping == 0 || l.now < l.stopping+lastLook || l.effects.Queued() || !l.settled {
 		return false
 	}
-	for _, j := range l.jobs {
-		if j.state == Taken {
-			return false
-		}
-	}
 	return !l.counter.waits() && (l.clients == 0 || l.now > max(l.quiet, l.stopping)+l.set.IdleClose)
 }
