--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -388,20 +388,23 @@
 func (l *Limiter) arm() { l.effects.Wake(max(l.timers[0].at, l.wake.blind)) }
 
 // renew goes on by a configuration that has replaced the present one under load. Discovery and the counter may move;
-// what else differs holds from the next start on.
+// what else differs holds from the next start on, each key with a line. A counter that the settings still have stays where
+// it is when none is named any more.
 func (l *Limiter) renew(config *settings.Config) {
-	if key := l.config.Fixed(config); key != "" {
-		log.Printf("event=config-kept key=%s", key)
+	for _, key := range l.config.Fixed(config) {
+		log.Printf("event=config-kept key=%q", key)
 	}
 	moved := *l.config
-	moved.Discovery, moved.Counter = config.Discovery, config.Counter
+	if moved.Discovery = config.Discovery; l.set.CounterWait > 0 && config.Counter != "" {
+		moved.Counter = config.Counter
+	}
 	discovery, counter := moved.Discovery != l.config.Discovery, moved.Counter != l.config.Counter
 	l.config = &moved
 	log.Printf("event=config-read discovery=%s counter=%s", moved.Discovery, moved.Counter)
 	if discovery {
 		l.watch.move()
 	}
-	if counter && l.set.CounterWait > 0 {
+	if counter {
 		l.counter.move()
 	}
 }
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -3,8 +3,9 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"net"
-	"reflect"
+	"slices"
 	"strconv"
 )
 
@@ -21,19 +22,61 @@
 	Settings  *Settings
 }
 
-// Fixed names what differs in another configuration and cannot change before the next start; empty if nothing does.
-func (c *Config) Fixed(other *Config) string {
-	switch {
-	case c.Name != other.Name:
-		return "name"
-	case c.Listen != other.Listen:
-		return "listen"
-	case c.Memory != other.Memory || c.Sockets != other.Sockets:
-		return "limits"
-	case !reflect.DeepEqual(c.Settings, other.Settings):
-		return "settings"
+// kept is one figure of two configurations, by its key.
+type kept struct {
+	key      string
+	old, new any
+}
+
+// Fixed names every key that differs in another configuration and cannot change before the next start, a class or a plan by
+// its name. Discovery and the counter may move, but a counter is neither added nor taken away.
+func (c *Config) Fixed(other *Config) (keys []string) {
+	a, b := c.Settings, other.Settings
+	all := []kept{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen},
+		{"counter", c.counter(c, other), other.counter(c, other)}, {"seed", c.Seed, other.Seed},
+		{"limits: memory_mb", c.Memory, other.Memory}, {"limits: sockets", c.Sockets, other.Sockets}}
+	for _, s := range []kept{{"balancers", a.Limiters, b.Limiters}, {"position", a.Position, b.Position},
+		{"family-info: count-wait", a.CounterWait, b.CounterWait}, {"family-info: units-top", a.MostUnits, b.MostUnits},
+		{"family-info: trued-up", a.MostTrue > 0, b.MostTrue > 0}, {"contract: cold-from", a.ColdFrom, b.ColdFrom},
+		{"contract: warm-within", a.WarmWithin, b.WarmWithin}, {"contract: ask-every", a.AskEvery, b.AskEvery},
+		{"permissions: attempts-cap", a.MostShots, b.MostShots}, {"permissions: dial-timeout", a.DialTimeout, b.DialTimeout},
+		{"permissions: idle-close", a.IdleClose, b.IdleClose}, {"permissions: max-retry-after", a.MostAdvice, b.MostAdvice},
+		{"permissions: probes", a.Probes, b.Probes}, {"permissions: cancelling", a.Cancelling, b.Cancelling},
+		{"granularity", a.Granularity, b.Granularity}} {
+		all = append(all, kept{"settings: " + s.key, s.old, s.new})
+	}
+	all = append(append(all, named("settings: classes: ", a.Tracks, b.Tracks)...), named("settings: tariffs: ", a.Plans, b.Plans)...)
+	for _, k := range all {
+		if k.old != k.new {
+			keys = append(keys, k.key)
+		}
+	}
+	return keys
+}
+
+// counter is the address where it cannot move: the settings that hold have no counter, or none is named any more.
+func (c *Config) counter(held, other *Config) string {
+	if held.Settings.CounterWait > 0 && other.Counter != "" {
+		return ""
+	}
+	return c.Counter
+}
+
+// named are the classes or plans of two configurations: one that is in only one of them differs.
+func named[T comparable](part string, a, b map[string]*T) (all []kept) {
+	names := maps.Clone(a)
+	maps.Copy(names, b)
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		k := kept{key: part + name}
+		if x := a[name]; x != nil {
+			k.old = *x
+		}
+		if x := b[name]; x != nil {
+			k.new = *x
+		}
+		all = append(all, k)
 	}
-	return ""
+	return all
 }
 
 // leastSockets are a connection for each party beside what the runtime and the poller hold themselves.
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"slices"
 	"strings"
 	"testing"
 )
@@ -52,18 +53,34 @@
 }
 
 func TestFixed(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
-		{"127.0.0.1:2", "127.0.0.1:5", ""},
-		{"127.0.0.1:3", "127.0.0.1:5", ""},
-		{"127.0.0.1:1", "127.0.0.1:5", "listen"},
-		{`"n"`, `"m"`, "name"},
-		{"1024", "512", "limits"},
-		{`"rate":5`, `"rate":6`, "settings"},
+	const plan, class, counter = "settings: tariffs: ", "settings: classes: ", "settings: family-info: count-wait"
+	for _, c := range []struct {
+		old, new string
+		want     []string
+	}{
+		{"127.0.0.1:2", "127.0.0.1:5", nil},
+		{"127.0.0.1:3", "127.0.0.1:5", nil},
+		{"127.0.0.1:1", "127.0.0.1:5", []string{"listen"}},
+		{`"n"`, `"m"`, []string{"name"}},
+		{"1024", "512", []string{"limits: sockets"}},
+		{`"rate":5`, `"rate":6`, []string{plan + "p"}},
+		{`"rate":5,"most-at-once":10`, `"rate":0`, []string{plan + "p"}},
+		{`"name":"p"`, `"name":"q"`, []string{plan + "p", plan + "q"}},
+		{`"name":"c","aim":1`, `"name":"d","aim":1`, []string{class + "c", class + "d"}},
+		{`[{"name":"c"`, `[{"name":"b","aim":1,"effect":"free"},{"name":"c"`, []string{class + "b"}},
+		{`"aim":1,"effect":"free"`, `"aim":2,"effect":"single_shot"`, []string{class + "c"}},
+		{`"127.0.0.1:3"`, `""`, []string{"counter", counter}},
+		{`"seed":"ff","limits":{"memory_mb":192`, `"seed":"fe","limits":{"memory_mb":191`, []string{"seed", "limits: memory_mb"}},
+		{`"name":"n","listen":"127.0.0.1:1"`, `"name":"m","listen":"127.0.0.1:9"`, []string{"name", "listen"}},
 	} {
 		t.Run(c.new, func(t *testing.T) {
 			held, err := ReadConfig([]byte(good))
-			other, otherErr := ReadConfig([]byte(strings.Replace(good, c.old, c.new, 1)))
-			if err != nil || otherErr != nil || held.Fixed(other) != c.want {
+			text := strings.Replace(good, c.old, c.new, 1)
+			if c.new == `""` { // the counter goes with its settings
+				text = strings.Replace(text, `"has-counter":true`, `"has-counter":false`, 1)
+			}
+			other, otherErr := ReadConfig([]byte(text))
+			if err != nil || otherErr != nil || !slices.Equal(held.Fixed(other), c.want) {
 				t.Fatalf("errors %v, %v, differs in %q", err, otherErr, held.Fixed(other))
 			}
 		})
