--- a/internal/lab/rig/renew_test.go
+++ b/internal/lab/rig/renew_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"fmt"
+	"io"
 	"log"
 	"os"
 	"strings"
@@ -12,6 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ospreycroft/choice"
+	"ospreycroft/internal/lab/emulator"
 	"ospreycroft/internal/settings"
 )
 
@@ -93,3 +96,74 @@
 	client.Say(t, Request("unknown", "new", 2000))
 	require.Equal(t, "-ERR unknown class", client.Answer(t))
 }
+
+const plainConfig = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","counter":%q,"seed":"ff",
+	"limits":{"memory_mb":192,"sockets":1024},"known":%s,"settings":{"balancers":1,"classes":[
+	{"name":"read","aim":1,"effect":"free"},{"name":"write","aim":1,"effect":"single_shot"},
+	{"name":"keyed","aim":1,"effect":"guarded","group":"all","dedup-window":5}],
+	"tariffs":[{"name":"plain","rate":50,"most-at-once":1000}],"family-info":{"has-counter":false,"units-top":64},
+	"contract":{"cold-from":0.5,"warm-within":10,"stop-sending-within":0.25},
+	"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15,"cancelling":true},"granularity":0.004}}`
+
+// TestOddSettings starts a whole limiter with each setting that is odd and accepted. It answers a request of each class: served,
+// but where that setting leaves no time or no quota rejected.
+func TestOddSettings(t *testing.T) {
+	const served, rejected, either = `^\$value$`, `^-BUSY`, `^(\$value$|-BUSY)`
+	for _, c := range []struct{ old, new, answer string }{
+		{`"aim":1,`, `"aim":1e-4,`, either}, {`"aim":1,`, `"aim":1e8,`, served},
+		{`"dedup-window":5`, `"dedup-window":0`, served}, {`"dedup-window":5`, `"dedup-window":1e8`, served},
+		{`"aim":1,`, `"aim":1,"worth":1e12,`, served}, {`"aim":1,"effect":"single_shot"`, `"aim":1,"effect":"single_shot","worth":1e-300`, either},
+		{`0.004`, `1e-4`, served}, {`0.004`, `1e8`, rejected},
+		{`"balancers":1`, `"balancers":1000000`, served}, {`"balancers":1`, `"balancers":1000000,"position":999999`, served},
+		{`"units-top":64`, `"units-top":1e9`, served}, {`"units-top":64`, `"units-top":1`, served},
+		{`"cold-from":0.5`, `"cold-from":0`, served}, {`"cold-from":0.5`, `"cold-from":1`, served},
+		{`"cold-from":0.5,`, ``, served}, {`"startedAtMs":0`, `"startedAtMs":9000000000000`, served},
+		{`"warm-within":10`, `"warm-within":1e-4`, served}, {`"warm-within":10`, `"warm-within":1e8`, served},
+		{`"stop-sending-within":0.25`, `"stop-sending-within":0`, served}, {`,"stop-sending-within":0.25`, ``, served},
+		{`"stop-sending-within":0.25`, `"stop-sending-within":1e-4`, served}, {`"stop-sending-within":0.25`, `"stop-sending-within":1e8`, served},
+		{`"attempts-cap":3`, `"attempts-cap":1`, served}, {`"attempts-cap":3`, `"attempts-cap":1000000000`, served},
+		{`"dial-timeout":0.25`, `"dial-timeout":1e-4`, either}, {`"dial-timeout":0.25`, `"dial-timeout":1e8`, served},
+		{`"idle-close":15`, `"idle-close":1e-4`, either}, {`"idle-close":15`, `"idle-close":1e8`, served},
+		{`"cancelling":true`, `"cancelling":true,"retry-after":true,"max-retry-after":0`, served},
+		{`"cancelling":true`, `"cancelling":true,"probes":true`, served},
+		{`"stop-sending-within":0.25}`, `"ask-every":1e-4},"registry-mode":"on_request"`, served},
+		{`"stop-sending-within":0.25}`, `"ask-every":1e8},"registry-mode":"on_request"`, served},
+		{`"rate":50,"most-at-once":1000`, `"rate":0`, served}, {`"rate":50,"most-at-once":1000`, `"rate":0,"parallel":1`, either},
+		{`"rate":50,"most-at-once":1000`, `"rate":0,"parallel":1000000000000`, served},
+		{`"rate":50,"most-at-once":1000`, `"rate":1e12,"most-at-once":1e12`, served},
+		{`"rate":50,"most-at-once":1000`, `"rate":1e-9,"most-at-once":0.1`, rejected},
+		{`"rate":50,"most-at-once":1000`, `"rate":1e-300,"most-at-once":1e-300`, rejected},
+		{`"rate":50,"most-at-once":1000`, `"rate":0,"hard-rate":1e-9,"never-over-depth":0.1`, rejected},
+		{`"rate":50,"most-at-once":1000`, `"rate":0,"hard-rate":1e12,"never-over-depth":1e12`, served},
+		{`"rate":50,`, `"rate":50,"beyond-costs":1e12,"extra-worth":1e12,"value-factor":0,`, served},
+		{`"memory_mb":192`, `"memory_mb":1`, served}, {`"memory_mb":192`, `"memory_mb":1e9`, served},
+		{`"sockets":1024`, `"sockets":1048576`, served},
+		{`"has-counter":false`, `"has-counter":true,"count-wait":1e-4`, served},
+	} {
+		t.Log(c.old, c.new)
+		server, counter := Listen(t), Listen(t)
+		known := fmt.Sprintf(`{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service",`+
+			`"startedAtMs":0}]}`, server.Address)
+		text := fmt.Sprintf(plainConfig, counter.Address, known)
+		require.Contains(t, text, c.old)
+		config, err := settings.ReadConfig([]byte(strings.Replace(text, c.old, c.new, 1)))
+		require.NoError(t, err)
+		r := Start(t, config)
+		go func() {
+			for conn, err := server.ln.Accept(); err == nil; conn, err = server.ln.Accept() {
+				go func() {
+					defer func() { _ = conn.Close() }()
+					_ = emulator.Commands(conn, func([][]byte) bool {
+						_, err := io.WriteString(conn, Served("value"))
+						return err == nil
+					})
+				}()
+			}
+		}()
+		client := r.Dial(t)
+		for _, class := range []string{"read", "write", "keyed"} {
+			client.Say(t, Request("id-"+class, class, 1000))
+			require.Regexp(t, c.answer, client.Answer(t), class)
+		}
+	}
+}
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -79,8 +79,12 @@
 	return all
 }
 
-// leastSockets are a connection for each party beside what the runtime and the poller hold themselves.
-const leastSockets = 32
+const (
+	leastSockets = 32      // a connection for each party beside what the runtime and the poller hold themselves
+	mostSockets  = 1 << 20 // a table of all descriptors is held
+	leastMemory  = 1       // MB: a part of it has to hold the largest command
+	mostMemory   = 1 << 30
+)
 
 // ReadConfig decodes a configuration and refuses one that cannot work, naming the key.
 func ReadConfig(text []byte) (*Config, error) {
@@ -111,7 +115,8 @@
 		if a.key == "counter" && a.address == "" {
 			continue
 		}
-		if _, port, err := net.SplitHostPort(a.address); err != nil || port == "" {
+		host, port, err := net.SplitHostPort(a.address)
+		if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || n == 0 || host == "" && a.key != "listen" {
 			return nil, &KeyError{Key: a.key, Why: fmt.Sprintf("%q is no address", a.address), Cause: err}
 		}
 	}
@@ -119,11 +124,9 @@
 	if err != nil {
 		return nil, &KeyError{Key: "seed", Cause: err}
 	}
-	if f.Limits.MemoryMB <= 0 {
-		return nil, wrong("limits: memory_mb", "is %v", f.Limits.MemoryMB)
-	}
-	if f.Limits.Sockets < leastSockets {
-		return nil, wrong("limits: sockets", "is %d, at least %d are needed", f.Limits.Sockets, leastSockets)
+	if err := within("limits: ", figure{"memory_mb", f.Limits.MemoryMB, leastMemory, mostMemory, false},
+		figure{"sockets", float64(f.Limits.Sockets), leastSockets, mostSockets, false}); err != nil {
+		return nil, err
 	}
 	if set.IdleClose <= 0 {
 		return nil, wrong("settings: permissions: idle-close", "missing")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -24,23 +24,24 @@
 	Balancers int  `json:"balancers"`
 	Position  *int `json:"position"`
 	Classes   []struct {
-		Name   string  `json:"name"`
-		Aim    float64 `json:"aim"`
-		Effect string  `json:"effect"`
-		Group  string  `json:"group"`
-		Window float64 `json:"dedup-window"`
-		Worth  float64 `json:"worth"`
+		Name     string   `json:"name"`
+		Aim      float64  `json:"aim"`
+		Deadline *float64 `json:"deadline"`
+		Effect   string   `json:"effect"`
+		Group    string   `json:"group"`
+		Window   float64  `json:"dedup-window"`
+		Worth    float64  `json:"worth"`
 	} `json:"classes"`
 	Tariffs []struct {
-		Name        string  `json:"name"`
-		Rate        float64 `json:"rate"`
-		MostAtOnce  float64 `json:"most-at-once"`
-		HardRate    float64 `json:"hard-rate"`
-		HardDepth   float64 `json:"never-over-depth"`
-		Parallel    float64 `json:"parallel"`
-		ExtraWorth  float64 `json:"extra-worth"`
-		BeyondCosts float64 `json:"beyond-costs"`
-		ValueFactor float64 `json:"value-factor"`
+		Name        string   `json:"name"`
+		Rate        float64  `json:"rate"`
+		MostAtOnce  float64  `json:"most-at-once"`
+		HardRate    float64  `json:"hard-rate"`
+		HardDepth   float64  `json:"never-over-depth"`
+		Parallel    float64  `json:"parallel"`
+		ExtraWorth  float64  `json:"extra-worth"`
+		BeyondCosts float64  `json:"beyond-costs"`
+		ValueFactor *float64 `json:"value-factor"`
 	} `json:"tariffs"`
 	Family struct {
 		HasCounter bool    `json:"has-counter"`
@@ -66,9 +67,42 @@
 	Granularity float64 `json:"granularity"`
 }
 
+// Bounds of figures. Nobody means one beyond them, and the arithmetic in nanoseconds holds within them: what is shorter would
+// round to no time at all, and what is longer would overflow.
+const (
+	leastTime = 1e-4 // seconds
+	mostTime  = 1e8
+	mostUnits = 1e9 // the wire's largest amount
+	mostRate  = 1e12
+	mostCount = 1e6
+)
+
+// figure is a number and what it may be; 0 stands for one that is not told, where that may be.
 type figure struct {
-	name  string
-	value float64
+	name               string
+	value, least, most float64
+	zero               bool
+}
+
+// within refuses the first figure that is out of its bounds, by its key.
+func within(part string, figures ...figure) error {
+	for _, f := range figures {
+		if !(f.least <= f.value && f.value <= f.most) && !(f.zero && f.value == 0) {
+			return wrong(part+f.name, "is %v, not from %v to %v", f.value, f.least, f.most)
+		}
+	}
+	return nil
+}
+
+// once refuses a class or a plan without a name, or with one that is there already.
+func once(part, name string, there bool) error {
+	switch {
+	case name == "":
+		return wrong(part+": name", "missing")
+	case there:
+		return wrong(part+": "+name, "there twice")
+	}
+	return nil
 }
 
 func nanos(seconds float64) int64 { return int64(math.Round(seconds * 1e9)) }
@@ -104,16 +138,21 @@
 		s.MostAdvice = nanos(f.Permissions.MaxRetryAfter)
 	}
 	for _, c := range f.Classes {
+		part := "classes: " + c.Name
 		effect, known := effects[c.Effect]
 		group, grouped := groups[c.Group]
 		if !known || effect == choice.Fingerprinted && !grouped {
-			return nil, wrong("classes: "+c.Name, "effect %q, group %q: not known", c.Effect, c.Group)
+			return nil, wrong(part, "effect %q, group %q: not known", c.Effect, c.Group)
 		}
-		if c.Aim <= 0 {
-			return nil, wrong("classes: "+c.Name+": aim", "is %v", c.Aim)
+		if err := once("classes", c.Name, s.Tracks[c.Name] != nil); err != nil {
+			return nil, err
 		}
-		if c.Worth < 0 {
-			return nil, wrong("classes: "+c.Name+": worth", "is %v", c.Worth)
+		if err := within(part, figure{": aim", c.Aim, leastTime, mostTime, false}, figure{": worth", c.Worth, 0, mostRate, false},
+			figure{": dedup-window", c.Window, leastTime, mostTime, true}); err != nil {
+			return nil, err
+		}
+		if c.Deadline != nil && *c.Deadline <= 0 { // it comes with each request, but a class without time is no class
+			return nil, wrong(part+": deadline", "is %v", *c.Deadline)
 		}
 		s.Tracks[c.Name] = &choice.Track{Agreed: nanos(c.Aim), Effect: effect, Group: group,
 			Repeats: nanos(c.Window), Benefit: c.Worth}
@@ -125,28 +164,51 @@
 		return nil, wrong("classes", "none")
 	}
 	for _, t := range f.Tariffs {
-		for _, f := range []figure{{"rate", t.Rate}, {"hard-rate", t.HardRate}, {"never-over-depth", t.HardDepth},
-			{"parallel", t.Parallel}} {
-			if f.value < 0 {
-				return nil, wrong("tariffs: "+t.Name+": "+f.name, "is %v", f.value)
-			}
+		part, worth := "tariffs: "+t.Name, 1.0 // not told: as good as any
+		if err := once("tariffs", t.Name, s.Plans[t.Name] != nil); err != nil {
+			return nil, err
+		}
+		if t.ValueFactor != nil {
+			worth = *t.ValueFactor
+		}
+		if err := within(part, figure{": rate", t.Rate, 0, mostRate, false}, figure{": hard-rate", t.HardRate, 0, mostRate, false},
+			figure{": most-at-once", t.MostAtOnce, 0, mostRate, false},
+			figure{": never-over-depth", t.HardDepth, 0, mostRate, false}, figure{": parallel", t.Parallel, 0, mostRate, false},
+			figure{": extra-worth", t.ExtraWorth, 0, mostRate, false}, figure{": beyond-costs", t.BeyondCosts, 0, mostRate, false},
+			figure{": value-factor", worth, 0, mostRate, false}); err != nil {
+			return nil, err
 		}
 		if t.Parallel != math.Trunc(t.Parallel) {
-			return nil, wrong("tariffs: "+t.Name+": parallel", "is %v, no whole number", t.Parallel)
+			return nil, wrong(part+": parallel", "is %v, no whole number", t.Parallel)
 		}
-		if t.MostAtOnce < 0 || t.Rate > 0 && t.MostAtOnce == 0 {
-			return nil, wrong("tariffs: "+t.Name+": most-at-once", "is %v", t.MostAtOnce)
+		// A store that holds nothing, or takes years to fill, is none.
+		for _, store := range []struct {
+			name        string
+			depth, rate float64
+		}{{": most-at-once", t.MostAtOnce, t.Rate}, {": never-over-depth", t.HardDepth, t.HardRate}} {
+			if store.rate > 0 && !(store.depth > 0 && store.depth <= store.rate*mostTime) {
+				return nil, wrong(part+store.name, "is %v, with a rate of %v", store.depth, store.rate)
+			}
 		}
 		s.Plans[t.Name] = &choice.Plan{Rate: t.Rate, Burst: t.MostAtOnce,
 			CeilingRate: t.HardRate, CeilingBurst: t.HardDepth, Open: t.Parallel,
-			BeyondEarns: t.ExtraWorth, BeyondCosts: t.BeyondCosts, Benefit: t.ValueFactor}
+			BeyondEarns: t.ExtraWorth, BeyondCosts: t.BeyondCosts, Benefit: worth}
 	}
-	for _, f := range []figure{{"family-info: units-top", s.MostUnits}, {"granularity", f.Granularity},
-		{"permissions: attempts-cap", float64(s.MostShots)}, {"balancers", float64(s.Limiters)},
-		{"contract: warm-within", f.Contract.WarmWithin}} {
-		if f.value <= 0 {
-			return nil, wrong(f.name, "is %v", f.value)
-		}
+	if len(s.Plans) == 0 {
+		return nil, wrong("tariffs", "none")
+	}
+	if err := within("", figure{"family-info: units-top", s.MostUnits, math.SmallestNonzeroFloat64, mostUnits, false},
+		figure{"granularity", f.Granularity, leastTime, mostTime, false},
+		figure{"permissions: attempts-cap", float64(s.MostShots), 1, mostRate, false},
+		figure{"permissions: dial-timeout", f.Permissions.DialTimeout, leastTime, mostTime, true},
+		figure{"permissions: idle-close", f.Permissions.IdleClose, leastTime, mostTime, true},
+		figure{"permissions: max-retry-after", f.Permissions.MaxRetryAfter, 0, mostTime, false},
+		figure{"balancers", float64(s.Limiters), 1, mostCount, false},
+		figure{"family-info: count-wait", f.Family.CountWait, leastTime, mostTime, !f.Family.HasCounter},
+		figure{"contract: cold-from", f.Contract.ColdFrom, 0, 1, false},
+		figure{"contract: ask-every", f.Contract.AskEvery, leastTime, mostTime, f.Mode != "on_request"},
+		figure{"contract: warm-within", f.Contract.WarmWithin, leastTime, mostTime, false}); err != nil {
+		return nil, err
 	}
 	if f.Position != nil {
 		if s.Position = *f.Position; s.Position < 0 || s.Position >= s.Limiters {
@@ -155,9 +217,7 @@
 	}
 	all := &Settings{Settings: s, IdleClose: nanos(f.Permissions.IdleClose)}
 	if f.Mode == "on_request" {
-		if all.AskEvery = nanos(f.Contract.AskEvery); all.AskEvery <= 0 {
-			return nil, wrong("contract: ask-every", "is %v", f.Contract.AskEvery)
-		}
+		all.AskEvery = nanos(f.Contract.AskEvery)
 	}
 	if f.Family.TruedUp {
 		all.MostTrue = s.MostUnits
