--- a/internal/inquiry/inquiry.go
+++ b/internal/inquiry/inquiry.go
@@ -20,7 +20,6 @@
 	toldAfter = 6e9 // so long after discovery fell silent,
 	toldWait  = 2e9 // where a call may wait no sooner than so long after its wait,
 	toldMoved = 4e9 // and so long after a new configuration
-	grace     = 250e6
 )
 
 const (
@@ -28,11 +27,14 @@
 	brokeMost   = 4  // and after further ones later and later, up to so many dial time-outs;
 	turnedFirst = 8  // after it turned a call away, after so many dial time-outs,
 	turnedMost  = 32 // and up to so many
-	pushedPart  = 5  // where changes are pushed what the own machine's agent has counts at once: after this part of the grace
+	pushedPart  = 5  // where changes are pushed what the own machine's agent has counts at once: after this part of the grace,
 	holds       = 4  // there a watch waits for so many dial time-outs: one that is never answered hides all news,
 	patience    = 2  // and is given up if no answer comes for so many more
 	startShare  = 2  // where it is asked the first call comes within this part of the time in which each must have asked once
 
+	mostPause  = 50e6 // and after no longer than that, as it costs nothing there,
+	leastPause = 1e6  // nor sooner than that
+
 	mostDial = 500e6 // no dial to discovery, and no answer that could come at once, is waited for longer
 	margin   = 100e6 // what all that is not waiting takes together
 )
@@ -41,6 +43,7 @@
 type Pace struct {
 	dial     int64   // a dial time-out
 	every    int64   // the longest time between calls where they are work for discovery, 0 where changes are pushed
+	pause    int64   // the longest between them where they are none
 	place    float64 // this limiter's place among all, in [0, 1)
 	failures int     // calls in a row without an answer
 	known    int64   // when the list that is held was last known to be discovery's
@@ -54,7 +57,14 @@
 // settings' longest time between calls where discovery tells only those that ask, and 0 where it tells all.
 func New(now, dialTimeout int64, position int, every int64) *Pace {
 	_, place := math.Modf(float64(position) * math.Phi)
-	return &Pace{dial: min(dialTimeout, mostDial), place: place, every: every, known: now}
+	return &Pace{dial: min(dialTimeout, mostDial), place: place, every: every, pause: mostPause, known: now}
+}
+
+// Within takes the settings' grace: how late what is told may be acted on, 0 where they do not say.
+func (p *Pace) Within(grace int64) {
+	if grace > 0 {
+		p.pause = max(min(mostPause, grace/pushedPart), leastPause)
+	}
 }
 
 // First is how long to wait before the first call. Limiters that start together would overbook a discovery that takes their
@@ -128,7 +138,7 @@
 	span, most := p.dial/brokeFirst, brokeMost*p.dial
 	switch {
 	case p.every == 0:
-		span = min(span, grace/pushedPart)
+		span = min(span, p.pause)
 		most = span
 	case end == Turned:
 		span, most = turnedFirst*p.dial, turnedMost*p.dial
--- a/internal/inquiry/inquiry_test.go
+++ b/internal/inquiry/inquiry_test.go
@@ -170,3 +170,15 @@
 		}
 	}
 }
+
+// TestGrace: the pause before the agent is asked again is a part of the grace that the settings tell, not of one site's.
+func TestGrace(t *testing.T) {
+	for _, c := range []struct{ grace, least, most int64 }{{0, 25e6, 75e6}, {500e6, 25e6, 75e6}, {100e6, 10e6, 30e6}, {1, 5e5, 15e5}} {
+		p := New(0, unit, 3, 0)
+		p.Within(c.grace)
+		for range 40 {
+			pause := p.Next(0, Broke)
+			require.True(t, c.least <= pause && pause <= c.most, "a grace of %d, a pause of %d", c.grace, pause)
+		}
+	}
+}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -168,6 +168,7 @@
 	l.counter.l, l.counter.heard, l.watch.l = l, now, l
 	l.keep = l.set.IdleClose / idleShare
 	l.watch.pace = inquiry.New(now, l.set.DialTimeout, max(l.set.Position, 0), l.set.AskEvery)
+	l.watch.pace.Within(l.set.Grace)
 	l.logic = choice.New(now, l.set.Settings, config.Seed, l)
 	if err := l.begin(stated); err != nil {
 		return nil, err
--- a/internal/settings/other_test.go
+++ b/internal/settings/other_test.go
@@ -87,6 +87,7 @@
 		{`0.3`, `-0.3`, "settings: contract: cold-from"}, {`0.3`, `1.5`, "settings: contract: cold-from"},
 		{`"warm-within":10`, `"warm-within":1e-10`, "settings: contract: warm-within"},
 		{`"warm-within":10`, `"warm-within":1e10`, "settings: contract: warm-within"},
+		{`"warm-within":10`, `"warm-within":10,"stop-sending-within":-1`, "settings: contract: stop-sending-within"},
 		{`"attempts-cap":3`, `"attempts-cap":0`, "settings: permissions: attempts-cap"},
 		{`"attempts-cap":3`, `"attempts-cap":-3`, "settings: permissions: attempts-cap"},
 		{`"attempts-cap":3`, `"attempts-cap":2.5`, "settings: permissions: attempts-cap"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,6 +53,7 @@
 		ColdFrom   float64 `json:"cold-from"`
 		WarmWithin float64 `json:"warm-within"`
 		AskEvery   float64 `json:"ask-every"`
+		Grace      float64 `json:"stop-sending-within"`
 	} `json:"contract"`
 	Mode        string `json:"registry-mode"`
 	Permissions struct {
@@ -112,6 +113,7 @@
 	*choice.Settings
 	IdleClose int64   // a server closes a connection that has been idle for so long
 	AskEvery  int64   // the longest time between calls to discovery where it tells only those that ask, else 0
+	Grace     int64   // how long after word that it drains a server may still be sent to; 0 where it is not told
 	MostTrue  float64 // the most units that an answer can say a job has taken; 0 where a job's own figure is no guess
 }
 
@@ -206,6 +208,7 @@
 		figure{"balancers", float64(s.Limiters), 1, mostCount, false},
 		figure{"family-info: count-wait", f.Family.CountWait, leastTime, mostTime, !f.Family.HasCounter},
 		figure{"contract: cold-from", f.Contract.ColdFrom, 0, 1, false},
+		figure{"contract: stop-sending-within", f.Contract.Grace, leastTime, mostTime, true},
 		figure{"contract: ask-every", f.Contract.AskEvery, leastTime, mostTime, f.Mode != "on_request"},
 		figure{"contract: warm-within", f.Contract.WarmWithin, leastTime, mostTime, false}); err != nil {
 		return nil, err
@@ -215,7 +218,7 @@
 			return nil, wrong("position", "is %d, of %d balancers", s.Position, s.Limiters)
 		}
 	}
-	all := &Settings{Settings: s, IdleClose: nanos(f.Permissions.IdleClose)}
+	all := &Settings{Settings: s, IdleClose: nanos(f.Permissions.IdleClose), Grace: nanos(f.Contract.Grace)}
 	if f.Mode == "on_request" {
 		all.AskEvery = nanos(f.Contract.AskEvery)
 	}
