--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -50,7 +50,8 @@
 	// Read copies the bytes that the present happening told of.
 	Read(into []byte)
 	Write(id ID, bytes []byte)
-	// Alive tells whether a connection that is up has not ended, as far as the sockets know.
+	// Alive tells whether a connection that is up has not ended, as far as the sockets know; of one that was dialled, also whether
+	// all that has come on it was told.
 	Alive(id ID) bool
 	// Written tells how many bytes the kernel has taken.
 	Written(id ID) int64
--- /dev/null
+++ b/internal/sockets/close_test.go
@@ -0,0 +1,114 @@
+package sockets
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/limiter"
+	"ospreycroft/internal/resp"
+)
+
+// request is a whole request's command, with a body where it is of an order class.
+func request(id string) string {
+	return string(resp.AppendCommand(nil, []byte("SVC.QUERY"), []byte("000000000000000f"), []byte(id),
+		[]byte("c=c,t=p,d=4000,units=1,spread=1,first=0")))
+}
+
+// accepts hands out what a server accepts.
+func accepts(t *testing.T, server net.Listener) <-chan *net.TCPConn {
+	accepted := make(chan *net.TCPConn, 8)
+	go func() {
+		for c, err := server.Accept(); err == nil; c, err = server.Accept() {
+			t.Cleanup(func() { _ = c.Close() })
+			accepted <- c.(*net.TCPConn)
+		}
+	}()
+	return accepted
+}
+
+// arrive turns until a connection to the server has come and is written to.
+func (d *drive) arrive(accepted <-chan *net.TCPConn) (c *net.TCPConn) {
+	d.t.Helper()
+	d.until("a connection comes", func() bool {
+		select {
+		case c = <-accepted:
+		default:
+		}
+		return c != nil && d.s.Written(d.find(c)) > 0
+	})
+	return c
+}
+
+// find finds our end of a connection, 0 where there is none.
+func (d *drive) find(far net.Conn) limiter.ID {
+	for id, l := range d.s.links {
+		if c := l.conn.Load(); c != nil && c.RemoteAddr().String() == far.LocalAddr().String() {
+			return id
+		}
+	}
+	return 0
+}
+
+// has tells whether something was read that the reducer was not told of.
+func (l *link) has() bool {
+	l.reading.Lock()
+	defer l.reading.Unlock()
+	return l.posted > l.told
+}
+
+// TestSecondAnswer: what a server sends behind its answer has come, the reducer was not told, and it has the next request for that
+// server. Written to the same connection, it would be served with what was never made for it, or run and be lost with the connection.
+func TestSecondAnswer(t *testing.T) {
+	const one, two = "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n", "*3\r\n$3\r\ntwo\r\n$-1\r\n$-1\r\n"
+	for name, c := range map[string]struct {
+		stands bool // the poller stands, so that it waits in the kernel
+		sends  func(far *net.TCPConn)
+	}{
+		"a second answer, read":          {false, func(far *net.TCPConn) { _, _ = io.WriteString(far, two) }},
+		"a second answer, in the kernel": {true, func(far *net.TCPConn) { _, _ = io.WriteString(far, two) }},
+		"an end":                         {true, func(far *net.TCPConn) { _ = far.CloseWrite() }},
+		"a reset": {true, func(far *net.TCPConn) {
+			_ = far.SetLinger(0)
+			_ = far.Close()
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server, err := net.Listen("tcp", "127.0.0.1:0")
+			require.NoError(t, err)
+			defer func() { _ = server.Close() }()
+			d, accepted := driven(t, 64, server), accepts(t, server)
+			client, other := d.dial(), d.dial()
+			ask(t, client, request("r1"))
+			far := d.arrive(accepted)
+			answer(t, far, request("r1"))
+			ask(t, far, one)
+			back, held := d.s.links[d.find(far)], d.s.links[d.find(other)]
+			d.until("it is answered", func() bool { return back.told == int64(len(one)) })
+			answer(t, client, "$3\r\none\r\n")
+			ask(t, client, request("r2"))
+			require.Eventually(t, d.read, patience, time.Millisecond)
+			if c.stands {
+				held.reading.Lock()
+				ask(t, other, "*")
+				require.Eventually(t, func() bool { return !still(held.conn.Load()) }, patience, time.Millisecond)
+			}
+			c.sends(far)
+			require.Eventually(t, func() bool { return back.has() || c.stands && !still(back.conn.Load()) }, patience, time.Millisecond)
+			d.now += 1e7 // the connection has rested
+			d.turn(0)
+			if c.stands {
+				held.reading.Unlock()
+			}
+			again := d.arrive(accepted)
+			answer(t, again, request("r2"))
+			ask(t, again, strings.Replace(two, "two", "own", 1))
+			d.until("it is answered", func() bool { return d.s.Written(d.find(client)) == 2*int64(len("$3\r\none\r\n")) })
+			answer(t, client, "$3\r\nown\r\n")
+		})
+	}
+}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -339,14 +339,33 @@
 	}
 }
 
-// Alive is an effect.
+// Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on it would be
+// taken for what a server sent behind the last one, and what is written to one that the server has ended counts as sent.
 func (s *Sockets) Alive(id limiter.ID) bool {
 	l := s.links[id]
 	if l == nil {
 		return false
 	}
-	closed, _ := l.conn.Load().IsClosed()
-	return !closed
+	c := l.conn.Load()
+	if closed, _ := c.IsClosed(); closed || l.gate != nil {
+		return !closed
+	}
+	if !l.reading.TryLock() {
+		return false
+	}
+	defer l.reading.Unlock()
+	return l.posted == l.told && still(c)
+}
+
+// still tells whether neither bytes nor an end wait in the kernel.
+func still(c *nbio.Conn) bool {
+	c.Lock()
+	defer c.Unlock()
+	if closed, _ := c.IsClosed(); closed {
+		return false
+	}
+	_, _, err := syscall.Recvfrom(c.Hash(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	return err == syscall.EAGAIN
 }
 
 // Written is an effect.
