--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -36,7 +36,11 @@
 	wrote  int64  // when that was written
 }
 
-var errUnasked = errors.New("an answer that nobody asked for")
+var (
+	errUnasked = errors.New("an answer that nobody asked for")
+	// The rest of the command must not follow: it would run here after it was sent elsewhere or its job has ended.
+	errEarly = errors.New("an answer to a command of which the kernel has only a part")
+)
 
 // backend takes the connection that was used last or opens one; nil if there is no descriptor for it
 // or no more may be opened. One that has
@@ -177,6 +181,9 @@
 		}
 		return 0, nil
 	}
+	if s != nil && l.effects.Written(b.c.id) < s.last {
+		return 0, errEarly
+	}
 	l.timers.drop(b.half)
 	b.half = nil
 	if b.rested > l.keep/2 {
