--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -38,8 +38,7 @@
 
 var (
 	errUnasked = errors.New("an answer that nobody asked for")
-	// The rest of the command must not follow: it would run here after it was sent elsewhere or its job has ended.
-	errEarly = errors.New("an answer to a command of which the kernel has only a part")
+	errEarly   = errors.New("an answer to a command of which the kernel has only a part")
 )
 
 // backend takes the connection that was used last or opens one; nil if there is no descriptor for it
@@ -181,9 +180,7 @@
 		}
 		return 0, nil
 	}
-	if s != nil && l.effects.Written(b.c.id) < s.last {
-		return 0, errEarly
-	}
+	early := s != nil && l.effects.Written(b.c.id) < s.last
 	l.timers.drop(b.half)
 	b.half = nil
 	if b.rested > l.keep/2 {
@@ -195,13 +192,18 @@
 		l.owed = append(l.owed, owed{probed: b.pool.id, outcome: choice.Done})
 	} else {
 		reply, value := judge(v, l.set.MostTrue)
+		if early && reply.Outcome != choice.Full {
+			return 0, errEarly
+		}
 		if reply.Outcome == choice.Done {
 			l.move(s.job, Done, resp.AppendBulk(nil, value))
 		}
 		b.shot = nil
 		l.endShot(s, reply)
 	}
-	if l.conns[b.c.id] == b.c {
+	if early {
+		l.over(b.c, CalledOff) // the rest of the command must not follow
+	} else if l.conns[b.c.id] == b.c {
 		b.rest()
 	}
 	return n, nil
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"net"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -112,3 +113,90 @@
 		})
 	}
 }
+
+// TestNoDelay: small writes are sent at once, to clients and to servers, after nbio has taken the connections over.
+func TestNoDelay(t *testing.T) {
+	server, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { _ = server.Close() }()
+	d, accepted := driven(t, 64, server), accepts(t, server)
+	client := d.dial()
+	ask(t, client, request("r1"))
+	for _, far := range []net.Conn{d.arrive(accepted), client} {
+		on, err := syscall.GetsockoptInt(d.s.links[d.find(far)].conn.Load().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+		require.NoError(t, err)
+		require.Equal(t, 1, on)
+	}
+}
+
+// TestCloseCounts: what the poller gets into the kernel in the moment of closing is counted, for nothing can follow it. The test holds
+// the connection's lock as the poller's flush does, and writes a piece under it while Close waits.
+func TestCloseCounts(t *testing.T) {
+	s, _ := listening(t, 1)
+	other, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { _ = other.Close() }()
+	id := s.Dial(other.Addr().String(), int64(patience))
+	expect(t, s, limiter.Connected, id)
+	far, err := other.Accept()
+	require.NoError(t, err)
+	defer func() { _ = far.Close() }()
+	s.Write(id, []byte("abc"))
+	l := s.links[id]
+	c := l.conn.Load()
+	c.Lock()
+	closed := make(chan int64)
+	go func() { closed <- s.Close(id) }()
+	require.Eventually(t, l.unasked.Load, patience, time.Millisecond)
+	time.Sleep(5 * time.Millisecond)
+	n, err := syscall.Write(c.Hash(), []byte("defg"))
+	require.NoError(t, err)
+	l.written.Add(int64(n))
+	c.Unlock()
+	require.Equal(t, int64(7), <-closed)
+	text, err := io.ReadAll(far)
+	require.NoError(t, err)
+	require.Equal(t, "abcdefg", string(text))
+}
+
+// TestWriteBehindEnd: what a peer sent before it ended the connection is told, though something is written in the moment of its end,
+// and of that the kernel takes nothing: it would be lost, or count as sent. A poller that stands keeps both in the kernel.
+func TestWriteBehindEnd(t *testing.T) {
+	for name, end := range map[string]func(c *net.TCPConn){
+		"end": func(c *net.TCPConn) { _ = c.CloseWrite() },
+		"reset": func(c *net.TCPConn) {
+			_ = c.SetLinger(0)
+			_ = c.Close()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, address := listening(t, 1)
+			client, err := net.Dial("tcp", address)
+			require.NoError(t, err)
+			h, _ := next(t, s)
+			other, err := net.Listen("tcp", "127.0.0.1:0")
+			require.NoError(t, err)
+			defer func() { _ = other.Close() }()
+			id := s.Dial(other.Addr().String(), int64(patience))
+			expect(t, s, limiter.Connected, id)
+			far := <-accepts(t, other)
+			held, l := s.links[h.Conn], s.links[id]
+			held.reading.Lock()
+			ask(t, client, "*")
+			require.Eventually(t, func() bool { return !still(held.conn.Load()) }, patience, time.Millisecond)
+			time.Sleep(5 * time.Millisecond) // the poller is at it
+			ask(t, far, "last")
+			end(far)
+			require.Eventually(t, func() bool { return ended(l.conn.Load()) }, patience, time.Millisecond)
+			s.Write(id, []byte("abc"))
+			held.reading.Unlock()
+			h, text := next(t, s)
+			for h.Conn != id {
+				h, text = next(t, s)
+			}
+			require.Equal(t, "last", text)
+			require.Equal(t, limiter.Ended, expect(t, s, limiter.Ended, id).Kind)
+			require.Zero(t, s.Written(id))
+		})
+	}
+}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -29,6 +29,9 @@
 // looks is how often connections that were left are looked at, nanoseconds.
 const looks = 5e6
 
+// established is the kernel's number for a connection that neither side has ended, the first byte of TCP_INFO.
+const established = 1
+
 // mostWaiting is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
 const mostWaiting = 4 << 20
 
@@ -334,9 +337,26 @@
 
 // Write is an effect.
 func (s *Sockets) Write(id limiter.ID, bytes []byte) {
-	if l := s.links[id]; l != nil {
-		_, _ = l.conn.Load().Write(bytes) // a failure ends the connection, which is told
+	l := s.links[id]
+	if l == nil {
+		return
+	}
+	// What was sent to us before its end waits in the kernel still; a write that fails would drop it, and one that does not would
+	// count as sent.
+	if c := l.conn.Load(); l.gate != nil || !ended(c) {
+		_, _ = c.Write(bytes) // a failure ends the connection, which is told
+	}
+}
+
+// ended tells whether the other side has ended the connection, as far as the kernel knows.
+func ended(c *nbio.Conn) bool {
+	c.Lock()
+	defer c.Unlock()
+	if closed, _ := c.IsClosed(); closed {
+		return true
 	}
+	state, err := syscall.GetsockoptInt(c.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+	return err == nil && state&0xff != established
 }
 
 // Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on it would be
