--- a/internal/limiter/jobs.go
+++ b/internal/limiter/jobs.go
@@ -80,15 +80,15 @@
 	if j.state = to; to == Done {
 		l.tolls.done++
 	}
-	if to != Left {
-		j.client.answer(j.answer, text)
-	}
 	for _, s := range j.shots {
-		// A command of which the kernel has only a part must not become whole after the job's end.
+		// A command of which the kernel has only a part must not become whole after the job's end: this comes before the answer.
 		if s.open && s.last > 0 && l.effects.Written(s.backend.c.id) < s.last {
 			l.over(s.backend.c, CalledOff)
 		}
 	}
+	if to != Left {
+		j.client.answer(j.answer, text)
+	}
 	l.drop(j)
 }
 
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -200,3 +200,40 @@
 		})
 	}
 }
+
+// TestPartAtEnd: when a request ends of which its server has but a part, the rest is held back before the client is answered. The
+// test stops the limiter in the moment in which it answers, and then reads at the server all that comes.
+func TestPartAtEnd(t *testing.T) {
+	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { // small segments keep the other side's send buffer small
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 536)
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1<<10)
+		})
+	}}
+	server, err := small.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { _ = server.Close() }()
+	d, accepted := driven(t, 64, server), accepts(t, server)
+	client := d.dial()
+	ask(t, client, string(resp.AppendCommand(nil, []byte("SVC.QUERY"), []byte("000000000000000f"), []byte("id"),
+		[]byte("c=c,t=p,d=200,units=1,spread=1,first=0,pad="+strings.Repeat("x", 60<<10)))))
+	far := d.arrive(accepted)
+	require.Less(t, d.s.Written(d.find(far)), int64(60<<10))
+	back, held := d.s.links[d.find(far)], d.s.links[d.find(client)].conn.Load()
+	held.Lock()
+	ended := make(chan struct{})
+	go func() {
+		d.turn(2e8)
+		close(ended)
+	}()
+	for end := time.Now().Add(patience / 5); !back.unasked.Load() && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+	_ = far.SetReadDeadline(time.Now().Add(patience / 5))
+	text, err := io.ReadAll(far)
+	held.Unlock()
+	<-ended
+	require.Less(t, len(text), 60<<10, "it got whole after its end")
+	require.NoError(t, err, "its connection was not ended")
+	answer(t, client, "-BUSY")
+}
