--- /dev/null
+++ b/internal/lab/rig/stop_test.go
@@ -0,0 +1,127 @@
+package rig
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/settings"
+)
+
+// counted is a configuration with a counter at peer, which may take long to answer.
+func counted(counter *Peer, servers ...*Peer) *settings.Config {
+	config := Config(servers...)
+	config.Counter = counter.Address
+	config.Settings.CounterWait, config.Settings.MostTrue = 4e9, 64
+	return config
+}
+
+// tallied reads one call on the counter's line and gives its amount.
+func (c *Conn) tallied(t testing.TB) float64 {
+	t.Helper()
+	words := strings.Fields(c.Line(t))
+	require.Len(t, words, 4)
+	amount, err := strconv.ParseFloat(words[2], 64)
+	require.NoError(t, err)
+	return amount
+}
+
+// never is a server to which no connection comes up: its queue is full.
+func never(t *testing.T) *Peer {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	require.NoError(t, err)
+	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	require.NoError(t, syscall.Listen(fd, 0))
+	file := os.NewFile(uintptr(fd), "")
+	ln, err := net.FileListener(file)
+	_ = file.Close()
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = ln.Close() })
+	for { // until one does not come up
+		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
+		if err != nil {
+			return &Peer{Address: ln.Addr().String(), ln: ln}
+		}
+		t.Cleanup(func() { _ = c.Close() })
+	}
+}
+
+// lasts fails the test if the limiter ends sooner than a process may that owes nothing, and a little.
+func (r *Rig) lasts(t *testing.T, since time.Time) {
+	t.Helper()
+	select {
+	case <-r.Ended():
+		t.Fatalf("it ended after %v and owed something", time.Since(since))
+	case <-time.After(time.Until(since.Add(900 * time.Millisecond))):
+	}
+}
+
+// TestOwedToTheCounter: what a request has reserved is settled, or given back, before the process ends, in each state in which SIGTERM
+// may find the request, whether its client has gone or not.
+func TestOwedToTheCounter(t *testing.T) {
+	for _, gone := range []bool{false, true} {
+		for _, state := range []string{"reserving", "dialling", "sent"} {
+			t.Run(fmt.Sprintf("%s, client gone %v", state, gone), func(t *testing.T) {
+				counter, server := Listen(t), Listen(t)
+				if state == "dialling" {
+					server = never(t)
+				}
+				config := counted(counter, server)
+				config.Settings.DialTimeout = 15e8 // the dial lasts beyond the end of a process that owes nothing
+				r := Start(t, config)
+				t.Parallel() // the start sets what all share
+				line, client := counter.Accept(t), r.Dial(t)
+				client.Say(t, Request("id", "read", 4000))
+				reserved := line.tallied(t)
+				require.Positive(t, reserved)
+				var c *Conn
+				if state != "reserving" {
+					line.Say(t, "ok 1\r\n")
+				}
+				if state == "sent" {
+					c = server.Accept(t)
+					c.Command(t)
+				}
+				asked := time.Now()
+				r.Stop()
+				if gone {
+					require.NoError(t, client.TCP.Close())
+				}
+				r.lasts(t, asked)
+				if state == "reserving" {
+					line.Say(t, "ok 1\r\n")
+				}
+				if !gone && state == "reserving" {
+					c = server.Accept(t)
+					c.Command(t)
+				}
+				if c != nil {
+					c.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+					require.InDelta(t, 2, line.tallied(t)/reserved, 1e-6, "the true units, less those reserved")
+				} else { // no server got it: all of it goes back
+					require.InDelta(t, -1, line.tallied(t)/reserved, 1e-6)
+				}
+				if !gone && c != nil {
+					require.Equal(t, "$value", client.Answer(t))
+				} else if !gone {
+					require.Contains(t, client.Answer(t), "-BUSY")
+				}
+				select { // the counter may not have it yet
+				case <-r.Ended():
+					t.Fatal("it ended before the counter had answered")
+				case <-time.After(50 * time.Millisecond):
+				}
+				line.Say(t, "ok 1\r\n")
+				r.Finish(t, Patience)
+			})
+		}
+	}
+}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -436,7 +436,8 @@
 		return false
 	}
 	for _, j := range l.jobs {
-		if j.state == Taken {
+		// One whose client has gone, or that has ended, may have an attempt out: its units are settled or added back with that.
+		if j.state == Taken || l.set.CounterWait > 0 {
 			return false
 		}
 	}
