--- a/internal/lab/rig/stop_test.go
+++ b/internal/lab/rig/stop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"strconv"
@@ -125,3 +126,71 @@
 		}
 	}
 }
+
+// TestEndsInTime: SIGKILL may come 3.7 s after SIGTERM. By then the process has ended, whatever clients do that owe it nothing.
+func TestEndsInTime(t *testing.T) {
+	// deaf is a client whose machine takes few bytes, with so many answers of 23 bytes that it does not read.
+	deaf := func(t *testing.T, r *Rig, answers int) {
+		small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+			return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
+		}}
+		c, err := small.Dial("tcp", r.Address)
+		require.NoError(t, err)
+		t.Cleanup(func() { _ = c.Close() })
+		_, err = io.WriteString(c, strings.Repeat("*1\r\n$4\r\nECHO\r\n", answers))
+		require.NoError(t, err)
+		behind := r.Dial(t) // these are read by then
+		behind.Say(t, "*1\r\n$4\r\nPING\r\n")
+		_ = behind.Answer(t)
+	}
+	// every does something at intervals until the limiter has ended.
+	every := func(r *Rig, do func() error) {
+		go func() {
+			for tick := time.NewTicker(60 * time.Millisecond); ; {
+				select {
+				case <-r.Ended():
+					return
+				case <-tick.C:
+					if do() != nil {
+						return
+					}
+				}
+			}
+		}()
+	}
+	for name, hold := range map[string]func(t *testing.T, r *Rig, server *Peer){
+		"one reads nothing":                 func(t *testing.T, r *Rig, _ *Peer) { deaf(t, r, 120e3) },
+		"one reads nothing, the kernel has": func(t *testing.T, r *Rig, _ *Peer) { deaf(t, r, 1e3) },
+		"one always has half a command": func(t *testing.T, r *Rig, server *Peer) {
+			client := r.Dial(t)
+			client.Say(t, Request("id", "read", 2000))
+			c := server.Accept(t)
+			c.Command(t)
+			c.Serve(t, "v")
+			require.Equal(t, "$v", client.Answer(t))
+			client.Say(t, "*1\r\n")
+			every(r, func() error {
+				_, err := client.TCP.Write([]byte("$4\r\nPING\r\n*1\r\n"))
+				return err
+			})
+		},
+		"they come and rest": func(t *testing.T, r *Rig, _ *Peer) {
+			every(r, func() error {
+				c, err := net.Dial("tcp", r.Address)
+				if err == nil {
+					t.Cleanup(func() { _ = c.Close() })
+				}
+				return err
+			})
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := Listen(t)
+			r := Start(t, Config(server))
+			t.Parallel()
+			hold(t, r, server)
+			r.Stop()
+			r.Finish(t, 4200*time.Millisecond) // 3.5 s, and what a crowded machine takes
+		})
+	}
+}
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -428,7 +428,7 @@
 	}
 	cl.touch()
 	l.write(cl.c, l.scratch)
-	l.quiet, cl.wrote = l.now, l.now
+	cl.wrote = l.now
 	if l.effects.Written(cl.c.id) < cl.c.sent && l.backlog() > l.config.Memory/heldShare {
 		l.over(cl.c, Overrun)
 	} else if cl.closing || l.stopping != 0 && l.now >= l.stopping { // one that came late is left after its first answers
--- a/internal/limiter/jobs.go
+++ b/internal/limiter/jobs.go
@@ -77,6 +77,7 @@
 	if j.state != Taken {
 		return
 	}
+	l.ended = l.now
 	if j.state = to; to == Done {
 		l.tolls.done++
 	}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -117,7 +117,7 @@
 	ready               bool
 	stopping            int64 // until when clients still come once the end was asked for, 0 before
 	wake                wake
-	quiet               int64 // the latest time at which an answer was written
+	ended               int64 // when a request last ended
 	scratch             []byte
 	words               [][]byte
 }
@@ -149,11 +149,12 @@
 	lateFrom     = 700e6 // what comes later than this after the word to stop is lost where SIGKILL finds it unanswered,
 	killFrom     = 3e9   // which may be so long after that,
 	killSpare    = 200e6 // less what it takes to answer
-	keepLess     = 4     // that is shortened by this part when one turns out to have ended unsaid,
-	keepMore     = 16    // and lengthened by this part when one still serves near its end, and with each look
-	prompt       = 8     // an end within this part of a dial time-out is the answer to the command's first byte
-	mostID       = 64    // bytes of a job's id
-	mostPipeline = 1024  // commands that may wait on one client's connection
+	holdFor      = lateFrom + killFrom - killSpare - lingers
+	keepLess     = 4    // that is shortened by this part when one turns out to have ended unsaid,
+	keepMore     = 16   // and lengthened by this part when one still serves near its end, and with each look
+	prompt       = 8    // an end within this part of a dial time-out is the answer to the command's first byte
+	mostID       = 64   // bytes of a job's id
+	mostPipeline = 1024 // commands that may wait on one client's connection
 )
 
 // New makes a limiter from its configuration. It knows the servers that the configuration lists.
@@ -420,7 +421,8 @@
 			}
 		}
 	})
-	l.at(l.stopping+lastLook, func() {}) // a wake, to see whether it has finished
+	l.at(l.stopping+lastLook, func() {}) // wakes, to see whether it has finished
+	l.at(l.stopping+holdFor+1, func() {})
 }
 
 // leaves: what the process takes now it may not be able to answer. A job that came late is lost if the process is
@@ -432,7 +434,7 @@
 
 // Finished tells whether nothing is left to do after Stopping.
 func (l *Limiter) Finished() bool {
-	if l.stopping == 0 || l.now < l.stopping+lastLook || l.effects.Queued() {
+	if l.stopping == 0 || l.now < l.stopping+lastLook || l.counter.waits() {
 		return false
 	}
 	for _, j := range l.jobs {
@@ -441,5 +443,11 @@
 			return false
 		}
 	}
-	return !l.counter.waits() && (l.clients == 0 || l.now > max(l.quiet, l.stopping)+l.set.IdleClose)
+	return l.Late() || l.clients == 0 && !l.effects.Queued()
+}
+
+// Late tells whether SIGKILL may come soon: no client can hold the process any longer. All that was taken is answered by then, and
+// who has an answer to read has had time to.
+func (l *Limiter) Late() bool {
+	return l.stopping != 0 && l.now > max(l.stopping+holdFor, l.ended+killSpare)
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -235,7 +235,7 @@
 // Run tells the limiter what happens until it has finished.
 func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
 	timer := time.NewTimer(0)
-	for !l.Finished() || s.waits() || s.owes() {
+	for !l.Finished() || !l.Late() && (s.waits() || s.owes()) {
 		if s.halt.Load() {
 			s.engine.Stop()
 			return
