--- /dev/null
+++ b/cmd/ospreycroft/end_test.go
@@ -0,0 +1,168 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/lab/emulator"
+	"ospreycroft/internal/lab/rig"
+)
+
+// ending is a program with a counter, of which the test holds the other ends.
+type ending struct {
+	t              *testing.T
+	config         string // its file
+	program        *exec.Cmd
+	ended          chan error
+	client         *rig.Conn
+	counter, moved *rig.Peer // where the counter is, and where the next configuration puts it
+}
+
+// configure writes the configuration.
+func (e *ending) configure(listen, counter, server string) {
+	e.t.Helper()
+	known, _ := json.Marshal([]emulator.Instance{{ID: "s", HostPort: server, Lifecycle: "in_service", Weight: 1}})
+	config := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":"127.0.0.1:1","counter":%q,"seed":"ff",
+		"limits":{"memory_mb":192,"sockets":1024},"known":{"generation":1,"reset":true,"instances":%s},
+		"settings":{"balancers":1,"classes":[{"name":"read","aim":2,"effect":"free","group":"all"}],
+		"tariffs":[{"name":"plain","rate":50,"most-at-once":100}],
+		"family-info":{"has-counter":true,"count-wait":2,"units-top":16,"trued-up":true},
+		"contract":{"cold-from":0.3,"warm-within":10},"permissions":{"attempts-cap":3,"dial-timeout":1.5,"idle-close":15},
+		"granularity":0.004}}`, listen, counter, known)
+	require.NoError(e.t, os.WriteFile(e.config, []byte(config), 0o600))
+}
+
+// begin starts the program, with its log to a file, and a client.
+func begin(t *testing.T, server string, log *os.File) *ending {
+	t.Helper()
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	listen := free.Addr().String()
+	_ = free.Close()
+	e := &ending{t: t, config: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1), counter: rig.Listen(t),
+		moved: rig.Listen(t)}
+	e.configure(listen, e.counter.Address, server)
+	e.program = exec.Command(os.Args[0])
+	e.program.Env = append(os.Environ(), "OSPREYCROFT_IS_THE_PROGRAM=1", "GW_CONFIG="+e.config)
+	e.program.Stderr = log
+	require.NoError(t, e.program.Start())
+	go func() { e.ended <- e.program.Wait() }()
+	t.Cleanup(func() { _ = e.program.Process.Kill() })
+	require.Eventually(t, func() bool {
+		c, err := net.Dial("tcp", listen)
+		if err == nil {
+			_ = c.Close()
+		}
+		return err == nil
+	}, rig.Patience, 20*time.Millisecond)
+	e.client = (&rig.Rig{Address: listen}).Dial(t)
+	e.configure(listen, e.moved.Address, server) // what SIGHUP brings
+	return e
+}
+
+// ends fails the test unless the program ends in order.
+func (e *ending) ends(within time.Duration) {
+	e.t.Helper()
+	select {
+	case err := <-e.ended:
+		require.NoError(e.t, err)
+	case <-time.After(within):
+		e.t.Fatal("it does not end")
+	}
+}
+
+// TestSignalsAsItEnds: SIGTERM finds a request in each state, and SIGTERM again and SIGHUP twice come behind it. The request is served, its
+// units are settled, at the counter's new place, and the process ends in order and in time.
+func TestSignalsAsItEnds(t *testing.T) {
+	for _, state := range []string{"reserving", "dialling", "sent"} {
+		t.Run(state, func(t *testing.T) {
+			t.Parallel()
+			server := rig.Listen(t)
+			if state == "dialling" {
+				server = rig.Full(t)
+			}
+			log, err := os.Create(filepath.Join(t.TempDir(), "log"))
+			require.NoError(t, err)
+			defer func() { _ = log.Close() }()
+			e := begin(t, server.Address, log)
+			logged := func(text string, times int) {
+				t.Helper()
+				require.Eventually(t, func() bool {
+					all, err := os.ReadFile(log.Name())
+					return err == nil && strings.Count(string(all), text) == times
+				}, rig.Patience, time.Millisecond, text)
+			}
+			line := e.counter.Accept(t)
+			e.client.Say(t, rig.Request("id", "read", 3000))
+			require.Contains(t, line.Line(t), "tally ")
+			var c *rig.Conn
+			if state != "reserving" {
+				line.Say(t, "ok 1\r\n")
+			}
+			if state == "sent" {
+				c = server.Accept(t)
+				c.Command(t)
+			}
+			asked := time.Now()
+			for i, next := range []struct {
+				signal syscall.Signal
+				log    string
+				times  int
+			}{{syscall.SIGTERM, "event=stopping", 1}, {syscall.SIGTERM, "event=stopping", 1}, {syscall.SIGHUP, "event=config-read", 1},
+				{syscall.SIGHUP, "event=config-read", 2}} {
+				require.NoError(t, e.program.Process.Signal(next.signal), i)
+				logged(next.log, next.times)
+			}
+			time.Sleep(time.Until(asked.Add(900 * time.Millisecond))) // one that owes nothing has ended by then
+			if state == "reserving" {
+				line.Say(t, "ok 1\r\n")
+			}
+			if state == "dialling" {
+				_ = server.Accept(t)
+			}
+			if c == nil {
+				c = server.Accept(t)
+				c.Command(t)
+			}
+			c.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+			require.Equal(t, "$value", e.client.Answer(t))
+			line = e.moved.Accept(t)
+			require.Contains(t, line.Line(t), "tally ")
+			require.NoError(t, e.program.Process.Signal(syscall.SIGHUP)) // it has not ended
+			logged("event=config-read", 3)
+			line.Say(t, "ok 3\r\n")
+			e.ends(time.Until(asked.Add(3700 * time.Millisecond)))
+		})
+	}
+}
+
+// TestLogBreaksOff: who reads the log may end first, where both are told to end together. What was taken is answered all the same.
+func TestLogBreaksOff(t *testing.T) {
+	server := rig.Listen(t)
+	read, write, err := os.Pipe()
+	require.NoError(t, err)
+	e := begin(t, server.Address, write)
+	require.NoError(t, write.Close())
+	line := e.counter.Accept(t)
+	e.client.Say(t, rig.Request("id", "read", 3000))
+	line.Line(t)
+	line.Say(t, "ok 1\r\n")
+	c := server.Accept(t)
+	c.Command(t)
+	require.NoError(t, read.Close())
+	require.NoError(t, e.program.Process.Signal(syscall.SIGTERM))
+	time.Sleep(100 * time.Millisecond)
+	c.Serve(t, "value")
+	require.Equal(t, "$value", e.client.Answer(t))
+	e.ends(rig.Patience)
+}
--- a/cmd/ospreycroft/main.go
+++ b/cmd/ospreycroft/main.go
@@ -129,6 +129,7 @@
 func run() error {
 	hups := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
 	signal.Notify(hups, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // who reads the log may end first: it ends no limiter that owes answers
 	config, err := read()
 	if err != nil {
 		return err
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -8,8 +8,10 @@
 	"fmt"
 	"io"
 	"net"
+	"os"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -127,6 +129,27 @@
 	return &Peer{Address: ln.Addr().String(), ln: ln}
 }
 
+// Full is a peer to which no connection comes up: its queue is full. Accept takes one out of it, and the next try gets in.
+func Full(t testing.TB) *Peer {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	require.NoError(t, err)
+	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	require.NoError(t, syscall.Listen(fd, 0))
+	file := os.NewFile(uintptr(fd), "")
+	ln, err := net.FileListener(file)
+	_ = file.Close()
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = ln.Close() })
+	for { // until one does not come up
+		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
+		if err != nil {
+			return &Peer{Address: ln.Addr().String(), ln: ln}
+		}
+		t.Cleanup(func() { _ = c.Close() })
+	}
+}
+
 // Accept is the limiter's next connection to the peer.
 func (p *Peer) Accept(t testing.TB) *Conn {
 	t.Helper()
--- a/internal/lab/rig/stop_test.go
+++ b/internal/lab/rig/stop_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"strconv"
 	"strings"
 	"syscall"
@@ -34,27 +33,6 @@
 	return amount
 }
 
-// never is a server to which no connection comes up: its queue is full.
-func never(t *testing.T) *Peer {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	require.NoError(t, err)
-	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	require.NoError(t, syscall.Listen(fd, 0))
-	file := os.NewFile(uintptr(fd), "")
-	ln, err := net.FileListener(file)
-	_ = file.Close()
-	require.NoError(t, err)
-	t.Cleanup(func() { _ = ln.Close() })
-	for { // until one does not come up
-		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
-		if err != nil {
-			return &Peer{Address: ln.Addr().String(), ln: ln}
-		}
-		t.Cleanup(func() { _ = c.Close() })
-	}
-}
-
 // lasts fails the test if the limiter ends sooner than a process may that owes nothing, and a little.
 func (r *Rig) lasts(t *testing.T, since time.Time) {
 	t.Helper()
@@ -73,7 +51,7 @@
 			t.Run(fmt.Sprintf("%s, client gone %v", state, gone), func(t *testing.T) {
 				counter, server := Listen(t), Listen(t)
 				if state == "dialling" {
-					server = never(t)
+					server = Full(t)
 				}
 				config := counted(counter, server)
 				config.Settings.DialTimeout = 15e8 // the dial lasts beyond the end of a process that owes nothing
