--- /dev/null
+++ b/internal/lab/rig/stop_test.go
@@ -0,0 +1,174 @@
+package rig
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/settings"
+)
+
+// counted is a configuration with a counter at peer, which may take long to answer.
+func counted(counter *Peer, servers ...*Peer) *settings.Config {
+	config := Config(servers...)
+	config.Counter = counter.Address
+	config.Settings.CounterWait, config.Settings.MostTrue = 4e9, 64
+	return config
+}
+
+// tallied reads one call on the counter's line and gives its amount.
+func (c *Conn) tallied(t testing.TB) float64 {
+	t.Helper()
+	words := strings.Fields(c.Line(t))
+	require.Len(t, words, 4)
+	amount, err := strconv.ParseFloat(words[2], 64)
+	require.NoError(t, err)
+	return amount
+}
+
+// lasts fails the test if the limiter ends sooner than a process may that owes nothing, and a little.
+func (r *Rig) lasts(t *testing.T, since time.Time) {
+	t.Helper()
+	select {
+	case <-r.Ended():
+		t.Fatalf("it ended after %v and owed something", time.Since(since))
+	case <-time.After(time.Until(since.Add(900 * time.Millisecond))):
+	}
+}
+
+// TestOwedToTheCounter: what a request has reserved is settled, or given back, before the process ends, in each state in which SIGTERM
+// may find the request, whether its client has gone or not.
+func TestOwedToTheCounter(t *testing.T) {
+	for _, gone := range []bool{false, true} {
+		for _, state := range []string{"reserving", "dialling", "sent"} {
+			t.Run(fmt.Sprintf("%s, client gone %v", state, gone), func(t *testing.T) {
+				counter, server := Listen(t), Listen(t)
+				if state == "dialling" {
+					server = Full(t)
+				}
+				config := counted(counter, server)
+				config.Settings.DialTimeout = 15e8 // the dial lasts beyond the end of a process that owes nothing
+				r := Start(t, config)
+				t.Parallel() // the start sets what all share
+				line, client := counter.Accept(t), r.Dial(t)
+				client.Say(t, Request("id", "read", 4000))
+				reserved := line.tallied(t)
+				require.Positive(t, reserved)
+				var c *Conn
+				if state != "reserving" {
+					line.Say(t, "ok 1\r\n")
+				}
+				if state == "sent" {
+					c = server.Accept(t)
+					c.Command(t)
+				}
+				asked := time.Now()
+				r.Stop()
+				if gone {
+					require.NoError(t, client.TCP.Close())
+				}
+				r.lasts(t, asked)
+				if state == "reserving" {
+					line.Say(t, "ok 1\r\n")
+				}
+				if !gone && state == "reserving" {
+					c = server.Accept(t)
+					c.Command(t)
+				}
+				if c != nil {
+					c.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+					require.InDelta(t, 2, line.tallied(t)/reserved, 1e-6, "the true units, less those reserved")
+				} else { // no server got it: all of it goes back
+					require.InDelta(t, -1, line.tallied(t)/reserved, 1e-6)
+				}
+				if !gone && c != nil {
+					require.Equal(t, "$value", client.Answer(t))
+				} else if !gone {
+					require.Contains(t, client.Answer(t), "-BUSY")
+				}
+				select { // the counter may not have it yet
+				case <-r.Ended():
+					t.Fatal("it ended before the counter had answered")
+				case <-time.After(50 * time.Millisecond):
+				}
+				line.Say(t, "ok 1\r\n")
+				r.Finish(t, Patience)
+			})
+		}
+	}
+}
+
+// TestEndsInTime: SIGKILL may come 3.7 s after SIGTERM. By then the process has ended, whatever clients do that owe it nothing.
+func TestEndsInTime(t *testing.T) {
+	// deaf is a client whose machine takes few bytes, with so many answers of 23 bytes that it does not read.
+	deaf := func(t *testing.T, r *Rig, answers int) {
+		small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+			return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
+		}}
+		c, err := small.Dial("tcp", r.Address)
+		require.NoError(t, err)
+		t.Cleanup(func() { _ = c.Close() })
+		_, err = io.WriteString(c, strings.Repeat("*1\r\n$4\r\nECHO\r\n", answers))
+		require.NoError(t, err)
+		behind := r.Dial(t) // these are read by then
+		behind.Say(t, "*1\r\n$4\r\nPING\r\n")
+		_ = behind.Answer(t)
+	}
+	// every does something at intervals until the limiter has ended.
+	every := func(r *Rig, do func() error) {
+		go func() {
+			for tick := time.NewTicker(60 * time.Millisecond); ; {
+				select {
+				case <-r.Ended():
+					return
+				case <-tick.C:
+					if do() != nil {
+						return
+					}
+				}
+			}
+		}()
+	}
+	for name, hold := range map[string]func(t *testing.T, r *Rig, server *Peer){
+		"one reads nothing":                 func(t *testing.T, r *Rig, _ *Peer) { deaf(t, r, 120e3) },
+		"one reads nothing, the kernel has": func(t *testing.T, r *Rig, _ *Peer) { deaf(t, r, 1e3) },
+		"one always has half a command": func(t *testing.T, r *Rig, server *Peer) {
+			client := r.Dial(t)
+			client.Say(t, Request("id", "read", 2000))
+			c := server.Accept(t)
+			c.Command(t)
+			c.Serve(t, "v")
+			require.Equal(t, "$v", client.Answer(t))
+			client.Say(t, "*1\r\n")
+			every(r, func() error {
+				_, err := client.TCP.Write([]byte("$4\r\nPING\r\n*1\r\n"))
+				return err
+			})
+		},
+		"they come and rest": func(t *testing.T, r *Rig, _ *Peer) {
+			every(r, func() error {
+				c, err := net.Dial("tcp", r.Address)
+				if err == nil {
+					t.Cleanup(func() { _ = c.Close() })
+				}
+				return err
+			})
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := Listen(t)
+			r := Start(t, Config(server))
+			t.Parallel()
+			hold(t, r, server)
+			r.Stop()
+			r.Finish(t, 4200*time.Millisecond) // 3.5 s, and what a crowded machine takes
+		})
+	}
+}
