--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -105,6 +105,7 @@
 	servers  []*pool
 	backends int   // connections to servers
 	keep     int64 // how long a connection to a server may be idle and be used again
+	rest     int64 // how long it must be, as far as servers have sent answers that nobody asked for
 	clients  int
 	// Clients' connections that have brought no job yet, the oldest first, and the others, the one used last at the end.
 	strangers, regulars list.List
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -34,6 +34,7 @@
 	half   *timer // until when an answer that has begun must be whole
 	rested int64  // how long it had been idle before the command that is out, 0 where it is new
 	wrote  int64  // when that was written
+	freed  int64  // when it last began to rest
 }
 
 var (
@@ -44,14 +45,15 @@
 // backend takes the connection that was used last or opens one; nil if there is no descriptor for it
 // or no more may be opened. One that has
 // just brought an answer rests first: what a server sends too much comes right behind, and would be taken for the
-// answer to the next command.
+// answer to the next command. Once some server did, it rests for longer.
 func (p *pool) backend() *backend {
 	l := p.l
+	rest := max(l.set.Granularity, min(l.rest, l.keep/2))
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		b := p.idle[i]
 		if b.rested = l.now - b.c.since; b.rested > l.keep {
 			break
-		} else if b.rested >= l.set.Granularity {
+		} else if b.rested >= rest {
 			p.idle = slices.Delete(p.idle, i, i+1)
 			return b
 		}
@@ -153,6 +155,7 @@
 		b.pool.l.over(b.c, Unused)
 	} else {
 		b.pool.idle = append(b.pool.idle, b)
+		b.freed = b.pool.l.now
 	}
 }
 
@@ -167,6 +170,9 @@
 	case b.probe != nil:
 		parse = resp.Read
 	case s == nil:
+		if late := l.now - b.freed; late <= l.set.DialTimeout {
+			l.rest = max(l.rest, 2*late, l.set.DialTimeout/prompt)
+		}
 		return 0, errUnasked
 	}
 	v, n, err := parse(bytes)
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -48,7 +48,8 @@
 // find finds our end of a connection, 0 where there is none.
 func (d *drive) find(far net.Conn) limiter.ID {
 	for id, l := range d.s.links {
-		if c := l.conn.Load(); c != nil && c.RemoteAddr().String() == far.LocalAddr().String() {
+		if c := l.conn.Load(); c != nil && c.RemoteAddr().String() == far.LocalAddr().String() &&
+			c.LocalAddr().String() == far.RemoteAddr().String() {
 			return id
 		}
 	}
@@ -114,6 +115,29 @@
 	}
 }
 
+// TestLateSecondAnswer: one server's second answer came some milliseconds late, on a connection that rested. From then on connections
+// rest for longer, so that the next one that comes as late is not taken for the answer to another request.
+func TestLateSecondAnswer(t *testing.T) {
+	server, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { _ = server.Close() }()
+	d, accepted := driven(t, 64, server), accepts(t, server)
+	for _, id := range []string{"r1", "r2", "r3"} {
+		client := d.dial()
+		ask(t, client, request(id))
+		far := d.arrive(accepted) // no connection that has rested for ten milliseconds is used again
+		answer(t, far, request(id))
+		ask(t, far, "*3\r\n$2\r\n"+id+"\r\n$-1\r\n$-1\r\n")
+		own := d.s.links[d.find(client)]
+		d.until("it is answered", func() bool { return own.written.Load() > 0 })
+		answer(t, client, "$2\r\n"+id+"\r\n")
+		if d.now += 1e7; id == "r1" {
+			ask(t, far, "*3\r\n")
+			d.until("the second answer ends the connection", func() bool { return d.find(far) == 0 })
+		}
+	}
+}
+
 // TestNoDelay: small writes are sent at once, to clients and to servers, after nbio has taken the connections over.
 func TestNoDelay(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
