--- a/internal/lab/rig/answers_test.go
+++ b/internal/lab/rig/answers_test.go
@@ -77,3 +77,177 @@
 		})
 	}
 }
+
+// TestBreaks plays each way in which an attempt can end against each class: what may have run goes on only where a repeat harms
+// nothing, what cannot have run goes on in any case, and a whole answer is passed on whatever comes behind it.
+func TestBreaks(t *testing.T) {
+	const (
+		never = iota // it has not run
+		maybe        // it may have
+		late         // it may have, and the time for which servers drop its repeat is over
+		whole        // it is answered
+	)
+	cut := Served("a value that is cut")[:20]
+	says := func(text string) func(c *Conn) { return func(c *Conn) { _, _ = c.TCP.Write([]byte(text)) } }
+	ends := func(c *Conn) { _ = c.TCP.CloseWrite() }
+	after := func(wait time.Duration, deeds ...func(c *Conn)) func(c *Conn) {
+		return func(c *Conn) {
+			for i, deed := range deeds {
+				if i > 0 {
+					time.Sleep(wait)
+				}
+				deed(c)
+			}
+		}
+	}
+	drip := func(c *Conn) {
+		for _, b := range []byte(Served("a value that drips")) {
+			if _, err := c.TCP.Write([]byte{b}); err != nil {
+				return
+			}
+			time.Sleep(100 * time.Millisecond)
+		}
+	}
+	reset := (*Conn).Reset
+	for _, b := range []struct {
+		name  string
+		is    int
+		deed  func(c *Conn)
+		whole bool // the server gets the whole request first
+	}{
+		{"reset before its last byte", never, reset, false},
+		{"end before its last byte", never, ends, false},
+		{"turned away", never, says("-BUSY\r\n"), true},
+		{"turned away, and a reset", never, after(0, says("-BUSY\r\n"), reset), true},
+		{"half of turned away, and an end", maybe, after(0, says("-BUSY"), ends), true},
+		{"error", maybe, says("-ERR failed\r\n"), true},
+		{"reset", maybe, reset, true},
+		{"end", maybe, ends, true},
+		{"cut, and an end", maybe, after(0, says(cut), ends), true},
+		{"cut, and a reset", maybe, after(0, says(cut), reset), true},
+		{"cut, and a reset long after", maybe, after(150*time.Millisecond, says(cut), reset), true},
+		{"cut, and silence", maybe, says(cut), true},
+		{"a byte at a time", maybe, drip, true},
+		{"garbage", maybe, says("x"), true},
+		{"a null value", maybe, says("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), true},
+		{"reset after the window", late, after(60*time.Millisecond, func(*Conn) {}, reset), true},
+		{"answer, and a reset", whole, after(0, says(Served("first")), reset), true},
+		{"answer, and an end", whole, after(0, says(Served("first")), ends), true},
+		{"two answers", whole, says(Served("first") + Served("second")), true},
+	} {
+		for _, class := range []string{"read", "write", "keyed"} {
+			if !b.whole && class == "read" {
+				continue // too short to be written in part
+			}
+			t.Run(b.name+"/"+class, func(t *testing.T) {
+				one, two := Listen(t), Listen(t)
+				if !b.whole {
+					one, two = listenNarrow(t), listenNarrow(t)
+				}
+				config := Config(one, two)
+				if b.is == late {
+					config.Settings.Tracks["keyed"].Repeats = 5e7
+				}
+				r := Start(t, config)
+				client := r.Dial(t)
+				request := Request
+				if !b.whole {
+					request = long
+				}
+				client.Say(t, request("id", class, 3000))
+				first, other := either(t, one, two)
+				if b.whole {
+					first.Command(t)
+				} else {
+					first.Line(t)
+				}
+				done := make(chan struct{})
+				go func() {
+					defer close(done)
+					b.deed(first)
+				}()
+				want := ""
+				switch {
+				case b.is == whole:
+					want = "$first"
+				case b.is != never && class == "write":
+					want = "-ERR written off"
+				case b.is == late && class == "keyed":
+					want = "-BUSY"
+				default:
+					second := other.Accept(t)
+					require.Equal(t, "id", second.Command(t)[2])
+					second.Serve(t, "second")
+					require.Equal(t, "$second", client.Answer(t))
+					<-done
+					return
+				}
+				require.True(t, strings.HasPrefix(client.Answer(t), want), want)
+				other.None(t, 10*time.Millisecond)
+				<-done
+			})
+		}
+	}
+}
+
+// TestLongAnswers: a client whose machine takes but a part gets all of its answers, whole and in order, though the limiter is told to
+// stop meanwhile, and then the end.
+func TestLongAnswers(t *testing.T) {
+	server := Listen(t)
+	r := Start(t, Config(server))
+	plain, err := (&net.Dialer{Control: narrow}).Dial("tcp", r.Address)
+	require.NoError(t, err)
+	client := &Conn{TCP: plain.(*net.TCPConn), in: bufio.NewReader(plain)}
+	defer func() { _ = plain.Close() }()
+	client.Say(t, Request("0", "write", 3000)+Request("1", "keyed", 3000)+Request("2", "read", 3000))
+	var at [3]*Conn
+	for range at {
+		c := server.Accept(t)
+		at[c.Command(t)[2][0]-'0'] = c
+	}
+	value := func(i int) string { return strings.Repeat(string(rune('a'+i)), resp.MostValue) }
+	for _, i := range []int{2, 0, 1} {
+		at[i].Serve(t, value(i))
+	}
+	_, err = client.in.Peek(1)
+	require.NoError(t, err)
+	r.Stop()
+	select {
+	case <-r.Ended():
+		t.Fatal("it ended and owes answers")
+	case <-time.After(800 * time.Millisecond): // past the time for which clients still come
+	}
+	for i := range at {
+		require.Equal(t, "$"+value(i), client.Answer(t))
+	}
+	rest, err := client.Rest(t)
+	require.NoError(t, err)
+	require.Empty(t, rest)
+	_ = plain.Close()
+	r.Finish(t, Patience)
+}
+
+// TestHalfAtStop: the limiter is told to stop while half an answer has come. What comes behind it decides.
+func TestHalfAtStop(t *testing.T) {
+	half, rest := Served("value")[:8], Served("value")[8:]
+	for want, deed := range map[string]func(c *Conn){
+		"$value":           func(c *Conn) { _, _ = c.TCP.Write([]byte(rest)) },
+		"-ERR written off": (*Conn).Reset,
+	} {
+		server := Listen(t)
+		r := Start(t, Config(server))
+		client := r.Dial(t)
+		client.Say(t, Request("id", "write", 3000))
+		c := server.Accept(t)
+		c.Command(t)
+		c.Say(t, half)
+		r.Stop()
+		time.Sleep(20 * time.Millisecond) // in which a limiter that owes nothing would have ended its connections
+		deed(c)
+		require.Equal(t, want, client.Answer(t))
+		_, err := client.Rest(t)
+		require.NoError(t, err)
+		_ = client.TCP.Close()
+		r.Finish(t, Patience)
+	}
+}
