--- a/internal/lab/rig/answers_test.go
+++ b/internal/lab/rig/answers_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"net"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -251,3 +252,78 @@
 		r.Finish(t, Patience)
 	}
 }
+
+// TestNeverUp: no connection to the one server comes up, so nothing has run: each class is rejected, none is written off. Refused, or
+// silent as a machine whose queue of connections is full.
+func TestNeverUp(t *testing.T) {
+	for _, name := range []string{"refused", "silent"} {
+		t.Run(name, func(t *testing.T) {
+			server := Listen(t)
+			if name == "refused" {
+				server.Close()
+			} else {
+				server = full(t)
+			}
+			r := Start(t, Config(server))
+			client := r.Dial(t)
+			for _, class := range []string{"read", "write", "keyed"} {
+				client.Say(t, Request("id-"+class, class, 3000))
+				require.True(t, strings.HasPrefix(client.Answer(t), "-BUSY"), class)
+			}
+		})
+	}
+}
+
+// full is a listener whose queue is full: what is dialled now never comes up.
+func full(t testing.TB) *Peer {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = syscall.Close(fd) })
+	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	require.NoError(t, syscall.Listen(fd, 0))
+	name, err := syscall.Getsockname(fd)
+	require.NoError(t, err)
+	p := &Peer{Address: net.JoinHostPort("127.0.0.1", strconv.Itoa(name.(*syscall.SockaddrInet4).Port))}
+	for {
+		c, err := net.DialTimeout("tcp", p.Address, 50*time.Millisecond)
+		if err != nil {
+			return p
+		}
+		t.Cleanup(func() { _ = c.Close() })
+	}
+}
+
+// TestCounterBreaks: a total of the counter's counts once its line is whole, whatever ends the connection behind it, and not before: a
+// customer whose total passes the quota is rejected, and one of whom only half a line came is served by its slice.
+func TestCounterBreaks(t *testing.T) {
+	silence := func(*Conn) {}
+	ends := func(c *Conn) { _ = c.TCP.CloseWrite() }
+	for _, b := range []struct {
+		says string
+		then func(c *Conn)
+		want string
+	}{
+		{"ok 99999999\r\n", (*Conn).Reset, "-BUSY"},
+		{"ok 99999999\r\n", ends, "-BUSY"},
+		{"ok 99999999", (*Conn).Reset, "$value"},
+		{"ok 99999999", ends, "$value"},
+		{"ok 99999999", silence, "$value"},
+	} {
+		server, counter := Listen(t), Listen(t)
+		config := Config(server)
+		config.Counter, config.Settings.CounterWait = counter.Address, int64(100*time.Millisecond)
+		r := Start(t, config)
+		line, client := counter.Accept(t), r.Dial(t)
+		client.Say(t, Request("id", "write", 3000))
+		require.Contains(t, line.Line(t), "tally ")
+		line.Say(t, b.says)
+		b.then(line)
+		if b.want == "$value" {
+			c := server.Accept(t)
+			c.Command(t)
+			c.Serve(t, "value")
+		}
+		require.True(t, strings.HasPrefix(client.Answer(t), b.want), "%q", b.says)
+	}
+}
