--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -23,8 +23,14 @@
 
 // Read reads one answer from all bytes that have come so far and tells how many it took: 0 while it is not whole. What
 // cannot become an answer is told as soon as it shows. The reading itself is net/http's; how much to wait for, and what
-// no list service sends, is settled here.
-func Read(b []byte) (a Answer, n int, err error) {
+// no list service sends, is settled here. An answer without a length is never whole here: see ReadEnded.
+func Read(b []byte) (a Answer, n int, err error) { return read(b, false) }
+
+// ReadEnded is the same where nothing comes behind the bytes: the other side has ended the connection in order, which ends an
+// answer without a length. A connection that was broken off, or that we gave up, ends none.
+func ReadEnded(b []byte) (a Answer, n int, err error) { return read(b, true) }
+
+func read(b []byte, ended bool) (a Answer, n int, err error) {
 	if k := min(len(b), len(version)); !bytes.Equal(b[:k], version[:k]) {
 		return a, 0, &MalformedError{Why: "it is no HTTP/1"}
 	}
@@ -56,10 +62,13 @@
 			n += len(head)
 		}
 		return a, n, err
-	case r.ContentLength < 0:
-		return a, 0, &MalformedError{Why: "it has no length"}
-	case r.ContentLength > mostBody:
+	case r.ContentLength > mostBody, r.ContentLength < 0 && len(rest) > mostBody:
 		return a, 0, &TooLongError{Part: "body", Most: mostBody}
+	case r.ContentLength < 0 && ended:
+		a.Body, a.Last = rest, true
+		return a, len(b), nil
+	case r.ContentLength < 0:
+		return a, 0, nil
 	case int64(len(rest)) < r.ContentLength:
 		return a, 0, nil
 	}
--- a/internal/limiter/watch.go
+++ b/internal/limiter/watch.go
@@ -156,10 +156,27 @@
 	if err != nil || n == 0 || a.Status < 200 { // the answer itself comes behind a status of 1xx
 		return n, err
 	}
+	if err = w.news(a); err != nil {
+		return 0, err
+	}
+	if a.Last {
+		w.l.over(w.c, Unused)
+	} else if w.l.start.budgeted() {
+		w.l.timers.drop(w.limit)
+		w.rests = true
+		w.next()
+	} else {
+		w.ask()
+	}
+	return n, nil
+}
+
+// news takes a whole answer: a list, or word that there is none.
+func (w *watch) news(a discovery.Answer) (err error) {
 	if w.told = true; a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests {
 		w.note("event=list-turned-away status=%d %s", a.Status, remedy.Tail(a.Refused()))
 		w.told, w.last = false, inquiry.Turned // what is held stays, and what is newer than that is asked for again
-		return 0, errTurned
+		return errTurned
 	}
 	var list *discovery.List
 	if err = a.Refused(); err == nil {
@@ -169,7 +186,7 @@
 		// The last good list stays. Asked at once again, it would be as bad.
 		w.note("event=list-refused %s", remedy.Tail(err))
 		w.fetched, w.told, w.last = false, false, inquiry.Broke
-		return 0, err
+		return err
 	}
 	w.pace.Answered(w.l.now)
 	// One that counts from anew behind the same address may hold what was never told here.
@@ -182,16 +199,7 @@
 	if w.l.start == nil {
 		w.l.readyNow()
 	}
-	if a.Last {
-		w.l.over(w.c, PeerClosed)
-	} else if w.l.start.budgeted() {
-		w.l.timers.drop(w.limit)
-		w.rests = true
-		w.next()
-	} else {
-		w.ask()
-	}
-	return n, nil
+	return nil
 }
 
 // ended renews the connection: at once where it has served, else when the pace allows it.
@@ -201,6 +209,11 @@
 		w.rests = false // its next call waits for its time already
 		return
 	}
+	if end == PeerClosed && w.c.open { // an answer without a length is whole only now
+		if a, n, err := discovery.ReadEnded(w.c.in.Bytes()); err == nil && n > 0 {
+			_ = w.news(a)
+		}
+	}
 	if !w.told {
 		w.l.start.failed(w.last)
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"errors"
-	"io"
 	"log"
 	"net"
 	"runtime"
@@ -32,6 +31,10 @@
 // mostWaiting is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
 const mostWaiting = 4 << 20
 
+// errInOrder ends a connection whose other side has ended it, behind all that it sent. The poller's own io.EOF may as well stand
+// for a reset.
+var errInOrder = errors.New("the other side has ended the connection")
+
 // link is one connection. The poller, nbio's own goroutines and the reducer all use it.
 type link struct {
 	id      limiter.ID
@@ -115,9 +118,9 @@
 		if !is {
 			return
 		}
-		end := limiter.PeerClosed
-		if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
-			end = limiter.PeerReset
+		end := limiter.PeerReset
+		if errors.Is(err, errInOrder) {
+			end = limiter.PeerClosed
 		}
 		if l.gate != nil {
 			l.gate.leave()
@@ -186,7 +189,7 @@
 			l.posted += int64(n)
 			s.post(l, limiter.Happening{Kind: limiter.Readable, Size: n}, into[:n])
 		case err == nil:
-			return io.EOF
+			return errInOrder
 		case errors.Is(err, syscall.EAGAIN):
 			return nil
 		case !errors.Is(err, syscall.EINTR):
