--- a/internal/lab/rig/watch_test.go
+++ b/internal/lab/rig/watch_test.go
@@ -258,9 +258,10 @@
 	}
 }
 
-// TestServerAnew: a list names a server at another address. What rests to the old one takes no new request.
+// TestServerAnew: a list names a server at another address, or started anew at the same one. What rests to the old process takes
+// no new request: it may be gone without a word.
 func TestServerAnew(t *testing.T) {
-	for _, moves := range []bool{true} {
+	for _, moves := range []bool{true, false} {
 		t.Run(fmt.Sprintf("moves=%v", moves), func(t *testing.T) {
 			d := watch(t)
 			old := d.serves(t, d.s0)
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"math"
 	"slices"
 	"strconv"
 
@@ -288,15 +289,14 @@
 	}
 }
 
-func (p *pool) retireIdle() {
-	for len(p.idle) > 0 {
+func (p *pool) retireIdle() { p.retireBefore(math.MaxInt64) }
+
+// retireBefore ends the connections that have been idle since before a time.
+func (p *pool) retireBefore(at int64) {
+	for len(p.idle) > 0 && p.idle[0].c.since < at {
 		p.l.over(p.idle[0].c, Unused)
 	}
 }
 
 // sweep closes what has been idle for long: a command that crosses with the server's closing counts as sent.
-func (p *pool) sweep() {
-	for len(p.idle) > 0 && p.l.now-p.idle[0].c.since > p.l.keep {
-		p.l.over(p.idle[0].c, Unused)
-	}
-}
+func (p *pool) sweep() { p.retireBefore(p.l.now - p.l.keep) }
