--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -176,11 +176,20 @@
 		t.Fatalf("happening %+v, want none", s.now.happenings[0])
 	}
 	_ = first.Close()
-	expect(t, s, limiter.Ended, h.Conn)
-	h, _ = next(t, s)
-	if got, text := next(t, s); h.Kind != limiter.Accepted || got.Conn != h.Conn || text != "early" {
-		t.Fatalf("happenings %+v, %+v with %q", h, got, text)
+	var let []limiter.Happening // the place is free before the first one's end is told
+	for range 3 {
+		got, text := next(t, s)
+		if got.Conn == h.Conn {
+			require.Equal(t, limiter.Ended, got.Kind)
+			continue
+		}
+		require.Equal(t, "early"[:got.Size], text)
+		let = append(let, got)
 	}
+	require.Len(t, let, 2)
+	require.Equal(t, limiter.Accepted, let[0].Kind)
+	require.Equal(t, limiter.Happening{Kind: limiter.Readable, Conn: let[0].Conn, Size: 5}, let[1])
+	h = let[0]
 	s.Close(h.Conn)
 	expect(t, s, limiter.Ended, h.Conn)
 	require.Eventually(t, func() bool { return !s.Queued() }, patience, time.Millisecond, "nobody waits any more")
