--- /dev/null
+++ b/internal/sockets/flood_test.go
@@ -0,0 +1,78 @@
+package sockets
+
+import (
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/limiter"
+)
+
+// size is how many bytes of a connection, 0 for all, wait for the reducer.
+func (d *drive) size(id limiter.ID) (size int) {
+	d.s.mutex.Lock()
+	defer d.s.mutex.Unlock()
+	for _, h := range d.s.next.happenings {
+		if id == 0 || h.Conn == id {
+			size += h.Size
+		}
+	}
+	return size
+}
+
+// TestFlood: of a client that sends more than may wait for the reducer the poller reads a part, and goes on to others. The rest is
+// read once the reducer was told of that part, and none of it is lost. Its end is seen over what was not read.
+func TestFlood(t *testing.T) {
+	d := driven(t, 64, nil)
+	t.Cleanup(func() { // a poller that waits for the reducer would not stop
+		for range 20 {
+			d.s.take()
+			time.Sleep(time.Millisecond)
+		}
+	})
+	flooder, flood := d.dial(), limiter.ID(0)
+	d.until("it is let in", func() bool {
+		for id, l := range d.s.links {
+			if l.gate != nil {
+				flood = id
+			}
+		}
+		return flood > 0
+	})
+	const commands = 100
+	command := "*2\r\n$1\r\nX\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n"
+	require.Greater(t, commands*len(command), mostWaiting+1<<20)
+	wrote := make(chan error, 1)
+	go func() {
+		_, err := io.WriteString(flooder, strings.Repeat(command, commands))
+		wrote <- err
+	}()
+	require.Eventually(t, func() bool { return d.size(flood) >= mostOfOne }, patience, time.Millisecond)
+	other := d.dial()
+	ask(t, other, ping)
+	require.Eventually(t, func() bool { return d.size(0)-d.size(flood) == len(ping) }, patience, time.Millisecond,
+		"the poller reads one client alone")
+	require.Less(t, d.size(flood), mostOfOne+pieces)
+	answered := make(chan string, 1)
+	text := strings.Repeat("-ERR unknown command\r\n", commands)
+	go func() {
+		got := make([]byte, len(text))
+		_, _ = io.ReadFull(flooder, got)
+		answered <- string(got)
+	}()
+	d.until("all of it is answered", func() bool { return len(answered) > 0 })
+	require.Equal(t, text, <-answered)
+	require.NoError(t, <-wrote)
+
+	go func() { // and it goes, with much unread
+		_, err := io.WriteString(flooder, strings.Repeat(command, 3))
+		_ = flooder.Close()
+		wrote <- err
+	}()
+	require.NoError(t, <-wrote)
+	d.until("its end is told", func() bool { return d.s.links[flood] == nil })
+	require.Len(t, d.s.gate.free, 2) // the other's, and the next one's
+}
--- a/internal/sockets/leave_test.go
+++ b/internal/sockets/leave_test.go
@@ -50,9 +50,7 @@
 	d.s.take()
 	for _, h := range d.s.now.happenings {
 		end := d.s.read + h.Size
-		if l := d.s.links[h.Conn]; l != nil {
-			l.told += int64(h.Size)
-		}
+		d.s.telling(h)
 		d.l.Step(d.now, h)
 		d.s.read = end
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -32,6 +32,9 @@
 // mostWaiting is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
 const mostWaiting = 4 << 20
 
+// mostOfOne is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all others.
+const mostOfOne = 64 << 10
+
 // link is one connection. The poller, nbio's own goroutines and the reducer all use it.
 type link struct {
 	id      limiter.ID
@@ -39,10 +42,11 @@
 	cancel  context.CancelFunc        // ends the dialling; nil for a client's connection
 	unasked atomic.Bool               // the reducer has closed it
 	written atomic.Int64
-	gate    *gate      // of a client's connection
-	reading sync.Mutex // held from before bytes leave the kernel until they are posted
-	posted  int64      // bytes, under reading
-	told    int64      // bytes of them that the reducer was told of; its own
+	gate    *gate        // of a client's connection
+	reading sync.Mutex   // held from before bytes leave the kernel until they are posted
+	posted  int64        // bytes, under reading
+	told    atomic.Int64 // bytes of them that the reducer was told of
+	stuffed atomic.Bool  // mostOfOne wait, and what else has come is read once the reducer was told of some
 }
 
 // batch is what waits for the reducer: happenings, and the bytes that they tell of, in order.
@@ -159,7 +163,8 @@
 }
 
 // pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of its
-// leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere.
+// leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere. Nor is what
+// a client that has gone sent past mostOfOne: the poller closes a connection on the word that it ends, whatever is unread.
 func (s *Sockets) pull(l *link, c *nbio.Conn, into []byte) {
 	s.mutex.Lock() // the record was made under it, on another goroutine
 	client := l.gate != nil
@@ -177,7 +182,7 @@
 	l.reading.Lock()
 	defer l.reading.Unlock()
 	for {
-		if client && l.unasked.Load() {
+		if client && (l.unasked.Load() || l.full()) {
 			return nil // its end is seen apart from what was not read
 		}
 		n, err := c.Read(into)
@@ -195,6 +200,28 @@
 	}
 }
 
+// full tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been told of
+// some since, or the reducer finds it stopped.
+func (l *link) full() bool {
+	if l.posted-l.told.Load() < mostOfOne {
+		return false
+	}
+	l.stuffed.Store(true)
+	return l.posted-l.told.Load() >= mostOfOne
+}
+
+// telling notes that the reducer is told of a happening now. What a client has sent meanwhile is read on a goroutine of its own,
+// which closes nothing: the poller sees the end as well.
+func (s *Sockets) telling(h limiter.Happening) {
+	l := s.links[h.Conn]
+	if l == nil || h.Size == 0 {
+		return
+	}
+	if l.told.Add(int64(h.Size)); l.stuffed.CompareAndSwap(true, false) {
+		go func() { _ = s.drain(l, l.conn.Load(), make([]byte, pieces), true) }()
+	}
+}
+
 // post hands a happening on a connection to the reducer.
 func (s *Sockets) post(l *link, h limiter.Happening, data []byte) {
 	s.mutex.Lock()
@@ -252,9 +279,7 @@
 		s.take()
 		for _, h := range s.now.happenings {
 			end := s.read + h.Size
-			if l := s.links[h.Conn]; l != nil {
-				l.told += int64(h.Size)
-			}
+			s.telling(h)
 			l.Step(clock(), h)
 			s.read = end // whether the reducer has read them or not
 		}
@@ -386,7 +411,7 @@
 		return false
 	}
 	defer l.reading.Unlock()
-	if l.posted > l.told {
+	if l.posted > l.told.Load() {
 		return false
 	}
 	delete(s.links, id)
