--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -42,6 +42,7 @@
 	cancel  context.CancelFunc        // ends the dialling; nil for a client's connection
 	unasked atomic.Bool               // the reducer has closed it
 	written atomic.Int64
+	handed  int64        // bytes to write; the reducer's own
 	gate    *gate        // of a client's connection
 	reading sync.Mutex   // held from before bytes leave the kernel until they are posted
 	posted  int64        // bytes, under reading
@@ -357,10 +358,45 @@
 	return err
 }
 
-// Write is an effect.
+// Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be closed here,
+// before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind that.
 func (s *Sockets) Write(id limiter.ID, bytes []byte) {
-	if l := s.links[id]; l != nil {
-		_, _ = l.conn.Load().Write(bytes) // a failure ends the connection, which is told
+	l := s.links[id]
+	if l == nil {
+		return
+	}
+	c, waits := l.conn.Load(), l.handed > l.written.Load()
+	if l.handed += int64(len(bytes)); !waits {
+		n, err := put(c, bytes)
+		if err != nil {
+			shut(c, syscall.SHUT_RDWR)
+			return
+		}
+		l.written.Add(int64(n))
+		bytes = bytes[n:]
+	}
+	if len(bytes) > 0 {
+		_, _ = c.Write(bytes)
+	}
+}
+
+// put writes what the kernel takes at once.
+func put(c *nbio.Conn, bytes []byte) (int, error) {
+	c.Lock()
+	defer c.Unlock()
+	for {
+		if closed, _ := c.IsClosed(); closed {
+			return 0, net.ErrClosed
+		}
+		switch n, err := syscall.Write(c.Hash(), bytes); err {
+		case nil:
+			return n, nil
+		case syscall.EAGAIN:
+			return 0, nil
+		case syscall.EINTR:
+		default:
+			return 0, err
+		}
 	}
 }
 
