--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -60,7 +60,7 @@
 func (l *link) has() bool {
 	l.reading.Lock()
 	defer l.reading.Unlock()
-	return l.posted > l.told
+	return l.posted > l.told.Load()
 }
 
 // TestSecondAnswer: what a server sends behind its answer has come, the reducer was not told, and it has the next request for that
@@ -90,7 +90,7 @@
 			answer(t, far, request("r1"))
 			ask(t, far, one)
 			back, held := d.s.links[d.find(far)], d.s.links[d.find(other)]
-			d.until("it is answered", func() bool { return back.told == int64(len(one)) })
+			d.until("it is answered", func() bool { return back.told.Load() == int64(len(one)) })
 			answer(t, client, "$3\r\none\r\n")
 			ask(t, client, request("r2"))
 			require.Eventually(t, d.read, patience, time.Millisecond)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -28,8 +28,11 @@
 // looks is how often connections that were left are looked at, nanoseconds.
 const looks = 5e6
 
-// established is the kernel's number for a connection that neither side has ended, the first byte of TCP_INFO.
-const established = 1
+// The kernel's numbers, in the first byte of TCP_INFO, for a connection that the other side has broken off or ended.
+const (
+	brokenOff = 7
+	closeWait = 8
+)
 
 // mostWaiting is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
 const mostWaiting = 4 << 20
@@ -38,6 +41,9 @@
 // for a reset.
 var errInOrder = errors.New("the other side has ended the connection")
 
+// mostOfOne is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all others.
+const mostOfOne = 64 << 10
+
 // link is one connection. The poller, nbio's own goroutines and the reducer all use it.
 type link struct {
 	id      limiter.ID
@@ -45,10 +51,12 @@
 	cancel  context.CancelFunc        // ends the dialling; nil for a client's connection
 	unasked atomic.Bool               // the reducer has closed it
 	written atomic.Int64
-	gate    *gate      // of a client's connection
-	reading sync.Mutex // held from before bytes leave the kernel until they are posted
-	posted  int64      // bytes, under reading
-	told    int64      // bytes of them that the reducer was told of; its own
+	handed  int64        // bytes to write; the reducer's own
+	gate    *gate        // of a client's connection
+	reading sync.Mutex   // held from before bytes leave the kernel until they are posted
+	posted  int64        // bytes, under reading
+	told    atomic.Int64 // bytes of them that the reducer was told of
+	stuffed atomic.Bool  // mostOfOne wait, and what else has come is read once the reducer was told of some
 }
 
 // batch is what waits for the reducer: happenings, and the bytes that they tell of, in order.
@@ -165,7 +173,8 @@
 }
 
 // pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of its
-// leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere.
+// leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere. Nor is what
+// a client that has gone sent past mostOfOne: the poller closes a connection on the word that it ends, whatever is unread.
 func (s *Sockets) pull(l *link, c *nbio.Conn, into []byte) {
 	s.mutex.Lock() // the record was made under it, on another goroutine
 	client := l.gate != nil
@@ -183,7 +192,7 @@
 	l.reading.Lock()
 	defer l.reading.Unlock()
 	for {
-		if client && l.unasked.Load() {
+		if client && (l.unasked.Load() || l.full()) {
 			return nil // its end is seen apart from what was not read
 		}
 		n, err := c.Read(into)
@@ -201,6 +210,28 @@
 	}
 }
 
+// full tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been told of
+// some since, or the reducer finds it stopped.
+func (l *link) full() bool {
+	if l.posted-l.told.Load() < mostOfOne {
+		return false
+	}
+	l.stuffed.Store(true)
+	return l.posted-l.told.Load() >= mostOfOne
+}
+
+// telling notes that the reducer is told of a happening now. What a client has sent meanwhile is read on a goroutine of its own,
+// which closes nothing: the poller sees the end as well.
+func (s *Sockets) telling(h limiter.Happening) {
+	l := s.links[h.Conn]
+	if l == nil || h.Size == 0 {
+		return
+	}
+	if l.told.Add(int64(h.Size)); l.stuffed.CompareAndSwap(true, false) {
+		go func() { _ = s.drain(l, l.conn.Load(), make([]byte, pieces), true) }()
+	}
+}
+
 // post hands a happening on a connection to the reducer.
 func (s *Sockets) post(l *link, h limiter.Happening, data []byte) {
 	s.mutex.Lock()
@@ -258,9 +289,7 @@
 		s.take()
 		for _, h := range s.now.happenings {
 			end := s.read + h.Size
-			if l := s.links[h.Conn]; l != nil {
-				l.told += int64(h.Size)
-			}
+			s.telling(h)
 			l.Step(clock(), h)
 			s.read = end // whether the reducer has read them or not
 		}
@@ -338,16 +367,49 @@
 	return err
 }
 
-// Write is an effect.
+// Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be closed here,
+// before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind that.
 func (s *Sockets) Write(id limiter.ID, bytes []byte) {
 	l := s.links[id]
 	if l == nil {
 		return
 	}
-	// What was sent to us before its end waits in the kernel still; a write that fails would drop it, and one that does not would
-	// count as sent.
-	if c := l.conn.Load(); l.gate != nil || !ended(c) {
-		_, _ = c.Write(bytes) // a failure ends the connection, which is told
+	c, waits := l.conn.Load(), l.handed > l.written.Load()
+	// What was sent to us before its end waits in the kernel still; what we write behind it would count as sent.
+	if l.gate == nil && ended(c) {
+		return
+	}
+	if l.handed += int64(len(bytes)); !waits {
+		n, err := put(c, bytes)
+		if err != nil {
+			shut(c, syscall.SHUT_RDWR)
+			return
+		}
+		l.written.Add(int64(n))
+		bytes = bytes[n:]
+	}
+	if len(bytes) > 0 {
+		_, _ = c.Write(bytes)
+	}
+}
+
+// put writes what the kernel takes at once.
+func put(c *nbio.Conn, bytes []byte) (int, error) {
+	c.Lock()
+	defer c.Unlock()
+	for {
+		if closed, _ := c.IsClosed(); closed {
+			return 0, net.ErrClosed
+		}
+		switch n, err := syscall.Write(c.Hash(), bytes); err {
+		case nil:
+			return n, nil
+		case syscall.EAGAIN:
+			return 0, nil
+		case syscall.EINTR:
+		default:
+			return 0, err
+		}
 	}
 }
 
@@ -358,8 +420,9 @@
 	if closed, _ := c.IsClosed(); closed {
 		return true
 	}
-	state, err := syscall.GetsockoptInt(c.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
-	return err == nil && state&0xff != established
+	info, err := syscall.GetsockoptInt(c.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+	state := info & 0xff
+	return err == nil && (state == brokenOff || state == closeWait)
 }
 
 // Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on it would be
@@ -377,7 +440,7 @@
 		return false
 	}
 	defer l.reading.Unlock()
-	return l.posted == l.told && still(c)
+	return l.posted == l.told.Load() && still(c)
 }
 
 // still tells whether neither bytes nor an end wait in the kernel.
@@ -428,7 +491,7 @@
 		return false
 	}
 	defer l.reading.Unlock()
-	if l.posted > l.told {
+	if l.posted > l.told.Load() {
 		return false
 	}
 	delete(s.links, id)
