--- a/internal/lab/rig/stop_test.go
+++ b/internal/lab/rig/stop_test.go
@@ -54,7 +54,7 @@
 					server = Full(t)
 				}
 				config := counted(counter, server)
-				config.Settings.DialTimeout = 15e8 // the dial lasts beyond the end of a process that owes nothing
+				config.Settings.DialTimeout = 12e8 // the dial lasts beyond the end of a process that owes nothing
 				r := Start(t, config)
 				t.Parallel() // the start sets what all share
 				line, client := counter.Accept(t), r.Dial(t)
@@ -172,3 +172,29 @@
 		})
 	}
 }
+
+// TestClientsAsItEnds: a client that rests reads an end in order, and nothing that it sends behind that is sent on; one that sends
+// again at once has each answer and then the end.
+func TestClientsAsItEnds(t *testing.T) {
+	server := Listen(t)
+	r := Start(t, Config(server))
+	rests, again := r.Dial(t), r.Dial(t)
+	again.Say(t, Request("a0", "write", 3000))
+	c := server.Accept(t)
+	require.Equal(t, "a0", c.Command(t)[2])
+	r.Stop()
+	_, err := rests.Rest(t)
+	require.NoError(t, err)
+	rests.Say(t, Request("r0", "write", 3000))
+	again.Say(t, Request("a1", "write", 3000))
+	server.None(t, 20*time.Millisecond)
+	c.Serve(t, "value")
+	require.Equal(t, "$value", again.Answer(t))
+	require.Contains(t, again.Answer(t), "-BUSY", "a request on a connection that is to end")
+	_, err = again.Rest(t)
+	require.NoError(t, err)
+	again.Say(t, Request("a2", "write", 3000)) // it has not been told that nobody reads
+	r.Finish(t, 2*time.Second)
+	server.None(t, 10*time.Millisecond)
+	c.Quiet(t, 10*time.Millisecond) // nothing more was sent on
+}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -447,7 +447,7 @@
 }
 
 // Late tells whether SIGKILL may come soon: no client can hold the process any longer. All that was taken is answered by then, and
-// who has an answer to read has had time to.
+// who has an answer to read has had time to. A process that stood still first reads what has come meanwhile.
 func (l *Limiter) Late() bool {
-	return l.stopping != 0 && l.now > max(l.stopping+holdFor, l.ended+killSpare)
+	return l.stopping != 0 && l.now > max(l.stopping+holdFor, l.ended+killSpare, l.wake.blind)
 }
