--- a/internal/lab/rig/stop_test.go
+++ b/internal/lab/rig/stop_test.go
@@ -54,7 +54,7 @@
 					server = Full(t)
 				}
 				config := counted(counter, server)
-				config.Settings.DialTimeout = 15e8 // the dial lasts beyond the end of a process that owes nothing
+				config.Settings.DialTimeout = 12e8 // the dial lasts beyond the end of a process that owes nothing
 				r := Start(t, config)
 				t.Parallel() // the start sets what all share
 				line, client := counter.Accept(t), r.Dial(t)
