--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -2,7 +2,10 @@
 
 import (
 	"io"
+	"net"
+	"os"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -76,3 +79,39 @@
 	d.until("its end is told", func() bool { return d.s.links[flood] == nil })
 	require.Len(t, d.s.gate.free, 2) // the other's, and the next one's
 }
+
+// TestNoDescriptor: a client for whose connection no descriptor is left gives its place back. The library needs two for a moment.
+func TestNoDescriptor(t *testing.T) {
+	s, address := listening(t, 1)
+	t.Cleanup(func() {
+		if t.Failed() { // the place that was kept
+			<-s.gate.free
+		}
+	})
+	var limit syscall.Rlimit
+	require.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit))
+	low := limit
+	low.Cur = 256
+	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low))
+	defer func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) }()
+	var files []*os.File
+	for f, err := os.Open(os.DevNull); err == nil; f, err = os.Open(os.DevNull) {
+		defer func() { _ = f.Close() }()
+		files = append(files, f)
+	}
+	for _, f := range files[len(files)-2:] { // one for the client's own end, one to accept it
+		_ = f.Close()
+	}
+	far, err := net.Dial("tcp", address)
+	require.NoError(t, err)
+	defer func() { _ = far.Close() }()
+	_ = far.SetReadDeadline(time.Now().Add(patience))
+	_, err = far.Read(make([]byte, 1))
+	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it was let in")
+	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
+	later, err := net.Dial("tcp", address)
+	require.NoError(t, err)
+	defer func() { _ = later.Close() }()
+	h, _ := next(t, s)
+	require.Equal(t, limiter.Accepted, h.Kind)
+}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -147,10 +147,15 @@
 	g.free <- struct{}{}
 	g.full.Store(false)
 	c, err := g.Listener.Accept()
-	if err != nil {
-		g.leave()
+	if err == nil {
+		var taken *nbio.Conn // nbio would keep the place of one that it cannot take over for want of a descriptor
+		if taken, err = nbio.NBConn(c); err == nil {
+			return taken, nil
+		}
+		_ = c.Close()
 	}
-	return c, err
+	g.leave()
+	return nil, err
 }
 
 func (g *gate) leave() { <-g.free }
