--- /dev/null
+++ b/internal/lab/rig/deadlines_test.go
@@ -0,0 +1,208 @@
+package rig
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/choice"
+	"ospreycroft/internal/settings"
+)
+
+// option sets one of a listener's; connections accepted from then on have it.
+func (p *Peer) option(t testing.TB, set func(fd int) error) *Peer {
+	t.Helper()
+	raw, err := p.ln.(*net.TCPListener).SyscallConn()
+	require.NoError(t, err)
+	require.NoError(t, raw.Control(func(fd uintptr) { err = set(int(fd)) }))
+	require.NoError(t, err)
+	return p
+}
+
+// slow is a server whose machine takes few bytes that it does not read.
+func slow(t testing.TB) *Peer {
+	return Listen(t).option(t, func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
+}
+
+// squeeze has the limiter's kernel take few bytes at a time on a connection: the limiter's end is in this process, too.
+func (c *Conn) squeeze(t testing.TB) {
+	t.Helper()
+	port := func(a syscall.Sockaddr, err error) int {
+		if in, is := a.(*syscall.SockaddrInet4); err == nil && is {
+			return in.Port
+		}
+		return 0
+	}
+	mine, others := c.TCP.LocalAddr().(*net.TCPAddr).Port, c.TCP.RemoteAddr().(*net.TCPAddr).Port
+	for fd := range 1024 {
+		if port(syscall.Getsockname(fd)) == others && port(syscall.Getpeername(fd)) == mine {
+			require.NoError(t, syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, 1))
+			return
+		}
+	}
+	t.Fatal("the limiter's end is not here")
+}
+
+// ready waits until something has come on one of the connections.
+func ready(t testing.TB, conns ...*Conn) *Conn {
+	t.Helper()
+	for end := time.Now().Add(Patience); time.Now().Before(end); {
+		for _, c := range conns {
+			_ = c.TCP.SetReadDeadline(time.Now().Add(time.Millisecond))
+			if _, err := c.in.Peek(1); err == nil {
+				return c
+			}
+		}
+	}
+	t.Fatal("nothing has come")
+	return nil
+}
+
+// late is a server to which connections come up only once open was called: its queue of connections is full, and the kernel drops
+// what asks for one more, which asks again a second later.
+func late(t testing.TB) (p *Peer, open func()) {
+	p = Listen(t).option(t, func(fd int) error { return syscall.Listen(fd, 0) })
+	filler, err := net.Dial("tcp", p.Address)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = filler.Close() })
+	return p, func() { p.Accept(t) }
+}
+
+// states of a connection, as the kernel writes them.
+const (
+	none    = ""
+	synSent = "02"
+)
+
+// state waits until the kernel's table has a connection to a port, from another one where that is given, in a state; or none in any.
+func state(t testing.TB, from, to, want string) {
+	t.Helper()
+	port := func(address string) string {
+		var n int
+		_, _ = fmt.Sscanf(address[strings.LastIndex(address, ":")+1:], "%d", &n)
+		return fmt.Sprintf(":%04X", n)
+	}
+	require.Eventually(t, func() bool {
+		table, err := os.ReadFile("/proc/net/tcp")
+		require.NoError(t, err)
+		for _, line := range strings.Split(string(table), "\n") {
+			f := strings.Fields(line)
+			if len(f) > 3 && (from == "" || strings.HasSuffix(f[1], port(from))) && strings.HasSuffix(f[2], port(to)) &&
+				(want == none || want == f[3]) {
+				return want != none
+			}
+		}
+		return want == none
+	}, Patience, time.Millisecond)
+}
+
+// listed is a server in a list.
+type listed struct {
+	ID        string `json:"instanceId"`
+	HostPort  string `json:"hostPort"`
+	Zone      string `json:"zone"`
+	Lifecycle string `json:"lifecycle"`
+}
+
+func listing(generation int, entries ...listed) string {
+	text, _ := json.Marshal(map[string]any{"generation": generation, "reset": true, "instances": entries})
+	return string(text)
+}
+
+// lists is the list service, with the limiter's watch open.
+type lists struct {
+	c          *Conn
+	generation int
+}
+
+// watch waits for the next call: what was told before has been applied.
+func (l *lists) watch(t testing.TB) {
+	t.Helper()
+	require.Contains(t, l.c.Line(t), fmt.Sprintf("from=%d&", l.generation))
+	for l.c.Line(t) != "" {
+	}
+}
+
+func (l *lists) tell(t testing.TB, entries ...listed) {
+	t.Helper()
+	l.generation++
+	body := listing(l.generation, entries...)
+	l.c.Say(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	l.watch(t)
+}
+
+// story is a limiter that knows the server s0 in zone a, and more as the test tells it. Requests of the class near are keyed, and the
+// servers of one zone drop their repeats.
+type story struct {
+	*Rig
+	lists  *lists
+	first  *Peer
+	client *Conn
+}
+
+func begin(t testing.TB, window time.Duration, change func(*settings.Config)) *story {
+	t.Helper()
+	s := &story{first: Listen(t)}
+	service := Listen(t)
+	config := Config()
+	config.Discovery, config.Known = service.Address, []byte(listing(1, s.known()))
+	config.Settings.DialTimeout = 3e9
+	for name, group := range map[string]choice.Group{"keyed": choice.GroupAll, "near": choice.GroupZone} {
+		config.Settings.Tracks[name] = &choice.Track{Agreed: 60e9, Effect: choice.Fingerprinted, Group: group, Repeats: int64(window), Benefit: 1}
+	}
+	if change != nil {
+		change(config)
+	}
+	s.Rig = Start(t, config)
+	s.lists = &lists{c: service.Accept(t), generation: 1}
+	s.lists.watch(t)
+	s.client = s.Dial(t)
+	return s
+}
+
+func (s *story) known() listed { return listed{"s0", s.first.Address, "a", "in_service"} }
+
+func at(id string, p *Peer, zone string) listed { return listed{id, p.Address, zone, "in_service"} }
+
+// run sends a request that s0 gets whole; more servers are known from then on.
+func (s *story) run(t testing.TB, text string, more ...listed) *Conn {
+	t.Helper()
+	s.client.Say(t, text)
+	c := s.first.Accept(t)
+	c.Command(t)
+	if len(more) > 0 {
+		s.lists.tell(t, append([]listed{s.known()}, more...)...)
+	}
+	return c
+}
+
+// large is a request that no small buffer holds.
+func large(id, class string, left int) string {
+	return strings.Replace(Request(id, class, left), "$4\r\nBODY", "$60000\r\n"+strings.Repeat("b", 60000), 1)
+}
+
+// part checks that what a server got is a part of a command only.
+func part(t testing.TB, c *Conn) {
+	t.Helper()
+	text, _ := c.Rest(t)
+	require.NotEmpty(t, text)
+	require.Less(t, len(text), 60000, "the command has become whole")
+}
+
+// TestGivenUp: a command that the kernel took whole and the server's machine did not is not completed once its request has ended.
+func TestGivenUp(t *testing.T) {
+	server := slow(t)
+	s := begin(t, time.Second, func(c *settings.Config) { c.Known = []byte(listing(1, at("s0", server, "a"))) })
+	s.client.Say(t, large("id", "write", 400))
+	c := server.Accept(t)
+	require.Equal(t, "-ERR written off", s.client.Answer(t))
+	state(t, c.TCP.RemoteAddr().String(), server.Address, none) // the limiter has closed it
+	part(t, c)
+}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -86,7 +86,10 @@
 	t.Cleanup(func() {
 		r.Stop()
 		r.Sockets.Halt()
-		<-r.ended
+		select {
+		case <-r.ended:
+		case <-time.After(Patience): // seen once: nbio waits for good for a connection to close as it stops
+		}
 	})
 	return r
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -479,6 +479,9 @@
 		l.cancel()
 	}
 	if c := l.conn.Load(); c != nil {
+		if l.gate == nil && l.written.Load() == l.handed && asks(c, syscall.TIOCOUTQ) > 0 {
+			breakOff(c)
+		}
 		shut(c, syscall.SHUT_RDWR)
 	}
 	return l.written.Load()
@@ -553,6 +556,16 @@
 // second and more, and with it the reducer.
 func (s *Sockets) Queued() bool { return s.gate.full.Load() }
 
+// breakOff has the closing of the descriptor, which follows, take along what the other machine lacks: a command that was given up
+// and that the kernel has whole would else become whole there later, when it takes bytes again, and run for nobody.
+func breakOff(c *nbio.Conn) {
+	c.Lock()
+	defer c.Unlock()
+	if closed, _ := c.IsClosed(); !closed {
+		_ = syscall.SetsockoptLinger(c.Hash(), syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
+	}
+}
+
 // shut ends one or both directions and leaves closing the descriptor to the poller, which sees the end next. Were it
 // closed here, what the poller still has to tell of it could hit a new connection with the same number. It tells whether there
 // was something to end.
