--- a/internal/lab/rig/deadlines_test.go
+++ b/internal/lab/rig/deadlines_test.go
@@ -206,3 +206,16 @@
 	state(t, c.TCP.RemoteAddr().String(), server.Address, none) // the limiter has closed it
 	part(t, c)
 }
+
+// TestTurnedAway: an attempt that was turned away has not run, and no window bounds the next one.
+func TestTurnedAway(t *testing.T) {
+	s := begin(t, 100*time.Millisecond, nil)
+	server := Listen(t)
+	first := s.run(t, Request("id", "keyed", 5000), at("s1", server, "b"))
+	time.Sleep(150 * time.Millisecond)
+	first.Say(t, "-BUSY\r\n")
+	c := server.Accept(t)
+	c.Command(t)
+	c.Serve(t, "value")
+	require.Equal(t, "$value", s.client.Answer(t))
+}
--- a/internal/limiter/jobs.go
+++ b/internal/limiter/jobs.go
@@ -45,6 +45,7 @@
 	backend *backend
 	limit   *timer
 	last    int64 // the place of its last byte among all that was written on its connection, 0 before
+	never   bool  // it has ended, and has not run
 }
 
 var (
@@ -168,6 +169,7 @@
 	j := s.job
 	l.timers.drop(s.limit)
 	s.open, s.backend = false, nil
+	s.never = reply.Outcome == choice.Full || reply.Outcome == choice.Unconnected || reply.Outcome == choice.Moot
 	j.open--
 	reply.Job, reply.Shot, reply.Took, reply.Final = j.id, s.number, l.now-s.at, j.state != Taken
 	l.owed = append(l.owed, owed{reply: reply})
--- a/internal/limiter/wake.go
+++ b/internal/limiter/wake.go
@@ -79,7 +79,7 @@
 		return true
 	}
 	for _, e := range s.job.shots[:s.number] {
-		if s.job.repeats > 0 && e.last > 0 && l.now >= e.at+s.job.repeats {
+		if s.job.repeats > 0 && e.last > 0 && !e.never && l.now >= e.at+s.job.repeats {
 			return true
 		}
 	}
