--- a/internal/lab/rig/deadlines_test.go
+++ b/internal/lab/rig/deadlines_test.go
@@ -219,3 +219,15 @@
 	c.Serve(t, "value")
 	require.Equal(t, "$value", s.client.Answer(t))
 }
+
+// TestMoved: what counts is the group in which an attempt may have run, not the one that its server is in by now.
+func TestMoved(t *testing.T) {
+	s := begin(t, 5*time.Second, nil)
+	server := Listen(t)
+	first := s.run(t, Request("id", "near", 5000))
+	s.lists.tell(t, at("s0", s.first, "b"), at("s1", server, "b"))
+	first.Reset()
+	require.Equal(t, "-ERR written off", s.client.Answer(t))
+	c := server.Accept(t)
+	c.Quiet(t, 50*time.Millisecond)
+}
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -311,7 +311,7 @@
 	cl.answers = append(cl.answers, a)
 	a.job = l.take(cl, a, words, before, past, arrival.Budget)
 	if t := l.set.Tracks[arrival.Track]; t.Effect == choice.Fingerprinted {
-		a.job.repeats = t.Repeats
+		a.job.repeats, a.job.group = t.Repeats, t.Group
 	}
 	l.logic.Job(l.now, arrival)
 }
--- a/internal/limiter/jobs.go
+++ b/internal/limiter/jobs.go
@@ -29,6 +29,7 @@
 	cutOff int64
 	// How long a server knows the job again after a shot, where it does; 0 else.
 	repeats int64
+	group   choice.Group // and which servers do
 	shots   []*shot
 	open    int // shots that are out
 	size    int64
@@ -45,9 +46,21 @@
 	backend *backend
 	limit   *timer
 	last    int64 // the place of its last byte among all that was written on its connection, 0 before
+	place   place // where its server was then
 	never   bool  // it has ended, and has not run
 }
 
+// place is what a list says of where a server stands.
+type place struct {
+	zone string
+	cell int64
+}
+
+// same tells whether two places are in one group.
+func (p place) same(group choice.Group, o place) bool {
+	return group == choice.GroupAll || group == choice.GroupZone && p.zone == o.zone || group == choice.GroupCell && p.cell == o.cell
+}
+
 var (
 	rejectedPlain = []byte("-BUSY\r\n")
 	writtenOff    = []byte("-ERR written off\r\n")
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -17,6 +17,7 @@
 	l       *Limiter
 	id      string
 	address string
+	place   place
 	idle    []*backend       // the one used last at the end
 	held    int              // connections, idle or not
 	leaving bool             // it drains or is gone: no connection to it is kept
@@ -146,7 +147,7 @@
 	l.write(b.c, l.scratch)
 	b.wrote = l.now
 	if b.shot != nil {
-		b.shot.last = b.c.sent
+		b.shot.last, b.shot.place = b.c.sent, b.pool.place
 	}
 }
 
--- a/internal/limiter/wake.go
+++ b/internal/limiter/wake.go
@@ -1,6 +1,9 @@
 package limiter
 
-import "log"
+import (
+	"log"
+	"math"
+)
 
 // The process may stand still for long, stopped or without a processor, and finds on waking that all its timers are due,
 // that clients' jobs have waited unread, and that the list may have changed. What it was told meanwhile counts.
@@ -72,16 +75,22 @@
 }
 
 // stale: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
-// know the job again by an earlier shot. The module is to decide anew.
+// know the job again by an earlier shot, or in no group with that one. The module is to decide anew.
 func (s *shot) stale() bool {
-	l := s.backend.pool.l
-	if l.now-s.at > standsStill*l.set.DialTimeout {
-		return true
-	}
-	for _, e := range s.job.shots[:s.number] {
-		if s.job.repeats > 0 && e.last > 0 && !e.never && l.now >= e.at+s.job.repeats {
-			return true
+	now := s.backend.pool.l.now
+	return now-s.at > standsStill*s.backend.pool.l.set.DialTimeout || now >= s.known()
+}
+
+// known is until when the server would know the job again by each earlier shot that may have run: 0 if it does not by one, and
+// without end where none has. What counts is where an earlier shot was written, wherever a list has its server now.
+func (s *shot) known() int64 {
+	j, until := s.job, int64(math.MaxInt64)
+	for _, e := range j.shots[:s.number] {
+		if j.repeats > 0 && e.last > 0 && !e.never {
+			if until = min(until, e.at+j.repeats); !e.place.same(j.group, s.backend.pool.place) {
+				return 0
+			}
 		}
 	}
-	return false
+	return until
 }
--- a/internal/limiter/watch.go
+++ b/internal/limiter/watch.go
@@ -296,6 +296,7 @@
 		if e.Address != "" {
 			p.address = e.Address
 		}
+		p.place = place{e.Zone, e.Cell}
 		p.retireBefore(e.Since) // to the process before this one: where its machine vanished, nothing has said so
 	}
 	if len(entries) > 0 || list.Whole {
