--- a/internal/lab/rig/deadlines_test.go
+++ b/internal/lab/rig/deadlines_test.go
@@ -1,10 +1,12 @@
 package rig
 
 import (
+	"bufio"
 	"encoding/json"
 	"fmt"
 	"net"
 	"os"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -207,6 +209,41 @@
 	part(t, c)
 }
 
+// TestWindowInTheMiddle: a keyed repeat of which the kernel has only a part is not completed past the window, though its request lives.
+func TestWindowInTheMiddle(t *testing.T) {
+	servers := []*Peer{slow(t), slow(t)}
+	s := begin(t, time.Second, func(c *settings.Config) {
+		c.Known = []byte(listing(1, at("s0", servers[0], "a"), at("s1", servers[1], "a")))
+	})
+	var conns []*Conn // an open connection at least to each server, squeezed
+	for met := map[*Peer]bool{}; len(met) < 2; {
+		s.client.Say(t, Request(fmt.Sprint("id-", len(conns)), "read", 9000))
+		for n := len(conns); len(conns) == n; {
+			for _, p := range servers {
+				_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
+				if c, err := p.ln.Accept(); err == nil {
+					t.Cleanup(func() { _ = c.Close() })
+					conns, met[p] = append(conns, &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}), true
+				}
+			}
+		}
+	}
+	for _, c := range conns {
+		c.Command(t)
+		c.Serve(t, "value")
+		require.Equal(t, "$value", s.client.Answer(t))
+		c.squeeze(t)
+	}
+	time.Sleep(20 * time.Millisecond) // they rest for a tick
+	s.client.Say(t, large("id", "keyed", 30000))
+	first := ready(t, conns...)
+	first.Command(t)
+	first.Reset()
+	second := ready(t, slices.DeleteFunc(conns, func(c *Conn) bool { return c == first })...)
+	require.Regexp(t, "^-BUSY", s.client.Answer(t))
+	part(t, second)
+}
+
 // TestTurnedAway: an attempt that was turned away has not run, and no window bounds the next one.
 func TestTurnedAway(t *testing.T) {
 	s := begin(t, 100*time.Millisecond, nil)
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -146,8 +146,16 @@
 	}
 	l.write(b.c, l.scratch)
 	b.wrote = l.now
-	if b.shot != nil {
-		b.shot.last, b.shot.place = b.c.sent, b.pool.place
+	if s := b.shot; s != nil {
+		s.last, s.place = b.c.sent, b.pool.place
+		if l.effects.Written(b.c.id) < s.last && s.known() < math.MaxInt64 {
+			// The kernel has a part of a repeat, which must not become whole once servers do not know the job again.
+			l.at(s.known(), func() {
+				if s.open && l.effects.Written(b.c.id) < s.last {
+					l.over(b.c, TimeOver)
+				}
+			})
+		}
 	}
 }
 
