--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -117,6 +117,7 @@
 	watch               watch
 	start               *start // nil where operators state nothing
 	ready               bool
+	readyBy             int64 // when it is ready at the latest, whatever the module wants
 	stopping            int64 // until when clients still come once the end was asked for, 0 before
 	wake                wake
 	settled             bool  // what is owed to the counter was added before the end
@@ -152,6 +153,7 @@
 	lateFrom     = 700e6 // what comes later than this after the word to stop is lost where SIGKILL finds it unanswered,
 	killFrom     = 3e9   // which may be so long after that,
 	killSpare    = 200e6 // less what it takes to answer
+	readyIn      = 9e9   // nine in ten have to be ready within 10 s, less what it takes to start and to be asked
 	holdFor      = lateFrom + killFrom - killSpare - lingers
 	keepLess     = 4    // that is shortened by this part when one turns out to have ended unsaid,
 	keepMore     = 16   // and lengthened by this part when one still serves near its end, and with each look
@@ -174,6 +176,7 @@
 	l.watch.pace = inquiry.New(now, l.set.DialTimeout, max(l.set.Position, 0), l.set.AskEvery)
 	l.watch.pace.Within(l.set.Grace)
 	l.logic = choice.New(now, l.set.Settings, config.Seed, l)
+	l.readyBy = now + readyIn
 	if err := l.begin(stated); err != nil {
 		return nil, err
 	}
@@ -191,7 +194,7 @@
 		l.counter.open()
 	}
 	if l.start == nil {
-		l.at(now+l.set.DialTimeout, l.readyNow)
+		l.at(min(now+l.set.DialTimeout, l.readyBy), l.readyNow)
 	}
 	l.sweep()
 	l.visit()
@@ -200,9 +203,9 @@
 }
 
 // readyNow: discovery has said what it knows, or is down, and the list of the configuration must do. The module may
-// want more time.
+// want more time, until the latest: the parts of ceilings that have not filled by then are rejected for, not passed.
 func (l *Limiter) readyNow() {
-	if at := l.logic.Ready(); l.now < at {
+	if at := min(l.logic.Ready(), l.readyBy); l.now < at {
 		l.at(at, l.readyNow)
 	} else if !l.ready {
 		l.ready = true
--- a/internal/limiter/start.go
+++ b/internal/limiter/start.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	set := StartSettings(l.config, stated)
-	set.Lead = l.logic.Ready() - l.now
+	set.Lead = min(l.logic.Ready(), l.readyBy) - l.now
 	rules, err := coldstart.New(l.now, set)
 	if err == nil {
 		l.start = &start{l: l, stated: stated, set: set, rules: rules, held: map[string]discovery.Entry{}}
