--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -65,9 +65,13 @@
 			DialTimeout: second / 4, MostShots: 3, MostAdvice: 2 * second, Cancelling: true, Granularity: 4e6}}}
 }
 
+var starting sync.Mutex
+
 // Start starts a limiter and ends it with the test, whether all was answered or not.
 func Start(t testing.TB, config *settings.Config) *Rig {
 	t.Helper()
+	starting.Lock() // nbio is set up by a variable of its package
+	defer starting.Unlock()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	r := &Rig{Address: free.Addr().String(), stopped: make(chan struct{}), ended: make(chan struct{}),
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -1,12 +1,47 @@
 package limiter
 
 import (
+	"strconv"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"ospreycroft/choice"
 )
 
+// TestOneInstant: the answer of a server and the end of its request come in one instant, in either order. The client gets one answer,
+// whichever was first; the module's end is two ticks before the limiter's.
+func TestOneInstant(t *testing.T) {
+	const served, value = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "$1\r\nv\r\n"
+	for _, class := range []string{"read", "write"} {
+		for _, end := range []int64{472e6, 480e6} {
+			for _, first := range []bool{true, false} {
+				l, w, id := sent(t, class)
+				l.Step(end-1, Happening{Kind: Due})
+				if first {
+					w.say(l, end, id, served)
+				}
+				l.Step(end, Happening{Kind: Due})
+				if l.conns[id] != nil { // else its bytes are nobody's any more
+					w.say(l, end, id, served)
+				}
+				w.pass(l, second)
+				got := w.wrote[visitor]
+				switch {
+				case first && end == 472e6:
+					require.Equal(t, value, got)
+				case class == "write":
+					require.Equal(t, string(writtenOff), got)
+				default:
+					require.Regexp(t, "^-BUSY [0-9]+\r\n$", got)
+				}
+				require.Empty(t, l.jobs)
+			}
+		}
+	}
+}
+
 // TestReadyInTime: clients come in time, though a ceiling's parts fill slowly and servers warm up for long.
 func TestReadyInTime(t *testing.T) {
 	l, w := made(t)
@@ -22,3 +57,53 @@
 	require.Equal(t, "-LOADING not ready yet\r\n", ping(8*second))
 	require.Equal(t, "+PONG\r\n", ping(10*second))
 }
+
+// lives does what a limiter's module asks for: the counter is down, and each attempt is answered at once.
+type lives struct {
+	choice.Deeds
+	sent  []string
+	names []uint64
+}
+
+func (d *lives) Send(id, _ string)                     { d.sent = append(d.sent, id) }
+func (d *lives) Reject(string, int64, choice.Cause)    {}
+func (d *lives) Count(name uint64, _ float64, _ int64) { d.names = append(d.names, name) }
+func (d *lives) Wake(int64, int64)                     {}
+func (d *lives) Log(string)                            {}
+
+// TestRestartedAgain: a limiter starts again and again within a second while the counter is down. What it sends for one customer under
+// a ceiling is what a single life sends at most; without a ceiling each life has one slice, two parts of the burst, and no more.
+func TestRestartedAgain(t *testing.T) {
+	const rate, burst, spread = 10, 40, 4
+	for _, ceiling := range []float64{0, 20} {
+		for _, starts := range []int64{1, 2, 10} {
+			total := 0
+			for k := range starts {
+				born, d := k*second/starts, &lives{}
+				logic := choice.New(born, &choice.Settings{Tracks: map[string]*choice.Track{"read": {Agreed: second, Benefit: 1}},
+					Plans:       map[string]*choice.Plan{"p": {Rate: rate, Burst: burst, CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
+					CounterWait: second / 20, MostUnits: 1, LongestLease: 60 * second, Limiters: spread, ColdFrom: 1, WarmWithin: 1,
+					DialTimeout: second / 4, MostShots: 1, Granularity: 4e6}, 1, d)
+				logic.Members(born, true, []choice.Entry{{ID: "s"}})
+				now := born + second/starts - 1
+				for i := range 4 * burst {
+					id := strconv.Itoa(i)
+					logic.Job(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Track: "read", Units: 1, Spread: spread})
+					for ; len(d.names) > 0; d.names = d.names[1:] {
+						logic.Counted(now, d.names[0], choice.Unconnected, 0)
+					}
+					if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
+						logic.Answer(now, choice.Reply{Job: id, Outcome: choice.Done, Took: 1e7, Final: true})
+					}
+				}
+				total += len(d.sent)
+			}
+			if ceiling > 0 {
+				require.LessOrEqual(t, total, int(ceiling/spread))
+				require.True(t, starts > 2 || total > 0)
+			} else {
+				require.Equal(t, int(starts)*2*burst/spread, total)
+			}
+		}
+	}
+}
