--- a/internal/lab/rig/renew_test.go
+++ b/internal/lab/rig/renew_test.go
@@ -97,6 +97,76 @@
 	require.Equal(t, "-ERR unknown class", client.Answer(t))
 }
 
+// stall is a log in which the line that holds a word waits until it is let on: the reducer that writes it stands still.
+type stall struct {
+	word    string
+	stands  chan struct{}
+	release chan struct{}
+}
+
+func (s *stall) Write(b []byte) (int, error) {
+	if strings.Contains(string(b), s.word) {
+		close(s.stands)
+		<-s.release
+	}
+	return len(b), nil
+}
+
+// call reads a call to the list service.
+func (c *Conn) call(t *testing.T) {
+	t.Helper()
+	for c.Line(t) != "" {
+	}
+}
+
+// TestStoodStill holds the reducer for longer than the grace, though not for two dial time-outs. Meanwhile a request comes, and
+// behind it the word that the only server drains. On waking the request is read first: the list has to be known before it is
+// sent on.
+func TestStoodStill(t *testing.T) {
+	for _, c := range []struct{ dial, grace, still time.Duration }{
+		{250 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond},
+		{2 * time.Second, 100 * time.Millisecond, 300 * time.Millisecond}, // dials take long, and drains are quick
+	} {
+		server, disco := Listen(t), Listen(t)
+		config := Config(server)
+		set := *config.Settings.Settings
+		set.DialTimeout = int64(c.dial)
+		config.Discovery = disco.Address
+		config.Settings = &settings.Settings{Settings: &set, IdleClose: config.Settings.IdleClose, Grace: int64(c.grace)}
+		r := Start(t, config)
+		watch, client := disco.Accept(t), r.Dial(t)
+		watch.call(t)
+		client.Say(t, Request("first", "read", 2000))
+		conn := server.Accept(t)
+		conn.Command(t)
+		conn.Serve(t, "value")
+		require.Equal(t, "$value", client.Answer(t))
+		time.Sleep(10 * time.Millisecond) // the connection rests for a tick
+		s := &stall{word: "event=config-read", stands: make(chan struct{}), release: make(chan struct{})}
+		log.SetOutput(s)
+		r.Renew(func(*settings.Config) {})
+		<-s.stands
+		body := `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"terminating"}]}`
+		drains := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		client.Say(t, Request("second", "read", 2000))
+		time.Sleep(20 * time.Millisecond) // it is read before the list
+		watch.Say(t, drains)
+		time.Sleep(c.still)
+		close(s.release)
+		anew := disco.Accept(t)
+		anew.call(t)
+		anew.Say(t, drains)
+		sent, err := conn.Rest(t)
+		require.NoError(t, err)
+		require.Empty(t, sent, "it was sent on behind the grace")
+		require.Regexp(t, "^-BUSY", client.Answer(t))
+		log.SetOutput(os.Stderr)
+		client.Reset()
+		r.Stop()
+		defer r.Finish(t, Patience) // in order: it dials as it ends, which Halt does not wait for
+	}
+}
+
 const plainConfig = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","counter":%q,"seed":"ff",
 	"limits":{"memory_mb":192,"sockets":1024},"known":%s,"settings":{"balancers":1,"classes":[
 	{"name":"read","aim":1,"effect":"free"},{"name":"write","aim":1,"effect":"single_shot"},
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -102,9 +102,9 @@
 		}
 	}
 	l.makeRoom()
-	every := l.set.DialTimeout
+	every := l.visits()
 	if l.crowded() {
-		every /= crowdLooks
+		every = min(every, l.set.DialTimeout/crowdLooks)
 	}
 	l.at(l.now+every, l.visit)
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -187,7 +187,7 @@
 		l.counter.open()
 	}
 	if l.start == nil {
-		l.at(now+l.set.DialTimeout, l.readyNow)
+		l.at(now+l.watch.pace.Dial(), l.readyNow)
 	}
 	l.sweep()
 	l.visit()
--- a/internal/limiter/wake.go
+++ b/internal/limiter/wake.go
@@ -7,8 +7,9 @@
 
 const (
 	standsStill = 2     // so many dial time-outs without a happening are none that the timers allow
-	stillLeast  = 250e6 // nor are so many nanoseconds: news may be acted on as late
-	settles     = 8     // for this part of one what has come meanwhile is read, and no timer runs
+	stillLeast  = 250e6 // nor are so many nanoseconds,
+	spare       = 50e6  // but so many beyond the grace in which news has to be acted on are, where the settings tell it
+	settles     = 8     // for this part of the time between visits what has come meanwhile is read, and no timer runs
 	countsFrom  = 2e9   // where discovery is asked, what it had to tell in less than this is in the kernel, or not told
 )
 
@@ -23,18 +24,36 @@
 	limit  *timer
 }
 
-// looked moves the clock on. Something happens at least once in a dial time-out, for clients are visited then.
+// visits is how often clients are visited, so that something happens: in a dial time-out or in the grace, if that is shorter.
+func (l *Limiter) visits() int64 {
+	if l.set.Grace > 0 {
+		return min(l.set.DialTimeout, max(l.set.Grace, spare))
+	}
+	return l.set.DialTimeout
+}
+
+// still is the longest time without a happening that is no standing still. What the process was told in it may be read behind
+// a job, so it must not be longer than the grace.
+func (l *Limiter) still() int64 {
+	still := max(standsStill*l.set.DialTimeout, stillLeast)
+	if l.set.Grace > 0 {
+		still = min(still, max(l.set.Grace, l.visits()+spare))
+	}
+	return still
+}
+
+// looked moves the clock on.
 func (l *Limiter) looked(now int64) {
 	gap, first := now-l.now, !l.wake.begun
 	l.now, l.wake.begun = now, true
-	if first || gap <= max(standsStill*l.set.DialTimeout, stillLeast) { // what a start takes is no standing still
+	if first || gap <= l.still() { // what a start takes is no standing still
 		return
 	}
 	w := &l.wake
-	w.at, w.slept, w.blind, w.doubts = now, gap, now+l.set.DialTimeout/settles, true
+	w.at, w.slept, w.blind, w.doubts = now, gap, now+l.visits()/settles, true
 	log.Printf("event=woken still_ms=%d", gap/1e6)
 	l.timers.drop(w.limit)
-	w.limit = l.at(now+l.set.DialTimeout, l.trust) // what is held then must do: a list service that is down stops nothing
+	w.limit = l.at(now+l.watch.pace.Dial(), l.trust) // what is held then must do: a list service that is down stops nothing
 	if (l.set.AskEvery == 0 || gap >= countsFrom) && !l.start.budgeted() {
 		l.watch.anew()
 	} else { // the answer of the call that is out is in the kernel, if there is one
@@ -65,7 +84,7 @@
 
 // age is how long a job that is read now may have waited to be read.
 func (l *Limiter) age() int64 {
-	if l.wake.slept == 0 || l.now >= l.wake.at+l.set.DialTimeout/settles {
+	if l.wake.slept == 0 || l.now >= l.wake.at+l.visits()/settles {
 		return 0
 	}
 	return l.wake.slept + l.now - l.wake.at
