--- a/internal/lab/memfleet/fleet.go
+++ b/internal/lab/memfleet/fleet.go
@@ -73,7 +73,7 @@
 	return map[string]any{
 		"granularity": 0.004,
 		"classes": []any{
-			map[string]any{"name": "lookup", "aim": 0.8, "effect": "free", "group": "all"},
+			map[string]any{"name": "fetch", "aim": 0.8, "effect": "free", "group": "all"},
 			map[string]any{"name": "stamp", "aim": 1.0, "effect": "guarded", "group": "zone", "dedup-window": 10.0},
 			map[string]any{"name": "order", "aim": 2.0, "effect": "single_shot", "group": "all"},
 		},
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,7 +10,7 @@
 	"ospreycroft/internal/lab/rules"
 )
 
-const set = `{"balancers":1,"granularity":0.004,"classes":[{"name":"lookup","aim":0.8,"effect":"free","group":"all"}],
+const set = `{"balancers":1,"granularity":0.004,"classes":[{"name":"fetch","aim":0.8,"effect":"free","group":"all"}],
  "tariffs":[{"name":"house","rate":10,"most-at-once":20,"hard-rate":12,"never-over-depth":20}],
  "family-info":{"units-top":6},"contract":{"cold-from":0.25,"warm-within":15},
  "permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15}}`
@@ -24,7 +24,7 @@
 		if i%3 == 0 {
 			outcome = record.Rejected
 		}
-		r.Jobs = append(r.Jobs, record.Job{ID: id, Customer: "c1", Plan: "house", Track: "lookup", Units: 2,
+		r.Jobs = append(r.Jobs, record.Job{ID: id, Customer: "c1", Plan: "house", Track: "fetch", Units: 2,
 			Sent: at, Answered: at + 2e7*int64(1+i%2), CutOff: at + 1e9, Outcome: outcome})
 		if outcome == record.Done {
 			r.Shots = append(r.Shots, record.Shot{ID: id, Server: "s1", At: at + 1e6, Ran: true, Answer: "done"},
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -9,7 +9,7 @@
 )
 
 const text = `{"balancers":2,"granularity":0.004,
- "classes":[{"name":"lookup","aim":0.8,"effect":"free","group":"all"},
+ "classes":[{"name":"fetch","aim":0.8,"effect":"free","group":"all"},
   {"name":"order","aim":2,"effect":"single_shot","group":"all"},
   {"name":"keyed","aim":1,"effect":"guarded","group":"zone","dedup-window":10}],
  "tariffs":[{"name":"house","rate":10,"most-at-once":20,"hard-rate":10,"never-over-depth":20}],
@@ -46,9 +46,9 @@
 }
 
 func TestCleanRunPasses(t *testing.T) {
-	v := judge(t, []record.Job{job("j1", "order", 1, 0), job("j2", "lookup", 1, 0)},
+	v := judge(t, []record.Job{job("j1", "order", 1, 0), job("j2", "fetch", 1, 0)},
 		[]record.Shot{shot("j1", "s1", "a", "order", 1e6, false), shot("j1", "s2", "a", "order", 2e6, true),
-			shot("j2", "s1", "a", "lookup", 1e6, true), shot("j2", "s2", "a", "lookup", 3e6, true)}, nil)
+			shot("j2", "s1", "a", "fetch", 1e6, true), shot("j2", "s2", "a", "fetch", 3e6, true)}, nil)
 	if !v.Pass {
 		t.Fatalf("a refused first shot and retriable repeats broke a rule: %+v", v.Breaches)
 	}
@@ -75,11 +75,11 @@
 }
 
 func TestUnansweredLateAndKilled(t *testing.T) {
-	lost, late, killed := job("a", "lookup", 1, 0), job("b", "lookup", 1, 0), job("c", "lookup", 1, 0)
+	lost, late, killed := job("a", "fetch", 1, 0), job("b", "fetch", 1, 0), job("c", "fetch", 1, 0)
 	lost.Outcome, late.Answered = record.Unanswered, late.CutOff+1e8
 	killed.Outcome, killed.Limiter = record.Broken, 1
-	v := judge(t, []record.Job{lost, late, killed, job("d", "lookup", 1, 0)},
-		[]record.Shot{shot("d", "s1", "a", "lookup", 3e9, true)},
+	v := judge(t, []record.Job{lost, late, killed, job("d", "fetch", 1, 0)},
+		[]record.Shot{shot("d", "s1", "a", "fetch", 3e9, true)},
 		[]record.Event{{At: 5e7, Kind: "kill", Target: "limiter:1"}, {At: 9e8, Kind: "restart", Target: "limiter:1"}})
 	if v.Counts[1] != 3 || v.Killed != 1 {
 		t.Fatalf("want unanswered, late and a shot after the cut-off, and one killed: %s %+v", v.Line(), v.Breaches)
@@ -87,8 +87,8 @@
 }
 
 func TestShotAfterDrainGrace(t *testing.T) {
-	v := judge(t, []record.Job{job("a", "lookup", 1, 0), job("b", "lookup", 1, 0)},
-		[]record.Shot{shot("a", "s1", "a", "lookup", 2e8, true), shot("b", "s1", "a", "lookup", 5e8, true)},
+	v := judge(t, []record.Job{job("a", "fetch", 1, 0), job("b", "fetch", 1, 0)},
+		[]record.Shot{shot("a", "s1", "a", "fetch", 2e8, true), shot("b", "s1", "a", "fetch", 5e8, true)},
 		[]record.Event{{At: 1e8, Kind: "drain", Target: "s1"}})
 	if v.Counts[3] != 1 {
 		t.Fatalf("one shot past the grace: %s", v.Line())
@@ -100,8 +100,8 @@
 	var shots []record.Shot
 	for i := range 25 { // 25 units at once against a depth of 20 and a slack of 1.5
 		id := string(rune('a' + i))
-		jobs = append(jobs, job(id, "lookup", 1, 0))
-		shots = append(shots, shot(id, "s1", "a", "lookup", int64(i), true))
+		jobs = append(jobs, job(id, "fetch", 1, 0))
+		shots = append(shots, shot(id, "s1", "a", "fetch", int64(i), true))
 	}
 	shots[0].Overrun = true
 	v := judge(t, jobs, shots, nil)
@@ -123,8 +123,8 @@
 	var shots []record.Shot
 	for i := range 25 {
 		id := string(rune('a' + i))
-		jobs = append(jobs, job(id, "lookup", 1, 0))
-		shots = append(shots, shot(id, "s1", "a", "lookup", int64(i), true))
+		jobs = append(jobs, job(id, "fetch", 1, 0))
+		shots = append(shots, shot(id, "s1", "a", "fetch", int64(i), true))
 	}
 	units := Judge(jobs, shots, nil, set, Terms{Slack: 150e6, SlackUnits: 4})   // 20 + 4 + 1.5
 	share := Judge(jobs, shots, nil, set, Terms{Slack: 150e6, SlackShare: 0.1}) // 22 + 1.5: 24 and 25 pass it
