--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -194,7 +194,7 @@
 		l.counter.open()
 	}
 	if l.start == nil {
-		l.at(min(now+l.set.DialTimeout, l.readyBy), l.readyNow)
+		l.at(now+l.watch.pace.Dial(), l.readyNow) // half a second at most
 	}
 	l.sweep()
 	l.visit()
