--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -105,7 +105,6 @@
 	servers  []*pool
 	backends int   // connections to servers
 	keep     int64 // how long a connection to a server may be idle and be used again
-	rest     int64 // how long it must be, as far as servers have sent answers that nobody asked for
 	clients  int
 	// Clients' connections that have brought no job yet, the oldest first, and the others, the one used last at the end.
 	strangers, regulars list.List
@@ -157,6 +156,7 @@
 	holdFor      = lateFrom + killFrom - killSpare - lingers
 	keepLess     = 4    // that is shortened by this part when one turns out to have ended unsaid,
 	keepMore     = 16   // and lengthened by this part when one still serves near its end, and with each look
+	rests        = 8    // ticks of the clock for which one has to be idle before its next command
 	prompt       = 8    // an end within this part of a dial time-out is the answer to the command's first byte
 	mostID       = 64   // bytes of a job's id
 	mostPipeline = 1024 // commands that may wait on one client's connection
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -36,7 +36,6 @@
 	half   *timer // until when an answer that has begun must be whole
 	rested int64  // how long it had been idle before the command that is out, 0 where it is new
 	wrote  int64  // when that was written
-	freed  int64  // when it last began to rest
 }
 
 var (
@@ -46,11 +45,11 @@
 
 // backend takes the connection that was used last or opens one; nil if there is no descriptor for it
 // or no more may be opened. One that has
-// just brought an answer rests first: what a server sends too much comes right behind, and would be taken for the
-// answer to the next command. Once some server did, it rests for longer.
+// just brought an answer rests first: what a server sends too much comes some milliseconds behind, and would be taken for the
+// answer to the next command.
 func (p *pool) backend() *backend {
 	l := p.l
-	rest := max(l.set.Granularity, min(l.rest, l.keep/2))
+	rest := max(l.set.Granularity, min(rests*l.set.Granularity, l.keep/2))
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		b := p.idle[i]
 		if b.rested = l.now - b.c.since; b.rested > l.keep {
@@ -165,7 +164,6 @@
 		b.pool.l.over(b.c, Unused)
 	} else {
 		b.pool.idle = append(b.pool.idle, b)
-		b.freed = b.pool.l.now
 	}
 }
 
@@ -180,9 +178,6 @@
 	case b.probe != nil:
 		parse = resp.Read
 	case s == nil:
-		if late := l.now - b.freed; late <= l.set.DialTimeout {
-			l.rest = max(l.rest, 2*late, l.set.DialTimeout/prompt)
-		}
 		return 0, errUnasked
 	}
 	v, n, err := parse(bytes)
