--- a/choice/choice.go
+++ b/choice/choice.go
@@ -109,7 +109,7 @@
 	agreed := int64(math.MaxInt64)
 	for _, t := range set.Tracks {
 		agreed = min(agreed, t.Agreed)
-		l.mild = l.mild || t.Effect != Binding
+		l.mild = l.mild || t.Effect != NonIdempotent
 		if l.dearest == nil || t.Benefit > l.dearest.Benefit ||
 			t.Benefit == l.dearest.Benefit && t.Agreed < l.dearest.Agreed {
 			l.dearest = t
@@ -502,18 +502,18 @@
 func (l *Limiter) usable(now int64, j *job, s *server) bool {
 	// A trial is one job at a time, and for jobs that may run again, where there are any.
 	if s.listing != Ready || s.standing == aside ||
-		s.standing == trial && (len(s.shots) > 0 || j.track.Effect == Binding && l.mild) {
+		s.standing == trial && (len(s.shots) > 0 || j.track.Effect == NonIdempotent && l.mild) {
 		return false
 	}
 	for _, sh := range j.shots {
-		if sh.server == s || sh.maybe && j.track.Effect == Fingerprinted && !j.track.dropsRepeat(now, sh, s) {
+		if sh.server == s || sh.maybe && j.track.Effect == Keyed && !j.track.dropsRepeat(now, sh, s) {
 			return false
 		}
 	}
 	return true
 }
 
-// dropsRepeat tells whether a server would know a fingerprinted job again that may have run by this shot.
+// dropsRepeat tells whether a server would know a keyed job again that may have run by this shot.
 func (t *Track) dropsRepeat(now int64, sh *shot, s *server) bool {
 	same := t.Group == GroupAll || t.Group == GroupZone && sh.server.zone == s.zone ||
 		t.Group == GroupCell && sh.server.cell == s.cell
@@ -623,8 +623,8 @@
 // finish ends a job that cannot be served any more: rejected if that is true and harmless, else written off.
 func (l *Limiter) finish(now int64, j *job) {
 	for _, sh := range j.shots {
-		marked := j.track.Effect == Fingerprinted && j.track.Group != GroupAll
-		if sh.maybe && (j.track.Effect == Binding || marked) {
+		marked := j.track.Effect == Keyed && j.track.Group != GroupAll
+		if sh.maybe && (j.track.Effect == NonIdempotent || marked) {
 			l.move(j, WrittenOff)
 			l.deeds.WriteOff(j.id)
 			l.drop(now, j)
@@ -672,7 +672,7 @@
 		return false
 	}
 	for _, sh := range j.shots {
-		if sh.maybe && j.track.Effect == Binding {
+		if sh.maybe && j.track.Effect == NonIdempotent {
 			return false
 		}
 	}
@@ -822,7 +822,7 @@
 	for _, s := range l.order {
 		for _, sh := range slices.Clone(s.shots) {
 			j, lost := sh.job, l.lost(now, sh)
-			if j.state != Out || j.track.Effect == Binding || !l.set.Cancelling {
+			if j.state != Out || j.track.Effect == NonIdempotent || !l.set.Cancelling {
 				continue
 			}
 			if lost && now-j.shots[0].at > j.track.Agreed {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -377,10 +377,10 @@
 		outcome     Outcome
 		want        string
 	}{
-		{"a binding job that never ran goes elsewhere", "write", Full, "send j b"},
-		{"a binding job that may have run is written off", "write", Reset, "write off j"},
-		{"a fingerprinted job that may have run stays in its group", "mark", Reset, "write off j"},
-		{"a retriable job goes elsewhere", "read", Broke, "send j b"},
+		{"a non-idempotent job that never ran goes elsewhere", "write", Full, "send j b"},
+		{"a non-idempotent job that may have run is written off", "write", Reset, "write off j"},
+		{"a keyed job that may have run stays in its group", "mark", Reset, "write off j"},
+		{"an idempotent job goes elsewhere", "read", Broke, "send j b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := made()
@@ -410,13 +410,13 @@
 }
 
 func TestWoken(t *testing.T) {
-	t.Run("at its end a binding job that is out is written off", func(t *testing.T) {
+	t.Run("at its end a non-idempotent job that is out is written off", func(t *testing.T) {
 		l, d := made()
 		j := sent(l, "write")
 		l.Woken(j.end, j.token)
 		expect(t, d, "write off j")
 	})
-	t.Run("at its end a retriable job is rejected", func(t *testing.T) {
+	t.Run("at its end an idempotent job is rejected", func(t *testing.T) {
 		l, d := made()
 		j := sent(l, "read")
 		l.Woken(j.end, j.token)
@@ -439,14 +439,14 @@
 			t.Fatal("weights", a, b)
 		}
 	})
-	t.Run("passes a server on trial for binding jobs, and for others while one is out", func(t *testing.T) {
+	t.Run("passes a server on trial for non-idempotent jobs, and for others while one is out", func(t *testing.T) {
 		l, _ := made()
 		a := l.servers["a"]
 		a.standing = trial
-		free, binding := l.usable(0, probe, a), l.usable(0, &job{track: l.set.Tracks["write"]}, a)
+		free, nonIdempotent := l.usable(0, probe, a), l.usable(0, &job{track: l.set.Tracks["write"]}, a)
 		l.send(0, &job{track: probe.track}, a)
-		if !free || binding || l.usable(0, probe, a) {
-			t.Fatal("usable", free, binding, l.usable(0, probe, a))
+		if !free || nonIdempotent || l.usable(0, probe, a) {
+			t.Fatal("usable", free, nonIdempotent, l.usable(0, probe, a))
 		}
 	})
 	t.Run("passes a server that drains", func(t *testing.T) {
@@ -562,7 +562,7 @@
 			t.Fatal("it is asked again at once")
 		}
 	})
-	t.Run("a fingerprinted job that may have run looks in its group alone", func(t *testing.T) {
+	t.Run("a keyed job that may have run looks in its group alone", func(t *testing.T) {
 		l, _ := made()
 		l.Members(0, false, []Entry{{ID: "c", Zone: "x"}})
 		l.servers["c"].credit = 0
@@ -1066,7 +1066,7 @@
 }
 
 func TestRepeatsWithinAPod(t *testing.T) {
-	pod := &Track{Agreed: second, Effect: Fingerprinted, Group: GroupCell, Repeats: second, Benefit: 1}
+	pod := &Track{Agreed: second, Effect: Keyed, Group: GroupCell, Repeats: second, Benefit: 1}
 	first := &shot{server: &server{cell: 3, zone: "x"}, at: second, maybe: true}
 	for _, c := range []struct {
 		cell, at int64
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -30,15 +30,15 @@
 
 const second = int64(1e9)
 
-// made is a limiter with the servers a and b, a retriable, a fingerprinted and a binding track, and one
+// made is a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent track, and one
 // plan without and one with a ceiling.
 func made() (*Limiter, *deeds) {
 	d := &deeds{}
 	set := &Settings{
 		Tracks: map[string]*Track{
-			"read":  {Agreed: second, Effect: Retriable, Benefit: 1},
-			"mark":  {Agreed: second, Effect: Fingerprinted, Group: GroupZone, Repeats: second, Benefit: 1},
-			"write": {Agreed: second, Effect: Binding, Benefit: 1},
+			"read":  {Agreed: second, Effect: Idempotent, Benefit: 1},
+			"mark":  {Agreed: second, Effect: Keyed, Group: GroupZone, Repeats: second, Benefit: 1},
+			"write": {Agreed: second, Effect: NonIdempotent, Benefit: 1},
 		},
 		Plans: map[string]*Plan{
 			"plain": {Rate: 5, Burst: 10},
--- a/choice/types.go
+++ b/choice/types.go
@@ -4,12 +4,12 @@
 type Effect uint8
 
 const (
-	Retriable Effect = iota
-	Fingerprinted
-	Binding
+	Idempotent Effect = iota
+	Keyed
+	NonIdempotent
 )
 
-// Group names the servers among which a fingerprinted job's repeats are dropped.
+// Group names the servers among which a keyed job's repeats are dropped.
 type Group uint8
 
 const (
@@ -63,7 +63,7 @@
 	Agreed  int64
 	Effect  Effect
 	Group   Group
-	Repeats int64   // how long a fingerprinted job's repeats are dropped
+	Repeats int64   // how long a keyed job's repeats are dropped
 	Benefit float64 // what one unit is worth, beside other tracks
 }
 
--- a/internal/lab/memfleet/clients.go
+++ b/internal/lab/memfleet/clients.go
@@ -145,17 +145,17 @@
 	effect := k.f.set.Tracks[m.Track].Effect
 	v := &visit{cutOff: m.CutOff, giveUp: k.rng.Float64() < k.f.o.Load.GiveUp}
 	v.job = record.Job{ID: fmt.Sprintf("%016x", k.next), Customer: c.ID, Plan: c.Plan, Track: m.Track, Units: m.Units,
-		Limiter: n, Retry: retry, Binding: effect == choice.Binding}
+		Limiter: n, Retry: retry, Binding: effect == choice.NonIdempotent}
 	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", m.Track, c.Plan, m.CutOff/1e6,
 		strconv.FormatFloat(m.Units, 'g', -1, 64), c.Spread, c.First)
 	if retry {
 		list += ",r=1"
 	}
-	if effect == choice.Fingerprinted {
+	if effect == choice.Keyed {
 		list += ",k=" + v.job.ID
 	}
 	words := [][]byte{[]byte("SVC.QUERY"), []byte(c.ID), []byte(v.job.ID), []byte(list)}
-	if effect != choice.Retriable {
+	if effect != choice.Idempotent {
 		words[0] = []byte("SVC.SUBMIT")
 		words = append(words, []byte("body"))
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -57,8 +57,8 @@
 		Settings: &settings.Settings{IdleClose: 15 * second, Settings: &choice.Settings{
 			Tracks: map[string]*choice.Track{
 				"read":  {Agreed: second, Benefit: 1},
-				"write": {Agreed: second, Effect: choice.Binding, Benefit: 1},
-				"keyed": {Agreed: second, Effect: choice.Fingerprinted, Group: choice.GroupAll, Repeats: 2 * second, Benefit: 1},
+				"write": {Agreed: second, Effect: choice.NonIdempotent, Benefit: 1},
+				"keyed": {Agreed: second, Effect: choice.Keyed, Group: choice.GroupAll, Repeats: 2 * second, Benefit: 1},
 			},
 			Plans:     map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, Benefit: 1}},
 			MostUnits: 64, LongestLease: 60 * second, Limiters: 1, ColdFrom: 0.5, WarmWithin: 10 * second,
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -204,11 +204,11 @@
 			v.breach(Breach{Rule: 1, At: s.At, What: s.ID, Detail: "a shot began after the client's cut-off"})
 		}
 		track := set.Tracks[s.Track]
-		if track == nil || track.Effect == choice.Retriable {
+		if track == nil || track.Effect == choice.Idempotent {
 			continue
 		}
 		if first, seen := ran[s.ID]; seen {
-			if track.Effect == choice.Binding || first.Group != s.Group || s.Key == "" {
+			if track.Effect == choice.NonIdempotent || first.Group != s.Group || s.Key == "" {
 				v.breach(Breach{Rule: 2, At: s.At, What: s.ID,
 					Detail: fmt.Sprintf("shot at %s after one at %s that may have run", s.Server, first.Server)})
 			}
@@ -227,7 +227,7 @@
 	for _, id := range ids {
 		first := ran[id]
 		if j := byID[id]; j != nil && j.Outcome == record.Rejected && set.Tracks[j.Track] != nil &&
-			set.Tracks[j.Track].Effect == choice.Binding {
+			set.Tracks[j.Track].Effect == choice.NonIdempotent {
 			v.breach(Breach{Rule: 2, At: j.Answered, What: id,
 				Detail: fmt.Sprintf("rejected after a shot at %s that may have run", first.Server)})
 		}
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -310,7 +310,7 @@
 	a := &answer{}
 	cl.answers = append(cl.answers, a)
 	a.job = l.take(cl, a, words, before, past, arrival.Budget)
-	if t := l.set.Tracks[arrival.Track]; t.Effect == choice.Fingerprinted {
+	if t := l.set.Tracks[arrival.Track]; t.Effect == choice.Keyed {
 		a.job.repeats, a.job.group = t.Repeats, t.Group
 	}
 	l.logic.Job(l.now, arrival)
@@ -383,9 +383,9 @@
 		return a, 0, 0, "spread or first is missing"
 	case a.Units == 0:
 		return a, 0, 0, "units is missing"
-	case bytes.EqualFold(words[0], []byte("SVC.QUERY")) != (t.Effect == choice.Retriable):
+	case bytes.EqualFold(words[0], []byte("SVC.QUERY")) != (t.Effect == choice.Idempotent):
 		return a, 0, 0, "the class goes by the other command"
-	case (len(words) == 4) != (t.Effect == choice.Retriable):
+	case (len(words) == 4) != (t.Effect == choice.Idempotent):
 		return a, 0, 0, "a body that is missing or too much"
 	}
 	return a, before, past, ""
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -78,7 +78,7 @@
 	w := &wire{dialed: map[ID]string{}, wrote: map[ID]string{}, kernel: map[ID]int64{}}
 	l, err := New(0, &settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 64, Known: []byte(known),
 		Settings: &settings.Settings{IdleClose: 15 * second, AskEvery: every, Settings: &choice.Settings{
-			Tracks: map[string]*choice.Track{"read": {Agreed: second}, "write": {Agreed: second, Effect: choice.Binding}},
+			Tracks: map[string]*choice.Track{"read": {Agreed: second}, "write": {Agreed: second, Effect: choice.NonIdempotent}},
 			Plans:  map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
 			// With one limiter and large jobs the first room holds several of them.
 			CounterWait: second / 20, MostUnits: 8, LongestLease: 60 * second, Limiters: 1, Position: position, ColdFrom: 0.25,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,7 +13,7 @@
 const longestLease = 60e9
 
 var effects = map[string]choice.Effect{
-	"free": choice.Retriable, "guarded": choice.Fingerprinted, "single_shot": choice.Binding,
+	"free": choice.Idempotent, "guarded": choice.Keyed, "single_shot": choice.NonIdempotent,
 }
 
 var groups = map[string]choice.Group{
@@ -143,7 +143,7 @@
 		part := "classes: " + c.Name
 		effect, known := effects[c.Effect]
 		group, grouped := groups[c.Group]
-		if !known || effect == choice.Fingerprinted && !grouped {
+		if !known || effect == choice.Keyed && !grouped {
 			return nil, wrong(part, "effect %q, group %q: not known", c.Effect, c.Group)
 		}
 		if err := once("classes", c.Name, s.Tracks[c.Name] != nil); err != nil {
