--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,17 +1,17 @@
 // Package choice holds every decision of the gateway, all of them in this file.
-// A Limiter is one instance. Its caller makes it with New and then calls Members, Job, Answer, Counted,
+// A Limiter is one instance. Its caller makes it with New and then calls Members, Request, Answer, Counted,
 // Probed, Left, Woken and Closing as things happen, each with the clock in nanoseconds; Ready tells when
 // clients should come. The limiter acts through the Deeds it was given, in types.go with the settings;
 // state.go has the records that it keeps. It is not safe for concurrent use.
 // The ordinary path is Reserve and Reconcile (docs/design.md). Servers take turns in a weighted rotation,
 // in a large fleet those of the limiter's circle. Beside it stand these mechanisms:
-//  1. ceiling: each limiter's own part of a hard ceiling, which every first shot must fit;
+//  1. ceiling: each limiter's own part of a hard ceiling, which every first attempt must fit;
 //  2. memory: what the counter has forgotten, or added for a call without an answer, is put right;
 //  3. asks: a counter that does not answer is asked for some of the customers only;
 //  4. room: the work out is bounded by what is answered well inside the agreed time, at a server and in all,
 //     more widely while load reports show short stays;
-//  5. standing: a server that shows no life is set aside until it has answered, and its jobs go elsewhere;
-//  6. lost: so does a job whose answer is long overdue where others come promptly.
+//  5. standing: a server that shows no life is set aside until it answers, and its requests go elsewhere;
+//  6. lost: so does a request whose answer is long overdue where others come promptly.
 package choice
 
 import (
@@ -32,38 +32,38 @@
 	began    int64
 	servers  map[string]*server
 	order    []*server // on their ring, from this limiter's place on
-	jobs     map[string]*job
-	timers   map[int64]*job
+	requests map[string]*request
+	timers   map[int64]*request
 	tokens   int64
 	accounts map[uint64]*account
 	calls    map[uint64][]call
-	asks     float64 // the share of jobs for which the counter is asked
+	asks     float64 // the share of requests for which the counter is asked
 	answered float64 // the calls answered since one was not
 	bore     float64 // the share that it bore before the first of the calls unanswered in a row
-	stake    float64 // what a job beyond the quota costs, a fading mean over the plans that jobs come from
+	stake    float64 // what a request beyond the quota costs, a fading mean over their plans
 	took     float64
 	did      float64
 	beat     int64
 	whole    float64 // the weight of all servers in the circle
-	stint    float64 // the seconds in which shots under a cap fade
-	spare    float64 // second shots in hand
-	part     float64 // the largest job over the number of limiters: the least limit of a server
+	stint    float64 // the seconds in which attempts under a cap fade
+	spare    float64 // second attempts in hand
+	part     float64 // the largest request over the number of limiters: the least limit of a server
 	room     float64 // units that may be out at all servers together
 	load     float64 // units that were out at them, faded over the agreed time
 	slow     float64 // the fading share of answers that were late or full
-	stay     float64 // the fading mean of the logarithm of the seconds that jobs stay, by load reports
+	stay     float64 // the fading mean of the logarithm of the seconds that requests stay, by load reports
 	reported int64   // when the latest came
-	busy     bool    // more than half of it was taken when a job last looked for room
+	busy     bool    // more than half of it was taken when a request last looked for room
 	dearest  *Track  // the track whose units bring the most, and of several the most urgent
-	mild     bool    // some track's jobs may run again
+	mild     bool    // some track's requests may run again
 }
 
 const (
 	windowBursts = 16        // a window is so many times the time in which the store fills
 	sharers      = 16        // the limiters that share a server
 	circleLeast  = 8         // the servers that a limiter has at least, where there are so many
-	startJobs    = 3         // the largest jobs that all limiters together may have out at an unseen server
-	askLess      = 0.75      // the share of jobs asked for falls so with each call unanswered
+	startLargest = 3         // the largest requests that all limiters may have out together at a new server
+	askLess      = 0.75      // the share of requests asked for falls so with each call unanswered
 	askLeast     = 1.0 / 16  // it is never less
 	askMore      = 1.0 / 256 // and rises by so much times the answers since the last one that failed
 	beats        = 20        // looks at the servers in one agreed time
@@ -72,21 +72,21 @@
 	wellInside   = 2         // an answer within this part of the agreed time is prompt
 	stayFade     = 8         // the same for the mean stay: each of many limiters hears a few reports a second
 	narrow       = 0.5       // with less of the circle to choose from, a cold server must be owed a turn
-	late         = 10        // a late shot takes off so many times what a prompt one adds to a limit
+	late         = 10        // a late attempt takes off so many times what a prompt one adds to a limit
 	lateAll      = 4         // and at most so many times from the room at all servers
-	slowLeast    = 1.0 / 32  // that is by a shot for each such share of slow answers
+	slowLeast    = 1.0 / 32  // that is by an attempt for each such share of slow answers
 	swing        = 4         // the room grows to the load and so many times the deviation of a random one
-	stints       = 4         // a shot under a cap is taken to last for this part of the shortest agreed time
-	Uneven       = 2         // a slice is so many equal parts: jobs come unevenly and most customers use half
-	lostAfter    = 4         // a shot out for so many times what its job should take is taken for lost
+	stints       = 4         // a capped attempt is taken to last for this part of the shortest agreed time
+	Uneven       = 2         // a slice is so many equal parts: use is uneven, and most customers take half
+	lostAfter    = 4         // an attempt out for so many times what it should take is taken for lost
 	lostLeast    = 4         // but not before such a part of the agreed time
-	cheapLess    = 0.8       // the part of the room that a job worth nothing beside the dearest does not get
+	cheapLess    = 0.8       // the part of the room that one worth nothing beside the dearest does not get
 	grow         = 8         // prompt answers that raise a limit by their own size
 	paceMost     = 3         // a server's weight may be so many times the mean or so small a part of it
-	badStep      = 0.25      // the weight of the latest shot in the share that came to nothing
+	badStep      = 0.25      // the weight of the latest attempt in the share that came to nothing
 	badMost      = 0.55      // a larger share sets a server aside: three in a row
 	asideMost    = 0.75      // the share of the servers that may be set aside
-	spareMost    = 10        // one second shot for so many first ones
+	spareMost    = 10        // one second attempt for so many first ones
 )
 
 func (s *store) fill(now int64) float64 {
@@ -103,7 +103,7 @@
 // New makes a limiter that knows nothing yet.
 func New(now int64, set *Settings, seed int64, deeds Deeds) *Limiter {
 	l := &Limiter{set: set, deeds: deeds, rng: rand.New(rand.NewSource(seed)), began: now,
-		servers: map[string]*server{}, jobs: map[string]*job{}, timers: map[int64]*job{},
+		servers: map[string]*server{}, requests: map[string]*request{}, timers: map[int64]*request{},
 		accounts: map[uint64]*account{}, calls: map[uint64][]call{}, spare: 1, asks: 1, slow: 1,
 		part: set.MostUnits / float64(set.Limiters)}
 	agreed := int64(math.MaxInt64)
@@ -121,8 +121,8 @@
 	return l
 }
 
-// Ready is when each part of a ceiling holds the largest job. Before that, customers inside their quotas are
-// rejected for what a limiter of this name may have sent before this start; clients that can wait should.
+// Ready is when each part of a ceiling holds the largest request. Before that, customers inside their quotas
+// are rejected for what a limiter of this name may have sent before this start; clients that can wait should.
 func (l *Limiter) Ready() int64 {
 	at := l.began
 	for _, p := range l.set.Plans {
@@ -143,7 +143,7 @@
 	}
 	for _, e := range entries {
 		s := l.servers[e.ID]
-		fresh := server{id: e.ID, place: placed(e.ID), limit: startJobs * l.part, heard: now}
+		fresh := server{id: e.ID, place: placed(e.ID), limit: startLargest * l.part, heard: now}
 		fresh.warmFrom = e.Since
 		if s == nil {
 			// Limiters that start together, all knowing nothing, must not all begin at the same server.
@@ -152,13 +152,13 @@
 			l.servers[e.ID], l.order = s, append(l.order, s)
 		} else if e.Since > s.warmFrom {
 			// A new process: nothing known of the old one holds for it.
-			fresh.shots, fresh.out, fresh.turns = s.shots, s.out, l.rng.Float64()
+			fresh.attempts, fresh.out, fresh.turns = s.attempts, s.out, l.rng.Float64()
 			*s = fresh
 		}
 		s.zone, s.cell, s.listing, s.hint = e.Zone, e.Cell, e.Listing, e.Hint
 	}
 	if l.room == 0 {
-		l.room = max(startJobs*l.least(), l.least()+swing*math.Sqrt(l.least()*l.set.MostUnits))
+		l.room = max(startLargest*l.least(), l.least()+swing*math.Sqrt(l.least()*l.set.MostUnits))
 	}
 	l.turnRing()
 }
@@ -182,9 +182,9 @@
 	l.order = append(slices.Clone(l.order[start:]), l.order[:start]...)
 }
 
-// circle is the number of servers that this limiter's jobs go to. Each limiter's connection to a server costs
-// a handshake, and what it learns of a server that it seldom meets comes late, so among many limiters each
-// keeps to a few servers, enough of them that a server's load is the sum over many limiters.
+// circle is the number of servers that this limiter's requests go to. Each limiter's connection to a server
+// costs a handshake, and what it learns of a server that it seldom meets comes late, so among many limiters
+// each keeps to a few servers, enough of them that a server's load is the sum over many limiters.
 func (l *Limiter) circle() int {
 	if l.set.Position < 0 { // all limiters that do not know their place would have the same circle
 		return len(l.order)
@@ -192,45 +192,45 @@
 	return max(circleLeast, (sharers*len(l.order)+l.set.Limiters-1)/l.set.Limiters)
 }
 
-// Job takes a job from a client: it reserves on the counter, or decides by the slice when it cannot.
-func (l *Limiter) Job(now int64, a Arrival) {
+// Request takes a request from a client: it reserves on the counter, or decides by the slice when it cannot.
+func (l *Limiter) Request(now int64, a Arrival) {
 	l.tokens++
-	j := &job{id: a.ID, token: l.tokens, track: l.set.Tracks[a.Track], units: a.Units, charge: a.Units,
+	q := &request{id: a.ID, token: l.tokens, track: l.set.Tracks[a.Track], units: a.Units, charge: a.Units,
 		end: now + a.Budget - 2*l.set.Granularity}
-	l.jobs[j.id], l.timers[j.token] = j, j
+	l.requests[q.id], l.timers[q.token] = q, q
 	plan := l.set.Plans[a.Plan]
-	if plan == nil || j.track == nil {
+	if plan == nil || q.track == nil {
 		// Nobody has granted it an allowance, and it loses nothing by asking again.
-		l.reject(now, j, l.set.MostAdvice, ForPlan)
+		l.reject(now, q, l.set.MostAdvice, ForPlan)
 		return
 	}
-	j.account = l.accountOf(now, a, plan)
-	acc := j.account
-	if j.end <= now || len(l.able(now, j)) == 0 {
-		l.reject(now, j, l.crowded(), ForRoom)
+	q.account = l.accountOf(now, a, plan)
+	acc := q.account
+	if q.end <= now || len(l.able(now, q)) == 0 {
+		l.reject(now, q, l.crowded(), ForRoom)
 		return
 	}
-	if wait := acc.overCeiling(now, j.units); wait > 0 {
-		l.reject(now, j, wait, ForCeiling)
+	if wait := acc.overCeiling(now, q.units); wait > 0 {
+		l.reject(now, q, wait, ForCeiling)
 		return
 	}
-	l.deeds.Wake(j.end, j.token)
+	l.deeds.Wake(q.end, q.token)
 	if acc.quota.rate <= 0 {
-		l.place(now, j)
+		l.place(now, q)
 		return
 	}
 	if plan.Rate <= 0 {
-		j.charge = 1
+		q.charge = 1
 	}
 	// The counter is not asked for a customer that is known to be out of units: the store kept here fills at
 	// the whole rate, so the true one holds no more, but for what others add back. A call that brings what is
 	// still to be added back is made: the others go by a total that is too high until then.
-	out := acc.quota.fill(now) < j.charge && acc.owed >= 0
+	out := acc.quota.fill(now) < q.charge && acc.owed >= 0
 	if l.set.CounterWait == 0 || out && acc.known || l.asks < 1 && (out || !l.asked(acc)) {
-		l.bySlice(now, j)
+		l.bySlice(now, q)
 		return
 	}
-	l.reserve(now, j)
+	l.reserve(now, q)
 }
 
 func (l *Limiter) accountOf(now int64, a Arrival, plan *Plan) *account {
@@ -239,7 +239,7 @@
 		part := float64(max(a.Spread, 1))
 		rate, burst, most := plan.Rate, plan.Burst, l.set.MostUnits
 		if rate <= 0 && plan.Open > 0 {
-			// A cap on shots out: each counts one and fades as they end, so the faded use is what is out.
+			// A cap on attempts out: each counts one and fades as they end, so the faded use is what is out.
 			rate, burst, most = plan.Open/l.stint, plan.Open, 1
 		} else if plan.Open > 0 {
 			burst = min(burst, max(plan.Open/2, 2)*most)
@@ -297,42 +297,41 @@
 	return math.Exp(fills(since % span))
 }
 
-func (l *Limiter) reserve(now int64, j *job) {
-	a := j.account
-	j.weight = l.turn(now, a)
-	j.name, j.reserved, j.lease = a.name(), true, now+l.span(a)
-	l.move(j, Reserving)
-	l.count(j, j.charge*j.weight+a.owed, false)
+func (l *Limiter) reserve(now int64, q *request) {
+	a := q.account
+	q.weight = l.turn(now, a)
+	q.name, q.reserved, q.lease = a.name(), true, now+l.span(a)
+	l.move(q, Reserving)
+	l.count(q, q.charge*q.weight+a.owed, false)
 	a.owed = 0
 }
 
 // count makes a call; what a reservation carries along may bring its amount below 0.
-func (l *Limiter) count(j *job, amount float64, back bool) {
-	l.calls[j.name] = append(l.calls[j.name], call{j, j.account, amount, back})
-	l.deeds.Count(j.name, amount, 2*l.span(j.account))
+func (l *Limiter) count(q *request, amount float64, back bool) {
+	l.calls[q.name] = append(l.calls[q.name], call{q, q.account, amount, back})
+	l.deeds.Count(q.name, amount, 2*l.span(q.account))
 }
 
 // release adds back what was reserved and not used; once, and not after the lease has ended.
-func (l *Limiter) release(now int64, j *job, amount float64) {
-	if j.reserved && now < j.lease && amount != 0 {
-		l.count(j, -amount*j.weight, true)
+func (l *Limiter) release(now int64, q *request, amount float64) {
+	if q.reserved && now < q.lease && amount != 0 {
+		l.count(q, -amount*q.weight, true)
 	}
-	j.reserved = false
+	q.reserved = false
 }
 
-// settle puts the true units in the place of the guess, once: on the count that has the reservation, or with
-// the next call where there is none, and in the stores kept here.
-func (l *Limiter) settle(now int64, j *job, units float64) {
-	if more := units - j.units; units > 0 && more != 0 && j.account.plan.Rate > 0 {
-		a := j.account
+// settle puts true units in the guess's place, once: on the count or with the next call, and in the stores.
+func (l *Limiter) settle(now int64, q *request, units float64) {
+	if more := units - q.units; units > 0 && more != 0 && q.account.plan.Rate > 0 {
+		a := q.account
 		a.quota.level, a.slice.level = a.quota.level-more, a.slice.level-more
-		if !j.reserved || l.asks < 1 { // a crowded counter is spared the call: the next one brings it
+		if !q.reserved || l.asks < 1 { // a crowded counter is spared the call: the next one brings it
 			a.owed += more * l.turn(now, a)
-			j.reserved = false
+			q.reserved = false
 		}
-		l.release(now, j, -more)
+		l.release(now, q, -more)
 	}
-	j.reserved = false
+	q.reserved = false
 }
 
 // Counted takes the counter's answer to the oldest call on a name.
@@ -345,7 +344,7 @@
 	if l.calls[name] = queue[1:]; len(queue) == 1 {
 		delete(l.calls, name)
 	}
-	j, a := c.job, c.account
+	q, a := c.request, c.account
 	if outcome != Done {
 		// A counter that is down or crowded is asked less, so that nothing waits for it in vain and it can
 		// work off its line; it is asked more again step by step, so that its return brings no rush.
@@ -357,15 +356,15 @@
 		}
 		vain := 0.0
 		if !c.back { // what the slice sends is owed anew
-			j.reserved, vain = false, j.charge*j.weight
+			q.reserved, vain = false, q.charge*q.weight
 		}
 		if outcome == TimedOut || outcome == Broke {
 			a.unsure, a.idle = a.unsure+c.amount, a.idle+vain
 		} else {
 			a.owed += c.amount - vain
 		}
-		if j.state == Reserving { // a call that adds back comes after that
-			l.bySlice(now, j)
+		if q.state == Reserving { // a call that adds back comes after that
+			l.bySlice(now, q)
 		}
 		return
 	}
@@ -375,13 +374,13 @@
 	if c.back {
 		return
 	}
-	if gone := j.state != Reserving; gone || a.quota.level < j.charge {
-		if l.release(now, j, j.charge); !gone {
-			l.reject(now, j, nanos((j.charge-a.quota.level)/a.quota.rate), ForQuota)
+	if gone := q.state != Reserving; gone || a.quota.level < q.charge {
+		if l.release(now, q, q.charge); !gone {
+			l.reject(now, q, nanos((q.charge-a.quota.level)/a.quota.rate), ForQuota)
 		}
 		return
 	}
-	l.place(now, j)
+	l.place(now, q)
 }
 
 // see draws what a total shows into the customer's store: what others have added is taken from it.
@@ -395,7 +394,7 @@
 	others := total - a.total - c.amount
 	a.total = total
 	// Calls that nobody answered may have been worked off late: what they added is not the others', and what
-	// was added for jobs that were never sent is added back with the next call.
+	// was added for requests that were never sent is added back with the next call.
 	ours := math.Min(max(others, math.Min(a.unsure, 0)), max(a.unsure, 0))
 	a.owed -= math.Min(a.idle, max(ours, 0))
 	others, a.unsure, a.idle = others-ours, 0, 0
@@ -406,8 +405,8 @@
 		others = 0
 	} else if !a.known || gap > 1 {
 		// What was known here of the store counts no more: it stands as the faded use of all says.
-		if a.quota.level, others = a.quota.depth-total/weight, 0; c.job.state == Reserving && !c.back {
-			a.quota.level += c.job.charge
+		if a.quota.level, others = a.quota.depth-total/weight, 0; c.request.state == Reserving && !c.back {
+			a.quota.level += c.request.charge
 		}
 	} else {
 		// They added over the whole time since the last look, so a store that has spilt meanwhile did not.
@@ -419,8 +418,8 @@
 	l.slice(now, a, a.quota.level)
 }
 
-// slice gives this limiter its part of what the store holds. It holds the largest job at least: among many
-// limiters an equal part is smaller than that, and would refuse jobs for good that are well inside the quota.
+// slice gives this limiter its part of what the store holds. It holds the largest request at least: among
+// many limiters an equal part is smaller, and would refuse for good requests well inside the quota.
 func (l *Limiter) slice(now int64, a *account, level float64) {
 	part := max(1, a.part/(1+(Uneven-1)*max(0, level)/a.quota.depth))
 	a.slice = store{level: math.Min(level, max(level/part, a.most)),
@@ -428,12 +427,12 @@
 }
 
 // bySlice decides by the local slice, when the counter does not answer.
-func (l *Limiter) bySlice(now int64, j *job) {
-	if s := &j.account.slice; s.fill(now) < j.charge {
-		l.reject(now, j, min(nanos((j.charge-s.level)/s.rate), l.crowded()), ForSlice)
+func (l *Limiter) bySlice(now int64, q *request) {
+	if s := &q.account.slice; s.fill(now) < q.charge {
+		l.reject(now, q, min(nanos((q.charge-s.level)/s.rate), l.crowded()), ForSlice)
 		return
 	}
-	l.place(now, j)
+	l.place(now, q)
 }
 
 // overCeiling is how long this limiter's part of the ceiling must fill before it holds the units.
@@ -444,36 +443,36 @@
 	return 1 + nanos((units-a.ceiling.level)/a.ceiling.rate)
 }
 
-// place sends the first shot if there is room, and in the ceiling still: others may have gone out meanwhile.
-func (l *Limiter) place(now int64, j *job) {
-	a, wait, cause := j.account, j.account.overCeiling(now, j.units), ForCeiling
+// place sends the first attempt if there is room, and in the ceiling still: others may have gone meanwhile.
+func (l *Limiter) place(now int64, q *request) {
+	a, wait, cause := q.account, q.account.overCeiling(now, q.units), ForCeiling
 	var s *server
 	if wait == 0 {
-		s, wait, cause = l.pick(now, j), l.crowded(), ForRoom
+		s, wait, cause = l.pick(now, q), l.crowded(), ForRoom
 	}
 	if s == nil {
-		l.release(now, j, j.charge)
-		l.reject(now, j, wait, cause)
+		l.release(now, q, q.charge)
+		l.reject(now, q, wait, cause)
 		return
 	}
-	a.quota.level, a.slice.level = a.quota.fill(now)-j.charge, a.slice.fill(now)-j.charge
-	if !j.reserved && a.quota.rate > 0 {
-		j.weight = l.turn(now, a)
-		a.owed, j.name = a.owed+j.charge*j.weight, a.name()
+	a.quota.level, a.slice.level = a.quota.fill(now)-q.charge, a.slice.fill(now)-q.charge
+	if !q.reserved && a.quota.rate > 0 {
+		q.weight = l.turn(now, a)
+		a.owed, q.name = a.owed+q.charge*q.weight, a.name()
 	}
 	if a.ceiling.fill(now); a.plan.CeilingRate > 0 { // one that never fills would never be forgotten
-		a.ceiling.level -= j.units
+		a.ceiling.level -= q.units
 	}
 	l.spare = math.Min(l.spare+1.0/spareMost, float64(len(l.order)))
-	l.move(j, Out)
-	l.send(now, j, s)
+	l.move(q, Out)
+	l.send(now, q, s)
 }
 
-func (l *Limiter) send(now int64, j *job, s *server) {
-	sh := &shot{job: j, server: s, number: len(j.shots), at: now, open: true, maybe: true}
-	j.shots, j.open = append(j.shots, sh), j.open+1
-	s.shots, s.out = append(s.shots, sh), s.out+j.units
-	l.deeds.Send(j.id, s.id)
+func (l *Limiter) send(now int64, q *request, s *server) {
+	att := &attempt{request: q, server: s, number: len(q.attempts), at: now, open: true, maybe: true}
+	q.attempts, q.open = append(q.attempts, att), q.open+1
+	s.attempts, s.out = append(s.attempts, att), s.out+q.units
+	l.deeds.Send(q.id, s.id)
 }
 
 // warmth is the share of its capacity that a server is sure to have.
@@ -498,38 +497,38 @@
 	return pace * l.warmth(now, s) * (1 - s.bad)
 }
 
-// usable tells whether a server may get this job at all.
-func (l *Limiter) usable(now int64, j *job, s *server) bool {
-	// A trial is one job at a time, and for jobs that may run again, where there are any.
+// usable tells whether a server may get this request at all.
+func (l *Limiter) usable(now int64, q *request, s *server) bool {
+	// A trial is one request at a time, and for requests that may run again, where there are any.
 	if s.listing != Ready || s.standing == aside ||
-		s.standing == trial && (len(s.shots) > 0 || j.track.Effect == NonIdempotent && l.mild) {
+		s.standing == trial && (len(s.attempts) > 0 || q.track.Effect == NonIdempotent && l.mild) {
 		return false
 	}
-	for _, sh := range j.shots {
-		if sh.server == s || sh.maybe && j.track.Effect == Keyed && !j.track.dropsRepeat(now, sh, s) {
+	for _, att := range q.attempts {
+		if att.server == s || att.maybe && q.track.Effect == Keyed && !q.track.dropsRepeat(now, att, s) {
 			return false
 		}
 	}
 	return true
 }
 
-// dropsRepeat tells whether a server would know a keyed job again that may have run by this shot.
-func (t *Track) dropsRepeat(now int64, sh *shot, s *server) bool {
-	same := t.Group == GroupAll || t.Group == GroupZone && sh.server.zone == s.zone ||
-		t.Group == GroupCell && sh.server.cell == s.cell
-	return same && now < sh.at+t.Repeats
+// dropsRepeat tells whether a server would know a keyed request again that may have run by this attempt.
+func (t *Track) dropsRepeat(now int64, att *attempt, s *server) bool {
+	same := t.Group == GroupAll || t.Group == GroupZone && att.server.zone == s.zone ||
+		t.Group == GroupCell && att.server.cell == s.cell
+	return same && now < att.at+t.Repeats
 }
 
-// able lists the servers that have room for the job, if there is room in all: among many limiters one job at
-// each server is too much already. What may be out shrinks with the servers that can be used.
-func (l *Limiter) able(now int64, j *job) []*server {
+// able lists the servers that have room for the request, if there is room in all: among many limiters one
+// request at each server is too much already. What may be out shrinks with the servers that can be used.
+func (l *Limiter) able(now int64, q *request) []*server {
 	var able []*server
-	out, usable, ready, near := j.units, 0.0, 0.0, 0
+	out, usable, ready, near := q.units, 0.0, 0.0, 0
 	for _, s := range l.order {
 		if s.listing == Ready {
 			ready++
 		}
-		if !l.usable(now, j, s) {
+		if !l.usable(now, q, s) {
 			continue
 		}
 		warmth := l.warmth(now, s)
@@ -537,31 +536,31 @@
 		if near > l.circle() && len(able) > 0 {
 			continue // it is another's; those beyond the circle come in one by one where no other has room
 		}
-		if now >= s.fullTill && (len(s.shots) == 0 || s.out+j.units <= s.limit*warmth) {
+		if now >= s.fullTill && (len(s.attempts) == 0 || s.out+q.units <= s.limit*warmth) {
 			able = append(able, s)
 		}
 	}
-	room := l.room * l.ease(now, j) * usable / max(ready, 1)
-	room *= 1 - cheapLess*(1-j.track.Benefit/l.dearest.Benefit)
-	if l.busy = out > room/2; out > room && out > j.units {
+	room := l.room * l.ease(now, q) * usable / max(ready, 1)
+	room *= 1 - cheapLess*(1-q.track.Benefit/l.dearest.Benefit)
+	if l.busy = out > room/2; out > room && out > q.units {
 		return nil
 	}
 	return able
 }
 
-// ease widens the room while load reports show that jobs, of whatever limiter, stay at the servers for well
-// inside the agreed time: what they hold over what they do a second is that stay. One limiter among many
-// cannot tell a few heavy jobs of its own from servers that fill up. Reports that have grown old say nothing.
-func (l *Limiter) ease(now int64, j *job) float64 {
-	if l.reported == 0 || now-l.reported > j.track.Agreed {
+// ease widens the room while load reports show that requests, of whatever limiter, stay at the servers for
+// well inside the agreed time: what they hold over what they do a second is that stay. One limiter among many
+// cannot tell a few heavy requests of its own from servers that fill up. Old reports say nothing.
+func (l *Limiter) ease(now int64, q *request) float64 {
+	if l.reported == 0 || now-l.reported > q.track.Agreed {
 		return 1
 	}
-	agreed := min(j.track.Agreed, l.dearest.Agreed) // no track's jobs may fill the servers for a dearer one
+	agreed := min(q.track.Agreed, l.dearest.Agreed) // no track may fill the servers for a dearer one
 	return max(1, seconds(agreed)/wellInside/math.Exp(l.stay))
 }
 
-// stay is how long jobs stay at the server by its load report, in seconds, 0 where it does not tell: what it
-// holds over what it does a second, or else the work itself and what waits over that pace.
+// stay is how long requests stay at the server by its load report, in seconds, 0 where it does not tell: what
+// it holds over what it does a second, or else the work itself and what waits over that pace.
 func (r *Reply) stay() float64 {
 	switch {
 	case r.Held > 0 && r.Pace > 0:
@@ -573,9 +572,9 @@
 }
 
 // pick takes the next in the weighted rotation; those that hold more than their share of what is out pass.
-func (l *Limiter) pick(now int64, j *job) *server {
-	able := l.able(now, j)
-	out, sum := j.units, 0.0
+func (l *Limiter) pick(now int64, q *request) *server {
+	able := l.able(now, q)
+	out, sum := q.units, 0.0
 	for _, s := range able {
 		out, sum = out+s.out, sum+l.weight(now, s)
 	}
@@ -604,7 +603,7 @@
 	return best
 }
 
-// crowded is the retry-after of a job for which no server has room: about when work now out will be done.
+// crowded is the retry-after of a request for which no server has room: about when work now out will be done.
 func (l *Limiter) crowded() int64 {
 	if l.reported > 0 {
 		return max(l.beat, nanos(math.Exp(l.stay)))
@@ -612,104 +611,105 @@
 	return max(l.beat, l.set.DialTimeout)
 }
 
-func (l *Limiter) reject(now int64, j *job, after int64, cause Cause) {
-	l.move(j, Rejected)
+func (l *Limiter) reject(now int64, q *request, after int64, cause Cause) {
+	l.move(q, Rejected)
 	// Clients that were told the same time would come back together.
 	after = max(l.set.Granularity, after) + int64(l.rng.Float64()*float64(l.beat))
-	l.deeds.Reject(j.id, min(after, l.set.MostAdvice), cause)
-	l.drop(now, j)
-}
-
-// finish ends a job that cannot be served any more: rejected if that is true and harmless, else written off.
-func (l *Limiter) finish(now int64, j *job) {
-	for _, sh := range j.shots {
-		marked := j.track.Effect == Keyed && j.track.Group != GroupAll
-		if sh.maybe && (j.track.Effect == NonIdempotent || marked) {
-			l.move(j, WrittenOff)
-			l.deeds.WriteOff(j.id)
-			l.drop(now, j)
+	l.deeds.Reject(q.id, min(after, l.set.MostAdvice), cause)
+	l.drop(now, q)
+}
+
+// finish ends a request that cannot be served: rejected if that is true and harmless, else written off.
+func (l *Limiter) finish(now int64, q *request) {
+	for _, att := range q.attempts {
+		marked := q.track.Effect == Keyed && q.track.Group != GroupAll
+		if att.maybe && (q.track.Effect == NonIdempotent || marked) {
+			l.move(q, WrittenOff)
+			l.deeds.WriteOff(q.id)
+			l.drop(now, q)
 			return
 		}
 	}
-	l.reject(now, j, l.crowded(), ForShots)
+	l.reject(now, q, l.crowded(), ForAttempts)
 }
 
-// Answer takes the end of a shot.
+// Answer takes the end of an attempt.
 func (l *Limiter) Answer(now int64, r Reply) {
-	j := l.jobs[r.Job]
-	if j == nil || r.Shot < 0 || r.Shot >= len(j.shots) || !j.shots[r.Shot].open {
+	q := l.requests[r.Request]
+	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || !q.attempts[r.Attempt].open {
 		return
 	}
-	sh := j.shots[r.Shot]
-	sh.open, j.open = false, j.open-1
-	j.spent = j.spent || r.Outcome != Unconnected && r.Outcome != Moot
-	sh.maybe = r.Outcome != Full && r.Outcome != Unconnected && r.Outcome != Moot
-	l.learn(now, sh, r)
+	att := q.attempts[r.Attempt]
+	att.open, q.open = false, q.open-1
+	q.spent = q.spent || r.Outcome != Unconnected && r.Outcome != Moot
+	att.maybe = r.Outcome != Full && r.Outcome != Unconnected && r.Outcome != Moot
+	l.learn(now, att, r)
 	if r.Outcome == Done { // of a client that has gone too
-		l.settle(now, j, r.Units)
+		l.settle(now, q, r.Units)
 	}
-	if r.Outcome == Done && r.Final && !j.ended() {
-		if !sh.late { // well spent: where some servers are bad and others good, more may follow
-			l.spare += float64(len(j.shots) - 1)
+	if r.Outcome == Done && r.Final && !q.ended() {
+		if !att.late { // well spent: where some servers are bad and others good, more may follow
+			l.spare += float64(len(q.attempts) - 1)
 		}
-		l.move(j, Served)
+		l.move(q, Served)
 	}
-	if r.Final && !j.ended() {
-		l.move(j, Abandoned)
+	if r.Final && !q.ended() {
+		l.move(q, Abandoned)
 	}
-	if j.ended() {
-		l.drop(now, j)
+	if q.ended() {
+		l.drop(now, q)
 		return
 	}
-	if j.open == 0 && !l.again(now, j) {
-		l.finish(now, j)
+	if q.open == 0 && !l.again(now, q) {
+		l.finish(now, q)
 	}
 }
 
-// again sends a further shot where the track's kind, the time, the shots left and the pressure allow it.
-func (l *Limiter) again(now int64, j *job) bool {
-	if j.end <= now || len(j.shots) >= l.set.MostShots || l.spare < 1 || j.open > 0 {
+// again sends a further attempt where the track, the time, the attempts left and the pressure allow it.
+func (l *Limiter) again(now int64, q *request) bool {
+	if q.end <= now || len(q.attempts) >= l.set.MostAttempts || l.spare < 1 || q.open > 0 {
 		return false
 	}
-	for _, sh := range j.shots {
-		if sh.maybe && j.track.Effect == NonIdempotent {
+	for _, att := range q.attempts {
+		if att.maybe && q.track.Effect == NonIdempotent {
 			return false
 		}
 	}
-	s := l.pick(now, j)
+	s := l.pick(now, q)
 	if s == nil {
 		return false
 	}
 	l.spare--
-	l.send(now, j, s)
+	l.send(now, q, s)
 	return true
 }
 
-// overdue lowers a server's limit for a shot that is not answered well inside the agreed time, without
+// overdue lowers a server's limit for an attempt that is not answered well inside the agreed time, without
 // waiting for the answer: servers that slow down together would fill up until then.
-func (l *Limiter) overdue(now int64, sh *shot) {
-	if !sh.late && now-sh.at > sh.job.track.Agreed/wellInside {
-		sh.late = true
-		sh.server.limit = max(sh.server.limit-sh.job.units*late/grow, l.part)
-		l.narrow(sh.job)
+func (l *Limiter) overdue(now int64, att *attempt) {
+	if !att.late && now-att.at > att.request.track.Agreed/wellInside {
+		att.late = true
+		att.server.limit = max(att.server.limit-att.request.units*late/grow, l.part)
+		l.narrow(att.request)
 	}
 }
 
-// narrow takes from the room at all servers for a shot that is late or full. One limiter among hundreds sees
-// a server too seldom to learn its limit in time; all together soon tell that they fill up. Where answers are
-// prompt the rest are silent, not overrun, and it takes no more than a prompt answer adds.
-func (l *Limiter) narrow(j *job) {
-	l.room = max(l.room-j.units*max(1, math.Min(lateAll, l.slow/slowLeast))/grow, l.least())
+// narrow takes from the room at all servers for an attempt that is late or full. One limiter among hundreds
+// sees a server too seldom to learn its limit in time; all together soon tell that they fill up. Where
+// answers are prompt the rest are silent, not overrun, and it takes no more than a prompt answer adds.
+func (l *Limiter) narrow(q *request) {
+	l.room = max(l.room-q.units*max(1, math.Min(lateAll, l.slow/slowLeast))/grow, l.least())
 }
 
-// least is the room that is always there: the largest job at each server, over all limiters.
+// least is the room that is always there: the largest request at each server, over all limiters.
 func (l *Limiter) least() float64 { return l.part * float64(len(l.order)) }
 
-// learn keeps the record of the server that a shot was sent to.
-func (l *Limiter) learn(now int64, sh *shot, r Reply) {
-	s, u := sh.server, sh.job.units
-	l.overdue(now, sh)
-	s.shots, s.out = slices.DeleteFunc(s.shots, func(o *shot) bool { return o == sh }), max(0, s.out-u)
+// learn keeps the record of the server that an attempt was sent to.
+func (l *Limiter) learn(now int64, att *attempt, r Reply) {
+	s, u := att.server, att.request.units
+	l.overdue(now, att)
+	s.attempts, s.out = slices.DeleteFunc(s.attempts, func(o *attempt) bool { return o == att }),
+		max(0, s.out-u)
 	switch r.Outcome {
 	case Done:
 		s.heard, s.bad = now, s.bad*(1-badStep)
@@ -727,14 +727,14 @@
 		took := seconds(r.Took)
 		s.took, s.did = s.took*(1-1.0/fade)+took, s.did*(1-1.0/fade)+u
 		l.took, l.did = l.took*(1-0.1/fade)+took, l.did*(1-0.1/fade)+u
-		if l.slow -= l.slow / slowFade; sh.late {
+		if l.slow -= l.slow / slowFade; att.late {
 			l.slow += 1.0 / slowFade
 			break
 		}
 		if s.out+u > s.limit/2 || l.busy {
 			s.limit += u / grow
 		}
-		// The room is what can come together by chance, not the load: few jobs out swing the most.
+		// The room is what can come together by chance, not the load: few requests out swing the most.
 		if l.room < l.load+swing*math.Sqrt(l.load*l.set.MostUnits) {
 			l.room += u / grow
 		}
@@ -742,10 +742,10 @@
 		s.heard, s.fullTill = now, now+l.beat
 		s.limit = math.Min(s.limit, s.out)
 		l.slow += (1 - l.slow) / slowFade
-		l.narrow(sh.job)
+		l.narrow(att.request)
 	case Broke, Unconnected, Reset, Cancelled:
-		// A server that fails is quick at it: its answers say nothing of its pace, or it would draw all jobs.
-		// One that takes no connection is not tried three times: among many limiters, each would do so.
+		// A server that fails is quick at it: its answers say nothing of its pace, or it would draw all
+		// requests. One that takes no connection is not tried three times: each of many limiters would do so.
 		if s.bad += badStep * (1 - s.bad); s.bad > badMost || r.Outcome == Unconnected {
 			l.setAside(now, s, "fails")
 		}
@@ -753,7 +753,7 @@
 	s.limit = max(s.limit, l.part)
 }
 
-// setAside keeps new jobs from a server until it has shown life. A shared cause must not take all of them.
+// setAside keeps new requests from a server until it shows life. A shared cause must not take all of them.
 func (l *Limiter) setAside(now int64, s *server, why string) {
 	ready, away := 0, 0
 	for _, o := range l.order {
@@ -776,7 +776,7 @@
 // gone are let go of: a fleet that is replaced again and again would fill the memory and count in the room.
 func (l *Limiter) look(now int64) {
 	l.order = slices.DeleteFunc(l.order, func(s *server) bool {
-		over := s.listing == Gone && len(s.shots) == 0
+		over := s.listing == Gone && len(s.attempts) == 0
 		if over {
 			delete(l.servers, s.id)
 		}
@@ -790,8 +790,8 @@
 		}
 	}
 	for _, s := range l.order {
-		for _, sh := range s.shots {
-			l.overdue(now, sh)
+		for _, att := range s.attempts {
+			l.overdue(now, att)
 		}
 		if s.listing != Ready {
 			continue
@@ -808,10 +808,10 @@
 			}
 			continue
 		}
-		if l.load += s.out / beats; len(s.shots) > 0 {
-			first := s.shots[0]
-			wait := first.job.track.Agreed
-			if len(s.shots) > 1 {
+		if l.load += s.out / beats; len(s.attempts) > 0 {
+			first := s.attempts[0]
+			wait := first.request.track.Agreed
+			if len(s.attempts) > 1 {
 				wait = wait * 2 / 3
 			}
 			if now-max(s.heard, first.at) > wait {
@@ -820,37 +820,37 @@
 		}
 	}
 	for _, s := range l.order {
-		for _, sh := range slices.Clone(s.shots) {
-			j, lost := sh.job, l.lost(now, sh)
-			if j.state != Out || j.track.Effect == NonIdempotent || !l.set.Cancelling {
+		for _, att := range slices.Clone(s.attempts) {
+			q, lost := att.request, l.lost(now, att)
+			if q.state != Out || q.track.Effect == NonIdempotent || !l.set.Cancelling {
 				continue
 			}
-			if lost && now-j.shots[0].at > j.track.Agreed {
+			if lost && now-q.attempts[0].at > q.track.Agreed {
 				// A late answer is worth nothing: the server and the client are spared it.
-				l.finish(now, j)
-				l.deeds.Cancel(j.id, sh.number)
+				l.finish(now, q)
+				l.deeds.Cancel(q.id, att.number)
 				continue
 			}
-			if s.standing != aside && s.listing != Gone && !lost || now-sh.at > j.track.Agreed {
+			if s.standing != aside && s.listing != Gone && !lost || now-att.at > q.track.Agreed {
 				continue
 			}
-			if l.spare >= 1 && len(l.able(now, j)) > 0 {
-				l.deeds.Cancel(j.id, sh.number) // it is sent again once its end is known
+			if l.spare >= 1 && len(l.able(now, q)) > 0 {
+				l.deeds.Cancel(q.id, att.number) // it is sent again once its end is known
 			}
 		}
 	}
 }
 
-// lost tells whether a shot's answer is likely not to come, whether its server lives or not: it is out for
-// many times as long as a job of its size takes there, while the answers that do come are prompt.
-func (l *Limiter) lost(now int64, sh *shot) bool {
-	s := sh.server
+// lost tells whether an attempt's answer is likely not to come, whether its server lives or not: it is out
+// for many times as long as a request of its size takes there, while the answers that do come are prompt.
+func (l *Limiter) lost(now int64, att *attempt) bool {
+	s := att.server
 	return s.did > 0 && l.slow < lateAll*slowLeast &&
-		now-sh.at > max(nanos(lostAfter*sh.job.units*s.took/s.did), sh.job.track.Agreed/lostLeast)
+		now-att.at > max(nanos(lostAfter*att.request.units*s.took/s.did), att.request.track.Agreed/lostLeast)
 }
 
-// comeBack lets a server that was set aside have one job at a time. One that failed may be a new process that
-// the list does not tell of yet, so it is taken as cold.
+// comeBack lets a server that was set aside have one request at a time. One that failed may be a new process
+// that the list does not tell of yet, so it is taken as cold.
 func (l *Limiter) comeBack(now int64, s *server) {
 	if s.standing, s.heard = trial, now; s.bad > badMost {
 		s.warmFrom, s.turns = now, l.rng.Float64()
@@ -872,14 +872,13 @@
 
 // Left says that the client has gone.
 func (l *Limiter) Left(now int64, id string) {
-	if j := l.jobs[id]; j != nil && !j.ended() {
-		l.move(j, Abandoned)
-		l.drop(now, j)
+	if q := l.requests[id]; q != nil && !q.ended() {
+		l.move(q, Abandoned)
+		l.drop(now, q)
 	}
 }
 
-// Closing says that the process ends and nothing is out any more: what is owed to the counter is added now,
-// since no later call would bring it.
+// Closing says that the process ends with nothing out: what is owed is added, as no later call will come.
 func (l *Limiter) Closing(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(l.accounts)) {
 		a := l.accounts[id]
@@ -887,7 +886,7 @@
 			l.turn(now, a) // what is owed to a window that has passed fades with it
 		}
 		if a.owed != 0 && l.set.CounterWait > 0 {
-			l.count(&job{account: a, name: a.name()}, a.owed, true)
+			l.count(&request{account: a, name: a.name()}, a.owed, true)
 			a.owed = 0
 		}
 	}
@@ -901,8 +900,8 @@
 		l.deeds.Wake(now+l.beat, 0)
 		return
 	}
-	if j := l.timers[token]; j != nil && now >= j.end {
-		l.finish(now, j)
+	if q := l.timers[token]; q != nil && now >= q.end {
+		l.finish(now, q)
 	}
 }
 
@@ -917,31 +916,31 @@
 	}
 }
 
-func (j *job) ended() bool { return j.state >= Served }
+func (q *request) ended() bool { return q.state >= Served }
 
-// move is the only place where a job changes its state; an ended job keeps its end.
-func (l *Limiter) move(j *job, to State) {
-	if j.ended() {
-		panic(fmt.Sprintf("job %s moved to %d after its end %d", j.id, to, j.state))
+// move is the only place where a request changes its state; an ended request keeps its end.
+func (l *Limiter) move(q *request, to State) {
+	if q.ended() {
+		panic(fmt.Sprintf("request %s moved to %d after its end %d", q.id, to, q.state))
 	}
-	j.state = to
+	q.state = to
 }
 
-// drop forgets an ended job once nothing of it is out. If no server got it whole all that it took goes back.
-func (l *Limiter) drop(now int64, j *job) {
-	delete(l.timers, j.token)
-	if j.open > 0 || l.jobs[j.id] != j {
+// drop forgets an ended request once nothing of it is out. If no server got it whole all it took goes back.
+func (l *Limiter) drop(now int64, q *request) {
+	delete(l.timers, q.token)
+	if q.open > 0 || l.requests[q.id] != q {
 		return
 	}
-	delete(l.jobs, j.id)
-	if a := j.account; len(j.shots) > 0 && !j.spent {
-		a.quota.level = math.Min(a.quota.depth, a.quota.fill(now)+j.charge)
-		a.slice.level = math.Min(a.slice.depth, a.slice.fill(now)+j.charge)
-		a.ceiling.level = math.Min(a.ceiling.depth, a.ceiling.fill(now)+j.units)
-		if !j.reserved && a.quota.rate > 0 && j.name == a.name() {
-			a.owed -= j.charge * j.weight
+	delete(l.requests, q.id)
+	if a := q.account; len(q.attempts) > 0 && !q.spent {
+		a.quota.level = math.Min(a.quota.depth, a.quota.fill(now)+q.charge)
+		a.slice.level = math.Min(a.slice.depth, a.slice.fill(now)+q.charge)
+		a.ceiling.level = math.Min(a.ceiling.depth, a.ceiling.fill(now)+q.units)
+		if !q.reserved && a.quota.rate > 0 && q.name == a.name() {
+			a.owed -= q.charge * q.weight
 		}
-		l.release(now, j, j.charge)
+		l.release(now, q, q.charge)
 	}
 }
 
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -7,53 +7,53 @@
 	"testing"
 )
 
-func TestJob(t *testing.T) {
-	t.Run("reserves before its first shot", func(t *testing.T) {
+func TestRequest(t *testing.T) {
+	t.Run("reserves before its first attempt", func(t *testing.T) {
 		l, d := made()
-		l.Job(0, arrival("j", "read", "plain"))
+		l.Request(0, arrival("j", "read", "plain"))
 		expect(t, d, "count 2")
 	})
 	t.Run("of a customer known to be out of units is rejected without a call", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		l.Counted(0, j.name, Done, 60)
+		q := reserving(l, "read", "plain")
+		l.Counted(0, q.name, Done, 60)
 		d.did = nil
-		l.Job(second/10, arrival("k", "read", "plain"))
+		l.Request(second/10, arrival("k", "read", "plain"))
 		if expect(t, d, "reject k"); len(d.did) != 1 {
 			t.Fatalf("did %q", d.did)
 		}
-		l.Job(10*second, arrival("m", "read", "plain")) // by then the store may hold them
+		l.Request(10*second, arrival("m", "read", "plain")) // by then the store may hold them
 		if last := d.did[len(d.did)-1]; !strings.HasPrefix(last, "count ") {
 			t.Fatalf("did %q", d.did)
 		}
 	})
 	t.Run("of an unknown plan is rejected", func(t *testing.T) {
 		l, d := made()
-		l.Job(0, arrival("j", "read", "nobody's"))
+		l.Request(0, arrival("j", "read", "nobody's"))
 		expect(t, d, "reject j")
 	})
 	t.Run("that has no time is rejected", func(t *testing.T) {
 		l, d := made()
 		a := arrival("j", "read", "plain")
 		a.Budget = 0
-		l.Job(0, a)
+		l.Request(0, a)
 		expect(t, d, "reject j")
 	})
 	t.Run("right after our start finds our part of the ceiling empty", func(t *testing.T) {
 		l, d := made()
 		opens(l, "hard", second)
-		l.Job(0, arrival("j", "read", "hard"))
+		l.Request(0, arrival("j", "read", "hard"))
 		expect(t, d, "reject j")
 		d.because(t, ForCeiling)
-		l.Job(second, arrival("k", "read", "hard"))
+		l.Request(second, arrival("k", "read", "hard"))
 		expect(t, d, "count 2")
 	})
 	t.Run("is held to our part of the ceiling when others went out while it waited", func(t *testing.T) {
 		l, d := made()
 		opens(l, "hard", second/2)
-		l.Job(second/2, arrival("j", "read", "hard"))
-		l.Job(second/2, arrival("k", "read", "hard"))
-		name := l.jobs["j"].name
+		l.Request(second/2, arrival("j", "read", "hard"))
+		l.Request(second/2, arrival("k", "read", "hard"))
+		name := l.requests["j"].name
 		l.Counted(second/2, name, Done, 2)
 		l.Counted(second/2, name, Done, 4)
 		expect(t, d, "count 2", "count 2", "send j a", "count -2", "reject k")
@@ -62,14 +62,14 @@
 	t.Run("goes by the slice while the counter is silent", func(t *testing.T) {
 		l, d := made()
 		l.asks = 0
-		l.Job(0, arrival("j", "read", "plain"))
-		if expect(t, d, "send j a"); l.jobs["j"].account.owed != 2 {
+		l.Request(0, arrival("j", "read", "plain"))
+		if expect(t, d, "send j a"); l.requests["j"].account.owed != 2 {
 			t.Fatal("its units are not owed")
 		}
 	})
 }
 
-func TestJobWhileCrowded(t *testing.T) {
+func TestRequestWhileCrowded(t *testing.T) {
 	crowded := func(owed float64) *deeds {
 		l, d := made()
 		a := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
@@ -77,7 +77,7 @@
 		l.asks, a.quota.level, a.slice.level, a.known = 0.999, 0, -9, true
 		l.turn(0, a)
 		a.owed = owed
-		l.Job(0, arrival("j", "read", "plain"))
+		l.Request(0, arrival("j", "read", "plain"))
 		return d
 	}
 	t.Run("the counter is not asked for a customer known to be out", func(t *testing.T) {
@@ -97,7 +97,7 @@
 func TestAsksAfterAnOutage(t *testing.T) {
 	end := func(l *Limiter, outcome Outcome, n int) {
 		for range n {
-			l.calls[1] = append(l.calls[1], call{job: &job{state: Out}, account: l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"]), back: true})
+			l.calls[1] = append(l.calls[1], call{request: &request{state: Out}, account: l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"]), back: true})
 			l.Counted(0, 1, outcome, 0)
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 func TestCounted(t *testing.T) {
-	t.Run("within the allowance the job is sent", func(t *testing.T) {
+	t.Run("within the allowance the request is sent", func(t *testing.T) {
 		l, d := made()
 		l.Counted(0, reserving(l, "read", "plain").name, Done, 10)
 		expect(t, d, "send j a")
@@ -134,87 +134,87 @@
 	})
 	t.Run("refused, the slice decides and nothing is added back", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		j.account.slice.level = 1
-		l.Counted(0, j.name, Full, 0)
+		q := reserving(l, "read", "plain")
+		q.account.slice.level = 1
+		l.Counted(0, q.name, Full, 0)
 		expect(t, d, "count 2", "reject j")
 		d.because(t, ForSlice)
 	})
 	t.Run("spoilt, the counter is asked as before", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		l.Counted(0, j.name, Broke, 0)
-		if expect(t, d, "send j a"); l.asks != 1 || j.account.unsure != 2 {
-			t.Fatal("asks", l.asks, "unsure", j.account.unsure)
+		q := reserving(l, "read", "plain")
+		l.Counted(0, q.name, Broke, 0)
+		if expect(t, d, "send j a"); l.asks != 1 || q.account.unsure != 2 {
+			t.Fatal("asks", l.asks, "unsure", q.account.unsure)
 		}
 	})
-	t.Run("late for a job whose client has left, it is added back", func(t *testing.T) {
+	t.Run("late for a request whose client has left, it is added back", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
+		q := reserving(l, "read", "plain")
 		l.Left(0, "j")
-		l.Counted(0, j.name, Done, 2)
+		l.Counted(0, q.name, Done, 2)
 		expect(t, d, "count 2", "count -2")
 	})
 	t.Run("unanswered, what the slice sends is owed until a total shows that it was added", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		l.Counted(0, j.name, TimedOut, 0)
-		if expect(t, d, "send j a"); j.account.owed != 2 {
-			t.Fatal("owed", j.account.owed)
+		q := reserving(l, "read", "plain")
+		l.Counted(0, q.name, TimedOut, 0)
+		if expect(t, d, "send j a"); q.account.owed != 2 {
+			t.Fatal("owed", q.account.owed)
 		}
-		l.reserve(0, &job{id: "k", account: j.account, units: 2, charge: 2, track: j.track})
-		l.Counted(0, j.name, Done, 6)
-		if expect(t, d, "count 4", "send k b"); j.account.owed != -2 {
-			t.Fatal("owed", j.account.owed)
+		l.reserve(0, &request{id: "k", account: q.account, units: 2, charge: 2, track: q.track})
+		l.Counted(0, q.name, Done, 6)
+		if expect(t, d, "count 4", "send k b"); q.account.owed != -2 {
+			t.Fatal("owed", q.account.owed)
 		}
 	})
 	t.Run("a total that has fallen frees nothing", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		j.account.total, j.account.known, j.account.quota.level = 30, true, 1
-		l.Counted(0, j.name, Done, 2)
+		q := reserving(l, "read", "plain")
+		q.account.total, q.account.known, q.account.quota.level = 30, true, 1
+		l.Counted(0, q.name, Done, 2)
 		expect(t, d, "count -2", "reject j")
 	})
 	t.Run("what is added back to a window that has passed leaves the store alone", func(t *testing.T) {
 		l, _ := made()
-		j := reserving(l, "read", "plain")
+		q := reserving(l, "read", "plain")
 		later := 40 * second
-		j.lease, j.account.quota.at = later+1, later
-		l.Counted(later, j.name, Done, 100)
-		l.release(later, j, 2)
-		j.reserved = true
-		l.release(later, j, 2)
-		l.Counted(later, j.name, Done, 98)
-		if level := j.account.quota.level; level != 3 {
+		q.lease, q.account.quota.at = later+1, later
+		l.Counted(later, q.name, Done, 100)
+		l.release(later, q, 2)
+		q.reserved = true
+		l.release(later, q, 2)
+		l.Counted(later, q.name, Done, 98)
+		if level := q.account.quota.level; level != 3 {
 			t.Fatal("the store has fallen to", level)
 		}
 	})
 	t.Run("what others added while the store was full took nothing from it", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		j.account.known, j.account.quota.level, j.account.quota.spilt = true, 10, 24
-		l.Counted(0, j.name, Done, 26)
+		q := reserving(l, "read", "plain")
+		q.account.known, q.account.quota.level, q.account.quota.spilt = true, 10, 24
+		l.Counted(0, q.name, Done, 26)
 		expect(t, d, "send j a")
 	})
-	t.Run("what a late call added for a job not sent is added back with the next", func(t *testing.T) {
+	t.Run("what a late call added for a request not sent is added back with the next", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		j.account.slice.level = 1
-		l.Counted(0, j.name, TimedOut, 0)
+		q := reserving(l, "read", "plain")
+		q.account.slice.level = 1
+		l.Counted(0, q.name, TimedOut, 0)
 		expect(t, d, "count 2", "reject j")
-		l.reserve(0, &job{id: "k", account: j.account, units: 1, charge: 1, track: j.track})
-		l.Counted(0, j.name, Done, 3)
-		if j.account.owed != -2 {
-			t.Fatal("owed", j.account.owed)
+		l.reserve(0, &request{id: "k", account: q.account, units: 1, charge: 1, track: q.track})
+		l.Counted(0, q.name, Done, 3)
+		if q.account.owed != -2 {
+			t.Fatal("owed", q.account.owed)
 		}
 	})
-	t.Run("a reservation that carries more to add back than it adds still decides its job", func(t *testing.T) {
+	t.Run("a reservation that carries more to add back than it adds still decides its request", func(t *testing.T) {
 		l, d := made()
 		a := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
 		l.turn(0, a)
 		a.owed = -9
-		j := reserving(l, "read", "plain")
-		l.Counted(0, j.name, Done, -7)
+		q := reserving(l, "read", "plain")
+		l.Counted(0, q.name, Done, -7)
 		expect(t, d, "count -7", "send j a")
 	})
 	t.Run("an answer to no call does nothing", func(t *testing.T) {
@@ -227,8 +227,8 @@
 func TestRelease(t *testing.T) {
 	t.Run("does nothing after the lease", func(t *testing.T) {
 		l, d := made()
-		j := reserving(l, "read", "plain")
-		l.release(j.lease, j, 2)
+		q := reserving(l, "read", "plain")
+		l.release(q.lease, q, 2)
 		expect(t, d, "count 2")
 	})
 }
@@ -248,14 +248,14 @@
 		if l.look(0); len(l.order) != 1 || l.servers["a"] == nil || l.servers["b"] != nil {
 			t.Fatal(len(l.order), "kept")
 		}
-		l.Answer(1, Reply{Job: "j", Outcome: Done, Took: 1, Final: true})
+		l.Answer(1, Reply{Request: "j", Outcome: Done, Took: 1, Final: true})
 		if l.look(1); len(l.order)+len(l.servers) > 0 {
 			t.Fatal(len(l.order), "kept")
 		}
 	})
 	t.Run("the first limit of a server is shared by all limiters", func(t *testing.T) {
 		l, _ := made()
-		if limit := l.servers["a"].limit; limit*2 != startJobs*l.set.MostUnits {
+		if limit := l.servers["a"].limit; limit*2 != startLargest*l.set.MostUnits {
 			t.Fatal("limit", limit)
 		}
 	})
@@ -275,22 +275,22 @@
 		l, d := made()
 		sent(l, "read")
 		l.Left(1, "j")
-		l.Answer(2, Reply{Job: "j", Outcome: Full, Took: 2})
-		if expect(t, d, "send j a"); l.jobs["j"] != nil {
-			t.Fatal("the job is kept")
+		l.Answer(2, Reply{Request: "j", Outcome: Full, Took: 2})
+		if expect(t, d, "send j a"); l.requests["j"] != nil {
+			t.Fatal("the request is kept")
 		}
 	})
 }
 
 func TestMove(t *testing.T) {
-	t.Run("an ended job keeps its end", func(t *testing.T) {
+	t.Run("an ended request keeps its end", func(t *testing.T) {
 		defer func() {
 			if recover() == nil {
 				t.Fatal("it moved")
 			}
 		}()
 		l, _ := made()
-		l.move(&job{state: Served}, Rejected)
+		l.move(&request{state: Served}, Rejected)
 	})
 }
 
@@ -302,7 +302,7 @@
 		warm, want  int64
 	}{
 		{"no ceiling", 0, 0, 10 * second, 0},
-		{"once each limiter's part holds the largest job", 4, 16, 10 * second, 2 * second},
+		{"once each limiter's part holds the largest request", 4, 16, 10 * second, 2 * second},
 		{"once it is full", 4, 4, 10 * second, second},
 		{"but no later than a server would be warm", 4, 16, second, second},
 	} {
@@ -338,9 +338,9 @@
 		for _, plan := range []string{"plain", "hard", "free"} {
 			l, _ := made()
 			l.set.Plans["free"], l.accounts = &Plan{}, map[uint64]*account{}
-			l.Job(3*second, arrival("j", "read", plan))
-			l.Counted(3*second, l.jobs["j"].name, Done, 2)
-			l.Answer(4*second, Reply{Job: "j", Outcome: Done, Took: second, Final: true})
+			l.Request(3*second, arrival("j", "read", plan))
+			l.Counted(3*second, l.requests["j"].name, Done, 2)
+			l.Answer(4*second, Reply{Request: "j", Outcome: Done, Took: second, Final: true})
 			if l.forget(200 * second); len(l.accounts) > 0 {
 				t.Fatalf("%s: %d kept", plan, len(l.accounts))
 			}
@@ -351,20 +351,20 @@
 func TestAgain(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		set  func(l *Limiter, j *job)
+		set  func(l *Limiter, q *request)
 	}{
-		{"no shot is left", func(l *Limiter, j *job) { l.set.MostShots = 1 }},
-		{"no second shot is in hand", func(l *Limiter, j *job) { l.spare = 0 }},
-		{"a shot is out", func(l *Limiter, j *job) {}},
-		{"its time is over", func(l *Limiter, j *job) { j.end = 0 }},
+		{"no attempt is left", func(l *Limiter, q *request) { l.set.MostAttempts = 1 }},
+		{"no second attempt is in hand", func(l *Limiter, q *request) { l.spare = 0 }},
+		{"an attempt is out", func(l *Limiter, q *request) {}},
+		{"its time is over", func(l *Limiter, q *request) { q.end = 0 }},
 	} {
 		t.Run("sends nothing when "+c.name, func(t *testing.T) {
 			l, _ := made()
-			j := sent(l, "read")
-			if j.open = 0; c.name == "a shot is out" {
-				j.open = 1
+			q := sent(l, "read")
+			if q.open = 0; c.name == "an attempt is out" {
+				q.open = 1
 			}
-			if c.set(l, j); l.again(1, j) {
+			if c.set(l, q); l.again(1, q) {
 				t.Fatal("it did")
 			}
 		})
@@ -377,55 +377,55 @@
 		outcome     Outcome
 		want        string
 	}{
-		{"a non-idempotent job that never ran goes elsewhere", "write", Full, "send j b"},
-		{"a non-idempotent job that may have run is written off", "write", Reset, "write off j"},
-		{"a keyed job that may have run stays in its group", "mark", Reset, "write off j"},
-		{"an idempotent job goes elsewhere", "read", Broke, "send j b"},
+		{"a non-idempotent request that never ran goes elsewhere", "write", Full, "send j b"},
+		{"a non-idempotent request that may have run is written off", "write", Reset, "write off j"},
+		{"a keyed request that may have run stays in its group", "mark", Reset, "write off j"},
+		{"an idempotent request goes elsewhere", "read", Broke, "send j b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := made()
 			sent(l, c.track)
-			l.Answer(second/10, Reply{Job: "j", Outcome: c.outcome, Took: second / 10})
+			l.Answer(second/10, Reply{Request: "j", Outcome: c.outcome, Took: second / 10})
 			expect(t, d, c.want)
 		})
 	}
-	t.Run("a server that fails quickly draws no jobs", func(t *testing.T) {
+	t.Run("a server that fails quickly draws no requests", func(t *testing.T) {
 		l, _ := made()
 		sent(l, "read")
 		l.servers["a"].bad = badMost
-		l.Answer(1, Reply{Job: "j", Outcome: Broke, Took: 1})
+		l.Answer(1, Reply{Request: "j", Outcome: Broke, Took: 1})
 		if s := l.servers["a"]; s.standing != aside || s.did > 0 {
 			t.Fatal("not set aside, or its pace is counted")
 		}
 	})
 	t.Run("true units settle the reservation once", func(t *testing.T) {
 		l, d := made()
-		j := sent(l, "read")
-		l.Answer(second/10, Reply{Job: "j", Outcome: Done, Took: second / 10, Final: true, Units: 5})
+		q := sent(l, "read")
+		l.Answer(second/10, Reply{Request: "j", Outcome: Done, Took: second / 10, Final: true, Units: 5})
 		expect(t, d, "send j a", "count 3")
-		if l.jobs["j"] != nil || j.state != Served || j.account.quota.level > 5.6 {
-			t.Fatalf("job is kept in state %d, the store holds %v", j.state, j.account.quota.level)
+		if l.requests["j"] != nil || q.state != Served || q.account.quota.level > 5.6 {
+			t.Fatalf("request is kept in state %d, the store holds %v", q.state, q.account.quota.level)
 		}
 	})
 }
 
 func TestWoken(t *testing.T) {
-	t.Run("at its end a non-idempotent job that is out is written off", func(t *testing.T) {
+	t.Run("at its end a non-idempotent request that is out is written off", func(t *testing.T) {
 		l, d := made()
-		j := sent(l, "write")
-		l.Woken(j.end, j.token)
+		q := sent(l, "write")
+		l.Woken(q.end, q.token)
 		expect(t, d, "write off j")
 	})
-	t.Run("at its end an idempotent job is rejected", func(t *testing.T) {
+	t.Run("at its end an idempotent request is rejected", func(t *testing.T) {
 		l, d := made()
-		j := sent(l, "read")
-		l.Woken(j.end, j.token)
+		q := sent(l, "read")
+		l.Woken(q.end, q.token)
 		expect(t, d, "reject j")
 	})
 }
 
 func TestPick(t *testing.T) {
-	probe := &job{units: 2, track: &Track{}}
+	probe := &request{units: 2, track: &Track{}}
 	t.Run("takes turns", func(t *testing.T) {
 		l, _ := made()
 		if a, b := l.pick(0, probe), l.pick(0, probe); a == b {
@@ -439,12 +439,12 @@
 			t.Fatal("weights", a, b)
 		}
 	})
-	t.Run("passes a server on trial for non-idempotent jobs, and for others while one is out", func(t *testing.T) {
+	t.Run("passes a server on trial for non-idempotent requests, and for others while one is out", func(t *testing.T) {
 		l, _ := made()
 		a := l.servers["a"]
 		a.standing = trial
-		free, nonIdempotent := l.usable(0, probe, a), l.usable(0, &job{track: l.set.Tracks["write"]}, a)
-		l.send(0, &job{track: probe.track}, a)
+		free, nonIdempotent := l.usable(0, probe, a), l.usable(0, &request{track: l.set.Tracks["write"]}, a)
+		l.send(0, &request{track: probe.track}, a)
 		if !free || nonIdempotent || l.usable(0, probe, a) {
 			t.Fatal("usable", free, nonIdempotent, l.usable(0, probe, a))
 		}
@@ -472,12 +472,12 @@
 }
 
 func TestLook(t *testing.T) {
-	out := func(l *Limiter, id string, s *server) *job {
-		j := &job{id: id, track: l.set.Tracks["read"], state: Out, units: 1, end: 9 * second}
-		l.send(0, j, s)
-		return j
+	out := func(l *Limiter, id string, s *server) *request {
+		q := &request{id: id, track: l.set.Tracks["read"], state: Out, units: 1, end: 9 * second}
+		l.send(0, q, s)
+		return q
 	}
-	t.Run("a silent server is set aside and its job goes elsewhere", func(t *testing.T) {
+	t.Run("a silent server is set aside and its request goes elsewhere", func(t *testing.T) {
 		l, d := made()
 		sent(l, "read")
 		out(l, "k", l.servers["a"]).state = Served
@@ -488,7 +488,7 @@
 			t.Fatal("not set aside")
 		}
 	})
-	t.Run("a lone shot shows a silent server only after the agreed time, and is not copied then", func(t *testing.T) {
+	t.Run("a lone attempt shows a silent server only after the agreed time, and is not copied then", func(t *testing.T) {
 		l, d := made()
 		a := l.servers["a"]
 		out(l, "k", a)
@@ -499,17 +499,17 @@
 			t.Fatal("standing", early, "then", a.standing)
 		}
 	})
-	t.Run("its shot is called off, then sent again", func(t *testing.T) {
+	t.Run("its attempt is called off, then sent again", func(t *testing.T) {
 		l, d := made()
 		l.set.Cancelling = true
 		sent(l, "read")
 		l.setAside(0, l.servers["a"], "")
 		l.look(second / 2)
 		expect(t, d, "cancel j 0")
-		l.Answer(second/2, Reply{Job: "j", Outcome: Cancelled, Took: second / 2})
+		l.Answer(second/2, Reply{Request: "j", Outcome: Cancelled, Took: second / 2})
 		expect(t, d, "send j b")
 	})
-	t.Run("a shot that is out too long lowers the limit once, before its answer", func(t *testing.T) {
+	t.Run("an attempt that is out too long lowers the limit once, before its answer", func(t *testing.T) {
 		l, _ := made()
 		a := l.servers["a"]
 		out(l, "k", a)
@@ -549,41 +549,41 @@
 		l, _ := made()
 		l.room = 4
 		l.servers["a"].out = 3
-		if able := l.able(0, &job{units: 2, track: &Track{}}); able != nil {
+		if able := l.able(0, &request{units: 2, track: &Track{}}); able != nil {
 			t.Fatal(len(able), "servers are able")
 		}
 	})
 	t.Run("a full server rests for a look", func(t *testing.T) {
 		l, _ := made()
-		j := sent(l, "read")
-		l.Answer(1, Reply{Job: "j", Outcome: Full, Took: 1})
-		j.shots = nil
-		if able := l.able(2, j); len(able) != 0 && able[0].id == "a" {
+		q := sent(l, "read")
+		l.Answer(1, Reply{Request: "j", Outcome: Full, Took: 1})
+		q.attempts = nil
+		if able := l.able(2, q); len(able) != 0 && able[0].id == "a" {
 			t.Fatal("it is asked again at once")
 		}
 	})
-	t.Run("a keyed job that may have run looks in its group alone", func(t *testing.T) {
+	t.Run("a keyed request that may have run looks in its group alone", func(t *testing.T) {
 		l, _ := made()
 		l.Members(0, false, []Entry{{ID: "c", Zone: "x"}})
 		l.servers["c"].credit = 0
 		byName(l)
-		j := sent(l, "mark")
-		if able := l.able(second/2, j); len(able) != 1 || able[0].id != "c" {
+		q := sent(l, "mark")
+		if able := l.able(second/2, q); len(able) != 1 || able[0].id != "c" {
 			t.Fatal(len(able), "servers are able")
 		}
-		if able := l.able(second, j); len(able) != 0 {
+		if able := l.able(second, q); len(able) != 0 {
 			t.Fatal("after its window")
 		}
 	})
 }
 
 func TestSlice(t *testing.T) {
-	t.Run("among many limiters it still holds the largest job", func(t *testing.T) {
+	t.Run("among many limiters it still holds the largest request", func(t *testing.T) {
 		l, d := made()
 		l.asks = 0
 		a := arrival("j", "read", "plain")
 		a.Spread = 200
-		l.Job(0, a)
+		l.Request(0, a)
 		expect(t, d, "send j a")
 	})
 }
@@ -605,7 +605,7 @@
 			a := l.accountOf(now, arrival("", "read", "plain"), l.set.Plans["plain"])
 			a.known, a.looked, a.quota.level, a.quota.at = c.known, now, 10, now
 			l.turn(now, a)
-			l.see(now, call{job: &job{}, account: a}, a.name(), c.added)
+			l.see(now, call{request: &request{}, account: a}, a.name(), c.added)
 			if math.Abs(a.quota.level-c.held) > 1e-9 {
 				t.Fatal("holds", a.quota.level)
 			}
@@ -613,7 +613,7 @@
 	}
 }
 
-// The first jobs of a limiter among hundreds come together by chance as later ones do.
+// The first requests of a limiter among hundreds come together by chance as later ones do.
 func TestFirstRoom(t *testing.T) {
 	for _, c := range []struct {
 		limiters, servers int
@@ -632,27 +632,27 @@
 }
 
 func TestRoom(t *testing.T) {
-	t.Run("late shots at any server narrow it, down to a job a server over all limiters", func(t *testing.T) {
+	t.Run("late attempts at any server narrow it, down to a request a server over all limiters", func(t *testing.T) {
 		l, _ := made()
-		j := sent(l, "read")
-		l.overdue(second, j.shots[0])
+		q := sent(l, "read")
+		l.overdue(second, q.attempts[0])
 		if l.room != 20-1 {
 			t.Fatal("it is", l.room)
 		}
 		if l.room = 4.5; l.room < l.least() {
 			t.Fatal("the least is", l.least())
 		}
-		l.narrow(j)
+		l.narrow(q)
 		if l.room != 4 {
 			t.Fatal("it is", l.room)
 		}
 	})
-	t.Run("a further shot that was answered promptly is paid back", func(t *testing.T) {
+	t.Run("a further attempt that was answered promptly is paid back", func(t *testing.T) {
 		l, _ := made()
-		j := sent(l, "read")
+		q := sent(l, "read")
 		l.spare = 1
-		l.again(0, j)
-		l.Answer(1, Reply{Job: "j", Shot: 1, Outcome: Done, Took: 1, Final: true})
+		l.again(0, q)
+		l.Answer(1, Reply{Request: "j", Attempt: 1, Outcome: Done, Took: 1, Final: true})
 		if l.spare != 1 {
 			t.Fatal("in hand", l.spare)
 		}
@@ -703,7 +703,7 @@
 		}
 	}
 	l := all[7]
-	able := func() map[string]bool { return ids(l.able(0, &job{track: l.set.Tracks["read"]})) }
+	able := func() map[string]bool { return ids(l.able(0, &request{track: l.set.Tracks["read"]})) }
 	t.Run("each server is shared by as many limiters, and neighbours in number share few", func(t *testing.T) {
 		for id, n := range share {
 			if n < sharers-2 || n > sharers+2 {
@@ -756,8 +756,8 @@
 		}
 		turns, cold := map[string]float64{}, 0.0
 		for i, l := range fleet(limiters, entries) {
-			for range 50 * (1 + i%3) { // some get three times as many jobs as others
-				turns[l.pick(second, &job{track: l.set.Tracks["read"]}).id]++
+			for range 50 * (1 + i%3) { // some get three times as many requests as others
+				turns[l.pick(second, &request{track: l.set.Tracks["read"]}).id]++
 			}
 		}
 		warm := 0.0
@@ -778,26 +778,26 @@
 func TestEase(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		reports []float64 // seconds that jobs stay, each a server's latest
+		reports []float64 // seconds that requests stay, each a server's latest
 		age     int64
 		able    bool
 	}{
 		{"no report: the room binds", nil, 0, false},
-		{"jobs stay for a fifth of the agreed time: there is room", []float64{0.2, 0.2, 0.2}, 0, true},
+		{"requests stay for a fifth of the agreed time: there is room", []float64{0.2, 0.2, 0.2}, 0, true},
 		{"and one stuck server among many does not hide it", []float64{0.2, 0.2, 0.2, 0.2, 30, 0.2, 0.2, 0.2, 0.2, 0.2}, 0, true},
-		{"jobs stay for most of the agreed time: the room binds", []float64{0.8, 0.8, 0.8}, 0, false},
+		{"requests stay for most of the agreed time: the room binds", []float64{0.8, 0.8, 0.8}, 0, false},
 		{"reports have grown old: the room binds", []float64{0.2, 0.2, 0.2}, 2 * second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := made()
 			for _, stay := range c.reports {
-				sh := &shot{job: &job{track: l.set.Tracks["read"], units: 1}, server: l.servers["a"]}
-				l.learn(1, sh, Reply{Outcome: Done, Held: 10 * stay, Pace: 10})
+				att := &attempt{request: &request{track: l.set.Tracks["read"], units: 1}, server: l.servers["a"]}
+				l.learn(1, att, Reply{Outcome: Done, Held: 10 * stay, Pace: 10})
 			}
 			l.room = 2.5
 			l.servers["a"].out = 3
-			if able := l.able(c.age, &job{track: l.set.Tracks["read"], units: 1}); len(able) > 0 != c.able {
-				t.Fatalf("able %v with a room of %v eased by %v", able, l.room, l.ease(c.age, &job{track: l.set.Tracks["read"]}))
+			if able := l.able(c.age, &request{track: l.set.Tracks["read"], units: 1}); len(able) > 0 != c.able {
+				t.Fatalf("able %v with a room of %v eased by %v", able, l.room, l.ease(c.age, &request{track: l.set.Tracks["read"]}))
 			}
 		})
 	}
@@ -835,13 +835,13 @@
 		name       string
 		slow, left float64
 	}{
-		{"where answers are slow a late shot takes four times what a prompt one adds", 0.5, 19},
+		{"where answers are slow a late attempt takes four times what a prompt one adds", 0.5, 19},
 		{"where answers are prompt, the others silent, it takes as much", 0, 19.75},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := made()
 			l.slow = c.slow
-			if l.narrow(&job{units: 2}); l.room != c.left {
+			if l.narrow(&request{units: 2}); l.room != c.left {
 				t.Fatal("left", l.room)
 			}
 		})
@@ -851,18 +851,18 @@
 func TestLearn(t *testing.T) {
 	t.Run("a server that takes no connection is set aside at once, for the agreed time", func(t *testing.T) {
 		l, _ := made()
-		j := sent(l, "read")
-		l.learn(0, j.shots[0], Reply{Outcome: Unconnected})
+		q := sent(l, "read")
+		l.learn(0, q.attempts[0], Reply{Outcome: Unconnected})
 		if s := l.servers["a"]; s.standing != aside || s.next != second {
 			t.Fatal("standing", s.standing, "until", s.next)
 		}
 	})
 	t.Run("the room grows to what chance brings together and no further", func(t *testing.T) {
 		l, _ := made()
-		j := sent(l, "read")
+		q := sent(l, "read")
 		l.load, l.room = 4, 19.9 // the load and four deviations of it are 20
 		for range 3 {
-			l.learn(0, j.shots[0], Reply{Outcome: Done, Took: 1})
+			l.learn(0, q.attempts[0], Reply{Outcome: Done, Took: 1})
 		}
 		if l.room != 20.15 {
 			t.Fatal("it is", l.room)
@@ -877,7 +877,7 @@
 		read := &Track{Agreed: second, Benefit: 1}
 		l := New(0, &Settings{Limiters: 20, MostUnits: 1, WarmWithin: 1, Tracks: map[string]*Track{"read": read}}, seed, d)
 		l.Members(0, true, []Entry{{ID: "a"}, {ID: "b"}})
-		first[l.pick(0, &job{units: 1, track: read}).id] = true
+		first[l.pick(0, &request{units: 1, track: read}).id] = true
 	}
 	if len(first) != 2 {
 		t.Fatal("all begin at", first)
@@ -891,32 +891,32 @@
 		opens(l, "cap", 0)
 		return l, d
 	}
-	t.Run("counts each job as one, whatever its units, and lets none in beyond it though that would earn", func(t *testing.T) {
+	t.Run("counts each request as one, whatever its units, and lets none in beyond it though that would earn", func(t *testing.T) {
 		l, d := capped()
-		j := reserving(l, "read", "cap")
+		q := reserving(l, "read", "cap")
 		expect(t, d, "count 1")
-		l.Counted(0, j.name, Done, 3) // two of others have just gone out
+		l.Counted(0, q.name, Done, 3) // two of others have just gone out
 		expect(t, d, "count -1", "reject j")
 		d.because(t, ForQuota)
 	})
-	t.Run("a place fades with the shots that hold it", func(t *testing.T) {
+	t.Run("a place fades with the attempts that hold it", func(t *testing.T) {
 		l, d := capped()
 		reserving(l, "read", "cap")
-		acc := l.jobs["j"].account
-		l.Counted(0, l.jobs["j"].name, Done, 3)
-		l.Job(second, arrival("k", "read", "cap"))
+		acc := l.requests["j"].account
+		l.Counted(0, l.requests["j"].name, Done, 3)
+		l.Request(second, arrival("k", "read", "cap"))
 		if last := d.did[len(d.did)-1]; !strings.HasPrefix(last, "count ") || acc.quota.level < 1 {
 			t.Fatalf("did %q, level %v", d.did, acc.quota.level)
 		}
 	})
 	t.Run("true units change nothing of it", func(t *testing.T) {
 		l, d := capped()
-		j := reserving(l, "read", "cap")
-		l.Counted(0, j.name, Done, 1)
+		q := reserving(l, "read", "cap")
+		l.Counted(0, q.name, Done, 1)
 		d.did = nil
-		l.Answer(1, Reply{Job: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
-		if len(d.did) != 0 || j.account.owed != 0 {
-			t.Fatalf("did %q, owes %v", d.did, j.account.owed)
+		l.Answer(1, Reply{Request: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
+		if len(d.did) != 0 || q.account.owed != 0 {
+			t.Fatalf("did %q, owes %v", d.did, q.account.owed)
 		}
 	})
 }
@@ -929,16 +929,16 @@
 		at    int64
 		want  string
 	}{
-		{"a shot out for many times its job's time is called off", "read", 0, second / 3, "cancel j 0"},
+		{"an attempt out for many times its request's time is called off", "read", 0, second / 3, "cancel j 0"},
 		{"but not before that", "read", 0, second / 5, "send j a"},
 		{"nor where what is answered is slow", "read", 1, second / 3, "send j a"},
 		{"nor where it cannot go again", "write", 0, second / 3, "send j a"},
-		{"a job past its agreed time is given up at once", "read", 0, second + 1, "reject j"},
+		{"a request past its agreed time is given up at once", "read", 0, second + 1, "reject j"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := made()
 			l.set.Cancelling = true
-			j := sent(l, c.track)
+			q := sent(l, c.track)
 			l.slow = c.slow
 			for _, s := range l.order {
 				s.took, s.did = 0.02, 2 // 10 ms a unit
@@ -949,8 +949,8 @@
 			}
 			expect(t, d, c.want)
 			if c.want == "cancel j 0" {
-				l.Answer(c.at, Reply{Job: "j", Outcome: Cancelled, Took: c.at})
-				if expect(t, d, "send j b"); j.shots[0].server.bad == 0 {
+				l.Answer(c.at, Reply{Request: "j", Outcome: Cancelled, Took: c.at})
+				if expect(t, d, "send j b"); q.attempts[0].server.bad == 0 {
 					t.Fatal("it does not count against its server")
 				}
 			}
@@ -966,7 +966,7 @@
 	a.fullTill, b.turns = 1<<62, 0
 	got := 0
 	for range 100 { // the warm one has no room: the cold one gets its turns and no more
-		if s := l.pick(second, &job{units: 1, track: l.set.Tracks["read"]}); s == b {
+		if s := l.pick(second, &request{units: 1, track: l.set.Tracks["read"]}); s == b {
 			got++
 		}
 	}
@@ -975,19 +975,19 @@
 	}
 }
 
-// A server that got hundreds of jobs while it was warm owes none of those turns when it comes back cold.
+// A server that got hundreds of requests while it was warm owes none of those turns when it comes back cold.
 func TestColdAgain(t *testing.T) {
 	l, _ := made()
 	a, b := l.servers["a"], l.servers["b"]
 	l.look(0)
 	for range 500 {
-		l.pick(0, &job{units: 1, track: l.set.Tracks["read"]})
+		l.pick(0, &request{units: 1, track: l.set.Tracks["read"]})
 	}
 	b.bad = 1
 	l.comeBack(second, b)
 	a.fullTill, b.bad = 1<<62, 0
 	for range 40 {
-		if l.pick(second, &job{units: 1, track: l.set.Tracks["read"]}) == b {
+		if l.pick(second, &request{units: 1, track: l.set.Tracks["read"]}) == b {
 			return
 		}
 	}
@@ -1005,14 +1005,14 @@
 	}()
 	l.room = 4
 	l.servers["a"].out = 2
-	if len(l.able(0, &job{units: 2, track: dear})) == 0 {
-		t.Fatal("the dearest track's jobs do not get all of the room")
+	if len(l.able(0, &request{units: 2, track: dear})) == 0 {
+		t.Fatal("the dearest track's requests do not get all of the room")
 	}
-	if len(l.able(0, &job{units: 2, track: l.set.Tracks["read"]})) != 0 {
-		t.Fatal("a cheap track's jobs get as much room")
+	if len(l.able(0, &request{units: 2, track: l.set.Tracks["read"]})) != 0 {
+		t.Fatal("a cheap track's requests get as much room")
 	}
 	l.reported, l.stay = 1, math.Log(0.2)
-	if e := l.ease(1, &job{track: l.set.Tracks["read"]}); math.Abs(e-1.25) > 1e-9 { // by half a second, not one
+	if e := l.ease(1, &request{track: l.set.Tracks["read"]}); math.Abs(e-1.25) > 1e-9 { // by half a second, not one
 		t.Fatal("a longer agreed time widens the room by", e)
 	}
 }
@@ -1035,11 +1035,11 @@
 
 func TestSettleWhileCrowded(t *testing.T) {
 	l, d := made()
-	j := sent(l, "read")
+	q := sent(l, "read")
 	l.asks = 0.5
-	l.Answer(1, Reply{Job: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
-	if expect(t, d, "count 2", "send j a"); j.account.owed < 1.99 || j.account.owed > 2.01 {
-		t.Fatal("owes", j.account.owed)
+	l.Answer(1, Reply{Request: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
+	if expect(t, d, "count 2", "send j a"); q.account.owed < 1.99 || q.account.owed > 2.01 {
+		t.Fatal("owes", q.account.owed)
 	}
 }
 
@@ -1047,27 +1047,27 @@
 	l, d := made()
 	l.set.Plans["cap+rate"] = &Plan{Rate: 5, Burst: 40, Open: 4, CeilingRate: 8, CeilingBurst: 16}
 	opens(l, "cap+rate", second)
-	j := func() *job { l.Job(second, arrival("j", "read", "cap+rate")); return l.jobs["j"] }()
-	// The burst is what four jobs of half the largest size take, and units are counted, not places.
-	if expect(t, d, "count 2"); j.account.quota.depth != 8 {
-		t.Fatal("the store holds", j.account.quota.depth)
+	q := func() *request { l.Request(second, arrival("j", "read", "cap+rate")); return l.requests["j"] }()
+	// The burst is what four requests of half the largest size take, and units are counted, not places.
+	if expect(t, d, "count 2"); q.account.quota.depth != 8 {
+		t.Fatal("the store holds", q.account.quota.depth)
 	}
-	l.Counted(second, j.name, Done, 2)
-	if expect(t, d, "count 2", "send j a"); j.account.ceiling.level != 2 { // half of 8 units filled, 2 taken
-		t.Fatal("the ceiling's part holds", j.account.ceiling.level)
+	l.Counted(second, q.name, Done, 2)
+	if expect(t, d, "count 2", "send j a"); q.account.ceiling.level != 2 { // half of 8 units filled, 2 taken
+		t.Fatal("the ceiling's part holds", q.account.ceiling.level)
 	}
-	l.Answer(second, Reply{Job: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
-	if expect(t, d, "count 2"); j.account.ceiling.level != 2 { // settled on the quota, not on the ceiling
-		t.Fatal("the ceiling's part holds", j.account.ceiling.level)
+	l.Answer(second, Reply{Request: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
+	if expect(t, d, "count 2"); q.account.ceiling.level != 2 { // settled on the quota, not on the ceiling
+		t.Fatal("the ceiling's part holds", q.account.ceiling.level)
 	}
-	l.Job(second, Arrival{ID: "k", Budget: second, Customer: 8, Plan: "cap+rate", Track: "read", Units: 3, Spread: 2})
+	l.Request(second, Arrival{ID: "k", Budget: second, Customer: 8, Plan: "cap+rate", Track: "read", Units: 3, Spread: 2})
 	expect(t, d, "reject k")
 	d.because(t, ForCeiling)
 }
 
 func TestRepeatsWithinAPod(t *testing.T) {
 	pod := &Track{Agreed: second, Effect: Keyed, Group: GroupCell, Repeats: second, Benefit: 1}
-	first := &shot{server: &server{cell: 3, zone: "x"}, at: second, maybe: true}
+	first := &attempt{server: &server{cell: 3, zone: "x"}, at: second, maybe: true}
 	for _, c := range []struct {
 		cell, at int64
 		want     bool
@@ -1090,7 +1090,7 @@
 	l.reported, l.stay = 1, math.Log(0.1)
 	slow := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
 	slow.slice.level, slow.slice.rate = -9, 0.1
-	l.Job(0, arrival("j", "read", "plain"))
+	l.Request(0, arrival("j", "read", "plain"))
 	if expect(t, d, "reject j"); d.after > second/10+l.beat { // another limiter may have the units
 		t.Fatal("told to wait", d.after)
 	}
@@ -1098,12 +1098,12 @@
 
 func TestAsksRise(t *testing.T) {
 	l, _ := made()
-	j := reserving(l, "read", "plain")
-	l.Counted(0, j.name, TimedOut, 0)
+	q := reserving(l, "read", "plain")
+	l.Counted(0, q.name, TimedOut, 0)
 	var at []float64
 	for range 3 {
-		l.reserve(0, &job{id: "k", account: j.account, track: j.track, charge: 1})
-		l.Counted(0, j.name, Done, 1)
+		l.reserve(0, &request{id: "k", account: q.account, track: q.track, charge: 1})
+		l.Counted(0, q.name, Done, 1)
 		at = append(at, l.asks)
 	}
 	if at[0] != 0.75+1.0/256 || at[1] != at[0]+2.0/256 || at[2] != at[1]+3.0/256 {
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -16,13 +16,13 @@
 
 func (d *deeds) add(form string, args ...any) { d.did = append(d.did, fmt.Sprintf(form, args...)) }
 
-func (d *deeds) Send(job, server string)     { d.add("send %s %s", job, server) }
-func (d *deeds) Cancel(job string, shot int) { d.add("cancel %s %d", job, shot) }
-func (d *deeds) Reject(job string, after int64, cause Cause) {
+func (d *deeds) Send(request, server string)        { d.add("send %s %s", request, server) }
+func (d *deeds) Cancel(request string, attempt int) { d.add("cancel %s %d", request, attempt) }
+func (d *deeds) Reject(request string, after int64, cause Cause) {
 	d.after, d.cause = after, cause
-	d.add("reject %s", job)
+	d.add("reject %s", request)
 }
-func (d *deeds) WriteOff(job string)                        { d.add("write off %s", job) }
+func (d *deeds) WriteOff(request string)                    { d.add("write off %s", request) }
 func (d *deeds) Count(name uint64, amount float64, _ int64) { d.add("count %v", amount) }
 func (d *deeds) Probe(server string)                        { d.add("probe %s", server) }
 func (d *deeds) Wake(at, token int64)                       {}
@@ -46,7 +46,7 @@
 		},
 		CounterWait: second / 20, MostUnits: 4, LongestLease: 60 * second, Limiters: 2,
 		ColdFrom: 0.25, WarmWithin: 10 * second, DialTimeout: second / 4,
-		MostShots: 3, MostAdvice: second, Probes: true, Granularity: second / 500,
+		MostAttempts: 3, MostAdvice: second, Probes: true, Granularity: second / 500,
 	}
 	l := New(0, set, 1, d)
 	l.Members(0, true, []Entry{{ID: "a", Zone: "x", Hint: 1}, {ID: "b", Zone: "y", Hint: 1}})
@@ -82,17 +82,17 @@
 	return Arrival{ID: id, Budget: 4 * second, Customer: uint64(len(plan)), Plan: plan, Track: track, Units: 2, Spread: 2}
 }
 
-// reserving is a job that waits for the counter.
-func reserving(l *Limiter, track, plan string) *job {
-	l.Job(0, arrival("j", track, plan))
-	return l.jobs["j"]
+// reserving is a request that waits for the counter.
+func reserving(l *Limiter, track, plan string) *request {
+	l.Request(0, arrival("j", track, plan))
+	return l.requests["j"]
 }
 
-// sent is a job whose first shot is out.
-func sent(l *Limiter, track string) *job {
-	j := reserving(l, track, "plain")
-	l.Counted(0, j.name, Done, 2)
-	return j
+// sent is a request whose first attempt is out.
+func sent(l *Limiter, track string) *request {
+	q := reserving(l, track, "plain")
+	l.Counted(0, q.name, Done, 2)
+	return q
 }
 
 // expect checks the last deed and the deeds before it that a test names.
--- a/choice/owed_test.go
+++ b/choice/owed_test.go
@@ -28,11 +28,11 @@
 			if slice {
 				l.asks = 0
 			}
-			l.Job(second, arrival("j", "read", "hard"))
-			j := l.jobs["j"]
-			a := j.account
+			l.Request(second, arrival("j", "read", "hard"))
+			q := l.requests["j"]
+			a := q.account
 			if !slice {
-				l.Counted(second, j.name, Done, 2)
+				l.Counted(second, q.name, Done, 2)
 			}
 			level, owed := a.slice.level, a.owed
 			for i, o := range c.outcomes {
@@ -40,7 +40,7 @@
 					l.Left(second, "j")
 				}
 				d.did = nil
-				l.Answer(second, Reply{Job: "j", Shot: i, Outcome: o, Final: j.ended() || o == Done, Units: c.units})
+				l.Answer(second, Reply{Request: "j", Attempt: i, Outcome: o, Final: q.ended() || o == Done, Units: c.units})
 			}
 			counted := 0
 			for _, did := range d.did {
@@ -55,7 +55,7 @@
 			case (a.ceiling.level == 4) != (want < 0): // it held 4 before the request
 				t.Errorf("%s, slice %v: the ceiling's part holds %v", c.name, slice, a.ceiling.level)
 			}
-			if len(l.jobs) > 0 {
+			if len(l.requests) > 0 {
 				t.Errorf("%s: it is not forgotten", c.name)
 			}
 		}
--- a/choice/state.go
+++ b/choice/state.go
@@ -1,6 +1,6 @@
 package choice
 
-// State is where a job stands; move is the only function that changes it.
+// State is where a request stands; move is the only function that changes it.
 type State uint8
 
 const (
@@ -13,7 +13,7 @@
 	Abandoned // the client has left
 )
 
-type job struct {
+type request struct {
 	id       string
 	token    int64
 	state    State
@@ -22,8 +22,8 @@
 	units    float64
 	charge   float64 // what it takes from its customer's store: units, or one place under a cap
 	end      int64   // the last moment for a final answer
-	shots    []*shot
-	open     int // shots that are out
+	attempts []*attempt
+	open     int // attempts that are out
 	reserved bool
 	spent    bool    // a server got it whole, so its units are taken
 	weight   float64 // what one unit weighs in the window that has the reservation, or is owed it
@@ -31,14 +31,14 @@
 	lease    int64   // when that count is forgotten
 }
 
-type shot struct {
-	job    *job
-	server *server
-	number int
-	at     int64
-	open   bool
-	maybe  bool // it may have run
-	late   bool // it has lowered its server's limit
+type attempt struct {
+	request *request
+	server  *server
+	number  int
+	at      int64
+	open    bool
+	maybe   bool // it may have run
+	late    bool // it has lowered its server's limit
 }
 
 type server struct {
@@ -50,17 +50,17 @@
 	hint     float64
 	warmFrom int64 // when it began to warm up, 0 for long ago
 	standing standing
-	shots    []*shot
+	attempts []*attempt
 	out      float64 // units out
 	limit    float64 // units that may be out
 	took     float64 // fading sums of time and units over its answers
 	did      float64
 	heard    int64   // its last sign of life
-	bad      float64 // the fading share of its shots that came to nothing
+	bad      float64 // the fading share of its attempts that came to nothing
 	probes   int     // probes answered in a row
 	next     int64   // when it is probed or tried next
 	rest     int64
-	fullTill int64   // it has turned a job away and gets none until then
+	fullTill int64   // it has turned a request away and gets none until then
 	credit   float64 // its claim on the next turn
 	turns    float64 // while it is cold: the turns that it is owed
 }
@@ -91,7 +91,7 @@
 	looked  int64   // and when last
 	slice   store   // this limiter's part of it: decides when no total comes
 	part    float64 // the number of limiters that share the customer
-	most    float64 // the most that one job can take from its store
+	most    float64 // the most that one request can take from its store
 	owed    float64 // what is still to be added to the counter, weighted as of its time
 	unsure  float64 // what calls without an answer may have added
 	idle    float64 // the part of them that was never sent
@@ -100,8 +100,8 @@
 }
 
 type call struct {
-	job     *job
+	request *request
 	account *account
 	amount  float64
-	back    bool // no job waits for it: it adds back or settles
+	back    bool // no request waits for it: it adds back or settles
 }
--- a/choice/types.go
+++ b/choice/types.go
@@ -1,6 +1,6 @@
 package choice
 
-// Effect says what happens when a track's job runs twice.
+// Effect says what happens when a track's request runs twice.
 type Effect uint8
 
 const (
@@ -9,7 +9,7 @@
 	NonIdempotent
 )
 
-// Group names the servers among which a keyed job's repeats are dropped.
+// Group names the servers among which a keyed request's repeats are dropped.
 type Group uint8
 
 const (
@@ -18,7 +18,7 @@
 	GroupCell
 )
 
-// Outcome is how a shot, a probe or a call to the counter ended.
+// Outcome is how an attempt, a probe or a call to the counter ended.
 type Outcome uint8
 
 const (
@@ -32,21 +32,21 @@
 	Moot
 )
 
-// Cause is why a job is rejected; it changes nothing, and is told to whoever looks at the limiters.
+// Cause is why a request is rejected; it changes nothing, and is told to whoever looks at the limiters.
 type Cause uint8
 
 const (
-	ForPlan    Cause = iota // its plan or its track is not known
-	ForRoom                 // no server has room
-	ForCeiling              // this limiter's part of the customer's ceiling
-	ForQuota                // the customer's quota, by the counter's total
-	ForSlice                // the customer's slice, without the counter
-	ForShots                // its shots came to nothing
-	Causes                  // the number of causes
+	ForPlan     Cause = iota // its plan or its track is not known
+	ForRoom                  // no server has room
+	ForCeiling               // this limiter's part of the customer's ceiling
+	ForQuota                 // the customer's quota, by the counter's total
+	ForSlice                 // the customer's slice, without the counter
+	ForAttempts              // its attempts came to nothing
+	Causes                   // the number of causes
 )
 
 func (c Cause) String() string {
-	return [...]string{"plan", "room", "ceiling", "quota", "slice", "shots"}[c]
+	return [...]string{"plan", "room", "ceiling", "quota", "slice", "attempts"}[c]
 }
 
 // Listing is what the server list says of a server.
@@ -58,12 +58,12 @@
 	Gone
 )
 
-// Track is one kind of job; times are nanoseconds.
+// Track is one kind of request; times are nanoseconds.
 type Track struct {
 	Agreed  int64
 	Effect  Effect
 	Group   Group
-	Repeats int64   // how long a keyed job's repeats are dropped
+	Repeats int64   // how long a keyed request's repeats are dropped
 	Benefit float64 // what one unit is worth, beside other tracks
 }
 
@@ -71,9 +71,9 @@
 type Plan struct {
 	Rate, Burst               float64
 	CeilingRate, CeilingBurst float64
-	Open                      float64 // a job sent while so many shots of its customer are out is beyond; 0 for no cap
-	BeyondEarns, BeyondCosts  float64 // of a job's benefit, when it is sent past the quota
-	Benefit                   float64 // what one unit of a job is worth, beside other plans
+	Open                      float64 // a request sent while so many attempts of its customer are out is beyond; 0 for no cap
+	BeyondEarns, BeyondCosts  float64 // of a request's benefit, when it is sent past the quota
+	Benefit                   float64 // what one unit of a request is worth, beside other plans
 }
 
 // Settings are fixed for an instance's life.
@@ -88,14 +88,14 @@
 	ColdFrom     float64 // the share of its capacity that a starting server has at least
 	WarmWithin   int64
 	DialTimeout  int64
-	MostShots    int
+	MostAttempts int
 	MostAdvice   int64 // the longest retry-after that clients honour; 0 where none is passed on
 	Probes       bool
 	Cancelling   bool
 	Granularity  int64
 }
 
-// Arrival is a job as a client sends it.
+// Arrival is a request as a client sends it.
 type Arrival struct {
 	ID       string
 	Budget   int64
@@ -103,7 +103,7 @@
 	Plan     string
 	Track    string
 	Units    float64
-	Spread   int // the number of limiters through which the customer's jobs come
+	Spread   int // the number of limiters through which the customer's requests come
 }
 
 // Entry is one line of the server list.
@@ -116,26 +116,26 @@
 	Since   int64 // its latest start, 0 for long ago
 }
 
-// Reply is how one shot ended.
+// Reply is how one attempt ended.
 type Reply struct {
-	Job     string
-	Shot    int
+	Request string
+	Attempt int
 	Outcome Outcome
 	Took    int64
 	Final   bool
 	Units   float64 // the true units where they were a guess, else 0
-	Held    float64 // what the server's load report says it holds for all limiters, jobs
-	Pace    float64 // and does, jobs a second; 0 where it says nothing
-	Queue   float64 // the jobs that wait at it
-	Work    int64   // and how long its latest jobs took without waiting, 0 where it says nothing
+	Held    float64 // what the server's load report says it holds for all limiters, requests
+	Pace    float64 // and does, requests a second; 0 where it says nothing
+	Queue   float64 // the requests that wait at it
+	Work    int64   // and how long its latest requests took without waiting, 0 where it says nothing
 }
 
 // Deeds is what a limiter can do; each call takes effect at once.
 type Deeds interface {
-	Send(job, server string)
-	Cancel(job string, shot int)
-	Reject(job string, retryAfter int64, cause Cause)
-	WriteOff(job string)
+	Send(request, server string)
+	Cancel(request string, attempt int)
+	Reject(request string, retryAfter int64, cause Cause)
+	WriteOff(request string)
 	Count(name uint64, amount float64, lifetime int64)
 	Probe(server string)
 	Wake(at, token int64)
--- a/cmd/ospreycroft/main.go
+++ b/cmd/ospreycroft/main.go
@@ -1,4 +1,4 @@
-// Command ospreycroft is one real limiter: it takes clients' jobs and sends them to servers as package choice decides.
+// Command ospreycroft is one real limiter: it takes clients' requests and sends them to servers as package choice decides.
 package main
 
 import (
@@ -46,7 +46,7 @@
 				len(config.Settings.Plans), len(config.Settings.Tracks))
 			for _, name := range slices.Sorted(maps.Keys(config.Settings.Plans)) {
 				if open := config.Settings.Plans[name].Open; open > 0 {
-					fmt.Printf("cap plan=%s shots_out=%v\n", name, open)
+					fmt.Printf("cap plan=%s attempts_out=%v\n", name, open)
 				}
 			}
 			for _, name := range slices.Sorted(maps.Keys(config.Settings.Tracks)) {
--- a/cmd/ospreycroft/stop_test.go
+++ b/cmd/ospreycroft/stop_test.go
@@ -34,13 +34,13 @@
 	os.Exit(m.Run())
 }
 
-// servant is a server that takes 150 ms for each job and notes what has reached it.
+// servant is a server that takes 150 ms for each request and notes what has reached it.
 type servant struct {
 	mutex sync.Mutex
 	ran   map[string]bool
 }
 
-func (s *servant) jobs() int {
+func (s *servant) requests() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.ran)
@@ -71,8 +71,8 @@
 	return s, emulator.Instance{ID: name, HostPort: ln.Addr().String(), Lifecycle: "in_service", Weight: 1}
 }
 
-// job is one that may take so many milliseconds.
-func job(id string, left int) []byte {
+// request is one that may take so many milliseconds.
+func request(id string, left int) []byte {
 	return resp.AppendCommand(nil, []byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id),
 		fmt.Appendf(nil, "c=c,t=p,d=%d,units=1,spread=1,first=0", left))
 }
@@ -124,7 +124,7 @@
 	var running sync.WaitGroup
 	call := func(i int, first time.Duration) {
 		callers[i] = load.Holder{Name: fmt.Sprint("caller", i), First: first, Second: 70 * time.Millisecond, Patient: 8 * time.Second}
-		running.Go(func() { callers[i].Run(address, func(id string) []byte { return job(id, 2000) }) })
+		running.Go(func() { callers[i].Run(address, func(id string) []byte { return request(id, 2000) }) })
 	}
 	for i := range 5 {
 		call(i, 0)
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestWoken stops a real process while jobs come and its list changes behind them: woken, it sends nothing to the server that
-// drains, though it reads the jobs first, and serves them elsewhere.
+// TestWoken stops a real process while requests come and its list changes behind them: woken, it sends nothing to the server that
+// drains, though it reads the requests first, and serves them elsewhere.
 func TestWoken(t *testing.T) {
 	drains, leaving := serving(t, "drains")
 	stays, staying := serving(t, "stays")
@@ -179,14 +179,14 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	for i, c := range conns[:2] { // so that a connection to each server rests
-		_, _ = c.Write(job(fmt.Sprint("early-", i), 9000))
+		_, _ = c.Write(request(fmt.Sprint("early-", i), 9000))
 	}
 	early := make([]byte, 1024)
 	for i, c := range conns[:2] {
 		n, err := c.Read(early)
-		require.True(t, err == nil && early[0] == '$', "job %d: %q, error %v", i, early[:n], err)
+		require.True(t, err == nil && early[0] == '$', "request %d: %q, error %v", i, early[:n], err)
 	}
-	require.Equal(t, []int{1, 1}, []int{drains.jobs(), stays.jobs()})
+	require.Equal(t, []int{1, 1}, []int{drains.requests(), stays.requests()})
 	time.Sleep(20 * time.Millisecond)
 	_ = program.Process.Signal(syscall.SIGSTOP)
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) { // all its threads stand still
@@ -198,7 +198,7 @@
 	}
 	time.Sleep(10 * time.Millisecond)
 	for i, c := range conns {
-		_, _ = c.Write(job(fmt.Sprint("job-", i), 9000))
+		_, _ = c.Write(request(fmt.Sprint("job-", i), 9000))
 	}
 	time.Sleep(100 * time.Millisecond)
 	leaving.Lifecycle = "terminating"
@@ -208,8 +208,8 @@
 	for i, c := range conns {
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		line, err := bufio.NewReader(c).ReadString('\n')
-		assert.NoError(t, err, "job %d: %q", i, line)
+		assert.NoError(t, err, "request %d: %q", i, line)
 	}
-	assert.Equal(t, 1, drains.jobs(), "the one that drains got more than the early job\n%s", log)
-	assert.Greater(t, stays.jobs(), 1, "%s", log)
+	assert.Equal(t, 1, drains.requests(), "the one that drains got more than the early request\n%s", log)
+	assert.Greater(t, stays.requests(), 1, "%s", log)
 }
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -80,7 +80,7 @@
 type Server struct {
 	ID    string
 	Since int64 // its latest start, 0 for long ago
-	Gone  bool  // it is to get no more jobs
+	Gone  bool  // it is to get no more requests
 }
 
 // Event is one happening; Servers and Whole go with lists: only with Whole is what a list does not name gone.
@@ -324,7 +324,7 @@
 
 // ReadyAt is when the limiter says that it is ready, as things stand. With a list, however old, it waits for its parts of the
 // ceilings and for its first word from the list service, which it does not wait for longer than a connection takes;
-// with none it would only turn jobs away, so it waits for one, though not for ever.
+// with none it would only turn requests away, so it waits for one, though not for ever.
 func (s *Start) ReadyAt() int64 {
 	bound := s.began + int64(readyMost*float64(s.set.Bound))
 	if s.heard {
--- a/internal/countloss/countloss.go
+++ b/internal/countloss/countloss.go
@@ -1,13 +1,12 @@
 // Package countloss states in advance how far a customer's use can pass its quota when the shared counter is
 // lost, emptied or split, from the settings alone, as the decision module's arithmetic gives it. It does no
-// I/O and decides nothing on the job path: the limiter logs its figures at the start and `ospreycroft check`
+// I/O and decides nothing on the request path: the limiter logs its figures at the start and `ospreycroft check`
 // prints them, so that an operator knows the error before the counter fails.
 //
-// Source: Reserve and Reconcile (docs/design.md): without the counter each of a customer's s limiters decides by
-// its slice, which holds max(u·B/s, J) and fills at u·R/s (B the plan's burst, R its rate, J the largest job, u the
-// most equal parts that a slice can be, choice.Uneven, and no more than s); a
-// fallen total gives no store back; a hard ceiling is kept by each limiter's own part, D/s filling at H/s, with
-// no answer of the counter at all.
+// Source: Reserve and Reconcile (docs/design.md): without the counter each of a customer's s limiters decides by its slice, which
+// holds max(u·B/s, J) and fills at u·R/s (B the plan's burst, R its rate, J the largest request, u the most equal parts that a
+// slice can be, choice.Uneven, and no more than s); a fallen total gives no store back; a hard ceiling is kept by each limiter's
+// own part, D/s filling at H/s, with no answer of the counter at all.
 package countloss
 
 import (
@@ -93,7 +92,7 @@
 	return b, nil
 }
 
-// Table states every case for every plan of the settings, for a customer whose jobs come in through all
+// Table states every case for every plan of the settings, for a customer whose requests come in through all
 // limiters (the worst set) and a split into two parts and into as many parts as limiters.
 func Table(set *choice.Settings) ([]Bound, error) {
 	names := make([]string, 0, len(set.Plans))
@@ -105,7 +104,7 @@
 	for _, name := range names {
 		plan := set.Plans[name]
 		if plan.Rate <= 0 {
-			continue // it has no quota in units that could be passed; a cap on shots out is not bounded here
+			continue // it has no quota in units that could be passed; a cap on attempts out is not bounded here
 		}
 		for _, c := range []struct {
 			c     Case
--- a/internal/countloss/countloss_test.go
+++ b/internal/countloss/countloss_test.go
@@ -11,7 +11,7 @@
 var department = &choice.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40}
 var basic = &choice.Plan{Rate: 2, Burst: 8}
 
-func TestLostIsTheSlicesLargestJobs(t *testing.T) {
+func TestLostIsTheSlicesLargestRequests(t *testing.T) {
 	// 4 limiters whose slices are two equal parts each: 40 at once and 20 a second against 20 and 10.
 	b, err := Of("department", department, 6, 4, Lost, 1)
 	if err != nil || b.AtOnce != 20 || b.ASecond != 10 || b.Ceiling != 0 {
--- a/internal/lab/census/census.go
+++ b/internal/lab/census/census.go
@@ -50,7 +50,7 @@
 		}
 		name, rest := line[found[2]:found[3]], line[found[1]:]
 		switch name {
-		case "jobs", "turned-away": // lines of counts
+		case "requests", "turned-away": // lines of counts
 			for _, f := range figure.FindAllStringSubmatch(rest, -1) {
 				if n, err := strconv.ParseInt(f[2], 10, 64); err == nil && n > 0 {
 					c.add(name+" "+f[1], limiter, n)
--- a/internal/lab/census/census_test.go
+++ b/internal/lab/census/census_test.go
@@ -9,10 +9,10 @@
 func TestCensus(t *testing.T) {
 	c := New()
 	for name, log := range map[string]string{
-		"n0": "1.2 2026/12/01 10:00:00 event=jobs taken=9 done=5 plan=0 room=3 ceiling=1\nnoise\n" +
+		"n0": "1.2 2026/12/01 10:00:00 event=requests taken=9 done=5 plan=0 room=3 ceiling=1\nnoise\n" +
 			"event=list-turned-away status=503\nevent=list-turned-away status=503\n" +
-			"event=decision text=\"server s-1 is silent, set aside\"\nevent=jobs taken=2 room=2\n",
-		"n1": "event=jobs taken=4 room=4 quota=99999999999999999999\nevent=decision text=\"odd\"\n" +
+			"event=decision text=\"server s-1 is silent, set aside\"\nevent=requests taken=2 room=2\n",
+		"n1": "event=requests taken=4 room=4 quota=99999999999999999999\nevent=decision text=\"odd\"\n" +
 			"event=decision text=\"server s-2 is silent, set aside\"\n",
 	} {
 		if err := c.Read(name, strings.NewReader(log)); err != nil {
@@ -20,14 +20,14 @@
 		}
 	}
 	for _, want := range []Row{
-		{"jobs taken", 15, 2, 11, "n0"}, {"jobs room", 9, 2, 5, "n0"}, {"jobs ceiling", 1, 1, 1, "n0"},
+		{"requests taken", 15, 2, 11, "n0"}, {"requests room", 9, 2, 5, "n0"}, {"requests ceiling", 1, 1, 1, "n0"},
 		{"list-turned-away", 2, 1, 2, "n0"}, {"server is silent, set aside", 2, 2, 1, "n0"}, {"decision", 1, 1, 1, "n1"},
 	} {
 		if rows := c.Rows(); !slices.Contains(rows, want) {
 			t.Errorf("no %+v in %+v", want, rows)
 		}
 	}
-	if rows := c.Rows(); rows[0].Name != "jobs taken" || slices.ContainsFunc(rows, func(r Row) bool { return r.Name == "jobs quota" }) {
+	if rows := c.Rows(); rows[0].Name != "requests taken" || slices.ContainsFunc(rows, func(r Row) bool { return r.Name == "requests quota" }) {
 		t.Errorf("%+v", rows)
 	}
 	if err := New().Read("n2", strings.NewReader(strings.Repeat("x", 2<<20))); err == nil {
--- a/internal/lab/rig/renew_test.go
+++ b/internal/lab/rig/renew_test.go
@@ -83,7 +83,7 @@
 	time.Sleep(50 * time.Millisecond) // the connection rests
 	r.Renew(func(next *settings.Config) {
 		other := set
-		other.CounterWait, other.MostShots = 0, 9
+		other.CounterWait, other.MostAttempts = 0, 9
 		other.Tracks = map[string]*choice.Track{"read": set.Tracks["read"], "new": set.Tracks["read"], "keyed": {Agreed: 1, Benefit: 1}}
 		other.Plans = map[string]*choice.Plan{"plain": {}}
 		next.Counter, next.Sockets = "", 64
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -62,7 +62,7 @@
 			},
 			Plans:     map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, Benefit: 1}},
 			MostUnits: 64, LongestLease: 60 * second, Limiters: 1, ColdFrom: 0.5, WarmWithin: 10 * second,
-			DialTimeout: second / 4, MostShots: 3, MostAdvice: 2 * second, Cancelling: true, Granularity: 4e6}}}
+			DialTimeout: second / 4, MostAttempts: 3, MostAdvice: 2 * second, Cancelling: true, Granularity: 4e6}}}
 }
 
 var starting sync.Mutex
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -27,13 +27,13 @@
 	wrote   int64         // when it was last written to
 	used    int64         // when its present command began, or its last one was answered
 	half    bool          // a command has begun and is not whole
-	regular bool          // it has brought a job
+	regular bool          // it has brought a request
 	place   *list.Element // among the strangers or the regulars
 }
 
 type answer struct {
-	job  *job // nil where the limiter itself answers
-	text []byte
+	request *request // nil where the limiter itself answers
+	text    []byte
 }
 
 func (l *Limiter) accept(id ID) {
@@ -49,10 +49,10 @@
 func MostClients(config *settings.Config) int { return config.Sockets / clientShare }
 
 // crowded: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and where
-// each keeps its connection after one job, only as many jobs come as connections are closed.
+// each keeps its connection after one request, only as many requests come as connections are closed.
 func (l *Limiter) crowded() bool { return l.clients >= l.config.Sockets/clientRoom }
 
-// makeRoom closes clients' connections without an open job, so that others can come: first those that never brought
+// makeRoom closes clients' connections without an open request, so that others can come: first those that never brought
 // one and had time to, then the one idle longest.
 func (l *Limiter) makeRoom() {
 	since := l.now - l.set.DialTimeout/settled
@@ -126,9 +126,9 @@
 	if len(cl.answers) > 0 && l.conns[cl.c.id] == cl.c {
 		l.at(max(cl.since+mayClose, l.now+l.set.DialTimeout), func() {
 			for len(cl.answers) > 0 && l.conns[cl.c.id] == cl.c {
-				j := cl.answers[0].job
-				l.owed = append(l.owed, owed{left: j.id})
-				l.move(j, WrittenOff, writtenOff)
+				q := cl.answers[0].request
+				l.owed = append(l.owed, owed{left: q.id})
+				l.move(q, WrittenOff, writtenOff)
 			}
 		})
 	}
@@ -187,9 +187,9 @@
 		l.seen.unread++
 	}
 	for _, a := range cl.answers {
-		if a.job != nil && a.job.state == Taken {
-			l.move(a.job, Left, nil)
-			l.owed = append(l.owed, owed{left: a.job.id})
+		if a.request != nil && a.request.state == Taken {
+			l.move(a.request, Left, nil)
+			l.owed = append(l.owed, owed{left: a.request.id})
 		}
 	}
 }
@@ -244,7 +244,7 @@
 	cl.answer(a, []byte(text+"\r\n"))
 }
 
-// busy rejects a job that nothing was done for: another limiter may take it soon.
+// busy rejects a request that nothing was done for: another limiter may take it soon.
 func (cl *client) busy() {
 	text := "-BUSY"
 	if after := min(cl.l.set.DialTimeout, cl.l.set.MostAdvice); after > 0 {
@@ -257,7 +257,7 @@
 	l := cl.l
 	switch string(bytes.ToUpper(words[0])) {
 	case "SVC.QUERY", "SVC.SUBMIT":
-		cl.job(words)
+		cl.request(words)
 	case "PING":
 		if l.ready {
 			cl.own("+PONG")
@@ -275,15 +275,15 @@
 	cl.own("-ERR " + why)
 }
 
-// job hands a job to the module, or answers what no module can make sense of.
-func (cl *client) job(words [][]byte) {
+// request hands a request to the module, or answers what no module can make sense of.
+func (cl *client) request(words [][]byte) {
 	l := cl.l
 	if len(words) < 4 || len(words) > 5 {
 		cl.fault("wrong number of arguments")
 		return
 	}
 	arrival, before, past, fault := l.arrival(words)
-	if fault == "" && l.jobs[arrival.ID] != nil {
+	if fault == "" && l.requests[arrival.ID] != nil {
 		fault = "id is in use"
 	}
 	if fault != "" {
@@ -292,7 +292,8 @@
 	}
 	age := l.age()
 	if cl.closing || l.leaves(arrival.Budget) || arrival.Budget <= age {
-		// A connection that is never without an open job would never end, nor would the process; or the client's time is over.
+		// A connection that is never without an open request would never end, nor would the process; or the client's time is
+		// over.
 		cl.busy()
 		return
 	}
@@ -309,14 +310,14 @@
 	cl.touch()
 	a := &answer{}
 	cl.answers = append(cl.answers, a)
-	a.job = l.take(cl, a, words, before, past, arrival.Budget)
+	a.request = l.take(cl, a, words, before, past, arrival.Budget)
 	if t := l.set.Tracks[arrival.Track]; t.Effect == choice.Keyed {
-		a.job.repeats, a.job.group = t.Repeats, t.Group
+		a.request.repeats, a.request.group = t.Repeats, t.Group
 	}
-	l.logic.Job(l.now, arrival)
+	l.logic.Request(l.now, arrival)
 }
 
-// arrival reads a job's command; before and past enclose the time in its list of names and values. It is as strict as
+// arrival reads a request's command; before and past enclose the time in its list of names and values. It is as strict as
 // the protocol: what a server turns away costs that server's connection and its standing, and what is not so may spoil
 // the record of a customer that others share.
 func (l *Limiter) arrival(words [][]byte) (a choice.Arrival, before, past int, fault string) {
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -36,7 +36,7 @@
 				default:
 					require.Regexp(t, "^-BUSY [0-9]+\r\n$", got)
 				}
-				require.Empty(t, l.jobs)
+				require.Empty(t, l.requests)
 			}
 		}
 	}
@@ -83,17 +83,17 @@
 				logic := choice.New(born, &choice.Settings{Tracks: map[string]*choice.Track{"read": {Agreed: second, Benefit: 1}},
 					Plans:       map[string]*choice.Plan{"p": {Rate: rate, Burst: burst, CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
 					CounterWait: second / 20, MostUnits: 1, LongestLease: 60 * second, Limiters: spread, ColdFrom: 1, WarmWithin: 1,
-					DialTimeout: second / 4, MostShots: 1, Granularity: 4e6}, 1, d)
+					DialTimeout: second / 4, MostAttempts: 1, Granularity: 4e6}, 1, d)
 				logic.Members(born, true, []choice.Entry{{ID: "s"}})
 				now := born + second/starts - 1
 				for i := range 4 * burst {
 					id := strconv.Itoa(i)
-					logic.Job(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Track: "read", Units: 1, Spread: spread})
+					logic.Request(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Track: "read", Units: 1, Spread: spread})
 					for ; len(d.names) > 0; d.names = d.names[1:] {
 						logic.Counted(now, d.names[0], choice.Unconnected, 0)
 					}
 					if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
-						logic.Answer(now, choice.Reply{Job: id, Outcome: choice.Done, Took: 1e7, Final: true})
+						logic.Answer(now, choice.Reply{Request: id, Outcome: choice.Done, Took: 1e7, Final: true})
 					}
 				}
 				total += len(d.sent)
--- a/internal/limiter/ends.go
+++ b/internal/limiter/ends.go
@@ -11,15 +11,15 @@
 	PeerClosed            // the other side ended it
 	PeerReset             // the other side broke it off
 	Garbled               // we ended it: what came was not understood
-	CalledOff             // we ended it: the module called the shot off
-	TimeOver              // we ended it: the job's time was over
+	CalledOff             // we ended it: the module called the attempt off
+	TimeOver              // we ended it: the request's time was over
 	Silent                // we ended it: nothing came for too long
 	Unused                // we ended it: it was idle, or there was need of its descriptor
 	NoRoom                // it was not opened: there was no descriptor left for it
 	Overrun               // we ended it: the client does not read its answers
 )
 
-// outcome is the one place where the end of a connection becomes the outcome of a shot that was out on it. A shot
+// outcome is the one place where the end of a connection becomes the outcome of an attempt that was out on it. An attempt
 // is whole once the kernel has taken its last byte: it may have run then. One that is not whole never ran.
 func (e End) outcome(whole bool) choice.Outcome {
 	switch {
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -2,7 +2,7 @@
 //
 // Step takes what happened on the sockets, one happening at a time and always on the same goroutine. It turns it
 // into calls on the module (package choice), does what the module asks for, and asks for effects on the sockets.
-// It decides nothing about jobs: those decisions all stand in choice/choice.go.
+// It decides nothing about requests: those decisions all stand in choice/choice.go.
 package limiter
 
 import (
@@ -95,8 +95,8 @@
 	logic    *choice.Limiter
 	now      int64
 	conns    map[ID]*conn
-	jobs     map[string]*job
-	held     int64 // bytes of the commands in jobs
+	requests map[string]*request
+	held     int64 // bytes of the commands in requests
 	buffered int64 // bytes of the connections' buffers
 	owed     []owed
 	timers   timers
@@ -106,7 +106,7 @@
 	backends int   // connections to servers
 	keep     int64 // how long a connection to a server may be idle and be used again
 	clients  int
-	// Clients' connections that have brought no job yet, the oldest first, and the others, the one used last at the end.
+	// Clients' connections that have brought no request yet, the oldest first, and the others, the one used last at the end.
 	strangers, regulars list.List
 	seen                seen
 	tolls               tolls
@@ -142,10 +142,10 @@
 	serverShare  = 4   // and one in so many for servers
 	heldShare    = 8   // one byte of memory in so many may hold commands, as many parts of them, as many answers that wait
 	sweeps       = 32  // looks at idle connections in the time after which a server closes them
-	tollEvery    = 3   // what became of jobs is logged so many times in it
+	tollEvery    = 3   // what became of requests is logged so many times in it
 	crowdLooks   = 8   // looks at clients in a dial time-out while there are many
 	settled      = 4   // a client that said nothing for this part of a dial time-out may be closed to make room
-	mayClose     = 2e9 // a client's connection without an open job may be closed from then on
+	mayClose     = 2e9 // a client's connection without an open request may be closed from then on
 	idleShare    = 2   // an idle connection is closed after this part of that time
 	lingers      = 500e6
 	lastLook     = 200e6 // so long after that no byte of a client is on its way to us
@@ -158,7 +158,7 @@
 	keepMore     = 16   // and lengthened by this part when one still serves near its end, and with each look
 	rests        = 8    // ticks of the clock for which one has to be idle before its next command
 	prompt       = 8    // an end within this part of a dial time-out is the answer to the command's first byte
-	mostID       = 64   // bytes of a job's id
+	mostID       = 64   // bytes of a request's id
 	mostPipeline = 1024 // commands that may wait on one client's connection
 )
 
@@ -170,7 +170,7 @@
 // NewStated makes a limiter that starts by what operators state beside its configuration.
 func NewStated(now int64, config *settings.Config, stated Stated, effects Effects) (*Limiter, error) {
 	l := &Limiter{config: config, set: config.Settings, effects: effects, now: now, conns: map[ID]*conn{},
-		jobs: map[string]*job{}, pools: map[string]*pool{}}
+		requests: map[string]*request{}, pools: map[string]*pool{}}
 	l.counter.l, l.counter.heard, l.watch.l = l, now, l
 	l.keep = l.set.IdleClose / idleShare
 	l.watch.pace = inquiry.New(now, l.set.DialTimeout, max(l.set.Position, 0), l.set.AskEvery)
@@ -252,7 +252,7 @@
 // close lets the module add what it owes to the counter, once the process is to end and nothing is out; again if a request came
 // after all.
 func (l *Limiter) close() {
-	if l.stopping != 0 && l.now >= l.stopping && len(l.jobs) == 0 && !l.settled {
+	if l.stopping != 0 && l.now >= l.stopping && len(l.requests) == 0 && !l.settled {
 		l.settled = true
 		l.logic.Closing(l.now)
 		l.tell()
@@ -434,7 +434,7 @@
 		return
 	}
 	l.stopping = l.now + lingers
-	log.Printf("event=stopping jobs=%d clients=%d", len(l.jobs), l.clients)
+	log.Printf("event=stopping requests=%d clients=%d", len(l.requests), l.clients)
 	l.at(l.stopping, func() {
 		for _, c := range l.byID() {
 			if cl, is := c.party.(*client); is {
@@ -446,7 +446,7 @@
 	l.at(l.stopping+holdFor+1, func() {})
 }
 
-// leaves: what the process takes now it may not be able to answer. A job that came late is lost if the process is
+// leaves: what the process takes now it may not be able to answer. A request that came late is lost if the process is
 // killed first.
 func (l *Limiter) leaves(budget int64) bool {
 	since := l.now - (l.stopping - lingers)
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -80,9 +80,9 @@
 		Settings: &settings.Settings{IdleClose: 15 * second, AskEvery: every, Settings: &choice.Settings{
 			Tracks: map[string]*choice.Track{"read": {Agreed: second}, "write": {Agreed: second, Effect: choice.NonIdempotent}},
 			Plans:  map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
-			// With one limiter and large jobs the first room holds several of them.
+			// With one limiter and large requests the first room holds several of them.
 			CounterWait: second / 20, MostUnits: 8, LongestLease: 60 * second, Limiters: 1, Position: position, ColdFrom: 0.25,
-			WarmWithin: 10 * second, DialTimeout: second / 4, MostShots: 3, MostAdvice: second, Granularity: second / 250,
+			WarmWithin: 10 * second, DialTimeout: second / 4, MostAttempts: 3, MostAdvice: second, Granularity: second / 250,
 		}}}, w)
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 	l.Step(now, Happening{Kind: Readable, Conn: id, Size: len(text)})
 }
 
-// command is a job with so many milliseconds left.
+// command is a request with so many milliseconds left.
 func command(id, track, left string) string {
 	list := "c=" + track + ",t=plain,d=" + left + ",units=2,spread=1,first=0"
 	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(list)}
@@ -111,7 +111,7 @@
 	return string(resp.AppendCommand(nil, words...))
 }
 
-// dialling is a limiter with one job, whose shot waits for its connection.
+// dialling is a limiter with one request, whose attempt waits for its connection.
 func dialling(t *testing.T, track string) (*Limiter, *wire, ID) { return diallingFor(t, track, "480") }
 
 func diallingFor(t *testing.T, track, left string) (*Limiter, *wire, ID) {
@@ -125,7 +125,7 @@
 	return l, w, w.last
 }
 
-// sent is the same with the shot written.
+// sent is the same with the attempt written.
 func sent(t *testing.T, track string) (*Limiter, *wire, ID) {
 	t.Helper()
 	return sentFor(t, track, "480")
@@ -157,7 +157,7 @@
 	} {
 		t.Run(c.end.String(), func(t *testing.T) {
 			if part, whole := c.end.outcome(false), c.end.outcome(true); part != c.part || whole != c.whole {
-				t.Fatalf("outcome %d, of a whole shot %d", part, whole)
+				t.Fatalf("outcome %d, of a whole attempt %d", part, whole)
 			}
 			want := choice.TimedOut
 			if c.end == PeerClosed || c.end == PeerReset || c.end == Garbled {
@@ -209,8 +209,8 @@
 			}
 			w.pass(l, second/100)
 			expect(t, w.wrote[visitor], c.out)
-			if slices.Contains(w.closed, visitor) != c.closed || w.wrote[counting] != counted || len(l.jobs) > 0 {
-				t.Fatalf("closed %v, counted %q, jobs %d", w.closed, w.wrote[counting], len(l.jobs))
+			if slices.Contains(w.closed, visitor) != c.closed || w.wrote[counting] != counted || len(l.requests) > 0 {
+				t.Fatalf("closed %v, counted %q, requests %d", w.closed, w.wrote[counting], len(l.requests))
 			}
 		})
 	}
@@ -261,7 +261,7 @@
 	expect(t, w.wrote[id], command("j", "read", "380")) // all as the client sent it, but for the time that is left
 }
 
-func TestShotEnds(t *testing.T) {
+func TestAttemptEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(l *Limiter, w *wire, id ID)
@@ -297,8 +297,8 @@
 			if got := w.wrote[visitor]; !strings.HasPrefix(got, c.out) || strings.Count(got, "\r\n") != strings.Count(c.out+"\r\n", "\r\n")-strings.Count(c.out, "v\r\n") {
 				t.Fatalf("client got %q, want %q", got, c.out)
 			}
-			if len(l.jobs) > 0 || l.held != 0 {
-				t.Fatalf("%d jobs and %d bytes are held", len(l.jobs), l.held)
+			if len(l.requests) > 0 || l.held != 0 {
+				t.Fatalf("%d requests and %d bytes are held", len(l.requests), l.held)
 			}
 		})
 	}
@@ -388,7 +388,7 @@
 	})
 }
 
-// A job may end while its shot waits for the connection. Sent then, it would run for nobody, or twice.
+// A request may end while its attempt waits for the connection. Sent then, it would run for nobody, or twice.
 func TestUp(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -403,28 +403,28 @@
 			c.end(l)
 			l.Step(c.now, Happening{Kind: Connected, Conn: id})
 			expect(t, w.wrote[id], "")
-			if b := l.pools["s"]; len(b.idle) != 1 || len(l.jobs) > 1 {
-				t.Fatalf("%d idle connections, %d jobs", len(b.idle), len(l.jobs))
+			if b := l.pools["s"]; len(b.idle) != 1 || len(l.requests) > 1 {
+				t.Fatalf("%d idle connections, %d requests", len(b.idle), len(l.requests))
 			}
 		})
 	}
 }
 
 func TestMove(t *testing.T) {
-	t.Run("what is only partly in the kernel is not finished for a job that has ended", func(t *testing.T) {
+	t.Run("what is only partly in the kernel is not finished for a request that has ended", func(t *testing.T) {
 		l, w, id := sent(t, "write")
 		w.kernel[id] = 5
 		l.Step(0, Happening{Kind: Ended, Conn: visitor, End: PeerClosed})
-		if !slices.Contains(w.closed, id) || len(l.jobs) > 0 {
-			t.Fatalf("closed %v, %d jobs", w.closed, len(l.jobs))
+		if !slices.Contains(w.closed, id) || len(l.requests) > 0 {
+			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
 		}
 	})
 	t.Run("what is whole may come to its end", func(t *testing.T) {
 		l, w, id := sent(t, "write")
 		l.Step(0, Happening{Kind: Ended, Conn: visitor, End: PeerClosed})
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if slices.Contains(w.closed, id) || len(l.pools["s"].idle) != 1 || len(l.jobs) > 0 {
-			t.Fatalf("closed %v, %d jobs", w.closed, len(l.jobs))
+		if slices.Contains(w.closed, id) || len(l.pools["s"].idle) != 1 || len(l.requests) > 0 {
+			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
 		}
 	})
 }
@@ -433,8 +433,8 @@
 	l, w, id := sent(t, "write")
 	w.pass(l, second/2)
 	expect(t, w.wrote[visitor], string(writtenOff))
-	if !slices.Contains(w.closed, id) || len(l.jobs) > 0 || l.backends != 0 {
-		t.Fatalf("closed %v, %d jobs, %d connections", w.closed, len(l.jobs), l.backends)
+	if !slices.Contains(w.closed, id) || len(l.requests) > 0 || l.backends != 0 {
+		t.Fatalf("closed %v, %d requests, %d connections", w.closed, len(l.requests), l.backends)
 	}
 }
 
@@ -490,7 +490,7 @@
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
-	// Told with each call, a crowded counter wrote a line a job into the log.
+	// Told with each call, a crowded counter wrote a line a request into the log.
 	t.Run("the counter is down once nothing was answered for long, and up with the first answer", func(t *testing.T) {
 		l, w := made(t)
 		for _, c := range []struct {
@@ -755,8 +755,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := dialling(t, "write")
 			w.say(l, 0, watching, httpAnswer(c.list))
-			if !slices.Contains(w.closed, id) || len(l.jobs) > 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
-				t.Fatalf("closed %v, %d jobs, client got %q", w.closed, len(l.jobs), w.wrote[visitor])
+			if !slices.Contains(w.closed, id) || len(l.requests) > 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
+				t.Fatalf("closed %v, %d requests, client got %q", w.closed, len(l.requests), w.wrote[visitor])
 			}
 		})
 	}
@@ -772,10 +772,10 @@
 		{"nothing, for a while", "", "", mayClose / 2, false},
 		{"nothing", "", "", mayClose, true},
 		{"half a command", "*1\r\n$4\r\nPI", "-ERR too slow\r\n", mayClose, true},
-		{"no job", "*1\r\n$4\r\nECHO\r\n", "-ERR unknown command\r\n", mayClose, true},
-		{"a job, and its answer is not there yet", command("j", "read", "9000"), "", 3 * mayClose, false},
-		{"a job, and nonsense", command("j", "read", "9000") + "?", "-ERR written off\r\n-ERR malformed\r\n", mayClose, true},
-		{"a job that was answered", "done", "$1\r\nv\r\n", mayClose, false},
+		{"no request", "*1\r\n$4\r\nECHO\r\n", "-ERR unknown command\r\n", mayClose, true},
+		{"a request, and its answer is not there yet", command("j", "read", "9000"), "", 3 * mayClose, false},
+		{"a request, and nonsense", command("j", "read", "9000") + "?", "-ERR written off\r\n-ERR malformed\r\n", mayClose, true},
+		{"a request that was answered", "done", "$1\r\nv\r\n", mayClose, false},
 		{"the same, long ago", "done", "$1\r\nv\r\n", 15 * second, true},
 		{"half a command behind it", "done half", "$1\r\nv\r\n-ERR too slow\r\n", mayClose, true},
 	} {
@@ -803,7 +803,7 @@
 }
 
 // Newcomers past the limit wait in the kernel, the usual clients among them; and where each client keeps its connection
-// after one job, they can open no more.
+// after one request, they can open no more.
 func TestMakeRoom(t *testing.T) {
 	l, w, id := sent(t, "read")
 	w.say(l, 1, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
@@ -840,7 +840,7 @@
 func TestFreeBackend(t *testing.T) {
 	l, w, id := sent(t, "read")
 	l.backends = l.config.Sockets / serverShare
-	t.Run("a shot without a descriptor was never sent", func(t *testing.T) {
+	t.Run("an attempt without a descriptor was never sent", func(t *testing.T) {
 		if l.freeBackend() || l.pools["s"].backend() != nil {
 			t.Fatal("a connection in use was given away")
 		}
@@ -1020,13 +1020,13 @@
 		w.pass(l, lingers-1)
 		return l, w, id
 	}
-	t.Run("a client that is never without an open job comes to its end", func(t *testing.T) {
+	t.Run("a client that is never without an open request comes to its end", func(t *testing.T) {
 		l, w, id := stopped()
 		w.pass(l, lingers)
 		counted := w.wrote[counting]
 		w.say(l, lingers, visitor, command("k", "read", "480"))
-		require.True(t, w.wrote[visitor] == "" && len(l.jobs) == 1 && w.wrote[counting] == counted,
-			"wrote %q, %d jobs", w.wrote[visitor], len(l.jobs))
+		require.True(t, w.wrote[visitor] == "" && len(l.requests) == 1 && w.wrote[counting] == counted,
+			"wrote %q, %d requests", w.wrote[visitor], len(l.requests))
 		w.say(l, lingers, id, answer)
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n"+busy)
 		require.True(t, slices.Contains(w.closed, visitor), "closed %v", w.closed)
@@ -1052,15 +1052,15 @@
 		{"late, and it ends before the process", "1500", second, true},
 		{"late, and it may not", "3000", second, false},
 	} {
-		t.Run("a job that comes "+c.name, func(t *testing.T) {
+		t.Run("a request that comes "+c.name, func(t *testing.T) {
 			l, w, id := stopped()
 			w.say(l, lingers-1, id, answer)
 			w.pass(l, lingers+1)
 			l.Step(lingers+1, Happening{Kind: Accepted, Conn: visitor + 1})
 			w.pass(l, c.at)
 			w.say(l, c.at, visitor+1, command("k", "read", c.left))
-			require.True(t, len(l.jobs) == 1 == c.taken && (w.wrote[visitor+1] == busy) != c.taken,
-				"%d jobs, wrote %q", len(l.jobs), w.wrote[visitor+1])
+			require.True(t, len(l.requests) == 1 == c.taken && (w.wrote[visitor+1] == busy) != c.taken,
+				"%d requests, wrote %q", len(l.requests), w.wrote[visitor+1])
 		})
 	}
 	t.Run("a command that has come in the moment of closing is answered first", func(t *testing.T) {
@@ -1086,7 +1086,7 @@
 	})
 }
 
-// A process that stood still has old timers, old jobs and an old list.
+// A process that stood still has old timers, old requests and an old list.
 func TestWoken(t *testing.T) {
 	drains := httpAnswer(strings.Replace(strings.Replace(known, "7", "8", 1), "in_service", "terminating", 1))
 	nothing := httpAnswer(`{"generation":7,"instances":[]}`)
@@ -1099,7 +1099,7 @@
 		}
 		return n
 	}
-	// asked wakes the limiter with the bytes and lets it take the new job at the counter.
+	// asked wakes the limiter with the bytes and lets it take the new request at the counter.
 	asked := func(t *testing.T, left string) (*Limiter, *wire) {
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
@@ -1113,21 +1113,21 @@
 		require.True(t, strings.Contains(w.wrote[id], "from=7&hold_ms=1 "), "wrote %q", w.wrote[id])
 		w.say(l, woken+1, id, text)
 	}
-	t.Run("a job whose client has waited for longer is not sent", func(t *testing.T) {
+	t.Run("a request whose client has waited for longer is not sent", func(t *testing.T) {
 		_, w := asked(t, "9999")
 		expect(t, w.wrote[visitor], "-BUSY 250\r\n")
 	})
 	t.Run("others have what is left, and nothing is sent before the list is heard", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		require.True(t, servers(w) == 0 && l.jobs["k"].cutOff == woken+480*second/1000,
-			"%d dials, cut-off %d", servers(w), l.jobs["k"].cutOff)
+		require.True(t, servers(w) == 0 && l.requests["k"].cutOff == woken+480*second/1000,
+			"%d dials, cut-off %d", servers(w), l.requests["k"].cutOff)
 		hear(l, w, nothing)
 		require.True(t, servers(w) == 1, "%d dials", servers(w))
 	})
 	t.Run("nor at all where its server drains", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		if hear(l, w, drains); servers(w) != 0 || len(l.jobs) != 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
-			t.Fatalf("%d dials, %d jobs, client got %q", servers(w), len(l.jobs), w.wrote[visitor])
+		if hear(l, w, drains); servers(w) != 0 || len(l.requests) != 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
+			t.Fatalf("%d dials, %d requests, client got %q", servers(w), len(l.requests), w.wrote[visitor])
 		}
 	})
 	t.Run("a list service that is down stops nothing", func(t *testing.T) {
@@ -1155,23 +1155,23 @@
 		w.say(l, woken, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n")
 	})
-	t.Run("a shot decided on before is not sent", func(t *testing.T) {
+	t.Run("an attempt decided on before is not sent", func(t *testing.T) {
 		l, w, id := diallingFor(t, "read", "20000")
 		l.Step(woken, Happening{Kind: Connected, Conn: id})
 		expect(t, w.wrote[id], "")
 	})
 	t.Run("a repeat past the window in which servers know it is not sent", func(t *testing.T) {
 		l, w, id := dialling(t, "read")
-		j := l.jobs["j"]
-		j.repeats, j.shots = second/5, []*shot{{job: j, at: 0, last: 1}, j.shots[0]}
-		j.shots[1].number = 1
+		q := l.requests["j"]
+		q.repeats, q.attempts = second/5, []*attempt{{request: q, at: 0, last: 1}, q.attempts[0]}
+		q.attempts[1].number = 1
 		l.Step(second/5, Happening{Kind: Connected, Conn: id})
 		expect(t, w.wrote[id], "")
 	})
-	t.Run("a cancelled shot that waits for the list has ended", func(t *testing.T) {
+	t.Run("a cancelled attempt that waits for the list has ended", func(t *testing.T) {
 		l, w := asked(t, "10480")
 		l.Cancel("k", 0)
 		hear(l, w, nothing)
-		require.True(t, servers(w) <= 1 && (l.jobs["k"] == nil || !l.jobs["k"].shots[0].open), "%d dials", servers(w))
+		require.True(t, servers(w) <= 1 && (l.requests["k"] == nil || !l.requests["k"].attempts[0].open), "%d dials", servers(w))
 	})
 }
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -28,14 +28,14 @@
 // backend is one connection to a server, with at most one command out on it: one behind another would wait for the
 // other's answer.
 type backend struct {
-	pool   *pool
-	to     string // the address
-	c      *conn
-	shot   *shot
-	probe  *timer // until when the probe that is out must be answered, nil if none is
-	half   *timer // until when an answer that has begun must be whole
-	rested int64  // how long it had been idle before the command that is out, 0 where it is new
-	wrote  int64  // when that was written
+	pool    *pool
+	to      string // the address
+	c       *conn
+	attempt *attempt
+	probe   *timer // until when the probe that is out must be answered, nil if none is
+	half    *timer // until when an answer that has begun must be whole
+	rested  int64  // how long it had been idle before the command that is out, 0 where it is new
+	wrote   int64  // when that was written
 }
 
 var (
@@ -104,14 +104,14 @@
 	}
 }
 
-func (p *pool) send(s *shot) {
+func (p *pool) send(att *attempt) {
 	l := p.l
 	begin := func(b *backend) {
-		b.shot, s.backend = s, b
-		s.limit = l.at(s.job.cutOff, func() { l.over(s.backend.c, TimeOver) })
+		b.attempt, att.backend = att, b
+		att.limit = l.at(att.request.cutOff, func() { l.over(att.backend.c, TimeOver) })
 	}
 	if !p.use(begin) {
-		l.endShot(s, choice.Reply{Outcome: NoRoom.outcome(false)})
+		l.endAttempt(att, choice.Reply{Outcome: NoRoom.outcome(false)})
 	}
 }
 
@@ -127,13 +127,13 @@
 
 func (b *backend) up() {
 	l := b.pool.l
-	if s := b.shot; s != nil && (s.job.state != Taken || l.now >= s.job.cutOff || b.pool.leaving || s.stale()) {
-		// The job has ended while its connection came up, and nothing may be sent for it any more, or it is too late for this
-		// shot: it was decided on before the process stood still.
-		b.shot = nil
-		l.endShot(s, choice.Reply{Outcome: TimeOver.outcome(false)})
+	if att := b.attempt; att != nil && (att.request.state != Taken || l.now >= att.request.cutOff || b.pool.leaving || att.stale()) {
+		// The request has ended while its connection came up, and nothing may be sent for it any more, or it is too late for this
+		// attempt: it was decided on before the process stood still.
+		b.attempt = nil
+		l.endAttempt(att, choice.Reply{Outcome: TimeOver.outcome(false)})
 	}
-	if b.shot == nil && b.probe == nil {
+	if b.attempt == nil && b.probe == nil {
 		b.rest()
 		return
 	}
@@ -141,16 +141,16 @@
 	if b.probe != nil {
 		l.scratch = resp.AppendCommand(l.scratch, []byte("SELECT"), []byte("0"))
 	} else {
-		l.scratch = b.shot.job.command(l.scratch, l.now)
+		l.scratch = b.attempt.request.command(l.scratch, l.now)
 	}
 	l.write(b.c, l.scratch)
 	b.wrote = l.now
-	if s := b.shot; s != nil {
-		s.last, s.place = b.c.sent, b.pool.place
-		if l.effects.Written(b.c.id) < s.last && s.known() < math.MaxInt64 {
-			// The kernel has a part of a repeat, which must not become whole once servers do not know the job again.
-			l.at(s.known(), func() {
-				if s.open && l.effects.Written(b.c.id) < s.last {
+	if att := b.attempt; att != nil {
+		att.last, att.place = b.c.sent, b.pool.place
+		if l.effects.Written(b.c.id) < att.last && att.known() < math.MaxInt64 {
+			// The kernel has a part of a repeat, which must not become whole once servers do not know the request again.
+			l.at(att.known(), func() {
+				if att.open && l.effects.Written(b.c.id) < att.last {
 					l.over(b.c, TimeOver)
 				}
 			})
@@ -172,12 +172,12 @@
 	if len(bytes) == 0 {
 		return 0, nil
 	}
-	l, s := b.pool.l, b.shot
+	l, att := b.pool.l, b.attempt
 	parse := resp.ReadAnswer
 	switch {
 	case b.probe != nil:
 		parse = resp.Read
-	case s == nil:
+	case att == nil:
 		return 0, errUnasked
 	}
 	v, n, err := parse(bytes)
@@ -185,13 +185,13 @@
 		return 0, err
 	}
 	if n == 0 {
-		// The rest of a good answer is right behind; a spoilt one would hold its job until the cut-off.
+		// The rest of a good answer is right behind; a spoilt one would hold its request until the cut-off.
 		if b.half == nil {
 			b.half = l.at(l.now+l.set.DialTimeout, func() { l.over(b.c, Garbled) })
 		}
 		return 0, nil
 	}
-	early := s != nil && l.effects.Written(b.c.id) < s.last
+	early := att != nil && l.effects.Written(b.c.id) < att.last
 	l.timers.drop(b.half)
 	b.half = nil
 	if b.rested > l.keep/2 {
@@ -207,10 +207,10 @@
 			return 0, errEarly
 		}
 		if reply.Outcome == choice.Done {
-			l.move(s.job, Done, resp.AppendBulk(nil, value))
+			l.move(att.request, Done, resp.AppendBulk(nil, value))
 		}
-		b.shot = nil
-		l.endShot(s, reply)
+		b.attempt = nil
+		l.endAttempt(att, reply)
 	}
 	if early {
 		l.over(b.c, CalledOff) // the rest of the command must not follow
@@ -256,14 +256,14 @@
 }
 
 func (b *backend) ended(end End, written int64) {
-	l, s := b.pool.l, b.shot
+	l, att := b.pool.l, b.attempt
 	l.backends--
 	b.pool.held--
 	l.timers.drop(b.half)
 	if i := slices.Index(b.pool.idle, b); i >= 0 {
 		b.pool.idle = slices.Delete(b.pool.idle, i, i+1)
 	}
-	if (s != nil || b.probe != nil) && end != Refused && end != Garbled {
+	if (att != nil || b.probe != nil) && end != Refused && end != Garbled {
 		// What is still idle may be as dead, where a machine has vanished and says nothing: a command on it might
 		// have run for all we know, while one for which no connection comes up has not. One that writes nonsense
 		// is not dead.
@@ -272,13 +272,13 @@
 	if end == Garbled {
 		l.seen.garbled++
 	}
-	if (end == PeerReset || end == PeerClosed) && s != nil && b.rested > 0 && b.half == nil && l.now-b.wrote <= l.set.DialTimeout/prompt {
+	if (end == PeerReset || end == PeerClosed) && att != nil && b.rested > 0 && b.half == nil && l.now-b.wrote <= l.set.DialTimeout/prompt {
 		// It had ended before the command came, and nobody had said so: what is idle is not to be trusted for so long.
 		l.keep = max(l.keep-l.keep/keepLess, 2*l.set.Granularity)
 	}
-	if s != nil {
-		b.shot = nil
-		l.endShot(s, choice.Reply{Outcome: end.outcome(s.last > 0 && written >= s.last)})
+	if att != nil {
+		b.attempt = nil
+		l.endAttempt(att, choice.Reply{Outcome: end.outcome(att.last > 0 && written >= att.last)})
 	}
 	if b.probe != nil {
 		l.timers.drop(b.probe)
@@ -297,7 +297,7 @@
 	}
 }
 
-// retire ends what is not in use of the connections to a server that drains or is gone. A shot whose connection is
+// retire ends what is not in use of the connections to a server that drains or is gone. An attempt whose connection is
 // not up yet is taken back: by the time it is up the grace may be over.
 func (p *pool) retire() {
 	p.retireIdle()
--- a/internal/limiter/wake.go
+++ b/internal/limiter/wake.go
@@ -6,7 +6,7 @@
 )
 
 // The process may stand still for long, stopped or without a processor, and finds on waking that all its timers are due,
-// that clients' jobs have waited unread, and that the list may have changed. What it was told meanwhile counts.
+// that clients' requests have waited unread, and that the list may have changed. What it was told meanwhile counts.
 
 const (
 	standsStill = 2     // so many dial time-outs without a happening are none that the timers allow
@@ -22,7 +22,7 @@
 	at     int64 // when it ended
 	slept  int64 // how long it was
 	blind  int64 // until when no timer runs
-	doubts bool  // the list may have changed meanwhile, and no shot goes out
+	doubts bool  // the list may have changed meanwhile, and no attempt goes out
 	held   []func()
 	limit  *timer
 }
@@ -36,7 +36,7 @@
 }
 
 // still is the longest time without a happening that is no standing still. What the process was told in it may be read behind
-// a job, so it must not be longer than the grace.
+// a request, so it must not be longer than the grace.
 func (l *Limiter) still() int64 {
 	still := max(standsStill*l.set.DialTimeout, stillLeast)
 	if l.set.Grace > 0 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// age is how long a job that is read now may have waited to be read.
+// age is how long a request that is read now may have waited to be read.
 func (l *Limiter) age() int64 {
 	if l.wake.slept == 0 || l.now >= l.wake.at+l.visits()/settles {
 		return 0
@@ -94,19 +94,19 @@
 }
 
 // stale: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
-// know the job again by an earlier shot, or in no group with that one. The module is to decide anew.
-func (s *shot) stale() bool {
-	now := s.backend.pool.l.now
-	return now-s.at > standsStill*s.backend.pool.l.set.DialTimeout || now >= s.known()
+// know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
+func (att *attempt) stale() bool {
+	now := att.backend.pool.l.now
+	return now-att.at > standsStill*att.backend.pool.l.set.DialTimeout || now >= att.known()
 }
 
-// known is until when the server would know the job again by each earlier shot that may have run: 0 if it does not by one, and
-// without end where none has. What counts is where an earlier shot was written, wherever a list has its server now.
-func (s *shot) known() int64 {
-	j, until := s.job, int64(math.MaxInt64)
-	for _, e := range j.shots[:s.number] {
-		if j.repeats > 0 && e.last > 0 && !e.never {
-			if until = min(until, e.at+j.repeats); !e.place.same(j.group, s.backend.pool.place) {
+// known is until when the server would know the request again by each earlier attempt that may have run: 0 if it does not by one,
+// and without end where none has. What counts is where an earlier attempt was written, wherever a list has its server now.
+func (att *attempt) known() int64 {
+	q, until := att.request, int64(math.MaxInt64)
+	for _, e := range q.attempts[:att.number] {
+		if q.repeats > 0 && e.last > 0 && !e.never {
+			if until = min(until, e.at+q.repeats); !e.place.same(q.group, att.backend.pool.place) {
 				return 0
 			}
 		}
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -40,7 +40,7 @@
 		{"family-info: trued-up", a.MostTrue > 0, b.MostTrue > 0}, {"contract: cold-from", a.ColdFrom, b.ColdFrom},
 		{"contract: warm-within", a.WarmWithin, b.WarmWithin}, {"contract: ask-every", a.AskEvery, b.AskEvery},
 		{"contract: stop-sending-within", a.Grace, b.Grace},
-		{"permissions: attempts-cap", a.MostShots, b.MostShots}, {"permissions: dial-timeout", a.DialTimeout, b.DialTimeout},
+		{"permissions: attempts-cap", a.MostAttempts, b.MostAttempts}, {"permissions: dial-timeout", a.DialTimeout, b.DialTimeout},
 		{"permissions: idle-close", a.IdleClose, b.IdleClose}, {"permissions: max-retry-after", a.MostAdvice, b.MostAdvice},
 		{"permissions: probes", a.Probes, b.Probes}, {"permissions: cancelling", a.Cancelling, b.Cancelling},
 		{"granularity", a.Granularity, b.Granularity}} {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -114,7 +114,7 @@
 	IdleClose int64   // a server closes a connection that has been idle for so long
 	AskEvery  int64   // the longest time between calls to discovery where it tells only those that ask, else 0
 	Grace     int64   // how long after word that it drains a server may still be sent to; 0 where it is not told
-	MostTrue  float64 // the most units that an answer can say a job has taken; 0 where a job's own figure is no guess
+	MostTrue  float64 // the most units that an answer can say a request has taken; 0 where a request's own figure is no guess
 }
 
 // Decode reads the settings and refuses what cannot work.
@@ -130,7 +130,7 @@
 		Tracks: map[string]*choice.Track{}, Plans: map[string]*choice.Plan{},
 		MostUnits: f.Family.UnitsTop, LongestLease: longestLease, Limiters: f.Balancers, Position: -1,
 		ColdFrom: f.Contract.ColdFrom, WarmWithin: nanos(f.Contract.WarmWithin),
-		DialTimeout: nanos(f.Permissions.DialTimeout), MostShots: f.Permissions.AttemptsCap,
+		DialTimeout: nanos(f.Permissions.DialTimeout), MostAttempts: f.Permissions.AttemptsCap,
 		Probes: f.Permissions.Probes, Cancelling: f.Permissions.Cancelling, Granularity: nanos(f.Granularity),
 	}
 	if f.Family.HasCounter {
@@ -201,7 +201,7 @@
 	}
 	if err := within("", figure{"family-info: units-top", s.MostUnits, math.SmallestNonzeroFloat64, mostUnits, false},
 		figure{"granularity", f.Granularity, leastTime, mostTime, false},
-		figure{"permissions: attempts-cap", float64(s.MostShots), 1, mostRate, false},
+		figure{"permissions: attempts-cap", float64(s.MostAttempts), 1, mostRate, false},
 		figure{"permissions: dial-timeout", f.Permissions.DialTimeout, leastTime, mostTime, true},
 		figure{"permissions: idle-close", f.Permissions.IdleClose, leastTime, mostTime, true},
 		figure{"permissions: max-retry-after", f.Permissions.MaxRetryAfter, 0, mostTime, false},
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -27,20 +27,20 @@
 	in.host.output = append(in.host.output, a)
 }
 
-func (in *instance) Send(job, server string) {
-	in.write(action{Type: "relay", Handle: job, Server: server})
+func (in *instance) Send(request, server string) {
+	in.write(action{Type: "relay", Handle: request, Server: server})
 }
 
-func (in *instance) Cancel(job string, shot int) {
-	in.write(action{Type: "undo-send", Handle: job, Copy: &shot})
+func (in *instance) Cancel(request string, attempt int) {
+	in.write(action{Type: "undo-send", Handle: request, Copy: &attempt})
 }
 
-func (in *instance) Reject(job string, retryAfter int64, _ choice.Cause) {
-	in.write(action{Type: "shed", Handle: job, HoldOff: seconds(retryAfter)})
+func (in *instance) Reject(request string, retryAfter int64, _ choice.Cause) {
+	in.write(action{Type: "shed", Handle: request, HoldOff: seconds(retryAfter)})
 }
 
-func (in *instance) WriteOff(job string) {
-	in.write(action{Type: "respond-error", Handle: job})
+func (in *instance) WriteOff(request string) {
+	in.write(action{Type: "respond-error", Handle: request})
 }
 
 func (in *instance) Count(name uint64, amount float64, lifetime int64) {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -193,7 +193,7 @@
 			Customer: take(r, "api-key", it.Key), Plan: take(r, "tier", it.Tier),
 			Track: take(r, "cls", it.Class),
 			Units: take(r, "price-units", it.Units), Spread: take(r, "n-entries", it.Entries)}
-		do = func(l *choice.Limiter) { l.Job(wall, a) }
+		do = func(l *choice.Limiter) { l.Request(wall, a) }
 	case "reply":
 		a := it.reply(r)
 		do = func(l *choice.Limiter) { l.Answer(wall, a) }
@@ -207,8 +207,8 @@
 		server, code := take(r, "server", it.Server), take(r, "rc", it.Code)
 		do = func(l *choice.Limiter) { l.Probed(wall, server, choice.Outcome(code)) }
 	case "vanished":
-		job := take(r, "handle", it.Handle)
-		do = func(l *choice.Limiter) { l.Left(wall, job) }
+		request := take(r, "handle", it.Handle)
+		do = func(l *choice.Limiter) { l.Left(wall, request) }
 	case "timer":
 		token := take(r, "ctx", it.Ctx)
 		do = func(l *choice.Limiter) { l.Woken(wall, token) }
@@ -222,9 +222,9 @@
 	return nil
 }
 
-// reply is how a shot ended, as the event tells it.
+// reply is how an attempt ended, as the event tells it.
 func (it *item) reply(r *reading) choice.Reply {
-	a := choice.Reply{Job: take(r, "handle", it.Handle), Shot: take(r, "copy", it.Copy),
+	a := choice.Reply{Request: take(r, "handle", it.Handle), Attempt: take(r, "copy", it.Copy),
 		Outcome: choice.Outcome(take(r, "rc", it.Code)), Took: nanos(take(r, "took", it.Took)),
 		Final: take(r, "final", it.Final), Held: it.Load.Held, Pace: it.Load.Pace,
 		Queue: it.Load.Queue, Work: int64(it.Load.Recent * 1e6)}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -36,12 +36,12 @@
 		items []string
 		want  string
 	}{
-		{"a job reserves", []string{begin, members, inbound}, `"type":"charge-counter"`},
+		{"a request reserves", []string{begin, members, inbound}, `"type":"charge-counter"`},
 		{"events for a stopped instance do nothing", []string{begin, `{"type":"retire","limiter":0}`, inbound}, `"output":[]`},
 		{"a restart in one batch starts anew", []string{begin + `,{"type":"retire","limiter":0},` + begin, inbound}, `"type":"shed"`},
 		{"unknown fields and events are ignored", []string{begin, `{"type":"news","limiter":0,"x":null}`}, `"output":[]`},
 		{"an empty batch is answered", []string{""}, `"output":[]`},
-		{"an outcome of a job not known is ignored",
+		{"an outcome of a request not known is ignored",
 			[]string{begin, `{"type":"reply","limiter":0,"handle":"x","copy":0,"rc":0,"took":1,"final":true}`}, `"output":[]`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 		var it item
 		err := json.Unmarshal([]byte(`{"handle":"j","copy":1,"rc":0,"took":0.5,"final":true,"true-units":3,"feedback":`+c.load+`}`), &it)
 		r := &reading{}
-		want := choice.Reply{Job: "j", Shot: 1, Took: 5e8, Final: true, Units: 3, Held: c.held, Pace: c.pace,
+		want := choice.Reply{Request: "j", Attempt: 1, Took: 5e8, Final: true, Units: 3, Held: c.held, Pace: c.pace,
 			Queue: c.queue, Work: c.work}
 		if got := it.reply(r); err != nil || r.missing != "" || got != want {
 			t.Fatalf("%+v, want %+v, error %v", got, want, err)
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -56,7 +56,7 @@
 	return err
 }
 
-// Writer saves snapshots on a goroutine of its own, so that a slow disk holds up no job. Of those that wait only the latest
+// Writer saves snapshots on a goroutine of its own, so that a slow disk holds up no request. Of those that wait only the latest
 // is written.
 type Writer struct {
 	mutex  sync.Mutex
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -153,7 +153,7 @@
 	expect(t, s, limiter.Ended, h.Conn) // the poller has closed the descriptor
 }
 
-// Connections past the limit wait in the kernel: taken in and closed, their jobs would be lost. A process does not end
+// Connections past the limit wait in the kernel: taken in and closed, their requests would be lost. A process does not end
 // while some wait: ended with it, they would be broken off.
 func TestAccept(t *testing.T) {
 	s, address := listening(t, 1)
@@ -195,7 +195,7 @@
 	require.Eventually(t, func() bool { return !s.Queued() }, patience, time.Millisecond, "nobody waits any more")
 }
 
-// TestRun plays one job through a whole limiter, which is told to stop while the server works on it.
+// TestRun plays one request through a whole limiter, which is told to stop while the server works on it.
 func TestRun(t *testing.T) {
 	s, address := listening(t, 8)
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -206,7 +206,7 @@
 	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // nobody is there
 		Known: fmt.Appendf(nil, `{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service"}]}`, server.Addr()),
 		Settings: &settings.Settings{IdleClose: int64(patience), Settings: &choice.Settings{Tracks: map[string]*choice.Track{"c": track},
-			Plans: map[string]*choice.Plan{"p": {}}, MostUnits: 8, Limiters: 1, MostShots: 1, WarmWithin: 1,
+			Plans: map[string]*choice.Plan{"p": {}}, MostUnits: 8, Limiters: 1, MostAttempts: 1, WarmWithin: 1,
 			DialTimeout: int64(patience), Granularity: 1e6}}}
 	clock := func() int64 { return time.Now().UnixNano() }
 	l, err := limiter.New(clock(), config, s)
