--- a/choice/choice.go
+++ b/choice/choice.go
@@ -8,8 +8,8 @@
 //  1. ceiling: each limiter's own part of a hard ceiling, which every first attempt must fit;
 //  2. memory: what the counter has forgotten, or added for a call without an answer, is put right;
 //  3. asks: a counter that does not answer is asked for some of the customers only;
-//  4. room: the work out is bounded by what is answered well inside the agreed time, at a server and in all,
-//     more widely while load reports show short stays;
+//  4. room: the work out is bounded by what is answered well inside the target latency, at a server and in
+//     all, more widely while load reports show short stays;
 //  5. standing: a server that shows no life is set aside until it answers, and its requests go elsewhere;
 //  6. lost: so does a request whose answer is long overdue where others come promptly.
 package choice
@@ -49,13 +49,13 @@
 	spare    float64 // second attempts in hand
 	part     float64 // the largest request over the number of limiters: the least limit of a server
 	room     float64 // units that may be out at all servers together
-	load     float64 // units that were out at them, faded over the agreed time
+	load     float64 // units that were out at them, faded over the target latency
 	slow     float64 // the fading share of answers that were late or full
 	stay     float64 // the fading mean of the logarithm of the seconds that requests stay, by load reports
 	reported int64   // when the latest came
 	busy     bool    // more than half of it was taken when a request last looked for room
-	dearest  *Track  // the track whose units bring the most, and of several the most urgent
-	mild     bool    // some track's requests may run again
+	dearest  *Class  // the class whose units bring the most, and of several the most urgent
+	mild     bool    // some class's requests may run again
 }
 
 const (
@@ -66,20 +66,20 @@
 	askLess      = 0.75      // the share of requests asked for falls so with each call unanswered
 	askLeast     = 1.0 / 16  // it is never less
 	askMore      = 1.0 / 256 // and rises by so much times the answers since the last one that failed
-	beats        = 20        // looks at the servers in one agreed time
+	beats        = 20        // looks at the servers in one target latency
 	fade         = 40        // answers after which an old one has lost most of its weight
 	slowFade     = 16        // the same for the share of slow answers
-	wellInside   = 2         // an answer within this part of the agreed time is prompt
+	wellInside   = 2         // an answer within this part of the target latency is prompt
 	stayFade     = 8         // the same for the mean stay: each of many limiters hears a few reports a second
 	narrow       = 0.5       // with less of the circle to choose from, a cold server must be owed a turn
 	late         = 10        // a late attempt takes off so many times what a prompt one adds to a limit
 	lateAll      = 4         // and at most so many times from the room at all servers
 	slowLeast    = 1.0 / 32  // that is by an attempt for each such share of slow answers
 	swing        = 4         // the room grows to the load and so many times the deviation of a random one
-	stints       = 4         // a capped attempt is taken to last for this part of the shortest agreed time
+	stints       = 4         // a capped attempt is taken to last for this part of the shortest target latency
 	Uneven       = 2         // a slice is so many equal parts: use is uneven, and most customers take half
 	lostAfter    = 4         // an attempt out for so many times what it should take is taken for lost
-	lostLeast    = 4         // but not before such a part of the agreed time
+	lostLeast    = 4         // but not before such a part of the target latency
 	cheapLess    = 0.8       // the part of the room that one worth nothing beside the dearest does not get
 	grow         = 8         // prompt answers that raise a limit by their own size
 	paceMost     = 3         // a server's weight may be so many times the mean or so small a part of it
@@ -106,17 +106,17 @@
 		servers: map[string]*server{}, requests: map[string]*request{}, timers: map[int64]*request{},
 		accounts: map[uint64]*account{}, calls: map[uint64][]call{}, spare: 1, asks: 1, slow: 1,
 		part: set.MostUnits / float64(set.Limiters)}
-	agreed := int64(math.MaxInt64)
-	for _, t := range set.Tracks {
-		agreed = min(agreed, t.Agreed)
+	target := int64(math.MaxInt64)
+	for _, t := range set.Classes {
+		target = min(target, t.Target)
 		l.mild = l.mild || t.Effect != NonIdempotent
-		if l.dearest == nil || t.Benefit > l.dearest.Benefit ||
-			t.Benefit == l.dearest.Benefit && t.Agreed < l.dearest.Agreed {
+		if l.dearest == nil || t.Value > l.dearest.Value ||
+			t.Value == l.dearest.Value && t.Target < l.dearest.Target {
 			l.dearest = t
 		}
 	}
-	l.stint = seconds(agreed) / stints
-	l.beat = max(agreed/beats, set.Granularity)
+	l.stint = seconds(target) / stints
+	l.beat = max(target/beats, set.Granularity)
 	deeds.Wake(now+l.beat, 0)
 	return l
 }
@@ -195,11 +195,11 @@
 // Request takes a request from a client: it reserves on the counter, or decides by the slice when it cannot.
 func (l *Limiter) Request(now int64, a Arrival) {
 	l.tokens++
-	q := &request{id: a.ID, token: l.tokens, track: l.set.Tracks[a.Track], units: a.Units, charge: a.Units,
+	q := &request{id: a.ID, token: l.tokens, class: l.set.Classes[a.Class], units: a.Units, charge: a.Units,
 		end: now + a.Budget - 2*l.set.Granularity}
 	l.requests[q.id], l.timers[q.token] = q, q
 	plan := l.set.Plans[a.Plan]
-	if plan == nil || q.track == nil {
+	if plan == nil || q.class == nil {
 		// Nobody has granted it an allowance, and it loses nothing by asking again.
 		l.reject(now, q, l.set.MostAdvice, ForPlan)
 		return
@@ -261,7 +261,7 @@
 // asked tells whether a crowded counter is asked for a customer: always for some, the same at all limiters
 // (a count of a part of the use says little), more where going beyond costs more. The rest see if it is back.
 func (l *Limiter) asked(a *account) bool {
-	stake := max(0, a.plan.BeyondCosts-a.plan.BeyondEarns) * a.plan.Benefit
+	stake := max(0, a.plan.BeyondCosts-a.plan.BeyondEarns) * a.plan.Value
 	l.stake += (stake - l.stake) / fade
 	share := (l.asks - askLeast) / (1 - l.asks) * stake / l.stake
 	return float64(a.phase)/math.MaxInt64 < share || l.rng.Float64() < askLeast
@@ -501,11 +501,11 @@
 func (l *Limiter) usable(now int64, q *request, s *server) bool {
 	// A trial is one request at a time, and for requests that may run again, where there are any.
 	if s.listing != Ready || s.standing == aside ||
-		s.standing == trial && (len(s.attempts) > 0 || q.track.Effect == NonIdempotent && l.mild) {
+		s.standing == trial && (len(s.attempts) > 0 || q.class.Effect == NonIdempotent && l.mild) {
 		return false
 	}
 	for _, att := range q.attempts {
-		if att.server == s || att.maybe && q.track.Effect == Keyed && !q.track.dropsRepeat(now, att, s) {
+		if att.server == s || att.maybe && q.class.Effect == Keyed && !q.class.dropsRepeat(now, att, s) {
 			return false
 		}
 	}
@@ -513,7 +513,7 @@
 }
 
 // dropsRepeat tells whether a server would know a keyed request again that may have run by this attempt.
-func (t *Track) dropsRepeat(now int64, att *attempt, s *server) bool {
+func (t *Class) dropsRepeat(now int64, att *attempt, s *server) bool {
 	same := t.Group == GroupAll || t.Group == GroupZone && att.server.zone == s.zone ||
 		t.Group == GroupCell && att.server.cell == s.cell
 	return same && now < att.at+t.Repeats
@@ -541,7 +541,7 @@
 		}
 	}
 	room := l.room * l.ease(now, q) * usable / max(ready, 1)
-	room *= 1 - cheapLess*(1-q.track.Benefit/l.dearest.Benefit)
+	room *= 1 - cheapLess*(1-q.class.Value/l.dearest.Value)
 	if l.busy = out > room/2; out > room && out > q.units {
 		return nil
 	}
@@ -549,14 +549,14 @@
 }
 
 // ease widens the room while load reports show that requests, of whatever limiter, stay at the servers for
-// well inside the agreed time: what they hold over what they do a second is that stay. One limiter among many
-// cannot tell a few heavy requests of its own from servers that fill up. Old reports say nothing.
+// well inside the target latency: what they hold over what they do a second is that stay. One limiter among
+// many cannot tell a few heavy requests of its own from servers that fill up. Old reports say nothing.
 func (l *Limiter) ease(now int64, q *request) float64 {
-	if l.reported == 0 || now-l.reported > q.track.Agreed {
+	if l.reported == 0 || now-l.reported > q.class.Target {
 		return 1
 	}
-	agreed := min(q.track.Agreed, l.dearest.Agreed) // no track may fill the servers for a dearer one
-	return max(1, seconds(agreed)/wellInside/math.Exp(l.stay))
+	target := min(q.class.Target, l.dearest.Target) // no class may fill the servers for a dearer one
+	return max(1, seconds(target)/wellInside/math.Exp(l.stay))
 }
 
 // stay is how long requests stay at the server by its load report, in seconds, 0 where it does not tell: what
@@ -622,8 +622,8 @@
 // finish ends a request that cannot be served: rejected if that is true and harmless, else written off.
 func (l *Limiter) finish(now int64, q *request) {
 	for _, att := range q.attempts {
-		marked := q.track.Effect == Keyed && q.track.Group != GroupAll
-		if att.maybe && (q.track.Effect == NonIdempotent || marked) {
+		marked := q.class.Effect == Keyed && q.class.Group != GroupAll
+		if att.maybe && (q.class.Effect == NonIdempotent || marked) {
 			l.move(q, WrittenOff)
 			l.deeds.WriteOff(q.id)
 			l.drop(now, q)
@@ -665,13 +665,13 @@
 	}
 }
 
-// again sends a further attempt where the track, the time, the attempts left and the pressure allow it.
+// again sends a further attempt where the class, the time, the attempts left and the pressure allow it.
 func (l *Limiter) again(now int64, q *request) bool {
 	if q.end <= now || len(q.attempts) >= l.set.MostAttempts || l.spare < 1 || q.open > 0 {
 		return false
 	}
 	for _, att := range q.attempts {
-		if att.maybe && q.track.Effect == NonIdempotent {
+		if att.maybe && q.class.Effect == NonIdempotent {
 			return false
 		}
 	}
@@ -684,10 +684,10 @@
 	return true
 }
 
-// overdue lowers a server's limit for an attempt that is not answered well inside the agreed time, without
+// overdue lowers a server's limit for an attempt that is not answered well inside the target latency, without
 // waiting for the answer: servers that slow down together would fill up until then.
 func (l *Limiter) overdue(now int64, att *attempt) {
-	if !att.late && now-att.at > att.request.track.Agreed/wellInside {
+	if !att.late && now-att.at > att.request.class.Target/wellInside {
 		att.late = true
 		att.server.limit = max(att.server.limit-att.request.units*late/grow, l.part)
 		l.narrow(att.request)
@@ -810,7 +810,7 @@
 		}
 		if l.load += s.out / beats; len(s.attempts) > 0 {
 			first := s.attempts[0]
-			wait := first.request.track.Agreed
+			wait := first.request.class.Target
 			if len(s.attempts) > 1 {
 				wait = wait * 2 / 3
 			}
@@ -822,16 +822,16 @@
 	for _, s := range l.order {
 		for _, att := range slices.Clone(s.attempts) {
 			q, lost := att.request, l.lost(now, att)
-			if q.state != Out || q.track.Effect == NonIdempotent || !l.set.Cancelling {
+			if q.state != Out || q.class.Effect == NonIdempotent || !l.set.Cancelling {
 				continue
 			}
-			if lost && now-q.attempts[0].at > q.track.Agreed {
+			if lost && now-q.attempts[0].at > q.class.Target {
 				// A late answer is worth nothing: the server and the client are spared it.
 				l.finish(now, q)
 				l.deeds.Cancel(q.id, att.number)
 				continue
 			}
-			if s.standing != aside && s.listing != Gone && !lost || now-att.at > q.track.Agreed {
+			if s.standing != aside && s.listing != Gone && !lost || now-att.at > q.class.Target {
 				continue
 			}
 			if l.spare >= 1 && len(l.able(now, q)) > 0 {
@@ -846,7 +846,7 @@
 func (l *Limiter) lost(now int64, att *attempt) bool {
 	s := att.server
 	return s.did > 0 && l.slow < lateAll*slowLeast &&
-		now-att.at > max(nanos(lostAfter*att.request.units*s.took/s.did), att.request.track.Agreed/lostLeast)
+		now-att.at > max(nanos(lostAfter*att.request.units*s.took/s.did), att.request.class.Target/lostLeast)
 }
 
 // comeBack lets a server that was set aside have one request at a time. One that failed may be a new process
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -73,7 +73,7 @@
 	crowded := func(owed float64) *deeds {
 		l, d := made()
 		a := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
-		a.plan.BeyondCosts, a.plan.Benefit = 1, 1
+		a.plan.BeyondCosts, a.plan.Value = 1, 1
 		l.asks, a.quota.level, a.slice.level, a.known = 0.999, 0, -9, true
 		l.turn(0, a)
 		a.owed = owed
@@ -162,7 +162,7 @@
 		if expect(t, d, "send j a"); q.account.owed != 2 {
 			t.Fatal("owed", q.account.owed)
 		}
-		l.reserve(0, &request{id: "k", account: q.account, units: 2, charge: 2, track: q.track})
+		l.reserve(0, &request{id: "k", account: q.account, units: 2, charge: 2, class: q.class})
 		l.Counted(0, q.name, Done, 6)
 		if expect(t, d, "count 4", "send k b"); q.account.owed != -2 {
 			t.Fatal("owed", q.account.owed)
@@ -202,7 +202,7 @@
 		q.account.slice.level = 1
 		l.Counted(0, q.name, TimedOut, 0)
 		expect(t, d, "count 2", "reject j")
-		l.reserve(0, &request{id: "k", account: q.account, units: 1, charge: 1, track: q.track})
+		l.reserve(0, &request{id: "k", account: q.account, units: 1, charge: 1, class: q.class})
 		l.Counted(0, q.name, Done, 3)
 		if q.account.owed != -2 {
 			t.Fatal("owed", q.account.owed)
@@ -373,7 +373,7 @@
 
 func TestAnswer(t *testing.T) {
 	for _, c := range []struct {
-		name, track string
+		name, class string
 		outcome     Outcome
 		want        string
 	}{
@@ -384,7 +384,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := made()
-			sent(l, c.track)
+			sent(l, c.class)
 			l.Answer(second/10, Reply{Request: "j", Outcome: c.outcome, Took: second / 10})
 			expect(t, d, c.want)
 		})
@@ -425,7 +425,7 @@
 }
 
 func TestPick(t *testing.T) {
-	probe := &request{units: 2, track: &Track{}}
+	probe := &request{units: 2, class: &Class{}}
 	t.Run("takes turns", func(t *testing.T) {
 		l, _ := made()
 		if a, b := l.pick(0, probe), l.pick(0, probe); a == b {
@@ -443,8 +443,8 @@
 		l, _ := made()
 		a := l.servers["a"]
 		a.standing = trial
-		free, nonIdempotent := l.usable(0, probe, a), l.usable(0, &request{track: l.set.Tracks["write"]}, a)
-		l.send(0, &request{track: probe.track}, a)
+		free, nonIdempotent := l.usable(0, probe, a), l.usable(0, &request{class: l.set.Classes["write"]}, a)
+		l.send(0, &request{class: probe.class}, a)
 		if !free || nonIdempotent || l.usable(0, probe, a) {
 			t.Fatal("usable", free, nonIdempotent, l.usable(0, probe, a))
 		}
@@ -473,7 +473,7 @@
 
 func TestLook(t *testing.T) {
 	out := func(l *Limiter, id string, s *server) *request {
-		q := &request{id: id, track: l.set.Tracks["read"], state: Out, units: 1, end: 9 * second}
+		q := &request{id: id, class: l.set.Classes["read"], state: Out, units: 1, end: 9 * second}
 		l.send(0, q, s)
 		return q
 	}
@@ -488,7 +488,7 @@
 			t.Fatal("not set aside")
 		}
 	})
-	t.Run("a lone attempt shows a silent server only after the agreed time, and is not copied then", func(t *testing.T) {
+	t.Run("a lone attempt shows a silent server only after the target latency, and is not copied then", func(t *testing.T) {
 		l, d := made()
 		a := l.servers["a"]
 		out(l, "k", a)
@@ -549,7 +549,7 @@
 		l, _ := made()
 		l.room = 4
 		l.servers["a"].out = 3
-		if able := l.able(0, &request{units: 2, track: &Track{}}); able != nil {
+		if able := l.able(0, &request{units: 2, class: &Class{}}); able != nil {
 			t.Fatal(len(able), "servers are able")
 		}
 	})
@@ -703,7 +703,7 @@
 		}
 	}
 	l := all[7]
-	able := func() map[string]bool { return ids(l.able(0, &request{track: l.set.Tracks["read"]})) }
+	able := func() map[string]bool { return ids(l.able(0, &request{class: l.set.Classes["read"]})) }
 	t.Run("each server is shared by as many limiters, and neighbours in number share few", func(t *testing.T) {
 		for id, n := range share {
 			if n < sharers-2 || n > sharers+2 {
@@ -757,7 +757,7 @@
 		turns, cold := map[string]float64{}, 0.0
 		for i, l := range fleet(limiters, entries) {
 			for range 50 * (1 + i%3) { // some get three times as many requests as others
-				turns[l.pick(second, &request{track: l.set.Tracks["read"]}).id]++
+				turns[l.pick(second, &request{class: l.set.Classes["read"]}).id]++
 			}
 		}
 		warm := 0.0
@@ -783,21 +783,21 @@
 		able    bool
 	}{
 		{"no report: the room binds", nil, 0, false},
-		{"requests stay for a fifth of the agreed time: there is room", []float64{0.2, 0.2, 0.2}, 0, true},
+		{"requests stay for a fifth of the target latency: there is room", []float64{0.2, 0.2, 0.2}, 0, true},
 		{"and one stuck server among many does not hide it", []float64{0.2, 0.2, 0.2, 0.2, 30, 0.2, 0.2, 0.2, 0.2, 0.2}, 0, true},
-		{"requests stay for most of the agreed time: the room binds", []float64{0.8, 0.8, 0.8}, 0, false},
+		{"requests stay for most of the target latency: the room binds", []float64{0.8, 0.8, 0.8}, 0, false},
 		{"reports have grown old: the room binds", []float64{0.2, 0.2, 0.2}, 2 * second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := made()
 			for _, stay := range c.reports {
-				att := &attempt{request: &request{track: l.set.Tracks["read"], units: 1}, server: l.servers["a"]}
+				att := &attempt{request: &request{class: l.set.Classes["read"], units: 1}, server: l.servers["a"]}
 				l.learn(1, att, Reply{Outcome: Done, Held: 10 * stay, Pace: 10})
 			}
 			l.room = 2.5
 			l.servers["a"].out = 3
-			if able := l.able(c.age, &request{track: l.set.Tracks["read"], units: 1}); len(able) > 0 != c.able {
-				t.Fatalf("able %v with a room of %v eased by %v", able, l.room, l.ease(c.age, &request{track: l.set.Tracks["read"]}))
+			if able := l.able(c.age, &request{class: l.set.Classes["read"], units: 1}); len(able) > 0 != c.able {
+				t.Fatalf("able %v with a room of %v eased by %v", able, l.room, l.ease(c.age, &request{class: l.set.Classes["read"]}))
 			}
 		})
 	}
@@ -807,7 +807,7 @@
 	share := func(phase int64, costs float64) int {
 		l, _ := made()
 		a := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
-		a.phase, a.plan.BeyondCosts, a.plan.Benefit = phase, costs, 1
+		a.phase, a.plan.BeyondCosts, a.plan.Value = phase, costs, 1
 		l.asks, l.stake = 0.5, 1
 		n := 0
 		for range 100 {
@@ -849,7 +849,7 @@
 }
 
 func TestLearn(t *testing.T) {
-	t.Run("a server that takes no connection is set aside at once, for the agreed time", func(t *testing.T) {
+	t.Run("a server that takes no connection is set aside at once, for the target latency", func(t *testing.T) {
 		l, _ := made()
 		q := sent(l, "read")
 		l.learn(0, q.attempts[0], Reply{Outcome: Unconnected})
@@ -874,10 +874,10 @@
 	first := map[string]bool{}
 	for seed := range int64(20) {
 		d := &deeds{}
-		read := &Track{Agreed: second, Benefit: 1}
-		l := New(0, &Settings{Limiters: 20, MostUnits: 1, WarmWithin: 1, Tracks: map[string]*Track{"read": read}}, seed, d)
+		read := &Class{Target: second, Value: 1}
+		l := New(0, &Settings{Limiters: 20, MostUnits: 1, WarmWithin: 1, Classes: map[string]*Class{"read": read}}, seed, d)
 		l.Members(0, true, []Entry{{ID: "a"}, {ID: "b"}})
-		first[l.pick(0, &request{units: 1, track: read}).id] = true
+		first[l.pick(0, &request{units: 1, class: read}).id] = true
 	}
 	if len(first) != 2 {
 		t.Fatal("all begin at", first)
@@ -924,7 +924,7 @@
 func TestLost(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		track string
+		class string
 		slow  float64
 		at    int64
 		want  string
@@ -933,12 +933,12 @@
 		{"but not before that", "read", 0, second / 5, "send j a"},
 		{"nor where what is answered is slow", "read", 1, second / 3, "send j a"},
 		{"nor where it cannot go again", "write", 0, second / 3, "send j a"},
-		{"a request past its agreed time is given up at once", "read", 0, second + 1, "reject j"},
+		{"a request past its target latency is given up at once", "read", 0, second + 1, "reject j"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := made()
 			l.set.Cancelling = true
-			q := sent(l, c.track)
+			q := sent(l, c.class)
 			l.slow = c.slow
 			for _, s := range l.order {
 				s.took, s.did = 0.02, 2 // 10 ms a unit
@@ -966,7 +966,7 @@
 	a.fullTill, b.turns = 1<<62, 0
 	got := 0
 	for range 100 { // the warm one has no room: the cold one gets its turns and no more
-		if s := l.pick(second, &request{units: 1, track: l.set.Tracks["read"]}); s == b {
+		if s := l.pick(second, &request{units: 1, class: l.set.Classes["read"]}); s == b {
 			got++
 		}
 	}
@@ -981,23 +981,23 @@
 	a, b := l.servers["a"], l.servers["b"]
 	l.look(0)
 	for range 500 {
-		l.pick(0, &request{units: 1, track: l.set.Tracks["read"]})
+		l.pick(0, &request{units: 1, class: l.set.Classes["read"]})
 	}
 	b.bad = 1
 	l.comeBack(second, b)
 	a.fullTill, b.bad = 1<<62, 0
 	for range 40 {
-		if l.pick(second, &request{units: 1, track: l.set.Tracks["read"]}) == b {
+		if l.pick(second, &request{units: 1, class: l.set.Classes["read"]}) == b {
 			return
 		}
 	}
 	t.Fatal("it gets none of 40, and owes", -b.turns)
 }
 
-func TestBenefit(t *testing.T) {
+func TestValue(t *testing.T) {
 	l, _ := made()
-	dear := &Track{Agreed: second / 2, Benefit: 5}
-	l.set.Tracks["dear"], l.room = dear, 4
+	dear := &Class{Target: second / 2, Value: 5}
+	l.set.Classes["dear"], l.room = dear, 4
 	l = func() *Limiter {
 		n := New(0, l.set, 1, &deeds{})
 		n.Members(0, true, []Entry{{ID: "a"}, {ID: "b"}})
@@ -1005,15 +1005,15 @@
 	}()
 	l.room = 4
 	l.servers["a"].out = 2
-	if len(l.able(0, &request{units: 2, track: dear})) == 0 {
-		t.Fatal("the dearest track's requests do not get all of the room")
+	if len(l.able(0, &request{units: 2, class: dear})) == 0 {
+		t.Fatal("the dearest class's requests do not get all of the room")
 	}
-	if len(l.able(0, &request{units: 2, track: l.set.Tracks["read"]})) != 0 {
-		t.Fatal("a cheap track's requests get as much room")
+	if len(l.able(0, &request{units: 2, class: l.set.Classes["read"]})) != 0 {
+		t.Fatal("a cheap class's requests get as much room")
 	}
 	l.reported, l.stay = 1, math.Log(0.2)
-	if e := l.ease(1, &request{track: l.set.Tracks["read"]}); math.Abs(e-1.25) > 1e-9 { // by half a second, not one
-		t.Fatal("a longer agreed time widens the room by", e)
+	if e := l.ease(1, &request{class: l.set.Classes["read"]}); math.Abs(e-1.25) > 1e-9 { // by half a second, not one
+		t.Fatal("a longer target latency widens the room by", e)
 	}
 }
 
@@ -1060,13 +1060,13 @@
 	if expect(t, d, "count 2"); q.account.ceiling.level != 2 { // settled on the quota, not on the ceiling
 		t.Fatal("the ceiling's part holds", q.account.ceiling.level)
 	}
-	l.Request(second, Arrival{ID: "k", Budget: second, Customer: 8, Plan: "cap+rate", Track: "read", Units: 3, Spread: 2})
+	l.Request(second, Arrival{ID: "k", Budget: second, Customer: 8, Plan: "cap+rate", Class: "read", Units: 3, Spread: 2})
 	expect(t, d, "reject k")
 	d.because(t, ForCeiling)
 }
 
 func TestRepeatsWithinAPod(t *testing.T) {
-	pod := &Track{Agreed: second, Effect: Keyed, Group: GroupCell, Repeats: second, Benefit: 1}
+	pod := &Class{Target: second, Effect: Keyed, Group: GroupCell, Repeats: second, Value: 1}
 	first := &attempt{server: &server{cell: 3, zone: "x"}, at: second, maybe: true}
 	for _, c := range []struct {
 		cell, at int64
@@ -1102,7 +1102,7 @@
 	l.Counted(0, q.name, TimedOut, 0)
 	var at []float64
 	for range 3 {
-		l.reserve(0, &request{id: "k", account: q.account, track: q.track, charge: 1})
+		l.reserve(0, &request{id: "k", account: q.account, class: q.class, charge: 1})
 		l.Counted(0, q.name, Done, 1)
 		at = append(at, l.asks)
 	}
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -30,15 +30,15 @@
 
 const second = int64(1e9)
 
-// made is a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent track, and one
+// made is a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent class, and one
 // plan without and one with a ceiling.
 func made() (*Limiter, *deeds) {
 	d := &deeds{}
 	set := &Settings{
-		Tracks: map[string]*Track{
-			"read":  {Agreed: second, Effect: Idempotent, Benefit: 1},
-			"mark":  {Agreed: second, Effect: Keyed, Group: GroupZone, Repeats: second, Benefit: 1},
-			"write": {Agreed: second, Effect: NonIdempotent, Benefit: 1},
+		Classes: map[string]*Class{
+			"read":  {Target: second, Effect: Idempotent, Value: 1},
+			"mark":  {Target: second, Effect: Keyed, Group: GroupZone, Repeats: second, Value: 1},
+			"write": {Target: second, Effect: NonIdempotent, Value: 1},
 		},
 		Plans: map[string]*Plan{
 			"plain": {Rate: 5, Burst: 10},
@@ -78,19 +78,19 @@
 	acc.phase = l.span(acc) - at
 }
 
-func arrival(id, track, plan string) Arrival {
-	return Arrival{ID: id, Budget: 4 * second, Customer: uint64(len(plan)), Plan: plan, Track: track, Units: 2, Spread: 2}
+func arrival(id, class, plan string) Arrival {
+	return Arrival{ID: id, Budget: 4 * second, Customer: uint64(len(plan)), Plan: plan, Class: class, Units: 2, Spread: 2}
 }
 
 // reserving is a request that waits for the counter.
-func reserving(l *Limiter, track, plan string) *request {
-	l.Request(0, arrival("j", track, plan))
+func reserving(l *Limiter, class, plan string) *request {
+	l.Request(0, arrival("j", class, plan))
 	return l.requests["j"]
 }
 
 // sent is a request whose first attempt is out.
-func sent(l *Limiter, track string) *request {
-	q := reserving(l, track, "plain")
+func sent(l *Limiter, class string) *request {
+	q := reserving(l, class, "plain")
 	l.Counted(0, q.name, Done, 2)
 	return q
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -17,7 +17,7 @@
 	id       string
 	token    int64
 	state    State
-	track    *Track
+	class    *Class
 	account  *account
 	units    float64
 	charge   float64 // what it takes from its customer's store: units, or one place under a cap
--- a/choice/types.go
+++ b/choice/types.go
@@ -1,6 +1,6 @@
 package choice
 
-// Effect says what happens when a track's request runs twice.
+// Effect says what happens when a class's request runs twice.
 type Effect uint8
 
 const (
@@ -36,7 +36,7 @@
 type Cause uint8
 
 const (
-	ForPlan     Cause = iota // its plan or its track is not known
+	ForPlan     Cause = iota // its plan or its class is not known
 	ForRoom                  // no server has room
 	ForCeiling               // this limiter's part of the customer's ceiling
 	ForQuota                 // the customer's quota, by the counter's total
@@ -58,13 +58,13 @@
 	Gone
 )
 
-// Track is one kind of request; times are nanoseconds.
-type Track struct {
-	Agreed  int64
+// Class is one kind of request; times are nanoseconds.
+type Class struct {
+	Target  int64
 	Effect  Effect
 	Group   Group
 	Repeats int64   // how long a keyed request's repeats are dropped
-	Benefit float64 // what one unit is worth, beside other tracks
+	Value   float64 // what one unit is worth, beside other classes
 }
 
 // Plan is what a customer has bought; units and units a second.
@@ -72,13 +72,13 @@
 	Rate, Burst               float64
 	CeilingRate, CeilingBurst float64
 	Open                      float64 // a request sent while so many attempts of its customer are out is beyond; 0 for no cap
-	BeyondEarns, BeyondCosts  float64 // of a request's benefit, when it is sent past the quota
-	Benefit                   float64 // what one unit of a request is worth, beside other plans
+	BeyondEarns, BeyondCosts  float64 // of a request's value, when it is sent past the quota
+	Value                     float64 // what one unit of a request is worth, beside other plans
 }
 
 // Settings are fixed for an instance's life.
 type Settings struct {
-	Tracks       map[string]*Track
+	Classes      map[string]*Class
 	Plans        map[string]*Plan
 	CounterWait  int64 // a call without an answer by then has failed; 0 where there is no counter
 	MostUnits    float64
@@ -101,7 +101,7 @@
 	Budget   int64
 	Customer uint64
 	Plan     string
-	Track    string
+	Class    string
 	Units    float64
 	Spread   int // the number of limiters through which the customer's requests come
 }
--- a/cmd/ospreycroft/main.go
+++ b/cmd/ospreycroft/main.go
@@ -42,15 +42,15 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", path, err)
 			}
-			fmt.Printf("ok name=%s limiters=%d plans=%d tracks=%d\n", config.Name, config.Settings.Limiters,
-				len(config.Settings.Plans), len(config.Settings.Tracks))
+			fmt.Printf("ok name=%s limiters=%d plans=%d classes=%d\n", config.Name, config.Settings.Limiters,
+				len(config.Settings.Plans), len(config.Settings.Classes))
 			for _, name := range slices.Sorted(maps.Keys(config.Settings.Plans)) {
 				if open := config.Settings.Plans[name].Open; open > 0 {
 					fmt.Printf("cap plan=%s attempts_out=%v\n", name, open)
 				}
 			}
-			for _, name := range slices.Sorted(maps.Keys(config.Settings.Tracks)) {
-				fmt.Printf("track name=%s worth=%v\n", name, config.Settings.Tracks[name].Benefit)
+			for _, name := range slices.Sorted(maps.Keys(config.Settings.Classes)) {
+				fmt.Printf("class name=%s worth=%v\n", name, config.Settings.Classes[name].Value)
 			}
 			stated, err := operator.Read()
 			if err != nil {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -227,7 +227,7 @@
 		}
 	}
 	for i, t := range e.Load.Tracks {
-		if set.Tracks[t.Name] == nil {
+		if set.Classes[t.Name] == nil {
 			return fmt.Errorf("load.tracks[%d].name: %q is not in settings.classes", i, t.Name)
 		}
 		if t.Share <= 0 || t.Units <= 0 || t.CutOff <= 0 {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -131,7 +131,7 @@
 	d.next++
 	job := record.Job{ID: fmt.Sprintf("%016x", uint64(d.e.Seed)<<32^uint64(d.next)), Customer: c.ID, Plan: c.Plan,
 		Track: track.Name, Units: track.Units, Limiter: limiter, Retry: retry,
-		Binding: d.e.Settings.Tracks[track.Name].Effect == choice.NonIdempotent}
+		Binding: d.e.Settings.Classes[track.Name].Effect == choice.NonIdempotent}
 	giveUp := d.rng.Float64() < d.e.Load.GiveUp
 	again := d.rng.Float64() < d.e.Load.Retry
 	cutOff := time.Duration(track.CutOff * float64(time.Second))
@@ -275,11 +275,11 @@
 	if job.Retry {
 		list += ",r=1"
 	}
-	if d.e.Settings.Tracks[job.Track].Effect == choice.Keyed {
+	if d.e.Settings.Classes[job.Track].Effect == choice.Keyed {
 		list += ",k=" + job.ID // the mark by which servers know a repeat
 	}
 	words := [][]byte{[]byte("SVC.QUERY"), []byte(job.Customer), []byte(job.ID), []byte(list)}
-	if d.e.Settings.Tracks[job.Track].Effect != choice.Idempotent {
+	if d.e.Settings.Classes[job.Track].Effect != choice.Idempotent {
 		words[0] = []byte("SVC.SUBMIT")
 		words = append(words, []byte("body of "+job.ID))
 	}
--- a/internal/lab/memfleet/clients.go
+++ b/internal/lab/memfleet/clients.go
@@ -142,7 +142,7 @@
 		return
 	}
 	k.next++
-	effect := k.f.set.Tracks[m.Track].Effect
+	effect := k.f.set.Classes[m.Track].Effect
 	v := &visit{cutOff: m.CutOff, giveUp: k.rng.Float64() < k.f.o.Load.GiveUp}
 	v.job = record.Job{ID: fmt.Sprintf("%016x", k.next), Customer: c.ID, Plan: c.Plan, Track: m.Track, Units: m.Units,
 		Limiter: n, Retry: retry, Binding: effect == choice.NonIdempotent}
--- a/internal/lab/memfleet/fleet.go
+++ b/internal/lab/memfleet/fleet.go
@@ -178,7 +178,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for _, m := range o.Load.Tracks {
-		if f.set.Tracks[m.Track] == nil {
+		if f.set.Classes[m.Track] == nil {
 			return nil, fmt.Errorf("load: no track %q", m.Track)
 		}
 		f.longest = max(f.longest, m.CutOff)
@@ -254,7 +254,7 @@
 func (f *Fleet) At(at int64, step func()) { f.q.at(at, step) }
 
 // Agreed is a track's agreed time.
-func (f *Fleet) Agreed(track string) int64 { return f.set.Tracks[track].Agreed }
+func (f *Fleet) Agreed(track string) int64 { return f.set.Classes[track].Target }
 
 // Run lets the fleet run up to a time.
 func (f *Fleet) Run(until int64) { f.q.run(until) }
--- a/internal/lab/rig/answers_test.go
+++ b/internal/lab/rig/answers_test.go
@@ -147,7 +147,7 @@
 				}
 				config := Config(one, two)
 				if b.is == late {
-					config.Settings.Tracks["keyed"].Repeats = 5e7
+					config.Settings.Classes["keyed"].Repeats = 5e7
 				}
 				r := Start(t, config)
 				client := r.Dial(t)
--- a/internal/lab/rig/deadlines_test.go
+++ b/internal/lab/rig/deadlines_test.go
@@ -184,7 +184,7 @@
 	config.Discovery, config.Known = service.Address, []byte(listing(1, s.known()))
 	config.Settings.DialTimeout = 8e9
 	for name, group := range map[string]choice.Group{"keyed": choice.GroupAll, "near": choice.GroupZone} {
-		config.Settings.Tracks[name] = &choice.Track{Agreed: 60e9, Effect: choice.Keyed, Group: group, Repeats: int64(window), Benefit: 1}
+		config.Settings.Classes[name] = &choice.Class{Target: 60e9, Effect: choice.Keyed, Group: group, Repeats: int64(window), Value: 1}
 	}
 	if change != nil {
 		change(config)
--- a/internal/lab/rig/renew_test.go
+++ b/internal/lab/rig/renew_test.go
@@ -84,7 +84,7 @@
 	r.Renew(func(next *settings.Config) {
 		other := set
 		other.CounterWait, other.MostAttempts = 0, 9
-		other.Tracks = map[string]*choice.Track{"read": set.Tracks["read"], "new": set.Tracks["read"], "keyed": {Agreed: 1, Benefit: 1}}
+		other.Classes = map[string]*choice.Class{"read": set.Classes["read"], "new": set.Classes["read"], "keyed": {Target: 1, Value: 1}}
 		other.Plans = map[string]*choice.Plan{"plain": {}}
 		next.Counter, next.Sockets = "", 64
 		next.Settings = &settings.Settings{Settings: &other, IdleClose: next.Settings.IdleClose}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -55,12 +55,12 @@
 	second := int64(time.Second)
 	return &settings.Config{Name: "rig", Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 256, Known: known,
 		Settings: &settings.Settings{IdleClose: 15 * second, Settings: &choice.Settings{
-			Tracks: map[string]*choice.Track{
-				"read":  {Agreed: second, Benefit: 1},
-				"write": {Agreed: second, Effect: choice.NonIdempotent, Benefit: 1},
-				"keyed": {Agreed: second, Effect: choice.Keyed, Group: choice.GroupAll, Repeats: 2 * second, Benefit: 1},
+			Classes: map[string]*choice.Class{
+				"read":  {Target: second, Value: 1},
+				"write": {Target: second, Effect: choice.NonIdempotent, Value: 1},
+				"keyed": {Target: second, Effect: choice.Keyed, Group: choice.GroupAll, Repeats: 2 * second, Value: 1},
 			},
-			Plans:     map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, Benefit: 1}},
+			Plans:     map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, Value: 1}},
 			MostUnits: 64, LongestLease: 60 * second, Limiters: 1, ColdFrom: 0.5, WarmWithin: 10 * second,
 			DialTimeout: second / 4, MostAttempts: 3, MostAdvice: 2 * second, Cancelling: true, Granularity: 4e6}}}
 }
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -203,7 +203,7 @@
 		if j != nil && s.At > j.CutOff+t.Late && !excused[s.ID] {
 			v.breach(Breach{Rule: 1, At: s.At, What: s.ID, Detail: "a shot began after the client's cut-off"})
 		}
-		track := set.Tracks[s.Track]
+		track := set.Classes[s.Track]
 		if track == nil || track.Effect == choice.Idempotent {
 			continue
 		}
@@ -226,8 +226,8 @@
 	sort.Strings(ids) // breaches in one order every run
 	for _, id := range ids {
 		first := ran[id]
-		if j := byID[id]; j != nil && j.Outcome == record.Rejected && set.Tracks[j.Track] != nil &&
-			set.Tracks[j.Track].Effect == choice.NonIdempotent {
+		if j := byID[id]; j != nil && j.Outcome == record.Rejected && set.Classes[j.Track] != nil &&
+			set.Classes[j.Track].Effect == choice.NonIdempotent {
 			v.breach(Breach{Rule: 2, At: j.Answered, What: id,
 				Detail: fmt.Sprintf("rejected after a shot at %s that may have run", first.Server)})
 		}
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -311,7 +311,7 @@
 	a := &answer{}
 	cl.answers = append(cl.answers, a)
 	a.request = l.take(cl, a, words, before, past, arrival.Budget)
-	if t := l.set.Tracks[arrival.Track]; t.Effect == choice.Keyed {
+	if t := l.set.Classes[arrival.Class]; t.Effect == choice.Keyed {
 		a.request.repeats, a.request.group = t.Repeats, t.Group
 	}
 	l.logic.Request(l.now, arrival)
@@ -343,7 +343,7 @@
 		names = append(names, name)
 		switch string(name) {
 		case "c":
-			a.Track = string(value)
+			a.Class = string(value)
 		case "t":
 			a.Plan = string(value)
 		case "d":
@@ -372,7 +372,7 @@
 		}
 		from += len(field) + 1
 	}
-	t := l.set.Tracks[a.Track]
+	t := l.set.Classes[a.Class]
 	switch {
 	case t == nil:
 		return a, 0, 0, "unknown class"
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -80,7 +80,7 @@
 			total := 0
 			for k := range starts {
 				born, d := k*second/starts, &lives{}
-				logic := choice.New(born, &choice.Settings{Tracks: map[string]*choice.Track{"read": {Agreed: second, Benefit: 1}},
+				logic := choice.New(born, &choice.Settings{Classes: map[string]*choice.Class{"read": {Target: second, Value: 1}},
 					Plans:       map[string]*choice.Plan{"p": {Rate: rate, Burst: burst, CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
 					CounterWait: second / 20, MostUnits: 1, LongestLease: 60 * second, Limiters: spread, ColdFrom: 1, WarmWithin: 1,
 					DialTimeout: second / 4, MostAttempts: 1, Granularity: 4e6}, 1, d)
@@ -88,7 +88,7 @@
 				now := born + second/starts - 1
 				for i := range 4 * burst {
 					id := strconv.Itoa(i)
-					logic.Request(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Track: "read", Units: 1, Spread: spread})
+					logic.Request(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Class: "read", Units: 1, Spread: spread})
 					for ; len(d.names) > 0; d.names = d.names[1:] {
 						logic.Counted(now, d.names[0], choice.Unconnected, 0)
 					}
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -78,8 +78,8 @@
 	w := &wire{dialed: map[ID]string{}, wrote: map[ID]string{}, kernel: map[ID]int64{}}
 	l, err := New(0, &settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 64, Known: []byte(known),
 		Settings: &settings.Settings{IdleClose: 15 * second, AskEvery: every, Settings: &choice.Settings{
-			Tracks: map[string]*choice.Track{"read": {Agreed: second}, "write": {Agreed: second, Effect: choice.NonIdempotent}},
-			Plans:  map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
+			Classes: map[string]*choice.Class{"read": {Target: second}, "write": {Target: second, Effect: choice.NonIdempotent}},
+			Plans:   map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
 			// With one limiter and large requests the first room holds several of them.
 			CounterWait: second / 20, MostUnits: 8, LongestLease: 60 * second, Limiters: 1, Position: position, ColdFrom: 0.25,
 			WarmWithin: 10 * second, DialTimeout: second / 4, MostAttempts: 3, MostAdvice: second, Granularity: second / 250,
@@ -101,10 +101,10 @@
 }
 
 // command is a request with so many milliseconds left.
-func command(id, track, left string) string {
-	list := "c=" + track + ",t=plain,d=" + left + ",units=2,spread=1,first=0"
+func command(id, class, left string) string {
+	list := "c=" + class + ",t=plain,d=" + left + ",units=2,spread=1,first=0"
 	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(list)}
-	if track == "write" {
+	if class == "write" {
 		words = append(words, []byte("BODY"))
 		words[0] = []byte("SVC.SUBMIT")
 	}
@@ -112,12 +112,12 @@
 }
 
 // dialling is a limiter with one request, whose attempt waits for its connection.
-func dialling(t *testing.T, track string) (*Limiter, *wire, ID) { return diallingFor(t, track, "480") }
+func dialling(t *testing.T, class string) (*Limiter, *wire, ID) { return diallingFor(t, class, "480") }
 
-func diallingFor(t *testing.T, track, left string) (*Limiter, *wire, ID) {
+func diallingFor(t *testing.T, class, left string) (*Limiter, *wire, ID) {
 	t.Helper()
 	l, w := made(t)
-	w.say(l, 0, visitor, command("j", track, left))
+	w.say(l, 0, visitor, command("j", class, left))
 	w.say(l, 0, counting, "ok 2\r\n")
 	if w.dialed[w.last] != "127.0.0.1:9" {
 		t.Fatalf("dialled %v, wrote %v", w.dialed, w.wrote)
@@ -126,14 +126,14 @@
 }
 
 // sent is the same with the attempt written.
-func sent(t *testing.T, track string) (*Limiter, *wire, ID) {
+func sent(t *testing.T, class string) (*Limiter, *wire, ID) {
 	t.Helper()
-	return sentFor(t, track, "480")
+	return sentFor(t, class, "480")
 }
 
-func sentFor(t *testing.T, track, left string) (*Limiter, *wire, ID) {
+func sentFor(t *testing.T, class, left string) (*Limiter, *wire, ID) {
 	t.Helper()
-	l, w, id := diallingFor(t, track, left)
+	l, w, id := diallingFor(t, class, left)
 	l.Step(0, Happening{Kind: Connected, Conn: id})
 	return l, w, id
 }
@@ -429,7 +429,7 @@
 	})
 }
 
-func TestCutOff(t *testing.T) {
+func TestDeadline(t *testing.T) {
 	l, w, id := sent(t, "write")
 	w.pass(l, second/2)
 	expect(t, w.wrote[visitor], string(writtenOff))
@@ -1119,8 +1119,8 @@
 	})
 	t.Run("others have what is left, and nothing is sent before the list is heard", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		require.True(t, servers(w) == 0 && l.requests["k"].cutOff == woken+480*second/1000,
-			"%d dials, cut-off %d", servers(w), l.requests["k"].cutOff)
+		require.True(t, servers(w) == 0 && l.requests["k"].deadline == woken+480*second/1000,
+			"%d dials, deadline %d", servers(w), l.requests["k"].deadline)
 		hear(l, w, nothing)
 		require.True(t, servers(w) == 1, "%d dials", servers(w))
 	})
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -22,11 +22,11 @@
 )
 
 type request struct {
-	id     string
-	state  State
-	client *client
-	answer *answer // its place among the client's answers
-	cutOff int64
+	id       string
+	state    State
+	client   *client
+	answer   *answer // its place among the client's answers
+	deadline int64
 	// How long a server knows the request again after an attempt, where it does; 0 else.
 	repeats  int64
 	group    choice.Group // and which servers do
@@ -73,7 +73,7 @@
 		size += len(w)
 	}
 	text := make([]byte, 0, size)
-	q := &request{id: string(words[2]), client: c, answer: a, cutOff: l.now + budget, size: int64(size),
+	q := &request{id: string(words[2]), client: c, answer: a, deadline: l.now + budget, size: int64(size),
 		words: make([][]byte, len(words))}
 	for i, w := range words {
 		text = append(text, w...)
@@ -118,7 +118,7 @@
 
 // command writes the request's command with the time that is left.
 func (q *request) command(to []byte, now int64) []byte {
-	left := strconv.AppendInt(nil, max(1, (q.cutOff-now)/1e6), 10)
+	left := strconv.AppendInt(nil, max(1, (q.deadline-now)/1e6), 10)
 	list := bytes.Join([][]byte{q.before, left, q.past}, nil)
 	words := append(append(make([][]byte, 0, len(q.words)), q.words[:3]...), list)
 	return resp.AppendCommand(to, append(words, q.words[4:]...)...)
@@ -148,13 +148,13 @@
 	att := &attempt{request: q, number: len(q.attempts), at: l.now, open: true}
 	q.attempts = append(q.attempts, att)
 	q.open++
-	if q.state != Taken || l.now >= q.cutOff || len(q.attempts) > l.set.MostAttempts {
+	if q.state != Taken || l.now >= q.deadline || len(q.attempts) > l.set.MostAttempts {
 		l.endAttempt(att, choice.Reply{Outcome: choice.Moot})
 		return
 	}
 	p := l.pools[server]
 	l.sure(func() {
-		if q.state != Taken || l.now >= q.cutOff || p.leaving {
+		if q.state != Taken || l.now >= q.deadline || p.leaving {
 			l.endAttempt(att, choice.Reply{Outcome: choice.Moot})
 		} else if att.open {
 			p.send(att)
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -108,7 +108,7 @@
 	l := p.l
 	begin := func(b *backend) {
 		b.attempt, att.backend = att, b
-		att.limit = l.at(att.request.cutOff, func() { l.over(att.backend.c, TimeOver) })
+		att.limit = l.at(att.request.deadline, func() { l.over(att.backend.c, TimeOver) })
 	}
 	if !p.use(begin) {
 		l.endAttempt(att, choice.Reply{Outcome: NoRoom.outcome(false)})
@@ -127,7 +127,7 @@
 
 func (b *backend) up() {
 	l := b.pool.l
-	if att := b.attempt; att != nil && (att.request.state != Taken || l.now >= att.request.cutOff || b.pool.leaving || att.stale()) {
+	if att := b.attempt; att != nil && (att.request.state != Taken || l.now >= att.request.deadline || b.pool.leaving || att.stale()) {
 		// The request has ended while its connection came up, and nothing may be sent for it any more, or it is too late for this
 		// attempt: it was decided on before the process stood still.
 		b.attempt = nil
@@ -185,7 +185,7 @@
 		return 0, err
 	}
 	if n == 0 {
-		// The rest of a good answer is right behind; a spoilt one would hold its request until the cut-off.
+		// The rest of a good answer is right behind; a spoilt one would hold its request until the deadline.
 		if b.half == nil {
 			b.half = l.at(l.now+l.set.DialTimeout, func() { l.over(b.c, Garbled) })
 		}
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -46,7 +46,7 @@
 		{"granularity", a.Granularity, b.Granularity}} {
 		all = append(all, kept{"settings: " + s.key, s.old, s.new})
 	}
-	all = append(append(all, named("settings: classes: ", a.Tracks, b.Tracks)...), named("settings: tariffs: ", a.Plans, b.Plans)...)
+	all = append(append(all, named("settings: classes: ", a.Classes, b.Classes)...), named("settings: tariffs: ", a.Plans, b.Plans)...)
 	for _, k := range all {
 		if k.old != k.new {
 			keys = append(keys, k.key)
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -17,18 +17,18 @@
 	if err != nil || c.Seed != 255 || c.Memory != 192<<20 || c.Settings.IdleClose != 15e9 || c.Settings.CounterWait != 5e7 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
-	if p, track := c.Settings.Plans["p"], c.Settings.Tracks["c"]; p.Open != 0 || track.Benefit != 1 {
-		t.Fatalf("a configuration that does not speak of them has a cap of %v and a worth of %v", p.Open, track.Benefit)
+	if p, class := c.Settings.Plans["p"], c.Settings.Classes["c"]; p.Open != 0 || class.Value != 1 {
+		t.Fatalf("a configuration that does not speak of them has a cap of %v and a worth of %v", p.Open, class.Value)
 	}
 	moved := strings.Replace(strings.Replace(good, `"rate":5`, `"parallel":3`, 1), `"aim":1`, `"aim":1,"worth":5`, 1)
-	if c, err = ReadConfig([]byte(moved)); err != nil || c.Settings.Plans["p"].Open != 3 || c.Settings.Tracks["c"].Benefit != 5 {
+	if c, err = ReadConfig([]byte(moved)); err != nil || c.Settings.Plans["p"].Open != 3 || c.Settings.Classes["c"].Value != 5 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
 		{"no object", good, `[]`, "array"},
 		{"no settings", `"settings":{`, `"other":{`, "settings: missing"},
 		{"an unknown effect", `"free"`, `"dear"`, "settings: classes: c"},
-		{"an agreed time of 0", `"aim":1`, `"aim":0`, "settings: classes: c: aim"},
+		{"a target latency of 0", `"aim":1`, `"aim":0`, "settings: classes: c: aim"},
 		{"a rate below 0", `"rate":5`, `"rate":-5`, "settings: tariffs: p: rate"},
 		{"a cap below 0", `"most-at-once":10`, `"most-at-once":10,"parallel":-1`, "settings: tariffs: p: parallel"},
 		{"half a place under a cap", `"most-at-once":10`, `"most-at-once":10,"parallel":2.5`, "settings: tariffs: p: parallel"},
--- a/internal/settings/other_test.go
+++ b/internal/settings/other_test.go
@@ -23,7 +23,7 @@
 		"Config":          func(c *Config) any { return c },
 		"Settings":        func(c *Config) any { return c.Settings },
 		"choice.Settings": func(c *Config) any { return c.Settings.Settings },
-		"Track":           func(c *Config) any { return c.Settings.Tracks["c"] },
+		"Class":           func(c *Config) any { return c.Settings.Classes["c"] },
 		"Plan":            func(c *Config) any { return c.Settings.Plans["p"] },
 	} {
 		for i := range reflect.TypeOf(part(read())).Elem().NumField() {
@@ -41,7 +41,7 @@
 				f.SetBool(!f.Bool())
 			case choice.Effect, choice.Group:
 				f.SetUint(f.Uint() + 1)
-			case map[string]*choice.Track, map[string]*choice.Plan:
+			case map[string]*choice.Class, map[string]*choice.Plan:
 				f.SetZero()
 			default:
 				continue // a part that has its own turn
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -127,7 +127,7 @@
 		return nil, broken(err)
 	}
 	s := &choice.Settings{
-		Tracks: map[string]*choice.Track{}, Plans: map[string]*choice.Plan{},
+		Classes: map[string]*choice.Class{}, Plans: map[string]*choice.Plan{},
 		MostUnits: f.Family.UnitsTop, LongestLease: longestLease, Limiters: f.Balancers, Position: -1,
 		ColdFrom: f.Contract.ColdFrom, WarmWithin: nanos(f.Contract.WarmWithin),
 		DialTimeout: nanos(f.Permissions.DialTimeout), MostAttempts: f.Permissions.AttemptsCap,
@@ -146,7 +146,7 @@
 		if !known || effect == choice.Keyed && !grouped {
 			return nil, wrong(part, "effect %q, group %q: not known", c.Effect, c.Group)
 		}
-		if err := once("classes", c.Name, s.Tracks[c.Name] != nil); err != nil {
+		if err := once("classes", c.Name, s.Classes[c.Name] != nil); err != nil {
 			return nil, err
 		}
 		if err := within(part, figure{": aim", c.Aim, leastTime, mostTime, false}, figure{": worth", c.Worth, 0, mostRate, false},
@@ -156,13 +156,13 @@
 		if c.Deadline != nil && *c.Deadline <= 0 { // it comes with each request, but a class without time is no class
 			return nil, wrong(part+": deadline", "is %v", *c.Deadline)
 		}
-		s.Tracks[c.Name] = &choice.Track{Agreed: nanos(c.Aim), Effect: effect, Group: group,
-			Repeats: nanos(c.Window), Benefit: c.Worth}
+		s.Classes[c.Name] = &choice.Class{Target: nanos(c.Aim), Effect: effect, Group: group,
+			Repeats: nanos(c.Window), Value: c.Worth}
 		if c.Worth == 0 { // not told: as good as any
-			s.Tracks[c.Name].Benefit = 1
+			s.Classes[c.Name].Value = 1
 		}
 	}
-	if len(s.Tracks) == 0 {
+	if len(s.Classes) == 0 {
 		return nil, wrong("classes", "none")
 	}
 	for _, t := range f.Tariffs {
@@ -194,7 +194,7 @@
 		}
 		s.Plans[t.Name] = &choice.Plan{Rate: t.Rate, Burst: t.MostAtOnce,
 			CeilingRate: t.HardRate, CeilingBurst: t.HardDepth, Open: t.Parallel,
-			BeyondEarns: t.ExtraWorth, BeyondCosts: t.BeyondCosts, Benefit: worth}
+			BeyondEarns: t.ExtraWorth, BeyondCosts: t.BeyondCosts, Value: worth}
 	}
 	if len(s.Plans) == 0 {
 		return nil, wrong("tariffs", "none")
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -191,7 +191,7 @@
 	case "inbound":
 		a := choice.Arrival{ID: take(r, "handle", it.Handle), Budget: nanos(take(r, "budget", it.Budget)),
 			Customer: take(r, "api-key", it.Key), Plan: take(r, "tier", it.Tier),
-			Track: take(r, "cls", it.Class),
+			Class: take(r, "cls", it.Class),
 			Units: take(r, "price-units", it.Units), Spread: take(r, "n-entries", it.Entries)}
 		do = func(l *choice.Limiter) { l.Request(wall, a) }
 	case "reply":
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -58,7 +58,7 @@
 		{"a malformed line", `{`, "line 1"},
 		{"a missing field", strings.Replace(inbound, `"handle":"j",`, "", 1), `batch 1: item 0: inbound: field "handle"`},
 		{"a null field", strings.Replace(inbound, `"budget":4`, `"budget":null`, 1), `field "budget"`},
-		{"no tracks", strings.Replace(begin, `{"name":"c","aim":1,"effect":"free","group":"all"}`, "", 1), "classes: none"},
+		{"no classes", strings.Replace(begin, `{"name":"c","aim":1,"effect":"free","group":"all"}`, "", 1), "classes: none"},
 		{"a negative rate", strings.Replace(begin, `"rate":5`, `"rate":-5`, 1), "tariffs: p: rate: is -5"},
 		{"a rate without a burst", strings.Replace(begin, `"most-at-once":10`, `"most-at-once":0`, 1), "most-at-once: is 0"},
 	} {
--- a/internal/sockets/leave_test.go
+++ b/internal/sockets/leave_test.go
@@ -34,7 +34,7 @@
 	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: descriptors,
 		Known: []byte(`{"generation":1,"instances":` + entries + `}`),
 		Settings: &settings.Settings{IdleClose: 15e9, Settings: &choice.Settings{
-			Tracks: map[string]*choice.Track{"c": {Agreed: 1e9, Benefit: 1}}, Plans: map[string]*choice.Plan{"p": {}},
+			Classes: map[string]*choice.Class{"c": {Target: 1e9, Value: 1}}, Plans: map[string]*choice.Plan{"p": {}},
 			MostUnits: 64, Limiters: 1, MostAttempts: 1, WarmWithin: 1, DialTimeout: 25e7, Granularity: 4e6}}}
 	d := &drive{t: t, s: s, address: address, now: 1e15}
 	var err error
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -202,10 +202,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	track := &choice.Track{Agreed: int64(patience), Effect: choice.NonIdempotent}
+	class := &choice.Class{Target: int64(patience), Effect: choice.NonIdempotent}
 	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // nobody is there
 		Known: fmt.Appendf(nil, `{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service"}]}`, server.Addr()),
-		Settings: &settings.Settings{IdleClose: int64(patience), Settings: &choice.Settings{Tracks: map[string]*choice.Track{"c": track},
+		Settings: &settings.Settings{IdleClose: int64(patience), Settings: &choice.Settings{Classes: map[string]*choice.Class{"c": class},
 			Plans: map[string]*choice.Plan{"p": {}}, MostUnits: 8, Limiters: 1, MostAttempts: 1, WarmWithin: 1,
 			DialTimeout: int64(patience), Granularity: 1e6}}}
 	clock := func() int64 { return time.Now().UnixNano() }
