--- a/choice/choice.go
+++ b/choice/choice.go
@@ -345,7 +345,7 @@
 		delete(l.calls, name)
 	}
 	q, a := c.request, c.account
-	if outcome != Done {
+	if outcome != Succeeded {
 		// A counter that is down or crowded is asked less, so that nothing waits for it in vain and it can
 		// work off its line; it is asked more again step by step, so that its return brings no rush.
 		if outcome != Broke { // it has worked off the call, or may have, and only its answer was spoilt
@@ -619,13 +619,13 @@
 	l.drop(now, q)
 }
 
-// finish ends a request that cannot be served: rejected if that is true and harmless, else written off.
+// finish ends a request that cannot be served: rejected if that is true and harmless, else failed.
 func (l *Limiter) finish(now int64, q *request) {
 	for _, att := range q.attempts {
 		marked := q.class.Effect == Keyed && q.class.Group != GroupAll
 		if att.maybe && (q.class.Effect == NonIdempotent || marked) {
-			l.move(q, WrittenOff)
-			l.deeds.WriteOff(q.id)
+			l.move(q, Failed)
+			l.deeds.Fail(q.id)
 			l.drop(now, q)
 			return
 		}
@@ -644,10 +644,10 @@
 	q.spent = q.spent || r.Outcome != Unconnected && r.Outcome != Moot
 	att.maybe = r.Outcome != Full && r.Outcome != Unconnected && r.Outcome != Moot
 	l.learn(now, att, r)
-	if r.Outcome == Done { // of a client that has gone too
+	if r.Outcome == Succeeded { // of a client that has gone too
 		l.settle(now, q, r.Units)
 	}
-	if r.Outcome == Done && r.Final && !q.ended() {
+	if r.Outcome == Succeeded && r.Final && !q.ended() {
 		if !att.late { // well spent: where some servers are bad and others good, more may follow
 			l.spare += float64(len(q.attempts) - 1)
 		}
@@ -711,7 +711,7 @@
 	s.attempts, s.out = slices.DeleteFunc(s.attempts, func(o *attempt) bool { return o == att }),
 		max(0, s.out-u)
 	switch r.Outcome {
-	case Done:
+	case Succeeded:
 		s.heard, s.bad = now, s.bad*(1-badStep)
 		if s.standing == aside || s.standing == trial && s.bad < badMost/2 {
 			l.log("server %s answers again", s.id)
@@ -863,7 +863,7 @@
 	if s == nil || s.standing != aside {
 		return
 	}
-	if s.probes++; outcome != Done {
+	if s.probes++; outcome != Succeeded {
 		s.probes = 0
 	} else if s.probes >= 2 {
 		l.comeBack(now, s)
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -16,7 +16,7 @@
 	t.Run("of a customer known to be out of units is rejected without a call", func(t *testing.T) {
 		l, d := made()
 		q := reserving(l, "read", "plain")
-		l.Counted(0, q.name, Done, 60)
+		l.Counted(0, q.name, Succeeded, 60)
 		d.did = nil
 		l.Request(second/10, arrival("k", "read", "plain"))
 		if expect(t, d, "reject k"); len(d.did) != 1 {
@@ -54,8 +54,8 @@
 		l.Request(second/2, arrival("j", "read", "hard"))
 		l.Request(second/2, arrival("k", "read", "hard"))
 		name := l.requests["j"].name
-		l.Counted(second/2, name, Done, 2)
-		l.Counted(second/2, name, Done, 4)
+		l.Counted(second/2, name, Succeeded, 2)
+		l.Counted(second/2, name, Succeeded, 4)
 		expect(t, d, "count 2", "count 2", "send j a", "count -2", "reject k")
 		d.because(t, ForCeiling)
 	})
@@ -102,18 +102,18 @@
 		}
 	}
 	l, _ := made()
-	end(l, Done, 10)
+	end(l, Succeeded, 10)
 	end(l, Unconnected, 40)
 	if l.asks != askLeast {
 		t.Fatal("while it is down it is asked", l.asks)
 	}
-	if end(l, Done, 4); l.asks != askLess {
+	if end(l, Succeeded, 4); l.asks != askLess {
 		t.Fatal("after four answers it is asked", l.asks)
 	}
 	l, _ = made()
 	for range 40 {
 		end(l, TimedOut, 1)
-		end(l, Done, 4)
+		end(l, Succeeded, 4)
 	}
 	if l.asks > 0.3 {
 		t.Fatal("one that leaves a fifth unanswered is asked", l.asks)
@@ -123,12 +123,12 @@
 func TestCounted(t *testing.T) {
 	t.Run("within the allowance the request is sent", func(t *testing.T) {
 		l, d := made()
-		l.Counted(0, reserving(l, "read", "plain").name, Done, 10)
+		l.Counted(0, reserving(l, "read", "plain").name, Succeeded, 10)
 		expect(t, d, "send j a")
 	})
 	t.Run("past the allowance it is added back and rejected", func(t *testing.T) {
 		l, d := made()
-		l.Counted(0, reserving(l, "read", "plain").name, Done, 11)
+		l.Counted(0, reserving(l, "read", "plain").name, Succeeded, 11)
 		expect(t, d, "count -2", "reject j")
 		d.because(t, ForQuota)
 	})
@@ -152,7 +152,7 @@
 		l, d := made()
 		q := reserving(l, "read", "plain")
 		l.Left(0, "j")
-		l.Counted(0, q.name, Done, 2)
+		l.Counted(0, q.name, Succeeded, 2)
 		expect(t, d, "count 2", "count -2")
 	})
 	t.Run("unanswered, what the slice sends is owed until a total shows that it was added", func(t *testing.T) {
@@ -163,7 +163,7 @@
 			t.Fatal("owed", q.account.owed)
 		}
 		l.reserve(0, &request{id: "k", account: q.account, units: 2, charge: 2, class: q.class})
-		l.Counted(0, q.name, Done, 6)
+		l.Counted(0, q.name, Succeeded, 6)
 		if expect(t, d, "count 4", "send k b"); q.account.owed != -2 {
 			t.Fatal("owed", q.account.owed)
 		}
@@ -172,7 +172,7 @@
 		l, d := made()
 		q := reserving(l, "read", "plain")
 		q.account.total, q.account.known, q.account.quota.level = 30, true, 1
-		l.Counted(0, q.name, Done, 2)
+		l.Counted(0, q.name, Succeeded, 2)
 		expect(t, d, "count -2", "reject j")
 	})
 	t.Run("what is added back to a window that has passed leaves the store alone", func(t *testing.T) {
@@ -180,11 +180,11 @@
 		q := reserving(l, "read", "plain")
 		later := 40 * second
 		q.lease, q.account.quota.at = later+1, later
-		l.Counted(later, q.name, Done, 100)
+		l.Counted(later, q.name, Succeeded, 100)
 		l.release(later, q, 2)
 		q.reserved = true
 		l.release(later, q, 2)
-		l.Counted(later, q.name, Done, 98)
+		l.Counted(later, q.name, Succeeded, 98)
 		if level := q.account.quota.level; level != 3 {
 			t.Fatal("the store has fallen to", level)
 		}
@@ -193,7 +193,7 @@
 		l, d := made()
 		q := reserving(l, "read", "plain")
 		q.account.known, q.account.quota.level, q.account.quota.spilt = true, 10, 24
-		l.Counted(0, q.name, Done, 26)
+		l.Counted(0, q.name, Succeeded, 26)
 		expect(t, d, "send j a")
 	})
 	t.Run("what a late call added for a request not sent is added back with the next", func(t *testing.T) {
@@ -203,7 +203,7 @@
 		l.Counted(0, q.name, TimedOut, 0)
 		expect(t, d, "count 2", "reject j")
 		l.reserve(0, &request{id: "k", account: q.account, units: 1, charge: 1, class: q.class})
-		l.Counted(0, q.name, Done, 3)
+		l.Counted(0, q.name, Succeeded, 3)
 		if q.account.owed != -2 {
 			t.Fatal("owed", q.account.owed)
 		}
@@ -214,12 +214,12 @@
 		l.turn(0, a)
 		a.owed = -9
 		q := reserving(l, "read", "plain")
-		l.Counted(0, q.name, Done, -7)
+		l.Counted(0, q.name, Succeeded, -7)
 		expect(t, d, "count -7", "send j a")
 	})
 	t.Run("an answer to no call does nothing", func(t *testing.T) {
 		l, d := made()
-		l.Counted(0, 5, Done, 2)
+		l.Counted(0, 5, Succeeded, 2)
 		expect(t, d)
 	})
 }
@@ -248,7 +248,7 @@
 		if l.look(0); len(l.order) != 1 || l.servers["a"] == nil || l.servers["b"] != nil {
 			t.Fatal(len(l.order), "kept")
 		}
-		l.Answer(1, Reply{Request: "j", Outcome: Done, Took: 1, Final: true})
+		l.Answer(1, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true})
 		if l.look(1); len(l.order)+len(l.servers) > 0 {
 			t.Fatal(len(l.order), "kept")
 		}
@@ -339,8 +339,8 @@
 			l, _ := made()
 			l.set.Plans["free"], l.accounts = &Plan{}, map[uint64]*account{}
 			l.Request(3*second, arrival("j", "read", plan))
-			l.Counted(3*second, l.requests["j"].name, Done, 2)
-			l.Answer(4*second, Reply{Request: "j", Outcome: Done, Took: second, Final: true})
+			l.Counted(3*second, l.requests["j"].name, Succeeded, 2)
+			l.Answer(4*second, Reply{Request: "j", Outcome: Succeeded, Took: second, Final: true})
 			if l.forget(200 * second); len(l.accounts) > 0 {
 				t.Fatalf("%s: %d kept", plan, len(l.accounts))
 			}
@@ -378,8 +378,8 @@
 		want        string
 	}{
 		{"a non-idempotent request that never ran goes elsewhere", "write", Full, "send j b"},
-		{"a non-idempotent request that may have run is written off", "write", Reset, "write off j"},
-		{"a keyed request that may have run stays in its group", "mark", Reset, "write off j"},
+		{"a non-idempotent request that may have run fails", "write", Reset, "fail j"},
+		{"a keyed request that may have run stays in its group", "mark", Reset, "fail j"},
 		{"an idempotent request goes elsewhere", "read", Broke, "send j b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -401,7 +401,7 @@
 	t.Run("true units settle the reservation once", func(t *testing.T) {
 		l, d := made()
 		q := sent(l, "read")
-		l.Answer(second/10, Reply{Request: "j", Outcome: Done, Took: second / 10, Final: true, Units: 5})
+		l.Answer(second/10, Reply{Request: "j", Outcome: Succeeded, Took: second / 10, Final: true, Units: 5})
 		expect(t, d, "send j a", "count 3")
 		if l.requests["j"] != nil || q.state != Served || q.account.quota.level > 5.6 {
 			t.Fatalf("request is kept in state %d, the store holds %v", q.state, q.account.quota.level)
@@ -410,11 +410,11 @@
 }
 
 func TestWoken(t *testing.T) {
-	t.Run("at its end a non-idempotent request that is out is written off", func(t *testing.T) {
+	t.Run("at its end a non-idempotent request that is out fails", func(t *testing.T) {
 		l, d := made()
 		q := sent(l, "write")
 		l.Woken(q.end, q.token)
-		expect(t, d, "write off j")
+		expect(t, d, "fail j")
 	})
 	t.Run("at its end an idempotent request is rejected", func(t *testing.T) {
 		l, d := made()
@@ -535,9 +535,9 @@
 		a := l.servers["a"]
 		a.bad = 1
 		l.setAside(0, a, "")
-		l.Probed(second, "a", Done)
+		l.Probed(second, "a", Succeeded)
 		once := a.standing
-		l.Probed(second, "a", Done)
+		l.Probed(second, "a", Succeeded)
 		if once != aside || a.standing != trial || l.warmth(second, a) != l.set.ColdFrom {
 			t.Fatal("standing", once, "then", a.standing, "warmth", l.warmth(second, a))
 		}
@@ -652,7 +652,7 @@
 		q := sent(l, "read")
 		l.spare = 1
 		l.again(0, q)
-		l.Answer(1, Reply{Request: "j", Attempt: 1, Outcome: Done, Took: 1, Final: true})
+		l.Answer(1, Reply{Request: "j", Attempt: 1, Outcome: Succeeded, Took: 1, Final: true})
 		if l.spare != 1 {
 			t.Fatal("in hand", l.spare)
 		}
@@ -792,7 +792,7 @@
 			l, _ := made()
 			for _, stay := range c.reports {
 				att := &attempt{request: &request{class: l.set.Classes["read"], units: 1}, server: l.servers["a"]}
-				l.learn(1, att, Reply{Outcome: Done, Held: 10 * stay, Pace: 10})
+				l.learn(1, att, Reply{Outcome: Succeeded, Held: 10 * stay, Pace: 10})
 			}
 			l.room = 2.5
 			l.servers["a"].out = 3
@@ -862,7 +862,7 @@
 		q := sent(l, "read")
 		l.load, l.room = 4, 19.9 // the load and four deviations of it are 20
 		for range 3 {
-			l.learn(0, q.attempts[0], Reply{Outcome: Done, Took: 1})
+			l.learn(0, q.attempts[0], Reply{Outcome: Succeeded, Took: 1})
 		}
 		if l.room != 20.15 {
 			t.Fatal("it is", l.room)
@@ -895,7 +895,7 @@
 		l, d := capped()
 		q := reserving(l, "read", "cap")
 		expect(t, d, "count 1")
-		l.Counted(0, q.name, Done, 3) // two of others have just gone out
+		l.Counted(0, q.name, Succeeded, 3) // two of others have just gone out
 		expect(t, d, "count -1", "reject j")
 		d.because(t, ForQuota)
 	})
@@ -903,7 +903,7 @@
 		l, d := capped()
 		reserving(l, "read", "cap")
 		acc := l.requests["j"].account
-		l.Counted(0, l.requests["j"].name, Done, 3)
+		l.Counted(0, l.requests["j"].name, Succeeded, 3)
 		l.Request(second, arrival("k", "read", "cap"))
 		if last := d.did[len(d.did)-1]; !strings.HasPrefix(last, "count ") || acc.quota.level < 1 {
 			t.Fatalf("did %q, level %v", d.did, acc.quota.level)
@@ -912,9 +912,9 @@
 	t.Run("true units change nothing of it", func(t *testing.T) {
 		l, d := capped()
 		q := reserving(l, "read", "cap")
-		l.Counted(0, q.name, Done, 1)
+		l.Counted(0, q.name, Succeeded, 1)
 		d.did = nil
-		l.Answer(1, Reply{Request: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
+		l.Answer(1, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true, Units: 4})
 		if len(d.did) != 0 || q.account.owed != 0 {
 			t.Fatalf("did %q, owes %v", d.did, q.account.owed)
 		}
@@ -1037,7 +1037,7 @@
 	l, d := made()
 	q := sent(l, "read")
 	l.asks = 0.5
-	l.Answer(1, Reply{Request: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
+	l.Answer(1, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true, Units: 4})
 	if expect(t, d, "count 2", "send j a"); q.account.owed < 1.99 || q.account.owed > 2.01 {
 		t.Fatal("owes", q.account.owed)
 	}
@@ -1052,11 +1052,11 @@
 	if expect(t, d, "count 2"); q.account.quota.depth != 8 {
 		t.Fatal("the store holds", q.account.quota.depth)
 	}
-	l.Counted(second, q.name, Done, 2)
+	l.Counted(second, q.name, Succeeded, 2)
 	if expect(t, d, "count 2", "send j a"); q.account.ceiling.level != 2 { // half of 8 units filled, 2 taken
 		t.Fatal("the ceiling's part holds", q.account.ceiling.level)
 	}
-	l.Answer(second, Reply{Request: "j", Outcome: Done, Took: 1, Final: true, Units: 4})
+	l.Answer(second, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true, Units: 4})
 	if expect(t, d, "count 2"); q.account.ceiling.level != 2 { // settled on the quota, not on the ceiling
 		t.Fatal("the ceiling's part holds", q.account.ceiling.level)
 	}
@@ -1103,7 +1103,7 @@
 	var at []float64
 	for range 3 {
 		l.reserve(0, &request{id: "k", account: q.account, class: q.class, charge: 1})
-		l.Counted(0, q.name, Done, 1)
+		l.Counted(0, q.name, Succeeded, 1)
 		at = append(at, l.asks)
 	}
 	if at[0] != 0.75+1.0/256 || at[1] != at[0]+2.0/256 || at[2] != at[1]+3.0/256 {
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -22,7 +22,7 @@
 	d.after, d.cause = after, cause
 	d.add("reject %s", request)
 }
-func (d *deeds) WriteOff(request string)                    { d.add("write off %s", request) }
+func (d *deeds) Fail(request string)                        { d.add("fail %s", request) }
 func (d *deeds) Count(name uint64, amount float64, _ int64) { d.add("count %v", amount) }
 func (d *deeds) Probe(server string)                        { d.add("probe %s", server) }
 func (d *deeds) Wake(at, token int64)                       {}
@@ -91,7 +91,7 @@
 // sent is a request whose first attempt is out.
 func sent(l *Limiter, class string) *request {
 	q := reserving(l, class, "plain")
-	l.Counted(0, q.name, Done, 2)
+	l.Counted(0, q.name, Succeeded, 2)
 	return q
 }
 
--- a/choice/owed_test.go
+++ b/choice/owed_test.go
@@ -17,8 +17,8 @@
 		{"no connection came up, three times", []Outcome{Unconnected, Unconnected, Unconnected}, false, 0, -2},
 		{"turned away, and the client has gone", []Outcome{Full}, true, 0, 0},
 		{"it may have run, and then no connection", []Outcome{Reset, Unconnected}, true, 0, 0},
-		{"served after the client had gone", []Outcome{Done}, true, 3, 1},
-		{"served", []Outcome{Done}, false, 3, 1},
+		{"served after the client had gone", []Outcome{Succeeded}, true, 3, 1},
+		{"served", []Outcome{Succeeded}, false, 3, 1},
 	} {
 		for _, slice := range []bool{false, true} {
 			l, d := made()
@@ -32,7 +32,7 @@
 			q := l.requests["j"]
 			a := q.account
 			if !slice {
-				l.Counted(second, q.name, Done, 2)
+				l.Counted(second, q.name, Succeeded, 2)
 			}
 			level, owed := a.slice.level, a.owed
 			for i, o := range c.outcomes {
@@ -40,7 +40,7 @@
 					l.Left(second, "j")
 				}
 				d.did = nil
-				l.Answer(second, Reply{Request: "j", Attempt: i, Outcome: o, Final: q.ended() || o == Done, Units: c.units})
+				l.Answer(second, Reply{Request: "j", Attempt: i, Outcome: o, Final: q.ended() || o == Succeeded, Units: c.units})
 			}
 			counted := 0
 			for _, did := range d.did {
--- a/choice/state.go
+++ b/choice/state.go
@@ -9,7 +9,7 @@
 	Out
 	Served
 	Rejected
-	WrittenOff
+	Failed
 	Abandoned // the client has left
 )
 
--- a/choice/types.go
+++ b/choice/types.go
@@ -22,7 +22,7 @@
 type Outcome uint8
 
 const (
-	Done Outcome = iota
+	Succeeded Outcome = iota
 	Broke
 	Full
 	TimedOut
@@ -135,7 +135,7 @@
 	Send(request, server string)
 	Cancel(request string, attempt int)
 	Reject(request string, retryAfter int64, cause Cause)
-	WriteOff(request string)
+	Fail(request string)
 	Count(name uint64, amount float64, lifetime int64)
 	Probe(server string)
 	Wake(at, token int64)
--- a/internal/lab/census/census_test.go
+++ b/internal/lab/census/census_test.go
@@ -9,7 +9,7 @@
 func TestCensus(t *testing.T) {
 	c := New()
 	for name, log := range map[string]string{
-		"n0": "1.2 2026/12/01 10:00:00 event=requests taken=9 done=5 plan=0 room=3 ceiling=1\nnoise\n" +
+		"n0": "1.2 2026/12/01 10:00:00 event=requests taken=9 succeeded=5 plan=0 room=3 ceiling=1\nnoise\n" +
 			"event=list-turned-away status=503\nevent=list-turned-away status=503\n" +
 			"event=decision text=\"server s-1 is silent, set aside\"\nevent=requests taken=2 room=2\n",
 		"n1": "event=requests taken=4 room=4 quota=99999999999999999999\nevent=decision text=\"odd\"\n" +
--- a/internal/lab/rig/answers_test.go
+++ b/internal/lab/rig/answers_test.go
@@ -253,7 +253,7 @@
 	}
 }
 
-// TestNeverUp: no connection to the one server comes up, so nothing has run: each class is rejected, none is written off. Refused, or
+// TestNeverUp: no connection to the one server comes up, so nothing has run: each class is rejected, none fails. Refused, or
 // silent as a machine whose queue of connections is full.
 func TestNeverUp(t *testing.T) {
 	for _, name := range []string{"refused", "silent"} {
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// refuse tells a client why it is closed, behind the answers to what it sent before. Where these take too long they are
-// written off: it is owed an error or a close soon.
+// refuse tells a client why it is closed, behind the answers to what it sent before. Where these take too long they
+// fail: it is owed an error or a close soon.
 func (cl *client) refuse(why string) {
 	l := cl.l
 	cl.deaf, cl.closing = true, true
@@ -128,7 +128,7 @@
 			for len(cl.answers) > 0 && l.conns[cl.c.id] == cl.c {
 				q := cl.answers[0].request
 				l.owed = append(l.owed, owed{left: q.id})
-				l.move(q, WrittenOff, writtenOff)
+				l.move(q, Failed, failed)
 			}
 		})
 	}
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -187,7 +187,7 @@
 	ln.counter.answered()
 	switch kind {
 	case tally.Added:
-		ln.counter.tell(c, choice.Done, total)
+		ln.counter.tell(c, choice.Succeeded, total)
 	case tally.Busy:
 		ln.counter.tell(c, choice.Full, 0)
 	case tally.Refused:
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -32,7 +32,7 @@
 				case first && end == 472e6:
 					require.Equal(t, value, got)
 				case class == "write":
-					require.Equal(t, string(writtenOff), got)
+					require.Equal(t, string(failed), got)
 				default:
 					require.Regexp(t, "^-BUSY [0-9]+\r\n$", got)
 				}
@@ -93,7 +93,7 @@
 						logic.Counted(now, d.names[0], choice.Unconnected, 0)
 					}
 					if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
-						logic.Answer(now, choice.Reply{Request: id, Outcome: choice.Done, Took: 1e7, Final: true})
+						logic.Answer(now, choice.Reply{Request: id, Outcome: choice.Succeeded, Took: 1e7, Final: true})
 					}
 				}
 				total += len(d.sent)
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -328,7 +328,7 @@
 			l, w, id := sent(t, "write")
 			w.say(l, 0, id, in)
 			w.pass(l, l.set.DialTimeout)
-			expect(t, w.wrote[visitor], string(writtenOff))
+			expect(t, w.wrote[visitor], string(failed))
 			if !slices.Contains(w.closed, id) || l.seen.garbled != 1 {
 				t.Fatalf("closed %v after %q", w.closed, in)
 			}
@@ -432,7 +432,7 @@
 func TestDeadline(t *testing.T) {
 	l, w, id := sent(t, "write")
 	w.pass(l, second/2)
-	expect(t, w.wrote[visitor], string(writtenOff))
+	expect(t, w.wrote[visitor], string(failed))
 	if !slices.Contains(w.closed, id) || len(l.requests) > 0 || l.backends != 0 {
 		t.Fatalf("closed %v, %d requests, %d connections", w.closed, len(l.requests), l.backends)
 	}
@@ -572,7 +572,7 @@
 	l, w, id := sent(t, "read")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	l.Reject("nobody's", 0, choice.ForRoom)
-	want := tolls{taken: 1, done: 1}
+	want := tolls{taken: 1, succeeded: 1}
 	want.rejected[choice.ForRoom] = 1
 	if l.tolls != want {
 		t.Fatalf("%+v", l.tolls)
@@ -859,7 +859,7 @@
 		end  func(l *Limiter, b *backend)
 		want choice.Outcome
 	}{
-		{"answered", func(l *Limiter, b *backend) { _, _ = b.read([]byte("+OK\r\n")) }, choice.Done},
+		{"answered", func(l *Limiter, b *backend) { _, _ = b.read([]byte("+OK\r\n")) }, choice.Succeeded},
 		{"not in time", func(l *Limiter, b *backend) { b.probe.run() }, choice.TimedOut},
 		{"broken", func(l *Limiter, b *backend) { l.over(b.c, PeerReset) }, choice.Reset},
 	} {
@@ -883,15 +883,15 @@
 		outcome           choice.Outcome
 		units, held, pace float64
 	}{
-		{"*3\r\n$1\r\nv\r\n$14\r\nused=86,cost=3\r\n$-1\r\n", choice.Done, 3, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$8\r\ncost=Inf\r\n$-1\r\n", choice.Done, 0, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$10\r\ncost=1e300\r\n$-1\r\n", choice.Done, 0, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$7\r\ncost=-3\r\n$-1\r\n", choice.Done, 0, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$10\r\ninflight=1\r\n", choice.Done, 0, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$32\r\nthroughput=4.397,outstanding=250\r\n", choice.Done, 0, 250, 4.397},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$31\r\nthroughput=4.397,outstanding=2.\r\n", choice.Done, 0, 2, 4.397},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$29\r\nthroughput=-1,outstanding=NaN\r\n", choice.Done, 0, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$46\r\nbacklog=3,throughput=2.5000,recent_ms=135.5000\r\n", choice.Done, 0, 0, 2.5},
+		{"*3\r\n$1\r\nv\r\n$14\r\nused=86,cost=3\r\n$-1\r\n", choice.Succeeded, 3, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$8\r\ncost=Inf\r\n$-1\r\n", choice.Succeeded, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$10\r\ncost=1e300\r\n$-1\r\n", choice.Succeeded, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$7\r\ncost=-3\r\n$-1\r\n", choice.Succeeded, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$10\r\ninflight=1\r\n", choice.Succeeded, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$32\r\nthroughput=4.397,outstanding=250\r\n", choice.Succeeded, 0, 250, 4.397},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$31\r\nthroughput=4.397,outstanding=2.\r\n", choice.Succeeded, 0, 2, 4.397},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$29\r\nthroughput=-1,outstanding=NaN\r\n", choice.Succeeded, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$46\r\nbacklog=3,throughput=2.5000,recent_ms=135.5000\r\n", choice.Succeeded, 0, 0, 2.5},
 		{"-BUSY inflight=7\r\n", choice.Full, 0, 0, 0},
 		{"-BUSYBODY\r\n", choice.Broke, 0, 0, 0},
 		{"-ERR failed inflight=7\r\n", choice.Broke, 0, 0, 0},
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -15,9 +15,9 @@
 
 const (
 	Taken State = iota
-	Done
+	Succeeded
 	Rejected
-	WrittenOff
+	Failed
 	Left // its client has gone
 )
 
@@ -63,7 +63,7 @@
 
 var (
 	rejectedPlain = []byte("-BUSY\r\n")
-	writtenOff    = []byte("-ERR written off\r\n")
+	failed        = []byte("-ERR written off\r\n")
 )
 
 // take makes a request of a command; the words are copied, for they stand in the connection's buffer.
@@ -92,8 +92,8 @@
 		return
 	}
 	l.ended = l.now
-	if q.state = to; to == Done {
-		l.tolls.done++
+	if q.state = to; to == Succeeded {
+		l.tolls.succeeded++
 	}
 	for _, att := range q.attempts {
 		// A command of which the kernel has only a part must not become whole after the request's end: this comes before the
@@ -126,14 +126,14 @@
 
 // tolls counts what became of requests since it was last logged.
 type tolls struct {
-	taken, done int
-	rejected    [choice.Causes]int
+	taken, succeeded int
+	rejected         [choice.Causes]int
 }
 
 // LogTolls logs the counts since the last time, if there are any, in one line whatever their number.
 func (l *Limiter) LogTolls() {
 	if t := l.tolls; t != (tolls{}) {
-		line := fmt.Sprintf("event=requests taken=%d done=%d", t.taken, t.done)
+		line := fmt.Sprintf("event=requests taken=%d succeeded=%d", t.taken, t.succeeded)
 		for c, n := range t.rejected {
 			line += fmt.Sprintf(" %s=%d", choice.Cause(c), n)
 		}
@@ -203,9 +203,9 @@
 	}
 }
 
-// WriteOff is a deed of the module.
-func (l *Limiter) WriteOff(id string) {
+// Fail is a deed of the module.
+func (l *Limiter) Fail(id string) {
 	if q := l.requests[id]; q != nil {
-		l.move(q, WrittenOff, writtenOff)
+		l.move(q, Failed, failed)
 	}
 }
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -200,14 +200,14 @@
 	if b.probe != nil {
 		l.timers.drop(b.probe)
 		b.probe = nil
-		l.owed = append(l.owed, owed{probed: b.pool.id, outcome: choice.Done})
+		l.owed = append(l.owed, owed{probed: b.pool.id, outcome: choice.Succeeded})
 	} else {
 		reply, value := judge(v, l.set.MostTrue)
 		if early && reply.Outcome != choice.Full {
 			return 0, errEarly
 		}
-		if reply.Outcome == choice.Done {
-			l.move(att.request, Done, resp.AppendBulk(nil, value))
+		if reply.Outcome == choice.Succeeded {
+			l.move(att.request, Succeeded, resp.AppendBulk(nil, value))
 		}
 		b.attempt = nil
 		l.endAttempt(att, reply)
@@ -228,7 +228,7 @@
 func judge(v resp.Value, most float64) (reply choice.Reply, value []byte) {
 	switch {
 	case v.Kind == '*':
-		reply = choice.Reply{Outcome: choice.Done, Units: figure(v.List[1].Text, "cost", most)}
+		reply = choice.Reply{Outcome: choice.Succeeded, Units: figure(v.List[1].Text, "cost", most)}
 		if len(v.List) > 2 {
 			reply.Held = figure(v.List[2].Text, "outstanding", mostReport)
 			reply.Pace = figure(v.List[2].Text, "throughput", mostReport)
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -39,7 +39,7 @@
 	in.write(action{Type: "shed", Handle: request, HoldOff: seconds(retryAfter)})
 }
 
-func (in *instance) WriteOff(request string) {
+func (in *instance) Fail(request string) {
 	in.write(action{Type: "respond-error", Handle: request})
 }
 
