--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,7 @@
 // Package choice holds every decision of the gateway, all of them in this file.
 // A Limiter is one instance. Its caller makes it with New and then calls Members, Request, Answer, Counted,
 // Probed, Left, Woken and Closing as things happen, each with the clock in nanoseconds; Ready tells when
-// clients should come. The limiter acts through the Deeds it was given, in types.go with the settings;
+// clients should come. The limiter acts through the Effects it was given, in types.go with the settings;
 // state.go has the records that it keeps. It is not safe for concurrent use.
 // The ordinary path is Reserve and Reconcile (docs/design.md). Servers take turns in a weighted rotation,
 // in a large fleet those of the limiter's circle. Beside it stand these mechanisms:
@@ -27,7 +27,7 @@
 // Limiter is one instance of the gateway's decisions.
 type Limiter struct {
 	set      *Settings
-	deeds    Deeds
+	effects  Effects
 	rng      *rand.Rand
 	began    int64
 	servers  map[string]*server
@@ -101,8 +101,8 @@
 func nanos(s float64) int64 { return int64(s * 1e9) }
 
 // New makes a limiter that knows nothing yet.
-func New(now int64, set *Settings, seed int64, deeds Deeds) *Limiter {
-	l := &Limiter{set: set, deeds: deeds, rng: rand.New(rand.NewSource(seed)), began: now,
+func New(now int64, set *Settings, seed int64, effects Effects) *Limiter {
+	l := &Limiter{set: set, effects: effects, rng: rand.New(rand.NewSource(seed)), began: now,
 		servers: map[string]*server{}, requests: map[string]*request{}, timers: map[int64]*request{},
 		accounts: map[uint64]*account{}, calls: map[uint64][]call{}, spare: 1, asks: 1, slow: 1,
 		part: set.MostUnits / float64(set.Limiters)}
@@ -117,7 +117,7 @@
 	}
 	l.stint = seconds(target) / stints
 	l.beat = max(target/beats, set.Granularity)
-	deeds.Wake(now+l.beat, 0)
+	effects.Wake(now+l.beat, 0)
 	return l
 }
 
@@ -214,7 +214,7 @@
 		l.reject(now, q, wait, ForCeiling)
 		return
 	}
-	l.deeds.Wake(q.end, q.token)
+	l.effects.Wake(q.end, q.token)
 	if acc.quota.rate <= 0 {
 		l.place(now, q)
 		return
@@ -309,7 +309,7 @@
 // count makes a call; what a reservation carries along may bring its amount below 0.
 func (l *Limiter) count(q *request, amount float64, back bool) {
 	l.calls[q.name] = append(l.calls[q.name], call{q, q.account, amount, back})
-	l.deeds.Count(q.name, amount, 2*l.span(q.account))
+	l.effects.Count(q.name, amount, 2*l.span(q.account))
 }
 
 // release adds back what was reserved and not used; once, and not after the lease has ended.
@@ -472,7 +472,7 @@
 	att := &attempt{request: q, server: s, number: len(q.attempts), at: now, open: true, maybe: true}
 	q.attempts, q.open = append(q.attempts, att), q.open+1
 	s.attempts, s.out = append(s.attempts, att), s.out+q.units
-	l.deeds.Send(q.id, s.id)
+	l.effects.Send(q.id, s.id)
 }
 
 // warmth is the share of its capacity that a server is sure to have.
@@ -615,7 +615,7 @@
 	l.move(q, Rejected)
 	// Clients that were told the same time would come back together.
 	after = max(l.set.Granularity, after) + int64(l.rng.Float64()*float64(l.beat))
-	l.deeds.Reject(q.id, min(after, l.set.MostAdvice), cause)
+	l.effects.Reject(q.id, min(after, l.set.MostAdvice), cause)
 	l.drop(now, q)
 }
 
@@ -625,7 +625,7 @@
 		marked := q.class.Effect == Keyed && q.class.Group != GroupAll
 		if att.maybe && (q.class.Effect == NonIdempotent || marked) {
 			l.move(q, Failed)
-			l.deeds.Fail(q.id)
+			l.effects.Fail(q.id)
 			l.drop(now, q)
 			return
 		}
@@ -801,7 +801,7 @@
 				continue
 			}
 			if l.set.Probes {
-				l.deeds.Probe(s.id)
+				l.effects.Probe(s.id)
 				s.next = now + max(s.rest, l.set.DialTimeout)
 			} else {
 				l.comeBack(now, s)
@@ -828,14 +828,14 @@
 			if lost && now-q.attempts[0].at > q.class.Target {
 				// A late answer is worth nothing: the server and the client are spared it.
 				l.finish(now, q)
-				l.deeds.Cancel(q.id, att.number)
+				l.effects.Cancel(q.id, att.number)
 				continue
 			}
 			if s.standing != aside && s.listing != Gone && !lost || now-att.at > q.class.Target {
 				continue
 			}
 			if l.spare >= 1 && len(l.able(now, q)) > 0 {
-				l.deeds.Cancel(q.id, att.number) // it is sent again once its end is known
+				l.effects.Cancel(q.id, att.number) // it is sent again once its end is known
 			}
 		}
 	}
@@ -897,7 +897,7 @@
 	if token == 0 {
 		l.look(now)
 		l.forget(now)
-		l.deeds.Wake(now+l.beat, 0)
+		l.effects.Wake(now+l.beat, 0)
 		return
 	}
 	if q := l.timers[token]; q != nil && now >= q.end {
@@ -944,4 +944,4 @@
 	}
 }
 
-func (l *Limiter) log(form string, args ...any) { l.deeds.Log(fmt.Sprintf(form, args...)) }
+func (l *Limiter) log(form string, args ...any) { l.effects.Log(fmt.Sprintf(form, args...)) }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestRequestWhileCrowded(t *testing.T) {
-	crowded := func(owed float64) *deeds {
+	crowded := func(owed float64) *effects {
 		l, d := made()
 		a := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
 		a.plan.BeyondCosts, a.plan.Value = 1, 1
@@ -873,7 +873,7 @@
 func TestMembersBeginAnywhere(t *testing.T) {
 	first := map[string]bool{}
 	for seed := range int64(20) {
-		d := &deeds{}
+		d := &effects{}
 		read := &Class{Target: second, Value: 1}
 		l := New(0, &Settings{Limiters: 20, MostUnits: 1, WarmWithin: 1, Classes: map[string]*Class{"read": read}}, seed, d)
 		l.Members(0, true, []Entry{{ID: "a"}, {ID: "b"}})
@@ -885,7 +885,7 @@
 }
 
 func TestCap(t *testing.T) {
-	capped := func() (*Limiter, *deeds) {
+	capped := func() (*Limiter, *effects) {
 		l, d := made()
 		l.set.Plans["cap"] = &Plan{Open: 2, BeyondEarns: 0.1}
 		opens(l, "cap", 0)
@@ -999,7 +999,7 @@
 	dear := &Class{Target: second / 2, Value: 5}
 	l.set.Classes["dear"], l.room = dear, 4
 	l = func() *Limiter {
-		n := New(0, l.set, 1, &deeds{})
+		n := New(0, l.set, 1, &effects{})
 		n.Members(0, true, []Entry{{ID: "a"}, {ID: "b"}})
 		return n
 	}()
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -7,33 +7,33 @@
 	"testing"
 )
 
-// deeds writes down what the limiter did, one line each.
-type deeds struct {
+// effects writes down what the limiter did, one line each.
+type effects struct {
 	did   []string
 	after int64 // the latest retry-after
 	cause Cause // and why
 }
 
-func (d *deeds) add(form string, args ...any) { d.did = append(d.did, fmt.Sprintf(form, args...)) }
+func (d *effects) add(form string, args ...any) { d.did = append(d.did, fmt.Sprintf(form, args...)) }
 
-func (d *deeds) Send(request, server string)        { d.add("send %s %s", request, server) }
-func (d *deeds) Cancel(request string, attempt int) { d.add("cancel %s %d", request, attempt) }
-func (d *deeds) Reject(request string, after int64, cause Cause) {
+func (d *effects) Send(request, server string)        { d.add("send %s %s", request, server) }
+func (d *effects) Cancel(request string, attempt int) { d.add("cancel %s %d", request, attempt) }
+func (d *effects) Reject(request string, after int64, cause Cause) {
 	d.after, d.cause = after, cause
 	d.add("reject %s", request)
 }
-func (d *deeds) Fail(request string)                        { d.add("fail %s", request) }
-func (d *deeds) Count(name uint64, amount float64, _ int64) { d.add("count %v", amount) }
-func (d *deeds) Probe(server string)                        { d.add("probe %s", server) }
-func (d *deeds) Wake(at, token int64)                       {}
-func (d *deeds) Log(text string)                            {}
+func (d *effects) Fail(request string)                        { d.add("fail %s", request) }
+func (d *effects) Count(name uint64, amount float64, _ int64) { d.add("count %v", amount) }
+func (d *effects) Probe(server string)                        { d.add("probe %s", server) }
+func (d *effects) Wake(at, token int64)                       {}
+func (d *effects) Log(text string)                            {}
 
 const second = int64(1e9)
 
 // made is a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent class, and one
 // plan without and one with a ceiling.
-func made() (*Limiter, *deeds) {
-	d := &deeds{}
+func made() (*Limiter, *effects) {
+	d := &effects{}
 	set := &Settings{
 		Classes: map[string]*Class{
 			"read":  {Target: second, Effect: Idempotent, Value: 1},
@@ -60,7 +60,7 @@
 }
 
 // because checks why the latest rejection came.
-func (d *deeds) because(t *testing.T, want Cause) {
+func (d *effects) because(t *testing.T, want Cause) {
 	t.Helper()
 	if d.cause != want {
 		t.Fatalf("rejected for %v, want %v", d.cause, want)
@@ -95,8 +95,8 @@
 	return q
 }
 
-// expect checks the last deed and the deeds before it that a test names.
-func expect(t *testing.T, d *deeds, want ...string) {
+// expect checks the last effect and the effects before it that a test names.
+func expect(t *testing.T, d *effects, want ...string) {
 	t.Helper()
 	if len(d.did) < len(want) {
 		t.Fatalf("did %q, want %q at the end", d.did, want)
--- a/choice/types.go
+++ b/choice/types.go
@@ -130,8 +130,8 @@
 	Work    int64   // and how long its latest requests took without waiting, 0 where it says nothing
 }
 
-// Deeds is what a limiter can do; each call takes effect at once.
-type Deeds interface {
+// Effects is what a limiter can do; each call takes effect at once.
+type Effects interface {
 	Send(request, server string)
 	Cancel(request string, attempt int)
 	Reject(request string, retryAfter int64, cause Cause)
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -83,7 +83,7 @@
 	Gone  bool  // it is to get no more requests
 }
 
-// Event is one happening; Servers and Whole go with lists: only with Whole is what a list does not name gone.
+// Event is what has happened; Servers and Whole go with lists: only with Whole is what a list does not name gone.
 type Event struct {
 	Kind    Kind
 	Whole   bool
@@ -168,7 +168,7 @@
 	return from - in + s.round
 }
 
-// Step takes one happening. It is the only function that changes a Start.
+// Step takes one event. It is the only function that changes a Start.
 func (s *Start) Step(now int64, e Event) {
 	switch e.Kind {
 	case Known:
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -70,7 +70,7 @@
 	return out
 }
 
-// step takes one happening to one limiter, and what holds of it alone is looked at.
+// step takes one event to one limiter, and what holds of it alone is looked at.
 func (f *fleet) step(i int, now int64, e Event) {
 	s := f.all[i]
 	from, share, tossed := s.Phase(), s.Share(), s.Tossed
--- a/internal/tally/tally.go
+++ b/internal/counterwire/counterwire.go
@@ -1,5 +1,5 @@
-// Package tally reads and writes the counter's lines.
-package tally
+// Package counterwire reads and writes the counter's lines.
+package counterwire
 
 import (
 	"bytes"
--- a/internal/tally/tally_test.go
+++ b/internal/counterwire/counterwire_test.go
@@ -1,4 +1,4 @@
-package tally
+package counterwire
 
 import (
 	"errors"
--- a/internal/lab/memfleet/fleet.go
+++ b/internal/lab/memfleet/fleet.go
@@ -376,7 +376,7 @@
 	if f.is(EndsAtOnce) {
 		f.exit(p)
 	}
-	p.step(limiter.Happening{Kind: limiter.Stopping}, nil)
+	p.step(limiter.Event{Kind: limiter.Stopping}, nil)
 	f.q.at(f.q.now+f.longest+lastCalls, func() {
 		if !p.dead {
 			f.end(p, "overdue", "killed: it had not ended")
@@ -426,7 +426,7 @@
 	if f.is(DeafToHup) {
 		return
 	}
-	p.step(limiter.Happening{Kind: limiter.Renewed, Config: &config}, nil)
+	p.step(limiter.Event{Kind: limiter.Renewed, Config: &config}, nil)
 }
 
 func (f *Fleet) deskAt(address string) *desk {
--- a/internal/lab/memfleet/process.go
+++ b/internal/lab/memfleet/process.go
@@ -29,7 +29,7 @@
 
 // told is a happening that waits for a process that is stopped.
 type told struct {
-	h     limiter.Happening
+	h     limiter.Event
 	bytes []byte
 }
 
@@ -40,7 +40,7 @@
 func (p *process) clock() int64 { return epoch + p.f.q.now + p.skew }
 
 // step lets the reducer take one happening, and whatever has come due.
-func (p *process) step(h limiter.Happening, bytes []byte) {
+func (p *process) step(h limiter.Event, bytes []byte) {
 	switch {
 	case p.dead:
 	case p.stopped:
@@ -51,7 +51,7 @@
 	}
 }
 
-func (p *process) take(h limiter.Happening, bytes []byte) {
+func (p *process) take(h limiter.Event, bytes []byte) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			p.f.crash(p, fmt.Sprint(fault))
@@ -67,7 +67,7 @@
 			p.f.crash(p, "its timers never end")
 			return
 		}
-		p.take(limiter.Happening{Kind: limiter.Due}, nil)
+		p.take(limiter.Event{Kind: limiter.Due}, nil)
 	}
 	if !p.dead && p.l.Finished() {
 		p.f.exit(p)
@@ -115,11 +115,11 @@
 	p.last++
 	s.id = p.last
 	p.sides[s.id] = s
-	p.step(limiter.Happening{Kind: limiter.Accepted, Conn: s.id}, nil)
+	p.step(limiter.Event{Kind: limiter.Accepted, Conn: s.id}, nil)
 }
 
 func (p *process) connected(s *side) {
-	p.step(limiter.Happening{Kind: limiter.Connected, Conn: s.id}, nil)
+	p.step(limiter.Event{Kind: limiter.Connected, Conn: s.id}, nil)
 }
 
 func (p *process) read(s *side, bytes []byte, _ int64) {
@@ -127,12 +127,12 @@
 		ln.arrive(p, s.got)
 	}
 	if bytes = p.f.spoil(s, bytes); len(bytes) > 0 {
-		p.step(limiter.Happening{Kind: limiter.Readable, Conn: s.id, Size: len(bytes)}, bytes)
+		p.step(limiter.Event{Kind: limiter.Readable, Conn: s.id, Size: len(bytes)}, bytes)
 	}
 }
 
 func (p *process) ended(s *side, how limiter.End) {
-	p.step(limiter.Happening{Kind: limiter.Ended, Conn: s.id, End: how}, nil)
+	p.step(limiter.Event{Kind: limiter.Ended, Conn: s.id, End: how}, nil)
 }
 
 // The effects.
--- a/internal/lab/rig/answers_test.go
+++ b/internal/lab/rig/answers_test.go
@@ -91,13 +91,13 @@
 	cut := Served("a value that is cut")[:20]
 	says := func(text string) func(c *Conn) { return func(c *Conn) { _, _ = c.TCP.Write([]byte(text)) } }
 	ends := func(c *Conn) { _ = c.TCP.CloseWrite() }
-	after := func(wait time.Duration, deeds ...func(c *Conn)) func(c *Conn) {
+	after := func(wait time.Duration, effects ...func(c *Conn)) func(c *Conn) {
 		return func(c *Conn) {
-			for i, deed := range deeds {
+			for i, effect := range effects {
 				if i > 0 {
 					time.Sleep(wait)
 				}
-				deed(c)
+				effect(c)
 			}
 		}
 	}
@@ -111,10 +111,10 @@
 	}
 	reset := (*Conn).Reset
 	for _, b := range []struct {
-		name  string
-		is    int
-		deed  func(c *Conn)
-		whole bool // the server gets the whole request first
+		name   string
+		is     int
+		effect func(c *Conn)
+		whole  bool // the server gets the whole request first
 	}{
 		{"reset before its last byte", never, reset, false},
 		{"end before its last byte", never, ends, false},
@@ -165,7 +165,7 @@
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					b.deed(first)
+					b.effect(first)
 				}()
 				want := ""
 				switch {
@@ -231,7 +231,7 @@
 // TestHalfAtStop: the limiter is told to stop while half an answer has come. What comes behind it decides.
 func TestHalfAtStop(t *testing.T) {
 	half, rest := Served("value")[:8], Served("value")[8:]
-	for want, deed := range map[string]func(c *Conn){
+	for want, effect := range map[string]func(c *Conn){
 		"$value":           func(c *Conn) { _, _ = c.TCP.Write([]byte(rest)) },
 		"-ERR written off": (*Conn).Reset,
 	} {
@@ -244,7 +244,7 @@
 		c.Say(t, half)
 		r.Stop()
 		time.Sleep(20 * time.Millisecond) // in which a limiter that owes nothing would have ended its connections
-		deed(c)
+		effect(c)
 		require.Equal(t, want, client.Answer(t))
 		_, err := client.Rest(t)
 		require.NoError(t, err)
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"ospreycroft/choice"
+	"ospreycroft/internal/counterwire"
 	"ospreycroft/internal/remedy"
-	"ospreycroft/internal/tally"
 )
 
 const (
@@ -51,8 +51,7 @@
 	return ln
 }
 
-// Count is a deed of the module. Calls on one name that are out go on one line, so that they are answered in their
-// order.
+// Count is an effect of the module. Calls on one name that are out go on one line, so that they are answered in their order.
 func (l *Limiter) Count(name uint64, amount float64, lifetime int64) {
 	k := &l.counter
 	c := &call{name: name, amount: amount, life: lifetime, at: l.now}
@@ -122,9 +121,9 @@
 func (ln *line) write(c *call) {
 	l := ln.counter.l
 	if c.ping {
-		l.scratch = tally.AppendPing(l.scratch[:0])
+		l.scratch = counterwire.AppendPing(l.scratch[:0])
 	} else {
-		l.scratch = tally.AppendCall(l.scratch[:0], c.name, c.amount, c.life)
+		l.scratch = counterwire.AppendCall(l.scratch[:0], c.name, c.amount, c.life)
 	}
 	l.write(ln.c, l.scratch)
 	c.last = ln.c.sent
@@ -167,7 +166,7 @@
 }
 
 func (ln *line) read(b []byte) (int, error) {
-	kind, total, n, err := tally.Read(b)
+	kind, total, n, err := counterwire.Read(b)
 	if err != nil {
 		ln.counter.l.seen.spoilt++
 		return 0, err
@@ -179,20 +178,20 @@
 		return 0, errUnasked
 	}
 	c := ln.calls[0]
-	if c.ping != (kind == tally.Pong) {
-		log.Printf("event=counter-line %s", remedy.Tail(&tally.CrossedError{Ping: c.ping}))
+	if c.ping != (kind == counterwire.Pong) {
+		log.Printf("event=counter-line %s", remedy.Tail(&counterwire.CrossedError{Ping: c.ping}))
 		return 0, errUnasked
 	}
 	ln.calls = ln.calls[1:]
 	ln.counter.answered()
 	switch kind {
-	case tally.Added:
+	case counterwire.Added:
 		ln.counter.tell(c, choice.Succeeded, total)
-	case tally.Busy:
+	case counterwire.Busy:
 		ln.counter.tell(c, choice.Full, 0)
-	case tally.Refused:
+	case counterwire.Refused:
 		log.Printf("event=counter-refused name=%d amount=%v %s", c.name, c.amount,
-			remedy.Tail(&tally.RefusedError{Name: c.name, Amount: c.amount}))
+			remedy.Tail(&counterwire.RefusedError{Name: c.name, Amount: c.amount}))
 		ln.counter.tell(c, Refused.counted(false), 0)
 	}
 	ln.leave()
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -18,11 +18,11 @@
 		for _, end := range []int64{472e6, 480e6} {
 			for _, first := range []bool{true, false} {
 				l, w, id := sent(t, class)
-				l.Step(end-1, Happening{Kind: Due})
+				l.Step(end-1, Event{Kind: Due})
 				if first {
 					w.say(l, end, id, served)
 				}
-				l.Step(end, Happening{Kind: Due})
+				l.Step(end, Event{Kind: Due})
 				if l.conns[id] != nil { // else its bytes are nobody's any more
 					w.say(l, end, id, served)
 				}
@@ -50,7 +50,7 @@
 	ping := func(at int64) string {
 		w.pass(l, at)
 		id := visitor + ID(at)
-		l.Step(at, Happening{Kind: Accepted, Conn: id})
+		l.Step(at, Event{Kind: Accepted, Conn: id})
 		w.say(l, at, id, "*1\r\n$4\r\nPING\r\n")
 		return w.wrote[id]
 	}
@@ -60,7 +60,7 @@
 
 // lives does what a limiter's module asks for: the counter is down, and each attempt is answered at once.
 type lives struct {
-	choice.Deeds
+	choice.Effects
 	sent  []string
 	names []uint64
 }
--- a/internal/limiter/late_test.go
+++ b/internal/limiter/late_test.go
@@ -9,10 +9,10 @@
 // A process that stands still behind SIGTERM, until long after it should have ended, reads what has come meanwhile before it ends.
 func TestLateWoken(t *testing.T) {
 	l, w := made(t)
-	l.Step(0, Happening{Kind: Stopping})
+	l.Step(0, Event{Kind: Stopping})
 	w.pass(l, lingers/2)
 	woken := 10 * second
-	l.Step(woken, Happening{Kind: Due})
+	l.Step(woken, Event{Kind: Due})
 	require.False(t, l.Late() || l.Finished(), "clients' commands are unread")
 	w.say(l, woken, visitor, "*1\r\n$4\r\nPING\r\n")
 	expect(t, w.wrote[visitor], "+PONG\r\n")
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,6 +1,6 @@
 // Package limiter holds the whole state of one real limiter and the one reducer that changes it.
 //
-// Step takes what happened on the sockets, one happening at a time and always on the same goroutine. It turns it
+// Step takes what happened on the sockets, one event at a time and always on the same goroutine. It turns it
 // into calls on the module (package choice), does what the module asks for, and asks for effects on the sockets.
 // It decides nothing about requests: those decisions all stand in choice/choice.go.
 package limiter
@@ -33,8 +33,8 @@
 	Renewed               // the configuration was replaced
 )
 
-// Happening is what the sockets tell.
-type Happening struct {
+// Event is what the sockets tell.
+type Event struct {
 	Kind Kind
 	Conn ID
 	Size int // bytes to read
@@ -47,7 +47,7 @@
 type Effects interface {
 	// Dial begins a connection; Connected or Ended follows.
 	Dial(address string, timeout int64) ID
-	// Read copies the bytes that the present happening told of.
+	// Read copies the bytes that the present event told of.
 	Read(into []byte)
 	Write(id ID, bytes []byte)
 	// Alive tells whether a connection that is up has not ended, as far as the sockets know; of one that was dialled, also whether
@@ -55,10 +55,10 @@
 	Alive(id ID) bool
 	// Written tells how many bytes the kernel has taken.
 	Written(id ID) int64
-	// Close ends the connection, if it has not ended yet; no happening follows. It tells how many bytes the
+	// Close ends the connection, if it has not ended yet; no event follows. It tells how many bytes the
 	// kernel had taken, which will not become more.
 	Close(id ID) int64
-	// Leave ends a client's connection unless bytes have come on it that no happening has told of yet, and tells whether it did.
+	// Leave ends a client's connection unless bytes have come on it that no event has told of yet, and tells whether it did.
 	// What was written arrives; what comes from then on is never read. It is broken off so long after, if the client does not end
 	// it, but not while its machine lacks bytes, which may last up to the longest time.
 	Leave(id ID, after, most int64) bool
@@ -213,36 +213,36 @@
 	}
 }
 
-// Step takes one happening.
-func (l *Limiter) Step(now int64, h Happening) {
+// Step takes one event.
+func (l *Limiter) Step(now int64, e Event) {
 	l.looked(now)
-	c := l.conns[h.Conn]
+	c := l.conns[e.Conn]
 	switch {
-	case h.Kind == Accepted:
-		l.accept(h.Conn)
-	case h.Kind == Due && now < l.wake.blind:
-	case h.Kind == Due:
+	case e.Kind == Accepted:
+		l.accept(e.Conn)
+	case e.Kind == Due && now < l.wake.blind:
+	case e.Kind == Due:
 		for len(l.timers) > 0 && l.timers[0].at <= now {
 			heap.Pop(&l.timers).(*timer).run()
 			l.tell()
 		}
-	case h.Kind == Stopping:
+	case e.Kind == Stopping:
 		l.stop()
-	case h.Kind == Renewed:
-		l.renew(h.Config)
+	case e.Kind == Renewed:
+		l.renew(e.Config)
 	case c == nil: // it has ended already
-	case h.Kind == Connected:
+	case e.Kind == Connected:
 		c.open, c.since = true, now
 		l.timers.drop(c.limit)
 		c.party.up()
 		l.consume(c)
-	case h.Kind == Readable:
-		l.effects.Read(c.in.Space(h.Size))
-		if c.in.Filled(h.Size); c.open { // bytes may come before the word that the connection is up
+	case e.Kind == Readable:
+		l.effects.Read(c.in.Space(e.Size))
+		if c.in.Filled(e.Size); c.open { // bytes may come before the word that the connection is up
 			l.consume(c)
 		}
-	case h.Kind == Ended:
-		l.over(c, h.End)
+	case e.Kind == Ended:
+		l.over(c, e.End)
 	}
 	l.tell()
 	l.close()
@@ -353,12 +353,12 @@
 	spoilt    int // the same of the counter
 }
 
-// Wake is a deed of the module.
+// Wake is an effect of the module.
 func (l *Limiter) Wake(at, token int64) {
 	l.at(at, func() { l.logic.Woken(l.now, token) })
 }
 
-// Log is a deed of the module.
+// Log is an effect of the module.
 func (l *Limiter) Log(text string) { log.Printf("event=decision text=%q", text) }
 
 type timer struct {
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -56,9 +56,9 @@
 // pass lets the time pass as it does on sockets: nothing is due for longer than a wake takes.
 func (w *wire) pass(l *Limiter, to int64) {
 	for w.wake < to {
-		l.Step(max(l.now, w.wake), Happening{Kind: Due})
+		l.Step(max(l.now, w.wake), Event{Kind: Due})
 	}
-	l.Step(to, Happening{Kind: Due})
+	l.Step(to, Event{Kind: Due})
 }
 
 const (
@@ -88,16 +88,16 @@
 		t.Fatal(err)
 	}
 	if w.dialed[watching] == "disco" {
-		l.Step(0, Happening{Kind: Connected, Conn: watching})
-		l.Step(0, Happening{Kind: Connected, Conn: counting})
+		l.Step(0, Event{Kind: Connected, Conn: watching})
+		l.Step(0, Event{Kind: Connected, Conn: counting})
 	}
-	l.Step(0, Happening{Kind: Accepted, Conn: visitor})
+	l.Step(0, Event{Kind: Accepted, Conn: visitor})
 	return l, w
 }
 
 func (w *wire) say(l *Limiter, now int64, id ID, text string) {
 	w.coming = text
-	l.Step(now, Happening{Kind: Readable, Conn: id, Size: len(text)})
+	l.Step(now, Event{Kind: Readable, Conn: id, Size: len(text)})
 }
 
 // command is a request with so many milliseconds left.
@@ -134,7 +134,7 @@
 func sentFor(t *testing.T, class, left string) (*Limiter, *wire, ID) {
 	t.Helper()
 	l, w, id := diallingFor(t, class, left)
-	l.Step(0, Happening{Kind: Connected, Conn: id})
+	l.Step(0, Event{Kind: Connected, Conn: id})
 	return l, w, id
 }
 
@@ -219,13 +219,13 @@
 		w.say(l, 0, visitor, command("j", "read", "480")+"*1\r\n$4\r\nECHO\r\n")
 		expect(t, w.wrote[visitor], "")
 		w.say(l, 0, counting, "ok 2\r\n")
-		l.Step(0, Happening{Kind: Connected, Conn: w.last})
+		l.Step(0, Event{Kind: Connected, Conn: w.last})
 		w.say(l, 0, w.last, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n-ERR unknown command\r\n")
 	})
 	t.Run("an id that is in use", func(t *testing.T) {
 		l, w, _ := sent(t, "read")
-		l.Step(0, Happening{Kind: Accepted, Conn: visitor + 1})
+		l.Step(0, Event{Kind: Accepted, Conn: visitor + 1})
 		w.say(l, 0, visitor+1, command("j", "read", "480"))
 		expect(t, w.wrote[visitor+1], "-ERR id is in use\r\n")
 	})
@@ -257,7 +257,7 @@
 
 func TestCommand(t *testing.T) {
 	l, w, id := dialling(t, "read")
-	l.Step(second/10, Happening{Kind: Connected, Conn: id})
+	l.Step(second/10, Event{Kind: Connected, Conn: id})
 	expect(t, w.wrote[id], command("j", "read", "380")) // all as the client sent it, but for the time that is left
 }
 
@@ -269,10 +269,10 @@
 	}{
 		{"before its last byte is written: it never ran", func(l *Limiter, w *wire, id ID) {
 			w.kernel[id] = int64(len(w.wrote[id])) - 1
-			l.Step(0, Happening{Kind: Ended, Conn: id, End: PeerReset})
+			l.Step(0, Event{Kind: Ended, Conn: id, End: PeerReset})
 		}, "-BUSY 2"},
 		{"after it: it may have run", func(l *Limiter, w *wire, id ID) {
-			l.Step(0, Happening{Kind: Ended, Conn: id, End: PeerClosed})
+			l.Step(0, Event{Kind: Ended, Conn: id, End: PeerClosed})
 		}, "-ERR written off"},
 		{"turned away: the module words the answer", func(l *Limiter, w *wire, id ID) {
 			w.say(l, 0, id, "-BUSY 7777\r\n")
@@ -309,7 +309,7 @@
 		l, w, id := dialling(t, "write")
 		w.say(l, 0, id, "-BUSY\r\n")
 		expect(t, w.wrote[visitor], "")
-		l.Step(0, Happening{Kind: Connected, Conn: id})
+		l.Step(0, Event{Kind: Connected, Conn: id})
 		if got := w.wrote[visitor]; !strings.HasPrefix(got, "-BUSY ") || len(l.pools["s"].idle) != 1 {
 			t.Fatalf("client got %q, %d idle connections", got, len(l.pools["s"].idle))
 		}
@@ -317,7 +317,7 @@
 	t.Run("the module hears that a client has left", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, visitor, command("j", "read", "480"))
-		l.Step(0, Happening{Kind: Ended, Conn: visitor, End: PeerClosed})
+		l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed})
 		w.say(l, 0, counting, "ok 2\r\n")
 		if w.last != counting || !strings.Contains(w.wrote[counting], " -2") {
 			t.Fatalf("dialled %v, counted %q", w.dialed, w.wrote[counting])
@@ -395,13 +395,13 @@
 		end  func(l *Limiter)
 		now  int64
 	}{
-		{"the client has left", func(l *Limiter) { l.Step(0, Happening{Kind: Ended, Conn: visitor, End: PeerClosed}) }, 0},
+		{"the client has left", func(l *Limiter) { l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed}) }, 0},
 		{"its time is over", func(l *Limiter) {}, second / 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := dialling(t, "write")
 			c.end(l)
-			l.Step(c.now, Happening{Kind: Connected, Conn: id})
+			l.Step(c.now, Event{Kind: Connected, Conn: id})
 			expect(t, w.wrote[id], "")
 			if b := l.pools["s"]; len(b.idle) != 1 || len(l.requests) > 1 {
 				t.Fatalf("%d idle connections, %d requests", len(b.idle), len(l.requests))
@@ -414,14 +414,14 @@
 	t.Run("what is only partly in the kernel is not finished for a request that has ended", func(t *testing.T) {
 		l, w, id := sent(t, "write")
 		w.kernel[id] = 5
-		l.Step(0, Happening{Kind: Ended, Conn: visitor, End: PeerClosed})
+		l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed})
 		if !slices.Contains(w.closed, id) || len(l.requests) > 0 {
 			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
 		}
 	})
 	t.Run("what is whole may come to its end", func(t *testing.T) {
 		l, w, id := sent(t, "write")
-		l.Step(0, Happening{Kind: Ended, Conn: visitor, End: PeerClosed})
+		l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed})
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		if slices.Contains(w.closed, id) || len(l.pools["s"].idle) != 1 || len(l.requests) > 0 {
 			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
@@ -463,11 +463,11 @@
 func TestCounterLine(t *testing.T) {
 	t.Run("a call that was not written in time never will be", func(t *testing.T) {
 		l, w := made(t)
-		l.Step(0, Happening{Kind: Ended, Conn: counting, End: PeerClosed})
+		l.Step(0, Event{Kind: Ended, Conn: counting, End: PeerClosed})
 		l.Count(1, 2, second)
 		line := w.last
 		w.pass(l, second/20)
-		l.Step(second/20, Happening{Kind: Connected, Conn: line})
+		l.Step(second/20, Event{Kind: Connected, Conn: line})
 		expect(t, w.wrote[line], "")
 	})
 	t.Run("calls on one name keep to one line, others spread", func(t *testing.T) {
@@ -532,7 +532,7 @@
 	t.Run("with its connection too", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
-		l.Step(0, Happening{Kind: Ended, Conn: watching, End: PeerClosed})
+		l.Step(0, Event{Kind: Ended, Conn: watching, End: PeerClosed})
 		if w.dialed[w.last] != "disco" || w.last == watching {
 			t.Fatalf("dialled %v", w.dialed)
 		}
@@ -541,7 +541,7 @@
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
 		w.pass(l, 3*second/2)
-		l.Step(3*second/2, Happening{Kind: Connected, Conn: w.last})
+		l.Step(3*second/2, Event{Kind: Connected, Conn: w.last})
 		if !slices.Contains(w.closed, watching) || !strings.Contains(w.wrote[w.last], "from=7&") {
 			t.Fatalf("closed %v, wrote %q", w.closed, w.wrote[w.last])
 		}
@@ -561,7 +561,7 @@
 			t.Fatalf("version %d, closed %v", l.watch.version, w.closed)
 		}
 		w.pass(l, second/10)
-		l.Step(second/10, Happening{Kind: Connected, Conn: w.last})
+		l.Step(second/10, Event{Kind: Connected, Conn: w.last})
 		if !strings.HasPrefix(w.wrote[w.last], "GET /discovery/hosts HTTP") {
 			t.Fatalf("wrote %q", w.wrote[w.last])
 		}
@@ -596,10 +596,10 @@
 		w.say(l, 0, watching, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		config := *l.config
 		config.Discovery = "disco 2"
-		if l.Step(second/10, Happening{Kind: Renewed, Config: &config}); w.dialed[w.last] != "disco 2" {
+		if l.Step(second/10, Event{Kind: Renewed, Config: &config}); w.dialed[w.last] != "disco 2" {
 			t.Fatalf("dialled %v", w.dialed)
 		}
-		l.Step(second/10, Happening{Kind: Connected, Conn: w.last})
+		l.Step(second/10, Event{Kind: Connected, Conn: w.last})
 		w.say(l, second/10, w.last, httpAnswer(known))
 		dialled := len(w.dialed)
 		if w.pass(l, 6*second); len(w.dialed) > dialled {
@@ -609,7 +609,7 @@
 	for len(w.dialed) == dialled && l.now < 6*second {
 		w.pass(l, w.wake)
 	}
-	l.Step(l.now, Happening{Kind: Connected, Conn: w.last})
+	l.Step(l.now, Event{Kind: Connected, Conn: w.last})
 	if !strings.Contains(w.wrote[w.last], "from=7&") {
 		t.Fatalf("what is newer is not asked for: %q", w.wrote[w.last])
 	}
@@ -654,7 +654,7 @@
 	l, w := first(1)
 	config := *l.config
 	config.Discovery = "disco 2"
-	l.Step(0, Happening{Kind: Renewed, Config: &config})
+	l.Step(0, Event{Kind: Renewed, Config: &config})
 	if w.dialed[w.last] != "disco 2" {
 		t.Fatal("not asked at once where it moved to")
 	}
@@ -662,17 +662,17 @@
 
 // Under load, discovery and the counter move to other addresses, and the old ones soon close what is open.
 func TestRenew(t *testing.T) {
-	moved := func(l *Limiter) Happening {
+	moved := func(l *Limiter) Event {
 		config := *l.config
 		config.Discovery, config.Counter = "disco 2", "counter 2"
-		return Happening{Kind: Renewed, Config: &config}
+		return Event{Kind: Renewed, Config: &config}
 	}
 	t.Run("the whole list is asked for at discovery's new address", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
 		l.Step(0, moved(l))
 		watch := l.watch.c.id
-		l.Step(0, Happening{Kind: Connected, Conn: watch})
+		l.Step(0, Event{Kind: Connected, Conn: watch})
 		if w.dialed[watch] != "disco 2" || !slices.Contains(w.closed, watching) || len(l.servers) != 1 {
 			t.Fatalf("dialled %v, closed %v", w.dialed, w.closed)
 		}
@@ -684,7 +684,7 @@
 		before := w.wrote[counting]
 		l.Step(0, moved(l))
 		line := w.last
-		l.Step(0, Happening{Kind: Connected, Conn: line})
+		l.Step(0, Event{Kind: Connected, Conn: line})
 		l.Count(1, 2, second)
 		w.say(l, 0, counting, "ok 2\r\n")
 		if w.dialed[w.last] != "127.0.0.1:9" || w.wrote[counting] != before || !slices.Contains(w.closed, counting) {
@@ -696,7 +696,7 @@
 	})
 	t.Run("a call that was not written moves, once, and on to where the next one says", func(t *testing.T) {
 		l, w := made(t)
-		l.Step(0, Happening{Kind: Ended, Conn: counting, End: PeerClosed})
+		l.Step(0, Event{Kind: Ended, Conn: counting, End: PeerClosed})
 		l.Count(1, 2, second)
 		line := w.last
 		for range 2 {
@@ -706,7 +706,7 @@
 		if !slices.Contains(w.closed, line) || len(l.owed) > 0 || len(l.counter.lines) != 1 {
 			t.Fatalf("closed %v, the module is owed %+v, %d lines", w.closed, l.owed, len(l.counter.lines))
 		}
-		l.Step(0, Happening{Kind: Connected, Conn: l.counter.lines[0].c.id})
+		l.Step(0, Event{Kind: Connected, Conn: l.counter.lines[0].c.id})
 		expect(t, w.wrote[l.counter.lines[0].c.id], "tally 1 2 1000\r\n")
 		w.pass(l, second/20)
 		if !l.counter.lines[0].calls[0].told {
@@ -810,7 +810,7 @@
 	most := l.config.Sockets / clientRoom
 	stranger := visitor + 1
 	for i := range ID(most - 1) {
-		l.Step(2, Happening{Kind: Accepted, Conn: stranger + i})
+		l.Step(2, Event{Kind: Accepted, Conn: stranger + i})
 	}
 	for _, c := range []struct {
 		name string
@@ -866,7 +866,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w := made(t)
 			l.Probe("s")
-			l.Step(0, Happening{Kind: Connected, Conn: w.last})
+			l.Step(0, Event{Kind: Connected, Conn: w.last})
 			expect(t, w.wrote[w.last], "*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n")
 			b := l.conns[w.last].party.(*backend)
 			c.end(l, b)
@@ -956,7 +956,7 @@
 				w.say(l, c.idle, counting, "ok 4\r\n")
 			}
 			before := l.keep
-			l.Step(c.idle+c.after, Happening{Kind: Ended, Conn: id, End: PeerReset})
+			l.Step(c.idle+c.after, Event{Kind: Ended, Conn: id, End: PeerReset})
 			if l.keep > before || (l.keep < before) != c.shorter {
 				t.Fatalf("kept for %d before and %d now", before, l.keep)
 			}
@@ -988,9 +988,9 @@
 
 func TestStop(t *testing.T) {
 	l, w, id := sentFor(t, "read", "3000")
-	l.Step(0, Happening{Kind: Stopping})
+	l.Step(0, Event{Kind: Stopping})
 	w.pass(l, lingers/2)
-	l.Step(lingers/2, Happening{Kind: Accepted, Conn: visitor + 1})
+	l.Step(lingers/2, Event{Kind: Accepted, Conn: visitor + 1})
 	w.say(l, lingers/2, visitor+1, "*1\r\n$4\r\nECHO\r\n")
 	expect(t, w.wrote[visitor+1], "-ERR unknown command\r\n") // it is served still
 	w.kernel[visitor] = 0
@@ -1016,7 +1016,7 @@
 	answer := "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 	stopped := func() (*Limiter, *wire, ID) {
 		l, w, id := sentFor(t, "read", "3000")
-		l.Step(0, Happening{Kind: Stopping})
+		l.Step(0, Event{Kind: Stopping})
 		w.pass(l, lingers-1)
 		return l, w, id
 	}
@@ -1035,10 +1035,10 @@
 		l, w, id := stopped()
 		w.say(l, lingers-1, id, answer)
 		w.pass(l, lingers+1)
-		l.Step(lingers+1, Happening{Kind: Accepted, Conn: visitor + 1})
+		l.Step(lingers+1, Event{Kind: Accepted, Conn: visitor + 1})
 		w.say(l, lingers+1, visitor+1, command("k", "read", "480"))
 		w.say(l, lingers+1, counting, "ok 4\r\n")
-		l.Step(lingers+1, Happening{Kind: Connected, Conn: w.last})
+		l.Step(lingers+1, Event{Kind: Connected, Conn: w.last})
 		w.say(l, lingers+1, w.last, answer)
 		expect(t, w.wrote[visitor+1], "$1\r\nv\r\n")
 		require.True(t, slices.Contains(w.closed, visitor+1), "closed %v", w.closed)
@@ -1056,7 +1056,7 @@
 			l, w, id := stopped()
 			w.say(l, lingers-1, id, answer)
 			w.pass(l, lingers+1)
-			l.Step(lingers+1, Happening{Kind: Accepted, Conn: visitor + 1})
+			l.Step(lingers+1, Event{Kind: Accepted, Conn: visitor + 1})
 			w.pass(l, c.at)
 			w.say(l, c.at, visitor+1, command("k", "read", c.left))
 			require.True(t, len(l.requests) == 1 == c.taken && (w.wrote[visitor+1] == busy) != c.taken,
@@ -1109,7 +1109,7 @@
 	}
 	hear := func(l *Limiter, w *wire, text string) {
 		id := l.watch.c.id
-		l.Step(woken+1, Happening{Kind: Connected, Conn: id})
+		l.Step(woken+1, Event{Kind: Connected, Conn: id})
 		require.True(t, strings.Contains(w.wrote[id], "from=7&hold_ms=1 "), "wrote %q", w.wrote[id])
 		w.say(l, woken+1, id, text)
 	}
@@ -1142,7 +1142,7 @@
 		}{{second, false}, {2 * second, true}} {
 			l, w := madeTo(t, 10*second, 0)
 			w.say(l, 0, watching, nothing)
-			l.Step(c.slept, Happening{Kind: Due})
+			l.Step(c.slept, Event{Kind: Due})
 			require.True(t, slices.Contains(w.closed, watching) == c.anew && l.wake.doubts == true,
 				"closed %v after %d", w.closed, c.slept)
 			w.pass(l, c.slept+l.set.DialTimeout)
@@ -1151,13 +1151,13 @@
 	})
 	t.Run("what came meanwhile is read before timers run", func(t *testing.T) {
 		l, w, id := sent(t, "write")
-		l.Step(woken, Happening{Kind: Due})
+		l.Step(woken, Event{Kind: Due})
 		w.say(l, woken, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n")
 	})
 	t.Run("an attempt decided on before is not sent", func(t *testing.T) {
 		l, w, id := diallingFor(t, "read", "20000")
-		l.Step(woken, Happening{Kind: Connected, Conn: id})
+		l.Step(woken, Event{Kind: Connected, Conn: id})
 		expect(t, w.wrote[id], "")
 	})
 	t.Run("a repeat past the window in which servers know it is not sent", func(t *testing.T) {
@@ -1165,7 +1165,7 @@
 		q := l.requests["j"]
 		q.repeats, q.attempts = second/5, []*attempt{{request: q, at: 0, last: 1}, q.attempts[0]}
 		q.attempts[1].number = 1
-		l.Step(second/5, Happening{Kind: Connected, Conn: id})
+		l.Step(second/5, Event{Kind: Connected, Conn: id})
 		expect(t, w.wrote[id], "")
 	})
 	t.Run("a cancelled attempt that waits for the list has ended", func(t *testing.T) {
--- a/internal/limiter/remedies_test.go
+++ b/internal/limiter/remedies_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ospreycroft/internal/counterwire"
 	"ospreycroft/internal/discovery"
 	"ospreycroft/internal/remedy"
-	"ospreycroft/internal/tally"
 )
 
 // What discovery and the counter do wrong is logged with what to do about it.
@@ -28,8 +28,8 @@
 		{"a list without a version", "event=list-refused ", httpAnswer("{}"), watching,
 			&discovery.ListRefusedError{Key: "generation", Why: "missing"}},
 		{"no HTTP", "event=list-refused ", "ok 5\r\n", watching, &discovery.MalformedError{Why: "it is no HTTP/1"}},
-		{"a call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counting, &tally.RefusedError{Name: 5, Amount: 1}},
-		{"a ping's answer to a call", "event=counter-line ", "pong\r\n", counting, &tally.CrossedError{}},
+		{"a call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counting, &counterwire.RefusedError{Name: 5, Amount: 1}},
+		{"a ping's answer to a call", "event=counter-line ", "pong\r\n", counting, &counterwire.CrossedError{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := made(t)
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// Send is a deed of the module. An attempt that cannot be sent any more was never sent.
+// Send is an effect of the module. An attempt that cannot be sent any more was never sent.
 func (l *Limiter) Send(id, server string) {
 	q := l.requests[id]
 	att := &attempt{request: q, number: len(q.attempts), at: l.now, open: true}
@@ -162,7 +162,7 @@
 	})
 }
 
-// Cancel is a deed of the module: it closes the attempt's connection.
+// Cancel is an effect of the module: it closes the attempt's connection.
 func (l *Limiter) Cancel(id string, number int) {
 	q := l.requests[id]
 	if q == nil || number >= len(q.attempts) || !q.attempts[number].open {
@@ -190,7 +190,7 @@
 	l.drop(q)
 }
 
-// Reject is a deed of the module.
+// Reject is an effect of the module.
 func (l *Limiter) Reject(id string, retryAfter int64, cause choice.Cause) {
 	l.tolls.rejected[cause]++
 	text := rejectedPlain
@@ -203,7 +203,7 @@
 	}
 }
 
-// Fail is a deed of the module.
+// Fail is an effect of the module.
 func (l *Limiter) Fail(id string) {
 	if q := l.requests[id]; q != nil {
 		l.move(q, Failed, failed)
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Probe is a deed of the module: the server answers a command that does no work.
+// Probe is an effect of the module: the server answers a command that does no work.
 func (l *Limiter) Probe(server string) {
 	begin := func(b *backend) {
 		b.probe = l.at(l.now+l.set.DialTimeout, func() { l.over(b.c, TimeOver) })
--- a/internal/limiter/silence_test.go
+++ b/internal/limiter/silence_test.go
@@ -42,7 +42,7 @@
 	seen := watching
 	for now := int64(0); now < end; now += second / 200 {
 		for w.wake <= now {
-			l.Step(now, Happening{Kind: Due})
+			l.Step(now, Event{Kind: Due})
 		}
 		for seen++; seen <= w.last; seen++ {
 			if !strings.HasPrefix(w.dialed[seen], "disco") {
@@ -51,7 +51,7 @@
 			d.dials++
 			if now >= d.until || d.noDial == nil || !d.noDial(d.dials) {
 				d.open[seen] = &held{}
-				l.Step(now, Happening{Kind: Connected, Conn: seen})
+				l.Step(now, Event{Kind: Connected, Conn: seen})
 			}
 		}
 		seen = w.last
@@ -73,7 +73,7 @@
 		d.calls++
 		if d.calls > 1 && now < d.until && d.fault != nil {
 			if says := d.fault(d.calls); says == "end" {
-				l.Step(now, Happening{Kind: Ended, Conn: id, End: PeerReset})
+				l.Step(now, Event{Kind: Ended, Conn: id, End: PeerReset})
 				delete(d.open, id)
 			} else if says != "" {
 				w.say(l, now, id, says)
@@ -101,7 +101,7 @@
 	}
 	w.say(l, now, id, httpAnswer(body))
 	if d.closes {
-		l.Step(now, Happening{Kind: Ended, Conn: id, End: PeerClosed})
+		l.Step(now, Event{Kind: Ended, Conn: id, End: PeerClosed})
 		delete(d.open, id)
 	}
 }
@@ -166,9 +166,9 @@
 				for i := range moves {
 					config := *l.config
 					config.Discovery = fmt.Sprint("disco ", i+2)
-					l.Step(int64(i)*second/10, Happening{Kind: Renewed, Config: &config})
+					l.Step(int64(i)*second/10, Event{Kind: Renewed, Config: &config})
 				}
-				l.Step(second/10, Happening{Kind: Due})
+				l.Step(second/10, Event{Kind: Due})
 				d := listService{change: 1, until: second / 2, calls: 1}
 				if fault == "silent" {
 					d.fault = func(int) string { return "" }
--- a/internal/limiter/start_test.go
+++ b/internal/limiter/start_test.go
@@ -39,27 +39,27 @@
 	// through takes it to a time, with each call to discovery coming up at once, and tells how many were made.
 	through := func(l *Limiter, w *wire, until int64) int {
 		for now := l.now; now <= until; now += second / 20 {
-			l.Step(now, Happening{Kind: Due})
+			l.Step(now, Event{Kind: Due})
 			if w.dialed[w.last] != "127.0.0.1:9" && l.conns[w.last] != nil && !l.conns[w.last].open {
-				l.Step(now, Happening{Kind: Connected, Conn: w.last})
+				l.Step(now, Event{Kind: Connected, Conn: w.last})
 			}
 		}
 		return asks(w)
 	}
 	asked := Stated{ListCalls: 4.0 / 6}
 	l, w := stated(t, 4, asked)
-	l.Step(at+second*2, Happening{Kind: Due})
+	l.Step(at+second*2, Event{Kind: Due})
 	require.Equal(t, 0, through(l, w, at+6*second-second/20), "calls behind an instant that was slept through")
 	require.Equal(t, 1, through(l, w, at+6*second), "calls at the next one")
 	type act = func(l *Limiter, w *wire, id ID)
 	says := func(text string) act {
 		return func(l *Limiter, w *wire, id ID) { w.say(l, l.now, id, text) }
 	}
-	ends := func(l *Limiter, _ *wire, id ID) { l.Step(l.now, Happening{Kind: Ended, Conn: id, End: PeerReset}) }
+	ends := func(l *Limiter, _ *wire, id ID) { l.Step(l.now, Event{Kind: Ended, Conn: id, End: PeerReset}) }
 	moves := func(l *Limiter, _ *wire, _ ID) {
 		config := *l.config
 		config.Discovery = "disco 2"
-		l.Step(l.now, Happening{Kind: Renewed, Config: &config})
+		l.Step(l.now, Event{Kind: Renewed, Config: &config})
 	}
 	for _, c := range []struct {
 		name string
@@ -85,7 +85,7 @@
 			}
 			require.Equal(t, 1, through(l, w, at+6*second-second/20), "calls before its second instant")
 			require.InDelta(t, 2, through(l, w, at+6*second), float64(c.late), "calls at its second instant")
-			l.Step(l.now, Happening{Kind: Ended, Conn: w.last, End: PeerReset})
+			l.Step(l.now, Event{Kind: Ended, Conn: w.last, End: PeerReset})
 			require.InDelta(t, 2, through(l, w, at+12*second-second/20), float64(c.late), "calls before its third instant")
 			require.InDelta(t, 3, through(l, w, at+12*second), float64(c.late), "calls at its third instant")
 		})
@@ -99,17 +99,17 @@
 	config.Known, config.Settings, set.AskEvery, w.last = nil, &set, 10*second, 0
 	l, _ := NewStated(0, &config, Stated{ListCalls: 1}, w)
 	for now := int64(0); now <= 20*second; now += second / 10 {
-		l.Step(now, Happening{Kind: Due})
+		l.Step(now, Event{Kind: Due})
 		require.True(t, l.ready == (now >= 20*second), "ready %v after %d ns", l.ready, now)
 	}
 	for l.conns[l.watch.c.id] == nil || l.conns[l.watch.c.id].open {
-		l.Step(l.now+second/10, Happening{Kind: Due})
+		l.Step(l.now+second/10, Event{Kind: Due})
 	}
-	l.Step(l.now, Happening{Kind: Connected, Conn: l.watch.c.id})
+	l.Step(l.now, Event{Kind: Connected, Conn: l.watch.c.id})
 	w.say(l, l.now, l.watch.c.id, httpAnswer(strings.Replace(known, `"weight"`, `"startedAtMs":16000,"weight"`, 1)))
 	require.True(t, l.start.phase == coldstart.Warming, "%v", l.start.phase)
 	for now := l.now; now < 27*second; now += second / 10 {
-		l.Step(now, Happening{Kind: Due})
+		l.Step(now, Event{Kind: Due})
 	}
 	require.True(t, l.start.phase == coldstart.Steady, "%v", l.start.phase)
 }
@@ -126,7 +126,7 @@
 		l, err := NewStated(second, &config, Stated{Snapshot: old, Save: func(s *snapshot.Snapshot) { saved = append(saved, s) },
 			SaveEvery: 10 * second}, w)
 		require.NoError(t, err)
-		l.Step(second, Happening{Kind: Connected, Conn: watching})
+		l.Step(second, Event{Kind: Connected, Conn: watching})
 		return l
 	}
 	tell := func(l *Limiter, now int64, text string) { w.say(l, now, watching, httpAnswer(text)) }
@@ -170,7 +170,7 @@
 	old.Generation, old.Servers = 1, []snapshot.Server{{ID: "s", WarmFrom: second / 2}}
 	l = life(&old, known)
 	require.True(t, l.start.rules.Share() == 1, "a share before it is ready")
-	l.Step(7*second, Happening{Kind: Due})
+	l.Step(7*second, Event{Kind: Due})
 	require.True(t, l.start.rules.Share() != 1, "a start that was known is forgotten")
 }
 
@@ -214,13 +214,13 @@
 	stated, v := stated(t, 1, Stated{Connections: 2})
 	for now := int64(0); now < 30*second; now += second / 20 {
 		for l, w := range map[*Limiter]*wire{plain: w, stated: v} {
-			l.Step(now, Happening{Kind: Due})
+			l.Step(now, Event{Kind: Due})
 			switch c := l.watch.c; {
 			case c == nil || l.conns[c.id] != c:
 			case !c.open:
-				l.Step(now, Happening{Kind: Connected, Conn: c.id})
+				l.Step(now, Event{Kind: Connected, Conn: c.id})
 			case now/second%7 == 3:
-				l.Step(now, Happening{Kind: Ended, Conn: c.id, End: PeerReset})
+				l.Step(now, Event{Kind: Ended, Conn: c.id, End: PeerReset})
 			case now/second%7 == 5:
 				w.say(l, now, c.id, httpAnswer(known))
 			}
@@ -234,10 +234,10 @@
 func TestStoodStill(t *testing.T) {
 	l, w := stated(t, 1, Stated{ListCalls: 1. / 30})
 	id := l.watch.c.id
-	l.Step(0, Happening{Kind: Connected, Conn: id})
+	l.Step(0, Event{Kind: Connected, Conn: id})
 	w.pass(l, second)
 	require.True(t, asks(w) == 1 && l.watch.limit.at >= 29*second, "%d calls, given up at %d", asks(w), l.watch.limit.at)
-	l.Step(9*second, Happening{Kind: Due})
+	l.Step(9*second, Event{Kind: Due})
 	w.pass(l, 10*second)
 	require.True(t, asks(w) == 1 && !l.wake.doubts && l.conns[id] != nil, "%d calls, in doubt %v", asks(w), l.wake.doubts)
 }
--- a/internal/limiter/wake.go
+++ b/internal/limiter/wake.go
@@ -9,7 +9,7 @@
 // that clients' requests have waited unread, and that the list may have changed. What it was told meanwhile counts.
 
 const (
-	standsStill = 2     // so many dial time-outs without a happening are none that the timers allow
+	standsStill = 2     // so many dial time-outs without an event are none that the timers allow
 	stillLeast  = 250e6 // nor are so many nanoseconds,
 	spare       = 50e6  // but so many beyond the grace in which news has to be acted on are, where the settings tell it
 	settles     = 8     // for this part of the time between visits what has come meanwhile is read, and no timer runs
@@ -35,7 +35,7 @@
 	return l.set.DialTimeout
 }
 
-// still is the longest time without a happening that is no standing still. What the process was told in it may be read behind
+// still is the longest time without an event that is no standing still. What the process was told in it may be read behind
 // a request, so it must not be longer than the grace.
 func (l *Limiter) still() int64 {
 	still := max(standsStill*l.set.DialTimeout, stillLeast)
--- a/internal/remedy/remedy_test.go
+++ b/internal/remedy/remedy_test.go
@@ -14,15 +14,15 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ospreycroft/internal/counterwire"
 	"ospreycroft/internal/discovery"
 	"ospreycroft/internal/remedy"
 	"ospreycroft/internal/settings"
 	"ospreycroft/internal/sockets"
-	"ospreycroft/internal/tally"
 )
 
 // elsewhere are those that the tests of their own packages provoke, or of the limiter, which logs them.
-var elsewhere = []string{"tally.CrossedError", "tally.RefusedError", "coldstart.Bad", "coldstart.Late", "operator.Unreadable",
+var elsewhere = []string{"counterwire.CrossedError", "counterwire.RefusedError", "coldstart.Bad", "coldstart.Late", "operator.Unreadable",
 	"operator.BadKey", "snapshot.Unreadable", "snapshot.CutShort", "snapshot.Spoilt", "snapshot.Other", "snapshot.Foreign",
 	"snapshot.Old", "snapshot.Unwritten"}
 
@@ -58,7 +58,7 @@
 	require.NoError(t, err)
 	defer held.Close()
 	_, missing := settings.ReadFile(filepath.Join(t.TempDir(), "none.json"))
-	_, _, _, spoilt := tally.Read([]byte("what\r\n"))
+	_, _, _, spoilt := counterwire.Read([]byte("what\r\n"))
 	provoked := map[string]bool{}
 	for _, c := range []struct {
 		name  string
@@ -82,7 +82,7 @@
 		{"an address that is held", listen(held.Addr().String()), match[*sockets.AddressInUseError], held.Addr().String()},
 		{"an address of another machine", listen("203.0.113.1:1"), match[*sockets.AddressError], "203.0.113.1:1"},
 		{"more than the kernel gives", sockets.Descriptors(1 << 60), match[*sockets.DescriptorsError], "1152921504606846976"},
-		{"a line of another protocol", spoilt, match[*tally.SpoiltError], `what\r\n`},
+		{"a line of another protocol", spoilt, match[*counterwire.SpoiltError], `what\r\n`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			name, is := c.match(fmt.Errorf("above: %w", c.err))
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -194,14 +194,14 @@
 			s, address := listening(t, 1)
 			client, err := net.Dial("tcp", address)
 			require.NoError(t, err)
-			h, _ := next(t, s)
+			e, _ := next(t, s)
 			other, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer func() { _ = other.Close() }()
 			id := s.Dial(other.Addr().String(), int64(patience))
 			expect(t, s, limiter.Connected, id)
 			far := <-accepts(t, other)
-			held, l := s.links[h.Conn], s.links[id]
+			held, l := s.links[e.Conn], s.links[id]
 			held.reading.Lock()
 			ask(t, client, "*")
 			require.Eventually(t, func() bool { return !still(held.conn.Load()) }, patience, time.Millisecond)
@@ -211,9 +211,9 @@
 			require.Eventually(t, func() bool { return ended(l.conn.Load()) }, patience, time.Millisecond)
 			s.Write(id, []byte("abc"))
 			held.reading.Unlock()
-			h, text := next(t, s)
-			for h.Conn != id {
-				h, text = next(t, s)
+			e, text := next(t, s)
+			for e.Conn != id {
+				e, text = next(t, s)
 			}
 			require.Equal(t, "last", text)
 			require.Equal(t, limiter.Ended, expect(t, s, limiter.Ended, id).Kind)
--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -18,9 +18,9 @@
 func (d *drive) size(id limiter.ID) (size int) {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
-	for _, h := range d.s.next.happenings {
-		if id == 0 || h.Conn == id {
-			size += h.Size
+	for _, e := range d.s.next.events {
+		if id == 0 || e.Conn == id {
+			size += e.Size
 		}
 	}
 	return size
@@ -112,6 +112,6 @@
 	later, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = later.Close() }()
-	h, _ := next(t, s)
-	require.Equal(t, limiter.Accepted, h.Kind)
+	e, _ := next(t, s)
+	require.Equal(t, limiter.Accepted, e.Kind)
 }
--- a/internal/sockets/gone_test.go
+++ b/internal/sockets/gone_test.go
@@ -17,7 +17,7 @@
 	defer func() { _ = server.Close() }()
 	d := driven(t, 64, server)
 	gone, stays := d.dial(), d.dial()
-	d.turn(2e9) // two seconds without a happening
+	d.turn(2e9) // two seconds without an event
 	for c, id := range map[net.Conn]string{gone: "g1", stays: "st"} {
 		ask(t, c, "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n000000000000000f\r\n$2\r\n"+id+"\r\n$39\r\nc=c,t=p,d=4000,units=1,spread=1,first=0\r\n")
 	}
--- a/internal/sockets/leave_test.go
+++ b/internal/sockets/leave_test.go
@@ -48,13 +48,13 @@
 func (d *drive) turn(later int64) {
 	d.now += later
 	d.s.take()
-	for _, h := range d.s.now.happenings {
-		end := d.s.read + h.Size
-		d.s.telling(h)
-		d.l.Step(d.now, h)
+	for _, e := range d.s.now.events {
+		end := d.s.read + e.Size
+		d.s.telling(e)
+		d.l.Step(d.now, e)
 		d.s.read = end
 	}
-	d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+	d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
 }
 
 // until turns until something holds.
@@ -102,20 +102,20 @@
 		"idle for long": func(d *drive) {
 			for range 40 {
 				d.now += 1e8
-				d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+				d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
 			}
 		},
 		"the process ends": func(d *drive) {
-			d.l.Step(d.now, limiter.Happening{Kind: limiter.Stopping})
+			d.l.Step(d.now, limiter.Event{Kind: limiter.Stopping})
 			d.now += 4e8
-			d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+			d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
 			d.now += 11e7
-			d.l.Step(d.now, limiter.Happening{Kind: limiter.Due})
+			d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
 		},
 		"room for others": func(d *drive) {
 			d.now += 7e7
 			for id := range limiter.ID(8) { // makes the limiter full: a quarter of its descriptors is eight
-				d.l.Step(d.now, limiter.Happening{Kind: limiter.Accepted, Conn: 1000 + id})
+				d.l.Step(d.now, limiter.Event{Kind: limiter.Accepted, Conn: 1000 + id})
 			}
 		},
 	} {
@@ -165,8 +165,8 @@
 		d.s.mutex.Lock()
 		defer d.s.mutex.Unlock()
 		size, ended := 0, false
-		for _, h := range d.s.next.happenings {
-			size, ended = size+h.Size, ended || h.Kind == limiter.Ended && size > 0
+		for _, e := range d.s.next.events {
+			size, ended = size+e.Size, ended || e.Kind == limiter.Ended && size > 0
 		}
 		return ended
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -59,11 +59,11 @@
 	stuffed atomic.Bool  // mostOfOne wait, and what else has come is read once the reducer was told of some
 }
 
-// batch is what waits for the reducer: happenings, and the bytes that they tell of, in order.
+// batch is what waits for the reducer: events, and the bytes that they tell of, in order.
 type batch struct {
-	happenings []limiter.Happening
-	bytes      []byte
-	accepted   []*link
+	events   []limiter.Event
+	bytes    []byte
+	accepted []*link
 }
 
 // Sockets is safe for use by nbio's goroutines and the one that calls Run; Effects are for the latter alone.
@@ -111,7 +111,7 @@
 		l := s.link(nil, gate)
 		l.conn.Store(c)
 		c.SetSession(l)
-		s.post(l, limiter.Happening{Kind: limiter.Accepted}, nil)
+		s.post(l, limiter.Event{Kind: limiter.Accepted}, nil)
 	})
 	into := make([]byte, pieces) // there is one poller
 	s.engine.OnRead(func(c *nbio.Conn) {
@@ -136,7 +136,7 @@
 		if l.gate != nil {
 			l.gate.leave()
 		}
-		s.post(l, limiter.Happening{Kind: limiter.Ended, End: end}, nil)
+		s.post(l, limiter.Event{Kind: limiter.Ended, End: end}, nil)
 	})
 	if err := s.engine.Start(); err != nil {
 		return nil, refused(address, err)
@@ -204,7 +204,7 @@
 		switch {
 		case n > 0:
 			l.posted += int64(n)
-			s.post(l, limiter.Happening{Kind: limiter.Readable, Size: n}, into[:n])
+			s.post(l, limiter.Event{Kind: limiter.Readable, Size: n}, into[:n])
 		case err == nil:
 			return errInOrder
 		case errors.Is(err, syscall.EAGAIN):
@@ -225,31 +225,31 @@
 	return l.posted-l.told.Load() >= mostOfOne
 }
 
-// telling notes that the reducer is told of a happening now. What a client has sent meanwhile is read on a goroutine of its own,
+// telling notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of its own,
 // which closes nothing: the poller sees the end as well.
-func (s *Sockets) telling(h limiter.Happening) {
-	l := s.links[h.Conn]
-	if l == nil || h.Size == 0 {
+func (s *Sockets) telling(e limiter.Event) {
+	l := s.links[e.Conn]
+	if l == nil || e.Size == 0 {
 		return
 	}
-	if l.told.Add(int64(h.Size)); l.stuffed.CompareAndSwap(true, false) {
+	if l.told.Add(int64(e.Size)); l.stuffed.CompareAndSwap(true, false) {
 		go func() { _ = s.drain(l, l.conn.Load(), make([]byte, pieces), true) }()
 	}
 }
 
-// post hands a happening on a connection to the reducer.
-func (s *Sockets) post(l *link, h limiter.Happening, data []byte) {
+// post hands an event on a connection to the reducer.
+func (s *Sockets) post(l *link, e limiter.Event, data []byte) {
 	s.mutex.Lock()
-	h.Conn = l.id
+	e.Conn = l.id
 	for len(s.next.bytes) > mostWaiting {
 		s.drained.Wait()
 	}
-	if h.Kind == limiter.Accepted {
+	if e.Kind == limiter.Accepted {
 		s.next.accepted = append(s.next.accepted, l)
 	}
-	s.next.happenings = append(s.next.happenings, h)
+	s.next.events = append(s.next.events, e)
 	s.next.bytes = append(s.next.bytes, data...)
-	first := len(s.next.happenings) == 1
+	first := len(s.next.events) == 1
 	s.mutex.Unlock()
 	if first {
 		select {
@@ -261,7 +261,7 @@
 
 // take gets what waits.
 func (s *Sockets) take() {
-	s.now.happenings, s.now.bytes, s.now.accepted, s.read = s.now.happenings[:0], s.now.bytes[:0], s.now.accepted[:0], 0
+	s.now.events, s.now.bytes, s.now.accepted, s.read = s.now.events[:0], s.now.bytes[:0], s.now.accepted[:0], 0
 	if cap(s.now.bytes) > mostWaiting {
 		s.now.bytes = nil
 	}
@@ -287,19 +287,19 @@
 		case <-timer.C:
 		case <-stop:
 			stop = nil
-			l.Step(clock(), limiter.Happening{Kind: limiter.Stopping})
+			l.Step(clock(), limiter.Event{Kind: limiter.Stopping})
 		case config := <-renewed:
-			l.Step(clock(), limiter.Happening{Kind: limiter.Renewed, Config: config})
+			l.Step(clock(), limiter.Event{Kind: limiter.Renewed, Config: config})
 		}
 		s.take()
-		for _, h := range s.now.happenings {
-			end := s.read + h.Size
-			s.telling(h)
-			l.Step(clock(), h)
+		for _, e := range s.now.events {
+			end := s.read + e.Size
+			s.telling(e)
+			l.Step(clock(), e)
 			s.read = end // whether the reducer has read them or not
 		}
 		if now := clock(); s.wake <= now {
-			l.Step(now, limiter.Happening{Kind: limiter.Due})
+			l.Step(now, limiter.Event{Kind: limiter.Due})
 		}
 		wait := max(0, s.wake-clock())
 		if len(s.left) > 0 && l.Finished() { // nothing tells that a client's machine has all
@@ -313,7 +313,7 @@
 func (s *Sockets) waits() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.next.happenings) > 0
+	return len(s.next.events) > 0
 }
 
 // Halt ends Run whatever is owed, as the end of its process would.
@@ -345,10 +345,10 @@
 			if ctx.Err() != nil {
 				end = limiter.DialOver
 			}
-			s.post(l, limiter.Happening{Kind: limiter.Ended, End: end}, nil)
+			s.post(l, limiter.Event{Kind: limiter.Ended, End: end}, nil)
 			return
 		}
-		s.post(l, limiter.Happening{Kind: limiter.Connected}, nil)
+		s.post(l, limiter.Event{Kind: limiter.Connected}, nil)
 	}()
 	return l.id
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -36,10 +36,10 @@
 	return s, address
 }
 
-// next waits for the next happening and reads what it tells of.
-func next(t *testing.T, s *Sockets) (limiter.Happening, string) {
+// next waits for the next event and reads what it tells of.
+func next(t *testing.T, s *Sockets) (limiter.Event, string) {
 	t.Helper()
-	for len(s.now.happenings) == 0 {
+	for len(s.now.events) == 0 {
 		select {
 		case <-s.waking:
 			s.take()
@@ -47,24 +47,24 @@
 			t.Fatal("nothing happened")
 		}
 	}
-	h := s.now.happenings[0]
-	s.now.happenings = s.now.happenings[1:]
-	into := make([]byte, h.Size)
+	e := s.now.events[0]
+	s.now.events = s.now.events[1:]
+	into := make([]byte, e.Size)
 	s.Read(into)
-	s.read += h.Size
-	return h, string(into)
+	s.read += e.Size
+	return e, string(into)
 }
 
-func expect(t *testing.T, s *Sockets, kind limiter.Kind, id limiter.ID) limiter.Happening {
+func expect(t *testing.T, s *Sockets, kind limiter.Kind, id limiter.ID) limiter.Event {
 	t.Helper()
-	h, _ := next(t, s)
-	for h.Conn < id { // it has been closed, and the limiter knows it no more
-		h, _ = next(t, s)
+	e, _ := next(t, s)
+	for e.Conn < id { // it has been closed, and the limiter knows it no more
+		e, _ = next(t, s)
 	}
-	if h.Kind != kind || h.Conn != id {
-		t.Fatalf("happening %+v, want kind %d on %d", h, kind, id)
+	if e.Kind != kind || e.Conn != id {
+		t.Fatalf("event %+v, want kind %d on %d", e, kind, id)
 	}
-	return h
+	return e
 }
 
 func TestDial(t *testing.T) {
@@ -91,8 +91,8 @@
 			t.Fatal(err)
 		}
 		_ = far.Close()
-		if h, text := next(t, s); h.Kind != limiter.Readable || text != "last" {
-			t.Fatalf("happening %+v with %q", h, text)
+		if e, text := next(t, s); e.Kind != limiter.Readable || text != "last" {
+			t.Fatalf("event %+v with %q", e, text)
 		}
 		expect(t, s, limiter.Ended, id)
 	})
@@ -105,8 +105,8 @@
 		}
 		_ = far.(*net.TCPConn).SetLinger(0)
 		_ = far.Close()
-		if h := expect(t, s, limiter.Ended, id); h.End != limiter.PeerReset && h.End != limiter.PeerClosed {
-			t.Fatalf("end %s", h.End)
+		if e := expect(t, s, limiter.Ended, id); e.End != limiter.PeerReset && e.End != limiter.PeerClosed {
+			t.Fatalf("end %s", e.End)
 		}
 	})
 	t.Run("what the kernel does not take is not written", func(t *testing.T) {
@@ -126,8 +126,8 @@
 	t.Run("nobody listens", func(t *testing.T) {
 		_ = other.Close()
 		id := s.Dial(address, int64(patience))
-		if h := expect(t, s, limiter.Ended, id); h.End != limiter.Refused {
-			t.Fatalf("end %s", h.End)
+		if e := expect(t, s, limiter.Ended, id); e.End != limiter.Refused {
+			t.Fatalf("end %s", e.End)
 		}
 	})
 }
@@ -138,10 +138,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, _ := next(t, s)
-	s.Write(h.Conn, []byte("answer"))
-	if written := s.Close(h.Conn); written != 6 || s.Written(h.Conn) != 0 {
-		t.Fatalf("written %d, then %d", written, s.Written(h.Conn))
+	e, _ := next(t, s)
+	s.Write(e.Conn, []byte("answer"))
+	if written := s.Close(e.Conn); written != 6 || s.Written(e.Conn) != 0 {
+		t.Fatalf("written %d, then %d", written, s.Written(e.Conn))
 	}
 	got := make([]byte, 9)
 	if n, err := far.Read(got); err != nil || string(got[:n]) != "answer" {
@@ -150,7 +150,7 @@
 	if _, err := far.Read(got); err == nil {
 		t.Fatal("the connection is open still")
 	}
-	expect(t, s, limiter.Ended, h.Conn) // the poller has closed the descriptor
+	expect(t, s, limiter.Ended, e.Conn) // the poller has closed the descriptor
 }
 
 // Connections past the limit wait in the kernel: taken in and closed, their requests would be lost. A process does not end
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, _ := next(t, s)
+	e, _ := next(t, s)
 	second, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -172,14 +172,14 @@
 	require.Eventually(t, s.Queued, patience, time.Millisecond, "nobody waits")
 	time.Sleep(50 * time.Millisecond)
 	s.take()
-	if len(s.now.happenings) > 0 {
-		t.Fatalf("happening %+v, want none", s.now.happenings[0])
+	if len(s.now.events) > 0 {
+		t.Fatalf("event %+v, want none", s.now.events[0])
 	}
 	_ = first.Close()
-	var let []limiter.Happening // the place is free before the first one's end is told
+	var let []limiter.Event // the place is free before the first one's end is told
 	for range 3 {
 		got, text := next(t, s)
-		if got.Conn == h.Conn {
+		if got.Conn == e.Conn {
 			require.Equal(t, limiter.Ended, got.Kind)
 			continue
 		}
@@ -188,10 +188,10 @@
 	}
 	require.Len(t, let, 2)
 	require.Equal(t, limiter.Accepted, let[0].Kind)
-	require.Equal(t, limiter.Happening{Kind: limiter.Readable, Conn: let[0].Conn, Size: 5}, let[1])
-	h = let[0]
-	s.Close(h.Conn)
-	expect(t, s, limiter.Ended, h.Conn)
+	require.Equal(t, limiter.Event{Kind: limiter.Readable, Conn: let[0].Conn, Size: 5}, let[1])
+	e = let[0]
+	s.Close(e.Conn)
+	expect(t, s, limiter.Ended, e.Conn)
 	require.Eventually(t, func() bool { return !s.Queued() }, patience, time.Millisecond, "nobody waits any more")
 }
 
@@ -262,13 +262,13 @@
 			s, address := listening(t, 1)
 			far, err := net.Dial("tcp", address)
 			require.NoError(t, err)
-			h, _ := next(t, s)
+			e, _ := next(t, s)
 			_ = far.(*net.TCPConn).SetReadBuffer(1 << 12)
 			text := strings.Repeat("x", 1<<16) // more than its machine takes before it reads, and less than ours does
-			s.Write(h.Conn, []byte(text))
-			require.True(t, s.Written(h.Conn) >= 1<<16, "written %d", s.Written(h.Conn))
+			s.Write(e.Conn, []byte(text))
+			require.True(t, s.Written(e.Conn) >= 1<<16, "written %d", s.Written(e.Conn))
 			const after = int64(50 * time.Millisecond)
-			require.True(t, s.Leave(h.Conn, after, int64(patience)))
+			require.True(t, s.Leave(e.Conn, after, int64(patience)))
 			require.True(t, s.owes())
 			_, err = io.WriteString(far, "late")
 			require.NoError(t, err)
@@ -281,7 +281,7 @@
 				_ = far.Close()
 			}
 			require.Eventually(t, func() bool { return s.left == nil || s.left[0].closed() }, patience, time.Millisecond, "it is closed")
-			if h := expect(t, s, limiter.Ended, h.Conn); h.Size > 0 {
+			if e := expect(t, s, limiter.Ended, e.Conn); e.Size > 0 {
 				t.Fatal("it was read")
 			}
 		})
--- a/internal/sockets/stale_test.go
+++ b/internal/sockets/stale_test.go
@@ -27,8 +27,8 @@
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
 		if far[i] = c.(*net.TCPConn); i < len(near) {
-			h, _ := next(t, s)
-			near[i] = s.links[h.Conn]
+			e, _ := next(t, s)
+			near[i] = s.links[e.Conn]
 		}
 	}
 	stands := func() bool { // the poller waits for the lock of a connection
@@ -48,8 +48,8 @@
 	_ = far[2].SetLinger(0)
 	_ = far[2].Close()
 	near[0].reading.Unlock()
-	h, _ := next(t, s)
-	require.Equal(t, near[0].id, h.Conn)
+	e, _ := next(t, s)
+	require.Equal(t, near[0].id, e.Conn)
 	require.Eventually(t, stands, patience, time.Millisecond)
 	fills := []*os.File{hole} // all lower numbers are taken but the one that accepting takes and gives back
 	for int(fills[len(fills)-1].Fd()) < near[2].conn.Load().Hash() {
@@ -63,8 +63,8 @@
 	time.Sleep(50 * time.Millisecond) // were there a place now, the next client would be let in
 	near[1].reading.Unlock()
 	ask(t, far[3], ping)
-	for heard := false; !heard; heard = h.Conn > near[2].id && h.Kind == limiter.Readable {
-		h, _ = next(t, s)
+	for heard := false; !heard; heard = e.Conn > near[2].id && e.Kind == limiter.Readable {
+		e, _ = next(t, s)
 	}
 	_ = far[3].SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err = far[3].Read(make([]byte, 1))
