--- a/choice/choice.go
+++ b/choice/choice.go
@@ -584,7 +584,7 @@
 		w := l.weight(now, s)
 		if l.warmth(now, s) < 1 {
 			// Where no other has room, or in a small group, a cold one gets no more than its turns either.
-			s.turns = math.Min(1, s.turns+w/max(l.whole, w))
+			s.turns = math.Min(1, s.turns+w/max(l.whole, w, math.SmallestNonzeroFloat64))
 			if s.turns < 1 && sum < l.whole*narrow {
 				continue
 			}
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -975,6 +975,29 @@
 	}
 }
 
+// Where cold servers begin at nothing, a pick at the very start of all of them leaves their turns as they are.
+func TestColdFromNothing(t *testing.T) {
+	l, _ := made()
+	l.set.ColdFrom = 0
+	l.Members(second, true, []Entry{{ID: "a", Zone: "x", Hint: 1, Since: second}, {ID: "b", Zone: "y", Hint: 1, Since: second}})
+	l.look(second)
+	l.pick(second, &request{units: 1, class: l.set.Classes["read"]})
+	l.Members(second, false, []Entry{{ID: "a", Zone: "x", Hint: 1, Since: 1}}) // a was a mistake: it is warm
+	a, b := l.servers["a"], l.servers["b"]
+	a.warmFrom, a.fullTill, b.turns = 0, 1<<62, math.Min(b.turns, 0)
+	now := 2 * second // b is warm for a tenth
+	l.look(now)
+	got := 0
+	for range 110 { // its part of both is one in eleven
+		if s := l.pick(now, &request{units: 1, class: l.set.Classes["read"]}); s == b {
+			got++
+		}
+	}
+	if got < 8 || got > 11 {
+		t.Fatal("it got", got, "of 110")
+	}
+}
+
 // A server that got hundreds of requests while it was warm owes none of those turns when it comes back cold.
 func TestColdAgain(t *testing.T) {
 	l, _ := made()
