--- /dev/null
+++ b/internal/lab/rig/evict_test.go
@@ -0,0 +1,94 @@
+package rig
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestEvictInUse: clients with open requests hold a quarter of the descriptors, and the server connections that serve them
+// another. Room is made by closing clients that owe and are owed nothing, and only these; one request more is rejected at once and
+// never sent. Each open request is answered.
+func TestEvictInUse(t *testing.T) {
+	server := Listen(t)
+	config := Config(server)
+	config.Sockets = 64
+	config.Settings.DialTimeout = 8e8 // a client may say nothing for a fourth of it
+	for _, class := range config.Settings.Classes {
+		class.Target = 4e9 // nothing here is late
+	}
+	r := Start(t, config)
+	classes := []string{"read", "write", "keyed"}
+	var idle []*Conn
+	for i := range 4 { // they have brought a request
+		c := r.Dial(t)
+		c.Say(t, Request(fmt.Sprint("first", i), "read", 4000))
+		serving := server.Accept(t)
+		serving.Command(t)
+		serving.Serve(t, "v")
+		require.Equal(t, "$v", c.Answer(t))
+		serving.Reset() // so that each open request has a connection of its own
+		idle = append(idle, c)
+	}
+	const most = 64 / 4
+	var open [most]*Conn
+	serving := map[string]*Conn{}
+	for i := range open {
+		open[i] = r.Dial(t)
+		open[i].Say(t, Request(fmt.Sprint("open", i), classes[i%3], 4000))
+		c := server.Accept(t)
+		serving[c.Command(t)[2]] = c
+	}
+	for _, class := range classes {
+		one := r.Dial(t)
+		begun := time.Now()
+		one.Say(t, Request("more", class, 4000))
+		require.Regexp(t, "^-BUSY", one.Answer(t))
+		require.Less(t, time.Since(begun), time.Second)
+		idle = append(idle, one)
+	}
+	for range 4 { // they say nothing
+		idle = append(idle, r.Dial(t))
+	}
+	for i, c := range idle {
+		rest, err := c.Rest(t)
+		require.True(t, rest == "" && err == nil, "idle client %d: %q, %v", i, rest, err)
+	}
+	server.None(t, time.Millisecond)
+	for i, c := range open {
+		id := fmt.Sprint("open", i)
+		serving[id].Quiet(t, time.Millisecond)
+		serving[id].Serve(t, id)
+		require.Equal(t, "$"+id, c.Answer(t))
+	}
+}
+
+// TestEvictGone: the list calls a server gone that has an attempt out. Its answer reaches the client; the connection is closed and
+// the server let go of only then.
+func TestEvictGone(t *testing.T) {
+	for _, class := range []string{"read", "write", "keyed"} {
+		t.Run(class, func(t *testing.T) {
+			d := watch(t)
+			client := d.Dial(t)
+			client.Say(t, Request("out", class, 4000))
+			old := d.s0.Accept(t)
+			require.Equal(t, "out", old.Command(t)[2])
+			d.w.Say(t, sized(list(2, true, entry("s1", d.s1, "in_service", 0))))
+			require.Equal(t, "2", d.w.call(t))
+			d.serves(t, d.s1)
+			old.Quiet(t, time.Millisecond)
+			old.Serve(t, "late")
+			require.Equal(t, "$late", client.Answer(t))
+			rest, err := old.Rest(t)
+			require.True(t, rest == "" && err == nil, "%q, %v", rest, err)
+			d.s0.None(t, time.Millisecond)
+			d.Sockets.Halt()
+			d.Finish(t, Patience)
+			pools := reflect.ValueOf(d.Limiter).Elem().FieldByName("pools")
+			require.Equal(t, 1, pools.Len(), "%v", pools.MapKeys())
+		})
+	}
+}
