--- a/choice/choice.go
+++ b/choice/choice.go
@@ -905,9 +905,12 @@
 	}
 }
 
-// forget lets go of customers whose every count and store is as good as new. A full part of a ceiling is:
-// a new one, which fills from the start on, would be full too.
+// forget lets go of customers whose every count and store is as good as new and has nothing to settle. A full
+// part of a ceiling is: a new one, which fills from the start on, would be full too.
 func (l *Limiter) forget(now int64) {
+	for _, q := range l.requests {
+		q.account.used = now
+	}
 	for id, a := range l.accounts {
 		full := a.quota.rate <= 0 || a.quota.fill(now) >= a.quota.depth && now-a.used > l.span(a)
 		if full && a.ceiling.fill(now) >= a.ceiling.depth {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -334,6 +334,26 @@
 			t.Fatal("a new one holds", a.ceiling.level)
 		}
 	})
+	t.Run("keeps a customer with units out, for the true ones are settled with its account", func(t *testing.T) {
+		l, d := made()
+		l.asks = 0 // the slice decides, and what it sends is owed
+		l.Request(second, arrival("j", "read", "plain"))
+		a := l.requests["j"].account
+		for now := second; now < 200*second; now += second {
+			l.forget(now)
+		}
+		if l.accounts[a.id] != a {
+			t.Fatal("it is forgotten while an attempt is out")
+		}
+		d.did = nil
+		l.Answer(200*second, Reply{Request: "j", Outcome: Succeeded, Units: 3, Took: second, Final: true})
+		if l.Closing(200 * second); len(d.did) != 1 {
+			t.Fatalf("did %q: the true units are lost", d.did)
+		}
+		if l.forget(400 * second); l.accounts[a.id] != nil {
+			t.Fatal("it is kept for good")
+		}
+	})
 	t.Run("lets go of a customer that was sent for, whether its plan has a ceiling or not", func(t *testing.T) {
 		for _, plan := range []string{"plain", "hard", "free"} {
 			l, _ := made()
