--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -133,8 +133,8 @@
 		if errors.Is(err, errInOrder) {
 			end = limiter.PeerClosed
 		}
-		if l.gate != nil {
-			l.gate.leave()
+		if s.client(l) {
+			s.gate.leave()
 		}
 		s.post(l, limiter.Event{Kind: limiter.Ended, End: end}, nil)
 	})
@@ -177,14 +177,18 @@
 	return &link{id: s.lastID, cancel: cancel, gate: gate}
 }
 
+// client tells whether a connection is a client's. Its record was made under the lock, on another goroutine.
+func (s *Sockets) client(l *link) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return l.gate != nil
+}
+
 // pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of its
 // leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere. Nor is what
 // a client that has gone sent past mostOfOne: the poller closes a connection on the word that it ends, whatever is unread.
 func (s *Sockets) pull(l *link, c *nbio.Conn, into []byte) {
-	s.mutex.Lock() // the record was made under it, on another goroutine
-	client := l.gate != nil
-	s.mutex.Unlock()
-	end := s.drain(l, c, into, client)
+	end := s.drain(l, c, into, s.client(l))
 	if end != nil {
 		_ = c.CloseWithError(end)
 	}
