--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -71,39 +71,45 @@
 func (d *lives) Wake(int64, int64)                     {}
 func (d *lives) Log(string)                            {}
 
-// TestRestartedAgain: a limiter starts again and again within a second while the counter is down. What it sends for one customer under
-// a ceiling is what a single life sends at most; without a ceiling each life has one slice, two parts of the burst, and no more.
-func TestRestartedAgain(t *testing.T) {
-	const rate, burst, spread = 10, 40, 4
-	for _, ceiling := range []float64{0, 20} {
-		for _, starts := range []int64{1, 2, 10} {
-			total := 0
-			for k := range starts {
-				born, d := k*second/starts, &lives{}
-				logic := choice.New(born, &choice.Settings{Classes: map[string]*choice.Class{"read": {Target: second, Value: 1}},
-					Plans:       map[string]*choice.Plan{"p": {Rate: rate, Burst: burst, CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
-					CounterWait: second / 20, MostUnits: 1, LongestLease: 60 * second, Limiters: spread, ColdFrom: 1, WarmWithin: 1,
-					DialTimeout: second / 4, MostAttempts: 1, Granularity: 4e6}, 1, d)
-				logic.Members(born, true, []choice.Entry{{ID: "s"}})
-				now := born + second/starts - 1
-				for i := range 4 * burst {
-					id := strconv.Itoa(i)
-					logic.Request(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Class: "read", Units: 1, Spread: spread})
-					for ; len(d.names) > 0; d.names = d.names[1:] {
-						logic.Counted(now, d.names[0], choice.Unconnected, 0)
-					}
-					if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
-						logic.Answer(now, choice.Reply{Request: id, Outcome: choice.Succeeded, Took: 1e7, Final: true})
-					}
-				}
-				total += len(d.sent)
+// restarted is what a limiter sends for one customer that starts again and again within a second while the counter is down.
+func restarted(rate, burst, spread int, ceiling float64, starts int64) (total int) {
+	for k := range starts {
+		born, d := k*second/starts, &lives{}
+		logic := choice.New(born, &choice.Settings{Classes: map[string]*choice.Class{"read": {Target: second, Value: 1}},
+			Plans:       map[string]*choice.Plan{"p": {Rate: float64(rate), Burst: float64(burst), CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
+			CounterWait: second / 20, MostUnits: 1, LongestLease: 60 * second, Limiters: spread, ColdFrom: 1, WarmWithin: 1,
+			DialTimeout: second / 4, MostAttempts: 1, Granularity: 4e6}, 1, d)
+		logic.Members(born, true, []choice.Entry{{ID: "s"}})
+		now := born + second/starts - 1
+		for i := range 4 * burst {
+			id := strconv.Itoa(i)
+			logic.Request(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Class: "read", Units: 1, Spread: spread})
+			for ; len(d.names) > 0; d.names = d.names[1:] {
+				logic.Counted(now, d.names[0], choice.Unconnected, 0)
 			}
-			if ceiling > 0 {
-				require.LessOrEqual(t, total, int(ceiling/spread))
-				require.True(t, starts > 2 || total > 0)
-			} else {
-				require.Equal(t, int(starts)*2*burst/spread, total)
+			if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
+				logic.Answer(now, choice.Reply{Request: id, Outcome: choice.Succeeded, Took: 1e7, Final: true})
 			}
 		}
+		total += len(d.sent)
+	}
+	return total
+}
+
+// TestRestartedAgain: under a ceiling a limiter that starts again and again sends what a single life sends at most; without one each
+// life has one slice, two parts of the burst, and no more.
+func TestRestartedAgain(t *testing.T) {
+	const rate, burst, spread, ceiling = 10, 40, 4, 20
+	for _, starts := range []int64{1, 2, 10} {
+		total := restarted(rate, burst, spread, ceiling, starts)
+		require.LessOrEqual(t, total, ceiling/spread)
+		require.True(t, starts > 2 || total > 0)
+		require.Equal(t, int(starts)*2*burst/spread, restarted(rate, burst, spread, 0, starts))
 	}
 }
+
+// TestSlicesRestartedAgain: all lives together have one slice, and what it fills by meanwhile.
+func TestSlicesRestartedAgain(t *testing.T) {
+	const rate, burst, spread = 10, 40, 4
+	require.LessOrEqual(t, restarted(rate, burst, spread, 0, 10), (2*burst+rate)/spread)
+}
