--- a/internal/lab/simdistribution/fleet.go
+++ b/internal/lab/simdistribution/fleet.go
@@ -12,6 +12,7 @@
 	"strings"
 
 	"ospreycroft/internal/distribution"
+	"ospreycroft/internal/lab/transcript"
 )
 
 const (
@@ -40,6 +41,8 @@
 	Seed           uint64
 	Cold           bool // no subscriber has a state at the start, as if all had lost theirs
 	Budget         distribution.Budget
+	// Transcript takes each message as it arrives; nil for no record.
+	Transcript *transcript.Transcript
 }
 
 // DefaultOptions is a fleet of 550 limiters in three regions of two zones.
@@ -267,6 +270,7 @@
 	c := &call{Call: n.poller.Call(f.queue.now), from: n, fromLife: n.life}
 	c.to = n.servers[c.Server]
 	c.toLife = c.to.life
+	f.options.Transcript.Add([]byte(n.name), f.queue.now, int64(c.Server), c.Hold, c.Timeout, c.Dial)
 	n.bytes += headerBytes
 	if n.relay == nil {
 		f.calls++
@@ -352,6 +356,8 @@
 // take gives an answer to its caller.
 func (f *Fleet) take(n *node, delta *distribution.Delta, piece *distribution.Piece, err error) {
 	before := n.poller.Version()
+	f.transcribe(delta)
+	f.transcribe(piece)
 	var wait int64
 	switch {
 	case err != nil:
@@ -369,6 +375,18 @@
 	f.again(n, wait)
 }
 
+// transcribe records a message in its form on the wire.
+func (f *Fleet) transcribe(message any) {
+	if f.options.Transcript == nil {
+		return
+	}
+	text, err := json.Marshal(message)
+	if err != nil {
+		text = []byte(err.Error())
+	}
+	f.options.Transcript.Add(text, f.queue.now)
+}
+
 // size is how many bytes a message takes as JSON.
 func size(message any) int64 {
 	text, err := json.Marshal(message)
@@ -410,6 +428,7 @@
 		return
 	}
 	n.acknowledged, n.saidAt = a, f.queue.now
+	f.transcribe(a)
 	n.bytes += headerBytes + size(a)
 	to := n.servers[n.poller.Server(f.queue.now)]
 	f.queue.after(f.latency(n, to), func() {
@@ -422,6 +441,7 @@
 // summarize sends a relay's summary to the source, again and again.
 func (f *Fleet) summarize(n *node) {
 	s := n.relay.Summary(f.queue.now)
+	f.transcribe(s)
 	if !n.stalled && !f.cut(n, f.sourceAt) {
 		f.summaries++
 		f.queue.after(f.latency(n, f.sourceAt), func() { _ = f.source.Summarize(f.queue.now, s) })
--- /dev/null
+++ b/internal/lab/simdistribution/transcript_test.go
@@ -0,0 +1,26 @@
+package simdistribution
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/lab/transcript"
+)
+
+// TestTranscripts holds every message of each scenario against the sum that is committed: a difference is a change of what
+// the distribution does.
+func TestTranscripts(t *testing.T) {
+	sums, err := transcript.ReadSums("testdata/transcripts.txt")
+	require.NoError(t, err)
+	for _, scenario := range Scenarios() {
+		t.Run(scenario.Name, func(t *testing.T) {
+			options := DefaultOptions()
+			options.Limiters, options.Entries, options.Seed = 60, 100, 7
+			options.Transcript = transcript.New()
+			_, err := Run(options, scenario)
+			require.NoError(t, err)
+			require.Equal(t, sums[scenario.Name], options.Transcript.Sum())
+		})
+	}
+}
--- a/internal/lab/simfleet/fleet.go
+++ b/internal/lab/simfleet/fleet.go
@@ -101,6 +101,7 @@
 		}
 	}
 	f.net = newNetwork(&f.q, o.Seed)
+	f.net.transcript = o.Transcript
 	f.counter = &counter{f: f, counts: map[string]count{}}
 	f.net.host("counter:1").party = f.counter
 	f.lists = &lists{f: f, tokens: o.Budget}
--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"ospreycroft/internal/lab/transcript"
 	"ospreycroft/internal/limiter"
 )
 
@@ -39,6 +40,7 @@
 	wrote int64      // bytes written here
 	got   int64      // bytes that the process here has been handed
 	data  any        // what the process keeps with it
+	end   int64      // of all ends of connections, in the order of their creation
 }
 
 type kind uint8
@@ -96,6 +98,9 @@
 	rules []*Rule
 	held  []*side // with packets that wait, in the order in which they began to
 	near  map[*host]*host
+	ends  int64 // connection ends that were created
+	// transcript takes each packet as it is put on its way; nil for no record.
+	transcript *transcript.Transcript
 }
 
 func newNetwork(q *queue, seed uint64) *network {
@@ -143,8 +148,9 @@
 
 // dial opens a connection for a process. It is told connected or ended, unless it closes it first.
 func (n *network) dial(from *host, owner party, address string, timeout int64) *side {
-	a := &side{net: n, host: from, owner: owner}
-	b := &side{net: n, host: n.host(address), far: a}
+	a := &side{net: n, host: from, owner: owner, end: n.ends}
+	b := &side{net: n, host: n.host(address), far: a, end: n.ends + 1}
+	n.ends += 2
 	a.far = b
 	from.add(a)
 	n.q.at(n.q.now+timeout, func() {
@@ -229,6 +235,7 @@
 
 func (s *side) carry(p packet, extra int64) {
 	s.due = max(s.due, s.net.q.now+s.net.latency(s.host, s.far.host)+extra)
+	s.net.transcript.Add(p.bytes, s.net.q.now, s.due, s.end, int64(p.kind))
 	s.net.q.at(s.due, func() { s.far.arrive(p) })
 }
 
--- a/internal/lab/simfleet/options.go
+++ b/internal/lab/simfleet/options.go
@@ -1,6 +1,7 @@
 package simfleet
 
 import (
+	"ospreycroft/internal/lab/transcript"
 	"ospreycroft/internal/limiter"
 )
 
@@ -21,6 +22,8 @@
 	FallWindow   int64          // in so long
 	Grace        int64          // rule 3
 	Broken       []Broken       // limiters' faults on purpose
+	// Transcript takes each packet that crosses the network; nil for no record.
+	Transcript *transcript.Transcript
 }
 
 // Broken is a way in which the limiters of a fleet are broken on purpose, to see a check fail.
--- /dev/null
+++ b/internal/lab/simfleet/transcript_test.go
@@ -0,0 +1,107 @@
+package simfleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/lab/transcript"
+	"ospreycroft/internal/limiter"
+	"ospreycroft/internal/snapshot"
+)
+
+// transcriptSeeds is how many schedules of faults TestTranscripts plays.
+const transcriptSeeds = 20
+
+// The fleet of a transcript, and its times.
+const (
+	transcriptLimiters = 6
+	transcriptServers  = 8
+	transcriptUntil    = 16 * second
+)
+
+// transcriptOptions are a fleet's by its seed: with and without a counter, with lists pushed and polled, with and without
+// what operators state, with health checks and without.
+func transcriptOptions(seed uint64) Options {
+	options := Plain(seed, transcriptLimiters, transcriptServers)
+	options.Mode = []Mode{Pushed, Asked}[seed%2]
+	options.Load.Until = transcriptUntil
+	options.Load.Stay = seed%4 < 2
+	options.Load.Rate = []float64{300, 500, 1100}[seed%3]
+	for i := range options.Load.Customers {
+		options.Load.Customers[i].Spread = 3
+	}
+	options.Settings = DefaultSettings()
+	family := options.Settings["family-info"].(map[string]any)
+	family["has-counter"] = seed%5 != 0
+	options.Settings["permissions"].(map[string]any)["probes"] = seed%3 == 0
+	if seed%4 == 3 {
+		options.Stated = limiter.Stated{ListCalls: 4, Connections: 40}
+	}
+	return options
+}
+
+// schedule plans one fault of each kind, at times by the seed.
+func schedule(f *Fleet, seed uint64) {
+	rng := rand.New(rand.NewPCG(seed, 0x7a))
+	at := func(kind func()) { f.At(3*second+rng.Int64N(10*second), kind) }
+	between := func(begin, end func()) {
+		from := 3*second + rng.Int64N(9*second)
+		f.At(from, begin)
+		f.At(from+second/5+rng.Int64N(3*second), end)
+	}
+	at(func() { f.Drain("s1") })
+	at(func() { f.Gone("s2"); f.Add("s2", "s2-new") })
+	between(func() { f.Crash("s3") }, func() { f.Back("s3") })
+	between(func() { f.Vanish("s4") }, func() { f.Back("s4") })
+	between(func() { f.Silence("s5", true) }, func() { f.Silence("s5", false) })
+	between(func() { f.Slow("s6", 20) }, func() { f.Slow("s6", 0) })
+	between(func() { f.Kill(0) }, func() { f.Start(0) })
+	at(func() { f.Term(1, true) })
+	between(func() { f.Stop(2) }, func() { f.Continue(2) })
+	at(func() { f.Quiet(func(int) bool { return true }) })
+	between(func() { f.ListDown(true) }, func() { f.ListDown(false) })
+	at(func() { f.Hup(3, 2, 2) })
+	at(func() { f.HalfOpen("s7", 4) })
+	between(func() { f.Rate(1500) }, func() { f.Rate(300) })
+	for way := Cut; way <= Late; way++ {
+		ends := [][2]string{{"limiter", "counter"}, {"server", "limiter"}, {"limiter", "list"}, {"list", "limiter"}, {"limiter", "s0"}}
+		chosen := ends[(int(way)+int(seed))%len(ends)]
+		among := func(n int) bool { return n%2 == int(seed)%2 }
+		var rule *Rule
+		between(func() { rule = f.Link(way, chosen[0], chosen[1], among, 100e6, 0.1) }, func() { f.Heal(rule) })
+	}
+}
+
+// TestTranscripts holds all that crosses the network of a fleet, under all kinds of faults, against the sums that are
+// committed: a difference is a change of what the program, or the laboratory, does.
+func TestTranscripts(t *testing.T) {
+	sums, err := transcript.ReadSums("testdata/transcripts.txt")
+	require.NoError(t, err)
+	for seed := range uint64(transcriptSeeds) {
+		name := fmt.Sprint("seed ", seed)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			options := transcriptOptions(seed)
+			options.Transcript = transcript.New()
+			if options.Stated.ListCalls > 0 {
+				options.Stated.SaveEvery = second
+				options.Stated.Save = func(saved *snapshot.Snapshot) {
+					text, err := json.Marshal(saved)
+					require.NoError(t, err)
+					options.Transcript.Add(text, saved.Taken)
+				}
+			}
+			f, err := New(options)
+			require.NoError(t, err)
+			f.StartAll(int64(seed%3) * second)
+			schedule(f, seed)
+			f.Run(transcriptUntil)
+			f.Finish()
+			require.Equal(t, sums[name], options.Transcript.Sum())
+		})
+	}
+}
--- a/internal/lab/stories/distribution.go
+++ b/internal/lab/stories/distribution.go
@@ -1,6 +1,7 @@
 package stories
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -9,6 +10,7 @@
 
 	"ospreycroft/internal/distribution"
 	"ospreycroft/internal/lab/simfleet"
+	"ospreycroft/internal/lab/transcript"
 )
 
 const (
@@ -66,6 +68,8 @@
 	cut        func(a, b *peer) bool // whether nothing passes between two peers now; nil for never
 	inUse      []int                 // the list service that each limiter uses, by number
 	record     distributionRecord
+	// transcript takes each message as it arrives; nil for no record.
+	transcript *transcript.Transcript
 }
 
 // newNetwork starts a source, relays and the subscribers of all limiters. Subscribers begin with the source's first
@@ -73,7 +77,7 @@
 func newNetwork(fleet *simfleet.Fleet, options simfleet.Options, shape topology, cold bool, broken subscriberFault) (*network, error) {
 	n := &network{fleet: fleet, topology: shape, rng: rand.New(rand.NewPCG(options.Seed, 0xd1)), broken: broken,
 		source: distribution.NewSource(distribution.NewLog(distribution.Retention{}), distribution.Budget{}),
-		record: newDistributionRecord(options.Limiters)}
+		record: newDistributionRecord(options.Limiters), transcript: options.Transcript}
 	n.sourcePeer = &peer{name: "source", zone: -1, server: n.source, limiter: -1}
 	if err := n.publishFirst(); err != nil {
 		return nil, err
@@ -228,6 +232,7 @@
 // ask makes a subscriber's next call.
 func (n *network) ask(p *peer) {
 	c := &pollCall{Call: p.poller.Call(n.now()), from: p, fromLife: p.life}
+	n.transcript.Add([]byte(p.name), n.now(), int64(c.Server), c.Call.Hold, c.Timeout, c.Dial)
 	c.to = p.relays[c.Server]
 	if n.broken == keepsToFirstRelay {
 		c.to = p.relays[0]
@@ -320,6 +325,8 @@
 // take gives a server's answer to its caller.
 func (n *network) take(p, server *peer, delta *distribution.Delta, piece *distribution.Piece, err error) {
 	before := p.poller.Version()
+	n.transcribe(delta)
+	n.transcribe(piece)
 	var wait int64
 	switch {
 	case err != nil && n.takesOlder(p, server, err):
@@ -336,6 +343,18 @@
 	n.again(p, wait)
 }
 
+// transcribe records a message in its form on the wire.
+func (n *network) transcribe(message any) {
+	if n.transcript == nil {
+		return
+	}
+	text, err := json.Marshal(message)
+	if err != nil {
+		text = []byte(err.Error())
+	}
+	n.transcript.Add(text, n.now())
+}
+
 // wake answers the calls that a server holds and has news for.
 func (n *network) wake(p *peer) {
 	for _, c := range append([]*pollCall{}, p.held...) {
--- a/internal/lab/stories/stories_test.go
+++ b/internal/lab/stories/stories_test.go
@@ -1,7 +1,9 @@
 package stories
 
 import (
+	"context"
 	"flag"
+	"fmt"
 	"io"
 	"log"
 	"os"
@@ -12,6 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ospreycroft/internal/lab/simfleet"
+	"ospreycroft/internal/lab/transcript"
 )
 
 // tags choose the scenarios: those tagged @open show a fault of the present program that is known and not mended yet.
@@ -38,6 +41,19 @@
 	os.Exit(m.Run())
 }
 
+// compareTranscript holds what crossed a scenario's wires against the sum that is committed: a difference is a change of
+// what the program, or the laboratory, does.
+func compareTranscript(scenario, sum string) error {
+	sums, err := transcript.ReadSums("testdata/transcripts.txt")
+	if err != nil {
+		return err
+	}
+	if sums[scenario] != sum {
+		return fmt.Errorf("transcript of %q: is %q, committed is %q", scenario, sum, sums[scenario])
+	}
+	return nil
+}
+
 func TestStories(t *testing.T) {
 	suite := godog.TestSuite{Name: "stories",
 		ScenarioInitializer: func(s *godog.ScenarioContext) {
@@ -46,6 +62,13 @@
 				w.Break = []simfleet.Broken{simfleet.Broken(way)}
 			}
 			w.Shift, _ = strconv.ParseUint(os.Getenv("STORIES_SHIFT"), 10, 64)
+			w.Transcript = transcript.New()
+			s.After(func(ctx context.Context, scenario *godog.Scenario, err error) (context.Context, error) {
+				if err == nil && len(w.Break) == 0 && w.Shift == 0 {
+					err = compareTranscript(scenario.Name, w.Transcript.Sum())
+				}
+				return ctx, err
+			})
 		},
 		Options: &godog.Options{Format: "pretty", Paths: []string{"features"}, Tags: tags(), Strict: true, TestingT: t, NoColors: true},
 	}
--- a/internal/lab/stories/world.go
+++ b/internal/lab/stories/world.go
@@ -12,6 +12,7 @@
 	"strings"
 
 	"ospreycroft/internal/lab/simfleet"
+	"ospreycroft/internal/lab/transcript"
 )
 
 const second = int64(1e9)
@@ -23,10 +24,12 @@
 	Options simfleet.Options
 	Break   []simfleet.Broken // breaks the limiters in these ways beside what the scenario says
 	Shift   uint64            // is added to the scenario's seed
-	plans   []plan
-	fleet   *simfleet.Fleet
-	result  *simfleet.Result
-	last    int64 // when the last planned thing happens
+	// Transcript takes what crosses the scenario's wires; nil for no record.
+	Transcript *transcript.Transcript
+	plans      []plan
+	fleet      *simfleet.Fleet
+	result     *simfleet.Result
+	last       int64 // when the last planned thing happens
 }
 
 type plan struct {
@@ -55,6 +58,7 @@
 	if w.fleet == nil {
 		w.Options.Broken = append(w.Options.Broken, w.Break...)
 		w.Options.Seed += w.Shift
+		w.Options.Transcript = w.Transcript
 		f, err := simfleet.New(w.Options)
 		if err != nil {
 			return nil, err
--- /dev/null
+++ b/internal/simwire/transcript_test.go
@@ -0,0 +1,344 @@
+package simwire
+
+import (
+	"bufio"
+	"container/heap"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/lab/transcript"
+)
+
+// The runs of TestTranscripts. Times are seconds of the simulator's clock.
+const (
+	transcriptSeeds     = 20
+	transcriptUntil     = 60.0
+	transcriptArrivals  = 60.0 // requests a second
+	transcriptServers   = 40
+	transcriptCustomers = 24
+)
+
+// Outcomes on the wire.
+const (
+	codeSucceeded = iota
+	codeConnectionLost
+	codeOverloaded
+	codeTimedOut
+	codeNotConnected
+	codeReset
+	codeCancelled
+	codeNotAttempted
+)
+
+// transcriptFacts are the settings of a run by its seed.
+func transcriptFacts(seed uint64) string {
+	facts := map[string]any{
+		"balancers": 1 + int(seed%3)*6,
+		"classes": []any{
+			map[string]any{"name": "read", "aim": 0.5, "effect": "free", "group": "all", "worth": 1},
+			map[string]any{"name": "mark", "aim": 0.8, "effect": "guarded", "group": "zone", "dedup-window": 3, "worth": 2},
+			map[string]any{"name": "cell", "aim": 0.8, "effect": "guarded", "group": "cell", "dedup-window": 3, "worth": 2},
+			map[string]any{"name": "write", "aim": 1.5, "effect": "single_shot", "group": "all", "worth": 0.5},
+		},
+		"tariffs": []any{
+			map[string]any{"name": "plain", "rate": 20, "most-at-once": 40, "beyond-costs": 0.5, "extra-worth": 0.1},
+			map[string]any{"name": "dear", "rate": 15, "most-at-once": 30, "beyond-costs": 2, "value-factor": 3},
+			map[string]any{"name": "hard", "rate": 12, "most-at-once": 24, "hard-rate": 16, "never-over-depth": 40},
+			map[string]any{"name": "capped", "parallel": 6, "beyond-costs": 1},
+			map[string]any{"name": "both", "rate": 25, "most-at-once": 90, "parallel": 8},
+			map[string]any{"name": "free"},
+		},
+		"family-info": map[string]any{"has-counter": seed%5 != 4, "count-wait": 0.05, "units-top": 6, "trued-up": true},
+		"contract":    map[string]any{"cold-from": 0.25, "warm-within": 10},
+		"permissions": map[string]any{"attempts-cap": 3, "cancelling": seed%4 != 1, "dial-timeout": 0.25,
+			"max-retry-after": 2, "probes": seed%2 == 0, "retry-after": true},
+		"granularity": 0.004,
+	}
+	if seed%2 == 1 {
+		facts["position"] = 0
+	}
+	text, err := json.Marshal(facts)
+	if err != nil {
+		panic(err)
+	}
+	return string(text)
+}
+
+// event is something that the driver will tell the module.
+type event struct {
+	at    float64
+	order int
+	run   func()
+}
+
+type eventHeap []event
+
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+}
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	*h = (*h)[:last]
+	return x
+}
+
+// driver plays the simulator: random events, and answers to what the module asks for.
+type driver struct {
+	rng     *rand.Rand
+	now     float64
+	order   int
+	events  eventHeap
+	copies  map[string]int  // attempts of each request
+	open    map[string]bool // attempts that are not answered yet, by request and number
+	ended   map[string]bool
+	totals  map[uint64]float64
+	trouble map[string]float64 // until when a server is in trouble
+	write   func(batch string) []byte
+	record  *transcript.Transcript
+	bugs    []string
+}
+
+func (d *driver) after(delay float64, run func()) {
+	d.order++
+	heap.Push(&d.events, event{at: d.now + delay, order: d.order, run: run})
+}
+
+// tell sends one item in a batch of its own and acts on the answer.
+func (d *driver) tell(item map[string]any) {
+	item["limiter"] = 0
+	text, err := json.Marshal(map[string]any{"wall": d.now, "batch": d.order, "items": []any{item}})
+	if err != nil {
+		panic(err)
+	}
+	answer := d.write(string(text) + "\n")
+	var decoded struct {
+		Output []json.RawMessage `json:"output"`
+	}
+	if err := json.Unmarshal(answer, &decoded); err != nil {
+		panic(err)
+	}
+	for _, action := range decoded.Output {
+		d.act(action)
+	}
+}
+
+// act records one action of the module, unless it is a line for the log, and does what a simulator would.
+func (d *driver) act(action json.RawMessage) {
+	var o struct {
+		Type   string  `json:"type"`
+		Handle string  `json:"handle"`
+		Server string  `json:"server"`
+		Copy   int     `json:"copy"`
+		Due    float64 `json:"due-at"`
+		Ctx    int64   `json:"ctx"`
+		Name   uint64  `json:"name"`
+		Amount float64 `json:"amount"`
+		Text   string  `json:"note-text"`
+	}
+	if err := json.Unmarshal(action, &o); err != nil {
+		panic(err)
+	}
+	if o.Type != "note-down" {
+		d.record.Add(action, int64(d.now*1e9))
+	}
+	switch o.Type {
+	case "relay":
+		d.relayed(o.Handle, o.Server)
+	case "undo-send":
+		d.replied(o.Handle, o.Copy, codeCancelled, d.now)
+	case "shed", "respond-error":
+		d.ended[o.Handle] = true
+	case "charge-counter":
+		d.charged(o.Name, o.Amount)
+	case "poll":
+		d.polled(o.Server)
+	case "set-timer":
+		d.after(max(0, o.Due-d.now), func() { d.tell(map[string]any{"type": "timer", "ctx": o.Ctx}) })
+	case "bug":
+		d.bugs = append(d.bugs, o.Text)
+	}
+}
+
+func attemptKey(handle string, number int) string { return fmt.Sprint(handle, "/", number) }
+
+func (d *driver) relayed(handle, server string) {
+	number := d.copies[handle]
+	d.copies[handle]++
+	d.open[attemptKey(handle, number)] = true
+	sent := d.now
+	code, took := codeSucceeded, 0.02+0.2*d.rng.Float64()*d.rng.Float64()
+	if d.now < d.trouble[server] {
+		code = d.rng.IntN(codeNotAttempted + 2) // one more stands for no answer
+		took *= 4
+	}
+	if code > codeNotAttempted {
+		took = 30
+		code = codeTimedOut
+	}
+	d.after(took, func() { d.replied(handle, number, code, sent) })
+}
+
+// replied tells how an attempt ended, once.
+func (d *driver) replied(handle string, number, code int, sent float64) {
+	key := attemptKey(handle, number)
+	if !d.open[key] {
+		return
+	}
+	delete(d.open, key)
+	item := map[string]any{"type": "reply", "handle": handle, "copy": number, "rc": code, "took": d.now - sent,
+		"final": code == codeSucceeded || d.ended[handle]}
+	if code == codeSucceeded {
+		d.ended[handle] = true
+		item["true-units"] = []float64{0, 1, 2, 5}[d.rng.IntN(4)]
+		item["feedback"] = []map[string]any{nil, {"outstanding": 3 + d.rng.IntN(5), "throughput": 20},
+			{"backlog": d.rng.IntN(4), "throughput": 12, "recent_ms": 60}}[d.rng.IntN(3)]
+	}
+	d.after(0, func() { d.tell(item) })
+}
+
+// charged answers an add to a count; from second 20 to 26 the counter is in trouble, at second 40 it forgets all.
+func (d *driver) charged(name uint64, amount float64) {
+	d.totals[name] += amount
+	total, code, delay := d.totals[name], codeSucceeded, 0.001+0.002*d.rng.Float64()
+	if d.now > 20 && d.now < 26 || d.rng.IntN(200) == 0 {
+		code = []int{codeTimedOut, codeOverloaded, codeConnectionLost, codeNotConnected}[d.rng.IntN(4)]
+		delay = 0.05
+	}
+	item := map[string]any{"type": "tallied", "name": name, "rc": code}
+	if code == codeSucceeded {
+		item["level"] = total
+	}
+	d.after(delay, func() { d.tell(item) })
+}
+
+func (d *driver) polled(server string) {
+	code := codeSucceeded
+	if d.now < d.trouble[server] {
+		code = codeTimedOut
+	}
+	d.after(0.02, func() { d.tell(map[string]any{"type": "probed", "server": server, "rc": code}) })
+}
+
+func serverName(i int) string { return fmt.Sprint("server-", i) }
+
+func listing(i int, availability string, since float64) map[string]any {
+	entry := map[string]any{"server": serverName(i), "rack-zone": fmt.Sprint("zone-", i%3), "pod": i % 7,
+		"availability": availability, "power-hint": []float64{0, 1, 2}[i%3]}
+	if since > 0 {
+		entry["online-since"] = since
+	}
+	return entry
+}
+
+// arrive tells of one request, plans the next, and lets some clients leave.
+func (d *driver) arrive(number int) {
+	handle := fmt.Sprint("request-", number)
+	customer := d.rng.IntN(transcriptCustomers)
+	plans := []string{"plain", "dear", "hard", "capped", "both", "free", "plain", "nobody's"}
+	classes := []string{"read", "read", "mark", "cell", "write"}
+	d.tell(map[string]any{"type": "inbound", "handle": handle, "budget": 0.3 + 3*d.rng.Float64(), "api-key": 1 + customer,
+		"tier": plans[customer%len(plans)], "cls": classes[d.rng.IntN(len(classes))],
+		"price-units": 1 + d.rng.IntN(6), "n-entries": 1 + customer%4})
+	if d.rng.IntN(50) == 0 {
+		d.after(0.1*d.rng.Float64(), func() {
+			if !d.ended[handle] {
+				d.ended[handle] = true
+				d.tell(map[string]any{"type": "vanished", "handle": handle})
+			}
+		})
+	}
+	rate := transcriptArrivals
+	if d.now > 30 && d.now < 36 {
+		rate *= 4
+	}
+	if d.now < transcriptUntil {
+		d.after(d.rng.ExpFloat64()/rate, func() { d.arrive(number + 1) })
+	}
+}
+
+// disturb changes the list or puts a server in trouble, again and again.
+func (d *driver) disturb() {
+	i := d.rng.IntN(transcriptServers)
+	switch d.rng.IntN(6) {
+	case 0:
+		d.tell(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listing(i, "L", 0)}})
+	case 1:
+		d.tell(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listing(i, "D", 0)}})
+	case 2:
+		d.tell(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listing(i, "U", d.now-0.2)}})
+	case 3:
+		var all []any
+		for j := range transcriptServers {
+			if j != i {
+				all = append(all, listing(j, "U", 0))
+			}
+		}
+		d.tell(map[string]any{"type": "membership", "how": "Persisted", "gen": 3, "items": all})
+	default:
+		d.trouble[serverName(i)] = d.now + 1 + 3*d.rng.Float64()
+	}
+	if d.now < transcriptUntil {
+		d.after(0.5+d.rng.Float64(), d.disturb)
+	}
+}
+
+// play drives one instance through a run by its seed and gives the transcript of its answers.
+func play(t *testing.T, seed uint64) *transcript.Transcript {
+	t.Helper()
+	input, feed := io.Pipe()
+	answers, output := io.Pipe()
+	finished := make(chan error, 1)
+	go func() { finished <- Run(input, output) }()
+	lines := bufio.NewReader(answers)
+	d := &driver{rng: rand.New(rand.NewPCG(seed, 0x51)), copies: map[string]int{}, open: map[string]bool{}, ended: map[string]bool{},
+		totals: map[uint64]float64{}, trouble: map[string]float64{}, record: transcript.New()}
+	d.write = func(batch string) []byte {
+		_, err := io.WriteString(feed, batch)
+		require.NoError(t, err)
+		answer, err := lines.ReadBytes('\n')
+		require.NoError(t, err)
+		return answer
+	}
+	d.now = 1
+	d.tell(map[string]any{"type": "begin", "seed": seed, "facts": json.RawMessage(transcriptFacts(seed))})
+	var all []any
+	for i := range transcriptServers - int(seed%2)*(transcriptServers-6) {
+		all = append(all, listing(i, "U", 0))
+	}
+	d.tell(map[string]any{"type": "membership", "how": "Persisted", "gen": 1, "items": all})
+	d.after(1, func() { d.arrive(0) })
+	d.after(5, d.disturb)
+	d.after(39, func() { clear(d.totals) })
+	for len(d.events) > 0 && d.now < transcriptUntil+10 {
+		next := heap.Pop(&d.events).(event)
+		d.now = next.at
+		next.run()
+	}
+	require.NoError(t, feed.Close())
+	require.NoError(t, <-finished)
+	require.Empty(t, d.bugs)
+	return d.record
+}
+
+// TestTranscripts holds the module's answers to random events against the sums that are committed: a difference is a change of
+// what the module decides.
+func TestTranscripts(t *testing.T) {
+	sums, err := transcript.ReadSums("testdata/transcripts.txt")
+	require.NoError(t, err)
+	for seed := range uint64(transcriptSeeds) {
+		name := fmt.Sprint("seed ", seed)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			require.Equal(t, sums[name], play(t, seed).Sum())
+		})
+	}
+}
