--- a/cmd/ospreydist/ospreydist_test.go
+++ b/cmd/ospreydist/ospreydist_test.go
@@ -205,6 +205,16 @@
 	require.Contains(t, text, "epoch 4 is not the open one, which is 4")
 }
 
+// TestStartsFromStateOfAnEarlierVersion has a source begin with the state that one of version f99e54e has left.
+func TestStartsFromStateOfAnEarlierVersion(t *testing.T) {
+	of, dir := programs(t), t.TempDir()
+	stored, err := os.ReadFile("../../internal/distribution/statefile/testdata/source.distribution")
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "source.distribution"), stored, 0o600))
+	p, _ := startSource(t, of, dir, "127.0.0.1:0", "--installation", "east")
+	require.Contains(t, p.Log(), "event=source-started epoch=2 version=5 entries=4")
+}
+
 // TestReplacedSource has an older source that still runs beside a newer epoch's: a call from that epoch's version fences it, and
 // it publishes nothing more.
 func TestReplacedSource(t *testing.T) {
--- /dev/null
+++ b/internal/operator/stored_test.go
@@ -0,0 +1,19 @@
+package operator
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestReadsAFileOfAnEarlierVersion: the file in testdata is the example of version f99e54e, with every key that it had.
+func TestReadsAFileOfAnEarlierVersion(t *testing.T) {
+	text, err := os.ReadFile("testdata/operator.toml")
+	require.NoError(t, err)
+	o, err := Parse("operator.toml", text)
+	require.NoError(t, err)
+	require.Equal(t, Operator{ListCalls: 20, Connections: 40, Installation: "east", SnapshotPath: "/var/lib/ospreycroft", Oldest: 3600e9,
+		Distribution: Distribution{Relays: [2]string{"relay-a.internal:7400", "relay-b.internal:7400"}, Scope: "endpoints@east",
+			StatePath: "/var/lib/ospreycroft", Oldest: 86400e9}}, *o)
+}
