--- a/choice/choice.go
+++ b/choice/choice.go
@@ -21,8 +21,8 @@
 	"slices"
 )
 
-// Limiter is one instance of the gateway's decisions.
-type Limiter struct {
+// Controller is one instance of the gateway's decisions.
+type Controller struct {
 	set           *Settings
 	effects       Effects
 	rng           *rand.Rand
@@ -79,7 +79,7 @@
 	overloadLeast   = 1.0 / 32  // that is by an attempt for each such share of slow answers
 	burstDeviations = 4         // the limit grows to the mean in flight and so many deviations
 	capDecayParts   = 4         // a capped attempt lasts for this part of the shortest target latency
-	Uneven          = 2         // a slice is so many equal parts: use is uneven, and most customers take half
+	LocalQuotaParts = 2         // a slice is so many equal parts: use is uneven, and most customers take half
 	lostAfter       = 4         // an attempt out for so many times what it should take is taken for lost
 	lostLeast       = 4         // but not before such a part of the target latency
 	cheapLess       = 0.8       // the part of the limit that a class worth nothing does not get
@@ -92,62 +92,62 @@
 )
 
 // New makes a limiter that knows nothing yet.
-func New(now int64, set *Settings, seed int64, effects Effects) *Limiter {
-	l := &Limiter{set: set, effects: effects, rng: rand.New(rand.NewSource(seed)), began: now,
+func New(now int64, set *Settings, seed int64, effects Effects) *Controller {
+	l := &Controller{set: set, effects: effects, rng: rand.New(rand.NewSource(seed)), began: now,
 		servers: map[string]*server{}, requests: map[string]*request{}, timers: map[int64]*request{},
 		accounts: map[uint64]*account{}, calls: map[uint64][]call{}, retryBudget: 1, samplingRate: 1,
-		overloadRatio: 1, part: set.MostUnits / float64(set.Limiters)}
+		overloadRatio: 1, part: set.MaxRequestUnits / float64(set.Limiters)}
 	target := int64(math.MaxInt64)
 	for _, t := range set.Classes {
-		target = min(target, t.Target)
-		l.hasRepeatable = l.hasRepeatable || t.Effect != NonIdempotent
-		if l.highestValue == nil || t.Value > l.highestValue.Value ||
-			t.Value == l.highestValue.Value && t.Target < l.highestValue.Target {
+		target = min(target, t.LatencyObjective)
+		l.hasRepeatable = l.hasRepeatable || t.Idempotency != NonIdempotent
+		if l.highestValue == nil || t.PriorityWeight > l.highestValue.PriorityWeight ||
+			t.PriorityWeight == l.highestValue.PriorityWeight && t.LatencyObjective < l.highestValue.LatencyObjective {
 			l.highestValue = t
 		}
 	}
 	l.capDecay = seconds(target) / capDecayParts
-	l.tickInterval = max(target/ticksPerTarget, set.Granularity)
-	effects.Wake(now+l.tickInterval, 0)
+	l.tickInterval = max(target/ticksPerTarget, set.TimerResolution)
+	effects.SetTimer(now+l.tickInterval, 0)
 	return l
 }
 
-// Ready is when each part of a ceiling holds the largest request. Before that, customers inside their quotas
+// ReadyAt is when each part of a ceiling holds the largest request. Before that, customers inside their quotas
 // are rejected for what a limiter of this name may have sent before this start; clients that can wait should.
-func (l *Limiter) Ready() int64 {
+func (l *Controller) ReadyAt() int64 {
 	at := l.began
 	for _, p := range l.set.Plans {
 		if p.CeilingRate > 0 {
-			part := math.Min(p.CeilingBurst, l.set.MostUnits*float64(l.set.Limiters))
-			at = max(at, l.began+min(nanos(part/p.CeilingRate), l.set.WarmWithin))
+			part := math.Min(p.CeilingBurst, l.set.MaxRequestUnits*float64(l.set.Limiters))
+			at = max(at, l.began+min(nanos(part/p.CeilingRate), l.set.SlowStartWindow))
 		}
 	}
 	return at
 }
 
-// Members takes in the server list, whole or its changes only.
-func (l *Limiter) Members(now int64, whole bool, entries []Entry) {
+// UpdateEndpoints takes in the server list, whole or its changes only.
+func (l *Controller) UpdateEndpoints(now int64, whole bool, entries []Endpoint) {
 	if whole {
 		for _, s := range l.order {
-			s.listing = Gone
+			s.listing = EndpointGone
 		}
 	}
 	for _, e := range entries {
 		s := l.servers[e.ID]
 		fresh := server{id: e.ID, place: placed(e.ID), limit: startLargest * l.part, heard: now}
-		fresh.warmFrom = e.Since
+		fresh.warmFrom = e.StartedAt
 		fresh.slowStartTurns = l.turnOffset(&fresh)
 		if s == nil {
 			// Limiters that start together, all knowing nothing, must not all begin at the same server.
 			s, fresh.credit = &fresh, l.rng.Float64()
 			l.servers[e.ID], l.order, l.unturned = s, append(l.order, s), true
-		} else if e.Since > s.warmFrom {
+		} else if e.StartedAt > s.warmFrom {
 			// A new process: nothing known of the old one holds for it.
 			fresh.attempts, fresh.out = s.attempts, s.out
 			fresh.position, fresh.indexRecord = s.position, s.indexRecord
 			*s = fresh
 		}
-		s.zone, s.cell, s.listing, s.hint = e.Zone, e.Cell, e.Listing, e.Hint
+		s.zone, s.cell, s.listing, s.hint = e.Zone, e.Cell, e.State, e.Weight
 		l.note(now, s)
 	}
 	if whole {
@@ -157,7 +157,7 @@
 	}
 	if l.inFlightLimit == 0 {
 		least := l.least()
-		l.inFlightLimit = max(startLargest*least, least+burstDeviations*math.Sqrt(least*l.set.MostUnits))
+		l.inFlightLimit = max(startLargest*least, least+burstDeviations*math.Sqrt(least*l.set.MaxRequestUnits))
 	}
 	if l.unturned {
 		l.turnRing()
@@ -167,7 +167,7 @@
 // turnRing puts the servers in the order of the ring, from this limiter's place on. Places go by rank: each
 // server is near as many limiters, in steps of the golden section: neighbours in number share customers and
 // stand far apart. A change of the list moves a limiter by a server or two.
-func (l *Limiter) turnRing() {
+func (l *Controller) turnRing() {
 	slices.SortFunc(l.order, byPlace)
 	_, part := math.Modf(float64(max(l.set.Position, 0)) * math.Phi)
 	start := int(part * float64(len(l.order)))
@@ -178,7 +178,7 @@
 // subsetSize is the number of servers that this limiter's requests go to. Each connection to a server costs a
 // handshake, and what a limiter learns of a server that it seldom meets comes late. So among many limiters
 // each keeps to a few servers, enough of them that a server's load is the sum over many limiters.
-func (l *Limiter) subsetSize() int {
+func (l *Controller) subsetSize() int {
 	if l.set.Position < 0 { // all limiters that do not know their place would have the same subset
 		return len(l.order)
 	}
@@ -186,7 +186,7 @@
 }
 
 // turnOffset is what a cold server is owed of its first turn: those that share it stand evenly over it.
-func (l *Limiter) turnOffset(s *server) float64 {
+func (l *Controller) turnOffset(s *server) float64 {
 	if l.set.Position < 0 {
 		return l.rng.Float64()
 	}
@@ -194,30 +194,30 @@
 	return math.Mod(part+float64(s.place)/math.MaxUint64, 1)
 }
 
-// Request takes a request from a client: it reserves on the counter, or decides by the slice when it cannot.
-func (l *Limiter) Request(now int64, a Arrival) {
+// RequestArrived takes a request from a client: it reserves on the counter, or decides by the slice when it cannot.
+func (l *Controller) RequestArrived(now int64, a Arrival) {
 	l.tokens++
 	q := &request{id: a.ID, token: l.tokens, class: l.set.Classes[a.Class], units: a.Units, charge: a.Units,
-		end: now + a.Budget - 2*l.set.Granularity}
+		end: now + a.Timeout - 2*l.set.TimerResolution}
 	l.requests[q.id], l.timers[q.token] = q, q
 	plan := l.set.Plans[a.Plan]
 	if plan == nil || q.class == nil {
 		// Nobody has granted it an allowance, and it loses nothing by asking again.
-		l.reject(now, q, l.set.MostAdvice, ForPlan)
+		l.reject(now, q, l.set.MaxRetryAfter, RejectedForPlan)
 		return
 	}
 	q.account = l.accountOf(now, a, plan)
 	acc := q.account
 	acc.hold()
 	if q.end <= now || len(l.able(now, q)) == 0 {
-		l.reject(now, q, l.retryAfterRoom(), ForRoom)
+		l.reject(now, q, l.retryAfterRoom(), RejectedForCapacity)
 		return
 	}
 	if wait := acc.overCeiling(now, q.units); wait > 0 {
-		l.reject(now, q, wait, ForCeiling)
+		l.reject(now, q, wait, RejectedForCeiling)
 		return
 	}
-	l.effects.Wake(q.end, q.token)
+	l.effects.SetTimer(q.end, q.token)
 	if acc.quota.rate <= 0 {
 		l.place(now, q)
 		return
@@ -229,29 +229,29 @@
 	// the whole rate, so the true one holds no more, but for what others add back. A call that brings what is
 	// still to be added back is made: the others go by a total that is too high until then.
 	out := acc.quota.fill(now) < q.charge && acc.pendingAdjustment >= 0
-	if l.set.CounterWait == 0 || out && acc.known || l.samplingRate < 1 && (out || !l.sampled(acc)) {
+	if l.set.CounterTimeout == 0 || out && acc.known || l.samplingRate < 1 && (out || !l.sampled(acc)) {
 		l.bySlice(now, q)
 		return
 	}
 	l.reserve(now, q)
 }
 
-func (l *Limiter) accountOf(now int64, a Arrival, plan *Plan) *account {
+func (l *Controller) accountOf(now int64, a Arrival, plan *Plan) *account {
 	acc := l.accounts[a.Customer]
 	if acc == nil {
-		part, rate, burst, most := float64(max(a.Spread, 1)), plan.Rate, plan.Burst, l.set.MostUnits
-		if rate <= 0 && plan.Open > 0 {
+		part, rate, burst, most := float64(max(a.Limiters, 1)), plan.Rate, plan.Burst, l.set.MaxRequestUnits
+		if rate <= 0 && plan.MaxInFlight > 0 {
 			// A cap on attempts out: each counts one and fades as they end, so the faded use is what is out.
-			rate, burst, most = plan.Open/l.capDecay, plan.Open, 1
-		} else if plan.Open > 0 {
-			burst = min(burst, max(plan.Open/2, 2)*most)
+			rate, burst, most = plan.MaxInFlight/l.capDecay, plan.MaxInFlight, 1
+		} else if plan.MaxInFlight > 0 {
+			burst = min(burst, max(plan.MaxInFlight/2, 2)*most)
 		}
 		acc = &account{id: a.Customer, plan: plan, window: math.MinInt64, phase: int64(mix(a.Customer) >> 1),
 			quota: store{level: burst / part, depth: burst, rate: rate, at: now}, part: part, most: most,
 			// The ceiling's store stands as it was before we started, so our part of it starts empty: what
 			// all starts of all limiters send is then never more than the store has held and filled.
 			ceiling: store{depth: plan.CeilingBurst / part, rate: plan.CeilingRate / part, at: l.began}}
-		if l.slice(now, acc, burst); l.set.CounterWait > 0 && l.answered+l.sustainedRate == 0 {
+		if l.slice(now, acc, burst); l.set.CounterTimeout > 0 && l.answered+l.sustainedRate == 0 {
 			// The counter has not answered in this life: an earlier one may have spent the slice without it.
 			acc.slice.level = min(acc.slice.level, acc.most+acc.slice.rate*seconds(now-l.began))
 		}
@@ -264,8 +264,8 @@
 
 // sampled tells whether a crowded counter is asked for a customer: always for some, the same at all limiters
 // (a count of a part of the use says little), more where going beyond costs more. The rest see if it is back.
-func (l *Limiter) sampled(a *account) bool {
-	stake := max(0, a.plan.BeyondCosts-a.plan.BeyondEarns) * a.plan.Value
+func (l *Controller) sampled(a *account) bool {
+	stake := max(0, a.plan.OverQuotaPenalty-a.plan.OverQuotaRevenue) * a.plan.PriorityWeight
 	l.overQuotaCost += (stake - l.overQuotaCost) / fade
 	share := (l.samplingRate - samplingLeast) / (1 - l.samplingRate) * stake / l.overQuotaCost
 	return float64(a.phase)/math.MaxInt64 < share || l.rng.Float64() < samplingLeast
@@ -273,14 +273,14 @@
 
 // span is the length of the customer's windows. At each turn what was added before goes unseen, so turns are
 // rare; a lease of two windows must not be longer than the counter keeps a name.
-func (l *Limiter) span(a *account) int64 {
-	return min(nanos(windowBursts*a.quota.depth/a.quota.rate), l.set.LongestLease/2)
+func (l *Controller) span(a *account) int64 {
+	return min(nanos(windowBursts*a.quota.depth/a.quota.rate), l.set.MaxLease/2)
 }
 
 // turn moves the account to the window that holds now and tells what an add of one unit weighs in it. Adds
 // weigh more the later they come, by e for each filling of the store: the total over the present weight is
 // the use of all limiters, the old faded out. So a first look tells what the store holds.
-func (l *Limiter) turn(now int64, a *account) float64 {
+func (l *Controller) turn(now int64, a *account) float64 {
 	span := l.span(a)
 	since := now + a.phase%span
 	fills := func(ns int64) float64 { return seconds(ns) * a.quota.rate / a.quota.depth }
@@ -291,17 +291,17 @@
 	return math.Exp(fills(since % span))
 }
 
-func (l *Limiter) reserve(now int64, q *request) {
+func (l *Controller) reserve(now int64, q *request) {
 	a := q.account
 	q.weight = l.turn(now, a)
 	q.name, q.reserved, q.lease = a.name(), true, now+l.span(a)
-	l.move(q, Reserving)
+	l.move(q, stateReserving)
 	l.count(q, q.charge*q.weight+a.pendingAdjustment, false)
 	a.pendingAdjustment = 0
 }
 
 // release adds back what was reserved and not used; once, and not after the lease has ended.
-func (l *Limiter) release(now int64, q *request, amount float64) {
+func (l *Controller) release(now int64, q *request, amount float64) {
 	if q.reserved && now < q.lease && amount != 0 {
 		l.count(q, -amount*q.weight, true)
 	}
@@ -309,7 +309,7 @@
 }
 
 // settle puts true units in the guess's place, once: on the count or with the next call, and in the stores.
-func (l *Limiter) settle(now int64, q *request, units float64) {
+func (l *Controller) settle(now int64, q *request, units float64) {
 	if more := units - q.units; units > 0 && more != 0 && q.account.plan.Rate > 0 {
 		a := q.account
 		a.quota.level, a.slice.level = a.quota.level-more, a.slice.level-more
@@ -322,8 +322,8 @@
 	q.reserved = false
 }
 
-// Counted takes the counter's answer to the oldest call on a name.
-func (l *Limiter) Counted(now int64, name uint64, outcome Outcome, total float64) {
+// CounterReplied takes the counter's answer to the oldest call on a name.
+func (l *Controller) CounterReplied(now int64, name uint64, outcome Outcome, total float64) {
 	queue := l.calls[name]
 	if len(queue) == 0 {
 		return
@@ -336,7 +336,7 @@
 	if outcome != Succeeded {
 		// A counter that is down or crowded is asked less, so that nothing waits for it in vain and it can
 		// work off its line; it is asked more again step by step, so that its return brings no rush.
-		if outcome != Broke { // it has worked off the call, or may have, and only its answer was spoilt
+		if outcome != ServerError { // it has worked off the call, or may have, and only its answer was spoilt
 			if l.samplingRate *= samplingLess; l.answered > 0 {
 				l.sustainedRate = l.samplingRate
 			}
@@ -346,12 +346,12 @@
 		if !c.back { // what the slice sends is owed anew
 			q.reserved, vain = false, q.charge*q.weight
 		}
-		if outcome == TimedOut || outcome == Broke {
+		if outcome == TimedOut || outcome == ServerError {
 			a.unsure, a.idle = a.unsure+c.amount, a.idle+vain
 		} else {
 			a.pendingAdjustment += c.amount - vain
 		}
-		if q.state == Reserving { // a call that adds back comes after that
+		if q.state == stateReserving { // a call that adds back comes after that
 			l.bySlice(now, q)
 		}
 		return
@@ -363,9 +363,9 @@
 	if c.back {
 		return
 	}
-	if gone := q.state != Reserving; gone || a.quota.level < q.charge {
+	if gone := q.state != stateReserving; gone || a.quota.level < q.charge {
 		if l.release(now, q, q.charge); !gone {
-			l.reject(now, q, nanos((q.charge-a.quota.level)/a.quota.rate), ForQuota)
+			l.reject(now, q, nanos((q.charge-a.quota.level)/a.quota.rate), RejectedForQuota)
 		}
 		return
 	}
@@ -373,7 +373,7 @@
 }
 
 // see draws what a total shows into the customer's store: what others have added is taken from it.
-func (l *Limiter) see(now int64, c call, name uint64, total float64) {
+func (l *Controller) see(now int64, c call, name uint64, total float64) {
 	a := c.account
 	weight := l.turn(now, a)
 	a.quota.fill(now)
@@ -394,7 +394,7 @@
 		others = 0
 	} else if !a.known || gap > 1 {
 		// What was known here of the store counts no more: it stands as the faded use of all says.
-		if a.quota.level, others = a.quota.depth-total/weight, 0; c.request.state == Reserving && !c.back {
+		if a.quota.level, others = a.quota.depth-total/weight, 0; c.request.state == stateReserving && !c.back {
 			a.quota.level += c.request.charge
 		}
 	} else {
@@ -409,27 +409,27 @@
 
 // slice gives this limiter its part of what the store holds. It holds the largest request at least: among
 // many limiters an equal part is smaller, and would refuse for good requests well inside the quota.
-func (l *Limiter) slice(now int64, a *account, level float64) {
-	part := max(1, a.part/(1+(Uneven-1)*max(0, level)/a.quota.depth))
+func (l *Controller) slice(now int64, a *account, level float64) {
+	part := max(1, a.part/(1+(LocalQuotaParts-1)*max(0, level)/a.quota.depth))
 	a.slice = store{level: math.Min(level, max(level/part, a.most)),
 		depth: max(a.quota.depth/part, a.most), rate: a.quota.rate / part, at: now}
 }
 
 // bySlice decides by the local slice, when the counter does not answer.
-func (l *Limiter) bySlice(now int64, q *request) {
+func (l *Controller) bySlice(now int64, q *request) {
 	if s := &q.account.slice; s.fill(now) < q.charge {
-		l.reject(now, q, min(nanos((q.charge-s.level)/s.rate), l.retryAfterRoom()), ForSlice)
+		l.reject(now, q, min(nanos((q.charge-s.level)/s.rate), l.retryAfterRoom()), RejectedForLocalQuota)
 		return
 	}
 	l.place(now, q)
 }
 
 // place sends the first attempt if there is room, and in the ceiling still: others may have gone meanwhile.
-func (l *Limiter) place(now int64, q *request) {
-	a, wait, cause := q.account, q.account.overCeiling(now, q.units), ForCeiling
+func (l *Controller) place(now int64, q *request) {
+	a, wait, cause := q.account, q.account.overCeiling(now, q.units), RejectedForCeiling
 	var s *server
 	if wait == 0 {
-		s, wait, cause = l.pick(now, q), l.retryAfterRoom(), ForRoom
+		s, wait, cause = l.pick(now, q), l.retryAfterRoom(), RejectedForCapacity
 	}
 	if s == nil {
 		l.release(now, q, q.charge)
@@ -445,11 +445,11 @@
 		a.ceiling.level -= q.units
 	}
 	l.retryBudget = math.Min(l.retryBudget+1.0/retryBudgetPart, float64(len(l.order)))
-	l.move(q, Out)
+	l.move(q, InFlight)
 	l.send(now, q, s)
 }
 
-func (l *Limiter) send(now int64, q *request, s *server) {
+func (l *Controller) send(now int64, q *request, s *server) {
 	att := &attempt{request: q, server: s, number: len(q.attempts), at: now, open: true, maybe: true}
 	q.attempts, q.open = append(q.attempts, att), q.open+1
 	s.attempts, s.out = append(s.attempts, att), s.out+q.units
@@ -458,20 +458,20 @@
 }
 
 // slowStartWeight is the share of its capacity that a server is sure to have.
-func (l *Limiter) slowStartWeight(now int64, s *server) float64 {
-	if s.warmFrom == 0 || now >= s.warmFrom+l.set.WarmWithin {
+func (l *Controller) slowStartWeight(now int64, s *server) float64 {
+	if s.warmFrom == 0 || now >= s.warmFrom+l.set.SlowStartWindow {
 		return 1
 	}
 	return l.slowStartWeightAt(max(0, now-s.warmFrom))
 }
 
 // slowStartWeightAt is the slow-start weight of a server so long after it began to warm up.
-func (l *Limiter) slowStartWeightAt(age int64) float64 {
-	return l.set.ColdFrom + (1-l.set.ColdFrom)*float64(age)/float64(l.set.WarmWithin)
+func (l *Controller) slowStartWeightAt(age int64) float64 {
+	return l.set.ColdCapacity + (1-l.set.ColdCapacity)*float64(age)/float64(l.set.SlowStartWindow)
 }
 
 // weight follows the nominal size and the pace that the server's answers have shown.
-func (l *Limiter) weight(now int64, s *server) float64 {
+func (l *Controller) weight(now int64, s *server) float64 {
 	pace := 1.0
 	if s.did > 0 && l.unitsDone > 0 {
 		pace = (l.timeTaken / l.unitsDone) / (s.took / s.did)
@@ -484,14 +484,14 @@
 }
 
 // usable tells whether a server may get this request at all.
-func (l *Limiter) usable(now int64, q *request, s *server) bool {
+func (l *Controller) usable(now int64, q *request, s *server) bool {
 	// A trial is one request at a time, and for requests that may run again, where there are any.
-	if s.listing != Ready || s.health == ejected ||
-		s.health == trial && (len(s.attempts) > 0 || q.class.Effect == NonIdempotent && l.hasRepeatable) {
+	if s.listing != EndpointReady || s.health == ejected ||
+		s.health == trial && (len(s.attempts) > 0 || q.class.Idempotency == NonIdempotent && l.hasRepeatable) {
 		return false
 	}
 	for _, att := range q.attempts {
-		if att.server == s || att.maybe && q.class.Effect == Keyed && !q.class.dropsRepeat(now, att, s) {
+		if att.server == s || att.maybe && q.class.Idempotency == IdempotentWithKey && !q.class.dropsRepeat(now, att, s) {
 			return false
 		}
 	}
@@ -500,19 +500,19 @@
 
 // dropsRepeat tells whether a server would know a keyed request again that may have run by this attempt.
 func (t *Class) dropsRepeat(now int64, att *attempt, s *server) bool {
-	same := t.Group == GroupAll || t.Group == GroupZone && att.server.zone == s.zone ||
-		t.Group == GroupCell && att.server.cell == s.cell
-	return same && now < att.at+t.Repeats
+	same := t.DeduplicationScope == ScopeAll || t.DeduplicationScope == ScopeZone && att.server.zone == s.zone ||
+		t.DeduplicationScope == ScopeCell && att.server.cell == s.cell
+	return same && now < att.at+t.DeduplicationWindow
 }
 
 // able lists the servers that have room for the request, if there is room in all: among many limiters one
 // request at each server is too much already. What may be out shrinks with the servers that can be used.
 // The list holds until the next call.
-func (l *Limiter) able(now int64, q *request) []*server {
+func (l *Controller) able(now int64, q *request) []*server {
 	out, usable := l.usableSums(now, q)
 	out += q.units
 	room := l.inFlightLimit * l.limitFactor(now, q) * usable / max(float64(l.index.ready), 1)
-	room *= 1 - cheapLess*(1-q.class.Value/l.highestValue.Value)
+	room *= 1 - cheapLess*(1-q.class.PriorityWeight/l.highestValue.PriorityWeight)
 	if l.busy = out > room/2; out > room && out > q.units {
 		return nil
 	}
@@ -536,16 +536,16 @@
 // servers for well inside the target latency: what they hold over what they do a second is that stay. One
 // limiter among many cannot tell a few heavy requests of its own from servers that fill up. Old reports say
 // nothing.
-func (l *Limiter) limitFactor(now int64, q *request) float64 {
-	if l.reported == 0 || now-l.reported > q.class.Target {
+func (l *Controller) limitFactor(now int64, q *request) float64 {
+	if l.reported == 0 || now-l.reported > q.class.LatencyObjective {
 		return 1
 	}
-	target := min(q.class.Target, l.highestValue.Target) // no class may fill the servers for a dearer one
+	target := min(q.class.LatencyObjective, l.highestValue.LatencyObjective) // no class may fill the servers for a dearer one
 	return max(1, seconds(target)/wellInside/math.Exp(l.meanStay))
 }
 
 // pick takes the next in the weighted rotation; those that hold more than their share of what is out pass.
-func (l *Limiter) pick(now int64, q *request) *server {
+func (l *Controller) pick(now int64, q *request) *server {
 	able := l.able(now, q)
 	out, sum, cold := q.units, 0.0, 0.0
 	for _, s := range able {
@@ -586,57 +586,57 @@
 }
 
 // retryAfterRoom is the retry-after of a request for which no server has room: when work out will be done.
-func (l *Limiter) retryAfterRoom() int64 {
+func (l *Controller) retryAfterRoom() int64 {
 	if l.reported > 0 {
 		return max(l.tickInterval, nanos(math.Exp(l.meanStay)))
 	}
 	return max(l.tickInterval, l.set.DialTimeout)
 }
 
-func (l *Limiter) reject(now int64, q *request, after int64, cause Cause) {
+func (l *Controller) reject(now int64, q *request, after int64, cause RejectReason) {
 	l.move(q, Rejected)
 	// Clients that were told the same time would come back together.
-	after = max(l.set.Granularity, after) + int64(l.rng.Float64()*float64(l.tickInterval))
-	l.effects.Reject(q.id, min(after, l.set.MostAdvice), cause)
+	after = max(l.set.TimerResolution, after) + int64(l.rng.Float64()*float64(l.tickInterval))
+	l.effects.Reject(q.id, min(after, l.set.MaxRetryAfter), cause)
 	l.drop(now, q)
 }
 
 // finish ends a request that cannot be served: rejected if that is true and harmless, else failed.
-func (l *Limiter) finish(now int64, q *request) {
+func (l *Controller) finish(now int64, q *request) {
 	for _, att := range q.attempts {
-		marked := q.class.Effect == Keyed && q.class.Group != GroupAll
-		if att.maybe && (q.class.Effect == NonIdempotent || marked) {
+		marked := q.class.Idempotency == IdempotentWithKey && q.class.DeduplicationScope != ScopeAll
+		if att.maybe && (q.class.Idempotency == NonIdempotent || marked) {
 			l.move(q, Failed)
 			l.effects.Fail(q.id)
 			l.drop(now, q)
 			return
 		}
 	}
-	l.reject(now, q, l.retryAfterRoom(), ForAttempts)
+	l.reject(now, q, l.retryAfterRoom(), RejectedForAttempts)
 }
 
-// Answer takes the end of an attempt.
-func (l *Limiter) Answer(now int64, r Reply) {
+// AttemptDone takes the end of an attempt.
+func (l *Controller) AttemptDone(now int64, r AttemptResult) {
 	q := l.requests[r.Request]
 	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || !q.attempts[r.Attempt].open {
 		return
 	}
 	att := q.attempts[r.Attempt]
 	att.open, q.open = false, q.open-1
-	q.spent = q.spent || r.Outcome != Unconnected && r.Outcome != Moot
-	att.maybe = r.Outcome != Full && r.Outcome != Unconnected && r.Outcome != Moot
+	q.spent = q.spent || r.Outcome != ConnectFailed && r.Outcome != NotAttempted
+	att.maybe = r.Outcome != Overloaded && r.Outcome != ConnectFailed && r.Outcome != NotAttempted
 	l.learn(now, att, r)
 	if r.Outcome == Succeeded { // of a client that has gone too
-		l.settle(now, q, r.Units)
+		l.settle(now, q, r.ActualUnits)
 	}
 	if r.Outcome == Succeeded && r.Final && !q.ended() {
 		if !att.late { // well spent: where some servers are bad and others good, more may follow
 			l.retryBudget += float64(len(q.attempts) - 1)
 		}
-		l.move(q, Served)
+		l.move(q, Answered)
 	}
 	if r.Final && !q.ended() {
-		l.move(q, Abandoned)
+		l.move(q, ClientGone)
 	}
 	if q.ended() {
 		l.drop(now, q)
@@ -648,12 +648,12 @@
 }
 
 // again sends a further attempt where the class, the time, the attempts left and the pressure allow it.
-func (l *Limiter) again(now int64, q *request) bool {
-	if q.end <= now || len(q.attempts) >= l.set.MostAttempts || l.retryBudget < 1 || q.open > 0 {
+func (l *Controller) again(now int64, q *request) bool {
+	if q.end <= now || len(q.attempts) >= l.set.MaxAttempts || l.retryBudget < 1 || q.open > 0 {
 		return false
 	}
 	for _, att := range q.attempts {
-		if att.maybe && q.class.Effect == NonIdempotent {
+		if att.maybe && q.class.Idempotency == NonIdempotent {
 			return false
 		}
 	}
@@ -668,8 +668,8 @@
 
 // overdue lowers a server's limit for an attempt that is not answered well inside the target latency, without
 // waiting for the answer: servers that slow down together would fill up until then.
-func (l *Limiter) overdue(now int64, att *attempt) {
-	if !att.late && now-att.at > att.request.class.Target/wellInside {
+func (l *Controller) overdue(now int64, att *attempt) {
+	if !att.late && now-att.at > att.request.class.LatencyObjective/wellInside {
 		att.late = true
 		att.server.limit = max(att.server.limit-att.request.units*late/grow, l.part)
 		l.lowerLimit(att.request)
@@ -679,16 +679,16 @@
 // lowerLimit takes from the in-flight limit for an attempt that is late or full. One limiter among hundreds
 // sees a server too seldom to learn its limit in time; all together soon tell that they fill up. Where
 // answers are prompt the rest are silent, not overrun, and it takes no more than a prompt answer adds.
-func (l *Limiter) lowerLimit(q *request) {
+func (l *Controller) lowerLimit(q *request) {
 	times := max(1, math.Min(lateAll, l.overloadRatio/overloadLeast))
 	l.inFlightLimit = max(l.inFlightLimit-q.units*times/grow, l.least())
 }
 
 // least is the in-flight limit that is always there: the largest request at each server, over all limiters.
-func (l *Limiter) least() float64 { return l.part * float64(len(l.order)) }
+func (l *Controller) least() float64 { return l.part * float64(len(l.order)) }
 
 // learn keeps the record of the server that an attempt was sent to.
-func (l *Limiter) learn(now int64, att *attempt, r Reply) {
+func (l *Controller) learn(now int64, att *attempt, r AttemptResult) {
 	s, u := att.server, att.request.units
 	l.overdue(now, att)
 	s.attempts, s.out = slices.DeleteFunc(s.attempts, func(o *attempt) bool { return o == att }),
@@ -707,7 +707,7 @@
 			}
 			l.meanStay, l.reported = l.meanStay+(stay-l.meanStay)/stayFade, now
 		}
-		took := seconds(r.Took)
+		took := seconds(r.Duration)
 		s.took, s.did = s.took*(1-1.0/fade)+took, s.did*(1-1.0/fade)+u
 		l.timeTaken, l.unitsDone = l.timeTaken*(1-0.1/fade)+took, l.unitsDone*(1-0.1/fade)+u
 		if l.overloadRatio -= l.overloadRatio / overloadFade; att.late {
@@ -718,18 +718,18 @@
 			s.limit += u / grow
 		}
 		// The limit is what can come together by chance, not the load: few requests out swing the most.
-		if l.inFlightLimit < l.meanInFlight+burstDeviations*math.Sqrt(l.meanInFlight*l.set.MostUnits) {
+		if l.inFlightLimit < l.meanInFlight+burstDeviations*math.Sqrt(l.meanInFlight*l.set.MaxRequestUnits) {
 			l.inFlightLimit += u / grow
 		}
-	case Full:
+	case Overloaded:
 		s.heard, s.fullTill = now, now+l.tickInterval
 		s.limit = math.Min(s.limit, s.out)
 		l.overloadRatio += (1 - l.overloadRatio) / overloadFade
 		l.lowerLimit(att.request)
-	case Broke, Unconnected, Reset, Cancelled:
+	case ServerError, ConnectFailed, ConnectionLost, Cancelled:
 		// A server that fails is quick at it: its answers say nothing of its pace, or it would draw all
 		// requests. One that takes no connection is not tried three times: each of many limiters would do so.
-		if s.bad += badStep * (1 - s.bad); s.bad > badMost || r.Outcome == Unconnected {
+		if s.bad += badStep * (1 - s.bad); s.bad > badMost || r.Outcome == ConnectFailed {
 			l.eject(now, s, "fails")
 		}
 	}
@@ -738,24 +738,24 @@
 }
 
 // eject keeps new requests from a server until it shows life. A shared cause must not take all of them.
-func (l *Limiter) eject(now int64, s *server, why string) {
+func (l *Controller) eject(now int64, s *server, why string) {
 	if s.health == ejected || float64(l.index.away()+1) > float64(l.index.ready)*ejectedMost {
 		return
 	}
 	l.log("server %s %s, ejected", s.id, why)
-	s.rest = min(max(2*s.rest, l.tickInterval*ticksPerTarget), l.set.WarmWithin)
+	s.rest = min(max(2*s.rest, l.tickInterval*ticksPerTarget), l.set.SlowStartWindow)
 	s.health, s.probes, s.next = ejected, 0, now+s.rest
 	l.note(now, s)
 }
 
 // tick is the regular tick at the servers in use: it finds the silent ones and lets others come back. Those
 // that are gone are let go of: a fleet that is replaced again and again would fill the memory.
-func (l *Limiter) tick(now int64) {
+func (l *Controller) tick(now int64) {
 	l.letGo()
 	l.meanInFlight -= l.meanInFlight / ticksPerTarget
 	l.subsetWeight = 0
 	for i, near := 0, l.subsetSize(); i < len(l.order) && near > 0; i++ {
-		if s := l.order[i]; s.listing == Ready && s.health != ejected {
+		if s := l.order[i]; s.listing == EndpointReady && s.health != ejected {
 			l.subsetWeight, near = l.subsetWeight+l.weight(now, s), near-1
 		}
 	}
@@ -764,9 +764,9 @@
 		for _, att := range s.attempts {
 			l.overdue(now, att)
 		}
-		if s.listing == Ready && s.health == ejected {
+		if s.listing == EndpointReady && s.health == ejected {
 			l.tryAgain(now, s)
-		} else if s.listing == Ready {
+		} else if s.listing == EndpointReady {
 			l.meanInFlight += s.out / ticksPerTarget
 			l.listen(now, s)
 		}
@@ -779,25 +779,25 @@
 }
 
 // tryAgain probes an ejected server, or reinstates it where there are no probes, when it has rested.
-func (l *Limiter) tryAgain(now int64, s *server) {
+func (l *Controller) tryAgain(now int64, s *server) {
 	if now < s.next {
 		return
 	}
-	if !l.set.Probes {
+	if !l.set.HealthChecks {
 		l.reinstate(now, s)
 		return
 	}
-	l.effects.Probe(s.id)
+	l.effects.HealthCheck(s.id)
 	s.next = now + max(s.rest, l.set.DialTimeout)
 }
 
 // listen ejects a server that has been silent for too long.
-func (l *Limiter) listen(now int64, s *server) {
+func (l *Controller) listen(now int64, s *server) {
 	if len(s.attempts) == 0 {
 		return
 	}
 	first := s.attempts[0]
-	wait := first.request.class.Target
+	wait := first.request.class.LatencyObjective
 	if len(s.attempts) > 1 {
 		wait = wait * 2 / 3
 	}
@@ -807,18 +807,18 @@
 }
 
 // cancelLost cancels an attempt whose answer is lost, or whose server is ejected or gone.
-func (l *Limiter) cancelLost(now int64, att *attempt) {
+func (l *Controller) cancelLost(now int64, att *attempt) {
 	s, q, lost := att.server, att.request, l.lost(now, att)
-	if q.state != Out || q.class.Effect == NonIdempotent || !l.set.Cancelling {
+	if q.state != InFlight || q.class.Idempotency == NonIdempotent || !l.set.CanCancel {
 		return
 	}
-	if lost && now-q.attempts[0].at > q.class.Target {
+	if lost && now-q.attempts[0].at > q.class.LatencyObjective {
 		// A late answer is worth nothing: the server and the client are spared it.
 		l.finish(now, q)
 		l.effects.Cancel(q.id, att.number)
 		return
 	}
-	if s.health != ejected && s.listing != Gone && !lost || now-att.at > q.class.Target {
+	if s.health != ejected && s.listing != EndpointGone && !lost || now-att.at > q.class.LatencyObjective {
 		return
 	}
 	if l.retryBudget >= 1 && len(l.able(now, q)) > 0 {
@@ -828,22 +828,22 @@
 
 // lost tells whether an attempt's answer is likely not to come, whether its server lives or not: it is out
 // for many times as long as a request of its size takes there, while the answers that do come are prompt.
-func (l *Limiter) lost(now int64, att *attempt) bool {
+func (l *Controller) lost(now int64, att *attempt) bool {
 	s := att.server
 	return s.did > 0 && l.overloadRatio < lateAll*overloadLeast &&
-		now-att.at > max(nanos(lostAfter*att.request.units*s.took/s.did), att.request.class.Target/lostLeast)
+		now-att.at > max(nanos(lostAfter*att.request.units*s.took/s.did), att.request.class.LatencyObjective/lostLeast)
 }
 
 // reinstate lets a server that was ejected have one request at a time. One that failed may be a new process
 // that the list does not tell of yet, so it is taken as cold.
-func (l *Limiter) reinstate(now int64, s *server) {
+func (l *Controller) reinstate(now int64, s *server) {
 	if s.health, s.heard = trial, now; s.bad > badMost {
 		s.warmFrom, s.slowStartTurns = now, l.turnOffset(s)
 	}
 }
 
-// Probed takes what a probe found.
-func (l *Limiter) Probed(now int64, id string, outcome Outcome) {
+// HealthCheckDone takes what a probe found.
+func (l *Controller) HealthCheckDone(now int64, id string, outcome Outcome) {
 	s := l.servers[id]
 	if s == nil || s.health != ejected {
 		return
@@ -855,34 +855,34 @@
 	}
 }
 
-// Left says that the client has gone.
-func (l *Limiter) Left(now int64, id string) {
+// ClientDisconnected says that the client has gone.
+func (l *Controller) ClientDisconnected(now int64, id string) {
 	if q := l.requests[id]; q != nil && !q.ended() {
-		l.move(q, Abandoned)
+		l.move(q, ClientGone)
 		l.drop(now, q)
 	}
 }
 
-// Closing says that the process ends with nothing out: what is owed is added, as no later call will come.
-func (l *Limiter) Closing(now int64) {
+// ShutDown says that the process ends with nothing out: what is owed is added, as no later call will come.
+func (l *Controller) ShutDown(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(l.accounts)) {
 		a := l.accounts[id]
 		if a.pendingAdjustment != 0 {
 			l.turn(now, a) // what is owed to a window that has passed fades with it
 		}
-		if a.pendingAdjustment != 0 && l.set.CounterWait > 0 {
+		if a.pendingAdjustment != 0 && l.set.CounterTimeout > 0 {
 			l.count(&request{account: a, name: a.name()}, a.pendingAdjustment, true)
 			a.pendingAdjustment = 0
 		}
 	}
 }
 
-// Woken takes a timer that was asked for.
-func (l *Limiter) Woken(now, token int64) {
+// TimerFired takes a timer that was asked for.
+func (l *Controller) TimerFired(now, token int64) {
 	if token == 0 {
 		l.tick(now)
 		l.forget(now)
-		l.effects.Wake(now+l.tickInterval, 0)
+		l.effects.SetTimer(now+l.tickInterval, 0)
 		return
 	}
 	if q := l.timers[token]; q != nil && now >= q.end {
@@ -892,7 +892,7 @@
 
 // forget lets go of customers whose every count and store is as good as new and has nothing to settle. A full
 // part of a ceiling is: a new one, which fills from the start on, would be full too.
-func (l *Limiter) forget(now int64) {
+func (l *Controller) forget(now int64) {
 	l.ticked = now
 	for a := l.expiries.due(now); a != nil; a = l.expiries.due(now) {
 		if l.accounts[a.id] != a {
@@ -907,7 +907,7 @@
 }
 
 // forgetAt is the earliest time at which a customer can be let go of, as far as is known now.
-func (l *Limiter) forgetAt(now int64, a *account) int64 {
+func (l *Controller) forgetAt(now int64, a *account) int64 {
 	a.ceiling.fill(now)
 	at := a.ceiling.fullAt(math.MaxInt64)
 	if a.quota.rate > 0 {
@@ -921,7 +921,7 @@
 }
 
 // drop forgets an ended request once nothing of it is out. If no server got it whole all it took goes back.
-func (l *Limiter) drop(now int64, q *request) {
+func (l *Controller) drop(now int64, q *request) {
 	delete(l.timers, q.token)
 	if q.open > 0 || l.requests[q.id] != q {
 		return
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -10,59 +10,59 @@
 func TestRequest(t *testing.T) {
 	t.Run("reserves before its first attempt", func(t *testing.T) {
 		l, d := made()
-		l.Request(0, arrival("j", "read", "plain"))
+		l.RequestArrived(0, arrival("j", "read", "plain"))
 		expect(t, d, "count 2")
 	})
 	t.Run("of a customer known to be out of units is rejected without a call", func(t *testing.T) {
 		l, d := made()
 		q := reserving(l, "read", "plain")
-		l.Counted(0, q.name, Succeeded, 60)
+		l.CounterReplied(0, q.name, Succeeded, 60)
 		d.did = nil
-		l.Request(second/10, arrival("k", "read", "plain"))
+		l.RequestArrived(second/10, arrival("k", "read", "plain"))
 		if expect(t, d, "reject k"); len(d.did) != 1 {
 			t.Fatalf("did %q", d.did)
 		}
-		l.Request(10*second, arrival("m", "read", "plain")) // by then the store may hold them
+		l.RequestArrived(10*second, arrival("m", "read", "plain")) // by then the store may hold them
 		if last := d.did[len(d.did)-1]; !strings.HasPrefix(last, "count ") {
 			t.Fatalf("did %q", d.did)
 		}
 	})
 	t.Run("of an unknown plan is rejected", func(t *testing.T) {
 		l, d := made()
-		l.Request(0, arrival("j", "read", "nobody's"))
+		l.RequestArrived(0, arrival("j", "read", "nobody's"))
 		expect(t, d, "reject j")
 	})
 	t.Run("that has no time is rejected", func(t *testing.T) {
 		l, d := made()
 		a := arrival("j", "read", "plain")
-		a.Budget = 0
-		l.Request(0, a)
+		a.Timeout = 0
+		l.RequestArrived(0, a)
 		expect(t, d, "reject j")
 	})
 	t.Run("right after our start finds our part of the ceiling empty", func(t *testing.T) {
 		l, d := made()
 		opens(l, "hard", second)
-		l.Request(0, arrival("j", "read", "hard"))
+		l.RequestArrived(0, arrival("j", "read", "hard"))
 		expect(t, d, "reject j")
-		d.because(t, ForCeiling)
-		l.Request(second, arrival("k", "read", "hard"))
+		d.because(t, RejectedForCeiling)
+		l.RequestArrived(second, arrival("k", "read", "hard"))
 		expect(t, d, "count 2")
 	})
 	t.Run("is held to our part of the ceiling when others went out while it waited", func(t *testing.T) {
 		l, d := made()
 		opens(l, "hard", second/2)
-		l.Request(second/2, arrival("j", "read", "hard"))
-		l.Request(second/2, arrival("k", "read", "hard"))
+		l.RequestArrived(second/2, arrival("j", "read", "hard"))
+		l.RequestArrived(second/2, arrival("k", "read", "hard"))
 		name := l.requests["j"].name
-		l.Counted(second/2, name, Succeeded, 2)
-		l.Counted(second/2, name, Succeeded, 4)
+		l.CounterReplied(second/2, name, Succeeded, 2)
+		l.CounterReplied(second/2, name, Succeeded, 4)
 		expect(t, d, "count 2", "count 2", "send j a", "count -2", "reject k")
-		d.because(t, ForCeiling)
+		d.because(t, RejectedForCeiling)
 	})
 	t.Run("goes by the slice while the counter is silent", func(t *testing.T) {
 		l, d := made()
 		l.samplingRate = 0
-		l.Request(0, arrival("j", "read", "plain"))
+		l.RequestArrived(0, arrival("j", "read", "plain"))
 		if expect(t, d, "send j a"); l.requests["j"].account.pendingAdjustment != 2 {
 			t.Fatal("its units are not owed")
 		}
@@ -73,11 +73,11 @@
 	crowded := func(owed float64) *effects {
 		l, d := made()
 		a := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
-		a.plan.BeyondCosts, a.plan.Value = 1, 1
+		a.plan.OverQuotaPenalty, a.plan.PriorityWeight = 1, 1
 		l.samplingRate, a.quota.level, a.slice.level, a.known = 0.999, 0, -9, true
 		l.turn(0, a)
 		a.pendingAdjustment = owed
-		l.Request(0, arrival("j", "read", "plain"))
+		l.RequestArrived(0, arrival("j", "read", "plain"))
 		return d
 	}
 	t.Run("the counter is not asked for a customer known to be out", func(t *testing.T) {
@@ -95,15 +95,15 @@
 
 // TestAsksAfterAnOutage: a counter that was down is soon asked as much as it bore before, one that is crowded is not.
 func TestAsksAfterAnOutage(t *testing.T) {
-	end := func(l *Limiter, outcome Outcome, n int) {
+	end := func(l *Controller, outcome Outcome, n int) {
 		for range n {
-			l.calls[1] = append(l.calls[1], call{request: &request{state: Out}, account: l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"]), back: true})
-			l.Counted(0, 1, outcome, 0)
+			l.calls[1] = append(l.calls[1], call{request: &request{state: InFlight}, account: l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"]), back: true})
+			l.CounterReplied(0, 1, outcome, 0)
 		}
 	}
 	l, _ := made()
 	end(l, Succeeded, 10)
-	end(l, Unconnected, 40)
+	end(l, ConnectFailed, 40)
 	if l.samplingRate != samplingLeast {
 		t.Fatal("while it is down it is asked", l.samplingRate)
 	}
@@ -123,27 +123,27 @@
 func TestCounted(t *testing.T) {
 	t.Run("within the allowance the request is sent", func(t *testing.T) {
 		l, d := made()
-		l.Counted(0, reserving(l, "read", "plain").name, Succeeded, 10)
+		l.CounterReplied(0, reserving(l, "read", "plain").name, Succeeded, 10)
 		expect(t, d, "send j a")
 	})
 	t.Run("past the allowance it is added back and rejected", func(t *testing.T) {
 		l, d := made()
-		l.Counted(0, reserving(l, "read", "plain").name, Succeeded, 11)
+		l.CounterReplied(0, reserving(l, "read", "plain").name, Succeeded, 11)
 		expect(t, d, "count -2", "reject j")
-		d.because(t, ForQuota)
+		d.because(t, RejectedForQuota)
 	})
 	t.Run("refused, the slice decides and nothing is added back", func(t *testing.T) {
 		l, d := made()
 		q := reserving(l, "read", "plain")
 		q.account.slice.level = 1
-		l.Counted(0, q.name, Full, 0)
+		l.CounterReplied(0, q.name, Overloaded, 0)
 		expect(t, d, "count 2", "reject j")
-		d.because(t, ForSlice)
+		d.because(t, RejectedForLocalQuota)
 	})
 	t.Run("spoilt, the counter is asked as before", func(t *testing.T) {
 		l, d := made()
 		q := reserving(l, "read", "plain")
-		l.Counted(0, q.name, Broke, 0)
+		l.CounterReplied(0, q.name, ServerError, 0)
 		if expect(t, d, "send j a"); l.samplingRate != 1 || q.account.unsure != 2 {
 			t.Fatal("asks", l.samplingRate, "unsure", q.account.unsure)
 		}
@@ -151,19 +151,19 @@
 	t.Run("late for a request whose client has left, it is added back", func(t *testing.T) {
 		l, d := made()
 		q := reserving(l, "read", "plain")
-		l.Left(0, "j")
-		l.Counted(0, q.name, Succeeded, 2)
+		l.ClientDisconnected(0, "j")
+		l.CounterReplied(0, q.name, Succeeded, 2)
 		expect(t, d, "count 2", "count -2")
 	})
 	t.Run("unanswered, what the slice sends is owed until a total shows that it was added", func(t *testing.T) {
 		l, d := made()
 		q := reserving(l, "read", "plain")
-		l.Counted(0, q.name, TimedOut, 0)
+		l.CounterReplied(0, q.name, TimedOut, 0)
 		if expect(t, d, "send j a"); q.account.pendingAdjustment != 2 {
 			t.Fatal("owed", q.account.pendingAdjustment)
 		}
 		l.reserve(0, &request{id: "k", account: q.account, units: 2, charge: 2, class: q.class})
-		l.Counted(0, q.name, Succeeded, 6)
+		l.CounterReplied(0, q.name, Succeeded, 6)
 		if expect(t, d, "count 4", "send k b"); q.account.pendingAdjustment != -2 {
 			t.Fatal("owed", q.account.pendingAdjustment)
 		}
@@ -172,7 +172,7 @@
 		l, d := made()
 		q := reserving(l, "read", "plain")
 		q.account.total, q.account.known, q.account.quota.level = 30, true, 1
-		l.Counted(0, q.name, Succeeded, 2)
+		l.CounterReplied(0, q.name, Succeeded, 2)
 		expect(t, d, "count -2", "reject j")
 	})
 	t.Run("what is added back to a window that has passed leaves the store alone", func(t *testing.T) {
@@ -180,11 +180,11 @@
 		q := reserving(l, "read", "plain")
 		later := 40 * second
 		q.lease, q.account.quota.at = later+1, later
-		l.Counted(later, q.name, Succeeded, 100)
+		l.CounterReplied(later, q.name, Succeeded, 100)
 		l.release(later, q, 2)
 		q.reserved = true
 		l.release(later, q, 2)
-		l.Counted(later, q.name, Succeeded, 98)
+		l.CounterReplied(later, q.name, Succeeded, 98)
 		if level := q.account.quota.level; level != 3 {
 			t.Fatal("the store has fallen to", level)
 		}
@@ -193,17 +193,17 @@
 		l, d := made()
 		q := reserving(l, "read", "plain")
 		q.account.known, q.account.quota.level, q.account.quota.spilt = true, 10, 24
-		l.Counted(0, q.name, Succeeded, 26)
+		l.CounterReplied(0, q.name, Succeeded, 26)
 		expect(t, d, "send j a")
 	})
 	t.Run("what a late call added for a request not sent is added back with the next", func(t *testing.T) {
 		l, d := made()
 		q := reserving(l, "read", "plain")
 		q.account.slice.level = 1
-		l.Counted(0, q.name, TimedOut, 0)
+		l.CounterReplied(0, q.name, TimedOut, 0)
 		expect(t, d, "count 2", "reject j")
 		l.reserve(0, &request{id: "k", account: q.account, units: 1, charge: 1, class: q.class})
-		l.Counted(0, q.name, Succeeded, 3)
+		l.CounterReplied(0, q.name, Succeeded, 3)
 		if q.account.pendingAdjustment != -2 {
 			t.Fatal("owed", q.account.pendingAdjustment)
 		}
@@ -214,12 +214,12 @@
 		l.turn(0, a)
 		a.pendingAdjustment = -9
 		q := reserving(l, "read", "plain")
-		l.Counted(0, q.name, Succeeded, -7)
+		l.CounterReplied(0, q.name, Succeeded, -7)
 		expect(t, d, "count -7", "send j a")
 	})
 	t.Run("an answer to no call does nothing", func(t *testing.T) {
 		l, d := made()
-		l.Counted(0, 5, Succeeded, 2)
+		l.CounterReplied(0, 5, Succeeded, 2)
 		expect(t, d)
 	})
 }
@@ -236,26 +236,26 @@
 func TestMembers(t *testing.T) {
 	t.Run("a server that a whole list leaves out is gone", func(t *testing.T) {
 		l, _ := made()
-		l.Members(0, true, []Entry{{ID: "b"}})
-		if l.servers["a"].listing != Gone || l.servers["b"].listing != Ready {
+		l.UpdateEndpoints(0, true, []Endpoint{{ID: "b"}})
+		if l.servers["a"].listing != EndpointGone || l.servers["b"].listing != EndpointReady {
 			t.Fatal("it is not")
 		}
 	})
 	t.Run("and let go of once nothing is out there", func(t *testing.T) {
 		l, _ := made()
 		sent(l, "read")
-		l.Members(0, true, nil)
+		l.UpdateEndpoints(0, true, nil)
 		if l.tick(0); len(l.order) != 1 || l.servers["a"] == nil || l.servers["b"] != nil {
 			t.Fatal(len(l.order), "kept")
 		}
-		l.Answer(1, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true})
+		l.AttemptDone(1, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true})
 		if l.tick(1); len(l.order)+len(l.servers) > 0 {
 			t.Fatal(len(l.order), "kept")
 		}
 	})
 	t.Run("the first limit of a server is shared by all limiters", func(t *testing.T) {
 		l, _ := made()
-		if limit := l.servers["a"].limit; limit*2 != startLargest*l.set.MostUnits {
+		if limit := l.servers["a"].limit; limit*2 != startLargest*l.set.MaxRequestUnits {
 			t.Fatal("limit", limit)
 		}
 	})
@@ -263,8 +263,8 @@
 		l, _ := made()
 		sent(l, "read")
 		l.eject(0, l.servers["a"], "")
-		l.Members(second, false, []Entry{{ID: "a", Since: second}})
-		if a := l.servers["a"]; a.health != healthy || a.out != 2 || l.slowStartWeight(second, a) != l.set.ColdFrom {
+		l.UpdateEndpoints(second, false, []Endpoint{{ID: "a", StartedAt: second}})
+		if a := l.servers["a"]; a.health != healthy || a.out != 2 || l.slowStartWeight(second, a) != l.set.ColdCapacity {
 			t.Fatal("standing", a.health, "out", a.out)
 		}
 	})
@@ -274,8 +274,8 @@
 	t.Run("nothing is sent for a client that has gone", func(t *testing.T) {
 		l, d := made()
 		sent(l, "read")
-		l.Left(1, "j")
-		l.Answer(2, Reply{Request: "j", Outcome: Full, Took: 2})
+		l.ClientDisconnected(1, "j")
+		l.AttemptDone(2, AttemptResult{Request: "j", Outcome: Overloaded, Duration: 2})
 		if expect(t, d, "send j a"); l.requests["j"] != nil {
 			t.Fatal("the request is kept")
 		}
@@ -290,7 +290,7 @@
 			}
 		}()
 		l, _ := made()
-		l.move(&request{state: Served}, Rejected)
+		l.move(&request{state: Answered}, Rejected)
 	})
 }
 
@@ -308,8 +308,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := made()
-			l.set.Plans["hard"].CeilingRate, l.set.Plans["hard"].CeilingBurst, l.set.WarmWithin = c.rate, c.burst, c.warm
-			if at := l.Ready(); at != c.want {
+			l.set.Plans["hard"].CeilingRate, l.set.Plans["hard"].CeilingBurst, l.set.SlowStartWindow = c.rate, c.burst, c.warm
+			if at := l.ReadyAt(); at != c.want {
 				t.Fatal("ready at", at)
 			}
 		})
@@ -337,7 +337,7 @@
 	t.Run("keeps a customer with units out, for the true ones are settled with its account", func(t *testing.T) {
 		l, d := made()
 		l.samplingRate = 0 // the slice decides, and what it sends is owed
-		l.Request(second, arrival("j", "read", "plain"))
+		l.RequestArrived(second, arrival("j", "read", "plain"))
 		a := l.requests["j"].account
 		for now := second; now < 200*second; now += second {
 			l.forget(now)
@@ -346,8 +346,8 @@
 			t.Fatal("it is forgotten while an attempt is out")
 		}
 		d.did = nil
-		l.Answer(200*second, Reply{Request: "j", Outcome: Succeeded, Units: 3, Took: second, Final: true})
-		if l.Closing(200 * second); len(d.did) != 1 {
+		l.AttemptDone(200*second, AttemptResult{Request: "j", Outcome: Succeeded, ActualUnits: 3, Duration: second, Final: true})
+		if l.ShutDown(200 * second); len(d.did) != 1 {
 			t.Fatalf("did %q: the true units are lost", d.did)
 		}
 		if l.forget(400 * second); l.accounts[a.id] != nil {
@@ -358,9 +358,9 @@
 		for _, plan := range []string{"plain", "hard", "free"} {
 			l, _ := made()
 			l.set.Plans["free"], l.accounts = &Plan{}, map[uint64]*account{}
-			l.Request(3*second, arrival("j", "read", plan))
-			l.Counted(3*second, l.requests["j"].name, Succeeded, 2)
-			l.Answer(4*second, Reply{Request: "j", Outcome: Succeeded, Took: second, Final: true})
+			l.RequestArrived(3*second, arrival("j", "read", plan))
+			l.CounterReplied(3*second, l.requests["j"].name, Succeeded, 2)
+			l.AttemptDone(4*second, AttemptResult{Request: "j", Outcome: Succeeded, Duration: second, Final: true})
 			if l.forget(200 * second); len(l.accounts) > 0 {
 				t.Fatalf("%s: %d kept", plan, len(l.accounts))
 			}
@@ -371,12 +371,12 @@
 func TestAgain(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		set  func(l *Limiter, q *request)
+		set  func(l *Controller, q *request)
 	}{
-		{"no attempt is left", func(l *Limiter, q *request) { l.set.MostAttempts = 1 }},
-		{"no second attempt is in hand", func(l *Limiter, q *request) { l.retryBudget = 0 }},
-		{"an attempt is out", func(l *Limiter, q *request) {}},
-		{"its time is over", func(l *Limiter, q *request) { q.end = 0 }},
+		{"no attempt is left", func(l *Controller, q *request) { l.set.MaxAttempts = 1 }},
+		{"no second attempt is in hand", func(l *Controller, q *request) { l.retryBudget = 0 }},
+		{"an attempt is out", func(l *Controller, q *request) {}},
+		{"its time is over", func(l *Controller, q *request) { q.end = 0 }},
 	} {
 		t.Run("sends nothing when "+c.name, func(t *testing.T) {
 			l, _ := made()
@@ -397,15 +397,15 @@
 		outcome     Outcome
 		want        string
 	}{
-		{"a non-idempotent request that never ran goes elsewhere", "write", Full, "send j b"},
-		{"a non-idempotent request that may have run fails", "write", Reset, "fail j"},
-		{"a keyed request that may have run stays in its group", "mark", Reset, "fail j"},
-		{"an idempotent request goes elsewhere", "read", Broke, "send j b"},
+		{"a non-idempotent request that never ran goes elsewhere", "write", Overloaded, "send j b"},
+		{"a non-idempotent request that may have run fails", "write", ConnectionLost, "fail j"},
+		{"a keyed request that may have run stays in its group", "mark", ConnectionLost, "fail j"},
+		{"an idempotent request goes elsewhere", "read", ServerError, "send j b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := made()
 			sent(l, c.class)
-			l.Answer(second/10, Reply{Request: "j", Outcome: c.outcome, Took: second / 10})
+			l.AttemptDone(second/10, AttemptResult{Request: "j", Outcome: c.outcome, Duration: second / 10})
 			expect(t, d, c.want)
 		})
 	}
@@ -413,7 +413,7 @@
 		l, _ := made()
 		sent(l, "read")
 		l.servers["a"].bad = badMost
-		l.Answer(1, Reply{Request: "j", Outcome: Broke, Took: 1})
+		l.AttemptDone(1, AttemptResult{Request: "j", Outcome: ServerError, Duration: 1})
 		if s := l.servers["a"]; s.health != ejected || s.did > 0 {
 			t.Fatal("not set aside, or its pace is counted")
 		}
@@ -421,9 +421,9 @@
 	t.Run("true units settle the reservation once", func(t *testing.T) {
 		l, d := made()
 		q := sent(l, "read")
-		l.Answer(second/10, Reply{Request: "j", Outcome: Succeeded, Took: second / 10, Final: true, Units: 5})
+		l.AttemptDone(second/10, AttemptResult{Request: "j", Outcome: Succeeded, Duration: second / 10, Final: true, ActualUnits: 5})
 		expect(t, d, "send j a", "count 3")
-		if l.requests["j"] != nil || q.state != Served || q.account.quota.level > 5.6 {
+		if l.requests["j"] != nil || q.state != Answered || q.account.quota.level > 5.6 {
 			t.Fatalf("request is kept in state %d, the store holds %v", q.state, q.account.quota.level)
 		}
 	})
@@ -433,13 +433,13 @@
 	t.Run("at its end a non-idempotent request that is out fails", func(t *testing.T) {
 		l, d := made()
 		q := sent(l, "write")
-		l.Woken(q.end, q.token)
+		l.TimerFired(q.end, q.token)
 		expect(t, d, "fail j")
 	})
 	t.Run("at its end an idempotent request is rejected", func(t *testing.T) {
 		l, d := made()
 		q := sent(l, "read")
-		l.Woken(q.end, q.token)
+		l.TimerFired(q.end, q.token)
 		expect(t, d, "reject j")
 	})
 }
@@ -472,7 +472,7 @@
 	})
 	t.Run("passes a server that drains", func(t *testing.T) {
 		l, _ := made()
-		l.Members(0, false, []Entry{{ID: "a", Listing: Draining}, {ID: "b", Listing: Gone}})
+		l.UpdateEndpoints(0, false, []Endpoint{{ID: "a", State: EndpointDraining}, {ID: "b", State: EndpointGone}})
 		if s := l.pick(0, probe); s != nil {
 			t.Fatal("took", s.id)
 		}
@@ -494,16 +494,16 @@
 }
 
 func TestLook(t *testing.T) {
-	out := func(l *Limiter, id string, s *server) *request {
-		q := &request{id: id, class: l.set.Classes["read"], state: Out, units: 1, end: 9 * second}
+	out := func(l *Controller, id string, s *server) *request {
+		q := &request{id: id, class: l.set.Classes["read"], state: InFlight, units: 1, end: 9 * second}
 		l.send(0, q, s)
 		return q
 	}
 	t.Run("a silent server is set aside and its request goes elsewhere", func(t *testing.T) {
 		l, d := made()
 		sent(l, "read")
-		out(l, "k", l.servers["a"]).state = Served
-		l.set.Cancelling = true
+		out(l, "k", l.servers["a"]).state = Answered
+		l.set.CanCancel = true
 		l.tick(second * 3 / 4)
 		expect(t, d, "cancel j 0")
 		if l.servers["a"].health != ejected {
@@ -523,12 +523,12 @@
 	})
 	t.Run("its attempt is called off, then sent again", func(t *testing.T) {
 		l, d := made()
-		l.set.Cancelling = true
+		l.set.CanCancel = true
 		sent(l, "read")
 		l.eject(0, l.servers["a"], "")
 		l.tick(second / 2)
 		expect(t, d, "cancel j 0")
-		l.Answer(second/2, Reply{Request: "j", Outcome: Cancelled, Took: second / 2})
+		l.AttemptDone(second/2, AttemptResult{Request: "j", Outcome: Cancelled, Duration: second / 2})
 		expect(t, d, "send j b")
 	})
 	t.Run("an attempt that is out too long lowers the limit once, before its answer", func(t *testing.T) {
@@ -557,10 +557,10 @@
 		a := l.servers["a"]
 		a.bad = 1
 		l.eject(0, a, "")
-		l.Probed(second, "a", Succeeded)
+		l.HealthCheckDone(second, "a", Succeeded)
 		once := a.health
-		l.Probed(second, "a", Succeeded)
-		if once != ejected || a.health != trial || l.slowStartWeight(second, a) != l.set.ColdFrom {
+		l.HealthCheckDone(second, "a", Succeeded)
+		if once != ejected || a.health != trial || l.slowStartWeight(second, a) != l.set.ColdCapacity {
 			t.Fatal("standing", once, "then", a.health, "warmth", l.slowStartWeight(second, a))
 		}
 	})
@@ -579,7 +579,7 @@
 	t.Run("a full server rests for a look", func(t *testing.T) {
 		l, _ := made()
 		q := sent(l, "read")
-		l.Answer(1, Reply{Request: "j", Outcome: Full, Took: 1})
+		l.AttemptDone(1, AttemptResult{Request: "j", Outcome: Overloaded, Duration: 1})
 		q.attempts = nil
 		if able := l.able(2, q); len(able) != 0 && able[0].id == "a" {
 			t.Fatal("it is asked again at once")
@@ -587,7 +587,7 @@
 	})
 	t.Run("a keyed request that may have run looks in its group alone", func(t *testing.T) {
 		l, _ := made()
-		l.Members(0, false, []Entry{{ID: "c", Zone: "x"}})
+		l.UpdateEndpoints(0, false, []Endpoint{{ID: "c", Zone: "x"}})
 		l.servers["c"].credit = 0
 		byName(l)
 		q := sent(l, "mark")
@@ -605,8 +605,8 @@
 		l, d := made()
 		l.samplingRate = 0
 		a := arrival("j", "read", "plain")
-		a.Spread = 200
-		l.Request(0, a)
+		a.Limiters = 200
+		l.RequestArrived(0, a)
 		expect(t, d, "send j a")
 	})
 }
@@ -643,13 +643,13 @@
 		least             float64
 	}{{300, 180, 14}, {3, 9, 36}} {
 		l, _ := made()
-		l.set.Limiters, l.part, l.inFlightLimit, l.servers, l.order = c.limiters, l.set.MostUnits/float64(c.limiters), 0, map[string]*server{}, nil
+		l.set.Limiters, l.part, l.inFlightLimit, l.servers, l.order = c.limiters, l.set.MaxRequestUnits/float64(c.limiters), 0, map[string]*server{}, nil
 		l.index = serverIndex{}
-		var entries []Entry
+		var entries []Endpoint
 		for i := range c.servers {
-			entries = append(entries, Entry{ID: fmt.Sprint(i), Hint: 1})
+			entries = append(entries, Endpoint{ID: fmt.Sprint(i), Weight: 1})
 		}
-		if l.Members(0, true, entries); l.inFlightLimit < l.least()+burstDeviations*math.Sqrt(l.least()*l.set.MostUnits) || l.inFlightLimit < c.least {
+		if l.UpdateEndpoints(0, true, entries); l.inFlightLimit < l.least()+burstDeviations*math.Sqrt(l.least()*l.set.MaxRequestUnits) || l.inFlightLimit < c.least {
 			t.Fatalf("%d limiters begin with room for %v units at %d servers", c.limiters, l.inFlightLimit, c.servers)
 		}
 	}
@@ -676,7 +676,7 @@
 		q := sent(l, "read")
 		l.retryBudget = 1
 		l.again(0, q)
-		l.Answer(1, Reply{Request: "j", Attempt: 1, Outcome: Succeeded, Took: 1, Final: true})
+		l.AttemptDone(1, AttemptResult{Request: "j", Attempt: 1, Outcome: Succeeded, Duration: 1, Final: true})
 		if l.retryBudget != 1 {
 			t.Fatal("in hand", l.retryBudget)
 		}
@@ -684,14 +684,14 @@
 }
 
 // fleet is so many limiters that know the same servers, each with its place.
-func fleet(limiters int, entries []Entry) []*Limiter {
-	all := make([]*Limiter, limiters)
+func fleet(limiters int, entries []Endpoint) []*Controller {
+	all := make([]*Controller, limiters)
 	for i := range all {
 		l, _ := made()
 		l.set.Limiters, l.set.Position = limiters, i
-		l.Members(0, true, entries)
-		l.Woken(0, 0) // lets go of the two servers that made knows
-		l.Members(0, true, entries)
+		l.UpdateEndpoints(0, true, entries)
+		l.TimerFired(0, 0) // lets go of the two servers that made knows
+		l.UpdateEndpoints(0, true, entries)
 		all[i] = l
 	}
 	return all
@@ -699,9 +699,9 @@
 
 func TestCircle(t *testing.T) {
 	const limiters = 80
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 60 {
-		entries = append(entries, Entry{ID: fmt.Sprint("s", i), Hint: 1})
+		entries = append(entries, Endpoint{ID: fmt.Sprint("s", i), Weight: 1})
 	}
 	ids := func(servers []*server) map[string]bool {
 		set := map[string]bool{}
@@ -762,15 +762,15 @@
 	t.Run("a limiter that is not told its place uses all servers", func(t *testing.T) {
 		l, _ := made()
 		l.set.Limiters, l.set.Position = limiters, -1
-		if l.Members(0, true, entries); l.subsetSize() != len(l.order) {
+		if l.UpdateEndpoints(0, true, entries); l.subsetSize() != len(l.order) {
 			t.Fatal(l.subsetSize(), "of", len(l.order))
 		}
 	})
 	t.Run("a server that goes moves no limiter by more than two others", func(t *testing.T) {
 		for i, l := range all {
-			l.Members(1, false, []Entry{{ID: "s33", Listing: Gone}})
-			l.Woken(1, 0)
-			l.Members(1, false, nil)
+			l.UpdateEndpoints(1, false, []Endpoint{{ID: "s33", State: EndpointGone}})
+			l.TimerFired(1, 0)
+			l.UpdateEndpoints(1, false, nil)
 			if kept := both(ids(l.order[:l.subsetSize()]), circles[i]); kept < len(circles[i])-3 {
 				t.Fatalf("limiter %d kept %d of %d", i, kept, len(circles[i]))
 			}
@@ -778,7 +778,7 @@
 	})
 	t.Run("cold servers get no more than their part of all limiters' turns together", func(t *testing.T) {
 		for i := range 12 { // one in five has just started
-			entries[5*i].Since = second
+			entries[5*i].StartedAt = second
 		}
 		turns, cold := map[string]float64{}, 0.0
 		for i, l := range fleet(limiters, entries) {
@@ -788,7 +788,7 @@
 		}
 		warm := 0.0
 		for _, e := range entries {
-			if e.Since == 0 {
+			if e.StartedAt == 0 {
 				warm += turns[e.ID] / 48
 			}
 		}
@@ -818,7 +818,7 @@
 			l, _ := made()
 			for _, stay := range c.reports {
 				att := &attempt{request: &request{class: l.set.Classes["read"], units: 1}, server: l.servers["a"]}
-				l.learn(1, att, Reply{Outcome: Succeeded, Held: 10 * stay, Pace: 10})
+				l.learn(1, att, AttemptResult{Outcome: Succeeded, InFlight: 10 * stay, Throughput: 10})
 			}
 			l.inFlightLimit = 2.5
 			l.servers["a"].out = 3
@@ -834,7 +834,7 @@
 	share := func(phase int64, costs float64) int {
 		l, _ := made()
 		a := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
-		a.phase, a.plan.BeyondCosts, a.plan.Value = phase, costs, 1
+		a.phase, a.plan.OverQuotaPenalty, a.plan.PriorityWeight = phase, costs, 1
 		l.samplingRate, l.overQuotaCost = 0.5, 1
 		n := 0
 		for range 100 {
@@ -879,7 +879,7 @@
 	t.Run("a server that takes no connection is set aside at once, for the target latency", func(t *testing.T) {
 		l, _ := made()
 		q := sent(l, "read")
-		l.learn(0, q.attempts[0], Reply{Outcome: Unconnected})
+		l.learn(0, q.attempts[0], AttemptResult{Outcome: ConnectFailed})
 		if s := l.servers["a"]; s.health != ejected || s.next != second {
 			t.Fatal("standing", s.health, "until", s.next)
 		}
@@ -889,7 +889,7 @@
 		q := sent(l, "read")
 		l.meanInFlight, l.inFlightLimit = 4, 19.9 // the load and four deviations of it are 20
 		for range 3 {
-			l.learn(0, q.attempts[0], Reply{Outcome: Succeeded, Took: 1})
+			l.learn(0, q.attempts[0], AttemptResult{Outcome: Succeeded, Duration: 1})
 		}
 		if l.inFlightLimit != 20.15 {
 			t.Fatal("it is", l.inFlightLimit)
@@ -901,9 +901,9 @@
 	first := map[string]bool{}
 	for seed := range int64(20) {
 		d := &effects{}
-		read := &Class{Target: second, Value: 1}
-		l := New(0, &Settings{Limiters: 20, MostUnits: 1, WarmWithin: 1, Classes: map[string]*Class{"read": read}}, seed, d)
-		l.Members(0, true, []Entry{{ID: "a"}, {ID: "b"}})
+		read := &Class{LatencyObjective: second, PriorityWeight: 1}
+		l := New(0, &Settings{Limiters: 20, MaxRequestUnits: 1, SlowStartWindow: 1, Classes: map[string]*Class{"read": read}}, seed, d)
+		l.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
 		first[l.pick(0, &request{units: 1, class: read}).id] = true
 	}
 	if len(first) != 2 {
@@ -912,9 +912,9 @@
 }
 
 func TestCap(t *testing.T) {
-	capped := func() (*Limiter, *effects) {
+	capped := func() (*Controller, *effects) {
 		l, d := made()
-		l.set.Plans["cap"] = &Plan{Open: 2, BeyondEarns: 0.1}
+		l.set.Plans["cap"] = &Plan{MaxInFlight: 2, OverQuotaRevenue: 0.1}
 		opens(l, "cap", 0)
 		return l, d
 	}
@@ -922,16 +922,16 @@
 		l, d := capped()
 		q := reserving(l, "read", "cap")
 		expect(t, d, "count 1")
-		l.Counted(0, q.name, Succeeded, 3) // two of others have just gone out
+		l.CounterReplied(0, q.name, Succeeded, 3) // two of others have just gone out
 		expect(t, d, "count -1", "reject j")
-		d.because(t, ForQuota)
+		d.because(t, RejectedForQuota)
 	})
 	t.Run("a place fades with the attempts that hold it", func(t *testing.T) {
 		l, d := capped()
 		reserving(l, "read", "cap")
 		acc := l.requests["j"].account
-		l.Counted(0, l.requests["j"].name, Succeeded, 3)
-		l.Request(second, arrival("k", "read", "cap"))
+		l.CounterReplied(0, l.requests["j"].name, Succeeded, 3)
+		l.RequestArrived(second, arrival("k", "read", "cap"))
 		if last := d.did[len(d.did)-1]; !strings.HasPrefix(last, "count ") || acc.quota.level < 1 {
 			t.Fatalf("did %q, level %v", d.did, acc.quota.level)
 		}
@@ -939,9 +939,9 @@
 	t.Run("true units change nothing of it", func(t *testing.T) {
 		l, d := capped()
 		q := reserving(l, "read", "cap")
-		l.Counted(0, q.name, Succeeded, 1)
+		l.CounterReplied(0, q.name, Succeeded, 1)
 		d.did = nil
-		l.Answer(1, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true, Units: 4})
+		l.AttemptDone(1, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true, ActualUnits: 4})
 		if len(d.did) != 0 || q.account.pendingAdjustment != 0 {
 			t.Fatalf("did %q, owes %v", d.did, q.account.pendingAdjustment)
 		}
@@ -964,7 +964,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := made()
-			l.set.Cancelling = true
+			l.set.CanCancel = true
 			q := sent(l, c.class)
 			l.overloadRatio = c.slow
 			for _, s := range l.order {
@@ -976,7 +976,7 @@
 			}
 			expect(t, d, c.want)
 			if c.want == "cancel j 0" {
-				l.Answer(c.at, Reply{Request: "j", Outcome: Cancelled, Took: c.at})
+				l.AttemptDone(c.at, AttemptResult{Request: "j", Outcome: Cancelled, Duration: c.at})
 				if expect(t, d, "send j b"); q.attempts[0].server.bad == 0 {
 					t.Fatal("it does not count against its server")
 				}
@@ -987,7 +987,7 @@
 
 func TestColdTurns(t *testing.T) {
 	l, _ := made()
-	l.Members(second, true, []Entry{{ID: "a", Zone: "x", Hint: 1}, {ID: "b", Zone: "y", Hint: 1, Since: second}})
+	l.UpdateEndpoints(second, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1}, {ID: "b", Zone: "y", Weight: 1, StartedAt: second}})
 	l.tick(second)
 	a, b := l.servers["a"], l.servers["b"]
 	a.fullTill, b.slowStartTurns = 1<<62, 0
@@ -997,7 +997,7 @@
 			got++
 		}
 	}
-	if share := l.set.ColdFrom / (1 + l.set.ColdFrom); float64(got) < 90*share || float64(got) > 100*share+1 {
+	if share := l.set.ColdCapacity / (1 + l.set.ColdCapacity); float64(got) < 90*share || float64(got) > 100*share+1 {
 		t.Fatal("it got", got, "of 100")
 	}
 }
@@ -1005,11 +1005,11 @@
 // Where cold servers begin at nothing, a pick at the very start of all of them leaves their turns as they are.
 func TestColdFromNothing(t *testing.T) {
 	l, _ := made()
-	l.set.ColdFrom = 0
-	l.Members(second, true, []Entry{{ID: "a", Zone: "x", Hint: 1, Since: second}, {ID: "b", Zone: "y", Hint: 1, Since: second}})
+	l.set.ColdCapacity = 0
+	l.UpdateEndpoints(second, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: second}, {ID: "b", Zone: "y", Weight: 1, StartedAt: second}})
 	l.tick(second)
 	l.pick(second, &request{units: 1, class: l.set.Classes["read"]})
-	l.Members(second, false, []Entry{{ID: "a", Zone: "x", Hint: 1, Since: 1}}) // a was a mistake: it is warm
+	l.UpdateEndpoints(second, false, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: 1}}) // a was a mistake: it is warm
 	a, b := l.servers["a"], l.servers["b"]
 	a.warmFrom, a.fullTill, b.slowStartTurns = 0, 1<<62, math.Min(b.slowStartTurns, 0)
 	reindex(l, second)
@@ -1047,11 +1047,11 @@
 
 func TestValue(t *testing.T) {
 	l, _ := made()
-	dear := &Class{Target: second / 2, Value: 5}
+	dear := &Class{LatencyObjective: second / 2, PriorityWeight: 5}
 	l.set.Classes["dear"], l.inFlightLimit = dear, 4
-	l = func() *Limiter {
+	l = func() *Controller {
 		n := New(0, l.set, 1, &effects{})
-		n.Members(0, true, []Entry{{ID: "a"}, {ID: "b"}})
+		n.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
 		return n
 	}()
 	l.inFlightLimit = 4
@@ -1071,13 +1071,13 @@
 
 func TestStay(t *testing.T) {
 	for _, c := range []struct {
-		reply Reply
+		reply AttemptResult
 		want  float64
 	}{
-		{Reply{Held: 6, Pace: 12, Work: second}, 0.5},
-		{Reply{Work: second / 4, Queue: 5, Pace: 20}, 0.5},
-		{Reply{Work: second / 4, Queue: 5}, 0.25},
-		{Reply{Held: 6}, 0},
+		{AttemptResult{InFlight: 6, Throughput: 12, ServiceTime: second}, 0.5},
+		{AttemptResult{ServiceTime: second / 4, Queued: 5, Throughput: 20}, 0.5},
+		{AttemptResult{ServiceTime: second / 4, Queued: 5}, 0.25},
+		{AttemptResult{InFlight: 6}, 0},
 	} {
 		if got := c.reply.stay(); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.reply, got, c.want)
@@ -1089,7 +1089,7 @@
 	l, d := made()
 	q := sent(l, "read")
 	l.samplingRate = 0.5
-	l.Answer(1, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true, Units: 4})
+	l.AttemptDone(1, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true, ActualUnits: 4})
 	if expect(t, d, "count 2", "send j a"); q.account.pendingAdjustment < 1.99 || q.account.pendingAdjustment > 2.01 {
 		t.Fatal("owes", q.account.pendingAdjustment)
 	}
@@ -1097,28 +1097,28 @@
 
 func TestCapWithRateAndCeiling(t *testing.T) {
 	l, d := made()
-	l.set.Plans["cap+rate"] = &Plan{Rate: 5, Burst: 40, Open: 4, CeilingRate: 8, CeilingBurst: 16}
+	l.set.Plans["cap+rate"] = &Plan{Rate: 5, Burst: 40, MaxInFlight: 4, CeilingRate: 8, CeilingBurst: 16}
 	opens(l, "cap+rate", second)
-	q := func() *request { l.Request(second, arrival("j", "read", "cap+rate")); return l.requests["j"] }()
+	q := func() *request { l.RequestArrived(second, arrival("j", "read", "cap+rate")); return l.requests["j"] }()
 	// The burst is what four requests of half the largest size take, and units are counted, not places.
 	if expect(t, d, "count 2"); q.account.quota.depth != 8 {
 		t.Fatal("the store holds", q.account.quota.depth)
 	}
-	l.Counted(second, q.name, Succeeded, 2)
+	l.CounterReplied(second, q.name, Succeeded, 2)
 	if expect(t, d, "count 2", "send j a"); q.account.ceiling.level != 2 { // half of 8 units filled, 2 taken
 		t.Fatal("the ceiling's part holds", q.account.ceiling.level)
 	}
-	l.Answer(second, Reply{Request: "j", Outcome: Succeeded, Took: 1, Final: true, Units: 4})
+	l.AttemptDone(second, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true, ActualUnits: 4})
 	if expect(t, d, "count 2"); q.account.ceiling.level != 2 { // settled on the quota, not on the ceiling
 		t.Fatal("the ceiling's part holds", q.account.ceiling.level)
 	}
-	l.Request(second, Arrival{ID: "k", Budget: second, Customer: 8, Plan: "cap+rate", Class: "read", Units: 3, Spread: 2})
+	l.RequestArrived(second, Arrival{ID: "k", Timeout: second, Customer: 8, Plan: "cap+rate", Class: "read", Units: 3, Limiters: 2})
 	expect(t, d, "reject k")
-	d.because(t, ForCeiling)
+	d.because(t, RejectedForCeiling)
 }
 
 func TestRepeatsWithinAPod(t *testing.T) {
-	pod := &Class{Target: second, Effect: Keyed, Group: GroupCell, Repeats: second, Value: 1}
+	pod := &Class{LatencyObjective: second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second, PriorityWeight: 1}
 	first := &attempt{server: &server{cell: 3, zone: "x"}, at: second, maybe: true}
 	for _, c := range []struct {
 		cell, at int64
@@ -1132,17 +1132,17 @@
 
 func TestSliceParts(t *testing.T) {
 	l, d := made()
-	a := l.accountOf(0, Arrival{Customer: 99, Spread: 4}, &Plan{Rate: 40, Burst: 80})
+	a := l.accountOf(0, Arrival{Customer: 99, Limiters: 4}, &Plan{Rate: 40, Burst: 80})
 	for _, c := range []struct{ seen, holds, rate float64 }{{80, 40, 20}, {40, 15, 15}, {0, 0, 10}} {
 		if l.slice(0, a, c.seen); math.Abs(a.slice.level-c.holds) > 1e-9 || math.Abs(a.slice.rate-c.rate) > 1e-9 {
 			t.Errorf("seen at %v it holds %v and fills by %v", c.seen, a.slice.level, a.slice.rate)
 		}
 	}
-	l.samplingRate, l.set.CounterWait = 0, 0
+	l.samplingRate, l.set.CounterTimeout = 0, 0
 	l.reported, l.meanStay = 1, math.Log(0.1)
 	slow := l.accountOf(0, arrival("", "read", "plain"), l.set.Plans["plain"])
 	slow.slice.level, slow.slice.rate = -9, 0.1
-	l.Request(0, arrival("j", "read", "plain"))
+	l.RequestArrived(0, arrival("j", "read", "plain"))
 	if expect(t, d, "reject j"); d.after > second/10+l.tickInterval { // another limiter may have the units
 		t.Fatal("told to wait", d.after)
 	}
@@ -1151,11 +1151,11 @@
 func TestAsksRise(t *testing.T) {
 	l, _ := made()
 	q := reserving(l, "read", "plain")
-	l.Counted(0, q.name, TimedOut, 0)
+	l.CounterReplied(0, q.name, TimedOut, 0)
 	var at []float64
 	for range 3 {
 		l.reserve(0, &request{id: "k", account: q.account, class: q.class, charge: 1})
-		l.Counted(0, q.name, Succeeded, 1)
+		l.CounterReplied(0, q.name, Succeeded, 1)
 		at = append(at, l.samplingRate)
 	}
 	if at[0] != 0.75+1.0/256 || at[1] != at[0]+2.0/256 || at[2] != at[1]+3.0/256 {
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -10,46 +10,46 @@
 // effects writes down what the limiter did, one line each.
 type effects struct {
 	did   []string
-	after int64 // the latest retry-after
-	cause Cause // and why
+	after int64        // the latest retry-after
+	cause RejectReason // and why
 }
 
 func (d *effects) add(form string, args ...any) { d.did = append(d.did, fmt.Sprintf(form, args...)) }
 
 func (d *effects) Send(request, server string)        { d.add("send %s %s", request, server) }
 func (d *effects) Cancel(request string, attempt int) { d.add("cancel %s %d", request, attempt) }
-func (d *effects) Reject(request string, after int64, cause Cause) {
+func (d *effects) Reject(request string, after int64, cause RejectReason) {
 	d.after, d.cause = after, cause
 	d.add("reject %s", request)
 }
-func (d *effects) Fail(request string)                        { d.add("fail %s", request) }
-func (d *effects) Count(name uint64, amount float64, _ int64) { d.add("count %v", amount) }
-func (d *effects) Probe(server string)                        { d.add("probe %s", server) }
-func (d *effects) Wake(at, token int64)                       {}
-func (d *effects) Log(text string)                            {}
+func (d *effects) Fail(request string)                               { d.add("fail %s", request) }
+func (d *effects) AddToCounter(name uint64, amount float64, _ int64) { d.add("count %v", amount) }
+func (d *effects) HealthCheck(server string)                         { d.add("probe %s", server) }
+func (d *effects) SetTimer(at, token int64)                          {}
+func (d *effects) Log(text string)                                   {}
 
 const second = int64(1e9)
 
 // made is a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent class, and one
 // plan without and one with a ceiling.
-func made() (*Limiter, *effects) {
+func made() (*Controller, *effects) {
 	d := &effects{}
 	set := &Settings{
 		Classes: map[string]*Class{
-			"read":  {Target: second, Effect: Idempotent, Value: 1},
-			"mark":  {Target: second, Effect: Keyed, Group: GroupZone, Repeats: second, Value: 1},
-			"write": {Target: second, Effect: NonIdempotent, Value: 1},
+			"read":  {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
+			"mark":  {LatencyObjective: second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, DeduplicationWindow: second, PriorityWeight: 1},
+			"write": {LatencyObjective: second, Idempotency: NonIdempotent, PriorityWeight: 1},
 		},
 		Plans: map[string]*Plan{
 			"plain": {Rate: 5, Burst: 10},
 			"hard":  {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16},
 		},
-		CounterWait: second / 20, MostUnits: 4, LongestLease: 60 * second, Limiters: 2,
-		ColdFrom: 0.25, WarmWithin: 10 * second, DialTimeout: second / 4,
-		MostAttempts: 3, MostAdvice: second, Probes: true, Granularity: second / 500,
+		CounterTimeout: second / 20, MaxRequestUnits: 4, MaxLease: 60 * second, Limiters: 2,
+		ColdCapacity: 0.25, SlowStartWindow: 10 * second, DialTimeout: second / 4,
+		MaxAttempts: 3, MaxRetryAfter: second, HealthChecks: true, TimerResolution: second / 500,
 	}
 	l := New(0, set, 1, d)
-	l.Members(0, true, []Entry{{ID: "a", Zone: "x", Hint: 1}, {ID: "b", Zone: "y", Hint: 1}})
+	l.UpdateEndpoints(0, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1}, {ID: "b", Zone: "y", Weight: 1}})
 	for _, s := range l.order {
 		s.credit = 0
 	}
@@ -60,7 +60,7 @@
 }
 
 // because checks why the latest rejection came.
-func (d *effects) because(t *testing.T, want Cause) {
+func (d *effects) because(t *testing.T, want RejectReason) {
 	t.Helper()
 	if d.cause != want {
 		t.Fatalf("rejected for %v, want %v", d.cause, want)
@@ -68,38 +68,38 @@
 }
 
 // reindex takes in what a test has changed in the servers by hand.
-func reindex(l *Limiter, now int64) {
+func reindex(l *Controller, now int64) {
 	for _, s := range l.order {
 		l.note(now, s)
 	}
 }
 
 // byName puts the servers in the order of their ids instead of the ring's.
-func byName(l *Limiter) {
+func byName(l *Controller) {
 	slices.SortFunc(l.order, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 	l.number()
 }
 
 // opens lets a window of the plan's customer begin at the time.
-func opens(l *Limiter, plan string, at int64) {
+func opens(l *Controller, plan string, at int64) {
 	acc := l.accountOf(0, arrival("", "read", plan), l.set.Plans[plan])
 	acc.phase = l.span(acc) - at
 }
 
 func arrival(id, class, plan string) Arrival {
-	return Arrival{ID: id, Budget: 4 * second, Customer: uint64(len(plan)), Plan: plan, Class: class, Units: 2, Spread: 2}
+	return Arrival{ID: id, Timeout: 4 * second, Customer: uint64(len(plan)), Plan: plan, Class: class, Units: 2, Limiters: 2}
 }
 
 // reserving is a request that waits for the counter.
-func reserving(l *Limiter, class, plan string) *request {
-	l.Request(0, arrival("j", class, plan))
+func reserving(l *Controller, class, plan string) *request {
+	l.RequestArrived(0, arrival("j", class, plan))
 	return l.requests["j"]
 }
 
 // sent is a request whose first attempt is out.
-func sent(l *Limiter, class string) *request {
+func sent(l *Controller, class string) *request {
 	q := reserving(l, class, "plain")
-	l.Counted(0, q.name, Succeeded, 2)
+	l.CounterReplied(0, q.name, Succeeded, 2)
 	return q
 }
 
--- a/choice/index.go
+++ b/choice/index.go
@@ -31,9 +31,9 @@
 // groupOf tells where a server belongs.
 func groupOf(now, warmWithin int64, s *server) group {
 	switch {
-	case len(s.attempts) > 0 || s.out > 0 && s.listing == Ready:
+	case len(s.attempts) > 0 || s.out > 0 && s.listing == EndpointReady:
 		return active
-	case s.listing != Ready:
+	case s.listing != EndpointReady:
 		return unlisted
 	case s.health != healthy || s.warmFrom > now:
 		return active
@@ -46,11 +46,11 @@
 // note puts a server that is new or has changed into its group.
 func (x *serverIndex) note(now, warmWithin int64, s *server) {
 	x.remove(s)
-	if s.listing == Ready {
+	if s.listing == EndpointReady {
 		x.ready++
 		s.counted = true
 	}
-	if s.listing == Gone && !s.leaving {
+	if s.listing == EndpointGone && !s.leaving {
 		x.gone, s.leaving = append(x.gone, s), true
 	}
 	switch s.group = groupOf(now, warmWithin, s); s.group {
@@ -113,7 +113,7 @@
 // away is the number of ready servers that are ejected.
 func (x *serverIndex) away() (servers int) {
 	for _, s := range x.active {
-		if s.listing == Ready && s.health == ejected {
+		if s.listing == EndpointReady && s.health == ejected {
 			servers++
 		}
 	}
@@ -121,12 +121,12 @@
 }
 
 // finished tells whether a server is gone and nothing is out there.
-func (s *server) finished() bool { return s.listing == Gone && len(s.attempts) == 0 }
+func (s *server) finished() bool { return s.listing == EndpointGone && len(s.attempts) == 0 }
 
 // forgettable tells whether some server is gone with nothing out.
 func (x *serverIndex) forgettable() bool {
 	x.gone = slices.DeleteFunc(x.gone, func(s *server) bool {
-		s.leaving = s.listing == Gone
+		s.leaving = s.listing == EndpointGone
 		return !s.leaving
 	})
 	return slices.ContainsFunc(x.gone, (*server).finished)
@@ -221,14 +221,14 @@
 }
 
 // note has the index take in a change of a server.
-func (l *Limiter) note(now int64, s *server) { l.index.note(now, l.set.WarmWithin, s) }
+func (l *Controller) note(now int64, s *server) { l.index.note(now, l.set.SlowStartWindow, s) }
 
 // usableSums are the units out at all servers that may get the request, and the slow-start weight of these together. It
 // looks at those in use one by one; the others are all usable but where only a group drops a repeat.
-func (l *Limiter) usableSums(now int64, q *request) (out, warmth float64) {
-	l.index.warmUp(now, l.set.WarmWithin)
+func (l *Controller) usableSums(now int64, q *request) (out, warmth float64) {
+	l.index.warmUp(now, l.set.SlowStartWindow)
 	among := l.index.active
-	if q.class.Effect == Keyed && slices.ContainsFunc(q.attempts, func(att *attempt) bool { return att.maybe }) {
+	if q.class.Idempotency == IdempotentWithKey && slices.ContainsFunc(q.attempts, func(att *attempt) bool { return att.maybe }) {
 		among = l.order
 	} else {
 		cold, age := l.index.warmingAge(now)
@@ -248,7 +248,7 @@
 }
 
 // letGo forgets servers that are gone.
-func (l *Limiter) letGo() {
+func (l *Controller) letGo() {
 	if !l.index.forgettable() {
 		return
 	}
@@ -271,7 +271,7 @@
 }
 
 // number gives the servers their places in the order of the ring.
-func (l *Limiter) number() {
+func (l *Controller) number() {
 	for i, s := range l.order {
 		s.position = i
 	}
--- a/choice/index_test.go
+++ b/choice/index_test.go
@@ -9,11 +9,11 @@
 )
 
 // ableByWalk is able without the index: it looks at every server. The index must give the same servers.
-func ableByWalk(l *Limiter, now int64, q *request) []*server {
+func ableByWalk(l *Controller, now int64, q *request) []*server {
 	var able []*server
 	out, usable, ready, near := q.units, 0.0, 0.0, 0
 	for _, s := range l.order {
-		if s.listing == Ready {
+		if s.listing == EndpointReady {
 			ready++
 		}
 		if !l.usable(now, q, s) {
@@ -29,7 +29,7 @@
 		}
 	}
 	room := l.inFlightLimit * l.limitFactor(now, q) * usable / max(ready, 1)
-	room *= 1 - cheapLess*(1-q.class.Value/l.highestValue.Value)
+	room *= 1 - cheapLess*(1-q.class.PriorityWeight/l.highestValue.PriorityWeight)
 	if out > room && out > q.units {
 		return nil
 	}
@@ -37,7 +37,7 @@
 }
 
 // forgettableByWalk are the customers that a look at every one would let go of now. It changes nothing.
-func forgettableByWalk(l *Limiter, now int64) map[uint64]bool {
+func forgettableByWalk(l *Controller, now int64) map[uint64]bool {
 	inUse := map[*account]bool{}
 	for _, q := range l.requests {
 		inUse[q.account] = true
@@ -61,48 +61,48 @@
 	ended  map[string]bool
 }
 
-func (w *world) Send(request, _ string)                  { w.sent = append(w.sent, request) }
-func (w *world) Reject(request string, _ int64, _ Cause) { w.ended[request] = true }
-func (w *world) Fail(request string)                     { w.ended[request] = true }
-func (w *world) Count(name uint64, _ float64, _ int64)   { w.called = append(w.called, name) }
-func (w *world) Cancel(request string, _ int)            {}
-func (w *world) Probe(string)                            {}
+func (w *world) Send(request, _ string)                         { w.sent = append(w.sent, request) }
+func (w *world) Reject(request string, _ int64, _ RejectReason) { w.ended[request] = true }
+func (w *world) Fail(request string)                            { w.ended[request] = true }
+func (w *world) AddToCounter(name uint64, _ float64, _ int64)   { w.called = append(w.called, name) }
+func (w *world) Cancel(request string, _ int)                   {}
+func (w *world) HealthCheck(string)                             {}
 
 // randomFleet is a limiter with random settings before a random list of servers.
-func randomFleet(seed int64) (*Limiter, *world) {
+func randomFleet(seed int64) (*Controller, *world) {
 	w := &world{rng: rand.New(rand.NewSource(seed)), ended: map[string]bool{}}
 	set := &Settings{
 		Classes: map[string]*Class{
-			"read":  {Target: second, Effect: Idempotent, Value: 1},
-			"mark":  {Target: 2 * second, Effect: Keyed, Group: Group(w.rng.Intn(3)), Repeats: 3 * second, Value: 2},
-			"write": {Target: second / 2, Effect: NonIdempotent, Value: 1},
+			"read":  {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
+			"mark":  {LatencyObjective: 2 * second, Idempotency: IdempotentWithKey, DeduplicationScope: DeduplicationScope(w.rng.Intn(3)), DeduplicationWindow: 3 * second, PriorityWeight: 2},
+			"write": {LatencyObjective: second / 2, Idempotency: NonIdempotent, PriorityWeight: 1},
 		},
 		Plans: map[string]*Plan{
-			"plain": {Rate: 5, Burst: 10, Value: 1}, "hard": {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16, Value: 1},
-			"open": {Open: 4, Value: 1}, "free": {Value: 1},
+			"plain": {Rate: 5, Burst: 10, PriorityWeight: 1}, "hard": {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16, PriorityWeight: 1},
+			"open": {MaxInFlight: 4, PriorityWeight: 1}, "free": {PriorityWeight: 1},
 		},
-		CounterWait: second / 20, MostUnits: 4, LongestLease: 20 * second, Limiters: 1 + w.rng.Intn(60), Position: w.rng.Intn(60),
-		ColdFrom: 0.25 * float64(w.rng.Intn(3)), WarmWithin: 4 * second, DialTimeout: second / 4, MostAttempts: 3, MostAdvice: second,
-		Probes: w.rng.Intn(2) == 0, Cancelling: true, Granularity: second / 500,
+		CounterTimeout: second / 20, MaxRequestUnits: 4, MaxLease: 20 * second, Limiters: 1 + w.rng.Intn(60), Position: w.rng.Intn(60),
+		ColdCapacity: 0.25 * float64(w.rng.Intn(3)), SlowStartWindow: 4 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second,
+		HealthChecks: w.rng.Intn(2) == 0, CanCancel: true, TimerResolution: second / 500,
 	}
 	l := New(0, set, seed, w)
-	l.Members(0, true, w.entries(1+w.rng.Intn(120), 0))
+	l.UpdateEndpoints(0, true, w.entries(1+w.rng.Intn(120), 0))
 	return l, w
 }
 
 // entries are lines of a list on some of so many servers: ready, draining, gone, started now or long ago.
-func (w *world) entries(servers int, now int64) (entries []Entry) {
+func (w *world) entries(servers int, now int64) (entries []Endpoint) {
 	for i := range servers {
-		e := Entry{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%4), Cell: int64(i % 6), Hint: 1}
+		e := Endpoint{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%4), Cell: int64(i % 6), Weight: 1}
 		switch w.rng.Intn(8) {
 		case 0:
-			e.Listing = Draining
+			e.State = EndpointDraining
 		case 1:
-			e.Listing = Gone
+			e.State = EndpointGone
 		case 2:
-			e.Since = now
+			e.StartedAt = now
 		case 3:
-			e.Since = now + second/3 // a clock that runs ahead
+			e.StartedAt = now + second/3 // a clock that runs ahead
 		}
 		entries = append(entries, e)
 	}
@@ -110,16 +110,16 @@
 }
 
 // step lets one random thing happen.
-func (w *world) step(l *Limiter, now int64, n int) {
+func (w *world) step(l *Controller, now int64, n int) {
 	switch w.rng.Intn(10) {
 	case 0, 1, 2:
 		plans, classes := []string{"plain", "hard", "open", "free"}, []string{"read", "mark", "write"}
 		customer := w.rng.Intn(40)
-		l.Request(now, Arrival{ID: fmt.Sprint("q", n), Budget: 3 * second, Customer: uint64(customer), Plan: plans[customer%4],
-			Class: classes[w.rng.Intn(3)], Units: 1, Spread: 2})
+		l.RequestArrived(now, Arrival{ID: fmt.Sprint("q", n), Timeout: 3 * second, Customer: uint64(customer), Plan: plans[customer%4],
+			Class: classes[w.rng.Intn(3)], Units: 1, Limiters: 2})
 	case 3, 4:
 		if len(w.called) > 0 {
-			l.Counted(now, w.called[0], []Outcome{Succeeded, Succeeded, TimedOut, Broke}[w.rng.Intn(4)], 3)
+			l.CounterReplied(now, w.called[0], []Outcome{Succeeded, Succeeded, TimedOut, ServerError}[w.rng.Intn(4)], 3)
 			w.called = w.called[1:]
 		}
 	case 5, 6, 7:
@@ -132,46 +132,46 @@
 	case 8:
 		w.change(l, now)
 	case 9:
-		l.Left(now, fmt.Sprint("q", w.rng.Intn(n+1)))
+		l.ClientDisconnected(now, fmt.Sprint("q", w.rng.Intn(n+1)))
 	}
 }
 
 // answer ends the open attempt of a request in some way.
-func (w *world) answer(l *Limiter, now int64, id string) {
+func (w *world) answer(l *Controller, now int64, id string) {
 	q := l.requests[id]
 	if q == nil {
 		return
 	}
 	for _, att := range q.attempts {
 		if att.open {
-			outcome := []Outcome{Succeeded, Succeeded, Broke, Full, TimedOut, Unconnected, Reset}[w.rng.Intn(7)]
-			l.Answer(now, Reply{Request: id, Attempt: att.number, Outcome: outcome, Took: now - att.at, Final: outcome == Succeeded})
+			outcome := []Outcome{Succeeded, Succeeded, ServerError, Overloaded, TimedOut, ConnectFailed, ConnectionLost}[w.rng.Intn(7)]
+			l.AttemptDone(now, AttemptResult{Request: id, Attempt: att.number, Outcome: outcome, Duration: now - att.at, Final: outcome == Succeeded})
 			return
 		}
 	}
 }
 
 // change has some servers come, go or be probed.
-func (w *world) change(l *Limiter, now int64) {
+func (w *world) change(l *Controller, now int64) {
 	entries := w.entries(130, now)
 	if w.rng.Intn(4) == 0 {
-		l.Members(now, true, entries[w.rng.Intn(60):])
+		l.UpdateEndpoints(now, true, entries[w.rng.Intn(60):])
 		return
 	}
 	i := w.rng.Intn(len(entries))
-	l.Members(now, false, entries[i:i+1])
-	l.Probed(now, entries[i].ID, Succeeded)
+	l.UpdateEndpoints(now, false, entries[i:i+1])
+	l.HealthCheckDone(now, entries[i].ID, Succeeded)
 }
 
 // check compares the index with a walk over all servers.
-func check(t *testing.T, l *Limiter, now int64) {
+func check(t *testing.T, l *Controller, now int64) {
 	t.Helper()
 	ready := 0
 	for i, s := range l.order {
-		if s.listing == Ready {
+		if s.listing == EndpointReady {
 			ready++
 		}
-		inUse := len(s.attempts) > 0 || s.listing == Ready && (s.health != healthy || s.out > 0)
+		inUse := len(s.attempts) > 0 || s.listing == EndpointReady && (s.health != healthy || s.out > 0)
 		if s.position != i || inUse && (s.group != active || l.index.active[s.slot] != s) {
 			t.Fatalf("server %s at %d: position %d, group %d", s.id, i, s.position, s.group)
 		}
@@ -217,7 +217,7 @@
 			w.step(l, now, n)
 			for _, q := range l.timers {
 				if now >= q.end {
-					l.Woken(now, q.token)
+					l.TimerFired(now, q.token)
 					break
 				}
 			}
@@ -232,15 +232,15 @@
 // TestWarmingSum: the warmth of servers that warm up is summed exactly, however many there are and whenever they began.
 func TestWarmingSum(t *testing.T) {
 	l, _ := made()
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 8500 {
-		entries = append(entries, Entry{ID: fmt.Sprint(i), Since: 100*second + int64(i)*second/1000})
+		entries = append(entries, Endpoint{ID: fmt.Sprint(i), StartedAt: 100*second + int64(i)*second/1000})
 	}
 	now := 109 * second
-	l.Members(now, true, entries)
+	l.UpdateEndpoints(now, true, entries)
 	want := 0.0
 	for _, s := range l.order {
-		if s.listing == Ready {
+		if s.listing == EndpointReady {
 			want += l.slowStartWeight(now, s)
 		}
 	}
@@ -253,9 +253,9 @@
 func TestUsedUntilDropped(t *testing.T) {
 	l, _ := made()
 	q := sent(l, "read")
-	l.Woken(5*second, 0)
-	l.Woken(6*second, 0)
-	l.Answer(7*second, Reply{Request: "j", Outcome: Succeeded, Took: 7 * second, Final: true})
+	l.TimerFired(5*second, 0)
+	l.TimerFired(6*second, 0)
+	l.AttemptDone(7*second, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 7 * second, Final: true})
 	if q.account.used != 6*second || q.account.held != 0 {
 		t.Fatalf("used at %d, %d requests held", q.account.used, q.account.held)
 	}
--- a/choice/owed_test.go
+++ b/choice/owed_test.go
@@ -12,35 +12,35 @@
 		units    float64
 		back     float64 // what is added back to the counter
 	}{
-		{"the connection never came up and the client has gone", []Outcome{Moot}, true, 0, -2},
-		{"refused, and the client has gone", []Outcome{Unconnected}, true, 0, -2},
-		{"no connection came up, three times", []Outcome{Unconnected, Unconnected, Unconnected}, false, 0, -2},
-		{"turned away, and the client has gone", []Outcome{Full}, true, 0, 0},
-		{"it may have run, and then no connection", []Outcome{Reset, Unconnected}, true, 0, 0},
+		{"the connection never came up and the client has gone", []Outcome{NotAttempted}, true, 0, -2},
+		{"refused, and the client has gone", []Outcome{ConnectFailed}, true, 0, -2},
+		{"no connection came up, three times", []Outcome{ConnectFailed, ConnectFailed, ConnectFailed}, false, 0, -2},
+		{"turned away, and the client has gone", []Outcome{Overloaded}, true, 0, 0},
+		{"it may have run, and then no connection", []Outcome{ConnectionLost, ConnectFailed}, true, 0, 0},
 		{"served after the client had gone", []Outcome{Succeeded}, true, 3, 1},
 		{"served", []Outcome{Succeeded}, false, 3, 1},
 	} {
 		for _, slice := range []bool{false, true} {
 			l, d := made()
 			l.retryBudget = 9
-			l.Members(0, false, []Entry{{ID: "c", Zone: "y", Hint: 1}})
+			l.UpdateEndpoints(0, false, []Endpoint{{ID: "c", Zone: "y", Weight: 1}})
 			opens(l, "hard", second)
 			if slice {
 				l.samplingRate = 0
 			}
-			l.Request(second, arrival("j", "read", "hard"))
+			l.RequestArrived(second, arrival("j", "read", "hard"))
 			q := l.requests["j"]
 			a := q.account
 			if !slice {
-				l.Counted(second, q.name, Succeeded, 2)
+				l.CounterReplied(second, q.name, Succeeded, 2)
 			}
 			level, owed := a.slice.level, a.pendingAdjustment
 			for i, o := range c.outcomes {
 				if c.gone && i == len(c.outcomes)-1 {
-					l.Left(second, "j")
+					l.ClientDisconnected(second, "j")
 				}
 				d.did = nil
-				l.Answer(second, Reply{Request: "j", Attempt: i, Outcome: o, Final: q.ended() || o == Succeeded, Units: c.units})
+				l.AttemptDone(second, AttemptResult{Request: "j", Attempt: i, Outcome: o, Final: q.ended() || o == Succeeded, ActualUnits: c.units})
 			}
 			counted := 0
 			for _, did := range d.did {
@@ -66,18 +66,18 @@
 func TestClosing(t *testing.T) {
 	l, d := made()
 	for id, owed := range map[uint64]float64{7: 2, 3: -1, 5: 0} {
-		a := l.accountOf(0, Arrival{Customer: id, Spread: 1}, l.set.Plans["plain"])
+		a := l.accountOf(0, Arrival{Customer: id, Limiters: 1}, l.set.Plans["plain"])
 		l.turn(0, a)
 		a.pendingAdjustment = owed
 	}
-	l.Closing(0)
+	l.ShutDown(0)
 	expect(t, d, "count -1", "count 2")
-	l.Closing(0)
+	l.ShutDown(0)
 	if len(d.did) != 2 {
 		t.Fatalf("did %q", d.did)
 	}
 	l.accounts[7].pendingAdjustment, l.accounts[3].pendingAdjustment = 2, -1
-	l.Closing(4 * l.span(l.accounts[7]))
+	l.ShutDown(4 * l.span(l.accounts[7]))
 	if len(d.did) != 3 {
 		t.Fatalf("did %q: what was owed back to a window that has passed is not added", d.did)
 	}
--- a/choice/restart_test.go
+++ b/choice/restart_test.go
@@ -18,7 +18,7 @@
 )
 
 // startedLimiter is a limiter that starts at 0 and has room for all that its customers on the plan "large" may send.
-func startedLimiter() *Limiter {
+func startedLimiter() *Controller {
 	l, _ := made()
 	l.set.Plans["large"] = &Plan{Rate: 10, Burst: testBurst}
 	l.inFlightLimit = 1000
@@ -29,30 +29,30 @@
 }
 
 // heardLimiter is one whose counter has answered once, for another customer.
-func heardLimiter() *Limiter {
+func heardLimiter() *Controller {
 	l := startedLimiter()
-	l.Request(0, arrival("first", "read", "plain"))
-	l.Counted(0, l.requests["first"].name, Succeeded, 2)
+	l.RequestArrived(0, arrival("first", "read", "plain"))
+	l.CounterReplied(0, l.requests["first"].name, Succeeded, 2)
 	return l
 }
 
 // sendAll sends requests for a customer until one is rejected, but no more than mostRequests, and returns the units that
 // were sent. Each call to the counter ends with the outcome, and with the total of the calls so far.
-func sendAll(l *Limiter, now int64, customer uint64, outcome Outcome) (units float64) {
+func sendAll(l *Controller, now int64, customer uint64, outcome Outcome) (units float64) {
 	const size = 2.0
 	total := 0.0
 	for i := range mostRequests {
 		id := fmt.Sprint(now, "-", i)
-		l.Request(now, Arrival{ID: id, Budget: 4 * second, Customer: customer, Plan: "large", Class: "read", Units: size, Spread: 4})
-		if q := l.requests[id]; q != nil && q.state == Reserving {
+		l.RequestArrived(now, Arrival{ID: id, Timeout: 4 * second, Customer: customer, Plan: "large", Class: "read", Units: size, Limiters: 4})
+		if q := l.requests[id]; q != nil && q.state == stateReserving {
 			total += size * q.weight
-			l.Counted(now, q.name, outcome, total)
+			l.CounterReplied(now, q.name, outcome, total)
 		}
 		if l.requests[id] == nil {
 			return units
 		}
 		units += size
-		l.Answer(now, Reply{Request: id, Outcome: Succeeded, Took: 1e7, Final: true})
+		l.AttemptDone(now, AttemptResult{Request: id, Outcome: Succeeded, Duration: 1e7, Final: true})
 	}
 	return units
 }
@@ -65,41 +65,41 @@
 }
 
 func TestSliceBeforeTheCounterAnswers(t *testing.T) {
-	for name, outcome := range map[string]Outcome{"crowded": Full, "silent": TimedOut, "spoilt": Broke, "down": Unconnected} {
+	for name, outcome := range map[string]Outcome{"crowded": Overloaded, "silent": TimedOut, "spoilt": ServerError, "down": ConnectFailed} {
 		t.Run(name+": the largest request and what this life has filled", func(t *testing.T) {
 			l := startedLimiter()
-			expectUnits(t, sendAll(l, 0, 50, outcome), l.set.MostUnits)
-			expectUnits(t, sendAll(l, 8*second, 51, outcome), l.set.MostUnits+8*sliceRate)
+			expectUnits(t, sendAll(l, 0, 50, outcome), l.set.MaxRequestUnits)
+			expectUnits(t, sendAll(l, 8*second, 51, outcome), l.set.MaxRequestUnits+8*sliceRate)
 			expectUnits(t, sendAll(l, 8*second, 50, outcome), 8*sliceRate)
 		})
 	}
 	t.Run("never more than the whole slice", func(t *testing.T) {
-		expectUnits(t, sendAll(startedLimiter(), 60*second, 50, Unconnected), wholeSlice)
+		expectUnits(t, sendAll(startedLimiter(), 60*second, 50, ConnectFailed), wholeSlice)
 		l := startedLimiter()
-		account := l.accountOf(0, Arrival{Customer: 51, Spread: 1}, &Plan{Rate: 1, Burst: l.set.MostUnits - 1})
-		expectUnits(t, account.slice.level, l.set.MostUnits-1)
+		account := l.accountOf(0, Arrival{Customer: 51, Limiters: 1}, &Plan{Rate: 1, Burst: l.set.MaxRequestUnits - 1})
+		expectUnits(t, account.slice.level, l.set.MaxRequestUnits-1)
 	})
 	t.Run("among many limiters the whole slice is the largest request", func(t *testing.T) {
 		l := startedLimiter()
-		account := l.accountOf(0, Arrival{Customer: 50, Spread: 400}, l.set.Plans["large"])
-		expectUnits(t, account.slice.level, l.set.MostUnits)
+		account := l.accountOf(0, Arrival{Customer: 50, Limiters: 400}, l.set.Plans["large"])
+		expectUnits(t, account.slice.level, l.set.MaxRequestUnits)
 	})
 	t.Run("the whole slice where no counter is set: none can tell of an earlier life", func(t *testing.T) {
 		l := startedLimiter()
-		l.set.CounterWait = 0
-		expectUnits(t, sendAll(l, 0, 50, Unconnected), wholeSlice)
+		l.set.CounterTimeout = 0
+		expectUnits(t, sendAll(l, 0, 50, ConnectFailed), wholeSlice)
 	})
 }
 
 // TestSliceWithTheCounterUp: the total decides from the first request on, and the slice goes by it.
 func TestSliceWithTheCounterUp(t *testing.T) {
 	l := startedLimiter()
-	account := l.accountOf(0, Arrival{Customer: 50, Spread: 4}, l.set.Plans["large"])
+	account := l.accountOf(0, Arrival{Customer: 50, Limiters: 4}, l.set.Plans["large"])
 	account.phase = l.span(account) // its window begins now, so units weigh 1
 	expectUnits(t, sendAll(l, 0, 50, Succeeded), testBurst)
 
 	l = startedLimiter()
-	expectUnits(t, sendAll(l, 0, 50, Unconnected), l.set.MostUnits)
+	expectUnits(t, sendAll(l, 0, 50, ConnectFailed), l.set.MaxRequestUnits)
 	account = l.accounts[50]
 	l.see(0, call{request: &request{}, account: account}, account.name(), 0)
 	expectUnits(t, account.slice.level, wholeSlice)
@@ -109,9 +109,9 @@
 	t.Run("crowded: the whole slice", func(t *testing.T) {
 		l := heardLimiter()
 		l.samplingRate = samplingLeast
-		expectUnits(t, sendAll(l, 0, 50, Full), wholeSlice)
+		expectUnits(t, sendAll(l, 0, 50, Overloaded), wholeSlice)
 	})
-	for name, outcome := range map[string]Outcome{"crowded": Full, "silent": TimedOut, "spoilt": Broke, "down": Unconnected} {
+	for name, outcome := range map[string]Outcome{"crowded": Overloaded, "silent": TimedOut, "spoilt": ServerError, "down": ConnectFailed} {
 		t.Run(name+" in a long outage: the whole slice, once a customer", func(t *testing.T) {
 			l := heardLimiter()
 			for customer := uint64(50); customer < 53; customer++ {
--- a/choice/scale_bench_test.go
+++ b/choice/scale_bench_test.go
@@ -16,12 +16,12 @@
 // benchSettings are those of a fleet of 550 limiters whose customers have quotas and ceilings.
 func benchSettings() *Settings {
 	return &Settings{
-		Classes: map[string]*Class{"read": {Target: second, Effect: Idempotent, Value: 1}},
+		Classes: map[string]*Class{"read": {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1}},
 		Plans:   map[string]*Plan{"hard": {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16}},
 		// No lease is so long that a customer is forgotten within a benchmark.
-		CounterWait: second / 20, MostUnits: 4, LongestLease: 3600 * second, Limiters: benchLimiters,
-		ColdFrom: 0.25, WarmWithin: 10 * second, DialTimeout: second / 4,
-		MostAttempts: 3, MostAdvice: second, Granularity: second / 500,
+		CounterTimeout: second / 20, MaxRequestUnits: 4, MaxLease: 3600 * second, Limiters: benchLimiters,
+		ColdCapacity: 0.25, SlowStartWindow: 10 * second, DialTimeout: second / 4,
+		MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 500,
 	}
 }
 
@@ -32,19 +32,19 @@
 	answer bool
 }
 
-func (w *benchWorld) Send(string, string)                   {}
-func (w *benchWorld) Reject(string, int64, Cause)           {}
-func (w *benchWorld) Count(name uint64, _ float64, _ int64) { w.names = append(w.names, name) }
+func (w *benchWorld) Send(string, string)                          {}
+func (w *benchWorld) Reject(string, int64, RejectReason)           {}
+func (w *benchWorld) AddToCounter(name uint64, _ float64, _ int64) { w.names = append(w.names, name) }
 
 // benchFleet is a limiter before so many servers that has met so many customers once.
-func benchFleet(servers, customers int) (*Limiter, *benchWorld, int64) {
+func benchFleet(servers, customers int) (*Controller, *benchWorld, int64) {
 	w := &benchWorld{answer: true}
 	l := New(0, benchSettings(), 1, w)
-	entries := make([]Entry, servers)
+	entries := make([]Endpoint, servers)
 	for i := range entries {
-		entries[i] = Entry{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprintf("zone-%d", i%4), Hint: 1}
+		entries[i] = Endpoint{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprintf("zone-%d", i%4), Weight: 1}
 	}
-	l.Members(0, true, entries)
+	l.UpdateEndpoints(0, true, entries)
 	now := 100 * second
 	for i := range customers {
 		w.play(l, now, fmt.Sprintf("first-%d", i), uint64(i))
@@ -59,15 +59,15 @@
 }
 
 // play takes a request through the counter and, if answer is set, to its end.
-func (w *benchWorld) play(l *Limiter, now int64, id string, customer uint64) {
-	l.Request(now, Arrival{ID: id, Budget: 3600 * second, Customer: customer, Plan: "hard", Class: "read", Units: 0.01, Spread: 2})
+func (w *benchWorld) play(l *Controller, now int64, id string, customer uint64) {
+	l.RequestArrived(now, Arrival{ID: id, Timeout: 3600 * second, Customer: customer, Plan: "hard", Class: "read", Units: 0.01, Limiters: 2})
 	for len(w.names) > 0 {
 		name := w.names[0]
 		w.names = w.names[1:]
-		l.Counted(now, name, Succeeded, 0.01)
+		l.CounterReplied(now, name, Succeeded, 0.01)
 	}
 	if w.answer {
-		l.Answer(now+second/100, Reply{Request: id, Outcome: Succeeded, Took: second / 100, Final: true})
+		l.AttemptDone(now+second/100, AttemptResult{Request: id, Outcome: Succeeded, Duration: second / 100, Final: true})
 	}
 }
 
@@ -103,7 +103,7 @@
 	b.ResetTimer()
 	for range b.N {
 		now++ // time hardly passes, so that nobody is forgotten
-		l.Woken(now, 0)
+		l.TimerFired(now, 0)
 	}
 }
 
@@ -113,14 +113,14 @@
 		b.Run(fmt.Sprintf("change/servers=%d", servers), func(b *testing.B) {
 			l, _, now := benchFleet(servers, 1)
 			for i := range b.N {
-				l.Members(now, false, []Entry{{ID: "server-1", Listing: Listing(i % 2), Hint: 1}})
+				l.UpdateEndpoints(now, false, []Endpoint{{ID: "server-1", State: EndpointState(i % 2), Weight: 1}})
 			}
 		})
 		b.Run(fmt.Sprintf("new/servers=%d", servers), func(b *testing.B) {
 			l, _, now := benchFleet(servers, 1)
 			for i := range b.N {
-				l.Members(now, false, []Entry{{ID: "new", Listing: []Listing{Ready, Gone}[i%2], Hint: 1}})
-				l.Woken(now, 0)
+				l.UpdateEndpoints(now, false, []Endpoint{{ID: "new", State: []EndpointState{EndpointReady, EndpointGone}[i%2], Weight: 1}})
+				l.TimerFired(now, 0)
 			}
 		})
 	}
--- a/choice/state.go
+++ b/choice/state.go
@@ -6,23 +6,23 @@
 	"math"
 )
 
-// State is where a request stands; move is the only function that changes it.
-type State uint8
+// requestState is where a request stands; move is the only function that changes it.
+type requestState uint8
 
 const (
-	Taken State = iota
-	Reserving
-	Out
-	Served
+	Accepted requestState = iota
+	stateReserving
+	InFlight
+	Answered
 	Rejected
 	Failed
-	Abandoned // the client has left
+	ClientGone // the client has left
 )
 
 type request struct {
 	id       string
 	token    int64
-	state    State
+	state    requestState
 	class    *Class
 	account  *account
 	units    float64
@@ -52,7 +52,7 @@
 	place          uint64 // on the ring of all servers, the same at all limiters
 	zone           string
 	cell           int64
-	listing        Listing
+	listing        EndpointState
 	hint           float64
 	warmFrom       int64 // when it began to warm up, 0 for long ago
 	health         health
@@ -151,26 +151,26 @@
 	return mix(h.Sum64())
 }
 
-func (l *Limiter) log(form string, args ...any) { l.effects.Log(fmt.Sprintf(form, args...)) }
+func (l *Controller) log(form string, args ...any) { l.effects.Log(fmt.Sprintf(form, args...)) }
 
 // stay is how long requests stay at the server by its load report, in seconds, 0 where it does not tell: what
 // it holds over what it does a second, or else the work itself and what waits over that pace.
-func (r *Reply) stay() float64 {
+func (r *AttemptResult) stay() float64 {
 	switch {
-	case r.Held > 0 && r.Pace > 0:
-		return r.Held / r.Pace
-	case r.Work > 0 && r.Pace > 0:
-		return seconds(r.Work) + r.Queue/r.Pace
+	case r.InFlight > 0 && r.Throughput > 0:
+		return r.InFlight / r.Throughput
+	case r.ServiceTime > 0 && r.Throughput > 0:
+		return seconds(r.ServiceTime) + r.Queued/r.Throughput
 	}
-	return seconds(r.Work)
+	return seconds(r.ServiceTime)
 }
 
 func (a *account) name() uint64 { return mix(mix(a.id)^uint64(a.window)) >> 1 }
 
-func (q *request) ended() bool { return q.state >= Served }
+func (q *request) ended() bool { return q.state >= Answered }
 
 // move is the only place where a request changes its state; an ended request keeps its end.
-func (l *Limiter) move(q *request, to State) {
+func (l *Controller) move(q *request, to requestState) {
 	if q.ended() {
 		panic(fmt.Sprintf("request %s moved to %d after its end %d", q.id, to, q.state))
 	}
@@ -186,7 +186,7 @@
 }
 
 // count makes a call; what a reservation carries along may bring its amount below 0.
-func (l *Limiter) count(q *request, amount float64, back bool) {
+func (l *Controller) count(q *request, amount float64, back bool) {
 	l.calls[q.name] = append(l.calls[q.name], call{q, q.account, amount, back})
-	l.effects.Count(q.name, amount, 2*l.span(q.account))
+	l.effects.AddToCounter(q.name, amount, 2*l.span(q.account))
 }
--- a/cmd/ospreycroft/distribution.go
+++ b/cmd/ospreycroft/distribution.go
@@ -59,7 +59,7 @@
 	return &config
 }
 
-func (r *renewals) hasCounter() bool { return r.file.Settings.CounterWait > 0 }
+func (r *renewals) hasCounter() bool { return r.file.Settings.CounterTimeout > 0 }
 
 // reread takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs the
 // reducer says that it holds from the next start on, so only the addresses are noted.
@@ -117,7 +117,7 @@
 }
 
 // newFollower makes the follower of a limiter and puts the state on the disk in force; nil where the operator names no relays.
-func newFollower(config *settings.Config, o *operator.Operator, renewals *renewals, clock func() int64) *follower {
+func newFollower(config *settings.Config, o *operator.Options, renewals *renewals, clock func() int64) *follower {
 	if o.Distribution.Relays == [2]string{} {
 		return nil
 	}
@@ -130,7 +130,7 @@
 		Report: f.report, Changed: f.changed})
 	if o.Distribution.StatePath != "" {
 		f.place = &statefile.Place{Dir: o.Distribution.StatePath, Installation: o.Installation, Subscriber: config.Name, Scope: scope,
-			MaxAge: o.Distribution.Oldest, Files: snapshot.Disk{}}
+			MaxAge: o.Distribution.StateMaxAge, Files: snapshot.Disk{}}
 		f.restore()
 	}
 	return f
@@ -151,7 +151,7 @@
 	now := f.clock()
 	held, err := f.place.Load(now)
 	if err != nil {
-		log.Printf("event=config-state-refused %s", hint.Tail(err))
+		log.Printf("event=config-state-refused %s", hint.LogFields(err))
 		return
 	}
 	if held == nil {
@@ -162,7 +162,7 @@
 		err = f.subscriber.Restore(held.Version, state, max(now-held.Taken, 0))
 	}
 	if err != nil {
-		log.Printf("event=config-refused %s", hint.Tail(err))
+		log.Printf("event=config-refused %s", hint.LogFields(err))
 		return
 	}
 	f.restored = true
@@ -202,7 +202,7 @@
 // report logs an error: each refusal, and of failed calls the first of a type for a time.
 func (f *follower) report(err error) {
 	if refused, is := err.(*distribution.RefusedError); is {
-		log.Printf("event=config-refused %s", hint.Tail(refused))
+		log.Printf("event=config-refused %s", hint.LogFields(refused))
 		return
 	}
 	kind, now := fmt.Sprintf("%T", err), f.clock()
@@ -210,7 +210,7 @@
 		return
 	}
 	f.logged[kind] = now
-	log.Printf("event=config-call-failed %s", hint.Tail(err))
+	log.Printf("event=config-call-failed %s", hint.LogFields(err))
 }
 
 // watch logs when the version in force is unconfirmed and when it is confirmed again, and saves a state that does not change.
@@ -273,5 +273,5 @@
 		log.Printf("event=config-state-written")
 		return
 	}
-	log.Printf("event=config-state-unwritten %s", hint.Tail(err))
+	log.Printf("event=config-state-unwritten %s", hint.LogFields(err))
 }
--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -468,7 +468,7 @@
 // withCounter is a configuration of a limiter with a counter.
 func withCounter(t *testing.T, discovery, counter string) *settings.Config {
 	t.Helper()
-	config, err := settings.ReadConfig(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:1","discovery":%q,"counter":%q,"seed":"ff",
+	config, err := settings.DecodeConfig(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:1","discovery":%q,"counter":%q,"seed":"ff",
 		"limits":{"memory_mb":192,"sockets":1024},"known":{"generation":1},"settings":{"balancers":1,"classes":
 		[{"name":"c","aim":1,"effect":"free","group":"all"}],"tariffs":[{"name":"p","rate":5,"most-at-once":10}],
 		"family-info":{"has-counter":true,"count-wait":0.05,"units-top":4},"contract":{"cold-from":0.3,"warm-within":10},
@@ -498,7 +498,7 @@
 // TestNoCounter publishes a counter's address to a limiter that has none.
 func TestNoCounter(t *testing.T) {
 	config := withCounter(t, "a:1", "a:2")
-	config.Settings.CounterWait = 0
+	config.Settings.CounterTimeout = 0
 	r := newRenewals(config)
 	var fixed *distribution.FixedKeyError
 	require.ErrorAs(t, r.move(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}), &fixed)
@@ -509,7 +509,7 @@
 func TestSwitchedOff(t *testing.T) {
 	config := withCounter(t, "a:1", "a:2")
 	r := newRenewals(config)
-	require.Nil(t, newFollower(config, &operator.Operator{Installation: "i"}, r, func() int64 { return 0 }))
+	require.Nil(t, newFollower(config, &operator.Options{Installation: "i"}, r, func() int64 { return 0 }))
 	require.Equal(t, config, r.start())
 }
 
@@ -519,8 +519,8 @@
 	config := withCounter(t, "a:1", "a:2")
 	r := newRenewals(config)
 	start := time.Now()
-	f := newFollower(config, &operator.Operator{Installation: "i", Distribution: operator.Distribution{
-		Relays: [2]string{"127.0.0.1:1", "127.0.0.1:1"}, StatePath: t.TempDir(), Oldest: 600e9}}, r,
+	f := newFollower(config, &operator.Options{Installation: "i", Distribution: operator.Distribution{
+		Relays: [2]string{"127.0.0.1:1", "127.0.0.1:1"}, StatePath: t.TempDir(), StateMaxAge: 600e9}}, r,
 		func() int64 { return int64(time.Since(start)) })
 	_ = r.start()
 	stop := f.start()
@@ -541,8 +541,8 @@
 	config := withCounter(t, "a:1", "a:2")
 	r := newRenewals(config)
 	start := time.Now()
-	f := newFollower(config, &operator.Operator{Installation: "i", Distribution: operator.Distribution{
-		Relays: n.servers, StatePath: n.state, Oldest: int64(8 * time.Second)}}, r,
+	f := newFollower(config, &operator.Options{Installation: "i", Distribution: operator.Distribution{
+		Relays: n.servers, StatePath: n.state, StateMaxAge: int64(8 * time.Second)}}, r,
 		func() int64 { return start.UnixNano() + int64(time.Since(start)) })
 	_ = r.start()
 	defer f.start()()
--- a/cmd/ospreycroft/main.go
+++ b/cmd/ospreycroft/main.go
@@ -45,12 +45,12 @@
 			fmt.Printf("ok name=%s limiters=%d plans=%d classes=%d\n", config.Name, config.Settings.Limiters,
 				len(config.Settings.Plans), len(config.Settings.Classes))
 			for _, name := range slices.Sorted(maps.Keys(config.Settings.Plans)) {
-				if open := config.Settings.Plans[name].Open; open > 0 {
+				if open := config.Settings.Plans[name].MaxInFlight; open > 0 {
 					fmt.Printf("cap plan=%s attempts_out=%v\n", name, open)
 				}
 			}
 			for _, name := range slices.Sorted(maps.Keys(config.Settings.Classes)) {
-				fmt.Printf("class name=%s worth=%v\n", name, config.Settings.Classes[name].Value)
+				fmt.Printf("class name=%s worth=%v\n", name, config.Settings.Classes[name].PriorityWeight)
 			}
 			stated, err := operator.Read()
 			if err != nil {
@@ -62,7 +62,7 @@
 			return bounds(config, func(line string) { fmt.Println(line) })
 		}})
 	if err := root.Execute(); err != nil {
-		log.Fatalf("event=failed %s", hint.Tail(err))
+		log.Fatalf("event=failed %s", hint.LogFields(err))
 	}
 }
 
@@ -80,49 +80,49 @@
 
 // startBounds states what a start of all limiters costs the list service, and how late news can come. A budget that is too
 // small for the list's clock is said, and is no error.
-func startBounds(config *settings.Config, o *operator.Operator, say func(string)) error {
-	set := limiter.StartSettings(config, limiter.Stated{ListCalls: o.ListCalls, Connections: o.Connections})
+func startBounds(config *settings.Config, o *operator.Options, say func(string)) error {
+	set := limiter.ColdStartSettings(config, limiter.OperatorOptions{DiscoveryCallRate: o.DiscoveryCallRate, ConnectionRate: o.ConnectionRate})
 	servers := 0
-	if list, err := discovery.Decode(config.Known); err == nil {
+	if list, err := discovery.DecodeList(config.Known); err == nil {
 		servers = len(list.Entries)
 	}
 	a, err := set.Advise(servers)
-	var late *coldstart.Late
+	var late *coldstart.LateNotificationError
 	if err != nil && !errors.As(err, &late) {
 		return err
 	}
-	if set.AskEvery > 0 {
+	if set.PollInterval > 0 {
 		say(fmt.Sprintf("event=start-bound list_calls_per_s=%.4g stated=%v even=%v all_asked_s=%.4g",
-			a.Calls, a.Stated, a.Even, float64(a.All)/1e9))
+			a.CallRate, a.StatedRate, a.EvenRate, float64(a.AllPolledWithin)/1e9))
 	}
-	if a.Sharer > 0 {
-		say(fmt.Sprintf("event=start-bound connections_per_s=%.4g one_limiter=%.4g", set.Connections, a.Sharer))
+	if a.ConnectionRate > 0 {
+		say(fmt.Sprintf("event=start-bound connections_per_s=%.4g one_limiter=%.4g", set.ConnectionRate, a.ConnectionRate))
 	}
 	if late != nil {
-		say("event=list-late " + hint.Tail(late))
+		say("event=list-late " + hint.LogFields(late))
 	}
 	return nil
 }
 
 // snapshots reads what an earlier life of this limiter has left on a disk and begins to write there. Whatever is wrong with it
 // is logged, and the start goes on without it.
-func snapshots(config *settings.Config, o *operator.Operator, stated *limiter.Stated) (stop func()) {
+func snapshots(config *settings.Config, o *operator.Options, stated *limiter.OperatorOptions) (stop func()) {
 	if o.SnapshotPath == "" {
 		return func() {}
 	}
-	place := snapshot.Place{Dir: o.SnapshotPath, Installation: o.Installation, Limiter: config.Name, Oldest: o.Oldest}
+	place := snapshot.Place{Dir: o.SnapshotPath, Installation: o.Installation, Limiter: config.Name, MaxAge: o.SnapshotMaxAge}
 	var err error
 	if stated.Snapshot, err = place.Load(snapshot.Disk{}, time.Now().UnixNano()); err != nil {
-		log.Printf("event=snapshot-refused %s", hint.Tail(err))
+		log.Printf("event=snapshot-refused %s", hint.LogFields(err))
 	}
 	w := snapshot.NewWriter(snapshot.Disk{}, place, func(err error) {
 		if err == nil {
 			log.Printf("event=snapshot-written")
 			return
 		}
-		log.Printf("event=snapshot-unwritten %s", hint.Tail(err))
+		log.Printf("event=snapshot-unwritten %s", hint.LogFields(err))
 	})
-	stated.Save, stated.SaveEvery = w.Save, o.Oldest/8
+	stated.SaveSnapshot, stated.SaveEvery = w.Save, o.SnapshotMaxAge/8
 	return w.Close
 }
 
@@ -160,20 +160,20 @@
 			if config, err := read(); err == nil {
 				renewals.reread(config)
 			} else { // the one that is held stays
-				log.Printf("event=config-refused %s", hint.Tail(err))
+				log.Printf("event=config-refused %s", hint.LogFields(err))
 			}
 		}
 	}()
 	if err := sockets.Descriptors(config.Sockets); err != nil { // it serves as far as they go
-		log.Printf("event=descriptors-short %s", hint.Tail(err))
+		log.Printf("event=descriptors-short %s", hint.LogFields(err))
 	}
-	s, err := sockets.Listen(config.Listen, limiter.MostClients(config), config.Sockets)
+	s, err := sockets.Listen(config.Listen, limiter.MaxClients(config), config.Sockets)
 	if err != nil {
 		return err
 	}
-	stated := limiter.Stated{ListCalls: o.ListCalls, Connections: o.Connections}
+	stated := limiter.OperatorOptions{DiscoveryCallRate: o.DiscoveryCallRate, ConnectionRate: o.ConnectionRate}
 	defer snapshots(config, o, &stated)()
-	l, err := limiter.NewStated(clock(), config, stated, s)
+	l, err := limiter.NewWithOptions(clock(), config, stated, s)
 	if err != nil {
 		return err
 	}
@@ -181,7 +181,7 @@
 	if err := bounds(config, func(line string) { log.Print(line) }); err != nil {
 		return err
 	}
-	if *o != (operator.Operator{}) {
+	if *o != (operator.Options{}) {
 		if err := startBounds(config, o, func(line string) { log.Print(line) }); err != nil {
 			return err
 		}
--- a/cmd/ospreydist/main.go
+++ b/cmd/ospreydist/main.go
@@ -20,7 +20,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	if err := root().ExecuteContext(ctx); err != nil {
-		log.Printf("event=failed %s", hint.Tail(err))
+		log.Printf("event=failed %s", hint.LogFields(err))
 		cancel()
 		os.Exit(1)
 	}
--- a/cmd/ospreydist/relay.go
+++ b/cmd/ospreydist/relay.go
@@ -83,7 +83,7 @@
 	return func(err error) {
 		if now := clock(); now >= next {
 			next = now + int64(reportEvery)
-			log.Printf("event=config-call-failed %s", hint.Tail(err))
+			log.Printf("event=config-call-failed %s", hint.LogFields(err))
 		}
 	}
 }
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,8 +1,8 @@
 // Package buffer holds the one buffer of a connection.
 package buffer
 
-// Least is what a buffer holds at first and keeps when it is empty.
-const Least = 4 << 10
+// MinCapacity is what a buffer holds at first and keeps when it is empty.
+const MinCapacity = 4 << 10
 
 // Buffer holds what was read and not yet used up. The zero value is empty.
 type Buffer struct {
@@ -24,7 +24,7 @@
 		b.from = 0
 	}
 	if want := b.to + n; len(b.data) < want {
-		larger := make([]byte, max(want, 2*len(b.data), Least))
+		larger := make([]byte, max(want, 2*len(b.data), MinCapacity))
 		b.to = copy(larger, b.data[b.from:b.to])
 		b.from, b.data = 0, larger
 	}
@@ -40,7 +40,7 @@
 		return
 	}
 	b.from, b.to = 0, 0
-	if len(b.data) > Least {
+	if len(b.data) > MinCapacity {
 		b.data = nil
 	}
 }
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -10,18 +10,18 @@
 func TestSpace(t *testing.T) {
 	t.Run("what is left moves to the front before the buffer grows", func(t *testing.T) {
 		var b Buffer
-		fill(&b, string(make([]byte, Least-1)))
-		b.Use(Least - 3)
+		fill(&b, string(make([]byte, MinCapacity-1)))
+		b.Use(MinCapacity - 3)
 		fill(&b, "xyz")
-		if got := string(b.Bytes()); got != "\x00\x00xyz" || len(b.data) != Least || b.from != 0 {
+		if got := string(b.Bytes()); got != "\x00\x00xyz" || len(b.data) != MinCapacity || b.from != 0 {
 			t.Fatalf("holds %q in %d bytes from %d", got, len(b.data), b.from)
 		}
 	})
 	t.Run("it grows and keeps what it holds", func(t *testing.T) {
 		var b Buffer
 		fill(&b, "ab")
-		fill(&b, string(make([]byte, Least)))
-		if got := b.Bytes(); len(got) != Least+2 || string(got[:2]) != "ab" {
+		fill(&b, string(make([]byte, MinCapacity)))
+		if got := b.Bytes(); len(got) != MinCapacity+2 || string(got[:2]) != "ab" {
 			t.Fatalf("holds %d bytes", len(got))
 		}
 	})
@@ -29,8 +29,8 @@
 
 func TestUse(t *testing.T) {
 	var b Buffer
-	fill(&b, string(make([]byte, 2*Least)))
-	b.Use(2 * Least)
+	fill(&b, string(make([]byte, 2*MinCapacity)))
+	b.Use(2 * MinCapacity)
 	if len(b.Bytes()) != 0 || b.data != nil {
 		t.Fatalf("an empty buffer keeps %d bytes", len(b.data))
 	}
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -17,18 +17,18 @@
 
 // Settings are what a start is computed from; times are nanoseconds. Every other figure here is a ratio to one of them.
 type Settings struct {
-	Limiters    int
-	Place       int     // this limiter's number among them, from 0; below 0 where it is not told
-	Chance      float64 // in [0, 1), drawn at the start, in the place of a number that is not told
-	DialTimeout int64
-	AskEvery    int64 // the longest time between calls where lists are asked for, 0 where they are pushed
-	ColdFrom    float64
-	WarmWithin  int64
-	Told        int64   // what a silent list service has to tell counts as told so long after the silence began
-	Bound       int64   // a limiter that is not ready by then after its start has failed
-	Lead        int64   // how long this limiter's parts of the ceilings fill before clients should come
-	Budget      float64 // calls a second that the list service bears from all limiters, 0 where that is not stated
-	Connections float64 // new connections a second that a server bears from all limiters, 0 where that is not stated
+	Limiters             int
+	Position             int     // this limiter's number among them, from 0; below 0 where it is not told
+	Jitter               float64 // in [0, 1), drawn at the start, in the place of a number that is not told
+	DialTimeout          int64
+	PollInterval         int64 // the longest time between calls where lists are asked for, 0 where they are pushed
+	ColdCapacity         float64
+	SlowStartWindow      int64
+	NotificationDeadline int64   // what a silent list service has to tell counts as told so long after the silence began
+	ReadinessDeadline    int64   // a limiter that is not ready by then after its start has failed
+	CeilingLeadTime      int64   // how long this limiter's parts of the ceilings fill before clients should come
+	CallRate             float64 // calls a second that the list service bears from all limiters, 0 where that is not stated
+	ConnectionRate       float64 // new connections a second that a server bears from all limiters, 0 where that is not stated
 }
 
 const (
@@ -68,21 +68,21 @@
 type Kind uint8
 
 const (
-	Tick     Kind = iota // time has passed
-	Known                // a list from the configuration or the disk, which may be old
-	Asked                // a call has gone out to the list service
-	Answered             // with a list, perhaps with no changes
-	Turned               // turned away: the service has too much to do
-	Broke                // no answer, or one that cannot be read
-	Moved                // the service has moved to another address
-	Missed               // the instant of a call has passed, see Overslept
+	TimePassed     Kind = iota // time has passed
+	ListRestored               // a list from the configuration or the disk, which may be old
+	CallMade                   // a call has gone out to the list service
+	ListReceived               // with a list, perhaps with no changes
+	CallThrottled              // turned away: the service has too much to do
+	CallFailed                 // no answer, or one that cannot be read
+	DiscoveryMoved             // the service has moved to another address
+	SlotMissed                 // the instant of a call has passed, see Overslept
 )
 
 // Server is what a start knows of one server.
 type Server struct {
-	ID    string
-	Since int64 // its latest start, 0 for long ago
-	Gone  bool  // it is to get no more requests
+	ID        string
+	StartedAt int64 // its latest start, 0 for long ago
+	Leaving   bool  // it is to get no more requests
 }
 
 // Event is what has happened; Servers and Whole go with lists: only with Whole is what a list does not name gone.
@@ -118,8 +118,8 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	s := &Start{set: set, round: set.Round(), began: now, share: 1, spread: spreadFrom, last: now - 1}
-	if s.offset = int64(set.fraction() * float64(s.round)); set.AskEvery == 0 {
+	s := &Start{set: set, round: set.Period(), began: now, share: 1, spread: spreadFrom, last: now - 1}
+	if s.offset = int64(set.fraction() * float64(s.round)); set.PollInterval == 0 {
 		s.next = now // the agent is asked at no cost
 		return s, nil
 	}
@@ -131,31 +131,31 @@
 // to each other in number, which share customers and are restarted together, ask far apart; they go by rank among
 // those of all limiters, so that they are evenly apart at every size.
 func (s *Settings) fraction() float64 {
-	if s.Place < 0 {
-		return s.Chance
+	if s.Position < 0 {
+		return s.Jitter
 	}
 	golden := func(i int) float64 { _, part := math.Modf(float64(i) * math.Phi); return part }
 	rank := 0
 	for i := range s.Limiters {
-		if golden(i) < golden(s.Place) {
+		if golden(i) < golden(s.Position) {
 			rank++
 		}
 	}
 	return float64(rank) / float64(s.Limiters)
 }
 
-// Round is the time in which each limiter may call once, 0 where lists are pushed: limiters over budget. Where no budget is
+// Period is the time in which each limiter may call once, 0 where lists are pushed: limiters over budget. Where no budget is
 // stated it is what the settings imply: limiters over ask-every, or a whole number of times that where the list's clock asks
 // for more.
-func (s *Settings) Round() int64 {
+func (s *Settings) Period() int64 {
 	switch {
-	case s.AskEvery == 0:
+	case s.PollInterval == 0:
 		return 0
-	case s.Budget > 0:
-		return max(int64(math.Ceil(float64(s.Limiters)/s.Budget*1e9)), leastRound*s.DialTimeout)
+	case s.CallRate > 0:
+		return max(int64(math.Ceil(float64(s.Limiters)/s.CallRate*1e9)), leastRound*s.DialTimeout)
 	}
-	in := s.Told - answerTime*s.DialTimeout
-	return s.AskEvery / ((s.AskEvery + in - 1) / in)
+	in := s.NotificationDeadline - answerTime*s.DialTimeout
+	return s.PollInterval / ((s.PollInterval + in - 1) / in)
 }
 
 // instant is the first of this limiter's instants that is not before a time. What the caller's clock counts from must be
@@ -174,26 +174,26 @@
 // Step takes one event. It is the only function that changes a Start.
 func (s *Start) Step(now int64, e Event) {
 	switch e.Kind {
-	case Known:
+	case ListRestored:
 		s.take(e)
-	case Missed:
+	case SlotMissed:
 		s.missed, s.next = s.missed+1, s.instant(now)
-	case Asked:
+	case CallMade:
 		s.last, s.missed = now, 0
-		if hold, more := s.Wait(now); s.silent == 0 {
+		if hold, more := s.HoldTime(now); s.silent == 0 {
 			s.silent = now + hold + more
 		}
-	case Answered:
+	case ListReceived:
 		s.heard, s.silent, s.spread, s.retry = true, 0, max(spreadFrom, s.spread*spreadLess), false
 		s.take(e)
 		s.next = s.after(now)
-	case Turned:
+	case CallThrottled:
 		s.spread = min(2*s.spread, spreadMost)
 		s.fail(now)
-	case Broke:
+	case CallFailed:
 		s.fail(now)
-	case Moved: // what the new address has to tell counts as told soon; a stated budget goes before that
-		if s.next = now; s.set.AskEvery > 0 && s.set.Budget > 0 {
+	case DiscoveryMoved: // what the new address has to tell counts as told soon; a stated budget goes before that
+		if s.next = now; s.set.PollInterval > 0 && s.set.CallRate > 0 {
 			s.next = s.after(now)
 		}
 	}
@@ -212,7 +212,7 @@
 // retryRounds is the number of rounds within which a call behind a failed one has to go out, 1 at least: then what the service has
 // when it can be reached again is here before it counts as told, unless the settings are Late.
 func (s *Settings) retryRounds() int64 {
-	return max(1, (s.Told-answerTime*s.DialTimeout)/s.Round())
+	return max(1, (s.NotificationDeadline-answerTime*s.DialTimeout)/s.Period())
 }
 
 // after is when the next call goes out behind one that has ended. Where lists are asked for that is an instant of this
@@ -220,13 +220,13 @@
 // was stated or implied: then it is drawn from several rounds, by place, so that fewer limiters ask in a round, and others
 // in each. Where a budget is stated that is from no more rounds than keep the deadline of what the service has.
 func (s *Start) after(now int64) int64 {
-	if s.set.AskEvery == 0 {
+	if s.set.PollInterval == 0 {
 		return now
 	}
 	s.calls++
 	_, part := math.Modf(s.set.fraction() + float64(s.calls)*math.Phi)
 	at, spread := s.instant(max(now, s.last+1)), s.spread
-	if s.set.Budget > 0 {
+	if s.set.CallRate > 0 {
 		rounds := (s.last+s.set.retryRounds()*s.round-at)/s.round + 1
 		spread = min(spread, float64(max(1, rounds)))
 	}
@@ -245,11 +245,11 @@
 	for _, v := range e.Servers {
 		i, found := slices.BinarySearchFunc(s.servers, v.ID, func(a Server, id string) int { return cmp.Compare(a.ID, id) })
 		switch {
-		case found && v.Gone:
+		case found && v.Leaving:
 			s.servers = slices.Delete(s.servers, i, i+1)
 		case found:
-			s.servers[i].Since = max(s.servers[i].Since, v.Since)
-		case !v.Gone:
+			s.servers[i].StartedAt = max(s.servers[i].StartedAt, v.StartedAt)
+		case !v.Leaving:
 			s.servers = slices.Insert(s.servers, i, v)
 		}
 	}
@@ -264,7 +264,7 @@
 	if s.phase == Starting {
 		return
 	}
-	gone := !s.heard || s.silent != 0 && now > s.silent+s.set.Told
+	gone := !s.heard || s.silent != 0 && now > s.silent+s.set.NotificationDeadline
 	sure := s.sure(now)
 	switch {
 	case gone && s.phase != Syncing:
@@ -297,12 +297,12 @@
 func (s *Start) sure(now int64) float64 {
 	sum := 0.0
 	for _, v := range s.servers {
-		if v.Since == 0 || now >= v.Since+s.set.WarmWithin {
+		if v.StartedAt == 0 || now >= v.StartedAt+s.set.SlowStartWindow {
 			sum++
 			continue
 		}
-		part := float64(max(0, now-v.Since)) / float64(s.set.WarmWithin)
-		sum += s.set.ColdFrom + (1-s.set.ColdFrom)*part
+		part := float64(max(0, now-v.StartedAt)) / float64(s.set.SlowStartWindow)
+		sum += s.set.ColdCapacity + (1-s.set.ColdCapacity)*part
 	}
 	if len(s.servers) == 0 || sum == float64(len(s.servers)) {
 		return 1
@@ -316,26 +316,26 @@
 // Share is the share of its part that the limiter sends, in (0, 1], as of the latest Step.
 func (s *Start) Share() float64 { return s.share }
 
-// Due is when the list service is to be asked next; while a call is out, and where lists are pushed, it tells nothing.
-func (s *Start) Due() int64 { return s.next }
+// NextSlot is when the list service is to be asked next; while a call is out, and where lists are pushed, it tells nothing.
+func (s *Start) NextSlot() int64 { return s.next }
 
-// Overslept tells whether the instant of the next call has passed so long ago that a call now would be at another's. All that
+// MissedSlot tells whether the instant of the next call has passed so long ago that a call now would be at another's. All that
 // were stopped for a while and go on together would call at once. One that is always late calls late, once it has missed a few.
-func (s *Start) Overslept(now int64) bool {
-	return s.set.AskEvery > 0 && s.missed < missedMost && now > s.next+s.round/int64(s.set.Limiters)
+func (s *Start) MissedSlot(now int64) bool {
+	return s.set.PollInterval > 0 && s.missed < missedMost && now > s.next+s.round/int64(s.set.Limiters)
 }
 
-// Wait is how long a call that goes out at now lets the service hold it, and how long after that it is given up.
+// HoldTime is how long a call that goes out at now lets the service hold it, and how long after that it is given up.
 // It is held up to the last instant of this limiter within ask-every, or to the next one if that is later: news comes at
 // once meanwhile, and where there is none the next call goes on with the watch. A retry is held within the deadline of what the
 // service has when it can be reached again.
-func (s *Start) Wait(now int64) (hold, more int64) {
-	if s.set.AskEvery == 0 || !s.listed {
+func (s *Start) HoldTime(now int64) (hold, more int64) {
+	if s.set.PollInterval == 0 || !s.listed {
 		return 0, queue * s.set.DialTimeout
 	}
-	within := s.set.AskEvery
-	if s.retry && s.set.Budget > 0 {
-		within = min(within, s.set.Told-answerTime*s.set.DialTimeout)
+	within := s.set.PollInterval
+	if s.retry && s.set.CallRate > 0 {
+		within = min(within, s.set.NotificationDeadline-answerTime*s.set.DialTimeout)
 	}
 	until := s.instant(now + 1 + max(0, within-s.round))
 	return max(0, min(until-now-s.lead(), mostHold)), queue * s.set.DialTimeout
@@ -344,13 +344,13 @@
 // lead is how long before an instant a held call comes back.
 func (s *Start) lead() int64 { return min(s.set.DialTimeout/resume, s.round/resumeMost) }
 
-// GiveUp is after how long a call that goes out at now and may wait for hold is given up if it is still unanswered: just before the
+// ResponseTimeout is after how long a call that goes out at now and may wait for hold is given up if it is still unanswered: just before the
 // last instant from which the next call brings what this one missed before it counts as told, or before the first instant behind the
 // hold where that one is too late as well.
-func (s *Start) GiveUp(now, hold int64) int64 {
-	told := now + s.set.Told
+func (s *Start) ResponseTimeout(now, hold int64) int64 {
+	told := now + s.set.NotificationDeadline
 	if hold > 0 && !s.retry {
-		told = max(told, now+hold+s.set.Told/toldWait)
+		told = max(told, now+hold+s.set.NotificationDeadline/toldWait)
 	}
 	spare := s.lead() / early
 	last := s.instant(told-answerTime*s.set.DialTimeout+1) - s.round
@@ -361,12 +361,12 @@
 // ceilings and for its first word from the list service, which it does not wait for longer than a connection takes;
 // with none it would only turn requests away, so it waits for one, though not for ever.
 func (s *Start) ReadyAt() int64 {
-	bound := s.began + int64(readyMost*float64(s.set.Bound))
+	bound := s.began + int64(readyMost*float64(s.set.ReadinessDeadline))
 	if s.heard {
-		return min(s.began+s.set.Lead, bound)
+		return min(s.began+s.set.CeilingLeadTime, bound)
 	}
 	if s.listed {
-		return min(s.began+max(s.set.Lead, s.set.DialTimeout), bound)
+		return min(s.began+max(s.set.CeilingLeadTime, s.set.DialTimeout), bound)
 	}
 	return bound
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -21,8 +21,8 @@
 )
 
 func settings(limiters, place int, budget float64) Settings {
-	return Settings{Limiters: limiters, Place: place, DialTimeout: second / 4, AskEvery: 10 * second, ColdFrom: 0.25,
-		WarmWithin: 15 * second, Told: 6 * second, Bound: 30 * second, Lead: second, Budget: budget}
+	return Settings{Limiters: limiters, Position: place, DialTimeout: second / 4, PollInterval: 10 * second, ColdCapacity: 0.25,
+		SlowStartWindow: 15 * second, NotificationDeadline: 6 * second, ReadinessDeadline: 30 * second, CeilingLeadTime: second, CallRate: budget}
 }
 
 // fleet is all limiters before one list service.
@@ -55,11 +55,11 @@
 
 func (f *fleet) start(i int, now int64) {
 	set := f.set
-	set.Place, set.Lead = i, f.chance.Int63n(40*second)
+	set.Position, set.CeilingLeadTime = i, f.chance.Int63n(40*second)
 	s, err := New(now, set)
 	require.NoError(f.t, err)
 	f.all[i], f.back[i], f.listed[i] = s, 0, 0
-	f.step(i, now, Event{Kind: Known, Whole: true, Servers: f.list(now)})
+	f.step(i, now, Event{Kind: ListRestored, Whole: true, Servers: f.list(now)})
 }
 
 // list is one of servers of which some are cold, and some have gone.
@@ -76,16 +76,16 @@
 	from, share, setbacks := s.Phase(), s.Share(), s.Setbacks
 	s.Step(now, e) // panics off the edges
 	switch age := now - s.began; {
-	case s.Phase() == Starting && from != Starting, s.Phase() == Starting && age >= s.set.Bound:
+	case s.Phase() == Starting && from != Starting, s.Phase() == Starting && age >= s.set.ReadinessDeadline:
 		require.FailNow(f.t, "not ready", "after %d ns", age)
-	case s.Phase() != Starting && age < min(s.set.Lead, s.set.Bound/2):
+	case s.Phase() != Starting && age < min(s.set.CeilingLeadTime, s.set.ReadinessDeadline/2):
 		require.FailNow(f.t, "ready before its parts have filled", "after %d ns", age)
 	case s.Share() < share && s.Setbacks == setbacks || s.Share() <= 0 || s.Share() > 1:
 		require.FailNow(f.t, "no list has thrown it back", "share %v after %v in %v", s.Share(), share, s.Phase())
-	case s.Due() > now+(spreadMost+1)*s.round:
+	case s.NextSlot() > now+(spreadMost+1)*s.round:
 		require.FailNow(f.t, "it asks no more", "limiter %d", i)
 	}
-	if hold, _ := s.Wait(now); hold > 0 && hold < mostHold && (now+hold-s.offset)%s.round < s.round/2 {
+	if hold, _ := s.HoldTime(now); hold > 0 && hold < mostHold && (now+hold-s.offset)%s.round < s.round/2 {
 		require.FailNow(f.t, "a call comes back behind its instant", "held for %d ns", hold)
 	}
 }
@@ -97,26 +97,26 @@
 			switch {
 			case now < s.began: // not yet there
 			case f.back[i] > 0 && now >= f.back[i] && f.down:
-				f.step(i, now, Event{Kind: Broke})
+				f.step(i, now, Event{Kind: CallFailed})
 				f.back[i] = 0
 			case f.back[i] > 0 && now >= f.back[i]:
-				f.step(i, now, Event{Kind: Answered, Whole: f.chance.Intn(2) == 0, Servers: f.list(now)})
+				f.step(i, now, Event{Kind: ListReceived, Whole: f.chance.Intn(2) == 0, Servers: f.list(now)})
 				if f.back[i] = 0; f.listed[i] == 0 {
 					f.listed[i] = now
 				}
-			case f.back[i] == 0 && s.Overslept(now):
-				f.step(i, now, Event{Kind: Missed})
-			case f.back[i] == 0 && now >= s.Due():
-				f.step(i, now, Event{Kind: Asked})
+			case f.back[i] == 0 && s.MissedSlot(now):
+				f.step(i, now, Event{Kind: SlotMissed})
+			case f.back[i] == 0 && now >= s.NextSlot():
+				f.step(i, now, Event{Kind: CallMade})
 				f.calls = append(f.calls, now)
 				f.taken, f.at = max(0, f.taken-f.bears*float64(now-f.at)/1e9), now
 				if f.chance.Float64() < f.refuses || f.bears > 0 && f.taken > 2 {
 					f.turned++
-					f.step(i, now, Event{Kind: Turned})
+					f.step(i, now, Event{Kind: CallThrottled})
 					continue
 				}
 				f.taken++
-				hold, more := s.Wait(now)
+				hold, more := s.HoldTime(now)
 				if f.back[i] = now + hold; f.down {
 					f.back[i] += more
 				} else if f.listed[i] == 0 || f.news { // its list is old, or there will be news
@@ -160,7 +160,7 @@
 						if f.chance.Float64() < killed {
 							f.start(i, now+f.chance.Int63n(second))
 						} else if moved && now > f.all[i].began {
-							f.step(i, now, Event{Kind: Moved})
+							f.step(i, now, Event{Kind: DiscoveryMoved})
 							f.back[i] = 0
 						}
 					}
@@ -169,7 +169,7 @@
 					if now += dt; rapid.IntRange(0, 9).Draw(t, "stopped") == 0 { // all of them, and go on
 						now += 3 * dt
 					}
-					require.LessOrEqual(t, worst(f.calls), int(math.Ceil(set.Budget))+1, "calls in a second")
+					require.LessOrEqual(t, worst(f.calls), int(math.Ceil(set.CallRate))+1, "calls in a second")
 				}
 			})
 		})
@@ -204,14 +204,14 @@
 		servers    int
 		lead, want int64
 	}{
-		{"an old list: a dial time-out", []Kind{Known}, 1, 0, second / 4},
-		{"the agent's first word", []Kind{Known, Answered}, 1, 0, 0},
-		{"but not for longer than it has", []Kind{Known, Answered}, 1, 99 * second, 20 * second},
-		{"no list: as long as it may", []Kind{Broke}, 0, 0, 20 * second},
-		{"an empty list is none", []Kind{Known}, 0, 0, 20 * second},
+		{"an old list: a dial time-out", []Kind{ListRestored}, 1, 0, second / 4},
+		{"the agent's first word", []Kind{ListRestored, ListReceived}, 1, 0, 0},
+		{"but not for longer than it has", []Kind{ListRestored, ListReceived}, 1, 99 * second, 20 * second},
+		{"no list: as long as it may", []Kind{CallFailed}, 0, 0, 20 * second},
+		{"an empty list is none", []Kind{ListRestored}, 0, 0, 20 * second},
 	} {
 		set := settings(300, 4, 20)
-		set.Lead = c.lead
+		set.CeilingLeadTime = c.lead
 		s, _ := New(epoch, set)
 		for _, k := range c.kinds {
 			s.Step(epoch, Event{Kind: k, Whole: true, Servers: make([]Server, c.servers)})
@@ -223,12 +223,12 @@
 // TestShare: with all servers cold it begins with what they can do for sure, and what came back cold later throws it back.
 func TestShare(t *testing.T) {
 	set := settings(10, 0, 20)
-	set.Lead = 0
+	set.CeilingLeadTime = 0
 	s, _ := New(epoch, set)
 	list := func(since ...int64) Event {
-		e := Event{Kind: Answered, Whole: true}
+		e := Event{Kind: ListReceived, Whole: true}
 		for i, at := range since {
-			e.Servers = append(e.Servers, Server{ID: fmt.Sprint(i), Since: max(0, epoch*min(at, 1)+at)})
+			e.Servers = append(e.Servers, Server{ID: fmt.Sprint(i), StartedAt: max(0, epoch*min(at, 1)+at)})
 		}
 		return e
 	}
@@ -241,8 +241,8 @@
 		{0, list(1, 1), 0.25, Warming}, {second, Event{}, 0.3, Warming}, {16 * second, Event{}, 1, Steady},
 		{20 * second, list(0, 0, 0, 0, 0, 0, 0, 0, 20*second), 1, Steady}, {21 * second, list(0, 21*second), 0.625, Warming},
 		{22 * second, list(0, 0), 0.65, Warming}, // a later start is known
-		{23 * second, Event{Kind: Answered, Servers: []Server{{ID: "1", Gone: true}}}, 1, Steady},
-		{40 * second, Event{Kind: Asked}, 1, Steady}, {60 * second, Event{}, 1, Syncing}, {61 * second, list(0, 0), 1, Steady},
+		{23 * second, Event{Kind: ListReceived, Servers: []Server{{ID: "1", Leaving: true}}}, 1, Steady},
+		{40 * second, Event{Kind: CallMade}, 1, Steady}, {60 * second, Event{}, 1, Syncing}, {61 * second, list(0, 0), 1, Steady},
 	} {
 		s.Step(epoch+c.at, c.e)
 		require.Equal(t, c.phase, s.Phase(), "step %d", i)
@@ -254,10 +254,10 @@
 func TestBucket(t *testing.T) {
 	for _, c := range []struct{ limiters, servers int }{{10, 8}, {100, 40}, {300, 200}, {1000, 200}} {
 		set := settings(c.limiters, 0, 20)
-		set.Connections = 12
+		set.ConnectionRate = 12
 		at := make([][]int64, c.servers)
 		for i := range c.limiters {
-			set.Place = i
+			set.Position = i
 			_, golden := math.Modf(float64(i) * math.Phi)
 			for k := range circle(c.limiters, c.servers) {
 				server := (int(golden*float64(c.servers)) + k) % c.servers
@@ -270,7 +270,7 @@
 			}
 		}
 		for server, calls := range at {
-			assert.LessOrEqual(t, worst(calls), int(set.Connections)+3, "%v: connections to server %d in a second", c, server)
+			assert.LessOrEqual(t, worst(calls), int(set.ConnectionRate)+3, "%v: connections to server %d in a second", c, server)
 		}
 	}
 }
@@ -278,19 +278,19 @@
 func TestAdvise(t *testing.T) {
 	set := settings(300, 4, 20)
 	a, err := set.Advise(200)
-	var late *Late
-	if !errors.As(err, &late) || a.All != 15*second || a.Late != 15*second+second/2-6*second ||
+	var late *LateNotificationError
+	if !errors.As(err, &late) || a.AllPolledWithin != 15*second || a.Late != 15*second+second/2-6*second ||
 		!strings.Contains(late.Hint(), "54.55") {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	set.Budget = 0
+	set.CallRate = 0
 	a, err = set.Advise(200)
-	require.True(t, err == nil && a.All == 5*second && a.Calls == 60, "%+v, %v", a, err)
-	set.Connections, set.Place = 150, -1
+	require.True(t, err == nil && a.AllPolledWithin == 5*second && a.CallRate == 60, "%+v, %v", a, err)
+	set.ConnectionRate, set.Position = 150, -1
 	a, err = set.Advise(200)
-	require.True(t, err == nil && a.Sharer == 0.5 && !a.Even, "%+v, %v", a, err)
-	set.WarmWithin = 0
-	var bad *Bad
+	require.True(t, err == nil && a.ConnectionRate == 0.5 && !a.EvenRate, "%+v, %v", a, err)
+	set.SlowStartWindow = 0
+	var bad *SettingError
 	_, err = set.Advise(200)
 	require.True(t, errors.As(err, &bad) && bad.Key == "warm-within" && bad.Hint() != "", "%v", err)
 }
--- a/internal/coldstart/connections.go
+++ b/internal/coldstart/connections.go
@@ -8,10 +8,10 @@
 	circleLeast = 8
 )
 
-// Sharers is the number of limiters whose circles hold one server, of so many servers: a mean, which no server passes by
+// LimitersPerServer is the number of limiters whose circles hold one server, of so many servers: a mean, which no server passes by
 // more than one where the limiters know their places; where they do not, each has all servers.
-func (s *Settings) Sharers(servers int) int {
-	if s.Place < 0 {
+func (s *Settings) LimitersPerServer(servers int) int {
+	if s.Position < 0 {
 		return s.Limiters
 	}
 	servers = max(servers, 1)
@@ -36,7 +36,7 @@
 func NewBucket(now int64, set *Settings, servers int) Bucket {
 	servers = max(servers, 1)
 	_, level := math.Modf(set.fraction() * float64(servers) / float64(circle(set.Limiters, servers)))
-	return Bucket{rate: set.Connections / float64(set.Sharers(servers)), level: level, at: now}
+	return Bucket{rate: set.ConnectionRate / float64(set.LimitersPerServer(servers)), level: level, at: now}
 }
 
 // Take tells whether a connection may be opened at now and counts it.
--- a/internal/coldstart/deadline_test.go
+++ b/internal/coldstart/deadline_test.go
@@ -33,18 +33,18 @@
 			set := settings(places, 0, budget)
 			set.DialTimeout = dial
 			advice, err := set.Advise(200)
-			var late *Late
+			var late *LateNotificationError
 			require.True(t, err == nil || errors.As(err, &late))
-			t.Run(fmt.Sprintf("dial %d ms, a round of %.2f s", dial/1e6, float64(set.Round())/1e9), func(t *testing.T) {
+			t.Run(fmt.Sprintf("dial %d ms, a round of %.2f s", dial/1e6, float64(set.Period())/1e9), func(t *testing.T) {
 				slowest := int64(0)
-				for set.Place = range places {
+				for set.Position = range places {
 					for n := range orders {
 						slowest = max(slowest, play(t, set, n, inRow))
 					}
 				}
 				t.Logf("%.3f s at most, late by %.3f s as advised", float64(slowest)/1e9, float64(advice.Late)/1e9)
-				require.LessOrEqual(t, slowest, set.Told+advice.Late)
-				require.True(t, advice.Late == 0 || slowest > set.Told, "it is not late")
+				require.LessOrEqual(t, slowest, set.NotificationDeadline+advice.Late)
+				require.True(t, advice.Late == 0 || slowest > set.NotificationDeadline, "it is not late")
 			})
 		}
 	}
@@ -55,32 +55,32 @@
 func play(t *testing.T, set Settings, n, inRow int) (longest int64) {
 	s, err := New(epoch, set)
 	require.NoError(t, err)
-	s.Step(epoch, Event{Kind: Known, Whole: true, Servers: []Server{{ID: "a"}}})
+	s.Step(epoch, Event{Kind: ListRestored, Whole: true, Servers: []Server{{ID: "a"}}})
 	for i := range inRow {
-		begins := s.Due()
-		s.Step(begins, Event{Kind: Asked})
-		ends, kind := begins+set.DialTimeout/5, Broke
-		back, told := begins, set.Told
+		begins := s.NextSlot()
+		s.Step(begins, Event{Kind: CallMade})
+		ends, kind := begins+set.DialTimeout/5, CallFailed
+		back, told := begins, set.NotificationDeadline
 		switch failure(n % int(failures)) {
 		case unanswered:
 			ends = begins + set.DialTimeout
 		case turnedAway:
-			kind, back = Turned, ends
+			kind, back = CallThrottled, ends
 		case turnedSlow:
-			ends, kind = ends+second, Turned
+			ends, kind = ends+second, CallThrottled
 			back = ends
 		case broken:
 			back, ends = ends, ends+second
 		case silent:
-			hold, _ := s.Wait(ends)
+			hold, _ := s.HoldTime(ends)
 			if back = ends; i == 0 { // a watch that fell silent, and no call has failed
-				told = max(told, hold+set.Told/toldWait)
+				told = max(told, hold+set.NotificationDeadline/toldWait)
 			}
-			ends += s.GiveUp(ends, hold)
+			ends += s.ResponseTimeout(ends, hold)
 		}
 		n /= int(failures)
 		s.Step(ends, Event{Kind: kind})
-		longest = max(longest, s.Due()+answerTime*set.DialTimeout-back-(told-set.Told))
+		longest = max(longest, s.NextSlot()+answerTime*set.DialTimeout-back-(told-set.NotificationDeadline))
 	}
 	return longest
 }
@@ -91,17 +91,17 @@
 	for _, budget := range []float64{0.5, 2, 4, 12, 100} {
 		for place := range 12 {
 			s, _ := New(epoch, settings(12, place, budget))
-			s.Step(epoch, Event{Kind: Known, Whole: true, Servers: []Server{{ID: "a"}}})
-			for _, kind := range []Kind{Tick, Broke} {
+			s.Step(epoch, Event{Kind: ListRestored, Whole: true, Servers: []Server{{ID: "a"}}})
+			for _, kind := range []Kind{TimePassed, CallFailed} {
 				s.Step(epoch, Event{Kind: kind})
 				for dialled := range int64(4) {
-					now := s.Due() + dialled*second/16
+					now := s.NextSlot() + dialled*second/16
 					for hold := range map[int64]bool{0: true, s.held(now): true} {
-						at := s.GiveUp(now, hold)
+						at := s.ResponseTimeout(now, hold)
 						before := s.instant(now+at) - now - at
 						require.True(t, before > 0 && before <= s.lead()/early, "given up %d ns before an instant", before)
 						later := at + before + s.round + answerTime*s.set.DialTimeout
-						require.Greater(t, later, s.set.Told, "a call could be waited for longer")
+						require.Greater(t, later, s.set.NotificationDeadline, "a call could be waited for longer")
 						require.True(t, at-hold >= s.lead()*3/4 || hold == 0, "a hold of %d ns, given up after %d", hold, at)
 					}
 				}
@@ -110,4 +110,4 @@
 	}
 }
 
-func (s *Start) held(now int64) int64 { hold, _ := s.Wait(now); return hold }
+func (s *Start) held(now int64) int64 { hold, _ := s.HoldTime(now); return hold }
--- a/internal/counterwire/counterwire.go
+++ b/internal/counterwire/counterwire.go
@@ -9,18 +9,18 @@
 
 const mostLine = 256
 
-// Kind is what the counter said.
-type Kind uint8
+// ReplyKind is what the counter said.
+type ReplyKind uint8
 
 const (
-	Added   Kind = iota // and what the total is now
-	Busy                // nothing was added
-	Refused             // no such call, nothing was added
+	Added      ReplyKind = iota // and what the total is now
+	Overloaded                  // nothing was added
+	Rejected                    // no such call, nothing was added
 	Pong
 )
 
-// AppendCall writes a call; the life is in nanoseconds.
-func AppendCall(to []byte, name uint64, amount float64, life int64) []byte {
+// AppendAdd writes a call; the life is in nanoseconds.
+func AppendAdd(to []byte, name uint64, amount float64, life int64) []byte {
 	to = append(to, "tally "...)
 	to = strconv.AppendUint(to, name, 10)
 	to = append(to, ' ')
@@ -43,8 +43,8 @@
 	return false
 }
 
-// Read reads one answer and tells how many bytes it took: 0 while it is not whole.
-func Read(b []byte) (kind Kind, total float64, n int, err error) {
+// ReadReply reads one answer and tells how many bytes it took: 0 while it is not whole.
+func ReadReply(b []byte) (kind ReplyKind, total float64, n int, err error) {
 	i := bytes.IndexByte(b[:min(len(b), mostLine)], '\n')
 	if i < 0 {
 		// A line that no answer begins with may never end.
@@ -65,9 +65,9 @@
 		}
 		return Added, total, i + 1, nil
 	case "busy":
-		return Busy, 0, i + 1, nil
+		return Overloaded, 0, i + 1, nil
 	case "error":
-		return Refused, 0, i + 1, nil
+		return Rejected, 0, i + 1, nil
 	case "pong":
 		return Pong, 0, i + 1, nil
 	}
--- a/internal/counterwire/counterwire_test.go
+++ b/internal/counterwire/counterwire_test.go
@@ -18,7 +18,7 @@
 		{"no exponents", 123456789.25, 1e6, "tally 7 123456789.25 1\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := string(AppendCall(nil, 7, c.amount, c.life)); got != c.want {
+			if got := string(AppendAdd(nil, 7, c.amount, c.life)); got != c.want {
 				t.Fatalf("wrote %q, want %q", got, c.want)
 			}
 		})
@@ -28,14 +28,14 @@
 func TestRead(t *testing.T) {
 	for _, c := range []struct {
 		in    string
-		kind  Kind
+		kind  ReplyKind
 		total float64
 		used  int
 		bad   bool
 	}{
 		{"ok 38.5\r\nok 1\r\n", Added, 38.5, 9, false},
-		{"busy\r\n", Busy, 0, 6, false},
-		{"error\r\n", Refused, 0, 7, false},
+		{"busy\r\n", Overloaded, 0, 6, false},
+		{"error\r\n", Rejected, 0, 7, false},
 		{"pong\r\n", Pong, 0, 6, false},
 		{"ok 3", 0, 0, 0, false},
 		{"ok\r\n", 0, 0, 0, true},
@@ -48,8 +48,8 @@
 		{strings.Repeat("x", mostLine), 0, 0, 0, true},
 	} {
 		t.Run(c.in[:min(8, len(c.in))], func(t *testing.T) {
-			kind, total, used, err := Read([]byte(c.in))
-			var spoilt *SpoiltError
+			kind, total, used, err := ReadReply([]byte(c.in))
+			var spoilt *MalformedError
 			if kind != c.kind || total != c.total || used != c.used || errors.As(err, &spoilt) != c.bad || !c.bad && err != nil {
 				t.Fatalf("kind %d, total %v, used %d, error %v", kind, total, used, err)
 			}
@@ -61,7 +61,7 @@
 	f.Add([]byte("ok 38\r\n"))
 	f.Add([]byte("busy\r\npong\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		_, total, used, err := Read(in)
+		_, total, used, err := ReadReply(in)
 		if used > len(in) || used > 0 && err != nil || total != total {
 			t.Fatalf("used %d of %d, total %v, error %v", used, len(in), total, err)
 		}
--- a/internal/counterwire/errors.go
+++ b/internal/counterwire/errors.go
@@ -2,47 +2,47 @@
 
 import "fmt"
 
-// SpoiltError is for a line that the counter does not write.
-type SpoiltError struct {
+// MalformedError is for a line that the counter does not write.
+type MalformedError struct {
 	Line string // the first bytes of it
 }
 
-func (e *SpoiltError) Error() string {
+func (e *MalformedError) Error() string {
 	return fmt.Sprintf("the counter wrote %q, which is no answer", e.Line)
 }
-func (e *SpoiltError) Hint() string {
+func (e *MalformedError) Hint() string {
 	return "many of them: check that the counter, and nothing else, listens at the configuration's counter address"
 }
 
 // shown is how many bytes of a spoilt line an error holds.
 const shown = 32
 
-func spoilt(b []byte) error { return &SpoiltError{Line: string(b[:min(len(b), shown)])} }
+func spoilt(b []byte) error { return &MalformedError{Line: string(b[:min(len(b), shown)])} }
 
-// CrossedError is for an answer of the wrong kind: a ping was out and a call's answer came, or the other way round.
-type CrossedError struct {
+// MismatchError is for an answer of the wrong kind: a ping was out and a call's answer came, or the other way round.
+type MismatchError struct {
 	Ping bool // a ping was out
 }
 
-func (e *CrossedError) Error() string {
+func (e *MismatchError) Error() string {
 	if e.Ping {
 		return "the counter answered a ping with a call's answer"
 	}
 	return "the counter answered a call with a ping's answer"
 }
-func (e *CrossedError) Hint() string {
+func (e *MismatchError) Hint() string {
 	return "check what listens at the configuration's counter address; it must answer in the order of the calls"
 }
 
-// RefusedError is for a call that the counter does not take; nothing was added.
-type RefusedError struct {
+// RejectedError is for a call that the counter does not take; nothing was added.
+type RejectedError struct {
 	Name   uint64
 	Amount float64
 }
 
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("the counter knows no such call: name %d, amount %v", e.Name, e.Amount)
 }
-func (e *RefusedError) Hint() string {
+func (e *RejectedError) Hint() string {
 	return "report it, with this line; if each call is refused, check that the counter has this protocol"
 }
--- a/internal/countloss/countloss.go
+++ b/internal/countloss/countloss.go
@@ -17,27 +17,27 @@
 	"ospreycroft/choice"
 )
 
-// Case is a way of losing the shared count.
-type Case uint8
+// Scenario is a way of losing the shared count.
+type Scenario uint8
 
 // The cases the bound is stated for.
 const (
-	Lost  Case = iota // down, refusing, or answering after the wait: the slices decide
-	Reset             // emptied, or replaced by an empty store
-	Split             // parts that each see only some of the limiters' adds
+	Lost  Scenario = iota // down, refusing, or answering after the wait: the slices decide
+	Reset                 // emptied, or replaced by an empty store
+	Split                 // parts that each see only some of the limiters' adds
 )
 
-func (c Case) String() string { return [...]string{"lost", "reset", "split"}[c] }
+func (c Scenario) String() string { return [...]string{"lost", "reset", "split"}[c] }
 
 // Bound is the most by which what reaches servers for one customer, counted as inside its quota, can pass the
 // quota's own bucket (B at once, R a second) over any span in which the case holds. Units and units a second.
 type Bound struct {
-	Plan    string
-	Case    Case
-	Set     int     // the customer's limiters
-	Parts   int     // a split's parts; 1 otherwise
-	AtOnce  float64 // units beyond the quota's burst, once
-	ASecond float64 // units a second beyond the quota's rate, for as long as the case lasts
+	Plan        string
+	Scenario    Scenario
+	Limiters    int     // the customer's limiters
+	Parts       int     // a split's parts; 1 otherwise
+	BurstExcess float64 // units beyond the quota's burst, once
+	ExcessRate  float64 // units a second beyond the quota's rate, for as long as the case lasts
 	// Ceiling is the most beyond a hard ceiling's depth and rate, over the same span: 0 by the arithmetic of
 	// the parts whatever the counter does; NaN where the plan has no ceiling.
 	Ceiling float64
@@ -48,23 +48,23 @@
 // Over is the bound's total over a span of seconds, capped by the ceiling's own margin over the quota where the
 // plan has one: a ceiling of D and H leaves at most D − B + (H − R)·t beyond the quota.
 func (b Bound) Over(plan *choice.Plan, seconds float64) float64 {
-	over := b.AtOnce + b.ASecond*seconds
+	over := b.BurstExcess + b.ExcessRate*seconds
 	if plan.CeilingRate > 0 {
 		over = math.Min(over, max(0, plan.CeilingBurst-plan.Burst+(plan.CeilingRate-plan.Rate)*seconds))
 	}
 	return over
 }
 
-// Of states the bound of one case for a plan, a set of s limiters and, for a split, its parts (at least 2).
+// BoundOf states the bound of one case for a plan, a set of s limiters and, for a split, its parts (at least 2).
 // Errors: a set below 1, a split of fewer than 2 parts, a plan with no rate.
-func Of(name string, plan *choice.Plan, mostUnits float64, s int, c Case, parts int) (Bound, error) {
+func BoundOf(name string, plan *choice.Plan, mostUnits float64, s int, c Scenario, parts int) (Bound, error) {
 	if s < 1 {
 		return Bound{}, fmt.Errorf("countloss: a set of %d limiters", s)
 	}
 	if plan.Rate <= 0 {
 		return Bound{}, fmt.Errorf("countloss: plan %s has no rate", name)
 	}
-	b := Bound{Plan: name, Case: c, Set: s, Parts: 1, Ceiling: math.NaN()}
+	b := Bound{Plan: name, Scenario: c, Limiters: s, Parts: 1, Ceiling: math.NaN()}
 	if plan.CeilingRate > 0 {
 		b.Ceiling = 0
 	}
@@ -72,12 +72,12 @@
 	switch c {
 	case Lost:
 		// s slices, each max(u·B/s, J) at once and u·R/s a second, against B + R·t.
-		u := math.Min(n, choice.Uneven)
-		b.AtOnce, b.ASecond = max(u*plan.Burst, n*mostUnits)-plan.Burst, (u-1)*plan.Rate
+		u := math.Min(n, choice.LocalQuotaParts)
+		b.BurstExcess, b.ExcessRate = max(u*plan.Burst, n*mostUnits)-plan.Burst, (u-1)*plan.Rate
 	case Reset:
 		// A limiter that has not looked lately takes the burst anew from an empty total, once for the store
 		// that was forgotten; those that had looked keep what they knew, and a fallen total gives nothing back.
-		b.AtOnce = plan.Burst
+		b.BurstExcess = plan.Burst
 	case Split:
 		if parts < 2 {
 			return Bound{}, fmt.Errorf("countloss: a split of %d parts", parts)
@@ -86,7 +86,7 @@
 		// heals, the parts that lose forget what was added there, which is a reset for their limiters.
 		m := float64(min(parts, s))
 		b.Parts = parts
-		b.AtOnce, b.ASecond = m*plan.Burst, (m-1)*plan.Rate
+		b.BurstExcess, b.ExcessRate = m*plan.Burst, (m-1)*plan.Rate
 	}
 	b.Capped = plan.CeilingRate > 0
 	return b, nil
@@ -107,16 +107,16 @@
 			continue // it has no quota in units that could be passed; a cap on attempts out is not bounded here
 		}
 		for _, c := range []struct {
-			c     Case
+			c     Scenario
 			parts int
 		}{{Lost, 1}, {Reset, 1}, {Split, 2}, {Split, set.Limiters}} {
-			if c.c == Split && c.parts == 2 && set.Limiters <= 2 && len(out) > 0 && out[len(out)-1].Case == Split {
+			if c.c == Split && c.parts == 2 && set.Limiters <= 2 && len(out) > 0 && out[len(out)-1].Scenario == Split {
 				continue // one split of two is all there is
 			}
 			if c.c == Split && c.parts < 2 {
 				continue
 			}
-			b, err := Of(name, plan, set.MostUnits, set.Limiters, c.c, c.parts)
+			b, err := BoundOf(name, plan, set.MaxRequestUnits, set.Limiters, c.c, c.parts)
 			if err != nil {
 				return nil, err
 			}
@@ -133,5 +133,5 @@
 		ceiling = fmt.Sprintf("%.4g", b.Ceiling)
 	}
 	return fmt.Sprintf("plan=%s case=%s set=%d parts=%d at_once=%.4g a_second=%.4g over_a_minute=%.4g ceiling_over=%s",
-		b.Plan, b.Case, b.Set, b.Parts, b.AtOnce, b.ASecond, b.Over(plan, 60), ceiling)
+		b.Plan, b.Scenario, b.Limiters, b.Parts, b.BurstExcess, b.ExcessRate, b.Over(plan, 60), ceiling)
 }
--- a/internal/countloss/countloss_test.go
+++ b/internal/countloss/countloss_test.go
@@ -13,44 +13,44 @@
 
 func TestLostIsTheSlicesLargestRequests(t *testing.T) {
 	// 4 limiters whose slices are two equal parts each: 40 at once and 20 a second against 20 and 10.
-	b, err := Of("department", department, 6, 4, Lost, 1)
-	if err != nil || b.AtOnce != 20 || b.ASecond != 10 || b.Ceiling != 0 {
+	b, err := BoundOf("department", department, 6, 4, Lost, 1)
+	if err != nil || b.BurstExcess != 20 || b.ExcessRate != 10 || b.Ceiling != 0 {
 		t.Fatalf("%+v %v", b, err)
 	}
 	// 10 whose slices hold 6 units at least: 60 at once.
-	if b, _ = Of("department", department, 6, 10, Lost, 1); b.AtOnce != 40 || b.ASecond != 10 {
+	if b, _ = BoundOf("department", department, 6, 10, Lost, 1); b.BurstExcess != 40 || b.ExcessRate != 10 {
 		t.Fatalf("%+v", b)
 	}
-	alone, _ := Of("basic", basic, 1, 1, Lost, 1)
-	if alone.AtOnce != 0 || alone.ASecond != 0 || !math.IsNaN(alone.Ceiling) {
+	alone, _ := BoundOf("basic", basic, 1, 1, Lost, 1)
+	if alone.BurstExcess != 0 || alone.ExcessRate != 0 || !math.IsNaN(alone.Ceiling) {
 		t.Fatalf("one limiter's slice is the whole store: %+v", alone)
 	}
 }
 
 func TestSplitGrowsWithTimeButTheCeilingCapsIt(t *testing.T) {
-	b, _ := Of("department", department, 6, 3, Split, 5) // only 3 parts can hold one of the 3 limiters
-	if b.AtOnce != 60 || b.ASecond != 20 {               // 3 whole stores, the heal's loss among them
+	b, _ := BoundOf("department", department, 6, 3, Split, 5) // only 3 parts can hold one of the 3 limiters
+	if b.BurstExcess != 60 || b.ExcessRate != 20 {            // 3 whole stores, the heal's loss among them
 		t.Fatalf("%+v", b)
 	}
 	// Over a minute: 60 + 1200 by the parts, but the ceiling leaves 20 + 10·60 = 620 beyond the quota.
 	if got := b.Over(department, 60); got != 620 {
 		t.Fatalf("over a minute: %v", got)
 	}
-	free, _ := Of("basic", basic, 6, 3, Split, 2)
+	free, _ := BoundOf("basic", basic, 6, 3, Split, 2)
 	if got := free.Over(basic, 60); got != 2*8+2*60 {
 		t.Fatalf("without a ceiling nothing caps it: %v", got)
 	}
 }
 
 func TestBadInputsAndTable(t *testing.T) {
-	if _, err := Of("x", basic, 6, 0, Lost, 1); err == nil {
+	if _, err := BoundOf("x", basic, 6, 0, Lost, 1); err == nil {
 		t.Error("a set of none")
 	}
-	if _, err := Of("x", basic, 6, 3, Split, 1); err == nil {
+	if _, err := BoundOf("x", basic, 6, 3, Split, 1); err == nil {
 		t.Error("a split of one part")
 	}
 	set := &choice.Settings{Plans: map[string]*choice.Plan{"department": department, "basic": basic,
-		"none": {}}, MostUnits: 6, Limiters: 3}
+		"none": {}}, MaxRequestUnits: 6, Limiters: 3}
 	rows, err := Table(set)
 	if err != nil || len(rows) != 8 || rows[0].Plan != "basic" || rows[4].Plan != "department" {
 		t.Fatalf("%d rows %v", len(rows), err)
--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -9,11 +9,11 @@
 	"net/http/httputil"
 )
 
-// Answer is one HTTP answer; the body points into the bytes it was read from, or is a copy where it came in chunks.
-type Answer struct {
-	Status int
-	Body   []byte
-	Last   bool // the connection ends behind it
+// Response is one HTTP answer; the body points into the bytes it was read from, or is a copy where it came in chunks.
+type Response struct {
+	Status     int
+	Body       []byte
+	CloseAfter bool // the connection ends behind it
 }
 
 var (
@@ -21,23 +21,23 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// Read reads one answer from all bytes that have come so far and tells how many it took: 0 while it is not whole. What
+// ReadResponse reads one answer from all bytes that have come so far and tells how many it took: 0 while it is not whole. What
 // cannot become an answer is told as soon as it shows. The reading itself is net/http's; how much to wait for, and what
 // no list service sends, is settled here. An answer without a length is never whole here: see ReadEnded.
-func Read(b []byte) (a Answer, n int, err error) { return read(b, false) }
+func ReadResponse(b []byte) (a Response, n int, err error) { return read(b, false) }
 
-// ReadEnded is the same where nothing comes behind the bytes: the other side has ended the connection in order, which ends an
+// ReadClosedResponse is the same where nothing comes behind the bytes: the other side has ended the connection in order, which ends an
 // answer without a length. A connection that was broken off, or that we gave up, ends none.
-func ReadEnded(b []byte) (a Answer, n int, err error) { return read(b, true) }
+func ReadClosedResponse(b []byte) (a Response, n int, err error) { return read(b, true) }
 
-func read(b []byte, ended bool) (a Answer, n int, err error) {
+func read(b []byte, ended bool) (a Response, n int, err error) {
 	if k := min(len(b), len(version)); !bytes.Equal(b[:k], version[:k]) {
 		return a, 0, &MalformedError{Why: "it is no HTTP/1"}
 	}
 	end := bytes.Index(b[:min(len(b), mostHead)], headEnd)
 	if end < 0 {
 		if len(b) >= mostHead {
-			err = &TooLongError{Part: "head", Most: mostHead}
+			err = &TooLongError{Part: "head", Max: mostHead}
 		}
 		return a, 0, err
 	}
@@ -53,7 +53,7 @@
 	case r.StatusCode < 100:
 		return a, 0, &MalformedError{Why: "its status is " + r.Status}
 	}
-	a.Status, a.Last = r.StatusCode, r.Close || r.ProtoMinor == 0
+	a.Status, a.CloseAfter = r.StatusCode, r.Close || r.ProtoMinor == 0
 	switch {
 	case r.Body == http.NoBody: // by its status, whatever its fields say, or by a length of 0
 		return a, len(head), nil
@@ -63,9 +63,9 @@
 		}
 		return a, n, err
 	case r.ContentLength > mostBody, r.ContentLength < 0 && len(rest) > mostBody:
-		return a, 0, &TooLongError{Part: "body", Most: mostBody}
+		return a, 0, &TooLongError{Part: "body", Max: mostBody}
 	case r.ContentLength < 0 && ended:
-		a.Body, a.Last = rest, true
+		a.Body, a.CloseAfter = rest, true
 		return a, len(b), nil
 	case r.ContentLength < 0:
 		return a, 0, nil
@@ -95,7 +95,7 @@
 	size, err = io.Copy(to, io.LimitReader(httputil.NewChunkedReader(from), mostBody+1))
 	switch {
 	case size > mostBody:
-		return 0, 0, &TooLongError{Part: "body", Most: mostBody}
+		return 0, 0, &TooLongError{Part: "body", Max: mostBody}
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return 0, 0, nil
 	case err != nil:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -18,13 +18,13 @@
 	latestStart = math.MaxInt64 / 1e6
 )
 
-var listings = map[string]choice.Listing{
-	"in_service": choice.Ready, "terminating": choice.Draining, "terminated": choice.Gone,
+var listings = map[string]choice.EndpointState{
+	"in_service": choice.EndpointReady, "terminating": choice.EndpointDraining, "terminated": choice.EndpointGone,
 }
 
-// Entry is one server of a list, with the address at which this limiter reaches it.
-type Entry struct {
-	choice.Entry
+// Endpoint is one server of a list, with the address at which this limiter reaches it.
+type Endpoint struct {
+	choice.Endpoint
 	Address string
 }
 
@@ -32,7 +32,7 @@
 type List struct {
 	Version int64
 	Whole   bool
-	Entries []Entry
+	Entries []Endpoint
 }
 
 // AppendFetch writes the call for the whole list.
@@ -45,8 +45,8 @@
 	return fmt.Appendf(to, "GET /discovery/hosts?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n", version, hold/1e6, host)
 }
 
-// Decode reads a list and refuses one that cannot be used, whole.
-func Decode(text []byte) (*List, error) {
+// DecodeList reads a list and refuses one that cannot be used, whole.
+func DecodeList(text []byte) (*List, error) {
 	var f struct {
 		Version *int64 `json:"generation"`
 		Whole   bool   `json:"reset"`
@@ -79,7 +79,7 @@
 		if e.ID == "" {
 			return nil, &ListRefusedError{Server: named(i, ""), Key: "instanceId", Why: "missing"}
 		}
-		if _, _, err := net.SplitHostPort(e.Address); err != nil && listing == choice.Ready {
+		if _, _, err := net.SplitHostPort(e.Address); err != nil && listing == choice.EndpointReady {
 			return nil, &ListRefusedError{Server: e.ID, Key: "hostPort", Cause: err}
 		}
 		if e.Weight < 0 {
@@ -88,8 +88,8 @@
 		if e.Started < 0 || e.Started > latestStart {
 			return nil, &ListRefusedError{Server: e.ID, Key: "startedAtMs", Why: fmt.Sprintf("is %v", e.Started)}
 		}
-		list.Entries = append(list.Entries, Entry{Address: e.Address, Entry: choice.Entry{ID: e.ID, Zone: e.Zone,
-			Cell: e.Cell, Listing: listing, Hint: e.Weight, Since: int64(e.Started * 1e6)}})
+		list.Entries = append(list.Entries, Endpoint{Address: e.Address, Endpoint: choice.Endpoint{ID: e.ID, Zone: e.Zone,
+			Cell: e.Cell, State: listing, Weight: e.Weight, StartedAt: int64(e.Started * 1e6)}})
 	}
 	return list, nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -68,8 +68,8 @@
 		{"a head without an end", "HTTP/1.1 200 " + strings.Repeat("x", mostHead), "", 0, false, tooLong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a, used, err := Read([]byte(c.in))
-			if !c.err(err) || err == nil && (used != c.used || string(a.Body) != c.body || used > 0 && a.Last != c.last) {
+			a, used, err := ReadResponse([]byte(c.in))
+			if !c.err(err) || err == nil && (used != c.used || string(a.Body) != c.body || used > 0 && a.CloseAfter != c.last) {
 				t.Fatalf("answer %+v, used %d, error %v", a, used, err)
 			}
 		})
@@ -91,11 +91,11 @@
 		{"nothing", "", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a, n, err := ReadEnded([]byte(c.in))
+			a, n, err := ReadClosedResponse([]byte(c.in))
 			require.NoError(t, err)
 			require.Equal(t, map[bool]int{true: len(c.in)}[c.took], n)
 			require.Equal(t, c.body, string(a.Body))
-			require.True(t, a.Last || !c.took)
+			require.True(t, a.CloseAfter || !c.took)
 		})
 	}
 }
@@ -103,14 +103,14 @@
 func TestDecode(t *testing.T) {
 	good := `{"generation":4,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","zone":"a","cell":3,` +
 		`"lifecycle":"terminating","weight":1.5,"startedAtMs":2000}]}`
-	list, err := Decode([]byte(good))
-	want := choice.Entry{ID: "s", Zone: "a", Cell: 3, Listing: choice.Draining, Hint: 1.5, Since: 2e9}
-	if err != nil || list.Version != 4 || !list.Whole || len(list.Entries) != 1 || list.Entries[0].Entry != want {
+	list, err := DecodeList([]byte(good))
+	want := choice.Endpoint{ID: "s", Zone: "a", Cell: 3, State: choice.EndpointDraining, Weight: 1.5, StartedAt: 2e9}
+	if err != nil || list.Version != 4 || !list.Whole || len(list.Entries) != 1 || list.Entries[0].Endpoint != want {
 		t.Fatalf("list %+v, error %v", list, err)
 	}
 	var indented bytes.Buffer
 	_ = json.Indent(&indented, []byte(good), "\r\n  ", "\t")
-	again, err := Decode(append(indented.Bytes(), "\n"...))
+	again, err := DecodeList(append(indented.Bytes(), "\n"...))
 	require.True(t, err == nil && reflect.DeepEqual(again, list), "indented: list %+v, error %v", again, err)
 	malformed, refused := is[*ListMalformedError], is[*ListRefusedError]
 	for _, c := range []struct {
@@ -131,13 +131,13 @@
 		{"a number in place of a name", `"s"`, `7`, "instanceId", malformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Decode([]byte(strings.Replace(good, c.old, c.new, 1)))
+			_, err := DecodeList([]byte(strings.Replace(good, c.old, c.new, 1)))
 			if !c.err(err) || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("error %v, want %s", err, c.want)
 			}
 		})
 	}
-	list, err = Decode([]byte(`{"generation":5,"reset":false,"instances":null}`))
+	list, err = DecodeList([]byte(`{"generation":5,"reset":false,"instances":null}`))
 	require.True(t, err == nil && len(list.Entries) == 0, "changes that are none: list %+v, error %v", list, err)
 }
 
@@ -146,20 +146,20 @@
 	f.Add([]byte(inChunks))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n" + inChunks))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		a, used, err := Read(in)
+		a, used, err := ReadResponse(in)
 		if used > len(in) || used > 0 && err != nil {
 			t.Fatalf("used %d of %d, error %v", used, len(in), err)
 		}
 		if used == 0 {
 			return
 		}
-		_, _ = Decode(a.Body)
+		_, _ = DecodeList(a.Body)
 		// What stands behind an answer changes nothing, and no part of it is taken for the whole or for a bad one.
-		if same, n, err := Read(in[:used]); n != used || err != nil || !reflect.DeepEqual(same, a) {
+		if same, n, err := ReadResponse(in[:used]); n != used || err != nil || !reflect.DeepEqual(same, a) {
 			t.Fatalf("alone %+v, used %d, error %v; before %+v, used %d", same, n, err, a, used)
 		}
 		for i := range min(used, 1<<10) {
-			if _, n, err := Read(in[:i]); n != 0 || err != nil {
+			if _, n, err := ReadResponse(in[:i]); n != 0 || err != nil {
 				t.Fatalf("%d bytes: used %d, error %v", i, n, err)
 			}
 		}
@@ -186,14 +186,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for to := 4 << 10; ; to += 4 << 10 {
-					a, n, err := Read(text[:min(to, len(text))])
+					a, n, err := ReadResponse(text[:min(to, len(text))])
 					if err != nil || n == 0 && to >= len(text) {
 						b.Fatalf("used %d, error %v", n, err)
 					} else if n == 0 {
 						continue
 					}
 					if decoded {
-						if l, err := Decode(a.Body); err != nil || len(l.Entries) != 200 {
+						if l, err := DecodeList(a.Body); err != nil || len(l.Entries) != 200 {
 							b.Fatalf("error %v", err)
 						}
 					}
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -22,23 +22,23 @@
 // TooLongError is for an answer with a part that passes its limit.
 type TooLongError struct {
 	Part string // "head" or "body"
-	Most int    // bytes
+	Max  int    // bytes
 }
 
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("discovery's answer is too long: its %s passes %d bytes", e.Part, e.Most)
+	return fmt.Sprintf("discovery's answer is too long: its %s passes %d bytes", e.Part, e.Max)
 }
 func (e *TooLongError) Hint() string {
 	return "check what the list service sends; a fleet whose list is really so long needs smaller tiers"
 }
 
-// TurnedAwayError is for a call that discovery has no time for now.
-type TurnedAwayError struct{ Status int }
+// ThrottledError is for a call that discovery has no time for now.
+type ThrottledError struct{ Status int }
 
-func (e *TurnedAwayError) Error() string {
+func (e *ThrottledError) Error() string {
 	return fmt.Sprintf("discovery turned the call away with status %d", e.Status)
 }
-func (e *TurnedAwayError) Hint() string {
+func (e *ThrottledError) Hint() string {
 	return "nothing if it is rare, the call comes again later and later; at many limiters, give discovery more room"
 }
 
@@ -84,13 +84,13 @@
 	return fmt.Sprintf("mend %s of server %s in the list", e.Key, e.Server)
 }
 
-// Refused tells why an answer brings no list, by its status; nil where it does.
-func (a Answer) Refused() error {
+// Err tells why an answer brings no list, by its status; nil where it does.
+func (a Response) Err() error {
 	switch a.Status {
 	case http.StatusOK:
 		return nil
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return &TurnedAwayError{Status: a.Status}
+		return &ThrottledError{Status: a.Status}
 	}
 	return &StatusError{Status: a.Status}
 }
--- a/internal/distribution/poller.go
+++ b/internal/distribution/poller.go
@@ -53,15 +53,15 @@
 }
 
 // First is how long to wait before the first call, in nanoseconds.
-func (p *Poller) First() int64 { return p.pacer.First() }
+func (p *Poller) First() int64 { return p.pacer.FirstDelay() }
 
 // Server is the server that is called now: 0 for the first, 1 for the second.
 func (p *Poller) Server(now int64) int { return p.selector.Selected(now) }
 
 // Call is the call to make now.
 func (p *Poller) Call(now int64) Call {
-	call := Call{Request: p.Next(now), Server: p.selector.Selected(now), Dial: p.pacer.Dial()}
-	call.Hold, call.Timeout = p.pacer.Ask(now, !call.Request.Hold)
+	call := Call{Request: p.Next(now), Server: p.selector.Selected(now), Dial: p.pacer.DialTimeout()}
+	call.Hold, call.Timeout = p.pacer.NextPoll(now, !call.Request.Hold)
 	return call
 }
 
@@ -85,7 +85,7 @@
 
 // answered notes an answer of use. One of a relay that is cut off is of use, but the other relay may know more.
 func (p *Poller) answered(now, age int64) {
-	p.pacer.Answered(now)
+	p.pacer.ResponseReceived(now)
 	p.throttled = 0
 	if age >= p.options.UnconfirmedAfter {
 		p.selector.Failed(now)
@@ -103,14 +103,14 @@
 		p.Subscriber.TakeError(err)
 		return 0 // a call for a piece is next, and that is paced
 	case errors.As(err, &refused):
-		p.pacer.Answered(now)
+		p.pacer.ResponseReceived(now)
 		return 0 // the next call is held
 	case errors.As(err, &throttled):
-		p.pacer.Answered(now)
+		p.pacer.ResponseReceived(now)
 		return throttled.RetryAfter + p.spread()
 	}
 	p.selector.Failed(now)
-	return p.pacer.Next(now, pollpacer.Broke)
+	return p.pacer.RetryDelay(now, pollpacer.Failed)
 }
 
 // spread is a wait that is another for each subscriber and longer with each call that was throttled in a row.
--- a/internal/distribution/statefile/errors.go
+++ b/internal/distribution/statefile/errors.go
@@ -112,18 +112,18 @@
 	return "look at whether two processes run with one name, or remove " + e.Path + " where the epochs were begun anew"
 }
 
-// UnwrittenError is for a snapshot that did not come to the disk; the one before it is still there.
-type UnwrittenError struct {
+// WriteError is for a snapshot that did not come to the disk; the one before it is still there.
+type WriteError struct {
 	Path  string
 	Cause error
 }
 
-func (e *UnwrittenError) Error() string {
+func (e *WriteError) Error() string {
 	return fmt.Sprintf("the state file %s is not written: %v", e.Path, e.Cause)
 }
-func (e *UnwrittenError) Unwrap() error { return e.Cause }
+func (e *WriteError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
-func (e *UnwrittenError) Hint() string {
+func (e *WriteError) Hint() string {
 	return "make room on the disk and let the limiter's user write there; until then a restart begins with an older state"
 }
--- a/internal/distribution/statefile/statefile.go
+++ b/internal/distribution/statefile/statefile.go
@@ -124,15 +124,15 @@
 	}
 	state, err := distribution.NewStateOf(s.Entries)
 	if err != nil {
-		return &UnwrittenError{Path: path, Cause: err}
+		return &WriteError{Path: path, Cause: err}
 	}
 	body, err := json.Marshal(content{Installation: p.Installation, Subscriber: p.Subscriber,
 		Digest: state.Digest(distribution.Scope{}), Snapshot: *s})
 	if err != nil {
-		return &UnwrittenError{Path: path, Cause: err}
+		return &WriteError{Path: path, Cause: err}
 	}
 	if err := p.write(path, frame(string(body))); err != nil {
-		return &UnwrittenError{Path: path, Cause: err}
+		return &WriteError{Path: path, Cause: err}
 	}
 	p.written = s.Version
 	return nil
--- a/internal/distribution/statefile/statefile_test.go
+++ b/internal/distribution/statefile/statefile_test.go
@@ -102,7 +102,7 @@
 			require.NoError(t, p.Save(state(7)))
 			d.Fail, d.Keep = step, keep
 			err := p.Save(state(8))
-			require.True(t, is[*UnwrittenError](err) && errors.Is(err, syscall.ENOSPC) && len(d.Held) == 1, "%s: %v, %v", step, err, d.Held)
+			require.True(t, is[*WriteError](err) && errors.Is(err, syscall.ENOSPC) && len(d.Held) == 1, "%s: %v, %v", step, err, d.Held)
 			s, err := p.Load(taken)
 			require.NoError(t, err)
 			require.True(t, s.Version.Number == 7 || step == "sync", "%s: %v", step, s)
@@ -111,7 +111,7 @@
 	p := placeOn(memfs.New())
 	bad := state(7)
 	bad.Entries[0].Kind = "wishes"
-	require.True(t, is[*UnwrittenError](p.Save(bad)))
+	require.True(t, is[*WriteError](p.Save(bad)))
 }
 
 // TestOlder: an older state does not take the place of a newer one, also after a restart.
@@ -175,13 +175,13 @@
 	reports := make(chan error, 9)
 	w = NewWriter(p, func(err error) { reports <- err })
 	w.Save(state(1))
-	require.True(t, is[*UnwrittenError](<-reports))
+	require.True(t, is[*WriteError](<-reports))
 	w.Save(state(2))
 	w.Close()
 	require.Empty(t, reports, "the second in a row")
 	w = NewWriter(p, func(err error) { reports <- err })
 	w.Save(state(1))
-	require.True(t, is[*UnwrittenError](<-reports))
+	require.True(t, is[*WriteError](<-reports))
 	require.NoError(t, os.Mkdir(p.Dir, 0o755))
 	w.Save(state(2))
 	require.NoError(t, <-reports, "where there is room again")
--- a/internal/distribution/transport/failure.go
+++ b/internal/distribution/transport/failure.go
@@ -56,7 +56,7 @@
 // failureOf is the answer that stands for an error.
 func failureOf(err error) (status int, failure Failure) {
 	status, failure = translate(err)
-	failure.Message, failure.Hint = err.Error(), hint.Of(err)
+	failure.Message, failure.Hint = err.Error(), hint.For(err)
 	return status, failure
 }
 
--- a/internal/hint/hint.go
+++ b/internal/hint/hint.go
@@ -17,8 +17,8 @@
 // Unknown is the hint of an error that has none of its own.
 const Unknown = "report it, with this line"
 
-// Of is the hint of the outermost error in the chain that has one, else Unknown.
-func Of(err error) string {
+// For is the hint of the outermost error in the chain that has one, else Unknown.
+func For(err error) string {
 	var e Error
 	if errors.As(err, &e) {
 		return e.Hint()
@@ -29,9 +29,9 @@
 // longest is how many bytes of each text a log line holds: errors quote what others have sent, a list of 4 MiB perhaps.
 const longest = 400
 
-// Tail is the end of a log line: error="..." hint="...".
-func Tail(err error) string {
-	return fmt.Sprintf("error=%q hint=%q", short(err.Error()), short(Of(err)))
+// LogFields is the end of a log line: error="..." hint="...".
+func LogFields(err error) string {
+	return fmt.Sprintf("error=%q hint=%q", short(err.Error()), short(For(err)))
 }
 
 func short(text string) string {
--- a/internal/hint/hint_test.go
+++ b/internal/hint/hint_test.go
@@ -43,17 +43,17 @@
 }
 
 func answer(text string) error {
-	_, _, err := discovery.Read([]byte(text))
+	_, _, err := discovery.ReadResponse([]byte(text))
 	return err
 }
 
 func list(text string) error {
-	_, err := discovery.Decode([]byte(text))
+	_, err := discovery.DecodeList([]byte(text))
 	return err
 }
 
 func config(text string) error {
-	_, err := settings.ReadConfig([]byte(text))
+	_, err := settings.DecodeConfig([]byte(text))
 	return err
 }
 
@@ -68,7 +68,7 @@
 	require.NoError(t, err)
 	defer held.Close()
 	_, missing := settings.ReadFile(filepath.Join(t.TempDir(), "none.json"))
-	_, _, _, spoilt := counterwire.Read([]byte("what\r\n"))
+	_, _, _, spoilt := counterwire.ReadReply([]byte("what\r\n"))
 	provoked := map[string]bool{}
 	for _, c := range []struct {
 		name  string
@@ -78,9 +78,9 @@
 	}{
 		{"another protocol", answer("+PONG\r\n"), match[*discovery.MalformedError], "HTTP"},
 		{"a length of 5 MiB", answer("HTTP/1.1 200 OK\r\nContent-Length: 5242880\r\n\r\n"), match[*discovery.TooLongError], "body"},
-		{"a call too many", discovery.Answer{Status: 503}.Refused(), match[*discovery.TurnedAwayError], "503"},
-		{"calls too often", discovery.Answer{Status: 429}.Refused(), match[*discovery.TurnedAwayError], "429"},
-		{"no such page", discovery.Answer{Status: 404}.Refused(), match[*discovery.StatusError], "404 Not Found"},
+		{"a call too many", discovery.Response{Status: 503}.Err(), match[*discovery.ThrottledError], "503"},
+		{"calls too often", discovery.Response{Status: 429}.Err(), match[*discovery.ThrottledError], "429"},
+		{"no such page", discovery.Response{Status: 404}.Err(), match[*discovery.StatusError], "404 Not Found"},
 		{"half a list", list(`{"generation":4,`), match[*discovery.ListMalformedError], "JSON"},
 		{"a server without an id", list(`{"generation":4,"instances":[{"lifecycle":"terminating"}]}`),
 			match[*discovery.ListRefusedError], "0: instanceId"},
@@ -92,7 +92,7 @@
 		{"an address that is held", listen(held.Addr().String()), match[*sockets.AddressInUseError], held.Addr().String()},
 		{"an address of another machine", listen("203.0.113.1:1"), match[*sockets.AddressError], "203.0.113.1:1"},
 		{"more than the kernel gives", sockets.Descriptors(1 << 60), match[*sockets.DescriptorsError], "1152921504606846976"},
-		{"a line of another protocol", spoilt, match[*counterwire.SpoiltError], `what\r\n`},
+		{"a line of another protocol", spoilt, match[*counterwire.MalformedError], `what\r\n`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			name, is := c.match(fmt.Errorf("above: %w", c.err))
@@ -134,7 +134,7 @@
 }
 
 func TestTail(t *testing.T) {
-	inner := &discovery.TurnedAwayError{Status: 503}
+	inner := &discovery.ThrottledError{Status: 503}
 	for _, c := range []struct {
 		name string
 		err  error
@@ -148,6 +148,6 @@
 			`error="` + strings.Repeat("x", 400) + `..." hint="report it, with this line"`},
 		{"none", errors.New("x"), `error="x" hint="report it, with this line"`},
 	} {
-		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, hint.Tail(c.err)) })
+		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, hint.LogFields(c.err)) })
 	}
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -199,7 +199,7 @@
 	if err := e.checkMoved(raw); err != nil {
 		return err
 	}
-	if set.CounterWait > 0 != e.Counter.On {
+	if set.CounterTimeout > 0 != e.Counter.On {
 		return fmt.Errorf("counter.on: %v, but settings.family-info.has-counter says otherwise", e.Counter.On)
 	}
 	names := map[string]bool{}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -134,7 +134,7 @@
 	d.next++
 	job := record.Request{ID: fmt.Sprintf("%016x", uint64(d.e.Seed)<<32^uint64(d.next)), Customer: c.ID, Plan: c.Plan,
 		Class: track.Name, Units: track.Units, Limiter: limiter, Retry: retry,
-		NonIdempotent: d.e.Settings.Classes[track.Name].Effect == choice.NonIdempotent}
+		NonIdempotent: d.e.Settings.Classes[track.Name].Idempotency == choice.NonIdempotent}
 	giveUp := d.rng.Float64() < d.e.Load.GiveUp
 	again := d.rng.Float64() < d.e.Load.Retry
 	cutOff := time.Duration(track.CutOff * float64(time.Second))
@@ -278,11 +278,11 @@
 	if job.Retry {
 		list += ",r=1"
 	}
-	if d.e.Settings.Classes[job.Class].Effect == choice.Keyed {
+	if d.e.Settings.Classes[job.Class].Idempotency == choice.IdempotentWithKey {
 		list += ",k=" + job.ID // the mark by which servers know a repeat
 	}
 	words := [][]byte{[]byte("SVC.QUERY"), []byte(job.Customer), []byte(job.ID), []byte(list)}
-	if d.e.Settings.Classes[job.Class].Effect != choice.Idempotent {
+	if d.e.Settings.Classes[job.Class].Idempotency != choice.Idempotent {
 		words[0] = []byte("SVC.SUBMIT")
 		words = append(words, []byte("body of "+job.ID))
 	}
@@ -296,7 +296,7 @@
 	for {
 		n, err := c.Read(chunk)
 		held = append(held, chunk[:n]...)
-		if v, used, perr := resp.Read(held); perr != nil {
+		if v, used, perr := resp.ReadValue(held); perr != nil {
 			return resp.Value{}, perr
 		} else if used > 0 {
 			return v, nil
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -206,11 +206,11 @@
 			v.breach(Breach{Rule: 1, At: s.At, What: s.ID, Detail: "a shot began after the client's cut-off"})
 		}
 		track := set.Classes[s.Class]
-		if track == nil || track.Effect == choice.Idempotent {
+		if track == nil || track.Idempotency == choice.Idempotent {
 			continue
 		}
 		if first, seen := ran[s.ID]; seen {
-			if track.Effect == choice.NonIdempotent || first.Group != s.Group || s.Key == "" {
+			if track.Idempotency == choice.NonIdempotent || first.Group != s.Group || s.Key == "" {
 				v.breach(Breach{Rule: 2, At: s.At, What: s.ID,
 					Detail: fmt.Sprintf("shot at %s after one at %s that may have run", s.Server, first.Server)})
 			}
@@ -229,7 +229,7 @@
 	for _, id := range ids {
 		first := ran[id]
 		if j := byID[id]; j != nil && j.Outcome == record.Rejected && set.Classes[j.Class] != nil &&
-			set.Classes[j.Class].Effect == choice.NonIdempotent {
+			set.Classes[j.Class].Idempotency == choice.NonIdempotent {
 			v.breach(Breach{Rule: 2, At: j.Answered, What: id,
 				Detail: fmt.Sprintf("rejected after a shot at %s that may have run", first.Server)})
 		}
--- a/internal/lab/runner/processes_test.go
+++ b/internal/lab/runner/processes_test.go
@@ -208,11 +208,11 @@
 		spreads[c.ID] = c.Spread
 	}
 	for _, u := range rules.Quotas(r.Run.Jobs, r.Run.Shots, e.Settings) {
-		b, err := countloss.Of(u.Plan, e.Settings.Plans[u.Plan], e.Settings.MostUnits, spreads[u.Customer], countloss.Lost, 1)
+		b, err := countloss.BoundOf(u.Plan, e.Settings.Plans[u.Plan], e.Settings.MaxRequestUnits, spreads[u.Customer], countloss.Lost, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		most := b.AtOnce + b.ASecond*6 + e.Settings.MostUnits
+		most := b.BurstExcess + b.ExcessRate*6 + e.Settings.MaxRequestUnits
 		t.Logf("%s: excess %.1f, stated %.1f", u.Customer, u.Excess, most)
 		if u.Excess > most {
 			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, most)
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -142,19 +142,19 @@
 		plan, s := e.Settings.Plans[u.Plan], spreads[u.Customer]
 		total := 0.0
 		for _, c := range []struct {
-			c       countloss.Case
+			c       countloss.Scenario
 			parts   int
 			seconds float64
 		}{{countloss.Lost, 1, 4}, {countloss.Reset, 1, 0}, {countloss.Split, 2, 6}} {
-			b, err := countloss.Of(u.Plan, plan, e.Settings.MostUnits, s, c.c, c.parts)
+			b, err := countloss.BoundOf(u.Plan, plan, e.Settings.MaxRequestUnits, s, c.c, c.parts)
 			if err != nil {
 				t.Fatal(err)
 			}
-			total += b.AtOnce + b.ASecond*c.seconds
+			total += b.BurstExcess + b.ExcessRate*c.seconds
 		}
 		total = min(total, plan.CeilingBurst-plan.Burst+(plan.CeilingRate-plan.Rate)*e.Length)
 		t.Logf("%s: set %d, excess %.1f, stated %.1f", u.Customer, s, u.Excess, total)
-		if u.Excess > total+e.Settings.MostUnits {
+		if u.Excess > total+e.Settings.MaxRequestUnits {
 			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, total)
 		}
 	}
--- a/internal/lab/scale/counter.go
+++ b/internal/lab/scale/counter.go
@@ -157,7 +157,7 @@
 			in := bufio.NewReader(c)
 			for n := uint64(i); time.Now().Before(end); n += callers {
 				_ = c.SetDeadline(time.Now().Add(clientWaits))
-				_, err := c.Write(counterwire.AppendCall(nil, mix(n%Tenants)>>1, 1, 60e9))
+				_, err := c.Write(counterwire.AppendAdd(nil, mix(n%Tenants)>>1, 1, 60e9))
 				if err == nil {
 					_, err = in.ReadString('\n')
 				}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -110,12 +110,12 @@
 	if err != nil {
 		return err
 	}
-	read, err := settings.ReadConfig(text)
+	read, err := settings.DecodeConfig(text)
 	if err != nil {
 		return err
 	}
 	read.Known = known
-	s, err := sockets.Listen(read.Listen, limiter.MostClients(read), tableSize/2)
+	s, err := sockets.Listen(read.Listen, limiter.MaxClients(read), tableSize/2)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/reckon_test.go
+++ b/internal/lab/scale/reckon_test.go
@@ -102,7 +102,7 @@
 func TestConfig(t *testing.T) {
 	text, err := configText(configOf(549, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1024, nil))
 	require.NoError(t, err)
-	config, err := settings.ReadConfig(text)
+	config, err := settings.DecodeConfig(text)
 	require.NoError(t, err)
 	require.Equal(t, 549, config.Settings.Position)
 	require.Equal(t, Limiters, config.Settings.Limiters)
--- a/internal/lab/simfleet/clients.go
+++ b/internal/lab/simfleet/clients.go
@@ -142,7 +142,7 @@
 		return
 	}
 	k.next++
-	effect := k.f.set.Classes[m.Track].Effect
+	effect := k.f.set.Classes[m.Track].Idempotency
 	v := &visit{cutOff: m.CutOff, giveUp: k.rng.Float64() < k.f.o.Load.GiveUp}
 	v.job = record.Request{ID: fmt.Sprintf("%016x", k.next), Customer: c.ID, Plan: c.Plan, Class: m.Track, Units: m.Units,
 		Limiter: n, Retry: retry, NonIdempotent: effect == choice.NonIdempotent}
@@ -151,7 +151,7 @@
 	if retry {
 		list += ",r=1"
 	}
-	if effect == choice.Keyed {
+	if effect == choice.IdempotentWithKey {
 		list += ",k=" + v.job.ID
 	}
 	words := [][]byte{[]byte("SVC.QUERY"), []byte(c.ID), []byte(v.job.ID), []byte(list)}
@@ -224,7 +224,7 @@
 func (k *clients) read(s *side, b []byte, _ int64) {
 	t := s.data.(*tie)
 	t.held = append(t.held, b...)
-	value, n, err := resp.Read(t.held)
+	value, n, err := resp.ReadValue(t.held)
 	if n == 0 && err == nil {
 		return
 	}
@@ -272,7 +272,7 @@
 	return record.Failed, 0
 }
 
-func (k *clients) ended(s *side, how limiter.End) {
+func (k *clients) ended(s *side, how limiter.CloseReason) {
 	t := s.data.(*tie)
 	g := k.gates[t.n]
 	g.idle = slices.DeleteFunc(g.idle, func(o *tie) bool { return o == t })
@@ -280,9 +280,9 @@
 	if v == nil {
 		return
 	}
-	unread := how == limiter.Refused || how == limiter.DialOver || s.far.got < s.wrote
+	unread := how == limiter.ConnRefused || how == limiter.DialTimedOut || s.far.got < s.wrote
 	switch {
-	case unread && !v.resent && how != limiter.DialOver: // the end has crossed it: it comes once more
+	case unread && !v.resent && how != limiter.DialTimedOut: // the end has crossed it: it comes once more
 		v.resent = true
 		k.send(v, true)
 	case unread:
--- a/internal/lab/simfleet/coldload.go
+++ b/internal/lab/simfleet/coldload.go
@@ -56,7 +56,7 @@
 		if e.Kind != "back" {
 			continue
 		}
-		until := e.At + f.set.WarmWithin
+		until := e.At + f.set.SlowStartWindow
 		for _, next := range f.events[i+1:] {
 			if next.Kind == "back" && next.Target == e.Target {
 				until = min(until, next.At)
@@ -117,7 +117,7 @@
 // coldBound is the most commands that rule 4 allows the server in a window that ends at an age of its process.
 func (s *server) coldBound(age int64) float64 {
 	o, set := &s.f.o, s.f.set
-	warmth := set.ColdFrom + (1-set.ColdFrom)*min(1, float64(age)/float64(set.WarmWithin))
+	warmth := set.ColdCapacity + (1-set.ColdCapacity)*min(1, float64(age)/float64(set.SlowStartWindow))
 	pace := float64(s.spec.Slots) / (float64(s.spec.Work) / 1e9)
 	n := o.FallMultiple * warmth * pace * float64(o.FallWindow) / 1e9
 	return n + slackRoot*math.Sqrt(n) + slackFixed
--- a/internal/lab/simfleet/counter.go
+++ b/internal/lab/simfleet/counter.go
@@ -24,9 +24,9 @@
 // counterWork is how long a call takes the counter.
 const counterWork = 20e3
 
-func (k *counter) accept(s *side)           { s.data = &[]byte{} }
-func (k *counter) connected(*side)          {}
-func (k *counter) ended(*side, limiter.End) {}
+func (k *counter) accept(s *side)                   { s.data = &[]byte{} }
+func (k *counter) connected(*side)                  {}
+func (k *counter) ended(*side, limiter.CloseReason) {}
 func (k *counter) read(s *side, b []byte, _ int64) {
 	held := s.data.(*[]byte)
 	*held = append(*held, b...)
--- a/internal/lab/simfleet/fleet.go
+++ b/internal/lab/simfleet/fleet.go
@@ -167,7 +167,7 @@
 func (f *Fleet) At(at int64, step func()) { f.q.at(at, step) }
 
 // Agreed is a class's agreed time.
-func (f *Fleet) Agreed(track string) int64 { return f.set.Classes[track].Target }
+func (f *Fleet) Agreed(track string) int64 { return f.set.Classes[track].LatencyObjective }
 
 // Run lets the fleet run up to a time.
 func (f *Fleet) Run(until int64) { f.q.run(until) }
--- a/internal/lab/simfleet/judge.go
+++ b/internal/lab/simfleet/judge.go
@@ -38,7 +38,7 @@
 		return never
 	}
 	listed := f.lists.changes[version-firstVersion-1].at
-	at := max(listed, l.from) + 4*f.set.AskEvery // where no call was answered for so long
+	at := max(listed, l.from) + 4*f.set.PollInterval // where no call was answered for so long
 	for _, s := range l.silences {
 		if listed < s.until {
 			at = min(at, max(listed, s.until))
--- a/internal/lab/simfleet/lists.go
+++ b/internal/lab/simfleet/lists.go
@@ -134,7 +134,7 @@
 
 func (d *desk) accept(s *side)  { s.data = &line{silent: -1} }
 func (d *desk) connected(*side) {}
-func (d *desk) ended(s *side, _ limiter.End) {
+func (d *desk) ended(s *side, _ limiter.CloseReason) {
 	d.calls = slices.DeleteFunc(d.calls, func(c *call) bool { return c.s == s })
 }
 
--- a/internal/lab/simfleet/lives.go
+++ b/internal/lab/simfleet/lives.go
@@ -61,7 +61,7 @@
 	if f.is(NoList) {
 		known = nil
 	}
-	p := &process{f: f, n: n, host: m.host, sides: map[limiter.ID]*side{}, life: &life{from: f.q.now, until: never}}
+	p := &process{f: f, n: n, host: m.host, sides: map[limiter.ConnID]*side{}, life: &life{from: f.q.now, until: never}}
 	p.config = &settings.Config{Name: fmt.Sprintf("n%d", n), Listen: m.host.name, Discovery: m.list, Counter: m.counter,
 		Seed: int64(f.rng.Uint64() >> 1), Memory: 192 << 20, Sockets: 1024, Known: known, Settings: set}
 	m.p, m.lives = p, append(m.lives, p.life)
@@ -70,7 +70,7 @@
 	}
 	m.host.party, m.host.vanished = p, false
 	f.event("start", m.host.name, "")
-	l, err := limiter.NewStated(p.clock(), p.config, f.o.Stated, p)
+	l, err := limiter.NewWithOptions(p.clock(), p.config, f.o.Stated, p)
 	if err != nil {
 		f.crash(p, err.Error())
 		return
