--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -13,7 +13,7 @@
 	accept(s *side)
 	connected(s *side)
 	read(s *side, bytes []byte, sent int64) // sent is when the other side wrote them
-	ended(s *side, how limiter.End)
+	ended(s *side, how limiter.CloseReason)
 }
 
 // host is a machine with one process. A dial to a host without a process is refused; one to a machine that has
@@ -31,16 +31,16 @@
 	host  *host
 	far   *side
 	owner party
-	id    limiter.ID // as its limiter names it
-	up    bool       // the connection has come up as far as this side knows
-	over  bool       // it has ended for this side
-	place int        // in host.sides
-	due   int64      // when the latest packet reaches the far side: none overtakes another
-	held  []packet   // what waits for its link
-	wrote int64      // bytes written here
-	got   int64      // bytes that the process here has been handed
-	data  any        // what the process keeps with it
-	end   int64      // of all ends of connections, in the order of their creation
+	id    limiter.ConnID // as its limiter names it
+	up    bool           // the connection has come up as far as this side knows
+	over  bool           // it has ended for this side
+	place int            // in host.sides
+	due   int64          // when the latest packet reaches the far side: none overtakes another
+	held  []packet       // what waits for its link
+	wrote int64          // bytes written here
+	got   int64          // bytes that the process here has been handed
+	data  any            // what the process keeps with it
+	end   int64          // of all ends of connections, in the order of their creation
 }
 
 type kind uint8
@@ -156,7 +156,7 @@
 	n.q.at(n.q.now+timeout, func() {
 		if !a.up && !a.over {
 			a.finish()
-			owner.ended(a, limiter.DialOver)
+			owner.ended(a, limiter.DialTimedOut)
 		}
 	})
 	a.send(packet{kind: opening})
@@ -277,7 +277,7 @@
 			how = limiter.PeerReset
 		}
 		if p.kind == refusing {
-			how = limiter.Refused
+			how = limiter.ConnRefused
 		}
 		s.owner.ended(s, how)
 	}
--- a/internal/lab/simfleet/options.go
+++ b/internal/lab/simfleet/options.go
@@ -15,13 +15,13 @@
 	Settings     map[string]any // in the wire's form, beside the number of limiters; nil for DefaultSettings
 	Load         Load
 	Mode         Mode
-	Budget       float64        // calls a second that the list service answers, where it is asked
-	Stated       limiter.Stated // what operators state beside the configuration
-	Notice       [2]int64       // how long the list takes to an agent: from, to
-	FallMultiple float64        // a cold server falls at so many times what it can do now,
-	FallWindow   int64          // in so long
-	Grace        int64          // rule 3
-	Broken       []Broken       // limiters' faults on purpose
+	Budget       float64                 // calls a second that the list service answers, where it is asked
+	Stated       limiter.OperatorOptions // what operators state beside the configuration
+	Notice       [2]int64                // how long the list takes to an agent: from, to
+	FallMultiple float64                 // a cold server falls at so many times what it can do now,
+	FallWindow   int64                   // in so long
+	Grace        int64                   // rule 3
+	Broken       []Broken                // limiters' faults on purpose
 	// Transcript takes each packet that crosses the network; nil for no record.
 	Transcript *transcript.Transcript
 }
--- a/internal/lab/simfleet/process.go
+++ b/internal/lab/simfleet/process.go
@@ -15,8 +15,8 @@
 	host    *host
 	config  *settings.Config
 	l       *limiter.Limiter
-	sides   map[limiter.ID]*side
-	last    limiter.ID
+	sides   map[limiter.ConnID]*side
+	last    limiter.ConnID
 	wake    int64 // the latest wish, by the limiter's clock
 	armed   int64 // when the queue next looks, 0 if it does not
 	bytes   []byte
@@ -131,14 +131,14 @@
 	}
 }
 
-func (p *process) ended(s *side, how limiter.End) {
+func (p *process) ended(s *side, how limiter.CloseReason) {
 	p.step(limiter.Event{Kind: limiter.Ended, Conn: s.id, End: how}, nil)
 }
 
 // The effects.
 
 // Dial is an effect.
-func (p *process) Dial(address string, timeout int64) limiter.ID {
+func (p *process) Dial(address string, timeout int64) limiter.ConnID {
 	p.last++
 	id := p.last
 	if p.f.is(Trusting) && address == p.f.limiters[p.n].list && len(p.life.silences) > 0 {
@@ -155,26 +155,26 @@
 func (p *process) Read(into []byte) { copy(into, p.bytes) }
 
 // Write is an effect.
-func (p *process) Write(id limiter.ID, bytes []byte) {
+func (p *process) Write(id limiter.ConnID, bytes []byte) {
 	if s := p.sides[id]; s != nil && p.f.passes(s, bytes) {
 		s.write(bytes)
 	}
 }
 
 // Alive is an effect.
-func (p *process) Alive(id limiter.ID) bool {
+func (p *process) Alive(id limiter.ConnID) bool {
 	s := p.sides[id]
 	return s != nil && !s.over && !p.f.is(Reconnects)
 }
 
-// Gone is an effect.
-func (p *process) Gone(id limiter.ID) bool {
+// PeerGone is an effect.
+func (p *process) PeerGone(id limiter.ConnID) bool {
 	s := p.sides[id]
 	return s == nil || s.over
 }
 
 // Written is an effect.
-func (p *process) Written(id limiter.ID) int64 {
+func (p *process) Written(id limiter.ConnID) int64 {
 	s := p.sides[id]
 	if s == nil {
 		return 0
@@ -183,7 +183,7 @@
 }
 
 // Close is an effect.
-func (p *process) Close(id limiter.ID) int64 {
+func (p *process) Close(id limiter.ConnID) int64 {
 	s := p.sides[id]
 	if s == nil {
 		return 0
@@ -193,8 +193,8 @@
 	return s.taken()
 }
 
-// Leave is an effect.
-func (p *process) Leave(id limiter.ID, _, _ int64) bool {
+// CloseGracefully is an effect.
+func (p *process) CloseGracefully(id limiter.ConnID, _, _ int64) bool {
 	if slices.ContainsFunc(p.waiting, func(w told) bool { return w.h.Conn == id && w.h.Size > 0 }) {
 		return false
 	}
@@ -202,8 +202,8 @@
 	return true
 }
 
-// Queued is an effect.
-func (p *process) Queued() bool { return false }
+// HasBacklog is an effect.
+func (p *process) HasBacklog() bool { return false }
 
-// Wake is an effect.
-func (p *process) Wake(at int64) { p.wake = at }
+// SetTimer is an effect.
+func (p *process) SetTimer(at int64) { p.wake = at }
--- a/internal/lab/simfleet/server.go
+++ b/internal/lab/simfleet/server.go
@@ -83,7 +83,7 @@
 
 func (s *server) connected(*side) {}
 
-func (s *server) ended(*side, limiter.End) { s.links-- }
+func (s *server) ended(*side, limiter.CloseReason) { s.links-- }
 
 func (s *server) read(c *side, b []byte, sent int64) {
 	in := c.data.(*inlet)
@@ -127,10 +127,10 @@
 func (s *server) warmth() (float64, bool) {
 	set := s.f.set
 	age := s.f.q.now - s.started
-	if age >= set.WarmWithin {
+	if age >= set.SlowStartWindow {
 		return 1, false
 	}
-	return set.ColdFrom + (1-set.ColdFrom)*float64(age)/float64(set.WarmWithin), true
+	return set.ColdCapacity + (1-set.ColdCapacity)*float64(age)/float64(set.SlowStartWindow), true
 }
 
 // bears is how many requests of mean work a server in this state of warmth may get in the time that a fall looks back,
--- a/internal/lab/simfleet/simfleet_test.go
+++ b/internal/lab/simfleet/simfleet_test.go
@@ -105,10 +105,10 @@
 
 func (e *ear) note(what string) { e.heard = append(e.heard, fmt.Sprintf("%d %s", e.q.now/1e6, what)) }
 
-func (e *ear) accept(s *side)                  { e.last = s; e.note("accept") }
-func (e *ear) connected(s *side)               { e.last = s; e.note("connected") }
-func (e *ear) read(_ *side, b []byte, _ int64) { e.note(string(b)) }
-func (e *ear) ended(_ *side, how limiter.End)  { e.note(how.String()) }
+func (e *ear) accept(s *side)                         { e.last = s; e.note("accept") }
+func (e *ear) connected(s *side)                      { e.last = s; e.note("connected") }
+func (e *ear) read(_ *side, b []byte, _ int64)        { e.note(string(b)) }
+func (e *ear) ended(_ *side, how limiter.CloseReason) { e.note(how.String()) }
 
 func TestLinks(t *testing.T) {
 	type pair struct {
--- a/internal/lab/simfleet/transcript_test.go
+++ b/internal/lab/simfleet/transcript_test.go
@@ -39,7 +39,7 @@
 	family["has-counter"] = seed%5 != 0
 	options.Settings["permissions"].(map[string]any)["probes"] = seed%3 == 0
 	if seed%4 == 3 {
-		options.Stated = limiter.Stated{ListCalls: 4, Connections: 40}
+		options.Stated = limiter.OperatorOptions{DiscoveryCallRate: 4, ConnectionRate: 40}
 	}
 	return options
 }
@@ -87,9 +87,9 @@
 			t.Parallel()
 			options := transcriptOptions(seed)
 			options.Transcript = transcript.New()
-			if options.Stated.ListCalls > 0 {
+			if options.Stated.DiscoveryCallRate > 0 {
 				options.Stated.SaveEvery = second
-				options.Stated.Save = func(saved *snapshot.Snapshot) {
+				options.Stated.SaveSnapshot = func(saved *snapshot.Snapshot) {
 					text, err := json.Marshal(saved)
 					require.NoError(t, err)
 					options.Transcript.Add(text, saved.Taken)
--- a/internal/lab/stories/steps.go
+++ b/internal/lab/stories/steps.go
@@ -27,7 +27,7 @@
 			return nil
 		})
 	s.Given(`^operators state that it bears (\d+) calls a second$`, func(calls int) error {
-		w.Options.Stated.ListCalls = float64(calls)
+		w.Options.Stated.DiscoveryCallRate = float64(calls)
 		return nil
 	})
 	s.Given(`^a limiter that (.+)$`, w.limiterThat)
--- a/internal/lab/testbed/answers_test.go
+++ b/internal/lab/testbed/answers_test.go
@@ -38,7 +38,7 @@
 
 // long is a request with the longest body.
 func long(id, class string, left int) string {
-	return strings.Replace(Request(id, class, left), "$4\r\nBODY\r\n", string(resp.AppendBulk(nil, []byte(strings.Repeat("x", resp.MostValue)))), 1)
+	return strings.Replace(Request(id, class, left), "$4\r\nBODY\r\n", string(resp.AppendBulk(nil, []byte(strings.Repeat("x", resp.MaxValueBytes)))), 1)
 }
 
 // either is the limiter's next connection to one of two peers, and the other peer.
@@ -74,7 +74,7 @@
 			second.Serve(t, "value")
 			require.Equal(t, "$value", client.Answer(t))
 			text, _ := first.Rest(t)
-			require.Less(t, len(text), resp.MostValue, "it has got the whole request")
+			require.Less(t, len(text), resp.MaxValueBytes, "it has got the whole request")
 		})
 	}
 }
@@ -147,7 +147,7 @@
 				}
 				config := Config(one, two)
 				if b.is == late {
-					config.Settings.Classes["keyed"].Repeats = 5e7
+					config.Settings.Classes["keyed"].DeduplicationWindow = 5e7
 				}
 				r := Start(t, config)
 				client := r.Dial(t)
@@ -206,7 +206,7 @@
 		c := server.Accept(t)
 		at[c.Command(t)[2][0]-'0'] = c
 	}
-	value := func(i int) string { return strings.Repeat(string(rune('a'+i)), resp.MostValue) }
+	value := func(i int) string { return strings.Repeat(string(rune('a'+i)), resp.MaxValueBytes) }
 	for _, i := range []int{2, 0, 1} {
 		at[i].Serve(t, value(i))
 	}
@@ -312,7 +312,7 @@
 	} {
 		server, counter := Listen(t), Listen(t)
 		config := Config(server)
-		config.Counter, config.Settings.CounterWait = counter.Address, int64(100*time.Millisecond)
+		config.Counter, config.Settings.CounterTimeout = counter.Address, int64(100*time.Millisecond)
 		r := Start(t, config)
 		line, client := counter.Accept(t), r.Dial(t)
 		client.Say(t, Request("id", "write", 3000))
--- a/internal/lab/testbed/clients_test.go
+++ b/internal/lab/testbed/clients_test.go
@@ -30,7 +30,7 @@
 
 func counts(t *testing.T, config *settings.Config) *counter {
 	k := &counter{Peer: Listen(t), free: make(chan struct{})}
-	config.Counter, config.Settings.CounterWait, config.Settings.MostTrue = k.Address, 4e9, 64
+	config.Counter, config.Settings.CounterTimeout, config.Settings.MaxActualUnits = k.Address, 4e9, 64
 	go func() {
 		for c, err := k.ln.Accept(); err == nil; c, err = k.ln.Accept() {
 			go k.answers(c)
--- a/internal/lab/testbed/deadlines_test.go
+++ b/internal/lab/testbed/deadlines_test.go
@@ -188,8 +188,8 @@
 	config := Config()
 	config.Discovery, config.Known = service.Address, []byte(listing(1, s.known()))
 	config.Settings.DialTimeout = 8e9
-	for name, group := range map[string]choice.Group{"keyed": choice.GroupAll, "near": choice.GroupZone} {
-		config.Settings.Classes[name] = &choice.Class{Target: 60e9, Effect: choice.Keyed, Group: group, Repeats: int64(window), Value: 1}
+	for name, group := range map[string]choice.DeduplicationScope{"keyed": choice.ScopeAll, "near": choice.ScopeZone} {
+		config.Settings.Classes[name] = &choice.Class{LatencyObjective: 60e9, Idempotency: choice.IdempotentWithKey, DeduplicationScope: group, DeduplicationWindow: int64(window), PriorityWeight: 1}
 	}
 	if change != nil {
 		change(config)
--- a/internal/lab/testbed/evict_test.go
+++ b/internal/lab/testbed/evict_test.go
@@ -18,7 +18,7 @@
 	config.Sockets = 64
 	config.Settings.DialTimeout = 8e8 // a client may say nothing for a fourth of it
 	for _, class := range config.Settings.Classes {
-		class.Target = 4e9 // nothing here is late
+		class.LatencyObjective = 4e9 // nothing here is late
 	}
 	r := Start(t, config)
 	classes := []string{"read", "write", "keyed"}
--- a/internal/lab/testbed/notification_test.go
+++ b/internal/lab/testbed/notification_test.go
@@ -106,7 +106,7 @@
 	o.mutex.Lock()
 	due := first
 	for range o.retry {
-		due = due.Add(time.Duration(o.pacer.Next(due.UnixNano(), pollpacer.Broke)))
+		due = due.Add(time.Duration(o.pacer.RetryDelay(due.UnixNano(), pollpacer.Failed)))
 	}
 	o.back = due.Add(o.shift)
 	opens := time.AfterFunc(time.Until(o.back), func() { o.listen(t) })
@@ -119,7 +119,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.whole = true
-	o.pacer.Moved(now.UnixNano())
+	o.pacer.ServiceMoved(now.UnixNano())
 }
 
 // returns has the service answer from now on.
@@ -183,17 +183,17 @@
 	if failure == hangs && o.failed == 0 {
 		failure = breaksOff
 	}
-	_, limit := o.pacer.Ask(now.UnixNano(), o.whole)
-	ends, end := now, pollpacer.Broke
+	_, limit := o.pacer.NextPoll(now.UnixNano(), o.whole)
+	ends, end := now, pollpacer.Failed
 	switch failure {
 	case turnsAway:
-		end = pollpacer.Turned
+		end = pollpacer.Throttled
 	case stopsShort:
-		ends = now.Add(time.Duration(o.pacer.Half()))
+		ends = now.Add(time.Duration(o.pacer.PartialResponseTimeout()))
 	case saysNone, hangs:
 		ends = now.Add(time.Duration(limit))
 	}
-	due := ends.Add(time.Duration(o.pacer.Next(ends.UnixNano(), end)))
+	due := ends.Add(time.Duration(o.pacer.RetryDelay(ends.UnixNano(), end)))
 	if o.failed++; o.failed == o.retry {
 		o.back = due.Add(o.shift)
 		if o.back.Before(now) {
@@ -306,7 +306,7 @@
 	o.news = list(9, true, entry("s0", b.s0.Peer, lifecycle, 0), entry("s1", b.s1.Peer, "in_service", 0))
 	config := Config(b.s0.Peer)
 	config.Discovery = at
-	config.Settings.AskEvery, config.Settings.DialTimeout = o.every, int64(listDial)
+	config.Settings.PollInterval, config.Settings.DialTimeout = o.every, int64(listDial)
 	config.Settings.Position, config.Settings.Limiters = listPlace, listPlace+1
 	b.begun = time.Now()
 	b.Rig = Start(t, config)
@@ -377,7 +377,7 @@
 				}
 				b := o.start(t, o.address, shift < 0)
 				if c.failure == refuses {
-					o.refused(t, b.begun.Add(time.Duration(o.pacer.First())))
+					o.refused(t, b.begun.Add(time.Duration(o.pacer.FirstDelay())))
 				}
 				within := notified
 				if c.every == 0 && c.failure < stopsShort {
--- a/internal/lab/testbed/renew_test.go
+++ b/internal/lab/testbed/renew_test.go
@@ -63,7 +63,7 @@
 	server, counter := Listen(t), Listen(t)
 	config := Config(server)
 	set := *config.Settings.Settings
-	set.CounterWait = int64(2 * time.Second)
+	set.CounterTimeout = int64(2 * time.Second)
 	config.Counter, config.Settings = counter.Address, &settings.Settings{Settings: &set, IdleClose: config.Settings.IdleClose}
 	r := Start(t, config)
 	line, client := counter.Accept(t), r.Dial(t)
@@ -83,8 +83,8 @@
 	time.Sleep(50 * time.Millisecond) // the connection rests
 	r.Renew(func(next *settings.Config) {
 		other := set
-		other.CounterWait, other.MostAttempts = 0, 9
-		other.Classes = map[string]*choice.Class{"read": set.Classes["read"], "new": set.Classes["read"], "keyed": {Target: 1, Value: 1}}
+		other.CounterTimeout, other.MaxAttempts = 0, 9
+		other.Classes = map[string]*choice.Class{"read": set.Classes["read"], "new": set.Classes["read"], "keyed": {LatencyObjective: 1, PriorityWeight: 1}}
 		other.Plans = map[string]*choice.Plan{"plain": {}}
 		next.Counter, next.Sockets = "", 64
 		next.Settings = &settings.Settings{Settings: &other, IdleClose: next.Settings.IdleClose}
@@ -125,7 +125,7 @@
 		set := *config.Settings.Settings
 		set.DialTimeout = int64(c.dial)
 		config.Discovery = disco.Address
-		config.Settings = &settings.Settings{Settings: &set, IdleClose: config.Settings.IdleClose, Grace: int64(c.grace)}
+		config.Settings = &settings.Settings{Settings: &set, IdleClose: config.Settings.IdleClose, DrainGrace: int64(c.grace)}
 		r := Start(t, config)
 		watch, client := disco.Accept(t), r.Dial(t)
 		watch.call(t)
@@ -209,7 +209,7 @@
 			`"startedAtMs":0}]}`, server.Address)
 		text := fmt.Sprintf(plainConfig, counter.Address, known)
 		require.Contains(t, text, c.old)
-		config, err := settings.ReadConfig([]byte(strings.Replace(text, c.old, c.new, 1)))
+		config, err := settings.DecodeConfig([]byte(strings.Replace(text, c.old, c.new, 1)))
 		require.NoError(t, err)
 		r := Start(t, config)
 		go func() {
--- a/internal/lab/testbed/stop_test.go
+++ b/internal/lab/testbed/stop_test.go
@@ -19,7 +19,7 @@
 func counted(counter *Peer, servers ...*Peer) *settings.Config {
 	config := Config(servers...)
 	config.Counter = counter.Address
-	config.Settings.CounterWait, config.Settings.MostTrue = 4e9, 64
+	config.Settings.CounterTimeout, config.Settings.MaxActualUnits = 4e9, 64
 	return config
 }
 
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -59,13 +59,13 @@
 	return &settings.Config{Name: "testbed", Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 256, Known: known,
 		Settings: &settings.Settings{IdleClose: 15 * second, Settings: &choice.Settings{
 			Classes: map[string]*choice.Class{
-				"read":  {Target: second, Value: 1},
-				"write": {Target: second, Effect: choice.NonIdempotent, Value: 1},
-				"keyed": {Target: second, Effect: choice.Keyed, Group: choice.GroupAll, Repeats: 2 * second, Value: 1},
+				"read":  {LatencyObjective: second, PriorityWeight: 1},
+				"write": {LatencyObjective: second, Idempotency: choice.NonIdempotent, PriorityWeight: 1},
+				"keyed": {LatencyObjective: second, Idempotency: choice.IdempotentWithKey, DeduplicationScope: choice.ScopeAll, DeduplicationWindow: 2 * second, PriorityWeight: 1},
 			},
-			Plans:     map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, Value: 1}},
-			MostUnits: 64, LongestLease: 60 * second, Limiters: 1, ColdFrom: 0.5, WarmWithin: 10 * second,
-			DialTimeout: second / 4, MostAttempts: 3, MostAdvice: 2 * second, Cancelling: true, Granularity: 4e6}}}
+			Plans:           map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, PriorityWeight: 1}},
+			MaxRequestUnits: 64, MaxLease: 60 * second, Limiters: 1, ColdCapacity: 0.5, SlowStartWindow: 10 * second,
+			DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: 2 * second, CanCancel: true, TimerResolution: 4e6}}}
 }
 
 var starting sync.Mutex
@@ -80,7 +80,7 @@
 	r := &Rig{Address: free.Addr().String(), stopped: make(chan struct{}), ended: make(chan struct{}),
 		renewed: make(chan *settings.Config), config: *config}
 	_ = free.Close()
-	r.Sockets, err = sockets.Listen(r.Address, limiter.MostClients(config), manyDescriptors)
+	r.Sockets, err = sockets.Listen(r.Address, limiter.MaxClients(config), manyDescriptors)
 	require.NoError(t, err)
 	start := time.Now()
 	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -36,7 +36,7 @@
 	text    []byte
 }
 
-func (l *Limiter) accept(id ID) {
+func (l *Limiter) accept(id ConnID) {
 	c := &conn{id: id, open: true, since: l.now}
 	cl := &client{l: l, c: c, since: l.now, used: l.now}
 	cl.place = l.newClients.PushBack(cl)
@@ -45,8 +45,8 @@
 	l.makeRoom()
 }
 
-// MostClients is how many connections clients may hold together.
-func MostClients(config *settings.Config) int { return config.Sockets / clientShare }
+// MaxClients is how many connections clients may hold together.
+func MaxClients(config *settings.Config) int { return config.Sockets / clientShare }
 
 // crowded: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and where
 // each keeps its connection after one request, only as many requests come as connections are closed.
@@ -74,10 +74,10 @@
 
 // part closes the connection, which owes nothing, unless a command has come on it in this very moment.
 func (cl *client) part() bool {
-	if !cl.l.effects.Leave(cl.c.id, cl.l.set.DialTimeout, cl.l.set.IdleClose) {
+	if !cl.l.effects.CloseGracefully(cl.c.id, cl.l.set.DialTimeout, cl.l.set.IdleClose) {
 		return false
 	}
-	cl.l.over(cl.c, Unused)
+	cl.l.over(cl.c, IdleClosed)
 	return true
 }
 
@@ -128,7 +128,7 @@
 			for len(cl.answers) > 0 && l.conns[cl.c.id] == cl.c {
 				q := cl.answers[0].request
 				l.pendingResults = append(l.pendingResults, pendingResult{left: q.id})
-				l.move(q, Failed, failed)
+				l.move(q, requestFailed, failed)
 			}
 		})
 	}
@@ -159,13 +159,13 @@
 	// One that was refused may send on for ever, or never read.
 	waited := l.now - cl.wrote
 	if cl.deaf && (waited > l.set.IdleClose || waited > l.set.DialTimeout && l.effects.Written(cl.c.id) >= cl.c.sent) {
-		l.over(cl.c, Unused)
+		l.over(cl.c, IdleClosed)
 		return
 	}
 	// The rest of an answer is on its way, or the rest of a command to us.
 	if !cl.parting {
 		cl.parting = true
-		l.at(l.now+l.set.Granularity, func() {
+		l.at(l.now+l.set.TimerResolution, func() {
 			if cl.parting = false; l.conns[cl.c.id] == cl.c {
 				cl.leave()
 			}
@@ -180,12 +180,12 @@
 
 // endIfGone ends the connection of a client that has gone. The event that tells of it may be far behind others.
 func (cl *client) endIfGone() {
-	if cl.open() && cl.l.effects.Gone(cl.c.id) {
+	if cl.open() && cl.l.effects.PeerGone(cl.c.id) {
 		cl.l.over(cl.c, PeerClosed)
 	}
 }
 
-func (cl *client) ended(end End, _ int64) {
+func (cl *client) ended(end CloseReason, _ int64) {
 	l := cl.l
 	l.clients--
 	if cl.hasRequested {
@@ -193,12 +193,12 @@
 	} else {
 		l.newClients.Remove(cl.place)
 	}
-	if end == Overrun {
+	if end == SlowReader {
 		l.faulty.unread++
 	}
 	for _, a := range cl.answers {
-		if a.request != nil && a.request.state == Taken {
-			l.move(a.request, Left, nil)
+		if a.request != nil && a.request.state == accepted {
+			l.move(a.request, clientGone, nil)
 			l.pendingResults = append(l.pendingResults, pendingResult{left: a.request.id})
 		}
 	}
@@ -232,7 +232,7 @@
 	if len(cl.answers) >= mostPipeline {
 		cl.flush()
 	}
-	crowded := n == 0 && len(b) > buffer.Least && cl.l.buffered > cl.l.config.Memory/heldShare
+	crowded := n == 0 && len(b) > buffer.MinCapacity && cl.l.buffered > cl.l.config.Memory/heldShare
 	if err == nil && (crowded || len(cl.answers) >= mostPipeline) {
 		err = resp.ErrTooLong
 	}
@@ -257,7 +257,7 @@
 // busy rejects a request that nothing was done for: another limiter may take it soon.
 func (cl *client) busy() {
 	text := "-BUSY"
-	if after := min(cl.l.set.DialTimeout, cl.l.set.MostAdvice); after > 0 {
+	if after := min(cl.l.set.DialTimeout, cl.l.set.MaxRetryAfter); after > 0 {
 		text += " " + strconv.FormatInt((after+1e6-1)/1e6, 10)
 	}
 	cl.own(text)
@@ -301,7 +301,7 @@
 		return
 	}
 	age := l.age()
-	if cl.closing || l.leaves(arrival.Budget) || arrival.Budget <= age {
+	if cl.closing || l.leaves(arrival.Timeout) || arrival.Timeout <= age {
 		// A connection that is never without an open request would never end, nor would the process; or the client's time is
 		// over.
 		cl.busy()
@@ -312,7 +312,7 @@
 		cl.own("-BUSY")
 		return
 	}
-	arrival.Budget -= age
+	arrival.Timeout -= age
 	if !cl.hasRequested {
 		l.newClients.Remove(cl.place)
 		cl.hasRequested, cl.place = true, l.usedClients.PushBack(cl)
@@ -320,11 +320,11 @@
 	cl.touch()
 	a := &answer{}
 	cl.answers = append(cl.answers, a)
-	a.request = l.take(cl, a, words, before, past, arrival.Budget)
-	if t := l.set.Classes[arrival.Class]; t.Effect == choice.Keyed {
-		a.request.repeats, a.request.group = t.Repeats, t.Group
+	a.request = l.take(cl, a, words, before, past, arrival.Timeout)
+	if t := l.set.Classes[arrival.Class]; t.Idempotency == choice.IdempotentWithKey {
+		a.request.repeats, a.request.group = t.DeduplicationWindow, t.DeduplicationScope
 	}
-	l.logic.Request(l.now, arrival)
+	l.logic.RequestArrived(l.now, arrival)
 }
 
 // arrival reads a request's command; before and past enclose the time in its list of names and values. It is as strict as
@@ -361,14 +361,14 @@
 			if left, err = number(value); err != nil || left <= 0 {
 				return a, 0, 0, "d is not a time"
 			}
-			a.Budget = int64(left * 1e6)
+			a.Timeout = int64(left * 1e6)
 			before, past = from+len("d="), from+len(field)
 		case "units":
-			if a.Units, err = number(value); err != nil || a.Units <= 0 || a.Units > l.set.MostUnits {
+			if a.Units, err = number(value); err != nil || a.Units <= 0 || a.Units > l.set.MaxRequestUnits {
 				return a, 0, 0, "units is not a number of units"
 			}
 		case "spread":
-			if a.Spread, err = strconv.Atoi(string(value)); err != nil || a.Spread < 1 || a.Spread > l.set.Limiters {
+			if a.Limiters, err = strconv.Atoi(string(value)); err != nil || a.Limiters < 1 || a.Limiters > l.set.Limiters {
 				return a, 0, 0, "spread is not a number of limiters"
 			}
 		case "first":
@@ -388,15 +388,15 @@
 		return a, 0, 0, "unknown class"
 	case l.set.Plans[a.Plan] == nil:
 		return a, 0, 0, "unknown plan"
-	case a.Budget == 0:
+	case a.Timeout == 0:
 		return a, 0, 0, "d is missing"
-	case a.Spread == 0 || first < 0:
+	case a.Limiters == 0 || first < 0:
 		return a, 0, 0, "spread or first is missing"
 	case a.Units == 0:
 		return a, 0, 0, "units is missing"
-	case bytes.EqualFold(words[0], []byte("SVC.QUERY")) != (t.Effect == choice.Idempotent):
+	case bytes.EqualFold(words[0], []byte("SVC.QUERY")) != (t.Idempotency == choice.Idempotent):
 		return a, 0, 0, "the class goes by the other command"
-	case (len(words) == 4) != (t.Effect == choice.Idempotent):
+	case (len(words) == 4) != (t.Idempotency == choice.Idempotent):
 		return a, 0, 0, "a body that is missing or too much"
 	}
 	return a, before, past, ""
@@ -441,7 +441,7 @@
 	l.write(cl.c, l.scratch)
 	cl.wrote = l.now
 	if l.effects.Written(cl.c.id) < cl.c.sent && l.backlog() > l.config.Memory/heldShare {
-		l.over(cl.c, Overrun)
+		l.over(cl.c, SlowReader)
 	} else if cl.closing || l.stopping != 0 && l.now >= l.stopping { // one that came late is left after its first answers
 		cl.leave()
 	}
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -51,12 +51,12 @@
 	return ln
 }
 
-// Count is an effect of the module. Calls on one name that are out go on one line, so that they are answered in their order.
-func (l *Limiter) Count(name uint64, amount float64, lifetime int64) {
+// AddToCounter is an effect of the module. Calls on one name that are out go on one line, so that they are answered in their order.
+func (l *Limiter) AddToCounter(name uint64, amount float64, lifetime int64) {
 	k := &l.counter
 	c := &call{name: name, amount: amount, life: lifetime, at: l.now}
 	k.put(c)
-	c.limit = l.at(l.now+l.set.CounterWait, func() { c.line.late(c) })
+	c.limit = l.at(l.now+l.set.CounterTimeout, func() { c.line.late(c) })
 }
 
 // put puts a call on a line.
@@ -114,7 +114,7 @@
 // leave closes a line to the old address that nothing is out on any more.
 func (ln *line) leave() {
 	if ln.leaving && len(ln.calls) == 0 {
-		ln.counter.l.over(ln.c, Unused)
+		ln.counter.l.over(ln.c, IdleClosed)
 	}
 }
 
@@ -123,7 +123,7 @@
 	if c.ping {
 		l.scratch = counterwire.AppendPing(l.scratch[:0])
 	} else {
-		l.scratch = counterwire.AppendCall(l.scratch[:0], c.name, c.amount, c.life)
+		l.scratch = counterwire.AppendAdd(l.scratch[:0], c.name, c.amount, c.life)
 	}
 	l.write(ln.c, l.scratch)
 	c.last = ln.c.sent
@@ -134,7 +134,7 @@
 	if c.last == 0 {
 		ln.calls = slices.DeleteFunc(ln.calls, func(o *call) bool { return o == c })
 	}
-	ln.counter.tell(c, TimeOver.counted(c.last > 0), 0)
+	ln.counter.tell(c, DeadlineExceeded.counted(c.last > 0), 0)
 }
 
 // tell owes the module the answer to a call, once.
@@ -145,7 +145,7 @@
 	c.told = true
 	k.l.timers.drop(c.limit)
 	k.l.pendingResults = append(k.l.pendingResults, pendingResult{call: true, name: c.name, outcome: outcome, total: total})
-	if down := k.l.now-k.heard > silentFor*k.l.set.CounterWait; down && !k.down {
+	if down := k.l.now-k.heard > silentFor*k.l.set.CounterTimeout; down && !k.down {
 		k.down = true
 		log.Printf("event=counter answers=false")
 	}
@@ -166,7 +166,7 @@
 }
 
 func (ln *line) read(b []byte) (int, error) {
-	kind, total, n, err := counterwire.Read(b)
+	kind, total, n, err := counterwire.ReadReply(b)
 	if err != nil {
 		ln.counter.l.faulty.spoilt++
 		return 0, err
@@ -179,7 +179,7 @@
 	}
 	c := ln.calls[0]
 	if c.ping != (kind == counterwire.Pong) {
-		log.Printf("event=counter-line %s", hint.Tail(&counterwire.CrossedError{Ping: c.ping}))
+		log.Printf("event=counter-line %s", hint.LogFields(&counterwire.MismatchError{Ping: c.ping}))
 		return 0, errUnasked
 	}
 	ln.calls = ln.calls[1:]
@@ -187,18 +187,18 @@
 	switch kind {
 	case counterwire.Added:
 		ln.counter.tell(c, choice.Succeeded, total)
-	case counterwire.Busy:
-		ln.counter.tell(c, choice.Full, 0)
-	case counterwire.Refused:
+	case counterwire.Overloaded:
+		ln.counter.tell(c, choice.Overloaded, 0)
+	case counterwire.Rejected:
 		log.Printf("event=counter-refused name=%d amount=%v %s", c.name, c.amount,
-			hint.Tail(&counterwire.RefusedError{Name: c.name, Amount: c.amount}))
-		ln.counter.tell(c, Refused.counted(false), 0)
+			hint.LogFields(&counterwire.RejectedError{Name: c.name, Amount: c.amount}))
+		ln.counter.tell(c, ConnRefused.counted(false), 0)
 	}
 	ln.leave()
 	return n, nil
 }
 
-func (ln *line) ended(end End, written int64) {
+func (ln *line) ended(end CloseReason, written int64) {
 	k := ln.counter
 	k.lines = slices.DeleteFunc(k.lines, func(o *line) bool { return o == ln })
 	for _, c := range ln.calls {
@@ -212,9 +212,9 @@
 	for _, ln := range slices.Clone(k.lines) {
 		switch {
 		case !ln.c.open:
-		case len(ln.calls) > 0 && l.now-ln.calls[0].at > silentFor*l.set.CounterWait:
-			l.over(ln.c, Silent)
-		case len(ln.calls) == 0 && l.now-ln.c.since > pingsAfter*l.set.CounterWait:
+		case len(ln.calls) > 0 && l.now-ln.calls[0].at > silentFor*l.set.CounterTimeout:
+			l.over(ln.c, NoResponse)
+		case len(ln.calls) == 0 && l.now-ln.c.since > pingsAfter*l.set.CounterTimeout:
 			c := &call{ping: true, at: l.now}
 			ln.calls = append(ln.calls, c)
 			ln.write(c)
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -45,11 +45,11 @@
 // TestReadyInTime: clients come in time, though a ceiling's parts fill slowly and servers warm up for long.
 func TestReadyInTime(t *testing.T) {
 	l, w := made(t)
-	l.set.Plans["plain"].CeilingRate, l.set.Plans["plain"].CeilingBurst, l.set.WarmWithin = 0.01, 8, 60*second
+	l.set.Plans["plain"].CeilingRate, l.set.Plans["plain"].CeilingBurst, l.set.SlowStartWindow = 0.01, 8, 60*second
 	w.say(l, 0, watching, httpAnswer(strings.Replace(known, "7", "8", 1)))
 	ping := func(at int64) string {
 		w.pass(l, at)
-		id := visitor + ID(at)
+		id := visitor + ConnID(at)
 		l.Step(at, Event{Kind: Accepted, Conn: id})
 		w.say(l, at, id, "*1\r\n$4\r\nPING\r\n")
 		return w.wrote[id]
@@ -65,30 +65,30 @@
 	names []uint64
 }
 
-func (d *lives) Send(id, _ string)                     { d.sent = append(d.sent, id) }
-func (d *lives) Reject(string, int64, choice.Cause)    {}
-func (d *lives) Count(name uint64, _ float64, _ int64) { d.names = append(d.names, name) }
-func (d *lives) Wake(int64, int64)                     {}
-func (d *lives) Log(string)                            {}
+func (d *lives) Send(id, _ string)                            { d.sent = append(d.sent, id) }
+func (d *lives) Reject(string, int64, choice.RejectReason)    {}
+func (d *lives) AddToCounter(name uint64, _ float64, _ int64) { d.names = append(d.names, name) }
+func (d *lives) SetTimer(int64, int64)                        {}
+func (d *lives) Log(string)                                   {}
 
 // restarted is what a limiter sends for one customer that starts again and again within a second while the counter is down.
 func restarted(rate, burst, spread int, ceiling float64, starts int64) (total int) {
 	for k := range starts {
 		born, d := k*second/starts, &lives{}
-		logic := choice.New(born, &choice.Settings{Classes: map[string]*choice.Class{"read": {Target: second, Value: 1}},
-			Plans:       map[string]*choice.Plan{"p": {Rate: float64(rate), Burst: float64(burst), CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
-			CounterWait: second / 20, MostUnits: 1, LongestLease: 60 * second, Limiters: spread, ColdFrom: 1, WarmWithin: 1,
-			DialTimeout: second / 4, MostAttempts: 1, Granularity: 4e6}, 1, d)
-		logic.Members(born, true, []choice.Entry{{ID: "s"}})
+		logic := choice.New(born, &choice.Settings{Classes: map[string]*choice.Class{"read": {LatencyObjective: second, PriorityWeight: 1}},
+			Plans:          map[string]*choice.Plan{"p": {Rate: float64(rate), Burst: float64(burst), CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
+			CounterTimeout: second / 20, MaxRequestUnits: 1, MaxLease: 60 * second, Limiters: spread, ColdCapacity: 1, SlowStartWindow: 1,
+			DialTimeout: second / 4, MaxAttempts: 1, TimerResolution: 4e6}, 1, d)
+		logic.UpdateEndpoints(born, true, []choice.Endpoint{{ID: "s"}})
 		now := born + second/starts - 1
 		for i := range 4 * burst {
 			id := strconv.Itoa(i)
-			logic.Request(now, choice.Arrival{ID: id, Budget: second, Customer: 5, Plan: "p", Class: "read", Units: 1, Spread: spread})
+			logic.RequestArrived(now, choice.Arrival{ID: id, Timeout: second, Customer: 5, Plan: "p", Class: "read", Units: 1, Limiters: spread})
 			for ; len(d.names) > 0; d.names = d.names[1:] {
-				logic.Counted(now, d.names[0], choice.Unconnected, 0)
+				logic.CounterReplied(now, d.names[0], choice.ConnectFailed, 0)
 			}
 			if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
-				logic.Answer(now, choice.Reply{Request: id, Outcome: choice.Succeeded, Took: 1e7, Final: true})
+				logic.AttemptDone(now, choice.AttemptResult{Request: id, Outcome: choice.Succeeded, Duration: 1e7, Final: true})
 			}
 		}
 		total += len(d.sent)
--- a/internal/limiter/departed_test.go
+++ b/internal/limiter/departed_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func (w *wire) Gone(id ID) bool { return w.gone[id] }
+func (w *wire) PeerGone(id ConnID) bool { return w.gone[id] }
 
 // TestDeparted: as a connection to a server comes up, the client has gone and no event has told. Its attempt is not written, its
 // connection ends there and then, and the connection to the server serves the next client.
@@ -14,15 +14,15 @@
 	for _, class := range []string{"read", "write"} {
 		t.Run(class, func(t *testing.T) {
 			l, w, id := dialling(t, class)
-			w.gone = map[ID]bool{visitor: true}
+			w.gone = map[ConnID]bool{visitor: true}
 			l.Step(0, Event{Kind: Connected, Conn: id})
 			require.Empty(t, w.wrote[id])
-			require.Equal(t, []ID{visitor}, w.closed)
+			require.Equal(t, []ConnID{visitor}, w.closed)
 			require.Empty(t, l.requests)
 			require.Zero(t, l.clients)
 			require.Len(t, l.pools["s"].idle, 1)
 			l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed}) // the word of it comes later
-			require.Equal(t, []ID{visitor}, w.closed)
+			require.Equal(t, []ConnID{visitor}, w.closed)
 		})
 	}
 }
@@ -31,7 +31,7 @@
 // answer, and nothing would end them.
 func TestDepartedAsItIsRead(t *testing.T) {
 	l, w := made(t)
-	l.set.CounterWait = 0 // each is sent as it is read
+	l.set.CounterTimeout = 0 // each is sent as it is read
 	w.say(l, 0, visitor, command("k0", "read", "480"))
 	id := w.last
 	l.Step(0, Event{Kind: Connected, Conn: id})
@@ -39,7 +39,7 @@
 	w.pass(l, second/10) // its connection rests
 	wrote := w.wrote[id]
 	require.Contains(t, wrote, "k0")
-	w.gone = map[ID]bool{visitor: true}
+	w.gone = map[ConnID]bool{visitor: true}
 	w.say(l, second/10, visitor, command("k1", "read", "480")+command("k2", "read", "480")+command("k3", "read", "480"))
 	require.Equal(t, wrote, w.wrote[id])
 	require.Contains(t, w.closed, visitor)
--- a/internal/limiter/hints_test.go
+++ b/internal/limiter/hints_test.go
@@ -18,26 +18,26 @@
 	defer log.SetOutput(os.Stderr)
 	for _, c := range []struct {
 		name, event, says string
-		from              ID
+		from              ConnID
 		err               hint.Error
 	}{
 		{"a list too many", "event=list-turned-away status=503 ", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", watching,
-			&discovery.TurnedAwayError{Status: 503}},
+			&discovery.ThrottledError{Status: 503}},
 		{"no list", "event=list-refused ", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", watching,
 			&discovery.StatusError{Status: 404}},
 		{"a list without a version", "event=list-refused ", httpAnswer("{}"), watching,
 			&discovery.ListRefusedError{Key: "generation", Why: "missing"}},
 		{"no HTTP", "event=list-refused ", "ok 5\r\n", watching, &discovery.MalformedError{Why: "it is no HTTP/1"}},
-		{"a call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counting, &counterwire.RefusedError{Name: 5, Amount: 1}},
-		{"a ping's answer to a call", "event=counter-line ", "pong\r\n", counting, &counterwire.CrossedError{}},
+		{"a call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counting, &counterwire.RejectedError{Name: 5, Amount: 1}},
+		{"a ping's answer to a call", "event=counter-line ", "pong\r\n", counting, &counterwire.MismatchError{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := made(t)
-			l.Count(5, 1, second)
+			l.AddToCounter(5, 1, second)
 			var out bytes.Buffer
 			log.SetOutput(&out)
 			w.say(l, second/100, c.from, c.says)
-			require.Contains(t, out.String(), c.event+hint.Tail(c.err)+"\n")
+			require.Contains(t, out.String(), c.event+hint.LogFields(c.err)+"\n")
 			require.Contains(t, out.String(), c.err.Hint())
 		})
 	}
--- a/internal/limiter/late_test.go
+++ b/internal/limiter/late_test.go
@@ -13,9 +13,9 @@
 	w.pass(l, lingers/2)
 	woken := 10 * second
 	l.Step(woken, Event{Kind: Due})
-	require.False(t, l.Late() || l.Finished(), "clients' commands are unread")
+	require.False(t, l.Overdue() || l.Finished(), "clients' commands are unread")
 	w.say(l, woken, visitor, "*1\r\n$4\r\nPING\r\n")
 	expect(t, w.wrote[visitor], "+PONG\r\n")
 	w.pass(l, woken+l.set.DialTimeout/settles+1)
-	require.True(t, l.Late() && l.Finished())
+	require.True(t, l.Overdue() && l.Finished())
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -16,8 +16,8 @@
 	"ospreycroft/internal/settings"
 )
 
-// ID names a connection.
-type ID uint64
+// ConnID names a connection.
+type ConnID uint64
 
 // Kind says what happened.
 type Kind uint8
@@ -35,9 +35,9 @@
 // Event is what the sockets tell.
 type Event struct {
 	Kind Kind
-	Conn ID
+	Conn ConnID
 	Size int // bytes to read
-	End  End
+	End  CloseReason
 	// Config is the new configuration.
 	Config *settings.Config
 }
@@ -45,28 +45,28 @@
 // Effects are what the reducer asks of the sockets.
 type Effects interface {
 	// Dial begins a connection; Connected or Ended follows.
-	Dial(address string, timeout int64) ID
+	Dial(address string, timeout int64) ConnID
 	// Read copies the bytes that the present event told of.
 	Read(into []byte)
-	Write(id ID, bytes []byte)
+	Write(id ConnID, bytes []byte)
 	// Alive tells whether a connection that is up has not ended, as far as the sockets know; of one that was dialled, also whether
 	// all that has come on it was told.
-	Alive(id ID) bool
-	// Gone tells whether a client has ended its connection, also where no event has told of that yet.
-	Gone(id ID) bool
+	Alive(id ConnID) bool
+	// PeerGone tells whether a client has ended its connection, also where no event has told of that yet.
+	PeerGone(id ConnID) bool
 	// Written tells how many bytes the kernel has taken.
-	Written(id ID) int64
+	Written(id ConnID) int64
 	// Close ends the connection, if it has not ended yet; no event follows. It tells how many bytes the
 	// kernel had taken, which will not become more.
-	Close(id ID) int64
-	// Leave ends a client's connection unless bytes have come on it that no event has told of yet, and tells whether it did.
+	Close(id ConnID) int64
+	// CloseGracefully ends a client's connection unless bytes have come on it that no event has told of yet, and tells whether it did.
 	// What was written arrives; what comes from then on is never read. It is broken off so long after, if the client does not end
 	// it, but not while its machine lacks bytes, which may last up to the longest time.
-	Leave(id ID, after, most int64) bool
-	// Queued tells whether some clients wait in the kernel to be let in.
-	Queued() bool
-	// Wake asks for Due at a time; only the latest wish counts.
-	Wake(at int64)
+	CloseGracefully(id ConnID, after, most int64) bool
+	// HasBacklog tells whether some clients wait in the kernel to be let in.
+	HasBacklog() bool
+	// SetTimer asks for Due at a time; only the latest wish counts.
+	SetTimer(at int64)
 }
 
 // peer is the other side of a connection.
@@ -74,11 +74,11 @@
 	up()
 	// read takes from the bytes that have come and tells how many it has used up.
 	read(bytes []byte) (used int, err error)
-	ended(end End, written int64)
+	ended(end CloseReason, written int64)
 }
 
 type conn struct {
-	id    ID
+	id    ConnID
 	party peer
 	open  bool
 	in    buffer.Buffer
@@ -93,9 +93,9 @@
 	config         *settings.Config
 	set            *settings.Settings
 	effects        Effects
-	logic          *choice.Limiter
+	logic          *choice.Controller
 	now            int64
-	conns          map[ID]*conn
+	conns          map[ConnID]*conn
 	requests       map[string]*request
 	held           int64 // bytes of the commands in requests
 	buffered       int64 // bytes of the connections' buffers
@@ -129,7 +129,7 @@
 
 // pendingResult is what the module is told once its present call is over.
 type pendingResult struct {
-	reply   choice.Reply
+	reply   choice.AttemptResult
 	call    bool
 	name    uint64
 	outcome choice.Outcome
@@ -166,17 +166,17 @@
 
 // New makes a limiter from its configuration. It knows the servers that the configuration lists.
 func New(now int64, config *settings.Config, effects Effects) (*Limiter, error) {
-	return NewStated(now, config, Stated{}, effects)
+	return NewWithOptions(now, config, OperatorOptions{}, effects)
 }
 
-// NewStated makes a limiter that starts by what operators state beside its configuration.
-func NewStated(now int64, config *settings.Config, stated Stated, effects Effects) (*Limiter, error) {
-	l := &Limiter{config: config, set: config.Settings, effects: effects, now: now, conns: map[ID]*conn{},
+// NewWithOptions makes a limiter that starts by what operators state beside its configuration.
+func NewWithOptions(now int64, config *settings.Config, stated OperatorOptions, effects Effects) (*Limiter, error) {
+	l := &Limiter{config: config, set: config.Settings, effects: effects, now: now, conns: map[ConnID]*conn{},
 		requests: map[string]*request{}, pools: map[string]*pool{}}
 	l.counter.l, l.counter.heard, l.watch.l = l, now, l
 	l.keep = l.set.IdleClose / idleShare
-	l.watch.pace = pollpacer.New(now, l.set.DialTimeout, max(l.set.Position, 0), l.set.AskEvery)
-	l.watch.pace.Within(l.set.Grace)
+	l.watch.pace = pollpacer.New(now, l.set.DialTimeout, max(l.set.Position, 0), l.set.PollInterval)
+	l.watch.pace.SetNotificationBound(l.set.DrainGrace)
 	l.logic = choice.New(now, l.set.Settings, config.Seed, l)
 	l.readyBy = now + readyIn
 	if err := l.begin(stated); err != nil {
@@ -187,16 +187,16 @@
 	}
 	if l.start.budgeted() {
 		l.watch.next()
-	} else if first := l.watch.pace.First(); first > 0 && l.watch.fetched {
+	} else if first := l.watch.pace.FirstDelay(); first > 0 && l.watch.fetched {
 		l.watch.again = l.at(now+first, l.watch.dial)
 	} else {
 		l.watch.dial()
 	}
-	if l.set.CounterWait > 0 {
+	if l.set.CounterTimeout > 0 {
 		l.counter.open()
 	}
 	if l.start == nil {
-		l.at(now+l.watch.pace.Dial(), l.readyNow) // half a second at most
+		l.at(now+l.watch.pace.DialTimeout(), l.readyNow) // half a second at most
 	}
 	l.sweep()
 	l.visit()
@@ -207,7 +207,7 @@
 // readyNow: discovery has said what it knows, or is down, and the list of the configuration must do. The module may
 // want more time, until the latest: the parts of ceilings that have not filled by then are rejected for, not passed.
 func (l *Limiter) readyNow() {
-	if at := min(l.logic.Ready(), l.readyBy); l.now < at {
+	if at := min(l.logic.ReadyAt(), l.readyBy); l.now < at {
 		l.at(at, l.readyNow)
 	} else if !l.ready {
 		l.ready = true
@@ -256,7 +256,7 @@
 func (l *Limiter) close() {
 	if l.stopping != 0 && l.now >= l.stopping && len(l.requests) == 0 && !l.settled {
 		l.settled = true
-		l.logic.Closing(l.now)
+		l.logic.ShutDown(l.now)
 		l.tell()
 	}
 }
@@ -267,7 +267,7 @@
 	for l.conns[c.id] == c {
 		used, err := c.party.read(c.in.Bytes())
 		if err != nil && l.conns[c.id] == c {
-			l.over(c, Garbled)
+			l.over(c, ProtocolError)
 		}
 		if err != nil || used == 0 {
 			break
@@ -288,13 +288,13 @@
 	for i := 0; i < len(l.pendingResults); i++ {
 		switch o := l.pendingResults[i]; {
 		case o.call:
-			l.logic.Counted(l.now, o.name, o.outcome, o.total)
+			l.logic.CounterReplied(l.now, o.name, o.outcome, o.total)
 		case o.probed != "":
-			l.logic.Probed(l.now, o.probed, o.outcome)
+			l.logic.HealthCheckDone(l.now, o.probed, o.outcome)
 		case o.left != "":
-			l.logic.Left(l.now, o.left)
+			l.logic.ClientDisconnected(l.now, o.left)
 		default:
-			l.logic.Answer(l.now, o.reply)
+			l.logic.AttemptDone(l.now, o.reply)
 		}
 	}
 	l.pendingResults = l.pendingResults[:0]
@@ -305,7 +305,7 @@
 func (l *Limiter) dial(p peer, address string, timeout int64) *conn {
 	c := &conn{id: l.effects.Dial(address, timeout), party: p, since: l.now}
 	l.conns[c.id] = c
-	c.limit = l.at(l.now+timeout, func() { l.over(c, DialOver) })
+	c.limit = l.at(l.now+timeout, func() { l.over(c, DialTimedOut) })
 	return c
 }
 
@@ -316,7 +316,7 @@
 }
 
 // over is the only place where a connection ends.
-func (l *Limiter) over(c *conn, end End) {
+func (l *Limiter) over(c *conn, end CloseReason) {
 	delete(l.conns, c.id)
 	l.buffered -= c.size
 	l.timers.drop(c.limit)
@@ -353,9 +353,9 @@
 	spoilt    int // the same of the counter
 }
 
-// Wake is an effect of the module.
-func (l *Limiter) Wake(at, token int64) {
-	l.at(at, func() { l.logic.Woken(l.now, token) })
+// SetTimer is an effect of the module.
+func (l *Limiter) SetTimer(at, token int64) {
+	l.at(at, func() { l.logic.TimerFired(l.now, token) })
 }
 
 // Log is an effect of the module.
@@ -404,17 +404,17 @@
 	}
 }
 
-func (l *Limiter) arm() { l.effects.Wake(max(l.timers[0].at, l.wake.blind)) }
+func (l *Limiter) arm() { l.effects.SetTimer(max(l.timers[0].at, l.wake.blind)) }
 
 // renew goes on by a configuration that has replaced the present one under load. Discovery and the counter may move;
 // what else differs holds from the next start on, each key with a line. A counter that the settings still have stays where
 // it is when none is named any more.
 func (l *Limiter) renew(config *settings.Config) {
-	for _, key := range l.config.Fixed(config) {
+	for _, key := range l.config.NeedRestart(config) {
 		log.Printf("event=config-kept key=%q", key)
 	}
 	moved := *l.config
-	if moved.Discovery = config.Discovery; l.set.CounterWait > 0 && config.Counter != "" {
+	if moved.Discovery = config.Discovery; l.set.CounterTimeout > 0 && config.Counter != "" {
 		moved.Counter = config.Counter
 	}
 	discovery, counter := moved.Discovery != l.config.Discovery, moved.Counter != l.config.Counter
@@ -459,11 +459,11 @@
 	if l.stopping == 0 || l.now < l.stopping+lastLook || !l.settled || l.counter.waits() {
 		return false
 	}
-	return l.Late() || l.clients == 0 && !l.effects.Queued()
+	return l.Overdue() || l.clients == 0 && !l.effects.HasBacklog()
 }
 
-// Late tells whether SIGKILL may come soon: no client can hold the process any longer. All that was taken is answered by then, and
+// Overdue tells whether SIGKILL may come soon: no client can hold the process any longer. All that was taken is answered by then, and
 // who has an answer to read has had time to. A process that stood still first reads what has come meanwhile.
-func (l *Limiter) Late() bool {
+func (l *Limiter) Overdue() bool {
 	return l.stopping != 0 && l.now > max(l.stopping+holdFor, l.ended+killSpare, l.wake.blind)
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -18,41 +18,41 @@
 
 // wire stands in for the sockets and writes down what was asked of them.
 type wire struct {
-	last   ID
-	dialed map[ID]string
-	wrote  map[ID]string
-	kernel map[ID]int64 // what the kernel takes, where that is not all
-	closed []ID
-	dead   map[ID]bool
-	gone   map[ID]bool // clients that have ended their connection, which no event has told
+	last   ConnID
+	dialed map[ConnID]string
+	wrote  map[ConnID]string
+	kernel map[ConnID]int64 // what the kernel takes, where that is not all
+	closed []ConnID
+	dead   map[ConnID]bool
+	gone   map[ConnID]bool // clients that have ended their connection, which no event has told
 	coming string
 	wake   int64
 
-	full   bool        // clients wait to be let in
-	unread map[ID]bool // bytes have come that no event has told of
+	full   bool            // clients wait to be let in
+	unread map[ConnID]bool // bytes have come that no event has told of
 }
 
-func (w *wire) Dial(address string, _ int64) ID {
+func (w *wire) Dial(address string, _ int64) ConnID {
 	w.last++
 	w.dialed[w.last] = address
 	return w.last
 }
-func (w *wire) Read(into []byte)         { copy(into, w.coming) }
-func (w *wire) Write(id ID, text []byte) { w.wrote[id] += string(text) }
-func (w *wire) Alive(id ID) bool         { return !w.dead[id] }
-func (w *wire) Written(id ID) int64 {
+func (w *wire) Read(into []byte)             { copy(into, w.coming) }
+func (w *wire) Write(id ConnID, text []byte) { w.wrote[id] += string(text) }
+func (w *wire) Alive(id ConnID) bool         { return !w.dead[id] }
+func (w *wire) Written(id ConnID) int64 {
 	if most, is := w.kernel[id]; is {
 		return most
 	}
 	return int64(len(w.wrote[id]))
 }
-func (w *wire) Close(id ID) int64 {
+func (w *wire) Close(id ConnID) int64 {
 	w.closed = append(w.closed, id)
 	return w.Written(id)
 }
-func (w *wire) Wake(at int64)                { w.wake = at }
-func (w *wire) Leave(id ID, _, _ int64) bool { return !w.unread[id] }
-func (w *wire) Queued() bool                 { return w.full }
+func (w *wire) SetTimer(at int64)                          { w.wake = at }
+func (w *wire) CloseGracefully(id ConnID, _, _ int64) bool { return !w.unread[id] }
+func (w *wire) HasBacklog() bool                           { return w.full }
 
 // pass lets the time pass as it does on sockets: nothing is due for longer than a wake takes.
 func (w *wire) pass(l *Limiter, to int64) {
@@ -63,9 +63,9 @@
 }
 
 const (
-	watching ID = 1 // the connections that a limiter dials at its start
-	counting ID = 2
-	visitor  ID = 100
+	watching ConnID = 1 // the connections that a limiter dials at its start
+	counting ConnID = 2
+	visitor  ConnID = 100
 )
 
 const known = `{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:9","lifecycle":"in_service","weight":1}]}`
@@ -76,14 +76,14 @@
 // madeTo is the same where discovery tells only those that ask, every so often, or else all, for one of many limiters.
 func madeTo(t *testing.T, every int64, position int) (*Limiter, *wire) {
 	t.Helper()
-	w := &wire{dialed: map[ID]string{}, wrote: map[ID]string{}, kernel: map[ID]int64{}}
+	w := &wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := New(0, &settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 64, Known: []byte(known),
-		Settings: &settings.Settings{IdleClose: 15 * second, AskEvery: every, Settings: &choice.Settings{
-			Classes: map[string]*choice.Class{"read": {Target: second}, "write": {Target: second, Effect: choice.NonIdempotent}},
+		Settings: &settings.Settings{IdleClose: 15 * second, PollInterval: every, Settings: &choice.Settings{
+			Classes: map[string]*choice.Class{"read": {LatencyObjective: second}, "write": {LatencyObjective: second, Idempotency: choice.NonIdempotent}},
 			Plans:   map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
 			// With one limiter and large requests the first room holds several of them.
-			CounterWait: second / 20, MostUnits: 8, LongestLease: 60 * second, Limiters: 1, Position: position, ColdFrom: 0.25,
-			WarmWithin: 10 * second, DialTimeout: second / 4, MostAttempts: 3, MostAdvice: second, Granularity: second / 250,
+			CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 1, Position: position, ColdCapacity: 0.25,
+			SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
 		}}}, w)
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 	return l, w
 }
 
-func (w *wire) say(l *Limiter, now int64, id ID, text string) {
+func (w *wire) say(l *Limiter, now int64, id ConnID, text string) {
 	w.coming = text
 	l.Step(now, Event{Kind: Readable, Conn: id, Size: len(text)})
 }
@@ -113,9 +113,11 @@
 }
 
 // dialling is a limiter with one request, whose attempt waits for its connection.
-func dialling(t *testing.T, class string) (*Limiter, *wire, ID) { return diallingFor(t, class, "480") }
+func dialling(t *testing.T, class string) (*Limiter, *wire, ConnID) {
+	return diallingFor(t, class, "480")
+}
 
-func diallingFor(t *testing.T, class, left string) (*Limiter, *wire, ID) {
+func diallingFor(t *testing.T, class, left string) (*Limiter, *wire, ConnID) {
 	t.Helper()
 	l, w := made(t)
 	w.say(l, 0, visitor, command("j", class, left))
@@ -127,12 +129,12 @@
 }
 
 // sent is the same with the attempt written.
-func sent(t *testing.T, class string) (*Limiter, *wire, ID) {
+func sent(t *testing.T, class string) (*Limiter, *wire, ConnID) {
 	t.Helper()
 	return sentFor(t, class, "480")
 }
 
-func sentFor(t *testing.T, class, left string) (*Limiter, *wire, ID) {
+func sentFor(t *testing.T, class, left string) (*Limiter, *wire, ConnID) {
 	t.Helper()
 	l, w, id := diallingFor(t, class, left)
 	l.Step(0, Event{Kind: Connected, Conn: id})
@@ -148,23 +150,23 @@
 
 func TestOutcome(t *testing.T) {
 	for _, c := range []struct {
-		end         End
+		end         CloseReason
 		part, whole choice.Outcome
 	}{
-		{Refused, choice.Unconnected, choice.Reset}, {DialOver, choice.Unconnected, choice.Reset},
-		{PeerClosed, choice.Unconnected, choice.Reset}, {PeerReset, choice.Unconnected, choice.Reset},
-		{Garbled, choice.Unconnected, choice.Reset}, {CalledOff, choice.Moot, choice.Cancelled},
-		{TimeOver, choice.Moot, choice.TimedOut}, {NoRoom, choice.Moot, choice.Reset},
+		{ConnRefused, choice.ConnectFailed, choice.ConnectionLost}, {DialTimedOut, choice.ConnectFailed, choice.ConnectionLost},
+		{PeerClosed, choice.ConnectFailed, choice.ConnectionLost}, {PeerReset, choice.ConnectFailed, choice.ConnectionLost},
+		{ProtocolError, choice.ConnectFailed, choice.ConnectionLost}, {AttemptCancelled, choice.NotAttempted, choice.Cancelled},
+		{DeadlineExceeded, choice.NotAttempted, choice.TimedOut}, {NoConnection, choice.NotAttempted, choice.ConnectionLost},
 	} {
 		t.Run(c.end.String(), func(t *testing.T) {
 			if part, whole := c.end.outcome(false), c.end.outcome(true); part != c.part || whole != c.whole {
 				t.Fatalf("outcome %d, of a whole attempt %d", part, whole)
 			}
 			want := choice.TimedOut
-			if c.end == PeerClosed || c.end == PeerReset || c.end == Garbled {
-				want = choice.Broke
+			if c.end == PeerClosed || c.end == PeerReset || c.end == ProtocolError {
+				want = choice.ServerError
 			}
-			if c.end.counted(false) != choice.Unconnected || c.end.counted(true) != want {
+			if c.end.counted(false) != choice.ConnectFailed || c.end.counted(true) != want {
 				t.Fatal("a whole call may have been added, one that is not was not")
 			}
 		})
@@ -265,29 +267,29 @@
 func TestAttemptEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(l *Limiter, w *wire, id ID)
+		end  func(l *Limiter, w *wire, id ConnID)
 		out  string
 	}{
-		{"before its last byte is written: it never ran", func(l *Limiter, w *wire, id ID) {
+		{"before its last byte is written: it never ran", func(l *Limiter, w *wire, id ConnID) {
 			w.kernel[id] = int64(len(w.wrote[id])) - 1
 			l.Step(0, Event{Kind: Ended, Conn: id, End: PeerReset})
 		}, "-BUSY 2"},
-		{"after it: it may have run", func(l *Limiter, w *wire, id ID) {
+		{"after it: it may have run", func(l *Limiter, w *wire, id ConnID) {
 			l.Step(0, Event{Kind: Ended, Conn: id, End: PeerClosed})
 		}, "-ERR written off"},
-		{"turned away: the module words the answer", func(l *Limiter, w *wire, id ID) {
+		{"turned away: the module words the answer", func(l *Limiter, w *wire, id ConnID) {
 			w.say(l, 0, id, "-BUSY 7777\r\n")
 		}, "-BUSY 2"},
-		{"an error: it may have run", func(l *Limiter, w *wire, id ID) {
+		{"an error: it may have run", func(l *Limiter, w *wire, id ConnID) {
 			w.say(l, 0, id, "-ERR failed\r\n")
 		}, "-ERR written off"},
-		{"a null is no answer", func(l *Limiter, w *wire, id ID) {
+		{"a null is no answer", func(l *Limiter, w *wire, id ConnID) {
 			w.say(l, 0, id, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 		}, "-ERR written off"},
-		{"not understood", func(l *Limiter, w *wire, id ID) {
+		{"not understood", func(l *Limiter, w *wire, id ConnID) {
 			w.say(l, 0, id, "what\r\n")
 		}, "-ERR written off"},
-		{"served", func(l *Limiter, w *wire, id ID) {
+		{"served", func(l *Limiter, w *wire, id ConnID) {
 			w.say(l, 0, id, "*3\r\n$1\r\n")
 			w.say(l, 0, id, "v\r\n$6\r\ncost=9\r\n$-1\r\n")
 		}, "$1\r\nv\r\n"},
@@ -339,12 +341,12 @@
 		l, w, id := sent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		p := l.pools["s"]
-		for ; l.now < rests*l.set.Granularity; l.now += l.set.Granularity {
+		for ; l.now < rests*l.set.TimerResolution; l.now += l.set.TimerResolution {
 			if b := p.backend(); b.c != nil || len(p.idle) != 1 {
 				t.Fatal("a connection that has not rested is used again")
 			}
 		}
-		l.now = rests * l.set.Granularity
+		l.now = rests * l.set.TimerResolution
 		if b := p.backend(); b.c == nil || b.c.id != id {
 			t.Fatal("one that has rested is not")
 		}
@@ -366,7 +368,7 @@
 	t.Run("parts of commands past the memory for them too", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, visitor, strings.Repeat("*1\r\n$4\r\nECHO\r\n", 1000)) // used up at once, it takes nothing
-		if l.buffered > buffer.Least*3 {
+		if l.buffered > buffer.MinCapacity*3 {
 			t.Fatalf("%d bytes are held", l.buffered)
 		}
 		l.buffered = l.config.Memory/heldShare + 1
@@ -374,7 +376,7 @@
 		if strings.HasSuffix(w.wrote[visitor], "-ERR too long\r\n") {
 			t.Fatal("a small part was turned away")
 		}
-		w.say(l, 0, visitor, strings.Repeat("x", buffer.Least))
+		w.say(l, 0, visitor, strings.Repeat("x", buffer.MinCapacity))
 		if !strings.HasSuffix(w.wrote[visitor], "-ERR unknown command\r\n-ERR too long\r\n") {
 			t.Fatalf("client got %q", w.wrote[visitor][len(w.wrote[visitor])-60:])
 		}
@@ -448,7 +450,7 @@
 	if !first.told {
 		t.Fatal("a call without an answer was not given up")
 	}
-	l.Count(first.name, 3, second)
+	l.AddToCounter(first.name, 3, second)
 	if used, err := l.counter.lines[0].read([]byte("ok 2\r\n")); used != 6 || err != nil || len(l.pendingResults) != 0 {
 		t.Fatalf("used %d, error %v, the module is owed %+v", used, err, l.pendingResults)
 	}
@@ -465,7 +467,7 @@
 	t.Run("a call that was not written in time never will be", func(t *testing.T) {
 		l, w := made(t)
 		l.Step(0, Event{Kind: Ended, Conn: counting, End: PeerClosed})
-		l.Count(1, 2, second)
+		l.AddToCounter(1, 2, second)
 		line := w.last
 		w.pass(l, second/20)
 		l.Step(second/20, Event{Kind: Connected, Conn: line})
@@ -474,7 +476,7 @@
 	t.Run("calls on one name keep to one line, others spread", func(t *testing.T) {
 		l, _ := made(t)
 		for _, name := range []uint64{1, 1, 2} {
-			l.Count(name, 2, second)
+			l.AddToCounter(name, 2, second)
 		}
 		if lines := l.counter.lines; len(lines) != 2 || len(lines[0].calls) != 2 {
 			t.Fatalf("%d lines, %d calls on the first", len(lines), len(lines[0].calls))
@@ -497,20 +499,20 @@
 		for _, c := range []struct {
 			at   int64
 			down bool
-		}{{0, false}, {silentFor * l.set.CounterWait, false}, {silentFor*l.set.CounterWait + 1, true}} {
+		}{{0, false}, {silentFor * l.set.CounterTimeout, false}, {silentFor*l.set.CounterTimeout + 1, true}} {
 			l.now = c.at
 			if l.counter.tell(&call{}, choice.TimedOut, 0); l.counter.down != c.down {
 				t.Fatalf("down %v after %d", l.counter.down, c.at)
 			}
 		}
-		l.Count(1, 2, second)
+		l.AddToCounter(1, 2, second)
 		if w.say(l, l.now, counting, "ok 2\r\n"); l.counter.down {
 			t.Fatal("it has answered")
 		}
 	})
 	t.Run("what the counter never writes ends it", func(t *testing.T) {
 		l, w := made(t)
-		l.Count(1, 2, second)
+		l.AddToCounter(1, 2, second)
 		w.say(l, 0, counting, "okay\r\n")
 		if !slices.Contains(w.closed, counting) || len(l.counter.lines) != 0 {
 			t.Fatalf("closed %v", w.closed)
@@ -572,9 +574,9 @@
 func TestTolls(t *testing.T) {
 	l, w, id := sent(t, "read")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	l.Reject("nobody's", 0, choice.ForRoom)
+	l.Reject("nobody's", 0, choice.RejectedForCapacity)
 	want := outcomeCounts{taken: 1, succeeded: 1}
-	want.rejected[choice.ForRoom] = 1
+	want.rejected[choice.RejectedForCapacity] = 1
 	if l.outcomes != want {
 		t.Fatalf("%+v", l.outcomes)
 	}
@@ -623,8 +625,8 @@
 		config := *made.config
 		set := *config.Settings
 		inner := *set.Settings
-		inner.Limiters, inner.Position, set.AskEvery, set.Settings, config.Settings = 80, position, 10*second, &inner, &set
-		w.dialed = map[ID]string{}
+		inner.Limiters, inner.Position, set.PollInterval, set.Settings, config.Settings = 80, position, 10*second, &inner, &set
+		w.dialed = map[ConnID]string{}
 		l, err := New(0, &config, w)
 		if err != nil {
 			t.Fatal(err)
@@ -686,7 +688,7 @@
 		l.Step(0, moved(l))
 		line := w.last
 		l.Step(0, Event{Kind: Connected, Conn: line})
-		l.Count(1, 2, second)
+		l.AddToCounter(1, 2, second)
 		w.say(l, 0, counting, "ok 2\r\n")
 		if w.dialed[w.last] != "127.0.0.1:9" || w.wrote[counting] != before || !slices.Contains(w.closed, counting) {
 			t.Fatalf("dialled %v, wrote %v, closed %v", w.dialed, w.wrote, w.closed)
@@ -698,7 +700,7 @@
 	t.Run("a call that was not written moves, once, and on to where the next one says", func(t *testing.T) {
 		l, w := made(t)
 		l.Step(0, Event{Kind: Ended, Conn: counting, End: PeerClosed})
-		l.Count(1, 2, second)
+		l.AddToCounter(1, 2, second)
 		line := w.last
 		for range 2 {
 			l.Step(0, moved(l))
@@ -783,7 +785,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w := made(t)
 			if strings.HasPrefix(c.in, "done") {
-				var id ID
+				var id ConnID
 				l, w, id = sent(t, "read")
 				w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 				if c.in != "done" {
@@ -810,26 +812,26 @@
 	w.say(l, 1, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	most := l.config.Sockets / clientRoom
 	newcomer := visitor + 1
-	for i := range ID(most - 1) {
+	for i := range ConnID(most - 1) {
 		l.Step(2, Event{Kind: Accepted, Conn: newcomer + i})
 	}
 	for _, c := range []struct {
 		name string
 		now  int64
-		want []ID
+		want []ConnID
 	}{
 		{"nobody who has just come", 3, nil},
-		{"the new client that came first", 2 + l.set.DialTimeout/settled, []ID{newcomer}},
-		{"and, once they are all in use, the one that was idle longest", second, []ID{newcomer, visitor}},
+		{"the new client that came first", 2 + l.set.DialTimeout/settled, []ConnID{newcomer}},
+		{"and, once they are all in use, the one that was idle longest", second, []ConnID{newcomer, visitor}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if l.now = c.now; l.now == second {
-				for i := range ID(most) {
+				for i := range ConnID(most) {
 					if conn := l.conns[newcomer+i]; conn != nil {
 						conn.party.(*client).answers = []*answer{{}}
 					}
 				}
-				l.accept(newcomer + ID(most))
+				l.accept(newcomer + ConnID(most))
 			}
 			if l.makeRoom(); !slices.Equal(w.closed, c.want) {
 				t.Fatalf("closed %v, want %v", w.closed, c.want)
@@ -862,11 +864,11 @@
 	}{
 		{"answered", func(l *Limiter, b *backend) { _, _ = b.read([]byte("+OK\r\n")) }, choice.Succeeded},
 		{"not in time", func(l *Limiter, b *backend) { b.probe.run() }, choice.TimedOut},
-		{"broken", func(l *Limiter, b *backend) { l.over(b.c, PeerReset) }, choice.Reset},
+		{"broken", func(l *Limiter, b *backend) { l.over(b.c, PeerReset) }, choice.ConnectionLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := made(t)
-			l.Probe("s")
+			l.HealthCheck("s")
 			l.Step(0, Event{Kind: Connected, Conn: w.last})
 			expect(t, w.wrote[w.last], "*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n")
 			b := l.conns[w.last].party.(*backend)
@@ -893,14 +895,14 @@
 		{"*3\r\n$1\r\nv\r\n$-1\r\n$31\r\nthroughput=4.397,outstanding=2.\r\n", choice.Succeeded, 0, 2, 4.397},
 		{"*3\r\n$1\r\nv\r\n$-1\r\n$29\r\nthroughput=-1,outstanding=NaN\r\n", choice.Succeeded, 0, 0, 0},
 		{"*3\r\n$1\r\nv\r\n$-1\r\n$46\r\nbacklog=3,throughput=2.5000,recent_ms=135.5000\r\n", choice.Succeeded, 0, 0, 2.5},
-		{"-BUSY inflight=7\r\n", choice.Full, 0, 0, 0},
-		{"-BUSYBODY\r\n", choice.Broke, 0, 0, 0},
-		{"-ERR failed inflight=7\r\n", choice.Broke, 0, 0, 0},
+		{"-BUSY inflight=7\r\n", choice.Overloaded, 0, 0, 0},
+		{"-BUSYBODY\r\n", choice.ServerError, 0, 0, 0},
+		{"-ERR failed inflight=7\r\n", choice.ServerError, 0, 0, 0},
 	} {
 		t.Run(strconv.Quote(c.in), func(t *testing.T) {
 			v, _, err := resp.ReadAnswer([]byte(c.in))
-			if r, _ := judge(v, 8); err != nil || r.Outcome != c.outcome || r.Units != c.units || r.Held != c.held || r.Pace != c.pace ||
-				strings.Contains(c.in, "backlog") && (r.Queue != 3 || r.Work != 135500000) {
+			if r, _ := judge(v, 8); err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.InFlight != c.held || r.Throughput != c.pace ||
+				strings.Contains(c.in, "backlog") && (r.Queued != 3 || r.ServiceTime != 135500000) {
 				t.Fatalf("%+v, error %v", r, err)
 			}
 		})
@@ -910,8 +912,8 @@
 func TestUse(t *testing.T) {
 	l, w, id := sent(t, "write")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	w.dead = map[ID]bool{id: true}
-	l.now = rests * l.set.Granularity
+	w.dead = map[ConnID]bool{id: true}
+	l.now = rests * l.set.TimerResolution
 	p := l.pools["s"]
 	if !p.use(func(b *backend) {}) || w.last == id || l.backends != 1 || !slices.Contains(w.closed, id) {
 		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.backends)
@@ -921,9 +923,9 @@
 // A machine that has vanished says nothing, so what was idle then may be dead too.
 func TestBackendEnded(t *testing.T) {
 	for _, c := range []struct {
-		end  End
+		end  CloseReason
 		idle int
-	}{{TimeOver, 0}, {CalledOff, 0}, {PeerReset, 0}, {Refused, 1}, {Garbled, 1}} {
+	}{{DeadlineExceeded, 0}, {AttemptCancelled, 0}, {PeerReset, 0}, {ConnRefused, 1}, {ProtocolError, 1}} {
 		t.Run(c.end.String(), func(t *testing.T) {
 			l, w, id := sent(t, "read")
 			p := l.pools["s"]
@@ -1015,7 +1017,7 @@
 func TestStopUnderLoad(t *testing.T) {
 	busy := "-BUSY 250\r\n"
 	answer := "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
-	stopped := func() (*Limiter, *wire, ID) {
+	stopped := func() (*Limiter, *wire, ConnID) {
 		l, w, id := sentFor(t, "read", "3000")
 		l.Step(0, Event{Kind: Stopping})
 		w.pass(l, lingers-1)
@@ -1066,7 +1068,7 @@
 	}
 	t.Run("a command that has come in the moment of closing is answered first", func(t *testing.T) {
 		l, w, id := stopped()
-		w.unread = map[ID]bool{visitor: true}
+		w.unread = map[ConnID]bool{visitor: true}
 		w.say(l, lingers-1, id, answer)
 		w.pass(l, lingers+second/10)
 		require.False(t, slices.Contains(w.closed, visitor), "it would be lost")
@@ -1079,7 +1081,7 @@
 		l, w, id := stopped()
 		w.say(l, lingers-1, id, answer)
 		w.pass(l, second-1)
-		l.Count(1, -2, second)
+		l.AddToCounter(1, -2, second)
 		l.now = second
 		require.False(t, l.Finished(), "the counter has not answered")
 		w.say(l, second, counting, "ok 0\r\n")
--- a/internal/limiter/notification_test.go
+++ b/internal/limiter/notification_test.go
@@ -52,8 +52,8 @@
 	moved  int64
 	failed int    // retries that have come to be due
 	again  *timer // the latest of them
-	last   ID     // the latest connection that was looked at
-	open   map[ID]*held
+	last   ConnID // the latest connection that was looked at
+	open   map[ConnID]*held
 	ended  bool // the outage has ended a watch
 }
 
@@ -105,7 +105,7 @@
 }
 
 // ids are the connections that are up, in order.
-func (o *outage) ids() (ids []ID) {
+func (o *outage) ids() (ids []ConnID) {
 	for id := range o.open {
 		if !slices.Contains(o.w.closed, id) {
 			ids = append(ids, id)
@@ -122,7 +122,7 @@
 		switch id := o.last; {
 		case !strings.HasPrefix(o.w.dialed[id], "disco"):
 		case o.down(now) && o.fault == refusing:
-			o.l.Step(now, Event{Kind: Ended, Conn: id, End: Refused})
+			o.l.Step(now, Event{Kind: Ended, Conn: id, End: ConnRefused})
 		case o.down(now) && o.fault == unanswering:
 		default:
 			o.open[id] = &held{}
@@ -145,7 +145,7 @@
 }
 
 // fail answers a call as the fault has it.
-func (o *outage) fail(now int64, id ID) {
+func (o *outage) fail(now int64, id ConnID) {
 	switch whole := httpAnswer(before); o.fault {
 	case turning:
 		o.w.say(o.l, now, id, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -158,7 +158,7 @@
 	}
 }
 
-func (o *outage) serve(now int64, id ID) {
+func (o *outage) serve(now int64, id ConnID) {
 	h := o.open[id]
 	if asked := o.w.wrote[id][h.wrote:]; asked != "" {
 		h.wrote = len(o.w.wrote[id])
@@ -282,7 +282,7 @@
 	t.Helper()
 	l, w := madeTo(t, every, 0)
 	l.watch.pace = pollpacer.New(0, l.set.DialTimeout, position, every)
-	return &outage{l: l, w: w, open: map[ID]*held{watching: {}}, last: counting}
+	return &outage{l: l, w: w, open: map[ConnID]*held{watching: {}}, last: counting}
 }
 
 // budgeted is an outage before a limiter whose operator states what the list service bears: one of so many places in a round.
@@ -290,10 +290,10 @@
 	t.Helper()
 	made, w := madeTo(t, 10*second, position)
 	made.set.Limiters = limiters
-	*w = wire{dialed: map[ID]string{}, wrote: map[ID]string{}, kernel: map[ID]int64{}}
-	l, err := NewStated(0, made.config, Stated{ListCalls: float64(limiters) * 1e9 / float64(round)}, w)
+	*w = wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
+	l, err := NewWithOptions(0, made.config, OperatorOptions{DiscoveryCallRate: float64(limiters) * 1e9 / float64(round)}, w)
 	require.NoError(t, err)
-	return &outage{l: l, w: w, open: map[ID]*held{}}
+	return &outage{l: l, w: w, open: map[ConnID]*held{}}
 }
 
 // TestNotificationBudget: the same where the operator states a budget that is enough: a limiter that calls at its own instants only
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -10,26 +10,26 @@
 	"ospreycroft/internal/resp"
 )
 
-// State is where a request stands; move is the only function that changes it.
-type State uint8
+// requestState is where a request stands; move is the only function that changes it.
+type requestState uint8
 
 const (
-	Taken State = iota
-	Succeeded
-	Rejected
-	Failed
-	Left // its client has gone
+	accepted requestState = iota
+	succeeded
+	rejected
+	requestFailed
+	clientGone // its client has gone
 )
 
 type request struct {
 	id       string
-	state    State
+	state    requestState
 	client   *client
 	answer   *answer // its place among the client's answers
 	deadline int64
 	// How long a server knows the request again after an attempt, where it does; 0 else.
 	repeats  int64
-	group    choice.Group // and which servers do
+	group    choice.DeduplicationScope // and which servers do
 	attempts []*attempt
 	open     int // attempts that are out
 	size     int64
@@ -57,8 +57,8 @@
 }
 
 // same tells whether two places are in one group.
-func (p place) same(group choice.Group, o place) bool {
-	return group == choice.GroupAll || group == choice.GroupZone && p.zone == o.zone || group == choice.GroupCell && p.cell == o.cell
+func (p place) same(group choice.DeduplicationScope, o place) bool {
+	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == o.zone || group == choice.ScopeCell && p.cell == o.cell
 }
 
 var (
@@ -87,22 +87,22 @@
 }
 
 // move is the only place where a request changes its state. A request ends once, with one answer to its client.
-func (l *Limiter) move(q *request, to State, text []byte) {
-	if q.state != Taken {
+func (l *Limiter) move(q *request, to requestState, text []byte) {
+	if q.state != accepted {
 		return
 	}
 	l.ended = l.now
-	if q.state = to; to == Succeeded {
+	if q.state = to; to == succeeded {
 		l.outcomes.succeeded++
 	}
 	for _, att := range q.attempts {
 		// A command of which the kernel has only a part must not become whole after the request's end: this comes before the
 		// answer.
 		if att.open && att.last > 0 && l.effects.Written(att.backend.c.id) < att.last {
-			l.over(att.backend.c, CalledOff)
+			l.over(att.backend.c, AttemptCancelled)
 		}
 	}
-	if to != Left {
+	if to != clientGone {
 		q.client.answer(q.answer, text)
 	}
 	l.drop(q)
@@ -110,7 +110,7 @@
 
 // drop lets go of a request that has ended, once nothing of it is out.
 func (l *Limiter) drop(q *request) {
-	if q.state != Taken && q.open == 0 && l.requests[q.id] == q {
+	if q.state != accepted && q.open == 0 && l.requests[q.id] == q {
 		l.held -= q.size
 		delete(l.requests, q.id)
 	}
@@ -127,7 +127,7 @@
 // outcomeCounts counts what became of requests since it was last logged.
 type outcomeCounts struct {
 	taken, succeeded int
-	rejected         [choice.Causes]int
+	rejected         [choice.RejectReasons]int
 }
 
 // LogOutcomes logs the counts since the last time, if there are any, in one line whatever their number.
@@ -135,7 +135,7 @@
 	if t := l.outcomes; t != (outcomeCounts{}) {
 		line := fmt.Sprintf("event=requests taken=%d succeeded=%d", t.taken, t.succeeded)
 		for c, n := range t.rejected {
-			line += fmt.Sprintf(" %s=%d", choice.Cause(c), n)
+			line += fmt.Sprintf(" %s=%d", choice.RejectReason(c), n)
 		}
 		log.Print(line)
 		l.outcomes = outcomeCounts{}
@@ -148,14 +148,14 @@
 	att := &attempt{request: q, number: len(q.attempts), at: l.now, open: true}
 	q.attempts = append(q.attempts, att)
 	q.open++
-	if q.state != Taken || l.now >= q.deadline || len(q.attempts) > l.set.MostAttempts {
-		l.endAttempt(att, choice.Reply{Outcome: choice.Moot})
+	if q.state != accepted || l.now >= q.deadline || len(q.attempts) > l.set.MaxAttempts {
+		l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		return
 	}
 	p := l.pools[server]
 	l.sure(func() {
-		if q.state != Taken || l.now >= q.deadline || p.leaving {
-			l.endAttempt(att, choice.Reply{Outcome: choice.Moot})
+		if q.state != accepted || l.now >= q.deadline || p.leaving {
+			l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		} else if att.open {
 			p.send(att)
 		}
@@ -169,29 +169,29 @@
 		return
 	}
 	if b := q.attempts[number].backend; b != nil {
-		l.over(b.c, CalledOff)
+		l.over(b.c, AttemptCancelled)
 	} else { // it waits for a sure list
-		l.endAttempt(q.attempts[number], choice.Reply{Outcome: choice.Moot})
+		l.endAttempt(q.attempts[number], choice.AttemptResult{Outcome: choice.NotAttempted})
 	}
 }
 
 // endAttempt ends an attempt, once, and owes the module its answer.
-func (l *Limiter) endAttempt(att *attempt, reply choice.Reply) {
+func (l *Limiter) endAttempt(att *attempt, reply choice.AttemptResult) {
 	if !att.open {
 		return
 	}
 	q := att.request
 	l.timers.drop(att.limit)
 	att.open, att.backend = false, nil
-	att.never = reply.Outcome == choice.Full || reply.Outcome == choice.Unconnected || reply.Outcome == choice.Moot
+	att.never = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed || reply.Outcome == choice.NotAttempted
 	q.open--
-	reply.Request, reply.Attempt, reply.Took, reply.Final = q.id, att.number, l.now-att.at, q.state != Taken
+	reply.Request, reply.Attempt, reply.Duration, reply.Final = q.id, att.number, l.now-att.at, q.state != accepted
 	l.pendingResults = append(l.pendingResults, pendingResult{reply: reply})
 	l.drop(q)
 }
 
 // Reject is an effect of the module.
-func (l *Limiter) Reject(id string, retryAfter int64, cause choice.Cause) {
+func (l *Limiter) Reject(id string, retryAfter int64, cause choice.RejectReason) {
 	l.outcomes.rejected[cause]++
 	text := rejectedPlain
 	if retryAfter > 0 {
@@ -199,13 +199,13 @@
 		text = append(text, "\r\n"...)
 	}
 	if q := l.requests[id]; q != nil {
-		l.move(q, Rejected, text)
+		l.move(q, rejected, text)
 	}
 }
 
 // Fail is an effect of the module.
 func (l *Limiter) Fail(id string) {
 	if q := l.requests[id]; q != nil {
-		l.move(q, Failed, failed)
+		l.move(q, requestFailed, failed)
 	}
 }
--- a/internal/limiter/scale_bench_test.go
+++ b/internal/limiter/scale_bench_test.go
@@ -29,7 +29,7 @@
 		fmt.Fprintf(&text, `{"instanceId":"server-%d","hostPort":"127.0.0.1:9","lifecycle":%q,"weight":1}`, i, state)
 	}
 	text.WriteString("]}")
-	list, err := discovery.Decode([]byte(text.String()))
+	list, err := discovery.DecodeList([]byte(text.String()))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -40,17 +40,17 @@
 func benchLimiter(b *testing.B, servers int) *Limiter {
 	log.SetOutput(io.Discard)
 	b.Cleanup(func() { log.SetOutput(os.Stderr) })
-	w := &wire{dialed: map[ID]string{}, wrote: map[ID]string{}, kernel: map[ID]int64{}}
+	w := &wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := New(0, &settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 1024, Known: []byte("null"),
 		Settings: &settings.Settings{IdleClose: 15 * second, Settings: &choice.Settings{
-			Classes: map[string]*choice.Class{"read": {Target: second}}, Plans: map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
-			CounterWait: second / 20, MostUnits: 8, LongestLease: 60 * second, Limiters: 550, Position: 3, ColdFrom: 0.25,
-			WarmWithin: 10 * second, DialTimeout: second / 4, MostAttempts: 3, MostAdvice: second, Granularity: second / 250,
+			Classes: map[string]*choice.Class{"read": {LatencyObjective: second}}, Plans: map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
+			CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 550, Position: 3, ColdCapacity: 0.25,
+			SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
 		}}}, w)
 	if err != nil {
 		b.Fatal(err)
 	}
-	l.watch.apply(benchList(b, 0, servers, true, "in_service"), coldstart.Answered)
+	l.watch.apply(benchList(b, 0, servers, true, "in_service"), coldstart.ListReceived)
 	for i := range min(benchConnections, servers) {
 		connection := l.pools[fmt.Sprintf("server-%d", i*servers/min(benchConnections, servers))].backend()
 		connection.c = l.dial(connection, connection.to, second)
@@ -75,7 +75,7 @@
 					b.StopTimer()
 					l := benchLimiter(b, servers)
 					b.StartTimer()
-					l.watch.apply(change.list, coldstart.Answered)
+					l.watch.apply(change.list, coldstart.ListReceived)
 				}
 			})
 		}
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -53,7 +53,7 @@
 // answer to the next command.
 func (p *pool) backend() *backend {
 	l := p.l
-	rest := max(l.set.Granularity, min(rests*l.set.Granularity, l.keep/2))
+	rest := max(l.set.TimerResolution, min(rests*l.set.TimerResolution, l.keep/2))
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		b := p.idle[i]
 		if b.rested = l.now - b.c.since; b.rested > l.keep {
@@ -78,7 +78,7 @@
 	if oldest == nil {
 		return false
 	}
-	l.over(oldest.Value.(*backend).c, Unused)
+	l.over(oldest.Value.(*backend).c, IdleClosed)
 	return true
 }
 
@@ -109,33 +109,33 @@
 	l := p.l
 	begin := func(b *backend) {
 		b.attempt, att.backend = att, b
-		att.limit = l.at(att.request.deadline, func() { l.over(att.backend.c, TimeOver) })
+		att.limit = l.at(att.request.deadline, func() { l.over(att.backend.c, DeadlineExceeded) })
 	}
 	if !p.use(begin) {
-		l.endAttempt(att, choice.Reply{Outcome: NoRoom.outcome(false)})
+		l.endAttempt(att, choice.AttemptResult{Outcome: NoConnection.outcome(false)})
 	}
 }
 
-// Probe is an effect of the module: the server answers a command that does no work.
-func (l *Limiter) Probe(server string) {
+// HealthCheck is an effect of the module: the server answers a command that does no work.
+func (l *Limiter) HealthCheck(server string) {
 	begin := func(b *backend) {
-		b.probe = l.at(l.now+l.set.DialTimeout, func() { l.over(b.c, TimeOver) })
+		b.probe = l.at(l.now+l.set.DialTimeout, func() { l.over(b.c, DeadlineExceeded) })
 	}
 	if !l.pools[server].use(begin) {
-		l.pendingResults = append(l.pendingResults, pendingResult{probed: server, outcome: NoRoom.outcome(false)})
+		l.pendingResults = append(l.pendingResults, pendingResult{probed: server, outcome: NoConnection.outcome(false)})
 	}
 }
 
 func (b *backend) up() {
 	l := b.pool.l
-	if att := b.attempt; att != nil && att.request.state == Taken {
+	if att := b.attempt; att != nil && att.request.state == accepted {
 		att.request.client.endIfGone()
 	}
-	if att := b.attempt; att != nil && (att.request.state != Taken || l.now >= att.request.deadline || b.pool.leaving || att.stale()) {
+	if att := b.attempt; att != nil && (att.request.state != accepted || l.now >= att.request.deadline || b.pool.leaving || att.stale()) {
 		// The request has ended while its connection came up, and nothing may be sent for it any more, or it is too late for this
 		// attempt: it was decided on before the process stood still.
 		b.attempt = nil
-		l.endAttempt(att, choice.Reply{Outcome: TimeOver.outcome(false)})
+		l.endAttempt(att, choice.AttemptResult{Outcome: DeadlineExceeded.outcome(false)})
 	}
 	if b.attempt == nil && b.probe == nil {
 		b.rest()
@@ -155,7 +155,7 @@
 			// The kernel has a part of a repeat, which must not become whole once servers do not know the request again.
 			l.at(att.known(), func() {
 				if att.open && l.effects.Written(b.c.id) < att.last {
-					l.over(b.c, TimeOver)
+					l.over(b.c, DeadlineExceeded)
 				}
 			})
 		}
@@ -165,7 +165,7 @@
 // rest keeps the connection for the next command, if the server is to get any.
 func (b *backend) rest() {
 	if b.pool.leaving || b.to != b.pool.address {
-		b.pool.l.over(b.c, Unused)
+		b.pool.l.over(b.c, IdleClosed)
 		return
 	}
 	b.pool.idle = append(b.pool.idle, b)
@@ -198,7 +198,7 @@
 	parse := resp.ReadAnswer
 	switch {
 	case b.probe != nil:
-		parse = resp.Read
+		parse = resp.ReadValue
 	case att == nil:
 		return 0, errUnasked
 	}
@@ -209,7 +209,7 @@
 	if n == 0 {
 		// The rest of a good answer is right behind; a spoilt one would hold its request until the deadline.
 		if b.half == nil {
-			b.half = l.at(l.now+l.set.DialTimeout, func() { l.over(b.c, Garbled) })
+			b.half = l.at(l.now+l.set.DialTimeout, func() { l.over(b.c, ProtocolError) })
 		}
 		return 0, nil
 	}
@@ -224,18 +224,18 @@
 		b.probe = nil
 		l.pendingResults = append(l.pendingResults, pendingResult{probed: b.pool.id, outcome: choice.Succeeded})
 	} else {
-		reply, value := judge(v, l.set.MostTrue)
-		if early && reply.Outcome != choice.Full {
+		reply, value := judge(v, l.set.MaxActualUnits)
+		if early && reply.Outcome != choice.Overloaded {
 			return 0, errEarly
 		}
 		if reply.Outcome == choice.Succeeded {
-			l.move(att.request, Succeeded, resp.AppendBulk(nil, value))
+			l.move(att.request, succeeded, resp.AppendBulk(nil, value))
 		}
 		b.attempt = nil
 		l.endAttempt(att, reply)
 	}
 	if early {
-		l.over(b.c, CalledOff) // the rest of the command must not follow
+		l.over(b.c, AttemptCancelled) // the rest of the command must not follow
 	} else if l.conns[b.c.id] == b.c {
 		b.rest()
 	}
@@ -247,21 +247,21 @@
 
 // judge tells what a server's answer means and its value: the true units, so many at most, and the load report where
 // it gives them.
-func judge(v resp.Value, most float64) (reply choice.Reply, value []byte) {
+func judge(v resp.Value, most float64) (reply choice.AttemptResult, value []byte) {
 	switch {
 	case v.Kind == '*':
-		reply = choice.Reply{Outcome: choice.Succeeded, Units: figure(v.List[1].Text, "cost", most)}
+		reply = choice.AttemptResult{Outcome: choice.Succeeded, ActualUnits: figure(v.List[1].Text, "cost", most)}
 		if len(v.List) > 2 {
-			reply.Held = figure(v.List[2].Text, "outstanding", mostReport)
-			reply.Pace = figure(v.List[2].Text, "throughput", mostReport)
-			reply.Queue = figure(v.List[2].Text, "backlog", mostReport)
-			reply.Work = int64(figure(v.List[2].Text, "recent_ms", mostReport) * 1e6)
+			reply.InFlight = figure(v.List[2].Text, "outstanding", mostReport)
+			reply.Throughput = figure(v.List[2].Text, "throughput", mostReport)
+			reply.Queued = figure(v.List[2].Text, "backlog", mostReport)
+			reply.ServiceTime = int64(figure(v.List[2].Text, "recent_ms", mostReport) * 1e6)
 		}
 		return reply, v.List[0].Text
 	case (string(v.Text) == "BUSY" || bytes.HasPrefix(v.Text, []byte("BUSY "))):
-		return choice.Reply{Outcome: choice.Full}, nil
+		return choice.AttemptResult{Outcome: choice.Overloaded}, nil
 	}
-	return choice.Reply{Outcome: choice.Broke}, nil
+	return choice.AttemptResult{Outcome: choice.ServerError}, nil
 }
 
 // figure finds one of the figures on use or load by its name. One that cannot be right counts as none, 0: settled,
@@ -277,28 +277,28 @@
 	return 0
 }
 
-func (b *backend) ended(end End, written int64) {
+func (b *backend) ended(end CloseReason, written int64) {
 	l, att := b.pool.l, b.attempt
 	l.backends--
 	b.pool.open = without(b.pool.open, b)
 	l.timers.drop(b.half)
 	b.wake()
-	if (att != nil || b.probe != nil) && end != Refused && end != Garbled {
+	if (att != nil || b.probe != nil) && end != ConnRefused && end != ProtocolError {
 		// What is still idle may be as dead, where a machine has vanished and says nothing: a command on it might
 		// have run for all we know, while one for which no connection comes up has not. One that writes nonsense
 		// is not dead.
 		b.pool.retireIdle()
 	}
-	if end == Garbled {
+	if end == ProtocolError {
 		l.faulty.garbled++
 	}
 	if (end == PeerReset || end == PeerClosed) && att != nil && b.rested > 0 && b.half == nil && l.now-b.wrote <= l.set.DialTimeout/prompt {
 		// It had ended before the command came, and nobody had said so: what is idle is not to be trusted for so long.
-		l.keep = max(l.keep-l.keep/keepLess, 2*l.set.Granularity)
+		l.keep = max(l.keep-l.keep/keepLess, 2*l.set.TimerResolution)
 	}
 	if att != nil {
 		b.attempt = nil
-		l.endAttempt(att, choice.Reply{Outcome: end.outcome(att.last > 0 && written >= att.last)})
+		l.endAttempt(att, choice.AttemptResult{Outcome: end.outcome(att.last > 0 && written >= att.last)})
 	}
 	if b.probe != nil {
 		l.timers.drop(b.probe)
@@ -322,7 +322,7 @@
 	p.retireIdle()
 	for _, b := range slices.Clone(p.open) {
 		if p.l.conns[b.c.id] == b.c && !b.c.open {
-			p.l.over(b.c, CalledOff)
+			p.l.over(b.c, AttemptCancelled)
 		}
 	}
 }
@@ -332,7 +332,7 @@
 // retireBefore ends the connections that have been idle since before a time.
 func (p *pool) retireBefore(at int64) {
 	for len(p.idle) > 0 && p.idle[0].c.since < at {
-		p.l.over(p.idle[0].c, Unused)
+		p.l.over(p.idle[0].c, IdleClosed)
 	}
 }
 
@@ -340,6 +340,6 @@
 // counts as sent.
 func (l *Limiter) closeIdle() {
 	for e := l.idle.Front(); e != nil && e.Value.(*backend).c.since < l.now-l.keep; e = l.idle.Front() {
-		l.over(e.Value.(*backend).c, Unused)
+		l.over(e.Value.(*backend).c, IdleClosed)
 	}
 }
--- a/internal/limiter/silence_test.go
+++ b/internal/limiter/silence_test.go
@@ -25,7 +25,7 @@
 	noDial        func(dial int) bool          // a dial that is never answered while it lasts
 	closes        bool                         // it closes connections behind its answers
 	calls, dials  int
-	open          map[ID]*held
+	open          map[ConnID]*held
 }
 
 type held struct {
@@ -38,7 +38,7 @@
 
 // play runs the limiter until it has acted on the change, and tells when that was.
 func (d *listService) play(l *Limiter, w *wire, end int64) int64 {
-	d.open = map[ID]*held{watching: {}}
+	d.open = map[ConnID]*held{watching: {}}
 	seen := watching
 	for now := int64(0); now < end; now += second / 200 {
 		for w.wake <= now {
@@ -55,7 +55,7 @@
 			}
 		}
 		seen = w.last
-		for id := ID(1); id <= w.last; id++ {
+		for id := ConnID(1); id <= w.last; id++ {
 			if h := d.open[id]; h != nil && !slices.Contains(w.closed, id) {
 				d.serve(l, w, now, id, h)
 			}
@@ -67,7 +67,7 @@
 	return end
 }
 
-func (d *listService) serve(l *Limiter, w *wire, now int64, id ID, h *held) {
+func (d *listService) serve(l *Limiter, w *wire, now int64, id ConnID, h *held) {
 	if asked := w.wrote[id][h.wrote:]; asked != "" {
 		h.wrote = len(w.wrote[id])
 		d.calls++
--- a/internal/limiter/start.go
+++ b/internal/limiter/start.go
@@ -19,77 +19,77 @@
 	readyBound = 30e9 // and a limiter has to be ready within this time
 )
 
-// Stated is what operators state beside the configuration; the zero value leaves a start to the settings and pollpacer alone.
-type Stated struct {
-	ListCalls   float64 // calls a second that discovery bears from all limiters, 0 for what the settings imply
-	Connections float64 // new connections a second that a server bears from all limiters, 0 for no bound
+// OperatorOptions is what operators state beside the configuration; the zero value leaves a start to the settings and pollpacer alone.
+type OperatorOptions struct {
+	DiscoveryCallRate float64 // calls a second that discovery bears from all limiters, 0 for what the settings imply
+	ConnectionRate    float64 // new connections a second that a server bears from all limiters, 0 for no bound
 	// Snapshot is what an earlier life of this limiter knew, nil for nothing; Save takes what this one knows, after each list
 	// that brings changes and, while that stays true, each SaveEvery nanoseconds; nil for no disk.
-	Snapshot  *snapshot.Snapshot
-	Save      func(*snapshot.Snapshot)
-	SaveEvery int64
+	Snapshot     *snapshot.Snapshot
+	SaveSnapshot func(*snapshot.Snapshot)
+	SaveEvery    int64
 }
 
-// StartSettings are what the start of a limiter with this configuration is computed from; none that could start before
+// ColdStartSettings are what the start of a limiter with this configuration is computed from; none that could start before
 // these were is refused for them.
-func StartSettings(config *settings.Config, stated Stated) coldstart.Settings {
+func ColdStartSettings(config *settings.Config, stated OperatorOptions) coldstart.Settings {
 	set := config.Settings
-	return coldstart.Settings{Limiters: set.Limiters, Place: set.Position, Chance: float64(uint64(config.Seed)>>11) / (1 << 53),
-		DialTimeout: set.DialTimeout, AskEvery: set.AskEvery, ColdFrom: min(max(set.ColdFrom, 0), 1), WarmWithin: set.WarmWithin,
-		Told: max(listTold, 4*set.DialTimeout), Bound: readyBound, Budget: stated.ListCalls, Connections: stated.Connections}
+	return coldstart.Settings{Limiters: set.Limiters, Position: set.Position, Jitter: float64(uint64(config.Seed)>>11) / (1 << 53),
+		DialTimeout: set.DialTimeout, PollInterval: set.PollInterval, ColdCapacity: min(max(set.ColdCapacity, 0), 1), SlowStartWindow: set.SlowStartWindow,
+		NotificationDeadline: max(listTold, 4*set.DialTimeout), ReadinessDeadline: readyBound, CallRate: stated.DiscoveryCallRate, ConnectionRate: stated.ConnectionRate}
 }
 
 // start is how this limiter comes up where operators state something; package coldstart decides. Its methods up to bucket
 // take a nil one: nothing is stated.
 type start struct {
 	l      *Limiter
-	stated Stated
+	stated OperatorOptions
 	set    coldstart.Settings
 	rules  *coldstart.Start
-	phase  coldstart.Phase            // as last logged
-	timer  *timer                     // when the limiter may be ready
-	held   map[string]discovery.Entry // the list, where it is saved
+	phase  coldstart.Phase               // as last logged
+	timer  *timer                        // when the limiter may be ready
+	held   map[string]discovery.Endpoint // the list, where it is saved
 	saved  int64
 }
 
-func (l *Limiter) begin(stated Stated) error {
-	if stated.ListCalls == 0 && stated.Connections == 0 && stated.Snapshot == nil && stated.Save == nil {
+func (l *Limiter) begin(stated OperatorOptions) error {
+	if stated.DiscoveryCallRate == 0 && stated.ConnectionRate == 0 && stated.Snapshot == nil && stated.SaveSnapshot == nil {
 		return nil
 	}
-	set := StartSettings(l.config, stated)
-	set.Lead = min(l.logic.Ready(), l.readyBy) - l.now
+	set := ColdStartSettings(l.config, stated)
+	set.CeilingLeadTime = min(l.logic.ReadyAt(), l.readyBy) - l.now
 	rules, err := coldstart.New(l.now, set)
 	if err == nil {
-		l.start = &start{l: l, stated: stated, set: set, rules: rules, held: map[string]discovery.Entry{}}
+		l.start = &start{l: l, stated: stated, set: set, rules: rules, held: map[string]discovery.Endpoint{}}
 	}
 	return err
 }
 
 // budgeted tells whether the calls for lists go by the limiter's own instants, and not by pollpacer's pace.
-func (s *start) budgeted() bool { return s != nil && s.set.AskEvery > 0 && s.set.Budget > 0 }
+func (s *start) budgeted() bool { return s != nil && s.set.PollInterval > 0 && s.set.CallRate > 0 }
 
 // asked notes a call that goes out by pollpacer's pace.
 func (s *start) asked() {
 	if s != nil && !s.budgeted() {
-		s.step(coldstart.Event{Kind: coldstart.Asked})
+		s.step(coldstart.Event{Kind: coldstart.CallMade})
 	}
 }
 
 // failed notes a call that brought no list.
-func (s *start) failed(end pollpacer.End) {
+func (s *start) failed(end pollpacer.Failure) {
 	if s == nil {
 		return
 	}
-	kind := coldstart.Broke
-	if end == pollpacer.Turned {
-		kind = coldstart.Turned
+	kind := coldstart.CallFailed
+	if end == pollpacer.Throttled {
+		kind = coldstart.CallThrottled
 	}
 	s.step(coldstart.Event{Kind: kind})
 }
 
 // bucket holds the new connections to one of so many servers.
 func (s *start) bucket(servers int) (b coldstart.Bucket) {
-	if s != nil && s.set.Connections > 0 {
+	if s != nil && s.set.ConnectionRate > 0 {
 		b = coldstart.NewBucket(s.l.now, &s.set, servers)
 	}
 	return b
@@ -107,11 +107,11 @@
 	ramps := map[string]int64{}
 	kept := &discovery.List{Version: old.Generation}
 	for _, v := range old.Servers {
-		ramps[v.ID] = v.WarmFrom
-		entry := discovery.Entry{Address: v.Address, Entry: choice.Entry{ID: v.ID, Zone: v.Zone, Cell: v.Cell,
-			Hint: v.Weight, Since: v.WarmFrom}}
+		ramps[v.ID] = v.StartedAt
+		entry := discovery.Endpoint{Address: v.Address, Endpoint: choice.Endpoint{ID: v.ID, Zone: v.Zone, Cell: v.Cell,
+			Weight: v.Weight, StartedAt: v.StartedAt}}
 		if v.Draining {
-			entry.Listing = choice.Draining
+			entry.State = choice.EndpointDraining
 		}
 		kept.Entries = append(kept.Entries, entry)
 	}
@@ -119,7 +119,7 @@
 		list, counted = kept, same
 	}
 	for i := range list.Entries {
-		list.Entries[i].Since = max(list.Entries[i].Since, ramps[list.Entries[i].ID])
+		list.Entries[i].StartedAt = max(list.Entries[i].StartedAt, ramps[list.Entries[i].ID])
 	}
 	log.Printf("event=snapshot-read generation=%d servers=%d age=%.0f used=%v", old.Generation, len(old.Servers),
 		float64(s.l.now-old.Taken)/1e9, list == kept)
@@ -133,25 +133,25 @@
 	}
 	for _, e := range list.Entries {
 		was := s.held[e.ID]
-		if e.Since = max(e.Since, was.Since); e.Address == "" {
+		if e.StartedAt = max(e.StartedAt, was.StartedAt); e.Address == "" {
 			e.Address = was.Address
 		}
-		if s.held[e.ID] = e; e.Listing == choice.Gone {
+		if s.held[e.ID] = e; e.State == choice.EndpointGone {
 			delete(s.held, e.ID)
 		}
 	}
 	l := s.l
-	if kind == coldstart.Known || len(list.Entries) == 0 && !list.Whole && l.now-s.saved < s.stated.SaveEvery {
+	if kind == coldstart.ListRestored || len(list.Entries) == 0 && !list.Whole && l.now-s.saved < s.stated.SaveEvery {
 		return
 	}
 	s.saved = l.now
 	out := &snapshot.Snapshot{Taken: l.now, Discovery: l.config.Discovery, Generation: list.Version}
 	for _, id := range slices.Sorted(maps.Keys(s.held)) {
 		e := s.held[id]
-		out.Servers = append(out.Servers, snapshot.Server{ID: id, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Hint,
-			WarmFrom: e.Since, Draining: e.Listing == choice.Draining})
+		out.Servers = append(out.Servers, snapshot.Server{ID: id, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
+			StartedAt: e.StartedAt, Draining: e.State == choice.EndpointDraining})
 	}
-	s.stated.Save(out)
+	s.stated.SaveSnapshot(out)
 }
 
 // step tells the rules what happened and does what follows: clients may come, or the phase is another.
@@ -178,10 +178,10 @@
 func (s *start) list(kind coldstart.Kind, list *discovery.List) {
 	e := coldstart.Event{Kind: kind, Whole: list.Whole, Servers: make([]coldstart.Server, len(list.Entries))}
 	for i, entry := range list.Entries {
-		e.Servers[i] = coldstart.Server{ID: entry.ID, Since: entry.Since, Gone: entry.Listing != choice.Ready}
+		e.Servers[i] = coldstart.Server{ID: entry.ID, StartedAt: entry.StartedAt, Leaving: entry.State != choice.EndpointReady}
 	}
 	s.step(e)
-	if s.stated.Save != nil {
+	if s.stated.SaveSnapshot != nil {
 		s.keep(list, kind)
 	}
 }
--- a/internal/limiter/start_test.go
+++ b/internal/limiter/start_test.go
@@ -23,12 +23,12 @@
 }
 
 // stated is a limiter with what an operator states, the last by place of so many that discovery tells when they ask.
-func stated(t *testing.T, limiters int, s Stated) (*Limiter, *wire) {
+func stated(t *testing.T, limiters int, s OperatorOptions) (*Limiter, *wire) {
 	t.Helper()
 	made, w := madeTo(t, 10*second, limiters-1)
 	made.set.Limiters = limiters
-	*w = wire{dialed: map[ID]string{}, wrote: map[ID]string{}, kernel: map[ID]int64{}}
-	l, err := NewStated(0, made.config, s, w)
+	*w = wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
+	l, err := NewWithOptions(0, made.config, s, w)
 	require.NoError(t, err)
 	return l, w
 }
@@ -46,17 +46,17 @@
 		}
 		return asks(w)
 	}
-	asked := Stated{ListCalls: 4.0 / 6}
+	asked := OperatorOptions{DiscoveryCallRate: 4.0 / 6}
 	l, w := stated(t, 4, asked)
 	l.Step(at+second*2, Event{Kind: Due})
 	require.Equal(t, 0, through(l, w, at+6*second-second/20), "calls behind an instant that was slept through")
 	require.Equal(t, 1, through(l, w, at+6*second), "calls at the next one")
-	type act = func(l *Limiter, w *wire, id ID)
+	type act = func(l *Limiter, w *wire, id ConnID)
 	says := func(text string) act {
-		return func(l *Limiter, w *wire, id ID) { w.say(l, l.now, id, text) }
+		return func(l *Limiter, w *wire, id ConnID) { w.say(l, l.now, id, text) }
 	}
-	ends := func(l *Limiter, _ *wire, id ID) { l.Step(l.now, Event{Kind: Ended, Conn: id, End: PeerReset}) }
-	moves := func(l *Limiter, _ *wire, _ ID) {
+	ends := func(l *Limiter, _ *wire, id ConnID) { l.Step(l.now, Event{Kind: Ended, Conn: id, End: PeerReset}) }
+	moves := func(l *Limiter, _ *wire, _ ConnID) {
 		config := *l.config
 		config.Discovery = "disco 2"
 		l.Step(l.now, Event{Kind: Renewed, Config: &config})
@@ -96,8 +96,8 @@
 func TestPhase(t *testing.T) {
 	made, w := made(t)
 	config, set := *made.config, *made.config.Settings
-	config.Known, config.Settings, set.AskEvery, w.last = nil, &set, 10*second, 0
-	l, _ := NewStated(0, &config, Stated{ListCalls: 1}, w)
+	config.Known, config.Settings, set.PollInterval, w.last = nil, &set, 10*second, 0
+	l, _ := NewWithOptions(0, &config, OperatorOptions{DiscoveryCallRate: 1}, w)
 	for now := int64(0); now <= 20*second; now += second / 10 {
 		l.Step(now, Event{Kind: Due})
 		require.True(t, l.ready == (now >= 20*second), "ready %v after %d ns", l.ready, now)
@@ -123,7 +123,7 @@
 	life := func(old *snapshot.Snapshot, known string) *Limiter {
 		t.Helper()
 		config.Known, w.last = []byte(known), 0
-		l, err := NewStated(second, &config, Stated{Snapshot: old, Save: func(s *snapshot.Snapshot) { saved = append(saved, s) },
+		l, err := NewWithOptions(second, &config, OperatorOptions{Snapshot: old, SaveSnapshot: func(s *snapshot.Snapshot) { saved = append(saved, s) },
 			SaveEvery: 10 * second}, w)
 		require.NoError(t, err)
 		l.Step(second, Event{Kind: Connected, Conn: watching})
@@ -139,7 +139,7 @@
 	tell(l, 13*second, `{"generation":9,"instances":[]}`)
 	tell(l, 14*second, `{"generation":9,"instances":[]}`)
 	last := saved[len(saved)-1]
-	want := snapshot.Server{ID: "t", Address: "127.0.0.1:8", WarmFrom: second * 9 / 10, Draining: true}
+	want := snapshot.Server{ID: "t", Address: "127.0.0.1:8", StartedAt: second * 9 / 10, Draining: true}
 	if len(saved) != 3 || last.Taken != 13*second || last.Generation != 9 || last.Discovery != "disco" ||
 		len(last.Servers) != 2 || last.Servers[1] != want {
 		t.Fatalf("saved %d times, at last %+v", len(saved), last)
@@ -162,12 +162,12 @@
 	} {
 		old := *last
 		old.Discovery = c.disco
-		w.wrote = map[ID]string{}
+		w.wrote = map[ConnID]string{}
 		require.Len(t, life(&old, c.known).pools, c.servers, c.name)
 		require.Contains(t, w.wrote[watching], c.from, c.name)
 	}
 	old := *last
-	old.Generation, old.Servers = 1, []snapshot.Server{{ID: "s", WarmFrom: second / 2}}
+	old.Generation, old.Servers = 1, []snapshot.Server{{ID: "s", StartedAt: second / 2}}
 	l = life(&old, known)
 	require.True(t, l.start.rules.Share() == 1, "a share before it is ready")
 	l.Step(7*second, Event{Kind: Due})
@@ -176,7 +176,7 @@
 
 // TestBucket: a limiter opens no more connections to a server than its part of what is stated.
 func TestBucket(t *testing.T) {
-	l, w := stated(t, 1, Stated{Connections: 2})
+	l, w := stated(t, 1, OperatorOptions{ConnectionRate: 2})
 	opened := 0
 	for now := int64(0); now < 7*second; now += second / 100 {
 		if l.now = now; l.pools["s"].backend() != nil {
@@ -192,8 +192,8 @@
 
 func TestStartSettings(t *testing.T) {
 	l, _ := made(t)
-	set := StartSettings(&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.set.Settings}}, Stated{})
-	require.True(t, set.Check() == nil && set.Chance >= 0.99, "%+v: %v", set, set.Check())
+	set := ColdStartSettings(&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.set.Settings}}, OperatorOptions{})
+	require.True(t, set.Check() == nil && set.Jitter >= 0.99, "%+v: %v", set, set.Check())
 }
 
 // TestNothingStated: without an operator's file a limiter has no start of its own: pollpacer's pace calls, at its own hold, an
@@ -202,7 +202,7 @@
 	for _, every := range []int64{0, 10 * second} {
 		l, w := madeTo(t, every, 0)
 		require.True(t, l.start == nil && l.pools["s"].bucket == (coldstart.Bucket{}), "a start, or a bound of connections")
-		hold, limit := l.watch.pace.Ask(0, false)
+		hold, limit := l.watch.pace.NextPoll(0, false)
 		if w.say(l, 0, watching, httpAnswer(known)); asks(w) != 2 || !l.ready || l.watch.limit.at != limit {
 			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.ready, l.watch.limit.at)
 		}
@@ -213,7 +213,7 @@
 // TestStatedUnbudgeted: an operator's file that states no budget leaves the calls to pollpacer's pace.
 func TestStatedUnbudgeted(t *testing.T) {
 	plain, w := madeTo(t, 10*second, 0)
-	stated, v := stated(t, 1, Stated{Connections: 2})
+	stated, v := stated(t, 1, OperatorOptions{ConnectionRate: 2})
 	for now := int64(0); now < 30*second; now += second / 20 {
 		for l, w := range map[*Limiter]*wire{plain: w, stated: v} {
 			l.Step(now, Event{Kind: Due})
@@ -234,7 +234,7 @@
 
 // TestStoodStill: a limiter that stood still and goes on with all others makes no call out of its turn.
 func TestStoodStill(t *testing.T) {
-	l, w := stated(t, 1, Stated{ListCalls: 1. / 30})
+	l, w := stated(t, 1, OperatorOptions{DiscoveryCallRate: 1. / 30})
 	id := l.watch.c.id
 	l.Step(0, Event{Kind: Connected, Conn: id})
 	w.pass(l, second)
--- a/internal/limiter/stored_test.go
+++ b/internal/limiter/stored_test.go
@@ -16,12 +16,12 @@
 	config, err := settings.ReadFile("../settings/testdata/config.json")
 	require.NoError(t, err)
 	config.Name, config.Discovery = "limiter-a", "127.0.0.1:18500"
-	place := snapshot.Place{Dir: "../snapshot/testdata", Installation: "east", Limiter: config.Name, Oldest: int64(time.Hour)}
+	place := snapshot.Place{Dir: "../snapshot/testdata", Installation: "east", Limiter: config.Name, MaxAge: int64(time.Hour)}
 	const storedAt = int64(1796224004196034612)
 	stored, err := place.Load(snapshot.Disk{}, storedAt+int64(time.Minute))
 	require.NoError(t, err)
 	_, wires := made(t)
-	l, err := NewStated(storedAt+int64(time.Minute), config, Stated{Snapshot: stored}, wires)
+	l, err := NewWithOptions(storedAt+int64(time.Minute), config, OperatorOptions{Snapshot: stored}, wires)
 	require.NoError(t, err)
 	require.Len(t, l.pools, 2)
 	require.Equal(t, "127.0.0.1:17101", l.pools["toy-0"].address)
--- a/internal/limiter/wake.go
+++ b/internal/limiter/wake.go
@@ -29,8 +29,8 @@
 
 // visits is how often clients are visited, so that something happens: in a dial time-out or in the grace, if that is shorter.
 func (l *Limiter) visits() int64 {
-	if l.set.Grace > 0 {
-		return min(l.set.DialTimeout, max(l.set.Grace, spare))
+	if l.set.DrainGrace > 0 {
+		return min(l.set.DialTimeout, max(l.set.DrainGrace, spare))
 	}
 	return l.set.DialTimeout
 }
@@ -39,8 +39,8 @@
 // a request, so it must not be longer than the grace.
 func (l *Limiter) still() int64 {
 	still := max(standsStill*l.set.DialTimeout, stillLeast)
-	if l.set.Grace > 0 {
-		still = min(still, max(l.set.Grace, l.visits()+spare))
+	if l.set.DrainGrace > 0 {
+		still = min(still, max(l.set.DrainGrace, l.visits()+spare))
 	}
 	return still
 }
@@ -56,8 +56,8 @@
 	w.at, w.slept, w.blind, w.doubts = now, gap, now+l.visits()/settles, true
 	log.Printf("event=woken still_ms=%d", gap/1e6)
 	l.timers.drop(w.limit)
-	w.limit = l.at(now+l.watch.pace.Dial(), l.trust) // what is held then must do: a list service that is down stops nothing
-	if (l.set.AskEvery == 0 || gap >= countsFrom) && !l.start.budgeted() {
+	w.limit = l.at(now+l.watch.pace.DialTimeout(), l.trust) // what is held then must do: a list service that is down stops nothing
+	if (l.set.PollInterval == 0 || gap >= countsFrom) && !l.start.budgeted() {
 		l.watch.anew()
 	} else { // the answer of the call that is out is in the kernel, if there is one
 		l.timers.drop(w.limit)
--- a/internal/limiter/watch.go
+++ b/internal/limiter/watch.go
@@ -31,11 +31,11 @@
 	told    bool   // the connection has brought an answer
 	again   *timer // when it is dialled next, while it waits for that
 	pace    *pollpacer.Pacer
-	last    pollpacer.End // how the latest call ended, where it brought no list
-	checks  bool          // the process stood still: what there is has to be told at once
-	half    bool          // an answer has begun
-	noted   int64         // when a failure was last logged
-	rests   bool          // no call is out on the connection: with a stated budget the next one goes out at its time
+	last    pollpacer.Failure // how the latest call ended, where it brought no list
+	checks  bool              // the process stood still: what there is has to be told at once
+	half    bool              // an answer has begun
+	noted   int64             // when a failure was last logged
+	rests   bool              // no call is out on the connection: with a stated budget the next one goes out at its time
 }
 
 // known takes the list of the configuration, which may be old.
@@ -43,7 +43,7 @@
 	if len(text) == 0 || string(text) == "null" {
 		return w.hold(nil)
 	}
-	list, err := discovery.Decode(text)
+	list, err := discovery.DecodeList(text)
 	var refused *discovery.ListRefusedError
 	if errors.As(err, &refused) && refused.Key == "instances" && refused.Server == "" {
 		return w.hold(nil) // no server is known yet, which ends no start: discovery is asked
@@ -62,7 +62,7 @@
 	}
 	if list != nil {
 		list.Whole, w.fetched = true, counted // what is newer is enough: a whole list costs discovery as much as several watches
-		w.apply(list, coldstart.Known)
+		w.apply(list, coldstart.ListRestored)
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 // next makes the next call when a stated budget allows it.
 func (w *watch) next() {
 	w.l.timers.drop(w.again)
-	if at := w.l.start.rules.Due(); at > w.l.now {
+	if at := w.l.start.rules.NextSlot(); at > w.l.now {
 		w.again = w.l.at(at, w.turn)
 		return
 	}
@@ -79,12 +79,12 @@
 
 // turn: it is time for a call, or long past it.
 func (w *watch) turn() {
-	if w.l.start.rules.Overslept(w.l.now) {
-		w.l.start.step(coldstart.Event{Kind: coldstart.Missed})
+	if w.l.start.rules.MissedSlot(w.l.now) {
+		w.l.start.step(coldstart.Event{Kind: coldstart.SlotMissed})
 		w.next()
 		return
 	}
-	w.l.start.step(coldstart.Event{Kind: coldstart.Asked})
+	w.l.start.step(coldstart.Event{Kind: coldstart.CallMade})
 	if w.rests {
 		w.rests = false
 		w.ask()
@@ -94,8 +94,8 @@
 }
 
 func (w *watch) dial() {
-	w.told, w.last = false, pollpacer.Broke
-	w.c = w.l.dial(w, w.l.config.Discovery, w.pace.Dial())
+	w.told, w.last = false, pollpacer.Failed
+	w.c = w.l.dial(w, w.l.config.Discovery, w.pace.DialTimeout())
 }
 
 func (w *watch) up() { w.ask() }
@@ -105,13 +105,13 @@
 	l := w.l
 	var wait, limit int64
 	if !l.start.budgeted() {
-		wait, limit = w.pace.Ask(l.now, !w.fetched)
+		wait, limit = w.pace.NextPoll(l.now, !w.fetched)
 	} else {
-		w.told, w.last = false, pollpacer.Broke // each call counts for itself
+		w.told, w.last = false, pollpacer.Failed // each call counts for itself
 		if w.fetched {
-			wait, _ = l.start.rules.Wait(l.now)
+			wait, _ = l.start.rules.HoldTime(l.now)
 		}
-		limit = l.start.rules.GiveUp(l.now, wait)
+		limit = l.start.rules.ResponseTimeout(l.now, wait)
 	}
 	l.start.asked()
 	if w.checks && wait > 0 {
@@ -130,7 +130,7 @@
 // until gives the call that is out up at a time.
 func (w *watch) until(at int64) {
 	w.l.timers.drop(w.limit)
-	w.limit = w.l.at(at, func() { w.l.over(w.c, Silent) })
+	w.limit = w.l.at(at, func() { w.l.over(w.c, NoResponse) })
 }
 
 // note logs a failure, if none was lately: an agent on the own machine is asked again many times a second.
@@ -145,15 +145,15 @@
 	if w.rests && len(b) > 0 {
 		return 0, errUnasked
 	}
-	a, n, err := discovery.Read(b)
+	a, n, err := discovery.ReadResponse(b)
 	if err == nil && n == 0 && len(b) > 0 && !w.half {
 		// The rest of an answer is right behind; one that stops there would hide its news for the whole wait.
 		w.half = true
-		w.until(min(w.limit.at, w.l.now+w.pace.Half()))
+		w.until(min(w.limit.at, w.l.now+w.pace.PartialResponseTimeout()))
 	}
 	if err != nil { // asked at once again, it would be as bad
-		w.note("event=list-refused %s", hint.Tail(err))
-		w.told, w.last = false, pollpacer.Broke
+		w.note("event=list-refused %s", hint.LogFields(err))
+		w.told, w.last = false, pollpacer.Failed
 	}
 	if err != nil || n == 0 || a.Status < 200 { // the answer itself comes behind a status of 1xx
 		return n, err
@@ -161,8 +161,8 @@
 	if err = w.news(a); err != nil {
 		return 0, err
 	}
-	if a.Last {
-		w.l.over(w.c, Unused)
+	if a.CloseAfter {
+		w.l.over(w.c, IdleClosed)
 	} else if w.l.start.budgeted() {
 		w.l.timers.drop(w.limit)
 		w.rests = true
@@ -174,26 +174,26 @@
 }
 
 // news takes a whole answer: a list, or word that there is none.
-func (w *watch) news(a discovery.Answer) (err error) {
+func (w *watch) news(a discovery.Response) (err error) {
 	if w.told = true; a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests {
-		w.note("event=list-turned-away status=%d %s", a.Status, hint.Tail(a.Refused()))
-		w.told, w.last = false, pollpacer.Turned // what is held stays, and what is newer than that is asked for again
+		w.note("event=list-turned-away status=%d %s", a.Status, hint.LogFields(a.Err()))
+		w.told, w.last = false, pollpacer.Throttled // what is held stays, and what is newer than that is asked for again
 		return errTurned
 	}
 	var list *discovery.List
-	if err = a.Refused(); err == nil {
-		list, err = discovery.Decode(a.Body)
+	if err = a.Err(); err == nil {
+		list, err = discovery.DecodeList(a.Body)
 	}
 	if err != nil {
 		// The last good list stays. Asked at once again, it would be as bad.
-		w.note("event=list-refused %s", hint.Tail(err))
-		w.fetched, w.told, w.last = false, false, pollpacer.Broke
+		w.note("event=list-refused %s", hint.LogFields(err))
+		w.fetched, w.told, w.last = false, false, pollpacer.Failed
 		return err
 	}
-	w.pace.Answered(w.l.now)
+	w.pace.ResponseReceived(w.l.now)
 	// One that counts from anew behind the same address may hold what was never told here.
 	w.fetched = list.Whole || list.Version >= w.version
-	w.apply(list, coldstart.Answered)
+	w.apply(list, coldstart.ListReceived)
 	if w.checks {
 		w.checks = false
 		w.l.trust()
@@ -205,28 +205,28 @@
 }
 
 // ended renews the connection: at once where it has served, else when the pace allows it.
-func (w *watch) ended(end End, _ int64) {
+func (w *watch) ended(end CloseReason, _ int64) {
 	w.l.timers.drop(w.limit)
 	if w.rests {
 		w.rests = false // its next call waits for its time already
 		return
 	}
 	if end == PeerClosed && w.c.open { // an answer without a length is whole only now
-		if a, n, err := discovery.ReadEnded(w.c.in.Bytes()); err == nil && n > 0 {
+		if a, n, err := discovery.ReadClosedResponse(w.c.in.Bytes()); err == nil && n > 0 {
 			_ = w.news(a)
 		}
 	}
 	if !w.told {
 		w.l.start.failed(w.last)
-	} else if end != Unused {
-		w.pace.Lost(w.l.now)
+	} else if end != IdleClosed {
+		w.pace.ConnectionLost(w.l.now)
 	}
 	if w.l.start.budgeted() {
 		w.next()
 		return
 	}
 	if !w.told {
-		w.again = w.l.at(w.l.now+w.pace.Next(w.l.now, w.last), w.dial)
+		w.again = w.l.at(w.l.now+w.pace.RetryDelay(w.l.now, w.last), w.dial)
 		return
 	}
 	w.dial()
@@ -240,7 +240,7 @@
 	w.checks = true
 	if w.l.conns[w.c.id] == w.c {
 		w.told = true
-		w.l.over(w.c, Unused)
+		w.l.over(w.c, IdleClosed)
 		return
 	}
 	w.l.timers.drop(w.again)
@@ -251,9 +251,9 @@
 // the last good one holds meanwhile.
 func (w *watch) move() {
 	w.fetched = false
-	w.pace.Moved(w.l.now)
+	w.pace.ServiceMoved(w.l.now)
 	if w.l.start != nil {
-		w.l.start.step(coldstart.Event{Kind: coldstart.Moved})
+		w.l.start.step(coldstart.Event{Kind: coldstart.DiscoveryMoved})
 	}
 	if w.l.start.budgeted() {
 		w.rests = false
@@ -261,7 +261,7 @@
 	}
 	if w.c != nil && w.l.conns[w.c.id] == w.c {
 		w.told = true
-		w.l.over(w.c, Unused)
+		w.l.over(w.c, IdleClosed)
 		return
 	}
 	// It waits for its turn at the old address. What the new one has to tell counts as told before that may be over.
@@ -277,19 +277,19 @@
 func (w *watch) apply(list *discovery.List, kind coldstart.Kind) {
 	l := w.l
 	w.version = list.Version
-	entries := make([]choice.Entry, len(list.Entries))
+	entries := make([]choice.Endpoint, len(list.Entries))
 	var retiring []*pool
 	if list.Whole {
 		w.wholes++
 	}
 	for i, e := range list.Entries {
-		entries[i] = e.Entry
+		entries[i] = e.Endpoint
 		p := l.pools[e.ID]
 		if p == nil {
 			p = l.meet(e.ID, max(len(list.Entries), len(l.pools)+1))
 		}
 		p.listed = w.wholes
-		p.leaving, p.gone = e.Listing != choice.Ready, e.Listing == choice.Gone
+		p.leaving, p.gone = e.State != choice.EndpointReady, e.State == choice.EndpointGone
 		if p.leaving || e.Address != p.address {
 			retiring = append(retiring, p)
 		}
@@ -297,14 +297,14 @@
 			p.address = e.Address
 		}
 		p.place = place{e.Zone, e.Cell}
-		p.retireBefore(e.Since) // to the process before this one: where its machine vanished, nothing has said so
+		p.retireBefore(e.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
 	}
 	if list.Whole {
 		retiring = append(l.missing(w.wholes), retiring...)
 	}
 	if len(entries) > 0 || list.Whole {
 		log.Printf("event=list generation=%d whole=%v entries=%d", list.Version, list.Whole, len(entries))
-		l.logic.Members(l.now, list.Whole, entries)
+		l.logic.UpdateEndpoints(l.now, list.Whole, entries)
 	}
 	// Only now, or the module would send what is taken back to the same server again.
 	for _, p := range retiring {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,78 +20,80 @@
 // Variable names the file.
 const Variable = "GW_OPERATOR"
 
-// Operator is what the file states; the zero value states nothing.
-type Operator struct {
-	ListCalls    float64 // list_calls_per_s: calls a second that the list service bears from all limiters
-	Connections  float64 // start.connections_per_s: new connections a second that one server bears from all limiters
-	Installation string  // installation: tells this fleet's snapshots from another's
-	SnapshotPath string  // snapshot.path: the directory of the limiters' snapshots, empty for none
-	Oldest       int64   // snapshot.oldest_s, in nanoseconds here
-	Distribution Distribution
+// Options is what the file states; the zero value states nothing.
+type Options struct {
+	DiscoveryCallRate float64 // list_calls_per_s: calls a second that the list service bears from all limiters
+	ConnectionRate    float64 // start.connections_per_s: new connections a second that one server bears from all limiters
+	Installation      string  // installation: tells this fleet's snapshots from another's
+	SnapshotPath      string  // snapshot.path: the directory of the limiters' snapshots, empty for none
+	SnapshotMaxAge    int64   // snapshot.oldest_s, in nanoseconds here
+	Distribution      Distribution
 }
 
 // Distribution is how the limiter follows the configuration distribution; the zero value is not at all.
 type Distribution struct {
-	Relays    [2]string // distribution.relays: host and port of the limiter's two relays, the one of its own zone first
-	Scope     string    // distribution.scope, as distribution.ParseScope reads it; empty for everything
-	StatePath string    // distribution.state_path: the directory of the limiters' states, empty for none
-	Oldest    int64     // distribution.oldest_s, in nanoseconds here
+	Relays      [2]string // distribution.relays: host and port of the limiter's two relays, the one of its own zone first
+	Scope       string    // distribution.scope, as distribution.ParseScope reads it; empty for everything
+	StatePath   string    // distribution.state_path: the directory of the limiters' states, empty for none
+	StateMaxAge int64     // distribution.oldest_s, in nanoseconds here
 }
 
-// Unreadable is a file that GW_OPERATOR names and that cannot be read, or is no TOML.
-type Unreadable struct {
-	Path string
-	Err  error
+// UnreadableError is a file that GW_OPERATOR names and that cannot be read, or is no TOML.
+type UnreadableError struct {
+	Path  string
+	Cause error
 }
 
-func (u *Unreadable) Error() string { return fmt.Sprintf("operator's file %s: %v", u.Path, u.Err) }
+func (u *UnreadableError) Error() string {
+	return fmt.Sprintf("operator's file %s: %v", u.Path, u.Cause)
+}
 
 // Hint is what to do.
-func (u *Unreadable) Hint() string {
+func (u *UnreadableError) Hint() string {
 	return "mend " + u.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
 }
 
-func (u *Unreadable) Unwrap() error { return u.Err }
+func (u *UnreadableError) Unwrap() error { return u.Cause }
 
-// BadKey is a key that is not known, or whose value cannot work.
-type BadKey struct {
+// KeyError is a key that is not known, or whose value cannot work.
+type KeyError struct {
 	Path  string
 	Key   string
 	Value any
 	Want  string
 }
 
-func (b *BadKey) Error() string {
+func (b *KeyError) Error() string {
 	return fmt.Sprintf("operator's file %s: %s is %v, not %s", b.Path, b.Key, b.Value, b.Want)
 }
 
 // Hint is what to do.
-func (b *BadKey) Hint() string {
+func (b *KeyError) Hint() string {
 	return fmt.Sprintf("set %s to %s in %s, or leave it out", b.Key, b.Want, b.Path)
 }
 
 // Read reads the file that GW_OPERATOR names; nothing is stated where it is not set. Errors: *Unreadable, *BadKey.
-func Read() (*Operator, error) {
+func Read() (*Options, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
-		return &Operator{}, nil
+		return &Options{}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Unreadable{path, err}
+		return nil, &UnreadableError{path, err}
 	}
 	return Parse(path, text)
 }
 
 // Parse checks the text of the file at path. Errors: *Unreadable, *BadKey.
-func Parse(path string, text []byte) (*Operator, error) {
+func Parse(path string, text []byte) (*Options, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
-		return nil, &Unreadable{path, err}
+		return nil, &UnreadableError{path, err}
 	}
-	o := &Operator{}
+	o := &Options{}
 	oldest, oldestState := 0.0, 0.0
-	numbers := map[string]*float64{"list_calls_per_s": &o.ListCalls, "start.connections_per_s": &o.Connections, "snapshot.oldest_s": &oldest,
+	numbers := map[string]*float64{"list_calls_per_s": &o.DiscoveryCallRate, "start.connections_per_s": &o.ConnectionRate, "snapshot.oldest_s": &oldest,
 		"distribution.oldest_s": &oldestState}
 	words := map[string]*string{"installation": &o.Installation, "snapshot.path": &o.SnapshotPath,
 		"distribution.scope": &o.Distribution.Scope, "distribution.state_path": &o.Distribution.StatePath}
@@ -104,13 +106,13 @@
 		case word != nil && is && strings.TrimSpace(text) != "":
 			*word = text
 		case word != nil:
-			return nil, &BadKey{path, key, value, "a text"}
+			return nil, &KeyError{path, key, value, "a text"}
 		case key == relaysKey:
 			if o.Distribution.Relays, is = relays(value); !is {
-				return nil, &BadKey{path, key, value, "a list of two addresses, host:port"}
+				return nil, &KeyError{path, key, value, "a list of two addresses, host:port"}
 			}
 		case number == nil:
-			return nil, &BadKey{path, key, value, "a key of this file"}
+			return nil, &KeyError{path, key, value, "a key of this file"}
 		default:
 			switch x := value.(type) {
 			case float64:
@@ -119,16 +121,16 @@
 				*number = float64(x)
 			}
 			if !(*number > 0 && *number <= 1e6) {
-				return nil, &BadKey{path, key, value, "a number above 0 and up to a million"}
+				return nil, &KeyError{path, key, value, "a number above 0 and up to a million"}
 			}
 		}
 	}
-	o.Oldest, o.Distribution.Oldest = int64(oldest*1e9), int64(oldestState*1e9)
+	o.SnapshotMaxAge, o.Distribution.StateMaxAge = int64(oldest*1e9), int64(oldestState*1e9)
 	switch {
 	case o.SnapshotPath != "" && o.Installation == "":
-		return nil, &BadKey{path, "installation", "missing", "a name, as snapshot.path is set"}
-	case o.SnapshotPath != "" && o.Oldest == 0:
-		return nil, &BadKey{path, "snapshot.oldest_s", "missing", "a number of seconds, as snapshot.path is set"}
+		return nil, &KeyError{path, "installation", "missing", "a name, as snapshot.path is set"}
+	case o.SnapshotPath != "" && o.SnapshotMaxAge == 0:
+		return nil, &KeyError{path, "snapshot.oldest_s", "missing", "a number of seconds, as snapshot.path is set"}
 	}
 	if err := checkDistribution(path, o); err != nil {
 		return nil, err
@@ -157,18 +159,18 @@
 }
 
 // checkDistribution refuses keys of the distribution that do not go together. Errors: *BadKey.
-func checkDistribution(path string, o *Operator) error {
+func checkDistribution(path string, o *Options) error {
 	d := o.Distribution
 	if _, err := distribution.ParseScope(d.Scope); err != nil {
-		return &BadKey{path, "distribution.scope", d.Scope, "a scope (kinds, '@', names, with commas)"}
+		return &KeyError{path, "distribution.scope", d.Scope, "a scope (kinds, '@', names, with commas)"}
 	}
 	switch {
 	case d != (Distribution{}) && d.Relays == [2]string{}:
-		return &BadKey{path, relaysKey, "missing", "a list of two addresses, as other keys of distribution are set"}
+		return &KeyError{path, relaysKey, "missing", "a list of two addresses, as other keys of distribution are set"}
 	case d.StatePath != "" && o.Installation == "":
-		return &BadKey{path, "installation", "missing", "a name, as distribution.state_path is set"}
-	case d.StatePath != "" && d.Oldest == 0:
-		return &BadKey{path, "distribution.oldest_s", "missing", "a number of seconds, as distribution.state_path is set"}
+		return &KeyError{path, "installation", "missing", "a name, as distribution.state_path is set"}
+	case d.StatePath != "" && d.StateMaxAge == 0:
+		return &KeyError{path, "distribution.oldest_s", "missing", "a number of seconds, as distribution.state_path is set"}
 	}
 	return nil
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,14 +16,14 @@
 	require.NoError(t, err)
 	require.Zero(t, *o, "with nothing set")
 	t.Setenv(Variable, "../../deploy/operator.toml")
-	want := Operator{ListCalls: 20, Connections: 40, Installation: "east", SnapshotPath: "/var/lib/ospreycroft", Oldest: 3600e9,
+	want := Options{DiscoveryCallRate: 20, ConnectionRate: 40, Installation: "east", SnapshotPath: "/var/lib/ospreycroft", SnapshotMaxAge: 3600e9,
 		Distribution: Distribution{Relays: [2]string{"relay-a.internal:7400", "relay-b.internal:7400"}, Scope: "endpoints@east",
-			StatePath: "/var/lib/ospreycroft", Oldest: 86400e9}}
+			StatePath: "/var/lib/ospreycroft", StateMaxAge: 86400e9}}
 	o, err = Read()
 	require.NoError(t, err)
 	require.Equal(t, want, *o, "the example")
 	t.Setenv(Variable, "/none")
-	var unreadable *Unreadable
+	var unreadable *UnreadableError
 	if _, err := Read(); !errors.As(err, &unreadable) || !errors.Is(err, fs.ErrNotExist) || unreadable.Hint() == "" {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 		"installation = 'e'\n" + relaysStated + "state_path='/x'": "distribution.oldest_s",
 		"start = 5\nlist_calls_per_s = 3\n" + "snapshot = 'x'":    "snapshot",
 	} {
-		var bad *BadKey
+		var bad *KeyError
 		if _, err := Parse("x", []byte(text)); !errors.As(err, &bad) || bad.Key != key || bad.Hint() == "" {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/internal/pollpacer/deadline_test.go
+++ b/internal/pollpacer/deadline_test.go
@@ -24,25 +24,25 @@
 )
 
 // fail plays one failed attempt that begins at now, and tells when and how it ends.
-func (a attempt) fail(p *Pacer, now int64) (ends int64, end End) {
-	call := func(whole bool) int64 { _, limit := p.Ask(now, whole); return limit }
+func (a attempt) fail(p *Pacer, now int64) (ends int64, end Failure) {
+	call := func(whole bool) int64 { _, limit := p.NextPoll(now, whole); return limit }
 	switch a {
 	case unanswered:
-		return now + p.Dial(), Broke
+		return now + p.DialTimeout(), Failed
 	case turnedAway:
 		call(false)
-		return now, Turned
+		return now, Throttled
 	case turnedSlow:
 		call(false)
-		return now + 2e9, Turned
+		return now + 2e9, Throttled
 	case reset:
-		return now + min(1e9, call(false)), Broke
+		return now + min(1e9, call(false)), Failed
 	case silentWatch:
-		return now + call(false), Broke
+		return now + call(false), Failed
 	case silentFetch:
-		return now + call(true), Broke
+		return now + call(true), Failed
 	}
-	return now, Broke
+	return now, Failed
 }
 
 // back is the earliest time from which discovery can have been back without answering the attempt: a 503 is an answer, anything
@@ -60,9 +60,9 @@
 	const places, failures = 24, 5
 	begins := map[string]func(p *Pacer){
 		"at the start":    func(*Pacer) {},
-		"behind a list":   func(p *Pacer) { p.Answered(0) },
-		"behind a move":   func(p *Pacer) { p.Answered(0); p.Moved(0) },
-		"behind a broken": func(p *Pacer) { p.Answered(0); p.Ask(0, false); p.Lost(p.Dial()) },
+		"behind a list":   func(p *Pacer) { p.ResponseReceived(0) },
+		"behind a move":   func(p *Pacer) { p.ResponseReceived(0); p.ServiceMoved(0) },
+		"behind a broken": func(p *Pacer) { p.ResponseReceived(0); p.NextPoll(0, false); p.ConnectionLost(p.DialTimeout()) },
 	}
 	for _, dial := range []int64{50e6, 250e6, 500e6, 5e9} {
 		for name, begin := range begins {
@@ -99,8 +99,8 @@
 		a := attempt(n % int(attempts))
 		n /= int(attempts)
 		ends, end := a.fail(p, now)
-		pause := p.Next(ends, end)
-		told := ends + pause + 2*p.Dial() + margin - a.back(now, ends)
+		pause := p.RetryDelay(ends, end)
+		told := ends + pause + 2*p.DialTimeout() + margin - a.back(now, ends)
 		if i > 0 || retried || a != silentWatch {
 			if told > toldAfter {
 				t.Fatalf("failure %d, way %d: begun at %d, over at %d, a pause of %d: told after %d", i, a, now, ends, pause, told)
@@ -117,22 +117,22 @@
 func TestRetryWaits(t *testing.T) {
 	held := func(prepare func(p *Pacer)) int64 {
 		p := New(0, unit, 3, every)
-		p.Answered(0)
-		p.Ask(0, false)
+		p.ResponseReceived(0)
+		p.NextPoll(0, false)
 		prepare(p)
-		hold, _ := p.Ask(late, false)
+		hold, _ := p.NextPoll(late, false)
 		return hold
 	}
 	const retry = toldAfter - toldWait
 	require.Equal(t, every, held(func(*Pacer) {}), "no failure")
-	require.Equal(t, int64(retry), held(func(p *Pacer) { p.Next(late, Broke) }), "no answer")
-	require.Equal(t, int64(retry), held(func(p *Pacer) { p.Next(late, Turned) }), "turned away")
-	require.Equal(t, int64(retry), held(func(p *Pacer) { p.Lost(unit) }), "broken off")
-	require.Equal(t, every, held(func(p *Pacer) { p.Lost(unit - 1) }), "closed behind its answer")
-	require.Equal(t, every, held(func(p *Pacer) { p.Next(late, Broke); p.Answered(late) }), "an answer")
+	require.Equal(t, int64(retry), held(func(p *Pacer) { p.RetryDelay(late, Failed) }), "no answer")
+	require.Equal(t, int64(retry), held(func(p *Pacer) { p.RetryDelay(late, Throttled) }), "turned away")
+	require.Equal(t, int64(retry), held(func(p *Pacer) { p.ConnectionLost(unit) }), "broken off")
+	require.Equal(t, every, held(func(p *Pacer) { p.ConnectionLost(unit - 1) }), "closed behind its answer")
+	require.Equal(t, every, held(func(p *Pacer) { p.RetryDelay(late, Failed); p.ResponseReceived(late) }), "an answer")
 	often := New(0, unit, 3, second)
-	often.Next(0, Broke)
-	hold, _ := often.Ask(0, false)
+	often.RetryDelay(0, Failed)
+	hold, _ := often.NextPoll(0, false)
 	require.Equal(t, second, hold, "asked more often than that")
 }
 
@@ -147,8 +147,8 @@
 		calls, inSecond := 0, [until]int{}
 		for i := range limiters {
 			p := New(0, c.dial, i, every)
-			p.Answered(0)
-			for now := p.Next(0, Turned); now < until*second; now += p.Next(now, Turned) {
+			p.ResponseReceived(0)
+			for now := p.RetryDelay(0, Throttled); now < until*second; now += p.RetryDelay(now, Throttled) {
 				if inSecond[now/second]++; now >= from*second {
 					calls++
 				}
--- a/internal/pollpacer/pollpacer.go
+++ b/internal/pollpacer/pollpacer.go
@@ -7,12 +7,12 @@
 
 import "math"
 
-// End is how a call to discovery ended that brought no list.
-type End uint8
+// Failure is how a call to discovery ended that brought no list.
+type Failure uint8
 
 const (
-	Turned End = iota // turned away: discovery has too much to do
-	Broke             // no answer, or one that cannot be read
+	Throttled Failure = iota // turned away: discovery has too much to do
+	Failed                   // no answer, or one that cannot be read
 )
 
 // When news counts as told to a limiter, whether it came or not; the figures are the protocol's.
@@ -65,40 +65,40 @@
 	return &Pacer{dial: min(dialTimeout, mostDial), place: place, every: every, pause: mostPause, known: now, asked: noCall}
 }
 
-// Within takes the settings' grace: how late what is told may be acted on, 0 where they do not say.
-func (p *Pacer) Within(grace int64) {
+// SetNotificationBound takes the settings' grace: how late what is told may be acted on, 0 where they do not say.
+func (p *Pacer) SetNotificationBound(grace int64) {
 	if grace > 0 {
 		p.pause = max(min(mostPause, grace/pushedPart), leastPause)
 	}
 }
 
-// First is how long to wait before the first call. Limiters that start together would overbook a discovery that takes their
+// FirstDelay is how long to wait before the first call. Limiters that start together would overbook a discovery that takes their
 // calls in turn, and what it cannot answer in time is work in vain: by their places they come evenly. The list of the
 // configuration holds until then, but not for longer than its news takes to count as told.
-func (p *Pacer) First() int64 {
+func (p *Pacer) FirstDelay() int64 {
 	return int64(p.place * float64(min(p.every/startShare, toldAfter-p.room())))
 }
 
-// Dial is how long a connection to discovery may take to come up.
-func (p *Pacer) Dial() int64 { return p.dial }
+// DialTimeout is how long a connection to discovery may take to come up.
+func (p *Pacer) DialTimeout() int64 { return p.dial }
 
-// Half is how long the rest of an answer that has begun may take.
-func (p *Pacer) Half() int64 { return 2 * p.dial }
+// PartialResponseTimeout is how long the rest of an answer that has begun may take.
+func (p *Pacer) PartialResponseTimeout() int64 { return 2 * p.dial }
 
 // room is what has to be left when a call is given up: a dial that is never answered, the pause after it, a dial and an
 // answer.
 func (p *Pacer) room() int64 { return 3*p.dial + p.dial/brokeFirst*3/2 + margin }
 
-// LongestPause is the longest pause behind a failed call that keeps the notification deadline. Discovery may come back just after
+// MaxBackoff is the longest pause behind a failed call that keeps the notification deadline. Discovery may come back just after
 // a dial that it will never answer: that dial's time-out, the pause, and the dial and the answer of the next call come before
 // what discovery has counts as told.
-func (p *Pacer) LongestPause() int64 { return toldAfter - 3*p.dial - margin }
+func (p *Pacer) MaxBackoff() int64 { return toldAfter - 3*p.dial - margin }
 
-// Ask tells how long a call that is made now is to wait for news, and after how long it is given up if it is still
+// NextPoll tells how long a call that is made now is to wait for news, and after how long it is given up if it is still
 // unanswered. A call for the whole list does not wait. To give one up that stands in discovery's queue and ask again
 // adds to the queue, so where it is asked it is held for as long as leaves room before news counts as told. A retry waits for
 // less, so that it is over within the deadline for what discovery has when it can be reached again.
-func (p *Pacer) Ask(now int64, whole bool) (hold, limit int64) {
+func (p *Pacer) NextPoll(now int64, whole bool) (hold, limit int64) {
 	switch {
 	case whole:
 	case p.every > 0 && p.retry:
@@ -128,32 +128,34 @@
 	return max(limit, hold+p.dial)
 }
 
-// Answered notes a list: nothing is missed.
-func (p *Pacer) Answered(now int64) {
+// ResponseReceived notes a list: nothing is missed.
+func (p *Pacer) ResponseReceived(now int64) {
 	p.failures, p.known, p.told, p.early, p.resume = 0, now, 0, true, 0
 	p.retry, p.asked = false, noCall
 }
 
-// Lost notes that a connection that has served ended from the other side with a call out. The call is made again at once, as a
+// ConnectionLost notes that a connection that has served ended from the other side with a call out. The call is made again at once, as a
 // retry. A connection that ends within a dial time-out of its latest answer is one that discovery closes behind each answer.
-func (p *Pacer) Lost(now int64) {
+func (p *Pacer) ConnectionLost(now int64) {
 	if p.asked != noCall && now-p.asked >= p.dial {
 		p.retry = true
 	}
 }
 
-// Moved notes that discovery is at a new address, from which nothing has come yet. As at the start, all limiters ask it
+// ServiceMoved notes that discovery is at a new address, from which nothing has come yet. As at the start, all limiters ask it
 // together, so no call comes early.
-func (p *Pacer) Moved(now int64) { p.failures, p.told, p.early, p.resume = 0, now+toldMoved, false, 0 }
+func (p *Pacer) ServiceMoved(now int64) {
+	p.failures, p.told, p.early, p.resume = 0, now+toldMoved, false, 0
+}
 
-// Next takes the end of a call that brought no list and tells how long to wait before the next one: longer with each in a
+// RetryDelay takes the end of a call that brought no list and tells how long to wait before the next one: longer with each in a
 // row. Limiters that failed together come again apart: the wait is between half and one and a half of its span, by the
 // limiter's place, which steps on with each failure. Where the next call would come after what is missed counts as told, one
 // comes before that, apart again: one more a limiter and outage, and the others stay where they were.
-func (p *Pacer) Next(now int64, end End) int64 {
+func (p *Pacer) RetryDelay(now int64, end Failure) int64 {
 	if p.told == 0 {
 		p.told = p.known + toldAfter
-		if end == Broke {
+		if end == Failed {
 			p.told = max(p.told, min(now, p.waits)+toldWait)
 		}
 	}
@@ -175,12 +177,12 @@
 }
 
 // span is the mean pause behind a failed call where the notification deadline leaves it, longer with each failure in a row.
-func (p *Pacer) span(end End) int64 {
+func (p *Pacer) span(end Failure) int64 {
 	span, most := p.dial/brokeFirst, brokeMost*p.dial
 	switch {
 	case p.every == 0:
 		return min(span, p.pause)
-	case end == Turned:
+	case end == Throttled:
 		span, most = turnedFirst*p.dial, turnedMost*p.dial
 	}
 	for range p.failures {
@@ -194,9 +196,9 @@
 // longest is the longest pause behind a call that was made at asked and ends now. A call without an answer may have been lost as
 // discovery came back, so the next one is over within the deadline from when that one was made; it is never sooner than
 // the first pause of all. A call that was turned away has had an answer: discovery was not back before that.
-func (p *Pacer) longest(now, asked int64, end End) int64 {
-	longest := p.LongestPause()
-	if end == Broke && asked != noCall {
+func (p *Pacer) longest(now, asked int64, end Failure) int64 {
+	longest := p.MaxBackoff()
+	if end == Failed && asked != noCall {
 		longest = min(longest, asked+toldAfter-2*p.dial-margin-now)
 	}
 	return max(longest, p.dial/brokeFirst*3/2)
--- a/internal/pollpacer/pollpacer_test.go
+++ b/internal/pollpacer/pollpacer_test.go
@@ -15,11 +15,11 @@
 func TestNext(t *testing.T) {
 	t.Run("a failure is tried again soon, more of them later", func(t *testing.T) {
 		p := New(0, unit, 3, every)
-		if first := p.Next(late, Broke); first <= 0 || first > unit/2 {
+		if first := p.RetryDelay(late, Failed); first <= 0 || first > unit/2 {
 			t.Fatal(first)
 		}
 		for range 20 {
-			if wait := p.Next(late, Broke); wait > 2*brokeMost*unit {
+			if wait := p.RetryDelay(late, Failed); wait > 2*brokeMost*unit {
 				t.Fatal(wait)
 			}
 		}
@@ -27,7 +27,7 @@
 	t.Run("limiters that failed together come again apart", func(t *testing.T) {
 		tenths := [10]int{}
 		for i := range 80 {
-			tenths[10*(New(0, unit, i, every).Next(late, Turned)-turnedFirst*unit/2)/(turnedFirst*unit)]++
+			tenths[10*(New(0, unit, i, every).RetryDelay(late, Throttled)-turnedFirst*unit/2)/(turnedFirst*unit)]++
 		}
 		for _, n := range tenths {
 			if n < 6 || n > 10 {
@@ -38,20 +38,20 @@
 	t.Run("silence between calls that are turned away does not end it", func(t *testing.T) {
 		p := New(0, unit, 3, every)
 		for range 9 {
-			p.Next(late, Turned)
-			p.Next(late, Broke)
+			p.RetryDelay(late, Throttled)
+			p.RetryDelay(late, Failed)
 		}
-		if wait := p.Next(late, Turned); wait < turnedMost*unit/2 {
+		if wait := p.RetryDelay(late, Throttled); wait < turnedMost*unit/2 {
 			t.Fatal(wait)
 		}
 	})
 	t.Run("an answer ends the waiting", func(t *testing.T) {
 		p := New(0, unit, 3, every)
 		for range 9 {
-			p.Next(late, Turned)
+			p.RetryDelay(late, Throttled)
 		}
-		p.Answered(late)
-		if wait := p.Next(late, Turned); wait > 2*turnedFirst*unit {
+		p.ResponseReceived(late)
+		if wait := p.RetryDelay(late, Throttled); wait > 2*turnedFirst*unit {
 			t.Fatal(wait, "after an answer")
 		}
 	})
@@ -76,22 +76,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := New(0, c.dial, 3, c.every)
-			hold, limit := p.Ask(0, c.whole)
-			now := limit + p.Dial() // a dial is not answered
-			now += p.Next(now, Broke) + 2*p.Dial()
+			hold, limit := p.NextPoll(0, c.whole)
+			now := limit + p.DialTimeout() // a dial is not answered
+			now += p.RetryDelay(now, Failed) + 2*p.DialTimeout()
 			require.LessOrEqual(t, now, c.told, "when it hears")
 			require.GreaterOrEqual(t, limit, hold+c.least, "when it gives up")
 		})
 	}
 	t.Run("a dial that takes for ever leaves room for one try", func(t *testing.T) {
 		p := New(0, 60e9, 3, every)
-		_, limit := p.Ask(0, false)
-		require.LessOrEqual(t, limit+2*p.Dial(), int64(12e9))
+		_, limit := p.NextPoll(0, false)
+		require.LessOrEqual(t, limit+2*p.DialTimeout(), int64(12e9))
 	})
 	t.Run("the whole list at a new address", func(t *testing.T) {
 		p := New(0, unit, 3, every)
-		p.Moved(60e9)
-		_, limit := p.Ask(60e9, true)
+		p.ServiceMoved(60e9)
+		_, limit := p.NextPoll(60e9, true)
 		require.True(t, limit <= 4e9-3*unit && limit >= 2e9, "%d", limit)
 	})
 }
@@ -99,7 +99,7 @@
 // An outage that is over before what was missed counts as told ends in a call before that, one for each limiter and not
 // all at once; where changes are pushed the agent on the own machine is asked within a small part of the grace.
 func TestOutage(t *testing.T) {
-	for _, end := range []End{Turned, Broke} {
+	for _, end := range []Failure{Throttled, Failed} {
 		tenths, inSecond := [10]int{}, [61]int{}
 		// calls are how many of a limiter come within a minute, and when the last one does before its news counts.
 		calls := func(p *Pacer) (n int, last int64) {
@@ -110,13 +110,13 @@
 				if p.every > 0 {
 					inSecond[min(now/1e9, 60)]++
 				}
-				now += p.Next(now, end)
+				now += p.RetryDelay(now, end)
 			}
 			return n, last
 		}
 		for i := range 300 {
 			p, without := New(0, unit, i, every), New(0, unit, i, every)
-			p.Answered(0)
+			p.ResponseReceived(0)
 			n, last := calls(p)
 			counted := inSecond
 			most, _ := calls(without)
@@ -127,11 +127,11 @@
 		}
 		t.Logf("end %d: calls of 300 limiters in each second of a minute: %v", end, inSecond[:60])
 		for _, n := range tenths {
-			require.True(t, end != Turned || n <= 150, "last calls in tenths of the time: %v", tenths)
+			require.True(t, end != Throttled || n <= 150, "last calls in tenths of the time: %v", tenths)
 		}
 		p := New(0, unit, 3, 0)
 		for range 40 {
-			require.InDelta(t, 46e6, p.Next(0, end), 34e6)
+			require.InDelta(t, 46e6, p.RetryDelay(0, end), 34e6)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 		askers := make([]asker, limiters)
 		for i := range askers {
 			askers[i].pace = New(0, unit, i, every)
-			askers[i].at = askers[i].pace.First()
+			askers[i].at = askers[i].pace.FirstDelay()
 		}
 		calls, left, took := 0, limiters, int64(0)
 		for busy, now := int64(0), int64(0); left > 0; now += int64(1e6) {
@@ -164,7 +164,7 @@
 				}
 				calls++
 				if busy = max(busy, now) + cost/4; busy-now > patience { // turning away costs work too
-					a.at = now + a.pace.Next(now, Turned)
+					a.at = now + a.pace.RetryDelay(now, Throttled)
 					continue
 				}
 				busy += cost - cost/4
@@ -182,9 +182,9 @@
 func TestGrace(t *testing.T) {
 	for _, c := range []struct{ grace, least, most int64 }{{0, 25e6, 75e6}, {500e6, 25e6, 75e6}, {100e6, 10e6, 30e6}, {1, 5e5, 15e5}} {
 		p := New(0, unit, 3, 0)
-		p.Within(c.grace)
+		p.SetNotificationBound(c.grace)
 		for range 40 {
-			pause := p.Next(0, Broke)
+			pause := p.RetryDelay(0, Failed)
 			require.True(t, c.least <= pause && pause <= c.most, "a grace of %d, a pause of %d", c.grace, pause)
 		}
 	}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// MostValue is the longest value there may be.
-	MostValue = 64 << 10
-	// MostBytes is the longest command or answer that is read.
-	MostBytes = MostValue + 16<<10
-	mostWords = 64
-	mostLine  = 1 << 10
-	mostDepth = 4
+	// MaxValueBytes is the longest value there may be.
+	MaxValueBytes = 64 << 10
+	// MaxMessageBytes is the longest command or answer that is read.
+	MaxMessageBytes = MaxValueBytes + 16<<10
+	mostWords       = 64
+	mostLine        = 1 << 10
+	mostDepth       = 4
 )
 
 var (
@@ -58,12 +58,12 @@
 	return n, nil
 }
 
-// Read reads one value and tells how many bytes it took: 0 while it is not whole.
-func Read(b []byte) (Value, int, error) { return readWhole(b, mostDepth) }
+// ReadValue reads one value and tells how many bytes it took: 0 while it is not whole.
+func ReadValue(b []byte) (Value, int, error) { return readWhole(b, mostDepth) }
 
 func readWhole(b []byte, depth int) (Value, int, error) {
 	v, rest, err := read(b, depth)
-	if err == nil && rest == nil && len(b) > MostBytes {
+	if err == nil && rest == nil && len(b) > MaxMessageBytes {
 		err = ErrTooLong
 	}
 	if err != nil || rest == nil {
@@ -94,7 +94,7 @@
 			err = ErrMalformed
 		}
 	case '$':
-		n, err := size(text, MostValue)
+		n, err := size(text, MaxValueBytes)
 		if err != nil || n < 0 {
 			v.Null = true
 			return v, rest, err
@@ -132,7 +132,7 @@
 // null. What cannot become one is told as soon as it shows: a spoilt answer may never end.
 func ReadAnswer(b []byte) (Value, int, error) {
 	if len(b) == 0 || b[0] == '-' {
-		return Read(b)
+		return ReadValue(b)
 	}
 	head := []byte("*3\r\n$")
 	if n := min(len(b), len(head)); !bytes.Equal(b[:n], head[:n]) {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -103,7 +103,7 @@
 		{"too deep", strings.Repeat("*1\r\n", 6), 0, false, ErrMalformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v, used, err := Read([]byte(c.in))
+			v, used, err := ReadValue([]byte(c.in))
 			if !errors.Is(err, c.err) || err == nil && (used != len(c.in) || len(v.List) != c.list || v.Null != c.null) {
 				t.Fatalf("value %+v, used %d, error %v", v, used, err)
 			}
@@ -119,12 +119,12 @@
 	f.Add([]byte("-BUSY 20\r\n"))
 	f.Add([]byte("0"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		_, used, err := Read(in)
+		_, used, err := ReadValue(in)
 		if used > len(in) || used > 0 && err != nil {
 			t.Fatalf("used %d of %d, error %v", used, len(in), err)
 		}
 		if used > 0 {
-			if _, again, err := Read(append(bytes.Clone(in[:used]), "+x\r\n"...)); again != used || err != nil {
+			if _, again, err := ReadValue(append(bytes.Clone(in[:used]), "+x\r\n"...)); again != used || err != nil {
 				t.Fatalf("used %d, with more behind it %d, error %v", used, again, err)
 			}
 		}
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -28,22 +28,22 @@
 	old, new any
 }
 
-// Fixed names every key that differs in another configuration and cannot change before the next start, a class or a plan by
+// NeedRestart names every key that differs in another configuration and cannot change before the next start, a class or a plan by
 // its name. Discovery and the counter may move, but a counter is neither added nor taken away.
-func (c *Config) Fixed(other *Config) (keys []string) {
+func (c *Config) NeedRestart(other *Config) (keys []string) {
 	a, b := c.Settings, other.Settings
 	all := []kept{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen},
 		{"counter", c.counter(c, other), other.counter(c, other)}, {"seed", c.Seed, other.Seed},
 		{"limits: memory_mb", c.Memory, other.Memory}, {"limits: sockets", c.Sockets, other.Sockets}}
 	for _, s := range []kept{{"balancers", a.Limiters, b.Limiters}, {"position", a.Position, b.Position},
-		{"family-info: count-wait", a.CounterWait, b.CounterWait}, {"family-info: units-top", a.MostUnits, b.MostUnits},
-		{"family-info: trued-up", a.MostTrue > 0, b.MostTrue > 0}, {"contract: cold-from", a.ColdFrom, b.ColdFrom},
-		{"contract: warm-within", a.WarmWithin, b.WarmWithin}, {"contract: ask-every", a.AskEvery, b.AskEvery},
-		{"contract: stop-sending-within", a.Grace, b.Grace},
-		{"permissions: attempts-cap", a.MostAttempts, b.MostAttempts}, {"permissions: dial-timeout", a.DialTimeout, b.DialTimeout},
-		{"permissions: idle-close", a.IdleClose, b.IdleClose}, {"permissions: max-retry-after", a.MostAdvice, b.MostAdvice},
-		{"permissions: probes", a.Probes, b.Probes}, {"permissions: cancelling", a.Cancelling, b.Cancelling},
-		{"granularity", a.Granularity, b.Granularity}} {
+		{"family-info: count-wait", a.CounterTimeout, b.CounterTimeout}, {"family-info: units-top", a.MaxRequestUnits, b.MaxRequestUnits},
+		{"family-info: trued-up", a.MaxActualUnits > 0, b.MaxActualUnits > 0}, {"contract: cold-from", a.ColdCapacity, b.ColdCapacity},
+		{"contract: warm-within", a.SlowStartWindow, b.SlowStartWindow}, {"contract: ask-every", a.PollInterval, b.PollInterval},
+		{"contract: stop-sending-within", a.DrainGrace, b.DrainGrace},
+		{"permissions: attempts-cap", a.MaxAttempts, b.MaxAttempts}, {"permissions: dial-timeout", a.DialTimeout, b.DialTimeout},
+		{"permissions: idle-close", a.IdleClose, b.IdleClose}, {"permissions: max-retry-after", a.MaxRetryAfter, b.MaxRetryAfter},
+		{"permissions: probes", a.HealthChecks, b.HealthChecks}, {"permissions: cancelling", a.CanCancel, b.CanCancel},
+		{"granularity", a.TimerResolution, b.TimerResolution}} {
 		all = append(all, kept{"settings: " + s.key, s.old, s.new})
 	}
 	all = append(append(all, named("settings: classes: ", a.Classes, b.Classes)...), named("settings: tariffs: ", a.Plans, b.Plans)...)
@@ -57,7 +57,7 @@
 
 // counter is the address where it cannot move: the settings that hold have no counter, or none is named any more.
 func (c *Config) counter(held, other *Config) string {
-	if held.Settings.CounterWait > 0 && other.Counter != "" {
+	if held.Settings.CounterTimeout > 0 && other.Counter != "" {
 		return ""
 	}
 	return c.Counter
@@ -87,8 +87,8 @@
 	mostMemory   = 1 << 30
 )
 
-// ReadConfig decodes a configuration and refuses one that cannot work, naming the key.
-func ReadConfig(text []byte) (*Config, error) {
+// DecodeConfig decodes a configuration and refuses one that cannot work, naming the key.
+func DecodeConfig(text []byte) (*Config, error) {
 	var f struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, below("settings", err)
 	}
-	if f.Counter == "" && set.CounterWait > 0 {
+	if f.Counter == "" && set.CounterTimeout > 0 {
 		return nil, wrong("counter", "missing, but the settings have one")
 	}
 	for _, a := range []struct{ key, address string }{{"listen", f.Listen}, {"discovery", f.Discovery}, {"counter", f.Counter}} {
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -13,15 +13,15 @@
 	`"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15},"granularity":0.004}}`
 
 func TestReadConfig(t *testing.T) {
-	c, err := ReadConfig([]byte(good))
-	if err != nil || c.Seed != 255 || c.Memory != 192<<20 || c.Settings.IdleClose != 15e9 || c.Settings.CounterWait != 5e7 {
+	c, err := DecodeConfig([]byte(good))
+	if err != nil || c.Seed != 255 || c.Memory != 192<<20 || c.Settings.IdleClose != 15e9 || c.Settings.CounterTimeout != 5e7 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
-	if p, class := c.Settings.Plans["p"], c.Settings.Classes["c"]; p.Open != 0 || class.Value != 1 {
-		t.Fatalf("a configuration that does not speak of them has a cap of %v and a worth of %v", p.Open, class.Value)
+	if p, class := c.Settings.Plans["p"], c.Settings.Classes["c"]; p.MaxInFlight != 0 || class.PriorityWeight != 1 {
+		t.Fatalf("a configuration that does not speak of them has a cap of %v and a worth of %v", p.MaxInFlight, class.PriorityWeight)
 	}
 	moved := strings.Replace(strings.Replace(good, `"rate":5`, `"parallel":3`, 1), `"aim":1`, `"aim":1,"worth":5`, 1)
-	if c, err = ReadConfig([]byte(moved)); err != nil || c.Settings.Plans["p"].Open != 3 || c.Settings.Classes["c"].Value != 5 {
+	if c, err = DecodeConfig([]byte(moved)); err != nil || c.Settings.Plans["p"].MaxInFlight != 3 || c.Settings.Classes["c"].PriorityWeight != 5 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
@@ -45,7 +45,7 @@
 		{"too few sockets", `1024`, `8`, "limits: sockets"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := ReadConfig([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err := DecodeConfig([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("error %v, want %s", err, c.want)
 			}
 		})
@@ -74,14 +74,14 @@
 		{`"name":"n","listen":"127.0.0.1:1"`, `"name":"m","listen":"127.0.0.1:9"`, []string{"name", "listen"}},
 	} {
 		t.Run(c.new, func(t *testing.T) {
-			held, err := ReadConfig([]byte(good))
+			held, err := DecodeConfig([]byte(good))
 			text := strings.Replace(good, c.old, c.new, 1)
 			if c.new == `""` { // the counter goes with its settings
 				text = strings.Replace(text, `"has-counter":true`, `"has-counter":false`, 1)
 			}
-			other, otherErr := ReadConfig([]byte(text))
-			if err != nil || otherErr != nil || !slices.Equal(held.Fixed(other), c.want) {
-				t.Fatalf("errors %v, %v, differs in %q", err, otherErr, held.Fixed(other))
+			other, otherErr := DecodeConfig([]byte(text))
+			if err != nil || otherErr != nil || !slices.Equal(held.NeedRestart(other), c.want) {
+				t.Fatalf("errors %v, %v, differs in %q", err, otherErr, held.NeedRestart(other))
 			}
 		})
 	}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -85,5 +85,5 @@
 	if err != nil {
 		return nil, &UnreadableError{Path: path, Cause: err}
 	}
-	return ReadConfig(text)
+	return DecodeConfig(text)
 }
--- a/internal/settings/other_test.go
+++ b/internal/settings/other_test.go
@@ -13,9 +13,9 @@
 
 // TestFixedWhole changes each field that a configuration holds, one at a time: none may differ without its key being named.
 func TestFixedWhole(t *testing.T) {
-	free := map[string]bool{"Discovery": true, "Known": true, "LongestLease": true} // they move, are asked for anew, or are the wire's
+	free := map[string]bool{"Discovery": true, "Known": true, "MaxLease": true} // they move, are asked for anew, or are the wire's
 	read := func() *Config {
-		c, err := ReadConfig([]byte(good))
+		c, err := DecodeConfig([]byte(good))
 		require.NoError(t, err)
 		return c
 	}
@@ -39,14 +39,14 @@
 				f.SetFloat(f.Float() + 1)
 			case bool:
 				f.SetBool(!f.Bool())
-			case choice.Effect, choice.Group:
+			case choice.Idempotency, choice.DeduplicationScope:
 				f.SetUint(f.Uint() + 1)
 			case map[string]*choice.Class, map[string]*choice.Plan:
 				f.SetZero()
 			default:
 				continue // a part that has its own turn
 			}
-			if keys := read().Fixed(other); free[field] {
+			if keys := read().NeedRestart(other); free[field] {
 				require.Empty(t, keys, "%s.%s", name, field)
 			} else {
 				require.Len(t, keys, 1, "%s.%s", name, field)
@@ -104,7 +104,7 @@
 		{`"127.0.0.1:3"`, `"127.0.0.1:0"`, "counter"}, {`"127.0.0.1:1"`, `"1"`, "listen"},
 	} {
 		require.Contains(t, good, c.old)
-		_, err := ReadConfig([]byte(strings.Replace(good, c.old, c.new, 1)))
+		_, err := DecodeConfig([]byte(strings.Replace(good, c.old, c.new, 1)))
 		require.Error(t, err, c.new)
 		if c.key == "" { // the whole text
 			require.ErrorAs(t, err, new(*MalformedError), c.new)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,12 +12,12 @@
 // longestLease is the wire's own limit on a count's lifetime.
 const longestLease = 60e9
 
-var effects = map[string]choice.Effect{
-	"free": choice.Idempotent, "guarded": choice.Keyed, "single_shot": choice.NonIdempotent,
+var effects = map[string]choice.Idempotency{
+	"free": choice.Idempotent, "guarded": choice.IdempotentWithKey, "single_shot": choice.NonIdempotent,
 }
 
-var groups = map[string]choice.Group{
-	"all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupCell,
+var groups = map[string]choice.DeduplicationScope{
+	"all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell,
 }
 
 type facts struct {
@@ -111,10 +111,10 @@
 // Settings are the module's settings and, beside them, what only sockets read.
 type Settings struct {
 	*choice.Settings
-	IdleClose int64   // a server closes a connection that has been idle for so long
-	AskEvery  int64   // the longest time between calls to discovery where it tells only those that ask, else 0
-	Grace     int64   // how long after word that it drains a server may still be sent to; 0 where it is not told
-	MostTrue  float64 // the most units that an answer can say a request has taken; 0 where a request's own figure is no guess
+	IdleClose      int64   // a server closes a connection that has been idle for so long
+	PollInterval   int64   // the longest time between calls to discovery where it tells only those that ask, else 0
+	DrainGrace     int64   // how long after word that it drains a server may still be sent to; 0 where it is not told
+	MaxActualUnits float64 // the most units that an answer can say a request has taken; 0 where a request's own figure is no guess
 }
 
 // Decode reads the settings and refuses what cannot work.
@@ -128,22 +128,22 @@
 	}
 	s := &choice.Settings{
 		Classes: map[string]*choice.Class{}, Plans: map[string]*choice.Plan{},
-		MostUnits: f.Family.UnitsTop, LongestLease: longestLease, Limiters: f.Balancers, Position: -1,
-		ColdFrom: f.Contract.ColdFrom, WarmWithin: nanos(f.Contract.WarmWithin),
-		DialTimeout: nanos(f.Permissions.DialTimeout), MostAttempts: f.Permissions.AttemptsCap,
-		Probes: f.Permissions.Probes, Cancelling: f.Permissions.Cancelling, Granularity: nanos(f.Granularity),
+		MaxRequestUnits: f.Family.UnitsTop, MaxLease: longestLease, Limiters: f.Balancers, Position: -1,
+		ColdCapacity: f.Contract.ColdFrom, SlowStartWindow: nanos(f.Contract.WarmWithin),
+		DialTimeout: nanos(f.Permissions.DialTimeout), MaxAttempts: f.Permissions.AttemptsCap,
+		HealthChecks: f.Permissions.Probes, CanCancel: f.Permissions.Cancelling, TimerResolution: nanos(f.Granularity),
 	}
 	if f.Family.HasCounter {
-		s.CounterWait = nanos(f.Family.CountWait)
+		s.CounterTimeout = nanos(f.Family.CountWait)
 	}
 	if f.Permissions.RetryAfter {
-		s.MostAdvice = nanos(f.Permissions.MaxRetryAfter)
+		s.MaxRetryAfter = nanos(f.Permissions.MaxRetryAfter)
 	}
 	for _, c := range f.Classes {
 		part := "classes: " + c.Name
 		effect, known := effects[c.Effect]
 		group, grouped := groups[c.Group]
-		if !known || effect == choice.Keyed && !grouped {
+		if !known || effect == choice.IdempotentWithKey && !grouped {
 			return nil, wrong(part, "effect %q, group %q: not known", c.Effect, c.Group)
 		}
 		if err := once("classes", c.Name, s.Classes[c.Name] != nil); err != nil {
@@ -156,10 +156,10 @@
 		if c.Deadline != nil && *c.Deadline <= 0 { // it comes with each request, but a class without time is no class
 			return nil, wrong(part+": deadline", "is %v", *c.Deadline)
 		}
-		s.Classes[c.Name] = &choice.Class{Target: nanos(c.Aim), Effect: effect, Group: group,
-			Repeats: nanos(c.Window), Value: c.Worth}
+		s.Classes[c.Name] = &choice.Class{LatencyObjective: nanos(c.Aim), Idempotency: effect, DeduplicationScope: group,
+			DeduplicationWindow: nanos(c.Window), PriorityWeight: c.Worth}
 		if c.Worth == 0 { // not told: as good as any
-			s.Classes[c.Name].Value = 1
+			s.Classes[c.Name].PriorityWeight = 1
 		}
 	}
 	if len(s.Classes) == 0 {
@@ -193,15 +193,15 @@
 			}
 		}
 		s.Plans[t.Name] = &choice.Plan{Rate: t.Rate, Burst: t.MostAtOnce,
-			CeilingRate: t.HardRate, CeilingBurst: t.HardDepth, Open: t.Parallel,
-			BeyondEarns: t.ExtraWorth, BeyondCosts: t.BeyondCosts, Value: worth}
+			CeilingRate: t.HardRate, CeilingBurst: t.HardDepth, MaxInFlight: t.Parallel,
+			OverQuotaRevenue: t.ExtraWorth, OverQuotaPenalty: t.BeyondCosts, PriorityWeight: worth}
 	}
 	if len(s.Plans) == 0 {
 		return nil, wrong("tariffs", "none")
 	}
-	if err := within("", figure{"family-info: units-top", s.MostUnits, math.SmallestNonzeroFloat64, mostUnits, false},
+	if err := within("", figure{"family-info: units-top", s.MaxRequestUnits, math.SmallestNonzeroFloat64, mostUnits, false},
 		figure{"granularity", f.Granularity, leastTime, mostTime, false},
-		figure{"permissions: attempts-cap", float64(s.MostAttempts), 1, mostRate, false},
+		figure{"permissions: attempts-cap", float64(s.MaxAttempts), 1, mostRate, false},
 		figure{"permissions: dial-timeout", f.Permissions.DialTimeout, leastTime, mostTime, true},
 		figure{"permissions: idle-close", f.Permissions.IdleClose, leastTime, mostTime, true},
 		figure{"permissions: max-retry-after", f.Permissions.MaxRetryAfter, 0, mostTime, false},
@@ -218,12 +218,12 @@
 			return nil, wrong("position", "is %d, of %d balancers", s.Position, s.Limiters)
 		}
 	}
-	all := &Settings{Settings: s, IdleClose: nanos(f.Permissions.IdleClose), Grace: nanos(f.Contract.Grace)}
+	all := &Settings{Settings: s, IdleClose: nanos(f.Permissions.IdleClose), DrainGrace: nanos(f.Contract.Grace)}
 	if f.Mode == "on_request" {
-		all.AskEvery = nanos(f.Contract.AskEvery)
+		all.PollInterval = nanos(f.Contract.AskEvery)
 	}
 	if f.Family.TruedUp {
-		all.MostTrue = s.MostUnits
+		all.MaxActualUnits = s.MaxRequestUnits
 	}
 	return all, nil
 }
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -35,7 +35,7 @@
 	in.write(action{Type: "undo-send", Handle: request, Copy: &attempt})
 }
 
-func (in *instance) Reject(request string, retryAfter int64, _ choice.Cause) {
+func (in *instance) Reject(request string, retryAfter int64, _ choice.RejectReason) {
 	in.write(action{Type: "shed", Handle: request, HoldOff: seconds(retryAfter)})
 }
 
@@ -43,15 +43,15 @@
 	in.write(action{Type: "respond-error", Handle: request})
 }
 
-func (in *instance) Count(name uint64, amount float64, lifetime int64) {
+func (in *instance) AddToCounter(name uint64, amount float64, lifetime int64) {
 	in.write(action{Type: "charge-counter", Name: &name, Amount: &amount, Lifetime: seconds(lifetime)})
 }
 
-func (in *instance) Probe(server string) {
+func (in *instance) HealthCheck(server string) {
 	in.write(action{Type: "poll", Server: server})
 }
 
-func (in *instance) Wake(at, token int64) {
+func (in *instance) SetTimer(at, token int64) {
 	due := seconds(at)
 	in.write(action{Type: "set-timer", DueAt: &due, Ctx: &token})
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -15,7 +15,7 @@
 	"ospreycroft/internal/settings"
 )
 
-var listings = map[string]choice.Listing{"U": choice.Ready, "L": choice.Draining, "D": choice.Gone}
+var listings = map[string]choice.EndpointState{"U": choice.EndpointReady, "L": choice.EndpointDraining, "D": choice.EndpointGone}
 
 type batch struct {
 	Wall  *float64          `json:"wall"`
@@ -91,7 +91,7 @@
 	host  *host
 	id    int64
 	wall  int64
-	logic *choice.Limiter
+	logic *choice.Controller
 }
 
 // Run answers batches until the input ends.
@@ -154,7 +154,7 @@
 	r := &reading{}
 	kind, id := take(r, "type", it.Type), take(r, "limiter", it.Limiter)
 	in := h.instances[id]
-	var do func(*choice.Limiter)
+	var do func(*choice.Controller)
 	switch kind {
 	case "begin":
 		seed := take(r, "seed", it.Seed)
@@ -167,51 +167,51 @@
 		}
 		in = &instance{host: h, id: id, wall: wall}
 		h.instances[id] = in
-		do = func(*choice.Limiter) { in.logic = choice.New(wall, set.Settings, seed, in) }
+		do = func(*choice.Controller) { in.logic = choice.New(wall, set.Settings, seed, in) }
 	case "retire":
 		delete(h.instances, id)
 		return nil
 	case "membership":
 		how := take(r, "how", it.How)
-		entries := make([]choice.Entry, len(it.Items))
+		entries := make([]choice.Endpoint, len(it.Items))
 		for i, e := range it.Items {
 			listing, known := listings[take(r, "availability", e.Availability)]
 			if !known && r.missing == "" {
 				return fmt.Errorf("%s: availability %q is not known", kind, *e.Availability)
 			}
-			entries[i] = choice.Entry{ID: take(r, "server", e.Server), Zone: e.RackZone, Cell: e.Pod,
-				Listing: listing, Hint: e.PowerHint}
+			entries[i] = choice.Endpoint{ID: take(r, "server", e.Server), Zone: e.RackZone, Cell: e.Pod,
+				State: listing, Weight: e.PowerHint}
 			if e.OnlineSince != nil {
-				entries[i].Since = nanos(*e.OnlineSince)
+				entries[i].StartedAt = nanos(*e.OnlineSince)
 			}
 		}
 		if how != "Error" {
-			do = func(l *choice.Limiter) { l.Members(wall, how != "Partial", entries) }
+			do = func(l *choice.Controller) { l.UpdateEndpoints(wall, how != "Partial", entries) }
 		}
 	case "inbound":
-		a := choice.Arrival{ID: take(r, "handle", it.Handle), Budget: nanos(take(r, "budget", it.Budget)),
+		a := choice.Arrival{ID: take(r, "handle", it.Handle), Timeout: nanos(take(r, "budget", it.Budget)),
 			Customer: take(r, "api-key", it.Key), Plan: take(r, "tier", it.Tier),
 			Class: take(r, "cls", it.Class),
-			Units: take(r, "price-units", it.Units), Spread: take(r, "n-entries", it.Entries)}
-		do = func(l *choice.Limiter) { l.Request(wall, a) }
+			Units: take(r, "price-units", it.Units), Limiters: take(r, "n-entries", it.Entries)}
+		do = func(l *choice.Controller) { l.RequestArrived(wall, a) }
 	case "reply":
 		a := it.reply(r)
-		do = func(l *choice.Limiter) { l.Answer(wall, a) }
+		do = func(l *choice.Controller) { l.AttemptDone(wall, a) }
 	case "tallied":
 		name, code, total := take(r, "name", it.Name), take(r, "rc", it.Code), 0.0
 		if it.Level != nil {
 			total = *it.Level
 		}
-		do = func(l *choice.Limiter) { l.Counted(wall, name, choice.Outcome(code), total) }
+		do = func(l *choice.Controller) { l.CounterReplied(wall, name, choice.Outcome(code), total) }
 	case "probed":
 		server, code := take(r, "server", it.Server), take(r, "rc", it.Code)
-		do = func(l *choice.Limiter) { l.Probed(wall, server, choice.Outcome(code)) }
+		do = func(l *choice.Controller) { l.HealthCheckDone(wall, server, choice.Outcome(code)) }
 	case "vanished":
 		request := take(r, "handle", it.Handle)
-		do = func(l *choice.Limiter) { l.Left(wall, request) }
+		do = func(l *choice.Controller) { l.ClientDisconnected(wall, request) }
 	case "timer":
 		token := take(r, "ctx", it.Ctx)
-		do = func(l *choice.Limiter) { l.Woken(wall, token) }
+		do = func(l *choice.Controller) { l.TimerFired(wall, token) }
 	}
 	if r.missing != "" {
 		return fmt.Errorf("%s: field %q is missing", kind, r.missing)
@@ -223,19 +223,19 @@
 }
 
 // reply is how an attempt ended, as the event tells it.
-func (it *item) reply(r *reading) choice.Reply {
-	a := choice.Reply{Request: take(r, "handle", it.Handle), Attempt: take(r, "copy", it.Copy),
-		Outcome: choice.Outcome(take(r, "rc", it.Code)), Took: nanos(take(r, "took", it.Took)),
-		Final: take(r, "final", it.Final), Held: it.Load.Held, Pace: it.Load.Pace,
-		Queue: it.Load.Queue, Work: int64(it.Load.Recent * 1e6)}
+func (it *item) reply(r *reading) choice.AttemptResult {
+	a := choice.AttemptResult{Request: take(r, "handle", it.Handle), Attempt: take(r, "copy", it.Copy),
+		Outcome: choice.Outcome(take(r, "rc", it.Code)), Duration: nanos(take(r, "took", it.Took)),
+		Final: take(r, "final", it.Final), InFlight: it.Load.Held, Throughput: it.Load.Pace,
+		Queued: it.Load.Queue, ServiceTime: int64(it.Load.Recent * 1e6)}
 	if it.True != nil {
-		a.Units = *it.True
+		a.ActualUnits = *it.True
 	}
 	return a
 }
 
 // call runs one call on the module; a panic in it is reported on the wire as its bug.
-func (in *instance) call(wall int64, do func(*choice.Limiter)) {
+func (in *instance) call(wall int64, do func(*choice.Controller)) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			in.write(action{Type: "bug", Text: fmt.Sprint(cause)})
--- a/internal/snapshot/errors.go
+++ b/internal/snapshot/errors.go
@@ -5,111 +5,113 @@
 	"time"
 )
 
-// Unreadable is a file that is there and cannot be read.
-type Unreadable struct {
-	Path string
-	Err  error
+// UnreadableError is a file that is there and cannot be read.
+type UnreadableError struct {
+	Path  string
+	Cause error
 }
 
-func (u *Unreadable) Error() string {
-	return fmt.Sprintf("snapshot %s cannot be read: %v", u.Path, u.Err)
+func (u *UnreadableError) Error() string {
+	return fmt.Sprintf("snapshot %s cannot be read: %v", u.Path, u.Cause)
 }
 
 // Hint is what to do.
-func (u *Unreadable) Hint() string {
+func (u *UnreadableError) Hint() string {
 	return "let the limiter's user read " + u.Path + ", and look at the disk"
 }
 
-func (u *Unreadable) Unwrap() error { return u.Err }
+func (u *UnreadableError) Unwrap() error { return u.Cause }
 
-// CutShort is a file that ends too early.
-type CutShort struct {
+// TruncatedError is a file that ends too early.
+type TruncatedError struct {
 	Path  string
 	Bytes int
 }
 
-func (c *CutShort) Error() string {
+func (c *TruncatedError) Error() string {
 	return fmt.Sprintf("snapshot %s is cut short at %d bytes", c.Path, c.Bytes)
 }
 
 // Hint is what to do.
-func (c *CutShort) Hint() string {
+func (c *TruncatedError) Hint() string {
 	return "nothing: the next list replaces it; if it comes again, the disk loses what it has confirmed"
 }
 
-// Spoilt is a file that holds something else than was written.
-type Spoilt struct {
-	Path string
-	Err  error
+// ChecksumError is a file that holds something else than was written.
+type ChecksumError struct {
+	Path  string
+	Cause error
 }
 
-func (s *Spoilt) Error() string { return fmt.Sprintf("snapshot %s is spoilt: %v", s.Path, s.Err) }
+func (s *ChecksumError) Error() string {
+	return fmt.Sprintf("snapshot %s is spoilt: %v", s.Path, s.Cause)
+}
 
 // Hint is what to do.
-func (s *Spoilt) Hint() string {
+func (s *ChecksumError) Hint() string {
 	return "nothing: the next list replaces it; if it comes again, look at the disk and at who else writes to " + s.Path
 }
 
-func (s *Spoilt) Unwrap() error { return s.Err }
+func (s *ChecksumError) Unwrap() error { return s.Cause }
 
-// Other is a file of another version of the format.
-type Other struct {
+// FormatError is a file of another version of the format.
+type FormatError struct {
 	Path    string
 	Version int
 }
 
-func (o *Other) Error() string {
+func (o *FormatError) Error() string {
 	return fmt.Sprintf("snapshot %s is of version %d, not %d", o.Path, o.Version, version)
 }
 
 // Hint is what to do.
-func (o *Other) Hint() string {
+func (o *FormatError) Hint() string {
 	return "nothing: the next list replaces it by one of this program's version"
 }
 
-// Foreign is another limiter's file, or another installation's.
-type Foreign struct {
+// OwnerError is another limiter's file, or another installation's.
+type OwnerError struct {
 	Path, Installation, Limiter string
 }
 
-func (f *Foreign) Error() string {
+func (f *OwnerError) Error() string {
 	return fmt.Sprintf("snapshot %s is of limiter %q of installation %q", f.Path, f.Limiter, f.Installation)
 }
 
 // Hint is what to do.
-func (f *Foreign) Hint() string {
+func (f *OwnerError) Hint() string {
 	return "give each installation a snapshot.path of its own, and look at how the file came to " + f.Path
 }
 
-// Old is a file taken too long ago, or in the future.
-type Old struct {
+// StaleError is a file taken too long ago, or in the future.
+type StaleError struct {
 	Path        string
-	Age, Oldest int64 // nanoseconds
+	Age, MaxAge int64 // nanoseconds
 }
 
-func (o *Old) Error() string {
-	return fmt.Sprintf("snapshot %s was taken %v ago, no more than %v is believed", o.Path, time.Duration(o.Age), time.Duration(o.Oldest))
+func (o *StaleError) Error() string {
+	return fmt.Sprintf("snapshot %s was taken %v ago, no more than %v is believed", o.Path, time.Duration(o.Age), time.Duration(o.MaxAge))
 }
 
 // Hint is what to do.
-func (o *Old) Hint() string {
+func (o *StaleError) Hint() string {
 	return "nothing after a long stop; if the limiter ran meanwhile, look for event=snapshot-unwritten in its log; if it is from the " +
 		"future, set the machine's clock"
 }
 
-// Unwritten is a snapshot that did not come to the disk; the one before it is still there.
-type Unwritten struct {
-	Path string
-	Err  error
+// WriteError is a snapshot that did not come to the disk; the one before it is still there.
+type WriteError struct {
+	Path  string
+	Cause error
 }
 
-func (u *Unwritten) Error() string {
-	return fmt.Sprintf("snapshot %s is not written: %v", u.Path, u.Err)
+func (u *WriteError) Error() string {
+	return fmt.Sprintf("snapshot %s is not written: %v", u.Path, u.Cause)
 }
 
 // Hint is what to do.
-func (u *Unwritten) Hint() string {
+func (u *WriteError) Hint() string {
 	return "make room on the disk and let the limiter's user write there; until then a restart begins with an older list"
 }
 
-func (u *Unwritten) Unwrap() error { return u.Err }
+func (u *WriteError) Unwrap() error { return u.Cause }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -20,13 +20,13 @@
 
 // Server is one server as the limiter last knew it.
 type Server struct {
-	ID       string  `json:"id"`
-	Address  string  `json:"address"`
-	Zone     string  `json:"zone,omitempty"`
-	Cell     int64   `json:"cell,omitempty"`
-	Weight   float64 `json:"weight,omitempty"`
-	WarmFrom int64   `json:"warm_from,omitempty"` // its latest start, in nanoseconds of Unix time, 0 for long ago
-	Draining bool    `json:"draining,omitempty"`
+	ID        string  `json:"id"`
+	Address   string  `json:"address"`
+	Zone      string  `json:"zone,omitempty"`
+	Cell      int64   `json:"cell,omitempty"`
+	Weight    float64 `json:"weight,omitempty"`
+	StartedAt int64   `json:"warm_from,omitempty"` // its latest start, in nanoseconds of Unix time, 0 for long ago
+	Draining  bool    `json:"draining,omitempty"`
 }
 
 // Snapshot is what a limiter knew at a time.
@@ -44,7 +44,7 @@
 	Dir          string
 	Installation string
 	Limiter      string
-	Oldest       int64 // one taken longer ago is refused, nanoseconds
+	MaxAge       int64 // one taken longer ago is refused, nanoseconds
 }
 
 // format is the first line: the version, the length of what follows and its checksum.
@@ -71,35 +71,35 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, &Unreadable{path, err}
+		return nil, &UnreadableError{path, err}
 	}
 	head, body, whole := strings.Cut(string(text), "\n")
 	if !whole {
-		return nil, &CutShort{path, len(text)}
+		return nil, &TruncatedError{path, len(text)}
 	}
 	var of, length int
 	var sum string
 	if n, err := fmt.Sscanf(head+"\n", format, &of, &length, &sum); n < 3 {
-		return nil, &Spoilt{path, err}
+		return nil, &ChecksumError{path, err}
 	}
 	if of != version {
-		return nil, &Other{path, of}
+		return nil, &FormatError{path, of}
 	}
 	if len(body) < length {
-		return nil, &CutShort{path, len(text)}
+		return nil, &TruncatedError{path, len(text)}
 	}
 	if string(text) != string(frame([]byte(body))) {
-		return nil, &Spoilt{path, errors.New("the checksum is another")}
+		return nil, &ChecksumError{path, errors.New("the checksum is another")}
 	}
 	s := &Snapshot{}
 	if err := json.Unmarshal([]byte(body), s); err != nil {
-		return nil, &Spoilt{path, err}
+		return nil, &ChecksumError{path, err}
 	}
 	if s.Installation != p.Installation || s.Limiter != p.Limiter {
-		return nil, &Foreign{path, s.Installation, s.Limiter}
+		return nil, &OwnerError{path, s.Installation, s.Limiter}
 	}
-	if age := now - s.Taken; age > p.Oldest || age < -p.Oldest {
-		return nil, &Old{path, age, p.Oldest}
+	if age := now - s.Taken; age > p.MaxAge || age < -p.MaxAge {
+		return nil, &StaleError{path, age, p.MaxAge}
 	}
 	return s, nil
 }
@@ -113,7 +113,7 @@
 		err = write(files, path, frame(body))
 	}
 	if err != nil {
-		return &Unwritten{path, err}
+		return &WriteError{path, err}
 	}
 	return nil
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -14,11 +14,11 @@
 	"ospreycroft/internal/lab/memfs"
 )
 
-var place = Place{Dir: "/d", Installation: "east", Limiter: "n/1", Oldest: 3600e9}
+var place = Place{Dir: "/d", Installation: "east", Limiter: "n/1", MaxAge: 3600e9}
 
 func list(generation int64) *Snapshot {
 	return &Snapshot{Taken: 1e18, Discovery: "127.0.0.1:1", Generation: generation, Servers: []Server{{ID: "s", Address: "127.0.0.1:2",
-		Zone: "a", Cell: 3, Weight: 1.5, WarmFrom: 1e18 - 5}, {ID: "t", Address: "127.0.0.1:3", Draining: true}}}
+		Zone: "a", Cell: 3, Weight: 1.5, StartedAt: 1e18 - 5}, {ID: "t", Address: "127.0.0.1:3", Draining: true}}}
 }
 
 func TestFile(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 	for i := range len(whole) {
 		d.Held[place.Path()] = []byte{}
-		refused(1e18, place, whole[:i], &CutShort{})
+		refused(1e18, place, whole[:i], &TruncatedError{})
 		for bit := range 8 {
 			flipped := []byte(whole)
 			flipped[i] ^= 1 << bit
@@ -54,23 +54,23 @@
 			require.True(t, s == nil && err != nil, "taken with bit %d of byte %d flipped: %q", bit, i, flipped)
 		}
 	}
-	refused(1e18, place, whole+" ", &Spoilt{})
-	refused(1e18, place, strings.Replace(whole, "1.5", "2.5", 1), &Spoilt{})
-	refused(1e18, place, strings.Replace(whole, "snapshot 1", "snapshot 2", 1), &Other{})
-	refused(1e18+3600e9+1, place, whole, &Old{})
-	refused(1e18-3600e9-1, place, whole, &Old{})
-	refused(1e18, Place{"/d", "west", "n/1", 3600e9}, whole, &Foreign{})
+	refused(1e18, place, whole+" ", &ChecksumError{})
+	refused(1e18, place, strings.Replace(whole, "1.5", "2.5", 1), &ChecksumError{})
+	refused(1e18, place, strings.Replace(whole, "snapshot 1", "snapshot 2", 1), &FormatError{})
+	refused(1e18+3600e9+1, place, whole, &StaleError{})
+	refused(1e18-3600e9-1, place, whole, &StaleError{})
+	refused(1e18, Place{"/d", "west", "n/1", 3600e9}, whole, &OwnerError{})
 	other := Place{"/d", "east", "n/2", 3600e9}
 	d.Held[other.Path()] = []byte(whole)
-	refused(1e18, other, "", &Foreign{})
+	refused(1e18, other, "", &OwnerError{})
 	d.Fail = "read"
-	refused(1e18, place, whole, &Unreadable{})
+	refused(1e18, place, whole, &UnreadableError{})
 	// A disk that is full, or fails at any other step, leaves the list before it or the new one, whole.
 	for _, d.Fail = range []string{"write", "rename", "sync"} {
 		for _, d.Keep = range []int{0, 10, 200} {
 			d.Held = map[string][]byte{place.Path(): []byte(whole)}
 			err := place.Save(d, list(8))
-			var unwritten *Unwritten
+			var unwritten *WriteError
 			require.True(t, errors.As(err, &unwritten) && errors.Is(err, syscall.ENOSPC) && len(d.Held) == 1,
 				"%s: %v, %v", d.Fail, err, d.Held)
 			if s, err := place.Load(d, 1e18); err != nil || s.Generation != 7 && d.Fail != "sync" {
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -12,7 +12,7 @@
 
 // TestLoadsAFileOfAnEarlierVersion: files that limiters in service have written stay readable.
 func TestLoadsAFileOfAnEarlierVersion(t *testing.T) {
-	place := Place{Dir: "testdata", Installation: "east", Limiter: "limiter-a", Oldest: int64(time.Hour)}
+	place := Place{Dir: "testdata", Installation: "east", Limiter: "limiter-a", MaxAge: int64(time.Hour)}
 	loaded, err := place.Load(Disk{}, storedAt+int64(time.Minute))
 	require.NoError(t, err)
 	require.Equal(t, &Snapshot{
--- a/internal/sockets/bounds_test.go
+++ b/internal/sockets/bounds_test.go
@@ -24,7 +24,7 @@
 // pressed is a drive that keeps what the reducer is told, and for which nothing may stand still.
 type pressed struct {
 	*drive
-	told map[limiter.ID]*story
+	told map[limiter.ConnID]*story
 }
 
 // prompt does something as the reducer, which must not wait for anybody.
@@ -87,7 +87,7 @@
 }
 
 // ending tells whether the reducer was told of a connection's end, and of nothing behind it.
-func (d *pressed) ending(id limiter.ID) bool {
+func (d *pressed) ending(id limiter.ConnID) bool {
 	s := d.told[id]
 	return s != nil && s.kinds[len(s.kinds)-1] == limiter.Ended
 }
@@ -108,7 +108,7 @@
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
-	d := &pressed{driven(t, 512, nil), map[limiter.ID]*story{}}
+	d := &pressed{driven(t, 512, nil), map[limiter.ConnID]*story{}}
 	t.Cleanup(func() { // a poller that waits for the reducer would not stop
 		for range 50 {
 			d.s.take()
@@ -166,20 +166,20 @@
 	require.NoError(t, reset.Close())
 	_ = breaks.conn.Load().Close() // as the poller does, in whose stead nbio's own goroutine tells of it
 	require.Eventually(t, func() bool { return len(d.s.gate.free) == accepted-1 }, patience, time.Millisecond, "its place is kept")
-	var up, refused limiter.ID
+	var up, refused limiter.ConnID
 	var taken, parted, queued bool
 	d.prompt("effects", func() {
 		up = d.s.Dial(server.Addr().String(), int64(patience))
 		refused = d.s.Dial("127.0.0.1:1", int64(patience))
 		d.s.Close(d.s.Dial(server.Addr().String(), int64(patience)))
-		taken = d.s.Leave(held.id, 1e9, 1e9)
+		taken = d.s.CloseGracefully(held.id, 1e9, 1e9)
 		for _, l := range links {
 			_ = d.s.Alive(l.id)
 		}
 		d.s.Write(writes.id, []byte("text"))
-		parted = d.s.Leave(leaves.id, 1e9, 1e9)
+		parted = d.s.CloseGracefully(leaves.id, 1e9, 1e9)
 		d.s.Close(links[0].id)
-		queued = d.s.Queued()
+		queued = d.s.HasBacklog()
 	})
 	require.False(t, taken, "it leaves one with commands that it was not told of")
 	require.True(t, parted)
@@ -202,7 +202,7 @@
 	}
 	require.True(t, strings.HasPrefix(texts[0], d.told[links[0].id].text.String()))
 	require.Equal(t, limiter.Connected, d.told[up].last.Kind)
-	require.Equal(t, limiter.Refused, d.told[refused].last.End)
+	require.Equal(t, limiter.ConnRefused, d.told[refused].last.End)
 	require.Equal(t, ping, d.told[quietly.id].text.String())
 	for _, c := range append(ends[:], quiet, written, left) {
 		_ = c.Close()
@@ -223,7 +223,7 @@
 }
 
 // lastID is that of the connection that came last.
-func (d *pressed) lastID() limiter.ID {
+func (d *pressed) lastID() limiter.ConnID {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
 	return d.s.lastID
--- a/internal/sockets/close.go
+++ b/internal/sockets/close.go
@@ -17,7 +17,7 @@
 const looks = 5e6
 
 // Close is an effect.
-func (s *Sockets) Close(id limiter.ID) int64 {
+func (s *Sockets) Close(id limiter.ConnID) int64 {
 	l := s.links[id]
 	if l == nil {
 		return 0
@@ -36,11 +36,11 @@
 	return l.written.Load()
 }
 
-// Leave is an effect. What lies unread in the kernel is read first: the process may have had no processor for a while. From the
+// CloseGracefully is an effect. What lies unread in the kernel is read first: the process may have had no processor for a while. From the
 // look at what has come until the sending has ended the poller reads nothing: it holds the lock as long as bytes are out of the
 // kernel and not posted. Both directions end when the client has ended its own, or after a time
 // unless its machine still lacks bytes: to close over what was not read breaks the connection off, and takes these along.
-func (s *Sockets) Leave(id limiter.ID, after, most int64) bool {
+func (s *Sockets) CloseGracefully(id limiter.ConnID, after, most int64) bool {
 	l := s.links[id]
 	if l == nil {
 		return true
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -46,7 +46,7 @@
 }
 
 // find finds our end of a connection, 0 where there is none.
-func (d *drive) find(far net.Conn) limiter.ID {
+func (d *drive) find(far net.Conn) limiter.ConnID {
 	for id, l := range d.s.links {
 		if c := l.conn.Load(); c != nil && c.RemoteAddr().String() == far.LocalAddr().String() &&
 			c.LocalAddr().String() == far.RemoteAddr().String() {
--- a/internal/sockets/departed_load_test.go
+++ b/internal/sockets/departed_load_test.go
@@ -36,19 +36,19 @@
 }
 
 // Wake is asked for behind each event.
-func (o *observed) Wake(at int64) {
+func (o *observed) SetTimer(at int64) {
 	if o.still > 0 && time.Since(o.woke) > o.still/2 {
 		time.Sleep(o.still)
 		o.woke = time.Now()
 	}
-	o.Sockets.Wake(at)
+	o.Sockets.SetTimer(at)
 }
 
 // clientOfAttempt finds the client's name in the id of a request.
 var clientOfAttempt = regexp.MustCompile(`\r\n\$\d+\r\n(gone\d+)\.\d+\r\n`)
 
 // Alive is asked of each client from which something has come.
-func (o *observed) Alive(id limiter.ID) bool {
+func (o *observed) Alive(id limiter.ConnID) bool {
 	if l := o.links[id]; l != nil && l.gate != nil {
 		c := l.conn.Load()
 		o.mutex.Lock()
@@ -65,7 +65,7 @@
 	return o.ends[address]
 }
 
-func (o *observed) Write(id limiter.ID, text []byte) {
+func (o *observed) Write(id limiter.ConnID, text []byte) {
 	if found := clientOfAttempt.FindSubmatch(text); found != nil {
 		o.mutex.Lock()
 		o.attempts[string(found[1])] = time.Now()
@@ -74,7 +74,7 @@
 	o.Sockets.Write(id, text)
 }
 
-func (o *observed) Close(id limiter.ID) int64 {
+func (o *observed) Close(id limiter.ConnID) int64 {
 	if l := o.links[id]; l != nil && l.gate != nil {
 		o.mutex.Lock()
 		o.noted[l.conn.Load().RemoteAddr().String()] = time.Now()
@@ -100,12 +100,12 @@
 		go answersLate(servers[i])
 	}
 	config := configured(4096, servers...)
-	config.Settings.MostAttempts = 3
+	config.Settings.MaxAttempts = 3
 	address = local(t).Addr().String()
 	_, port, err := net.SplitHostPort(address)
 	require.NoError(t, err)
 	address = "127.0.0.2:" + port
-	s, err := Listen(address, limiter.MostClients(config), config.Sockets)
+	s, err := Listen(address, limiter.MaxClients(config), config.Sockets)
 	require.NoError(t, err)
 	o = &observed{Sockets: s, still: still, attempts: map[string]time.Time{}, noted: map[string]time.Time{}, ends: map[string]*nbio.Conn{}}
 	start := time.Now()
--- a/internal/sockets/departed_test.go
+++ b/internal/sockets/departed_test.go
@@ -199,7 +199,7 @@
 				}()
 			}
 			config := configured(64, servers...)
-			config.Settings.MostAttempts = 3
+			config.Settings.MaxAttempts = 3
 			d := departs(t, drivenBy(t, config))
 			ask(t, d.client, request("r1"))
 			first := d.arrive(accepted)
@@ -254,7 +254,7 @@
 }
 
 // ends tells whether the word that a connection has ended waits for the reducer.
-func (d *drive) ends(id limiter.ID) bool {
+func (d *drive) ends(id limiter.ConnID) bool {
 	return d.waiting(func(e limiter.Event) bool { return e.Kind == limiter.Ended && e.Conn == id })
 }
 
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -16,16 +16,16 @@
 // Dial is an effect. The standard library dials and nbio takes the connection over: nbio's own dialling (v1.6.8)
 // copies the first four of the sixteen bytes in which addresses are held, so that each IPv4 address becomes
 // 0.0.0.0, and it takes a refused connection for one that is up.
-func (s *Sockets) Dial(address string, timeout int64) limiter.ID {
+func (s *Sockets) Dial(address string, timeout int64) limiter.ConnID {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(timeout))
 	l := s.link(cancel, nil)
 	s.links[l.id] = l
 	go func() {
 		defer cancel()
 		if err := s.dial(ctx, l, address); err != nil {
-			end := limiter.Refused
+			end := limiter.ConnRefused
 			if ctx.Err() != nil {
-				end = limiter.DialOver
+				end = limiter.DialTimedOut
 			}
 			s.post(l, limiter.Event{Kind: limiter.Ended, End: end}, nil)
 			return
--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -17,7 +17,7 @@
 )
 
 // size is how many bytes of a connection, 0 for all, wait for the reducer.
-func (d *drive) size(id limiter.ID) (size int) {
+func (d *drive) size(id limiter.ConnID) (size int) {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
 	for _, e := range d.s.next.events {
@@ -38,7 +38,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	})
-	flooder, flood := d.dial(), limiter.ID(0)
+	flooder, flood := d.dial(), limiter.ConnID(0)
 	d.until("it is let in", func() bool {
 		for id, l := range d.s.links {
 			if l.gate != nil {
--- a/internal/sockets/gate.go
+++ b/internal/sockets/gate.go
@@ -45,6 +45,6 @@
 
 func (g *gate) leave() { <-g.free }
 
-// Queued is an effect. The listener stays open until the process ends: on the fleet's bench the goroutine that closed it stood still for a
+// HasBacklog is an effect. The listener stays open until the process ends: on the fleet's bench the goroutine that closed it stood still for a
 // second and more, and with it the reducer.
-func (s *Sockets) Queued() bool { return s.gate.full.Load() }
+func (s *Sockets) HasBacklog() bool { return s.gate.full.Load() }
--- a/internal/sockets/leave_test.go
+++ b/internal/sockets/leave_test.go
@@ -42,8 +42,8 @@
 	return &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: descriptors,
 		Known: []byte(`{"generation":1,"instances":[` + strings.Join(entries, ",") + `]}`),
 		Settings: &settings.Settings{IdleClose: 15e9, Settings: &choice.Settings{
-			Classes: map[string]*choice.Class{"c": {Target: 1e9, Value: 1}}, Plans: map[string]*choice.Plan{"p": {}},
-			MostUnits: 64, Limiters: 1, MostAttempts: 1, WarmWithin: 1, DialTimeout: 25e7, Granularity: 4e6}}}
+			Classes: map[string]*choice.Class{"c": {LatencyObjective: 1e9, PriorityWeight: 1}}, Plans: map[string]*choice.Plan{"p": {}},
+			MaxRequestUnits: 64, Limiters: 1, MaxAttempts: 1, SlowStartWindow: 1, DialTimeout: 25e7, TimerResolution: 4e6}}}
 }
 
 // drivenBy is a limiter of this configuration.
@@ -128,7 +128,7 @@
 		},
 		"room for others": func(d *drive) {
 			d.now += 7e7
-			for id := range limiter.ID(8) { // makes the limiter full: a quarter of its descriptors is eight
+			for id := range limiter.ConnID(8) { // makes the limiter full: a quarter of its descriptors is eight
 				d.l.Step(d.now, limiter.Event{Kind: limiter.Accepted, Conn: 1000 + id})
 			}
 		},
@@ -153,7 +153,7 @@
 }
 
 // answered tells whether any client's connection was written to.
-func answered(d *drive, least limiter.ID) bool {
+func answered(d *drive, least limiter.ConnID) bool {
 	for id := range d.s.links {
 		if id >= least && d.s.Written(id) > 0 {
 			return true
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -19,7 +19,7 @@
 
 // link is one connection. The poller, nbio's own goroutines and the reducer all use it.
 type link struct {
-	id      limiter.ID
+	id      limiter.ConnID
 	conn    atomic.Pointer[nbio.Conn] // nil until it is up
 	cancel  context.CancelFunc        // ends the dialling; nil for a client's connection
 	unasked atomic.Bool               // the reducer has closed it
@@ -38,11 +38,11 @@
 	gate    *gate
 	waking  chan struct{}
 	mutex   sync.Mutex
-	lastID  limiter.ID
+	lastID  limiter.ConnID
 	drained sync.Cond // the reducer has taken the batch
 	next    batch
 	// The rest belongs to the reducer's goroutine.
-	links map[limiter.ID]*link
+	links map[limiter.ConnID]*link
 	now   batch
 	read  int // of the present batch's bytes
 	wake  int64
@@ -56,7 +56,7 @@
 	logging.SetLevel(logging.LevelError)
 	// nbio keeps a table of all descriptors there could be.
 	nbio.MaxOpenFiles = 2 * descriptors
-	s := &Sockets{waking: make(chan struct{}, 1), links: map[limiter.ID]*link{}}
+	s := &Sockets{waking: make(chan struct{}, 1), links: map[limiter.ConnID]*link{}}
 	s.drained.L = &s.mutex
 	gate := &gate{free: make(chan struct{}, clientPlaces(clients, descriptors))}
 	s.gate = gate
@@ -129,7 +129,7 @@
 // Run tells the limiter what happens until it has finished.
 func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
 	timer := time.NewTimer(0)
-	for !l.Finished() || !l.Late() && (s.waits() || s.owes()) {
+	for !l.Finished() || !l.Overdue() && (s.waits() || s.owes()) {
 		if s.halt.Load() {
 			s.engine.Stop()
 			return
@@ -170,8 +170,8 @@
 	}
 }
 
-// Wake is an effect.
-func (s *Sockets) Wake(at int64) { s.wake = at }
+// SetTimer is an effect.
+func (s *Sockets) SetTimer(at int64) { s.wake = at }
 
 // Read is an effect.
 func (s *Sockets) Read(into []byte) { copy(into, s.now.bytes[s.read:]) }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -58,7 +58,7 @@
 	return e, string(into)
 }
 
-func expect(t *testing.T, s *Sockets, kind limiter.Kind, id limiter.ID) limiter.Event {
+func expect(t *testing.T, s *Sockets, kind limiter.Kind, id limiter.ConnID) limiter.Event {
 	t.Helper()
 	e, _ := next(t, s)
 	for e.Conn < id { // it has been closed, and the limiter knows it no more
@@ -129,7 +129,7 @@
 	t.Run("nobody listens", func(t *testing.T) {
 		_ = other.Close()
 		id := s.Dial(address, int64(patience))
-		if e := expect(t, s, limiter.Ended, id); e.End != limiter.Refused {
+		if e := expect(t, s, limiter.Ended, id); e.End != limiter.ConnRefused {
 			t.Fatalf("end %s", e.End)
 		}
 	})
@@ -172,7 +172,7 @@
 	if _, err := second.Write([]byte("early")); err != nil {
 		t.Fatal(err)
 	}
-	require.Eventually(t, s.Queued, patience, time.Millisecond, "nobody waits")
+	require.Eventually(t, s.HasBacklog, patience, time.Millisecond, "nobody waits")
 	time.Sleep(50 * time.Millisecond)
 	s.take()
 	if len(s.now.events) > 0 {
@@ -195,7 +195,7 @@
 	e = let[0]
 	s.Close(e.Conn)
 	expect(t, s, limiter.Ended, e.Conn)
-	require.Eventually(t, func() bool { return !s.Queued() }, patience, time.Millisecond, "nobody waits any more")
+	require.Eventually(t, func() bool { return !s.HasBacklog() }, patience, time.Millisecond, "nobody waits any more")
 }
 
 // TestRun plays one request through a whole limiter, which is told to stop while the server works on it.
@@ -205,12 +205,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := &choice.Class{Target: int64(patience), Effect: choice.NonIdempotent}
+	class := &choice.Class{LatencyObjective: int64(patience), Idempotency: choice.NonIdempotent}
 	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // nobody is there
 		Known: fmt.Appendf(nil, `{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service"}]}`, server.Addr()),
 		Settings: &settings.Settings{IdleClose: int64(patience), Settings: &choice.Settings{Classes: map[string]*choice.Class{"c": class},
-			Plans: map[string]*choice.Plan{"p": {}}, MostUnits: 8, Limiters: 1, MostAttempts: 1, WarmWithin: 1,
-			DialTimeout: int64(patience), Granularity: 1e6}}}
+			Plans: map[string]*choice.Plan{"p": {}}, MaxRequestUnits: 8, Limiters: 1, MaxAttempts: 1, SlowStartWindow: 1,
+			DialTimeout: int64(patience), TimerResolution: 1e6}}}
 	clock := func() int64 { return time.Now().UnixNano() }
 	l, err := limiter.New(clock(), config, s)
 	if err != nil {
@@ -226,7 +226,7 @@
 		t.Fatal(err)
 	}
 	command := string(resp.AppendCommand(nil, []byte("SVC.SUBMIT"), []byte("000000000000000f"), []byte("id"), []byte("c=c,t=p,d=4000,units=1,spread=1,first=0"),
-		[]byte(strings.Repeat("x", resp.MostValue))))
+		[]byte(strings.Repeat("x", resp.MaxValueBytes))))
 	if _, err := io.WriteString(client, command); err != nil {
 		t.Fatal(err)
 	}
@@ -235,7 +235,7 @@
 		t.Fatal(err)
 	}
 	got := make([]byte, len(command))
-	if _, err := io.ReadFull(far, got); err != nil || !strings.HasSuffix(string(got), command[len(command)-resp.MostValue:]) {
+	if _, err := io.ReadFull(far, got); err != nil || !strings.HasSuffix(string(got), command[len(command)-resp.MaxValueBytes:]) {
 		t.Fatalf("the server read %d bytes, error %v", len(got), err)
 	}
 	close(stop)
@@ -271,7 +271,7 @@
 			s.Write(e.Conn, []byte(text))
 			require.True(t, s.Written(e.Conn) >= 1<<16, "written %d", s.Written(e.Conn))
 			const after = int64(50 * time.Millisecond)
-			require.True(t, s.Leave(e.Conn, after, int64(patience)))
+			require.True(t, s.CloseGracefully(e.Conn, after, int64(patience)))
 			require.True(t, s.owes())
 			_, err = io.WriteString(far, "late")
 			require.NoError(t, err)
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -20,7 +20,7 @@
 
 // Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be closed here,
 // before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind that.
-func (s *Sockets) Write(id limiter.ID, bytes []byte) {
+func (s *Sockets) Write(id limiter.ConnID, bytes []byte) {
 	l := s.links[id]
 	if l == nil {
 		return
@@ -78,7 +78,7 @@
 
 // Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on it would be
 // taken for what a server sent behind the last one, and what is written to one that the server has ended counts as sent.
-func (s *Sockets) Alive(id limiter.ID) bool {
+func (s *Sockets) Alive(id limiter.ConnID) bool {
 	l := s.links[id]
 	if l == nil {
 		return false
@@ -105,14 +105,14 @@
 	return err == syscall.EAGAIN
 }
 
-// Gone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is told.
-func (s *Sockets) Gone(id limiter.ID) bool {
+// PeerGone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is told.
+func (s *Sockets) PeerGone(id limiter.ConnID) bool {
 	l := s.links[id]
 	return l == nil || ended(l.conn.Load())
 }
 
 // Written is an effect.
-func (s *Sockets) Written(id limiter.ID) int64 {
+func (s *Sockets) Written(id limiter.ConnID) int64 {
 	if l := s.links[id]; l != nil {
 		return l.written.Load()
 	}
