--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -89,7 +89,7 @@
 
 func startPlace(t *testing.T, name string) place {
 	t.Helper()
-	discovery, err := emulator.NewDiscovery(history.NewClock(), &history.Book{}, nil, 1)
+	discovery, err := emulator.NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
 	require.NoError(t, err)
 	require.NoError(t, discovery.Start())
 	t.Cleanup(discovery.Close)
@@ -103,7 +103,7 @@
 	programs distbench.Programs
 	source   *distbench.Process
 	address  string // of the source
-	links    [2]*faultproxy.Link
+	links    [2]*faultproxy.Proxy
 	relays   [2]*distbench.Process
 	servers  [2]string // the relays' addresses
 	dir      string    // of the limiter's files
--- a/cmd/ospreycroft/stop_test.go
+++ b/cmd/ospreycroft/stop_test.go
@@ -164,7 +164,7 @@
 func TestWoken(t *testing.T) {
 	drains, leaving := serving(t, "drains")
 	stays, staying := serving(t, "stays")
-	list, err := emulator.NewDiscovery(history.NewClock(), &history.Book{}, nil, 1)
+	list, err := emulator.NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
 	require.NoError(t, err)
 	require.NoError(t, list.Start())
 	defer list.Close()
--- a/internal/lab/distbench/fleet.go
+++ b/internal/lab/distbench/fleet.go
@@ -51,7 +51,7 @@
 
 // wire is a link that is cut and healed any number of times.
 type wire struct {
-	*faultproxy.Link
+	*faultproxy.Proxy
 	far  string // the zone of the far side
 	near string
 	now  int64
@@ -66,7 +66,7 @@
 		script = append(script, faultproxy.Fault{Kind: faultproxy.Cut, From: 2*i + 1, Until: 2*i + 2})
 	}
 	l, err := faultproxy.New(near, far, address, script, 1)
-	return &wire{Link: l, near: near, far: far}, err
+	return &wire{Proxy: l, near: near, far: far}, err
 }
 
 // cut cuts the wire or heals it; it does nothing where it is so already.
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -20,7 +20,7 @@
 	Traffic Traffic // of all limiters
 
 	clock  *history.Clock
-	book   *history.Book
+	book   *history.Recorder
 	script []Fault
 	ports  []*port
 
@@ -46,7 +46,7 @@
 }
 
 // NewCounter makes a counter for limiters limiters that plays script.
-func NewCounter(clock *history.Clock, book *history.Book, script []Fault, limiters int) *Counter {
+func NewCounter(clock *history.Clock, book *history.Recorder, script []Fault, limiters int) *Counter {
 	k := &Counter{clock: clock, book: book, script: script, parts: []map[string]count{{}}, played: map[int]bool{},
 		split: -1}
 	for range max(limiters, 1) {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -41,7 +41,7 @@
 	Traffic Traffic // of all limiters
 
 	clock  *history.Clock
-	book   *history.Book
+	book   *history.Recorder
 	script []Fault // slow, chunked and busy; down is played by Down
 	ports  []*ports.Kept
 
@@ -62,7 +62,7 @@
 
 // NewDiscovery makes an empty list at generation 1 for limiters limiters; it plays script's slow, chunked and busy
 // answers and writes its calls in book. The error is a *ports.KeepError.
-func NewDiscovery(clock *history.Clock, book *history.Book, script []Fault, limiters int) (*Discovery, error) {
+func NewDiscovery(clock *history.Clock, book *history.Recorder, script []Fault, limiters int) (*Discovery, error) {
 	d := &Discovery{clock: clock, book: book, script: script, generation: 1, instances: map[string]Instance{},
 		changed: make(chan struct{}), changedAt: map[string]int64{}, terminated: map[string]Instance{}}
 	for range limiters {
@@ -226,10 +226,10 @@
 func (d *Discovery) hosts(w http.ResponseWriter, r *http.Request) {
 	d.Traffic.Calls.Add(1)
 	limiter, _ := r.Context().Value(caller{}).(int)
-	call := history.Call{Limiter: limiter, At: d.clock.Now(), Whole: !r.URL.Query().Has("hold_ms"), End: history.Left}
-	defer func() { call.Done = d.clock.Now(); d.book.AddCall(call) }()
+	call := history.Call{Limiter: limiter, At: d.clock.Now(), Whole: !r.URL.Query().Has("hold_ms"), End: history.CallerGone}
+	defer func() { call.EndedAt = d.clock.Now(); d.book.AddCall(call) }()
 	if d.turnsAway() {
-		call.End = history.TurnedAway
+		call.End = history.Throttled
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -259,7 +259,7 @@
 		case <-changed:
 		case <-timer.C:
 			if down {
-				call.End = history.Silent
+				call.End = history.NoResponse
 				<-r.Context().Done() // nothing is said, not even an empty answer; the caller's own time-out ends it
 				return
 			}
@@ -269,7 +269,7 @@
 			return
 		case <-r.Context().Done():
 			if down {
-				call.End = history.Silent
+				call.End = history.NoResponse
 			}
 			return
 		}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -21,9 +21,9 @@
 		[]byte("body"))
 }
 
-func start(t *testing.T, spec ServerSpec, repeats *Repeats) (*Server, *history.Book) {
+func start(t *testing.T, spec ServerSpec, repeats *Deduplication) (*Server, *history.Recorder) {
 	t.Helper()
-	book := &history.Book{}
+	book := &history.Recorder{}
 	s := NewServer(spec, history.NewClock(), book, repeats)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 		t.Fatalf("shots: %+v", shots)
 	}
 	for i, w := range want {
-		if shots[i].ID != w.id || shots[i].Ran != w.ran || shots[i].Answer != w.answer {
+		if shots[i].ID != w.id || shots[i].MayHaveRun != w.ran || shots[i].Answer != w.answer {
 			t.Errorf("shot %d: %+v, want %+v", i, shots[i], w)
 		}
 	}
@@ -95,7 +95,7 @@
 	_, shots, _ := book.Copy()
 	overruns := 0
 	for _, sh := range shots {
-		if sh.Overrun {
+		if sh.Overloaded {
 			overruns++
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 func TestRepeatsDroppedInTheWindow(t *testing.T) {
-	r := NewRepeats(int64(time.Second))
+	r := NewDeduplication(int64(time.Second))
 	s, book := start(t, ServerSpec{Name: "s1", Work: time.Millisecond}, r)
 	for range 2 {
 		if got, _ := exchange(t, s.Address(), command("k1", "c=keyed,k=f00d"), time.Second); !strings.HasPrefix(got, "*3") {
@@ -113,13 +113,13 @@
 		}
 	}
 	_, shots, _ := book.Copy()
-	if len(shots) != 2 || !shots[0].Ran || shots[1].Ran || shots[1].Answer != "repeat" {
+	if len(shots) != 2 || !shots[0].MayHaveRun || shots[1].MayHaveRun || shots[1].Answer != "repeat" {
 		t.Fatalf("%+v", shots)
 	}
 }
 
 func TestCounterAddsForgetsAndGoesDown(t *testing.T) {
-	book := &history.Book{}
+	book := &history.Recorder{}
 	clock := history.NewClock()
 	k := NewCounter(clock, book, []Fault{{Kind: "reset", From: int64(100 * time.Millisecond)},
 		{Kind: "down", From: int64(200 * time.Millisecond), Until: int64(400 * time.Millisecond)}}, 1)
@@ -158,9 +158,9 @@
 }
 
 // listing is a list service for so many limiters.
-func listing(t *testing.T, limiters int, script ...Fault) (*Discovery, *history.Book) {
+func listing(t *testing.T, limiters int, script ...Fault) (*Discovery, *history.Recorder) {
 	t.Helper()
-	book := &history.Book{}
+	book := &history.Recorder{}
 	d, err := NewDiscovery(history.NewClock(), book, script, limiters)
 	require.NoError(t, err)
 	require.NoError(t, d.Start())
@@ -211,13 +211,13 @@
 	d.script = []Fault{{Kind: "busy", Factor: 0.001}}
 	call(0, "")
 	time.Sleep(50 * time.Millisecond)
-	calls, _, _ := book.Sides()
+	calls, _, _ := book.DiscoveryAndServers()
 	want := []history.Call{{Limiter: 0, Whole: true, End: history.Answered, Generation: 2}, {Limiter: 2, End: history.Answered, Generation: 2},
-		{Limiter: 1, End: history.Left}, {Limiter: 1, End: history.Silent}, {Limiter: 0, Whole: true, End: history.TurnedAway}}
+		{Limiter: 1, End: history.CallerGone}, {Limiter: 1, End: history.NoResponse}, {Limiter: 0, Whole: true, End: history.Throttled}}
 	require.True(t, len(calls) == len(want), "%+v", calls)
 	for i, c := range calls {
 		w := want[i]
-		if c.Limiter != w.Limiter || c.Whole != w.Whole || c.End != w.End || c.Generation != w.Generation || c.Done < c.At ||
+		if c.Limiter != w.Limiter || c.Whole != w.Whole || c.End != w.End || c.Generation != w.Generation || c.EndedAt < c.At ||
 			(c.Until > c.At) == c.Whole {
 			t.Errorf("call %d: %+v, want %+v", i, c, w)
 		}
@@ -232,16 +232,16 @@
 		for i := range 60 {
 			bear, cold := s.bearable(s.started + 1)
 			if fall, falls := s.falls(int64(i), "j", bear, cold); falls {
-				book.AddFall(fall)
+				book.AddOverloadCrash(fall)
 			}
 		}
 		falls := 0
-		if _, all, _ := book.Sides(); len(all) > 0 {
-			falls = len(all[0].Got) + 100*(len(all)-1)
+		if _, all, _ := book.DiscoveryAndServers(); len(all) > 0 {
+			falls = len(all[0].Requests) + 100*(len(all)-1)
 		}
 		require.Equal(t, map[bool]int{false: 37, true: 0}[warm], falls, "warm %v: fell by so many", warm)
 		_, _ = exchange(t, s.Address(), []byte("*1\r\n$6\r\nCLIENT\r\n"), time.Second)
-		_, _, shakes := book.Sides()
+		_, _, shakes := book.DiscoveryAndServers()
 		require.True(t, len(shakes["s1"]) == 1 && shakes["s1"][0] == 1, "handshakes %v", shakes)
 	}
 }
@@ -250,7 +250,7 @@
 
 func TestCounterSplitShowsLimitersDifferentStores(t *testing.T) {
 	clock := history.NewClock()
-	k := NewCounter(clock, &history.Book{}, []Fault{{Kind: "split", From: 0, Until: int64(time.Hour), Factor: 2}}, 2)
+	k := NewCounter(clock, &history.Recorder{}, []Fault{{Kind: "split", From: 0, Until: int64(time.Hour), Factor: 2}}, 2)
 	if err := k.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/emulator/fault.go
+++ b/internal/lab/emulator/fault.go
@@ -44,38 +44,38 @@
 	"busy":    "more than Factor calls a second are turned away with a 503",
 }
 
-// BadFault is an entry of a script that cannot work; Key is the one at fault.
-type BadFault struct {
+// FaultError is an entry of a script that cannot work; Key is the one at fault.
+type FaultError struct {
 	Key string // kind, from, until, share or factor
 	Why string
 }
 
-func (e *BadFault) Error() string { return e.Key + ": " + e.Why }
+func (e *FaultError) Error() string { return e.Key + ": " + e.Why }
 
 // Hint says what to do about it.
-func (e *BadFault) Hint() string {
+func (e *FaultError) Hint() string {
 	return "correct " + e.Key + " of this entry; docs/lab.md lists what each kind takes"
 }
 
 // CheckFault refuses, with a *BadFault, an entry whose kind is not in kinds or whose times or figures cannot work.
 func CheckFault(f Fault, kinds map[string]string) error {
 	if _, known := kinds[f.Kind]; !known {
-		return &BadFault{"kind", fmt.Sprintf("%q is not known here", f.Kind)}
+		return &FaultError{"kind", fmt.Sprintf("%q is not known here", f.Kind)}
 	}
 	if f.From < 0 {
-		return &BadFault{"from", fmt.Sprintf("%v s", float64(f.From)/1e9)}
+		return &FaultError{"from", fmt.Sprintf("%v s", float64(f.From)/1e9)}
 	}
 	if f.Until != 0 && f.Until <= f.From {
-		return &BadFault{"until", fmt.Sprintf("%v s, from %v s", float64(f.Until)/1e9, float64(f.From)/1e9)}
+		return &FaultError{"until", fmt.Sprintf("%v s, from %v s", float64(f.Until)/1e9, float64(f.From)/1e9)}
 	}
 	if f.Share < 0 || f.Share > 1 {
-		return &BadFault{"share", fmt.Sprintf("%v is not within 0 to 1", f.Share)}
+		return &FaultError{"share", fmt.Sprintf("%v is not within 0 to 1", f.Share)}
 	}
 	if _, ok := kinds["chunked"]; ok && f.Kind == "busy" && f.Factor <= 0 {
-		return &BadFault{"factor", fmt.Sprintf("%v calls a second", f.Factor)}
+		return &FaultError{"factor", fmt.Sprintf("%v calls a second", f.Factor)}
 	}
 	if f.Kind == "slow" && f.Factor <= 0 {
-		return &BadFault{"factor", fmt.Sprintf("%v", f.Factor)}
+		return &FaultError{"factor", fmt.Sprintf("%v", f.Factor)}
 	}
 	return nil
 }
--- a/internal/lab/emulator/observe_test.go
+++ b/internal/lab/emulator/observe_test.go
@@ -27,7 +27,7 @@
 
 func discovery(t *testing.T) *Discovery {
 	t.Helper()
-	d, err := NewDiscovery(history.NewClock(), &history.Book{}, nil, 1)
+	d, err := NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	d.SetAll([]Instance{{ID: "a", Lifecycle: "in_service"}, {ID: "b", Lifecycle: "in_service"}, {ID: "c", Lifecycle: "in_service"}})
@@ -117,7 +117,7 @@
 
 // TestCounterObserved tells each call that was answered with a total, and counts its bytes.
 func TestCounterObserved(t *testing.T) {
-	k := NewCounter(history.NewClock(), &history.Book{}, nil, 1)
+	k := NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
 	seen := make(chan Tally, 4)
 	k.Observe(func(one Tally) { seen <- one })
 	require.NoError(t, k.Start())
@@ -137,7 +137,7 @@
 // TestServerObserved tells each command that was served with the time that it took, and whether it was its connection's first.
 func TestServerObserved(t *testing.T) {
 	clock, seen := history.NewClock(), make(chan Handled, 4)
-	s := NewServer(ServerSpec{Name: "s1", Work: 5 * time.Millisecond, Warm: true}, clock, &history.Book{}, nil)
+	s := NewServer(ServerSpec{Name: "s1", Work: 5 * time.Millisecond, Warm: true}, clock, &history.Recorder{}, nil)
 	s.Observe(func(one Handled) { seen <- one })
 	require.NoError(t, s.Start())
 	t.Cleanup(s.Close)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -16,18 +16,20 @@
 	"ospreycroft/internal/resp"
 )
 
-// Repeats is a group's table of fingerprints seen, shared by the servers that drop repeated fingerprinted requests.
-type Repeats struct {
+// Deduplication is a group's table of fingerprints seen, shared by the servers that drop repeated fingerprinted requests.
+type Deduplication struct {
 	mu     sync.Mutex
 	window int64
 	seen   map[string]int64 // fingerprint -> when it lapses
 }
 
-// NewRepeats makes a table that keeps a fingerprint for window nanoseconds.
-func NewRepeats(window int64) *Repeats { return &Repeats{window: window, seen: map[string]int64{}} }
+// NewDeduplication makes a table that keeps a fingerprint for window nanoseconds.
+func NewDeduplication(window int64) *Deduplication {
+	return &Deduplication{window: window, seen: map[string]int64{}}
+}
 
 // seenBefore notes key at now and says whether it was held already.
-func (r *Repeats) seenBefore(key string, now int64) bool {
+func (r *Deduplication) seenBefore(key string, now int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if until, held := r.seen[key]; held && now < until {
@@ -58,8 +60,8 @@
 type Server struct {
 	spec    ServerSpec
 	clock   *history.Clock
-	book    *history.Book
-	repeats *Repeats
+	book    *history.Recorder
+	repeats *Deduplication
 
 	port
 	rng       *rand.Rand
@@ -88,7 +90,7 @@
 func (s *Server) Observe(seen func(Handled)) { s.seen = seen }
 
 // NewServer makes a server that writes its attempts in book; repeats may be nil where its group drops none.
-func NewServer(spec ServerSpec, clock *history.Clock, book *history.Book, repeats *Repeats) *Server {
+func NewServer(spec ServerSpec, clock *history.Clock, book *history.Recorder, repeats *Deduplication) *Server {
 	if spec.Capacity <= 0 {
 		spec.Capacity = 64
 	}
@@ -132,9 +134,9 @@
 // falls notes a command at now and tells whether a cold server falls by it, the first time since its start: within
 // Fall it got more than N + 3*root of N + 3 commands, N being what it bears then. By Little's law a server that bears
 // b requests at once, each of the mean work, bears b * Fall / work in that time.
-func (s *Server) falls(now int64, id string, bear float64, cold bool) (history.Fall, bool) {
+func (s *Server) falls(now int64, id string, bear float64, cold bool) (history.OverloadCrash, bool) {
 	if s.spec.Fall <= 0 || s.spec.Work <= 0 || !cold || s.fallen {
-		return history.Fall{}, false
+		return history.OverloadCrash{}, false
 	}
 	s.window, s.windowIDs = append(s.window, now), append(s.windowIDs, id)
 	for s.window[0] <= now-int64(s.spec.Fall) {
@@ -142,7 +144,7 @@
 	}
 	n := bear * float64(s.spec.Fall) / float64(s.spec.Work)
 	s.fallen = float64(len(s.window)) > n+3*math.Sqrt(n)+3
-	return history.Fall{Server: s.spec.Name, At: now, Got: slices.Clone(s.windowIDs), Bears: n}, s.fallen
+	return history.OverloadCrash{Server: s.spec.Name, At: now, Requests: slices.Clone(s.windowIDs), Capacity: n}, s.fallen
 }
 
 // serve reads commands and begins each at once; answers go back in the order of the commands.
@@ -274,19 +276,19 @@
 	fall, falls := s.falls(now, j.id, bear, cold)
 	s.mu.Unlock()
 	if falls {
-		s.book.AddFall(fall)
+		s.book.AddOverloadCrash(fall)
 	}
 	shot := history.Attempt{Server: s.spec.Name, Group: s.spec.Zone, ID: j.id, Customer: j.customer, Class: j.track,
-		Key: j.key, Units: j.units, At: now, Ran: true, Overrun: overrun}
+		Key: j.key, Units: j.units, At: now, MayHaveRun: true, Overloaded: overrun}
 	if faulty && fault.Kind == "busy" {
-		shot.Ran, shot.Answer = false, "busy"
-		s.book.AddShot(shot)
+		shot.MayHaveRun, shot.Answer = false, "busy"
+		s.book.AddAttempt(shot)
 		slots <- reply{text: []byte("-BUSY\r\n")}
 		return
 	}
 	if j.key != "" && s.repeats != nil && s.repeats.seenBefore(j.key, now) {
-		shot.Ran, shot.Answer = false, "repeat"
-		s.book.AddShot(shot)
+		shot.MayHaveRun, shot.Answer = false, "repeat"
+		s.book.AddAttempt(shot)
 		slots <- reply{text: s.value(j)}
 		return
 	}
@@ -302,11 +304,11 @@
 		work = time.Duration(float64(work) * fault.Factor)
 	case faulty && fault.Kind == "silent":
 		shot.Answer = "silent"
-		s.book.AddShot(shot)
+		s.book.AddAttempt(shot)
 		return // the slot is never filled: the connection's answers stop here
 	case faulty && fault.Kind == "reset":
 		shot.Answer = "reset"
-		s.book.AddShot(shot)
+		s.book.AddAttempt(shot)
 		slots <- reply{reset: true}
 		return
 	}
@@ -314,8 +316,8 @@
 	if faulty && (fault.Kind == "spoil" || fault.Kind == "error" || fault.Kind == "cut") {
 		shot.Answer = map[string]string{"spoil": "spoilt", "error": "error", "cut": "cut"}[fault.Kind]
 	}
-	shot.Work = int64(work)
-	s.book.AddShot(shot) // written as it begins, so that a stop in the middle still shows that it may have run
+	shot.ServiceTime = int64(work)
+	s.book.AddAttempt(shot) // written as it begins, so that a stop in the middle still shows that it may have run
 	if s.slots != nil {
 		s.wait(1)
 		s.slots <- struct{}{}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -28,18 +28,18 @@
 	Grace  float64 `toml:"grace"`  // seconds after a drain notice within which an attempt may still begin
 	Slack  float64 `toml:"slack"`  // seconds of a ceiling's rate allowed beyond it (rule 5)
 	// SlackShare and SlackUnits widen the ceiling by a share of it, or by so many units at once if more.
-	SlackShare float64  `toml:"slack_share"`
-	SlackUnits float64  `toml:"slack_units"`
-	Limiters   Limiters `toml:"limiters"`
-	Servers    []Pool   `toml:"servers"`
-	Counter    Counter  `toml:"counter"`
-	Load       Load     `toml:"load"`
-	Faults     []Fault  `toml:"faults"`
-	Raw        any      `toml:"settings"`
-	Moved      any      `toml:"moved"` // the settings that limiters moved to another shape have in place of those
-	Settings   *settings.Settings
-	Text       json.RawMessage // the settings as the limiter's configuration holds them
-	MovedText  json.RawMessage // and those of the limiters that have moved
+	SlackShare         float64  `toml:"slack_share"`
+	SlackUnits         float64  `toml:"slack_units"`
+	Limiters           Limiters `toml:"limiters"`
+	Servers            []Pool   `toml:"servers"`
+	Counter            Counter  `toml:"counter"`
+	Load               Load     `toml:"load"`
+	Faults             []Fault  `toml:"faults"`
+	Raw                any      `toml:"settings"`
+	AddressesAfterMove any      `toml:"moved"` // the settings that limiters moved to another shape have in place of those
+	Settings           *settings.Settings
+	Text               json.RawMessage // the settings as the limiter's configuration holds them
+	MovedText          json.RawMessage // and those of the limiters that have moved
 }
 
 // Limiters are how many limiters run and how: "process" starts the program, as the platform does.
@@ -208,7 +208,7 @@
 			return fmt.Errorf("servers[%d]: name %q, count %d, work %v", i, p.Name, p.Count, p.Work)
 		}
 		if p.Fall < 0 {
-			return &BadEntry{fmt.Sprintf("servers[%d].fall", i), fmt.Sprintf("%v seconds", p.Fall)}
+			return &EntryError{fmt.Sprintf("servers[%d].fall", i), fmt.Sprintf("%v seconds", p.Fall)}
 		}
 		if p.ColdFrom < 0 || p.ColdFrom > 1 || p.WarmWithin < 0 {
 			return fmt.Errorf("servers[%d].cold_from: %v, warm_within %v", i, p.ColdFrom, p.WarmWithin)
@@ -235,15 +235,15 @@
 		}
 	}
 	if s := e.Limiters.Start; s != "" && s != "together" {
-		return &BadEntry{"limiters.start", fmt.Sprintf("%q is neither together nor left out", s)}
+		return &EntryError{"limiters.start", fmt.Sprintf("%q is neither together nor left out", s)}
 	}
 	for i := range e.Faults {
 		if err := e.checkFault(&e.Faults[i], names); err != nil {
-			if bad := (*emulator.BadFault)(nil); errors.As(err, &bad) {
-				return &BadEntry{fmt.Sprintf("faults[%d].%s", i, bad.Key), bad.Why}
+			if bad := (*emulator.FaultError)(nil); errors.As(err, &bad) {
+				return &EntryError{fmt.Sprintf("faults[%d].%s", i, bad.Key), bad.Why}
 			}
-			if bad := (*faultproxy.BadFault)(nil); errors.As(err, &bad) {
-				return &BadEntry{fmt.Sprintf("faults[%d].%s", i, fileKeys[bad.Key]), bad.Why}
+			if bad := (*faultproxy.FaultError)(nil); errors.As(err, &bad) {
+				return &EntryError{fmt.Sprintf("faults[%d].%s", i, fileKeys[bad.Key]), bad.Why}
 			}
 			return fmt.Errorf("faults[%d]: %w", i, err)
 		}
@@ -262,22 +262,22 @@
 		return e.checkLink(f, name, pools)
 	}
 	if f.Connections != 0 {
-		return &emulator.BadFault{Key: "connections", Why: "only links take it"}
+		return &emulator.FaultError{Key: "connections", Why: "only links take it"}
 	}
 	if f.Every != 0 || f.Delay != 0 || f.OldList {
-		return &emulator.BadFault{Key: "every", Why: "every, delay and old_list are for limiters"}
+		return &emulator.FaultError{Key: "every", Why: "every, delay and old_list are for limiters"}
 	}
 	switch {
 	case f.Target == "counter":
 		if !e.Counter.On {
-			return &emulator.BadFault{Key: "target", Why: "there is no counter"}
+			return &emulator.FaultError{Key: "target", Why: "there is no counter"}
 		}
 		return emulator.CheckFault(plain, emulator.CounterFaults)
 	case f.Target == "discovery":
 		return emulator.CheckFault(plain, emulator.DiscoveryFaults)
 	case f.Target == "load" && f.Kind == "burst":
 		if f.Factor <= 0 {
-			return &emulator.BadFault{Key: "factor", Why: fmt.Sprintf("%v times the rate", f.Factor)}
+			return &emulator.FaultError{Key: "factor", Why: fmt.Sprintf("%v times the rate", f.Factor)}
 		}
 		return emulator.CheckFault(plain, map[string]string{"burst": ""})
 	case target == "pool" && pools[name] || target == "server" && name != "":
@@ -286,13 +286,13 @@
 		}
 		return emulator.CheckFault(plain, emulator.ServerFaults)
 	}
-	return &emulator.BadFault{Key: "target", Why: fmt.Sprintf("%q is not known, or not for %q", f.Target, f.Kind)}
+	return &emulator.FaultError{Key: "target", Why: fmt.Sprintf("%q is not known, or not for %q", f.Target, f.Kind)}
 }
 
 // checkMoved decodes the settings of limiters that have moved: those of the experiment, with the tables and
 // values of moved in the place of theirs.
 func (e *Experiment) checkMoved(raw map[string]any) error {
-	over, _ := e.Moved.(map[string]any)
+	over, _ := e.AddressesAfterMove.(map[string]any)
 	if n := e.Limiters.Moved; n < 0 || n > e.Limiters.Count || n > 0 != (over != nil) {
 		return fmt.Errorf("limiters.moved: %d of %d, and it needs a table moved, which needs it", n, e.Limiters.Count)
 	}
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -30,7 +30,7 @@
 var fileKeys = map[string]string{"kind": "kind", "from": "from", "until": "until", "share": "connections", "delay": "factor"}
 
 func (e *Experiment) checkLink(f *Fault, text string, pools map[string]bool) (err error) {
-	bad := &emulator.BadFault{Key: "target", Why: fmt.Sprintf("%q is no link: limiter:WHICH-discovery, -counter, -pool:NAME or "+
+	bad := &emulator.FaultError{Key: "target", Why: fmt.Sprintf("%q is no link: limiter:WHICH-discovery, -counter, -pool:NAME or "+
 		"-server:NAME, or client-limiter:WHICH", text)}
 	near, far, _ := strings.Cut(text, "-")
 	which, of := strings.CutPrefix(near, "limiter:")
@@ -45,7 +45,7 @@
 		case party == Discovery && name == "", party == Pools && pools[name], party == Servers && pools[pool]:
 		case party == Counting && name == "":
 			if !e.Counter.On {
-				return &emulator.BadFault{Key: "target", Why: "there is no counter"}
+				return &emulator.FaultError{Key: "target", Why: "there is no counter"}
 			}
 		default:
 			return bad
@@ -58,7 +58,7 @@
 		return err
 	}
 	if f.Share < 0 || f.Share > 1 {
-		return &emulator.BadFault{Key: "share", Why: fmt.Sprintf("%v is not within 0 to 1", f.Share)}
+		return &emulator.FaultError{Key: "share", Why: fmt.Sprintf("%v is not within 0 to 1", f.Share)}
 	}
 	return f.link().Check()
 }
--- a/internal/lab/experiment/steps.go
+++ b/internal/lab/experiment/steps.go
@@ -11,13 +11,13 @@
 	"ospreycroft/internal/lab/emulator"
 )
 
-// BadEntry is an experiment that cannot be played; Key names what is at fault in it, as faults[2].target.
-type BadEntry struct{ Key, Why string }
+// EntryError is an experiment that cannot be played; Key names what is at fault in it, as faults[2].target.
+type EntryError struct{ Key, Why string }
 
-func (e *BadEntry) Error() string { return e.Key + ": " + e.Why }
+func (e *EntryError) Error() string { return e.Key + ": " + e.Why }
 
 // Hint says what to do about it.
-func (e *BadEntry) Hint() string {
+func (e *EntryError) Hint() string {
 	return "correct " + e.Key + " in the experiment file; docs/lab.md tells its form"
 }
 
@@ -45,7 +45,7 @@
 			last, other = strconv.Atoi(b)
 		}
 		if err != nil || other != nil || first < 0 || last < first || last >= count {
-			return nil, &emulator.BadFault{Key: "target", Why: fmt.Sprintf("%q names no limiters of %d", text, count)}
+			return nil, &emulator.FaultError{Key: "target", Why: fmt.Sprintf("%q names no limiters of %d", text, count)}
 		}
 	}
 	var out []int
@@ -71,7 +71,7 @@
 		{"old_list", f.OldList && (f.Kind == "stop" || f.Until == 0), "nothing is started again"},
 	} {
 		if k.bad {
-			return &emulator.BadFault{Key: k.key, Why: k.why}
+			return &emulator.FaultError{Key: k.key, Why: k.why}
 		}
 	}
 	return emulator.CheckFault(emulator.Fault{Kind: f.Kind, From: Nanos(f.From), Until: Nanos(f.Until), Share: f.Share},
--- a/internal/lab/experiment/steps_test.go
+++ b/internal/lab/experiment/steps_test.go
@@ -59,7 +59,7 @@
 		{"kind='kill'\ntarget='limiter:0'\nfrom=1.0\nconnections=0.5", "connections"},
 	} {
 		_, err := with(t, "3", c.fault)
-		bad := (*BadEntry)(nil)
+		bad := (*EntryError)(nil)
 		assert.True(t, errors.As(err, &bad) && bad.Key == "faults[6]."+c.key, "%q: got %v", c.fault, err)
 	}
 }
--- a/internal/lab/faultproxy/conn.go
+++ b/internal/lab/faultproxy/conn.go
@@ -31,7 +31,7 @@
 
 // conn is one connection over a link.
 type conn struct {
-	link  *Link
+	link  *Proxy
 	near  net.Conn
 	rng   *rand.Rand
 	draws []float64 // for each fault of the script
@@ -46,7 +46,7 @@
 	ended int  // directions that ended in order
 }
 
-func newConn(l *Link, near net.Conn, rng *rand.Rand) *conn {
+func newConn(l *Proxy, near net.Conn, rng *rand.Rand) *conn {
 	c := &conn{link: l, near: near, rng: rng}
 	c.wake.L = &c.mu
 	for range l.script {
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -37,16 +37,16 @@
 	Delay       int64 // nanoseconds, for Slow
 }
 
-// BadFault is an entry that cannot work; Key is the one at fault.
-type BadFault struct {
+// FaultError is an entry that cannot work; Key is the one at fault.
+type FaultError struct {
 	Key string // kind, from, until, share or delay
 	Why string
 }
 
-func (e *BadFault) Error() string { return "link fault: " + e.Key + ": " + e.Why }
+func (e *FaultError) Error() string { return "link fault: " + e.Key + ": " + e.Why }
 
 // Hint says what to do about it.
-func (e *BadFault) Hint() string {
+func (e *FaultError) Hint() string {
 	return "correct " + e.Key + "; docs/lab.md lists the kinds of a link"
 }
 
@@ -54,15 +54,15 @@
 func (f Fault) Check() error {
 	switch {
 	case Kinds[f.Kind] == "":
-		return &BadFault{"kind", fmt.Sprintf("%q is not one of a link's", f.Kind)}
+		return &FaultError{"kind", fmt.Sprintf("%q is not one of a link's", f.Kind)}
 	case f.From < 0:
-		return &BadFault{"from", fmt.Sprintf("%v s", float64(f.From)/1e9)}
+		return &FaultError{"from", fmt.Sprintf("%v s", float64(f.From)/1e9)}
 	case f.Until != 0 && f.Until <= f.From:
-		return &BadFault{"until", fmt.Sprintf("%v s, from %v s", float64(f.Until)/1e9, float64(f.From)/1e9)}
+		return &FaultError{"until", fmt.Sprintf("%v s, from %v s", float64(f.Until)/1e9, float64(f.From)/1e9)}
 	case f.Share < 0 || f.Share > 1:
-		return &BadFault{"share", fmt.Sprintf("%v is not within 0 to 1", f.Share)}
+		return &FaultError{"share", fmt.Sprintf("%v is not within 0 to 1", f.Share)}
 	case (f.Kind == Slow) != (f.Delay > 0):
-		return &BadFault{"delay", fmt.Sprintf("%v ms with %s", float64(f.Delay)/1e6, f.Kind)}
+		return &FaultError{"delay", fmt.Sprintf("%v ms with %s", float64(f.Delay)/1e6, f.Kind)}
 	}
 	return nil
 }
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -29,8 +29,8 @@
 
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// Link is the network from one party to another.
-type Link struct {
+// Proxy is the network from one party to another.
+type Proxy struct {
 	near, far string
 	address   string // where the far side listens
 	script    []Fault
@@ -47,13 +47,13 @@
 }
 
 // New makes a link to the far side's address and listens for the near side.
-func New(near, far, address string, script []Fault, seed uint64) (*Link, error) {
+func New(near, far, address string, script []Fault, seed uint64) (*Proxy, error) {
 	port, err := ports.Keep()
 	if err != nil {
 		return nil, &ListenError{near, far, err}
 	}
-	l := &Link{near: near, far: far, address: address, script: script, seed: seed, port: port, conns: map[*conn]struct{}{}}
-	if err := l.Refuse(false); err != nil {
+	l := &Proxy{near: near, far: far, address: address, script: script, seed: seed, port: port, conns: map[*conn]struct{}{}}
+	if err := l.SetRefusing(false); err != nil {
 		port.Close()
 		return nil, err
 	}
@@ -61,17 +61,17 @@
 }
 
 // Address is where the near side calls.
-func (l *Link) Address() string { return l.port.Address() }
+func (l *Proxy) Address() string { return l.port.Address() }
 
-// Refuse makes it refuse new connections, as the far side's machine does while nobody listens there, or take them again.
-func (l *Link) Refuse(on bool) error {
+// SetRefusing makes it refuse new connections, as the far side's machine does while nobody listens there, or take them again.
+func (l *Proxy) SetRefusing(on bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.set(!on && !l.closed, l.deaf)
 }
 
 // Step applies what the script says for now.
-func (l *Link) Step(now int64) error {
+func (l *Proxy) Step(now int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.now = now
@@ -85,7 +85,7 @@
 
 // set is the one function that changes what the link does with new connections: whether it listens, and whether what
 // comes to the listener is dropped, so that a connection neither comes up nor is refused.
-func (l *Link) set(listens, deaf bool) (err error) {
+func (l *Proxy) set(listens, deaf bool) (err error) {
 	if listens != (l.listener != nil) {
 		if !listens {
 			_ = l.listener.Close()
@@ -126,7 +126,7 @@
 }
 
 // accept takes connections until the listener is closed.
-func (l *Link) accept(from net.Listener) {
+func (l *Proxy) accept(from net.Listener) {
 	for {
 		near, err := from.Accept()
 		if err != nil {
@@ -147,14 +147,14 @@
 }
 
 // forget drops a connection that is over.
-func (l *Link) forget(c *conn) {
+func (l *Proxy) forget(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 }
 
 // Close ends the link and resets its connections.
-func (l *Link) Close() {
+func (l *Proxy) Close() {
 	l.mu.Lock()
 	l.closed = true
 	_ = l.set(false, false)
@@ -165,18 +165,18 @@
 	l.port.Close()
 }
 
-// Net is a set of links by the names of their parties. Its methods may be called from any goroutine.
-type Net struct {
+// Network is a set of links by the names of their parties. Its methods may be called from any goroutine.
+type Network struct {
 	seed  uint64
 	mu    sync.Mutex
-	links map[[2]string]*Link
+	links map[[2]string]*Proxy
 }
 
-// NewNet makes a network without links; all chance in it comes from seed.
-func NewNet(seed uint64) *Net { return &Net{seed: seed, links: map[[2]string]*Link{}} }
+// NewNetwork makes a network without links; all chance in it comes from seed.
+func NewNetwork(seed uint64) *Network { return &Network{seed: seed, links: map[[2]string]*Proxy{}} }
 
 // Join puts a link between two parties; an empty script puts none.
-func (n *Net) Join(near, far, address string, script []Fault) error {
+func (n *Network) Join(near, far, address string, script []Fault) error {
 	if len(script) == 0 {
 		return nil
 	}
@@ -195,7 +195,7 @@
 }
 
 // Address is where near reaches far: the link's address, or direct where there is no link.
-func (n *Net) Address(near, far, direct string) string {
+func (n *Network) Address(near, far, direct string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.links[[2]string{near, far}]; l != nil {
@@ -205,7 +205,7 @@
 }
 
 // each calls do for every link and gives the first error.
-func (n *Net) each(do func(*Link) error) (err error) {
+func (n *Network) each(do func(*Proxy) error) (err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
@@ -217,20 +217,20 @@
 }
 
 // Step applies what all scripts say for now.
-func (n *Net) Step(now int64) error { return n.each(func(l *Link) error { return l.Step(now) }) }
+func (n *Network) Step(now int64) error { return n.each(func(l *Proxy) error { return l.Step(now) }) }
 
-// Refuse makes all links to a party refuse, or take connections again.
-func (n *Net) Refuse(far string, on bool) error {
-	return n.each(func(l *Link) error {
+// SetRefusing makes all links to a party refuse, or take connections again.
+func (n *Network) SetRefusing(far string, on bool) error {
+	return n.each(func(l *Proxy) error {
 		if l.far != far {
 			return nil
 		}
-		return l.Refuse(on)
+		return l.SetRefusing(on)
 	})
 }
 
 // Close ends all links.
-func (n *Net) Close() { _ = n.each(func(l *Link) error { l.Close(); return nil }) }
+func (n *Network) Close() { _ = n.each(func(l *Proxy) error { l.Close(); return nil }) }
 
 // dialWithin is how long the far side may take to accept; on loopback it is there or refuses at once.
 const dialWithin = 2 * time.Second
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -21,7 +21,7 @@
 // ends is a link with the near end of one connection over it and the far end.
 type ends struct {
 	t         *testing.T
-	link      *Link
+	link      *Proxy
 	far       chan net.Conn
 	near, out net.Conn
 }
@@ -232,13 +232,13 @@
 }
 
 func TestRefusedWhileNobodyListens(t *testing.T) {
-	n := NewNet(1)
+	n := NewNetwork(1)
 	defer n.Close()
 	require.NoError(t, n.Join("a", "b", "127.0.0.1:9", []Fault{{Kind: Cut, From: 1, Until: 2}}))
 	got := n.Address("b", "a", "direct")
 	assert.True(t, got == "direct", "no link, but %s", got)
 	for _, refuses := range []bool{true, false, true} {
-		require.NoError(t, n.Refuse("b", refuses))
+		require.NoError(t, n.SetRefusing("b", refuses))
 		c, err := net.DialTimeout("tcp", n.Address("a", "b", ""), enough)
 		require.True(t, errors.Is(err, syscall.ECONNREFUSED) == refuses, "refuses %v, but %v", refuses, err)
 		if err == nil {
@@ -250,7 +250,7 @@
 func TestBadFaultsNameTheirKey(t *testing.T) {
 	for key, f := range map[string]Fault{"kind": {Kind: "melt"}, "from": {Kind: Cut, From: -1}, "until": {Kind: Cut, From: 2, Until: 2},
 		"share": {Kind: Cut, Share: 2}, "delay": {Kind: Slow}} {
-		var bad *BadFault
+		var bad *FaultError
 		err := f.Check()
 		assert.True(t, errors.As(err, &bad) && bad.Key == key && bad.Hint() != "", "%s: %v", key, err)
 	}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -35,14 +35,14 @@
 
 // The outcomes a client can see. Unanswered and Late break rule 1 unless the request's limiter was killed.
 const (
-	Succeeded  Outcome = "done"        // a value that a server made
-	Rejected   Outcome = "rejected"    // -BUSY, perhaps with a retry-after
-	Failed     Outcome = "written-off" // any other answer
-	Unanswered Outcome = "unanswered"  // nothing by the deadline
-	Late       Outcome = "late"        // an answer after the deadline
-	Broken     Outcome = "broken"      // the connection ended with no answer
-	GaveUp     Outcome = "gave-up"     // the client went away first, as the load asked
-	NotTaken   Outcome = "not-taken"   // the limiter could not be reached: the request was never taken
+	Succeeded        Outcome = "done"        // a value that a server made
+	Rejected         Outcome = "rejected"    // -BUSY, perhaps with a retry-after
+	Failed           Outcome = "written-off" // any other answer
+	Unanswered       Outcome = "unanswered"  // nothing by the deadline
+	Late             Outcome = "late"        // an answer after the deadline
+	ConnectionBroken Outcome = "broken"      // the connection ended with no answer
+	GaveUp           Outcome = "gave-up"     // the client went away first, as the load asked
+	NotAccepted      Outcome = "not-taken"   // the limiter could not be reached: the request was never taken
 )
 
 // Request is one request as its client saw it; times are nanoseconds on the run's clock.
@@ -59,25 +59,25 @@
 	Deadline      int64   `json:"cut_off"` // when the client stops waiting
 	Answered      int64   `json:"answered"`
 	Outcome       Outcome `json:"outcome"`
-	// Crossed: the connection it was first sent on ended at once, so it went once more on a new one, at Sent again.
-	Crossed    bool  `json:"crossed,omitempty"`
+	// Resent: the connection it was first sent on ended at once, so it went once more on a new one, at Sent again.
+	Resent     bool  `json:"crossed,omitempty"`
 	RetryAfter int64 `json:"retry_after,omitempty"` // nanoseconds, where a rejection said when to return
 }
 
 // Attempt is one command a stand-in server read whole; Ran says whether it may have had its effect.
 type Attempt struct {
-	Server   string  `json:"server"`
-	Group    string  `json:"group"`
-	ID       string  `json:"id"`
-	Customer string  `json:"customer"`
-	Class    string  `json:"track"`
-	Key      string  `json:"key,omitempty"`
-	Units    float64 `json:"units"`
-	At       int64   `json:"at"`
-	Ran      bool    `json:"ran"`
-	Answer   string  `json:"answer"`            // done, error, busy, silent, reset, spoilt, repeat
-	Overrun  bool    `json:"overrun,omitempty"` // began while cold and over what the server bore then
-	Work     int64   `json:"work,omitempty"`    // nanoseconds the server spent on it before answering
+	Server      string  `json:"server"`
+	Group       string  `json:"group"`
+	ID          string  `json:"id"`
+	Customer    string  `json:"customer"`
+	Class       string  `json:"track"`
+	Key         string  `json:"key,omitempty"`
+	Units       float64 `json:"units"`
+	At          int64   `json:"at"`
+	MayHaveRun  bool    `json:"ran"`
+	Answer      string  `json:"answer"`            // done, error, busy, silent, reset, spoilt, repeat
+	Overloaded  bool    `json:"overrun,omitempty"` // began while cold and over what the server bore then
+	ServiceTime int64   `json:"work,omitempty"`    // nanoseconds the server spent on it before answering
 }
 
 // Event is a fault or a change the run played, or a limiter's end that it saw.
@@ -93,9 +93,9 @@
 // The ways in which a call to discovery can end.
 const (
 	Answered   = "answered"    // a list was written
-	TurnedAway = "turned-away" // 503: discovery had too much to do
-	Silent     = "silent"      // nothing was said, since discovery was down
-	Left       = "left"        // the caller went away first
+	Throttled  = "turned-away" // 503: discovery had too much to do
+	NoResponse = "silent"      // nothing was said, since discovery was down
+	CallerGone = "left"        // the caller went away first
 )
 
 // Call is one call to discovery as its stand-in saw it; times are nanoseconds on the run's clock.
@@ -104,19 +104,19 @@
 	At         int64  `json:"at"`
 	Whole      bool   `json:"whole,omitempty"` // it asked for the whole list; else it is a watch
 	Until      int64  `json:"until,omitempty"` // when a watch's wait is over
-	Done       int64  `json:"done"`            // when it ended: for an answered one, when the list was written
+	EndedAt    int64  `json:"done"`            // when it ended: for an answered one, when the list was written
 	End        string `json:"end"`
 	Generation int64  `json:"generation,omitempty"` // of the list that was written
 }
 
-// Life is one process of a limiter, from its start to its end; times are 0 for what has not come.
-type Life struct {
-	Limiter int    `json:"limiter"`
-	Started int64  `json:"started"`
-	Ready   int64  `json:"ready,omitempty"` // when it first answered +PONG
-	Ended   int64  `json:"ended,omitempty"`
-	Known   int64  `json:"known"` // generation of the list in its configuration
-	End     string `json:"end,omitempty"`
+// Process is one process of a limiter, from its start to its end; times are 0 for what has not come.
+type Process struct {
+	Limiter        int    `json:"limiter"`
+	Started        int64  `json:"started"`
+	Ready          int64  `json:"ready,omitempty"` // when it first answered +PONG
+	Ended          int64  `json:"ended,omitempty"`
+	ListGeneration int64  `json:"known"` // generation of the list in its configuration
+	End            string `json:"end,omitempty"`
 }
 
 // Silence is a time in which a limiter's link to discovery, or discovery itself, let nothing new through. Lost says
@@ -130,41 +130,45 @@
 	Held    bool  `json:"held,omitempty"`
 }
 
-// Cut is a time in which the link from the clients to a limiter had a fault: what clients see then is not the limiter's doing.
-type Cut struct {
+// LinkFault is a time in which the link from the clients to a limiter had a fault: what clients see then is not the limiter's doing.
+type LinkFault struct {
 	Limiter int    `json:"limiter"`
 	Kind    string `json:"kind"`
 	From    int64  `json:"from"`
 	Until   int64  `json:"until"` // 0 for good
 }
 
-// Fall is a cold server pushed over: the requests that it was sent within the window before At, and what it bears in it then.
-type Fall struct {
-	Server string   `json:"server"`
-	At     int64    `json:"at"`
-	Got    []string `json:"got"` // ids
-	Bears  float64  `json:"bears"`
+// OverloadCrash is a cold server pushed over: the requests that it was sent within the window before At, and what it bears in it then.
+type OverloadCrash struct {
+	Server   string   `json:"server"`
+	At       int64    `json:"at"`
+	Requests []string `json:"got"` // ids
+	Capacity float64  `json:"bears"`
 }
 
-// Book gathers records from many goroutines.
-type Book struct {
+// Recorder gathers records from many goroutines.
+type Recorder struct {
 	mu       sync.Mutex
 	Requests []Request `json:"jobs"`
 	Attempts []Attempt `json:"shots"`
 	Events   []Event   `json:"events"`
 
 	calls      []Call
-	falls      []Fall
+	falls      []OverloadCrash
 	handshakes map[string][]int // by server, connections accepted in each second
 	counts     map[int][]int    // by limiter, calls that the counter added in each second
 }
 
 // AddCall writes down a call to discovery, once it has ended; AddFall a cold server's fall.
-func (b *Book) AddCall(c Call) { b.mu.Lock(); b.calls = append(b.calls, c); b.mu.Unlock() }
-func (b *Book) AddFall(f Fall) { b.mu.Lock(); b.falls = append(b.falls, f); b.mu.Unlock() }
+func (b *Recorder) AddCall(c Call) { b.mu.Lock(); b.calls = append(b.calls, c); b.mu.Unlock() }
+func (b *Recorder) AddOverloadCrash(f OverloadCrash) {
+	b.mu.Lock()
+	b.falls = append(b.falls, f)
+	b.mu.Unlock()
+}
 
 // AddHandshake counts a connection that a server accepted at now; AddCount a call of a limiter that the counter added.
-func (b *Book) AddHandshake(server string, now int64) {
+func (b *Recorder) AddHandshake(server string, now int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.handshakes == nil {
@@ -173,7 +177,7 @@
 	b.handshakes[server] = another(b.handshakes[server], now)
 }
 
-func (b *Book) AddCount(limiter int, now int64) {
+func (b *Recorder) AddCount(limiter int, now int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.counts == nil {
@@ -193,7 +197,7 @@
 }
 
 // Counts copies the calls that the counter added, by limiter, second by second.
-func (b *Book) Counts() map[int][]int {
+func (b *Recorder) Counts() map[int][]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[int][]int{}
@@ -203,9 +207,9 @@
 	return out
 }
 
-// Sides copies what the list service and the servers wrote down beside attempts: calls in the order of their times,
+// DiscoveryAndServers copies what the list service and the servers wrote down beside attempts: calls in the order of their times,
 // falls, and each server's handshakes second by second.
-func (b *Book) Sides() (calls []Call, falls []Fall, handshakes map[string][]int) {
+func (b *Recorder) DiscoveryAndServers() (calls []Call, falls []OverloadCrash, handshakes map[string][]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	calls, falls, handshakes = append(calls, b.calls...), append(falls, b.falls...), map[string][]int{}
@@ -216,13 +220,21 @@
 	return calls, falls, handshakes
 }
 
-// AddJob, AddShot and AddEvent may be called from any goroutine.
-func (b *Book) AddJob(j Request)  { b.mu.Lock(); b.Requests = append(b.Requests, j); b.mu.Unlock() }
-func (b *Book) AddShot(s Attempt) { b.mu.Lock(); b.Attempts = append(b.Attempts, s); b.mu.Unlock() }
-func (b *Book) AddEvent(e Event)  { b.mu.Lock(); b.Events = append(b.Events, e); b.mu.Unlock() }
+// AddRequest, AddShot and AddEvent may be called from any goroutine.
+func (b *Recorder) AddRequest(j Request) {
+	b.mu.Lock()
+	b.Requests = append(b.Requests, j)
+	b.mu.Unlock()
+}
+func (b *Recorder) AddAttempt(s Attempt) {
+	b.mu.Lock()
+	b.Attempts = append(b.Attempts, s)
+	b.mu.Unlock()
+}
+func (b *Recorder) AddEvent(e Event) { b.mu.Lock(); b.Events = append(b.Events, e); b.mu.Unlock() }
 
 // Copy returns what is held now, safe to read while the run goes on.
-func (b *Book) Copy() (jobs []Request, shots []Attempt, events []Event) {
+func (b *Recorder) Copy() (jobs []Request, shots []Attempt, events []Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Request(nil), b.Requests...), append([]Attempt(nil), b.Attempts...), append([]Event(nil), b.Events...)
@@ -230,23 +242,23 @@
 
 // Run is the whole record of one run as written to JSON.
 type Run struct {
-	Name     string           `json:"name"`
-	Seed     uint64           `json:"seed"`
-	Length   int64            `json:"length"` // nanoseconds of load
-	Limiters int              `json:"limiters"`
-	Settings json.RawMessage  `json:"settings"`
-	Jobs     []Request        `json:"jobs"`
-	Shots    []Attempt        `json:"shots"`
-	Events   []Event          `json:"events"`
-	Calls    []Call           `json:"calls,omitempty"`      // to discovery
-	Lives    []Life           `json:"lives,omitempty"`      // of limiters' processes
-	Silences []Silence        `json:"silences,omitempty"`   // between limiters and discovery
-	Cuts     []Cut            `json:"cuts,omitempty"`       // between clients and limiters
-	Falls    []Fall           `json:"falls,omitempty"`      // of cold servers
-	Shakes   map[string][]int `json:"handshakes,omitempty"` // by server, connections accepted in each second
-	Counts   map[int][]int    `json:"counts,omitempty"`     // by limiter, calls that the counter added in each second
-	Verdict  json.RawMessage  `json:"verdict,omitempty"`
-	Latency  json.RawMessage  `json:"latency,omitempty"` // percentiles of done requests by class, from HDR histograms
+	Name            string           `json:"name"`
+	Seed            uint64           `json:"seed"`
+	Length          int64            `json:"length"` // nanoseconds of load
+	Limiters        int              `json:"limiters"`
+	Settings        json.RawMessage  `json:"settings"`
+	Requests        []Request        `json:"jobs"`
+	Attempts        []Attempt        `json:"shots"`
+	Events          []Event          `json:"events"`
+	Calls           []Call           `json:"calls,omitempty"`      // to discovery
+	Processes       []Process        `json:"lives,omitempty"`      // of limiters' processes
+	Silences        []Silence        `json:"silences,omitempty"`   // between limiters and discovery
+	LinkFaults      []LinkFault      `json:"cuts,omitempty"`       // between clients and limiters
+	OverloadCrashes []OverloadCrash  `json:"falls,omitempty"`      // of cold servers
+	Handshakes      map[string][]int `json:"handshakes,omitempty"` // by server, connections accepted in each second
+	Counts          map[int][]int    `json:"counts,omitempty"`     // by limiter, calls that the counter added in each second
+	Verdict         json.RawMessage  `json:"verdict,omitempty"`
+	Latency         json.RawMessage  `json:"latency,omitempty"` // percentiles of done requests by class, from HDR histograms
 }
 
 // Write writes a run's record to a file as JSON.
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -67,12 +67,12 @@
 // Judge applies the five rules to the records of clients, servers and the timeline alone: a change of the list counts as
 // told to all limiters when the timeline made it.
 func Judge(jobs []history.Request, shots []history.Attempt, events []history.Event, set *settings.Settings, t Terms) *Verdict {
-	return JudgeRun(&history.Run{Jobs: jobs, Shots: shots, Events: events}, set, t)
+	return JudgeRun(&history.Run{Requests: jobs, Attempts: shots, Events: events}, set, t)
 }
 
 // JudgeRun applies the five rules to a run's whole record; rule 3 goes by the list's clock for each limiter.
 func JudgeRun(r *history.Run, set *settings.Settings, t Terms) *Verdict {
-	jobs, shots, events := r.Jobs, r.Shots, r.Events
+	jobs, shots, events := r.Requests, r.Attempts, r.Events
 	v := &Verdict{Requests: len(jobs), Outcomes: map[history.Outcome]int{}, Attempts: len(shots)}
 	sort.SliceStable(shots, func(i, j int) bool { return shots[i].At < shots[j].At })
 	byID := map[string]*history.Request{}
@@ -85,8 +85,8 @@
 		}
 	}
 	kills, stops := downs(events, "kill", "restart"), downs(events, "stop", "continue")
-	cuts, excused := map[int][]history.Cut{}, map[string]bool{}
-	for _, c := range r.Cuts {
+	cuts, excused := map[int][]history.LinkFault{}, map[string]bool{}
+	for _, c := range r.LinkFaults {
 		cuts[c.Limiter] = append(cuts[c.Limiter], c)
 	}
 	for _, j := range jobs {
@@ -108,7 +108,7 @@
 	once(v, shots, byID, excused, set, t)
 	drains(v, r, byID, t)
 	for _, s := range shots {
-		if s.Overrun {
+		if s.Overloaded {
 			v.breach(Breach{Rule: 4, At: s.At, What: s.Server, Detail: "began over what the cold server bore"})
 		}
 	}
@@ -127,7 +127,7 @@
 func crossed(v *Verdict, shots []history.Attempt, byID map[string]*history.Request) {
 	seen := map[string]bool{}
 	for _, s := range shots {
-		if j := byID[s.ID]; j != nil && j.Crossed && s.At < j.Sent && !seen[s.ID] {
+		if j := byID[s.ID]; j != nil && j.Resent && s.At < j.Sent && !seen[s.ID] {
 			seen[s.ID] = true
 			v.breach(Breach{Rule: 1, At: s.At, What: s.ID, Detail: "sent on, then its connection was ended with no answer"})
 		}
@@ -163,12 +163,12 @@
 }
 
 // clean are the outcomes that break nothing by themselves.
-var clean = map[history.Outcome]bool{history.NotTaken: true, history.Succeeded: true, history.Rejected: true, history.Failed: true,
+var clean = map[history.Outcome]bool{history.NotAccepted: true, history.Succeeded: true, history.Rejected: true, history.Failed: true,
 	history.GaveUp: true}
 
 // cutOff tells whether a request was under way while the clients' link to its limiter had a fault: what came of it at the
 // client, and when it came to the limiter, is not the limiter's doing then.
-func cutOff(j history.Request, cuts []history.Cut, t Terms) bool {
+func cutOff(j history.Request, cuts []history.LinkFault, t Terms) bool {
 	for _, c := range cuts {
 		if c.From <= j.Answered && (c.Until == 0 || c.Until+t.Late >= j.Sent) {
 			return true
@@ -180,7 +180,7 @@
 // answered is rule 1 from the client's side: one answer, in time.
 func answered(v *Verdict, j history.Request, kills map[string][]down, t Terms) {
 	switch j.Outcome {
-	case history.NotTaken:
+	case history.NotAccepted:
 		return
 	case history.Succeeded, history.Rejected, history.Failed, history.GaveUp:
 		if j.Answered > j.Deadline+t.Late {
@@ -216,7 +216,7 @@
 			}
 			continue
 		}
-		if s.Ran {
+		if s.MayHaveRun {
 			ran[s.ID] = s
 		}
 	}
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -20,7 +20,7 @@
 
 func judge(t *testing.T, jobs []history.Request, shots []history.Attempt, events []history.Event) *Verdict {
 	t.Helper()
-	return judgeRun(t, &history.Run{Jobs: jobs, Shots: shots, Events: events})
+	return judgeRun(t, &history.Run{Requests: jobs, Attempts: shots, Events: events})
 }
 
 func judgeRun(t *testing.T, run *history.Run) *Verdict {
@@ -42,7 +42,7 @@
 	if !ran {
 		answer = "busy"
 	}
-	return history.Attempt{ID: id, Server: server, Group: group, Class: track, At: at, Ran: ran, Answer: answer}
+	return history.Attempt{ID: id, Server: server, Group: group, Class: track, At: at, MayHaveRun: ran, Answer: answer}
 }
 
 func TestCleanRunPasses(t *testing.T) {
@@ -64,11 +64,11 @@
 
 func TestFingerprintedRepeatOnlyWithinItsGroup(t *testing.T) {
 	same := judge(t, []history.Request{job("k1", "keyed", 1, 0)}, []history.Attempt{
-		{ID: "k1", Server: "s1", Group: "a", Class: "keyed", Key: "f", At: 1e6, Ran: true},
-		{ID: "k1", Server: "s2", Group: "a", Class: "keyed", Key: "f", At: 2e6, Ran: false}}, nil)
+		{ID: "k1", Server: "s1", Group: "a", Class: "keyed", Key: "f", At: 1e6, MayHaveRun: true},
+		{ID: "k1", Server: "s2", Group: "a", Class: "keyed", Key: "f", At: 2e6, MayHaveRun: false}}, nil)
 	other := judge(t, []history.Request{job("k1", "keyed", 1, 0)}, []history.Attempt{
-		{ID: "k1", Server: "s1", Group: "a", Class: "keyed", Key: "f", At: 1e6, Ran: true},
-		{ID: "k1", Server: "s3", Group: "b", Class: "keyed", Key: "f", At: 2e6, Ran: true}}, nil)
+		{ID: "k1", Server: "s1", Group: "a", Class: "keyed", Key: "f", At: 1e6, MayHaveRun: true},
+		{ID: "k1", Server: "s3", Group: "b", Class: "keyed", Key: "f", At: 2e6, MayHaveRun: true}}, nil)
 	if !same.Pass || other.Counts[2] != 1 {
 		t.Fatalf("same group %s; other group %s", same.Line(), other.Line())
 	}
@@ -77,7 +77,7 @@
 func TestUnansweredLateAndKilled(t *testing.T) {
 	lost, late, killed := job("a", "fetch", 1, 0), job("b", "fetch", 1, 0), job("c", "fetch", 1, 0)
 	lost.Outcome, late.Answered = history.Unanswered, late.Deadline+1e8
-	killed.Outcome, killed.Limiter = history.Broken, 1
+	killed.Outcome, killed.Limiter = history.ConnectionBroken, 1
 	v := judge(t, []history.Request{lost, late, killed, job("d", "fetch", 1, 0)},
 		[]history.Attempt{shot("d", "s1", "a", "fetch", 3e9, true)},
 		[]history.Event{{At: 5e7, Kind: "kill", Target: "limiter:1"}, {At: 9e8, Kind: "restart", Target: "limiter:1"}})
@@ -103,13 +103,13 @@
 		jobs = append(jobs, job(id, "fetch", 1, 0))
 		shots = append(shots, shot(id, "s1", "a", "fetch", int64(i), true))
 	}
-	shots[0].Overrun = true
+	shots[0].Overloaded = true
 	v := judge(t, jobs, shots, nil)
 	if v.Counts[5] != 4 || v.Counts[4] != 1 {
 		t.Fatalf("want units 22 to 25 past the ceiling and one overrun: %s", v.Line())
 	}
 	for i := range shots { // at one unit in 50 ms the bucket fills by half a unit an attempt
-		shots[i].At, shots[i].Overrun = int64(i)*5e7, false
+		shots[i].At, shots[i].Overloaded = int64(i)*5e7, false
 	}
 	paced := judge(t, jobs, shots, nil)
 	if !paced.Pass {
--- a/internal/lab/invariants/outages.go
+++ b/internal/lab/invariants/outages.go
@@ -88,7 +88,7 @@
 
 func newProcesses(r *history.Run) processes {
 	out := processes{}
-	for _, l := range r.Lives {
+	for _, l := range r.Processes {
 		p := &process{limiter: l.Limiter, life: len(out[l.Limiter]) + 1, started: l.Started, ended: l.Ended}
 		if p.ended == 0 {
 			p.ended = math.MaxInt64
@@ -123,7 +123,7 @@
 		p.answers = append(p.answers, j.Answered)
 	case history.Late:
 		p.answers = append(p.answers, j.Answered)
-	case history.Unanswered, history.Broken:
+	case history.Unanswered, history.ConnectionBroken:
 		if why.of(j) == LimiterAlive {
 			p.unanswered = append(p.unanswered, j)
 		}
@@ -133,14 +133,14 @@
 // OutagesOf finds the times in which processes served nobody, by limiter and time.
 func OutagesOf(r *history.Run, t Terms) []Outage {
 	all, why, byID := newProcesses(r), newCauses(r, t), map[string]*history.Request{}
-	for i := range r.Jobs {
-		j := &r.Jobs[i]
+	for i := range r.Requests {
+		j := &r.Requests[i]
 		byID[j.ID] = j
 		if p := all.at(j.Limiter, j.Sent); p != nil {
 			p.take(j, why)
 		}
 	}
-	for _, s := range r.Shots {
+	for _, s := range r.Attempts {
 		j := byID[s.ID]
 		if j == nil || s.At < j.Sent { // one sent before belongs to the limiter that a crossed request was sent to first
 			continue
--- a/internal/lab/invariants/outages_test.go
+++ b/internal/lab/invariants/outages_test.go
@@ -32,7 +32,7 @@
 }
 
 // lives are limiter 3's: from 0 until 10 s, and from 11 s on.
-var lives = []history.Life{{Limiter: 3, Started: 0, Ready: 1, Ended: 10000 * ms}, {Limiter: 3, Started: 11000 * ms, Ready: 11300 * ms}}
+var lives = []history.Process{{Limiter: 3, Started: 0, Ready: 1, Ended: 10000 * ms}, {Limiter: 3, Started: 11000 * ms, Ready: 11300 * ms}}
 
 // TestProcessThatTurnsAllAway: 4 s and 15 requests make an outage, each alone does not, and neither an attempt nor a
 // value lies in one.
@@ -73,7 +73,7 @@
 		{"an attempt before, which ends no outage", append(append([]history.Request{}, all...), missed("done", 3, 500*ms, 600*ms, history.Succeeded)),
 			[]history.Attempt{shot("done", "s1", "a", "fetch", 550*ms, true)}, whole},
 	} {
-		got := outagesOf(t, &history.Run{Jobs: c.jobs, Shots: c.shots, Lives: lives})
+		got := outagesOf(t, &history.Run{Requests: c.jobs, Attempts: c.shots, Processes: lives})
 		if !reflect.DeepEqual(got.Outages, c.want) {
 			t.Errorf("%s: %+v, want %+v", c.name, got.Outages, c.want)
 		}
@@ -84,17 +84,17 @@
 // record without lives holds one process a limiter.
 func TestOutageOfEachProcess(t *testing.T) {
 	jobs := append(steady(20, 5000*ms, 240*ms, history.Rejected), steady(20, 12000*ms, 300*ms, history.Rejected)...)
-	s := outagesOf(t, &history.Run{Jobs: jobs, Lives: lives})
+	s := outagesOf(t, &history.Run{Requests: jobs, Processes: lives})
 	want := []Outage{{3, 1, Rejecting, 5000 * ms, 9660 * ms, 20}, {3, 2, Rejecting, 12000 * ms, 17800 * ms, 20}}
 	if !reflect.DeepEqual(s.Outages, want) || s.LimitersOut() != 1 || s.OutageShare() != 0.05 {
 		t.Errorf("%+v, %d limiters, a share of %v", s.Outages, s.LimitersOut(), s.OutageShare())
 	}
-	s = outagesOf(t, &history.Run{Jobs: jobs})
+	s = outagesOf(t, &history.Run{Requests: jobs})
 	if one := []Outage{{3, 1, Rejecting, 5000 * ms, 17800 * ms, 40}}; !reflect.DeepEqual(s.Outages, one) {
 		t.Errorf("without lives: %+v", s.Outages)
 	}
 	short := append(steady(14, 8000*ms, 145*ms, history.Rejected), steady(14, 12000*ms, 150*ms, history.Rejected)...)
-	if s = outagesOf(t, &history.Run{Jobs: short, Lives: lives}); len(s.Outages) > 0 {
+	if s = outagesOf(t, &history.Run{Requests: short, Processes: lives}); len(s.Outages) > 0 {
 		t.Errorf("two processes' rejections were added up: %+v", s.Outages)
 	}
 }
@@ -108,7 +108,7 @@
 			jobs = append(jobs, j)
 		}
 	}
-	s := outagesOf(t, &history.Run{Jobs: jobs})
+	s := outagesOf(t, &history.Run{Requests: jobs})
 	for n, o := range s.Outages {
 		if o.Limiter != n {
 			t.Fatalf("%+v", s.Outages)
@@ -143,9 +143,9 @@
 		{"killed", many, []history.Event{{At: 2500 * ms, Kind: "kill", Target: "limiter:3"}}, []Outage{}},
 		{"stopped", many, []history.Event{{At: 900 * ms, Kind: "stop", Target: "limiter:3"}}, []Outage{}},
 		{"nothing was sent", nil, nil, []Outage{}},
-		{"nobody took it", steady(20, 1000*ms, 300*ms, history.NotTaken), nil, []Outage{}},
+		{"nobody took it", steady(20, 1000*ms, 300*ms, history.NotAccepted), nil, []Outage{}},
 	} {
-		got := outagesOf(t, &history.Run{Jobs: c.jobs, Events: c.events, Lives: lives})
+		got := outagesOf(t, &history.Run{Requests: c.jobs, Events: c.events, Processes: lives})
 		if !reflect.DeepEqual(got.Outages, c.want) {
 			t.Errorf("%s: %+v, want %+v", c.name, got.Outages, c.want)
 		}
--- a/internal/lab/invariants/told.go
+++ b/internal/lab/invariants/told.go
@@ -30,7 +30,7 @@
 		}
 	}
 	clock := newListClock(r)
-	for _, s := range r.Shots {
+	for _, s := range r.Attempts {
 		for _, sp := range spans[s.Server] {
 			if s.At <= sp.change.At+t.Grace || sp.back > 0 && s.At >= sp.back {
 				continue
@@ -51,7 +51,7 @@
 // had been told of its start. One that is cold from the run's beginning is told of by every configuration.
 func falls(v *Verdict, r *history.Run, byID map[string]*history.Request) {
 	clock := newListClock(r)
-	for _, f := range r.Falls {
+	for _, f := range r.OverloadCrashes {
 		var start history.Event
 		for _, e := range r.Events {
 			if (e.Kind == "back" || e.Kind == "new") && e.Target == f.Server && e.At <= f.At {
@@ -59,30 +59,30 @@
 			}
 		}
 		told := 0
-		for _, id := range f.Got {
+		for _, id := range f.Requests {
 			if j := byID[id]; j == nil || clock.told(start, j.Limiter, f.At) <= f.At || start.Kind == "" {
 				told++
 			}
 		}
-		if 3*told > 2*len(f.Got) {
+		if 3*told > 2*len(f.Requests) {
 			v.breach(Breach{Rule: 4, At: f.At, What: f.Server, Detail: fmt.Sprintf("cold, it fell: sent %d, bears %.1f; %d by "+
-				"limiters that had been told of its start", len(f.Got), f.Bears, told)})
+				"limiters that had been told of its start", len(f.Requests), f.Capacity, told)})
 		}
 	}
 }
 
 // listClock tells when changes of the list count as told, limiter by limiter.
 type listClock struct {
-	lives    map[int][]history.Life
+	lives    map[int][]history.Process
 	calls    map[int][]history.Call
 	silences map[int][]history.Silence
 	stops    map[string][]down
 }
 
 func newListClock(r *history.Run) *listClock {
-	c := &listClock{lives: map[int][]history.Life{}, calls: map[int][]history.Call{}, silences: map[int][]history.Silence{},
+	c := &listClock{lives: map[int][]history.Process{}, calls: map[int][]history.Call{}, silences: map[int][]history.Silence{},
 		stops: downs(r.Events, "stop", "continue")}
-	for _, l := range r.Lives {
+	for _, l := range r.Processes {
 		c.lives[l.Limiter] = append(c.lives[l.Limiter], l)
 	}
 	for _, call := range r.Calls {
@@ -129,18 +129,18 @@
 		}
 	}
 	written := int64(math.MaxInt64)
-	if life.Known >= change.Generation && change.Generation > 0 {
+	if life.ListGeneration >= change.Generation && change.Generation > 0 {
 		written = life.Started
 	}
 	for _, call := range c.calls[limiter] {
 		if call.At < life.Started {
 			continue
 		}
-		if call.At <= since && call.Done > since && call.Until > 0 {
+		if call.At <= since && call.EndedAt > since && call.Until > 0 {
 			latest = max(latest, call.Until+afterWait)
 		}
-		if call.End == history.Answered && call.Generation >= change.Generation && call.Done >= change.At {
-			written = min(written, c.arrives(limiter, call.Done))
+		if call.End == history.Answered && call.Generation >= change.Generation && call.EndedAt >= change.At {
+			written = min(written, c.arrives(limiter, call.EndedAt))
 		}
 	}
 	told := min(written, latest)
--- a/internal/lab/invariants/told_test.go
+++ b/internal/lab/invariants/told_test.go
@@ -16,7 +16,7 @@
 func TestWhenAChangeCountsAsTold(t *testing.T) {
 	change := history.Event{At: 10 * sec, Kind: "drain", Target: "s1", Generation: 5}
 	wrote := func(at, done, generation int64) history.Call {
-		return history.Call{At: at * sec / 10, Until: at*sec/10 + sec, Done: done * sec / 10, End: history.Answered, Generation: generation}
+		return history.Call{At: at * sec / 10, Until: at*sec/10 + sec, EndedAt: done * sec / 10, End: history.Answered, Generation: generation}
 	}
 	for _, c := range []struct {
 		name string
@@ -25,27 +25,27 @@
 	}{
 		{"written", history.Run{Calls: []history.Call{wrote(95, 101, 5)}}, 101},
 		{"an older list says nothing", history.Run{Calls: []history.Call{wrote(95, 101, 4)}}, 160},
-		{"turned away", history.Run{Calls: []history.Call{{At: 9 * sec, Done: 11 * sec, End: history.TurnedAway, Generation: 5}}}, 160},
+		{"turned away", history.Run{Calls: []history.Call{{At: 9 * sec, EndedAt: 11 * sec, End: history.Throttled, Generation: 5}}}, 160},
 		{"silent since 7 s", history.Run{Silences: []history.Silence{{From: 7 * sec, Until: 30 * sec, Lost: true}},
 			Calls: []history.Call{wrote(65, 101, 5)}}, 130},
 		{"silent since 1 s: it asked anew, in vain", history.Run{Silences: []history.Silence{{From: sec, Lost: true}}}, 160},
 		{"a wait that ends late", history.Run{Silences: []history.Silence{{From: 7 * sec, Lost: true}}, Calls: []history.Call{
-			{At: 6 * sec, Until: 18 * sec, Done: 40 * sec, End: history.Left}}}, 200},
+			{At: 6 * sec, Until: 18 * sec, EndedAt: 40 * sec, End: history.CallerGone}}}, 200},
 		{"held until the stall ends", history.Run{Silences: []history.Silence{{From: 9 * sec, Until: 12 * sec, Lost: true, Held: true}},
 			Calls: []history.Call{wrote(85, 101, 5)}}, 120},
 		{"only calls are lost", history.Run{Silences: []history.Silence{{From: 9 * sec, Until: 12 * sec}},
 			Calls: []history.Call{wrote(85, 101, 5)}}, 101},
 		{"stopped when it was told", history.Run{Calls: []history.Call{wrote(95, 101, 5)}, Events: []history.Event{
 			{At: 9 * sec, Kind: "stop", Target: "limiter:0"}, {At: 14 * sec, Kind: "continue", Target: "limiter:0"}}}, 140},
-		{"a new process with the present list", history.Run{Lives: []history.Life{{}, {Started: 15 * sec, Known: 5}}}, 150},
-		{"a new process with an old list", history.Run{Lives: []history.Life{{}, {Started: 15 * sec, Known: 4}},
+		{"a new process with the present list", history.Run{Processes: []history.Process{{}, {Started: 15 * sec, ListGeneration: 5}}}, 150},
+		{"a new process with an old list", history.Run{Processes: []history.Process{{}, {Started: 15 * sec, ListGeneration: 4}},
 			Calls: []history.Call{wrote(95, 101, 5)}}, 210},
-		{"its successor is not asked", history.Run{Lives: []history.Life{{}, {Started: 25 * sec, Known: 5}}}, 160},
-		{"its predecessor was told", history.Run{Lives: []history.Life{{}, {Started: 15 * sec, Known: 4}},
+		{"its successor is not asked", history.Run{Processes: []history.Process{{}, {Started: 25 * sec, ListGeneration: 5}}}, 160},
+		{"its predecessor was told", history.Run{Processes: []history.Process{{}, {Started: 15 * sec, ListGeneration: 4}},
 			Calls: []history.Call{wrote(95, 101, 5), wrote(152, 153, 5)}}, 153},
 	} {
-		if len(c.run.Lives) == 0 {
-			c.run.Lives = []history.Life{{}}
+		if len(c.run.Processes) == 0 {
+			c.run.Processes = []history.Process{{}}
 		}
 		assert.Equal(t, c.want*sec/10, newListClock(&c.run).told(change, 0, 20*sec), c.name)
 	}
@@ -57,11 +57,11 @@
 	a, b := job("a", "fetch", 1, 11*sec), job("b", "fetch", 1, 11*sec)
 	late := job("c", "fetch", 1, 21*sec)
 	b.Limiter = 1
-	run := &history.Run{Jobs: []history.Request{a, b, late}, Lives: []history.Life{{Limiter: 0}, {Limiter: 1}},
-		Shots: []history.Attempt{shot("a", "s1", "a", "fetch", 11*sec, true), shot("b", "s1", "a", "fetch", 11*sec, true),
+	run := &history.Run{Requests: []history.Request{a, b, late}, Processes: []history.Process{{Limiter: 0}, {Limiter: 1}},
+		Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", 11*sec, true), shot("b", "s1", "a", "fetch", 11*sec, true),
 			shot("c", "s1", "a", "fetch", 21*sec, true)},
 		Events: []history.Event{{At: 10 * sec, Kind: "drain", Target: "s1", Generation: 5}, {At: 20 * sec, Kind: "back", Target: "s1"}},
-		Calls:  []history.Call{{Limiter: 0, At: 9 * sec, Done: 10 * sec, End: history.Answered, Generation: 5}}}
+		Calls:  []history.Call{{Limiter: 0, At: 9 * sec, EndedAt: 10 * sec, End: history.Answered, Generation: 5}}}
 	v := judgeRun(t, run)
 	require.True(t, v.Counts[3] == 1 && v.Breaches[0].At == 11*sec, "%s %+v", v.Line(), v.Breaches)
 }
@@ -69,9 +69,9 @@
 // A crash, a fall and a request that was let go after it had been sent on each fail a run.
 func TestWhatFailsARunBesideJobs(t *testing.T) {
 	let := job("a", "fetch", 1, sec)
-	let.Crossed = true
-	v := judgeRun(t, &history.Run{Jobs: []history.Request{let}, Shots: []history.Attempt{shot("a", "s1", "a", "fetch", sec-1e6, true)},
-		Events: []history.Event{{Kind: "crash", Target: "limiter:1"}}, Falls: []history.Fall{{Server: "s2", Got: []string{"a"}}}})
+	let.Resent = true
+	v := judgeRun(t, &history.Run{Requests: []history.Request{let}, Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", sec-1e6, true)},
+		Events: []history.Event{{Kind: "crash", Target: "limiter:1"}}, OverloadCrashes: []history.OverloadCrash{{Server: "s2", Requests: []string{"a"}}}})
 	require.True(t, !v.Pass && v.Counts == [6]int{1, 1, 0, 0, 1, 0}, "%s %+v", v.Line(), v.Breaches)
 }
 
@@ -80,8 +80,8 @@
 	lost, other, after := job("a", "fetch", 1, sec), job("b", "fetch", 1, sec), job("c", "fetch", 1, 9*sec)
 	lost.Outcome, other.Outcome, after.Outcome = history.Unanswered, history.Unanswered, history.Unanswered
 	other.Limiter = 1
-	v := judgeRun(t, &history.Run{Jobs: []history.Request{lost, other, after}, Cuts: []history.Cut{{From: sec / 2, Until: 2 * sec}},
-		Shots: []history.Attempt{shot("a", "s1", "a", "fetch", 4*sec, true)}})
+	v := judgeRun(t, &history.Run{Requests: []history.Request{lost, other, after}, LinkFaults: []history.LinkFault{{From: sec / 2, Until: 2 * sec}},
+		Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", 4*sec, true)}})
 	require.True(t, v.Counts[1] == 2 && v.CutOff == 1, "%s %+v", v.Line(), v.Breaches)
 }
 
@@ -89,8 +89,8 @@
 func TestAStoppedLimiterIsExcusedForAnswersOnly(t *testing.T) {
 	lost, late := job("a", "fetch", 1, sec), job("b", "fetch", 1, 20*sec)
 	lost.Outcome, late.Outcome = history.Unanswered, history.Unanswered
-	v := judgeRun(t, &history.Run{Jobs: []history.Request{lost, late}, Events: []history.Event{{At: sec / 2, Kind: "stop", Target: "limiter:0"},
-		{At: 5 * sec, Kind: "continue", Target: "limiter:0"}}, Shots: []history.Attempt{shot("a", "s1", "a", "fetch", 5*sec, true)}})
+	v := judgeRun(t, &history.Run{Requests: []history.Request{lost, late}, Events: []history.Event{{At: sec / 2, Kind: "stop", Target: "limiter:0"},
+		{At: 5 * sec, Kind: "continue", Target: "limiter:0"}}, Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", 5*sec, true)}})
 	require.True(t, v.Counts[1] == 2 && v.Stopped == 1, "%s %+v", v.Line(), v.Breaches)
 }
 
@@ -98,11 +98,11 @@
 func TestAFallIsABreachOnlyByThoseThatWereTold(t *testing.T) {
 	a, b := job("a", "fetch", 1, 10*sec), job("b", "fetch", 1, 10*sec)
 	b.Limiter = 1
-	run := &history.Run{Jobs: []history.Request{a, b}, Lives: []history.Life{{Limiter: 0}, {Limiter: 1}},
+	run := &history.Run{Requests: []history.Request{a, b}, Processes: []history.Process{{Limiter: 0}, {Limiter: 1}},
 		Events: []history.Event{{At: 10 * sec, Kind: "back", Target: "s1", Generation: 5}},
-		Calls:  []history.Call{{Limiter: 0, At: 9 * sec, Done: 10 * sec, End: history.Answered, Generation: 5}}}
+		Calls:  []history.Call{{Limiter: 0, At: 9 * sec, EndedAt: 10 * sec, End: history.Answered, Generation: 5}}}
 	for got, breaches := range map[string]int{"aaa": 1, "aab": 0, "abb": 0, "aaab": 1} {
-		run.Falls = []history.Fall{{Server: "s1", At: 11 * sec, Got: strings.Split(got, "")}}
+		run.OverloadCrashes = []history.OverloadCrash{{Server: "s1", At: 11 * sec, Requests: strings.Split(got, "")}}
 		v := judgeRun(t, run)
 		assert.True(t, v.Counts[4] == breaches, "%s: %s", got, v.Line())
 	}
--- a/internal/lab/invariants/unanswered.go
+++ b/internal/lab/invariants/unanswered.go
@@ -46,9 +46,9 @@
 // delayOf tells how a request missed its time.
 func delayOf(j *history.Request) delay {
 	switch j.Outcome {
-	case history.NotTaken, history.GaveUp:
+	case history.NotAccepted, history.GaveUp:
 		return inTime
-	case history.Unanswered, history.Broken:
+	case history.Unanswered, history.ConnectionBroken:
 		return lost
 	}
 	switch over := j.Answered - j.Deadline; {
@@ -62,14 +62,14 @@
 
 // causes finds out why requests had no answer in time.
 type causes struct {
-	cuts          map[int][]history.Cut
+	cuts          map[int][]history.LinkFault
 	deaths, stops map[string][]down
 	terms         Terms
 }
 
 func newCauses(r *history.Run, t Terms) *causes {
-	c := &causes{cuts: map[int][]history.Cut{}, deaths: deaths(r.Events), stops: downs(r.Events, "stop", "continue"), terms: t}
-	for _, cut := range r.Cuts {
+	c := &causes{cuts: map[int][]history.LinkFault{}, deaths: deaths(r.Events), stops: downs(r.Events, "stop", "continue"), terms: t}
+	for _, cut := range r.LinkFaults {
 		c.cuts[cut.Limiter] = append(c.cuts[cut.Limiter], cut)
 	}
 	return c
@@ -120,8 +120,8 @@
 		cause   Cause
 	}
 	why, counts := newCauses(r, t), map[key]*Unanswered{}
-	for i := range r.Jobs {
-		j := &r.Jobs[i]
+	for i := range r.Requests {
+		j := &r.Requests[i]
 		missed := delayOf(j)
 		if missed == inTime {
 			continue
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -25,7 +25,7 @@
 type Driver struct {
 	e     *experiment.Experiment
 	clock *history.Clock
-	book  *history.Book
+	book  *history.Recorder
 	front Front
 	mu    sync.Mutex // of rng and next
 	rng   *rand.Rand
@@ -46,7 +46,7 @@
 }
 
 // New makes a driver.
-func New(e *experiment.Experiment, clock *history.Clock, book *history.Book, front Front) *Driver {
+func New(e *experiment.Experiment, clock *history.Clock, book *history.Recorder, front Front) *Driver {
 	d := &Driver{e: e, clock: clock, book: book, front: front, rng: rand.New(rand.NewPCG(e.Seed, 0x10ad))}
 	for range e.Limiters.Count {
 		d.pools = append(d.pools, make(chan net.Conn, 512))
@@ -142,7 +142,7 @@
 	go func() {
 		defer d.wg.Done()
 		d.send(&job, c, conn, cutOff, giveUp)
-		d.book.AddJob(job)
+		d.book.AddRequest(job)
 		if job.Outcome == history.Rejected && again && !retry {
 			wait := time.Duration(max(job.RetryAfter, int64(50*time.Millisecond)))
 			if d.clock.Now()+int64(wait) < experiment.Nanos(d.e.Length) {
@@ -211,7 +211,7 @@
 // closing an idle connection crosses it, it is sent once more, on a new connection.
 func (d *Driver) send(job *history.Request, c experiment.Customer, conn net.Conn, cutOff time.Duration, giveUp bool) {
 	if d.once(job, c, conn, cutOff, giveUp) {
-		job.Crossed = true
+		job.Resent = true
 		d.mu.Lock()
 		job.Limiter, _ = d.deal(c, false)
 		d.mu.Unlock()
@@ -229,7 +229,7 @@
 		}
 		if err != nil {
 			job.Sent, job.Deadline = d.clock.Now(), d.clock.Now()+int64(cutOff)
-			job.Answered, job.Outcome = job.Sent, history.NotTaken
+			job.Answered, job.Outcome = job.Sent, history.NotAccepted
 			return false
 		}
 	}
@@ -254,7 +254,7 @@
 		job.Outcome = history.Unanswered
 	case err != nil:
 		_ = conn.Close()
-		job.Outcome = history.Broken
+		job.Outcome = history.ConnectionBroken
 		return reused && job.Answered-job.Sent < int64(crossing) && !d.front.Dead(job.Limiter)
 	default:
 		job.Outcome, job.RetryAfter = judge(v)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -41,7 +41,7 @@
 // Bucket counts a run's records by whole seconds of its clock.
 func Bucket(r *history.Run) *Series {
 	last := r.Length
-	for _, j := range r.Jobs {
+	for _, j := range r.Requests {
 		last = max(last, j.Answered)
 	}
 	n := max(1, int((last+1e9-1)/1e9))
@@ -49,8 +49,8 @@
 		P50: make([]float64, n), P99: make([]float64, n)}
 	hists := make([]*hdrhistogram.Histogram, n)
 	units := map[string]*history.Request{}
-	for i := range r.Jobs {
-		j := &r.Jobs[i]
+	for i := range r.Requests {
+		j := &r.Requests[i]
 		units[j.ID] = j
 		at := int(min(max(j.Answered, 0)/1e9, int64(n-1)))
 		if s.Outcomes[j.Outcome] == nil {
@@ -70,7 +70,7 @@
 		}
 	}
 	counted := map[string]bool{}
-	shots := append([]history.Attempt(nil), r.Shots...)
+	shots := append([]history.Attempt(nil), r.Attempts...)
 	sort.SliceStable(shots, func(a, b int) bool { return shots[a].At < shots[b].At })
 	for _, sh := range shots {
 		j := units[sh.ID]
@@ -172,7 +172,7 @@
 
 func latencies(r *history.Run) []row {
 	hists := map[string]*hdrhistogram.Histogram{}
-	for _, j := range r.Jobs {
+	for _, j := range r.Requests {
 		if j.Outcome == history.Succeeded {
 			if hists[j.Class] == nil {
 				hists[j.Class] = hdrhistogram.New(1, 120_000_000, 3)
@@ -197,7 +197,7 @@
 	sec.OutShare = sec.Service.OutageShare()
 	var outcomes []line
 	for _, o := range []history.Outcome{history.Succeeded, history.Rejected, history.Failed, history.Unanswered,
-		history.Late, history.Broken, history.GaveUp, history.NotTaken} {
+		history.Late, history.ConnectionBroken, history.GaveUp, history.NotAccepted} {
 		if s.Outcomes[o] != nil {
 			outcomes = append(outcomes, line{name: string(o), values: s.Outcomes[o]})
 		}
@@ -209,7 +209,7 @@
 	}
 	customers := sortedKeys(s.Units)
 	plans := map[string]string{}
-	for _, j := range l.Run.Jobs {
+	for _, j := range l.Run.Requests {
 		plans[j.Customer] = j.Plan
 	}
 	for _, c := range customers {
--- a/internal/lab/runner/fleet.go
+++ b/internal/lab/runner/fleet.go
@@ -30,10 +30,10 @@
 
 // FleetOf adds up a run's record.
 func FleetOf(r *history.Run) Fleet {
-	f := Fleet{Calls: len(r.Calls), Falls: len(r.Falls), Listed: [3]int64{-1, -1, -1}}
+	f := Fleet{Calls: len(r.Calls), Falls: len(r.OverloadCrashes), Listed: [3]int64{-1, -1, -1}}
 	first, last := int64(-1), int64(0)
 	began := map[int]bool{}
-	for _, l := range r.Lives {
+	for _, l := range r.Processes {
 		if !began[l.Limiter] {
 			began[l.Limiter] = true
 			if last = max(last, l.Started); first < 0 || l.Started < first {
@@ -53,15 +53,15 @@
 		seconds[c.At/int64(time.Second)]++
 		f.CallsPeak = max(f.CallsPeak, seconds[c.At/int64(time.Second)])
 		switch c.End {
-		case history.TurnedAway:
+		case history.Throttled:
 			f.TurnedAway++
-		case history.Silent:
+		case history.NoResponse:
 			f.Silent++
-		case history.Left:
+		case history.CallerGone:
 			f.Left++
 		case history.Answered:
-			if at, had := listed[c.Limiter]; !had || c.Done < at {
-				listed[c.Limiter] = c.Done
+			if at, had := listed[c.Limiter]; !had || c.EndedAt < at {
+				listed[c.Limiter] = c.EndedAt
 			}
 		}
 	}
@@ -76,7 +76,7 @@
 		}
 	}
 	var all []int
-	for _, of := range r.Shakes {
+	for _, of := range r.Handshakes {
 		for second, n := range of {
 			for len(all) <= second {
 				all = append(all, 0)
--- a/internal/lab/runner/process.go
+++ b/internal/lab/runner/process.go
@@ -24,62 +24,62 @@
 	termExtra   = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline, from SIGTERM
 )
 
-// NeverStarted is a limiter whose process could not be started.
-type NeverStarted struct {
+// StartError is a limiter whose process could not be started.
+type StartError struct {
 	Limiter      int
 	Program, Log string
 	Cause        error
 }
 
-func (e *NeverStarted) Error() string {
+func (e *StartError) Error() string {
 	return fmt.Sprintf("limiter %d: %s could not be started: %v", e.Limiter, e.Program, e.Cause)
 }
 
 // Hint says what to do about it.
-func (e *NeverStarted) Hint() string {
+func (e *StartError) Hint() string {
 	return "build the program that limiters.program names (go build -o bin/ ./cmd/...), then see " + e.Log
 }
-func (e *NeverStarted) Unwrap() error { return e.Cause }
+func (e *StartError) Unwrap() error { return e.Cause }
 
-// NeverReady is a limiter that did not answer PING with +PONG in time.
-type NeverReady struct {
+// ReadyTimeoutError is a limiter that did not answer PING with +PONG in time.
+type ReadyTimeoutError struct {
 	Limiter int
-	Within  time.Duration
+	Timeout time.Duration
 	Log     string
 }
 
-func (e *NeverReady) Error() string {
-	return fmt.Sprintf("limiter %d was not ready within %v", e.Limiter, e.Within)
+func (e *ReadyTimeoutError) Error() string {
+	return fmt.Sprintf("limiter %d was not ready within %v", e.Limiter, e.Timeout)
 }
 
 // Hint says what to do about it.
-func (e *NeverReady) Hint() string { return "see what it waited for in " + e.Log }
+func (e *ReadyTimeoutError) Hint() string { return "see what it waited for in " + e.Log }
 
-// Crashed is a limiter whose process ended though nobody had asked it to.
-type Crashed struct {
+// CrashError is a limiter whose process ended though nobody had asked it to.
+type CrashError struct {
 	Limiter int
 	At      int64 // nanoseconds on the run's clock
 	Log     string
 	Cause   error // how it ended, an *exec.ExitError; nil where it ended as if all were well
 }
 
-func (e *Crashed) Error() string {
+func (e *CrashError) Error() string {
 	return fmt.Sprintf("limiter %d ended by itself at %.3f s: %v", e.Limiter, float64(e.At)/1e9, e.Cause)
 }
 
 // Hint says what to do about it.
-func (e *Crashed) Hint() string  { return "its last lines in " + e.Log + " tell why" }
-func (e *Crashed) Unwrap() error { return e.Cause }
+func (e *CrashError) Hint() string  { return "its last lines in " + e.Log + " tell why" }
+func (e *CrashError) Unwrap() error { return e.Cause }
 
-// NotTogether is a fleet whose processes were not all started within the time that "together" means.
-type NotTogether struct{ Took time.Duration }
+// StartSpreadError is a fleet whose processes were not all started within the time that "together" means.
+type StartSpreadError struct{ Took time.Duration }
 
-func (e *NotTogether) Error() string {
+func (e *StartSpreadError) Error() string {
 	return fmt.Sprintf("starting all limiters took %v, more than %v", e.Took, together)
 }
 
 // Hint says what to do about it.
-func (e *NotTogether) Hint() string {
+func (e *StartSpreadError) Hint() string {
 	return "run fewer limiters, or with nothing else on the machine"
 }
 
@@ -166,7 +166,7 @@
 	lim.mu.Unlock()
 	if crash {
 		at := l.clock.Now()
-		l.fail(&Crashed{Limiter: lim.n, At: at, Log: lim.logPath, Cause: cause}, "crash", lim, at)
+		l.fail(&CrashError{Limiter: lim.n, At: at, Log: lim.logPath, Cause: cause}, "crash", lim, at)
 	}
 	return ok
 }
@@ -210,7 +210,7 @@
 		}
 	}
 	l.mu.Lock()
-	l.lives = append(l.lives, history.Life{Limiter: lim.n, Known: gen})
+	l.lives = append(l.lives, history.Process{Limiter: lim.n, ListGeneration: gen})
 	lim.life = len(l.lives) - 1
 	l.mu.Unlock()
 	set := map[string]json.RawMessage{}
@@ -236,7 +236,7 @@
 // exec starts the configured program and watches for its end.
 func (l *Lab) exec(lim *limiter) error {
 	failed := func(err error) error {
-		err = &NeverStarted{Limiter: lim.n, Program: l.e.Limiters.Program, Log: lim.logPath, Cause: err}
+		err = &StartError{Limiter: lim.n, Program: l.e.Limiters.Program, Log: lim.logPath, Cause: err}
 		l.fail(err, "never-started", lim, l.clock.Now())
 		return err
 	}
@@ -266,11 +266,11 @@
 	lim.mu.Unlock()
 	l.moves(lim, begun, nil)
 	l.refuse(party(lim.n), false)
-	l.lived(life, func(r *history.Life) { r.Started = l.clock.Now() })
+	l.lived(life, func(r *history.Process) { r.Started = l.clock.Now() })
 	go func() {
 		err := cmd.Wait()
 		_ = out.Close()
-		l.lived(life, func(r *history.Life) {
+		l.lived(life, func(r *history.Process) {
 			if r.Ended = l.clock.Now(); err != nil {
 				r.End = err.Error()
 			}
@@ -289,7 +289,7 @@
 }
 
 // lived changes an entry of the record's lives.
-func (l *Lab) lived(life int, change func(*history.Life)) {
+func (l *Lab) lived(life int, change func(*history.Process)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.lives[life])
@@ -302,7 +302,7 @@
 	pause := 20 * time.Millisecond
 	for time.Now().Before(end) {
 		if ports.Pong(lim.port.Address()) {
-			l.lived(life, func(r *history.Life) { r.Ready = l.clock.Now() })
+			l.lived(life, func(r *history.Process) { r.Ready = l.clock.Now() })
 			l.moves(lim, answered, nil)
 			l.front[lim.n].Store(true)
 			return nil
@@ -316,7 +316,7 @@
 			pause = min(pause*2, 100*time.Millisecond)
 		}
 	}
-	err := &NeverReady{Limiter: lim.n, Within: l.within, Log: lim.logPath}
+	err := &ReadyTimeoutError{Limiter: lim.n, Timeout: l.within, Log: lim.logPath}
 	l.fail(err, "never-ready", lim, l.clock.Now())
 	return err
 }
@@ -359,7 +359,7 @@
 	}
 	begun.Wait()
 	if took := time.Since(began); l.e.Limiters.Start == "together" && took > together {
-		errs = append(errs, &NotTogether{took})
+		errs = append(errs, &StartSpreadError{took})
 		l.fail(errs[len(errs)-1], "not-together", l.limiters[0], l.clock.Now())
 	}
 	wait.Wait()
--- a/internal/lab/runner/processes_test.go
+++ b/internal/lab/runner/processes_test.go
@@ -69,16 +69,16 @@
 			terms[e.Target] = e.At
 		}
 	}
-	for _, j := range r.Run.Jobs {
+	for _, j := range r.Run.Requests {
 		if at, was := terms[party(j.Limiter)]; was && j.Sent > at && j.Sent < at+int64(frontTakes) {
 			after++
 		}
 	}
 	t.Logf("%d jobs came in the first %v after a SIGTERM", after, frontTakes)
-	if len(terms) != 20 || len(r.Run.Lives) != 40 || after == 0 {
-		t.Errorf("%d limiters ended, %d processes, %d jobs after SIGTERM", len(terms), len(r.Run.Lives), after)
+	if len(terms) != 20 || len(r.Run.Processes) != 40 || after == 0 {
+		t.Errorf("%d limiters ended, %d processes, %d jobs after SIGTERM", len(terms), len(r.Run.Processes), after)
 	}
-	if n := r.Verdict.Outcomes[history.NotTaken]; n > 0 {
+	if n := r.Verdict.Outcomes[history.NotAccepted]; n > 0 {
 		t.Errorf("%d jobs found nobody", n)
 	}
 }
@@ -96,14 +96,14 @@
 	t.Parallel()
 	r, _ := played(t, example(t, "links", build(t)))
 	jobs := map[string]history.Request{}
-	for _, j := range r.Run.Jobs {
+	for _, j := range r.Run.Requests {
 		jobs[j.ID] = j
 	}
 	for _, b := range r.Verdict.Breaches {
 		t.Errorf("rule %d at %.3f s: %s: %s", b.Rule, float64(b.At)/1e9, b.What, b.Detail)
 	}
 	old, slow, cut := 0, 0, 0
-	for _, s := range r.Run.Shots {
+	for _, s := range r.Run.Attempts {
 		j := jobs[s.ID]
 		switch {
 		case s.Server == "hall1-0" && s.At > 43e8 && s.At < 105e8 && j.Limiter <= 2:
@@ -159,16 +159,16 @@
 	f := FleetOf(r.Run)
 	t.Logf("%+v", f)
 	old := 0
-	for _, l := range r.Run.Lives[30:] {
-		if l.Known == r.Run.Lives[0].Known && l.Started > 22e8 {
+	for _, l := range r.Run.Processes[30:] {
+		if l.ListGeneration == r.Run.Processes[0].ListGeneration && l.Started > 22e8 {
 			old++
 		}
 	}
 	if old != 21 {
 		t.Errorf("%d processes came back late and with the old list, not 21", old)
 	}
-	if f.StartTook > int64(together) || len(r.Run.Lives) != 30+21 || f.NotReady > 0 || f.TurnedAway == 0 {
-		t.Errorf("%d processes, %d not ready, %+v", len(r.Run.Lives), f.NotReady, f)
+	if f.StartTook > int64(together) || len(r.Run.Processes) != 30+21 || f.NotReady > 0 || f.TurnedAway == 0 {
+		t.Errorf("%d processes, %d not ready, %+v", len(r.Run.Processes), f.NotReady, f)
 	}
 }
 
@@ -207,7 +207,7 @@
 	for _, c := range e.Load.Customers {
 		spreads[c.ID] = c.Spread
 	}
-	for _, u := range invariants.Quotas(r.Run.Jobs, r.Run.Shots, e.Settings) {
+	for _, u := range invariants.Quotas(r.Run.Requests, r.Run.Attempts, e.Settings) {
 		b, err := counterloss.BoundOf(u.Plan, e.Settings.Plans[u.Plan], e.Settings.MaxRequestUnits, spreads[u.Customer], counterloss.Lost, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -277,13 +277,13 @@
 func TestFailedLimitersFailTheRun(t *testing.T) {
 	t.Parallel()
 	r, _ := played(t, smaller(t, example(t, "countcut", broken(t, mutants.Crash)), 2, 3))
-	var crashed *Crashed
+	var crashed *CrashError
 	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &crashed) || !strings.HasSuffix(crashed.Log, ".log") {
 		t.Errorf("%s %v", r.Verdict.Line(), r.Failures)
 	}
 	r, _ = played(t, smaller(t, example(t, "countcut", "no/such/program"), 2, 3))
-	var never *NeverStarted
-	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &never) || len(r.Run.Jobs) > 0 ||
+	var never *StartError
+	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &never) || len(r.Run.Requests) > 0 ||
 		!strings.Contains(fmt.Sprint(r.Verdict.Breaches), never.Log) {
 		t.Errorf("%s %v", r.Verdict.Line(), r.Failures)
 	}
--- a/internal/lab/runner/restart_test.go
+++ b/internal/lab/runner/restart_test.go
@@ -112,16 +112,16 @@
 // those that were not ready at the run's end do.
 func TestRestartsOf(t *testing.T) {
 	const second = int64(1e9)
-	lives := []history.Life{{Limiter: 0, Started: 1, Ready: 25 * second}, {Limiter: 1, Started: 2, Ready: 25 * second}}
+	lives := []history.Process{{Limiter: 0, Started: 1, Ready: 25 * second}, {Limiter: 1, Started: 2, Ready: 25 * second}}
 	for i := range int64(10) {
-		lives = append(lives, history.Life{Limiter: int(i % 2), Started: 30 * second, Ready: (31 + i) * second})
+		lives = append(lives, history.Process{Limiter: int(i % 2), Started: 30 * second, Ready: (31 + i) * second})
 	}
-	ended := history.Life{Limiter: 1, Started: 30 * second, Ended: 31 * second}
-	never := history.Life{Limiter: 1, Started: 30 * second}
-	over := history.Life{Limiter: 1, Started: 30 * second, Ready: 40*second + 1}
+	ended := history.Process{Limiter: 1, Started: 30 * second, Ended: 31 * second}
+	never := history.Process{Limiter: 1, Started: 30 * second}
+	over := history.Process{Limiter: 1, Started: 30 * second, Ready: 40*second + 1}
 	for _, c := range []struct {
 		name      string
-		lives     []history.Life
+		lives     []history.Process
 		want      Restarts
 		nineInTen bool
 	}{
@@ -132,7 +132,7 @@
 		{"two of ten over 10 s", append(lives[:10:10], over, over), Restarts{10, 10, 8, 5 * second, 10*second + 1, 10*second + 1}, false},
 		{"none restarted", lives[:2], Restarts{0, 0, 0, -1, -1, -1}, true},
 	} {
-		got := RestartsOf(&history.Run{Lives: c.lives})
+		got := RestartsOf(&history.Run{Processes: c.lives})
 		if got != c.want || got.NineInTen() != c.nineInTen {
 			t.Errorf("%s: %+v, nine in ten %v; want %+v", c.name, got, got.NineInTen(), c.want)
 		}
--- a/internal/lab/runner/restarts.go
+++ b/internal/lab/runner/restarts.go
@@ -27,7 +27,7 @@
 	var out Restarts
 	var times []int64
 	began := map[int]bool{}
-	for _, l := range r.Lives {
+	for _, l := range r.Processes {
 		first := !began[l.Limiter]
 		began[l.Limiter] = true
 		if first || l.Started == 0 || l.Ready == 0 && l.Ended > 0 {
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -27,12 +27,12 @@
 	dir       string
 	log       *slog.Logger
 	clock     *history.Clock
-	book      *history.Book
+	book      *history.Recorder
 	discovery *emulator.Discovery
 	counter   *emulator.Counter
 	servers   []*emulator.Server
 	limiters  []*limiter
-	net       *faultproxy.Net
+	net       *faultproxy.Network
 	// clientScripts are the scripts of the clients' links, by limiter.
 	clientScripts [][]faultproxy.Fault
 	front         []atomic.Bool // which limiters the front gives new connections
@@ -41,7 +41,7 @@
 	tasks         sync.WaitGroup // what is still to be done about limiters
 
 	mu       sync.Mutex
-	lives    []history.Life
+	lives    []history.Process
 	failures []error
 }
 
@@ -56,8 +56,8 @@
 // Run plays e with its files (configurations, limiters' logs) in dir. An error says that there was no run; a limiter that
 // fails is no error but fails the verdict. Where the fleet does not get up, no load is played.
 func Run(e *experiment.Experiment, dir string, log *slog.Logger, progress func(float64)) (*Result, error) {
-	lab := &Lab{e: e, dir: dir, log: log, clock: history.NewClock(), book: &history.Book{},
-		front: make([]atomic.Bool, e.Limiters.Count), net: faultproxy.NewNet(e.Seed), within: readyWithin}
+	lab := &Lab{e: e, dir: dir, log: log, clock: history.NewClock(), book: &history.Recorder{},
+		front: make([]atomic.Bool, e.Limiters.Count), net: faultproxy.NewNetwork(e.Seed), within: readyWithin}
 	for n := range e.Limiters.Count {
 		lab.clientScripts = append(lab.clientScripts, e.Script(n, experiment.Clients, "", ""))
 	}
@@ -73,12 +73,12 @@
 	}
 	jobs, shots, events := lab.book.Copy()
 	run := &history.Run{Name: e.Name, Seed: e.Seed, Length: experiment.Nanos(e.Length),
-		Limiters: e.Limiters.Count, Settings: e.Text, Jobs: jobs, Shots: shots, Events: events}
-	run.Calls, run.Falls, run.Shakes = lab.book.Sides()
+		Limiters: e.Limiters.Count, Settings: e.Text, Requests: jobs, Attempts: shots, Events: events}
+	run.Calls, run.OverloadCrashes, run.Handshakes = lab.book.DiscoveryAndServers()
 	run.Counts = lab.book.Counts()
-	run.Cuts, run.Silences = lab.cutsAndSilences()
+	run.LinkFaults, run.Silences = lab.cutsAndSilences()
 	lab.mu.Lock()
-	run.Lives = append(run.Lives, lab.lives...)
+	run.Processes = append(run.Processes, lab.lives...)
 	failures := append([]error(nil), lab.failures...)
 	lab.mu.Unlock()
 	t := invariants.Terms{Late: int64(50 * time.Millisecond), Grace: experiment.Nanos(e.Grace),
@@ -140,10 +140,10 @@
 			return err
 		}
 	}
-	groups := map[string]*emulator.Repeats{}
+	groups := map[string]*emulator.Deduplication{}
 	for _, p := range l.e.Servers {
 		if p.Repeats > 0 && groups[p.Zone] == nil {
-			groups[p.Zone] = emulator.NewRepeats(experiment.Nanos(p.Repeats))
+			groups[p.Zone] = emulator.NewDeduplication(experiment.Nanos(p.Repeats))
 		}
 		for i := range p.Count {
 			if err := l.addServer(p, fmt.Sprintf("%s-%d", p.Name, i), groups[p.Zone], !p.Cold); err != nil {
@@ -180,10 +180,10 @@
 }
 
 // cutsAndSilences are what the clients' links and those to discovery, or discovery itself, kept from limiters.
-func (l *Lab) cutsAndSilences() (cuts []history.Cut, silences []history.Silence) {
+func (l *Lab) cutsAndSilences() (cuts []history.LinkFault, silences []history.Silence) {
 	for n := range l.e.Limiters.Count {
 		for _, f := range l.e.Script(n, experiment.Clients, "", "") {
-			cuts = append(cuts, history.Cut{Limiter: n, Kind: f.Kind, From: f.From, Until: f.Until})
+			cuts = append(cuts, history.LinkFault{Limiter: n, Kind: f.Kind, From: f.From, Until: f.Until})
 		}
 		for _, f := range l.e.Script(n, experiment.Discovery, "", "") {
 			s := history.Silence{Limiter: n, From: f.From, Until: f.Until, Lost: f.Kind != faultproxy.CutTo,
@@ -215,7 +215,7 @@
 	return out
 }
 
-func (l *Lab) addServer(p experiment.Pool, name string, repeats *emulator.Repeats, warm bool) error {
+func (l *Lab) addServer(p experiment.Pool, name string, repeats *emulator.Deduplication, warm bool) error {
 	spec := emulator.ServerSpec{Name: name, Zone: p.Zone, Work: time.Duration(p.Work * float64(time.Second)),
 		Capacity: p.Capacity, Report: p.Report, Slots: p.Slots, Conns: p.Conns, ColdFrom: p.ColdFrom,
 		WarmWithin: time.Duration(experiment.Nanos(p.WarmWithin)), Warm: warm, Fall: time.Duration(experiment.Nanos(p.Fall)),
@@ -305,7 +305,7 @@
 
 // refuse makes the links to a party that stopped listening refuse as well, or take connections again.
 func (l *Lab) refuse(far string, on bool) {
-	if err := l.net.Refuse(far, on); err != nil {
+	if err := l.net.SetRefusing(far, on); err != nil {
 		l.log.Error("link", "error", err)
 	}
 }
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -138,7 +138,7 @@
 	for _, c := range e.Load.Customers {
 		spreads[c.ID] = c.Spread
 	}
-	for _, u := range invariants.Quotas(r.Run.Jobs, r.Run.Shots, e.Settings) {
+	for _, u := range invariants.Quotas(r.Run.Requests, r.Run.Attempts, e.Settings) {
 		plan, s := e.Settings.Plans[u.Plan], spreads[u.Customer]
 		total := 0.0
 		for _, c := range []struct {
@@ -177,7 +177,7 @@
 	for kind := range asked {
 		asked[kind], done[kind] = map[string]int{}, map[string]int{}
 	}
-	for _, j := range r.Run.Jobs {
+	for _, j := range r.Run.Requests {
 		if j.Limiter < 0 {
 			continue // its limiter was dead and never took it
 		}
--- a/internal/lab/runner/summary.go
+++ b/internal/lab/runner/summary.go
@@ -58,7 +58,7 @@
 		}
 		_, _ = fmt.Fprintf(w, "  failed: %v; %s\n", err, hint)
 	}
-	if len(r.Run.Lives) > 0 {
+	if len(r.Run.Processes) > 0 {
 		FleetOf(r.Run).Write(w, r.Run.Length)
 		restarts := RestartsOf(r.Run)
 		restarts.Write(w)
@@ -66,7 +66,7 @@
 	writeService(w, &r.Verdict.Service)
 	set, err := experiment.SettingsOnly(r.Run.Settings)
 	if err == nil {
-		uses := invariants.Quotas(r.Run.Jobs, r.Run.Shots, set)
+		uses := invariants.Quotas(r.Run.Requests, r.Run.Attempts, set)
 		for _, u := range uses {
 			_, _ = fmt.Fprintf(w, "  use customer=%s plan=%s sent=%.0f excess=%.1f rejected=%d wrongly=%d\n", u.Customer,
 				u.Plan, u.Sent, u.Excess, u.Rejected, u.Wrongly)
@@ -80,7 +80,7 @@
 			}
 		}
 	}
-	for _, l := range Latencies(r.Run.Jobs) {
+	for _, l := range Latencies(r.Run.Requests) {
 		_, _ = fmt.Fprintf(w, "  %s: %d done, p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms\n", l.Track, l.Count,
 			float64(l.P50)/1e3, float64(l.P90)/1e3, float64(l.P99)/1e3, float64(l.Max)/1e3)
 	}
--- a/internal/lab/runner/sweep.go
+++ b/internal/lab/runner/sweep.go
@@ -34,7 +34,7 @@
 	work := map[string]int64{}
 	for _, s := range shots {
 		if s.Answer == "done" || s.Answer == "repeat" {
-			work[s.ID] = s.Work
+			work[s.ID] = s.ServiceTime
 		}
 	}
 	h := hdrhistogram.New(1, 120_000_000, 3)
@@ -82,8 +82,8 @@
 		time.Sleep(300 * time.Millisecond) // the limiters' ends are counted once they are waited for
 		self, children = cpu(syscall.RUSAGE_SELF)-self, cpu(syscall.RUSAGE_CHILDREN)-children
 		_ = history.Write(filepath.Join(sub, "record.json"), r.Run)
-		h := Added(r.Run.Jobs, r.Run.Shots)
-		jobs := float64(len(r.Run.Jobs))
+		h := Added(r.Run.Requests, r.Run.Attempts)
+		jobs := float64(len(r.Run.Requests))
 		p := Point{Limiters: n, Offered: jobs / one.Length, Held: float64(r.Verdict.Outcomes[history.Succeeded]) / one.Length,
 			Rejected: float64(r.Verdict.Outcomes[history.Rejected]) / max(jobs, 1),
 			AddedP50: float64(h.ValueAtQuantile(50)) / 1e3, AddedP99: float64(h.ValueAtQuantile(99)) / 1e3,
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -205,7 +205,7 @@
 func (f *worstRun) applied(at, generation int64, within time.Duration) (float64, error) {
 	end := time.Now().Add(within)
 	for {
-		calls, _, _ := f.s.book.Sides()
+		calls, _, _ := f.s.book.DiscoveryAndServers()
 		times := appliedTimes(calls, at, generation)
 		if len(times) >= f.limiters {
 			return float64(slices.Max(times)-at) / 1e9, nil
@@ -224,7 +224,7 @@
 	var times []int64
 	done := map[int]bool{}
 	for _, c := range calls {
-		if c.At < at && c.Done < at {
+		if c.At < at && c.EndedAt < at {
 			continue
 		}
 		if since, has := told[c.Limiter]; has && c.At >= since && !done[c.Limiter] {
@@ -232,7 +232,7 @@
 			times = append(times, c.At)
 		}
 		if _, has := told[c.Limiter]; !has && c.End == history.Answered && c.Generation >= generation {
-			told[c.Limiter] = c.Done
+			told[c.Limiter] = c.EndedAt
 		}
 	}
 	return times
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -84,7 +84,7 @@
 
 // counterMain runs a counter's stand-in until in ends.
 func counterMain(in *bufio.Reader, answers *json.Encoder) error {
-	k := emulator.NewCounter(history.NewClock(), &history.Book{}, nil, 1)
+	k := emulator.NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
 	if err := k.Start(); err != nil {
 		return err
 	}
--- a/internal/lab/scale/reckon_test.go
+++ b/internal/lab/scale/reckon_test.go
@@ -57,17 +57,17 @@
 // TestAppliedTimes: a limiter goes by a generation once it calls again after the answer that told it.
 func TestAppliedTimes(t *testing.T) {
 	calls := []history.Call{
-		{Limiter: 0, At: 5, Done: 20, End: history.Answered, Generation: 7}, // was out at the change
-		{Limiter: 1, At: 6, Done: 21, End: history.Silent},
-		{Limiter: 1, At: 22, Done: 30, End: history.Answered, Generation: 6}, // an older list
-		{Limiter: 0, At: 25, Done: 40, End: history.Answered, Generation: 7},
-		{Limiter: 1, At: 31, Done: 35, End: history.Answered, Generation: 8},
-		{Limiter: 1, At: 39, Done: 45, End: history.Answered, Generation: 8},
-		{Limiter: 0, At: 41, Done: 50, End: history.Answered, Generation: 7},
+		{Limiter: 0, At: 5, EndedAt: 20, End: history.Answered, Generation: 7}, // was out at the change
+		{Limiter: 1, At: 6, EndedAt: 21, End: history.NoResponse},
+		{Limiter: 1, At: 22, EndedAt: 30, End: history.Answered, Generation: 6}, // an older list
+		{Limiter: 0, At: 25, EndedAt: 40, End: history.Answered, Generation: 7},
+		{Limiter: 1, At: 31, EndedAt: 35, End: history.Answered, Generation: 8},
+		{Limiter: 1, At: 39, EndedAt: 45, End: history.Answered, Generation: 8},
+		{Limiter: 0, At: 41, EndedAt: 50, End: history.Answered, Generation: 7},
 	}
 	require.Equal(t, []int64{25, 39}, appliedTimes(calls, 10, 7))
 	overlaps := []history.Call{ // of a life that has ended, and of the next one
-		{Limiter: 0, At: 11, Done: 60, End: history.Answered, Generation: 7}, {Limiter: 0, At: 45, Done: 50, End: history.Left}}
+		{Limiter: 0, At: 11, EndedAt: 60, End: history.Answered, Generation: 7}, {Limiter: 0, At: 45, EndedAt: 50, End: history.CallerGone}}
 	require.Empty(t, appliedTimes(overlaps, 10, 7))
 	require.Empty(t, appliedTimes(calls[:3], 10, 7), "told, and not called since")
 	require.Empty(t, appliedTimes(calls, 10, 9))
--- a/internal/lab/scale/stands.go
+++ b/internal/lab/scale/stands.go
@@ -15,7 +15,7 @@
 // stands are the stand-ins of one run: discovery, the counter and a few listeners behind all servers of the list.
 type stands struct {
 	clock     *history.Clock
-	book      *history.Book
+	book      *history.Recorder
 	discovery *emulator.Discovery
 	counter   *emulator.Counter
 	servers   []*emulator.Server
@@ -35,7 +35,7 @@
 
 // newStands starts the stand-ins; the caller closes them.
 func newStands(spec standsSpec) (s *stands, err error) {
-	s = &stands{clock: history.NewClock(), book: &history.Book{}}
+	s = &stands{clock: history.NewClock(), book: &history.Recorder{}}
 	defer func() {
 		if err != nil {
 			s.close()
--- a/internal/lab/scenarios/distribution.go
+++ b/internal/lab/scenarios/distribution.go
@@ -201,7 +201,7 @@
 		return nil // a start with a kept state: the process has begun with this address
 	}
 	n.inUse[limiter] = list
-	n.fleet.Hup(limiter, list, fleetCounter)
+	n.fleet.ReloadLimiter(limiter, list, fleetCounter)
 	return nil
 }
 
@@ -403,14 +403,14 @@
 	kept := p.poller.Snapshot(n.now())
 	p.down = true
 	p.life++
-	n.fleet.Kill(i)
+	n.fleet.KillLimiter(i)
 	n.noteReach()
 	return kept
 }
 
 // restartLimiter starts a limiter's process again with the state that it kept.
 func (n *network) restartLimiter(i int, kept *distribution.Snapshot) error {
-	n.fleet.Start(i)
+	n.fleet.StartLimiter(i)
 	p := n.limiters[i]
 	if err := n.startLimiter(p, kept); err != nil {
 		return err
--- a/internal/lab/scenarios/distributionsteps.go
+++ b/internal/lab/scenarios/distributionsteps.go
@@ -234,7 +234,7 @@
 }
 
 func allAnswered(r *simfleet.Result, _ *distributionRecord) error {
-	if len(r.Run.Jobs) == 0 {
+	if len(r.Run.Requests) == 0 {
 		return errors.New("no request was sent")
 	}
 	if r.Verdict.Counts[1] > 0 {
--- a/internal/lab/scenarios/scenarios_test.go
+++ b/internal/lab/scenarios/scenarios_test.go
@@ -59,12 +59,12 @@
 		ScenarioInitializer: func(s *godog.ScenarioContext) {
 			w := Steps(s)
 			if way := os.Getenv("STORIES_BREAK"); way != "" {
-				w.Break = []simfleet.Broken{simfleet.Broken(way)}
+				w.Broken = []simfleet.Broken{simfleet.Broken(way)}
 			}
-			w.Shift, _ = strconv.ParseUint(os.Getenv("STORIES_SHIFT"), 10, 64)
+			w.SeedOffset, _ = strconv.ParseUint(os.Getenv("STORIES_SHIFT"), 10, 64)
 			w.Transcript = transcript.New()
 			s.After(func(ctx context.Context, scenario *godog.Scenario, err error) (context.Context, error) {
-				if err == nil && len(w.Break) == 0 && w.Shift == 0 {
+				if err == nil && len(w.Broken) == 0 && w.SeedOffset == 0 {
 					err = compareTranscript(scenario.Name, w.Transcript.Sum())
 				}
 				return ctx, err
--- a/internal/lab/scenarios/steps.go
+++ b/internal/lab/scenarios/steps.go
@@ -23,16 +23,16 @@
 		`whose list is asked for at a service that answers (\d+) calls a second$`,
 		func(limiters, servers, seed, budget int) error {
 			w.Options = simfleet.Plain(uint64(seed), limiters, servers)
-			w.Options.Mode, w.Options.Budget = simfleet.Asked, float64(budget)
+			w.Options.Mode, w.Options.DiscoveryCallRate = simfleet.Polled, float64(budget)
 			return nil
 		})
 	s.Given(`^operators state that it bears (\d+) calls a second$`, func(calls int) error {
-		w.Options.Stated.DiscoveryCallRate = float64(calls)
+		w.Options.Operator.DiscoveryCallRate = float64(calls)
 		return nil
 	})
 	s.Given(`^a limiter that (.+)$`, w.limiterThat)
 	s.Given(`^cold servers fall at ([\d.]+) times what they can do$`, func(times float64) error {
-		w.Options.FallMultiple, w.Options.FallWindow = times, 1500e6
+		w.Options.OverloadMultiple, w.Options.OverloadWindow = times, 1500e6
 		return nil
 	})
 	s.Given(`^clients send (\d+) jobs a second from second ([\d.]+) to second ([\d.]+)$`, func(rate int, from, until float64) error {
@@ -44,7 +44,7 @@
 		return nil
 	})
 	s.Given(`^clients stay on their connections while a limiter ends$`, func() error {
-		w.Options.Load.Stay = true
+		w.Options.Load.KeepConnections = true
 		return nil
 	})
 	s.Given(`^(.+) of the servers were replaced since the limiters' lists were written$`, w.replaced)
@@ -56,8 +56,8 @@
 
 // limiterThat breaks all limiters of the fleet on purpose.
 func (w *World) limiterThat(how string) error {
-	if !slices.Contains(simfleet.Ways, simfleet.Broken(how)) {
-		return fmt.Errorf("no limiter %q: one of %q", how, simfleet.Ways)
+	if !slices.Contains(simfleet.AllBroken, simfleet.Broken(how)) {
+		return fmt.Errorf("no limiter %q: one of %q", how, simfleet.AllBroken)
 	}
 	w.Options.Broken = append(w.Options.Broken, simfleet.Broken(how))
 	return nil
@@ -72,8 +72,8 @@
 	for _, i := range w.some(of, len(w.Options.Servers), 1) {
 		name := w.Options.Servers[i].Name
 		if err := w.Plan(0, func(f *simfleet.Fleet) {
-			f.Add(name, name+"-new")
-			f.Gone(name)
+			f.AddServer(name, name+"-new")
+			f.RemoveServer(name)
 		}); err != nil {
 			return err
 		}
@@ -90,32 +90,32 @@
 		return w.Plan(seconds(from), func(f *simfleet.Fleet) { f.StartAll(seconds(over)) })
 	})
 	s.When(`^the list service is down from second ([\d.]+) to second ([\d.]+)$`, func(from, until float64) error {
-		if err := w.Plan(seconds(until), func(f *simfleet.Fleet) { f.ListDown(false) }); err != nil {
+		if err := w.Plan(seconds(until), func(f *simfleet.Fleet) { f.SetDiscoveryDown(false) }); err != nil {
 			return err
 		}
-		return w.Plan(seconds(from), func(f *simfleet.Fleet) { f.ListDown(true) })
+		return w.Plan(seconds(from), func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) })
 	})
-	s.When(`^the list service is down from second ([\d.]+) on$`, at(func(f *simfleet.Fleet) { f.ListDown(true) }))
+	s.When(`^the list service is down from second ([\d.]+) on$`, at(func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) }))
 	s.When(`^(.+) of the limiters are killed at second ([\d.]+) and start again ([\d.]+) seconds? later with their old list$`,
 		w.killed)
 	s.When(`^all open watches fall silent at second ([\d.]+)$`,
-		at(func(f *simfleet.Fleet) { f.Quiet(func(int) bool { return true }) }))
+		at(func(f *simfleet.Fleet) { f.SilenceWatches(func(int) bool { return true }) }))
 	s.When(`^server "([^"]+)" drains at second ([\d.]+)$`, func(name string, at float64) error {
-		return w.Plan(seconds(at), func(f *simfleet.Fleet) { f.Drain(name) })
+		return w.Plan(seconds(at), func(f *simfleet.Fleet) { f.DrainServer(name) })
 	})
 	s.When(`^server "([^"]+)" crashes at second ([\d.]+) and is back, cold, ([\d.]+) seconds? later$`,
 		func(name string, at, later float64) error {
-			if err := w.Plan(seconds(at), func(f *simfleet.Fleet) { f.Crash(name) }); err != nil {
+			if err := w.Plan(seconds(at), func(f *simfleet.Fleet) { f.CrashServer(name) }); err != nil {
 				return err
 			}
-			return w.Plan(seconds(at+later), func(f *simfleet.Fleet) { f.Back(name) })
+			return w.Plan(seconds(at+later), func(f *simfleet.Fleet) { f.RestartServer(name) })
 		})
 	s.When(`^the limiters are restarted from second ([\d.]+) on, a tenth at a time, every ([\d.]+) seconds?$`, w.restarted)
 	s.When(`^limiter (\d+) is stopped from second ([\d.]+) to second ([\d.]+)$`, func(n int, from, until float64) error {
-		if err := w.Plan(seconds(from), func(f *simfleet.Fleet) { f.Stop(n) }); err != nil {
+		if err := w.Plan(seconds(from), func(f *simfleet.Fleet) { f.PauseLimiter(n) }); err != nil {
 			return err
 		}
-		return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.Continue(n) })
+		return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.ResumeLimiter(n) })
 	})
 	s.When(`^what (.+) of the limiters send to the counter is lost from second ([\d.]+) to second ([\d.]+)$`,
 		func(part string, from, until float64) error {
@@ -129,7 +129,7 @@
 		func(list, counter int, at float64) error {
 			return w.Plan(seconds(at), func(f *simfleet.Fleet) {
 				for n := range w.Options.Limiters {
-					f.Hup(n, list, counter)
+					f.ReloadLimiter(n, list, counter)
 				}
 			})
 		})
@@ -143,14 +143,14 @@
 	hit := w.some(of, w.Options.Limiters, 2)
 	if err := w.Plan(seconds(at), func(f *simfleet.Fleet) {
 		for _, n := range hit {
-			f.Kill(n)
+			f.KillLimiter(n)
 		}
 	}); err != nil {
 		return err
 	}
 	return w.Plan(seconds(at+later), func(f *simfleet.Fleet) {
 		for _, n := range hit {
-			f.Start(n)
+			f.StartLimiter(n)
 		}
 	})
 }
@@ -159,7 +159,7 @@
 	for step := range 10 {
 		if err := w.Plan(seconds(from+every*float64(step)), func(f *simfleet.Fleet) {
 			for n := step; n < w.Options.Limiters; n += 10 {
-				f.Term(n, true)
+				f.TerminateLimiter(n, true)
 			}
 		}); err != nil {
 			return err
@@ -174,13 +174,13 @@
 		return err
 	}
 	hit := w.some(of, w.Options.Limiters, 3)
-	var rule *simfleet.Rule
+	var rule *simfleet.LinkRule
 	if err := w.Plan(seconds(since), func(f *simfleet.Fleet) {
-		rule = f.Link(simfleet.Cut, from, to, func(n int) bool { return slices.Contains(hit, n) }, 0, 0)
+		rule = f.AddLinkFault(simfleet.LinkCut, from, to, func(n int) bool { return slices.Contains(hit, n) }, 0, 0)
 	}); err != nil {
 		return err
 	}
-	return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.Heal(rule) })
+	return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.HealLink(rule) })
 }
 
 func (w *World) then(s *godog.ScenarioContext) {
@@ -216,13 +216,13 @@
 	}))
 	s.Then(`^limiter (\d+) sends nothing to server "([^"]+)" from second ([\d.]+) on$`, w.sendsNothing)
 	s.Then(`^no cold server falls$`, check(func(r *simfleet.Result) error {
-		if r.Falls > 0 {
-			return fmt.Errorf("%d fell", r.Falls)
+		if r.OverloadCrashes > 0 {
+			return fmt.Errorf("%d fell", r.OverloadCrashes)
 		}
 		return nil
 	}))
 	s.Then(`^a cold server falls$`, check(func(r *simfleet.Result) error {
-		if r.Falls == 0 {
+		if r.OverloadCrashes == 0 {
 			return fmt.Errorf("none fell")
 		}
 		return nil
@@ -230,22 +230,22 @@
 	s.Then(`^no server takes more than (\d+) new connections in any second from second (\d+) to second (\d+)$`, w.handshakes)
 	s.Then(`^the list service gets at most (\d+) calls in any second$`, func(most int) error {
 		r, err := w.Result()
-		if err == nil && slices.Max(append([]int{0}, r.ListCalls...)) > most {
-			err = fmt.Errorf("calls by second: %v", r.ListCalls)
+		if err == nil && slices.Max(append([]int{0}, r.DiscoveryCalls...)) > most {
+			err = fmt.Errorf("calls by second: %v", r.DiscoveryCalls)
 		}
 		return err
 	})
 	s.Then(`^the list service turns away at most (\d+) calls$`, func(most int) error {
 		r, err := w.Result()
-		if err == nil && sum(r.Turned) > most {
-			err = fmt.Errorf("%d, by second: %v of %v", sum(r.Turned), r.Turned, r.ListCalls)
+		if err == nil && sum(r.ThrottledCalls) > most {
+			err = fmt.Errorf("%d, by second: %v of %v", sum(r.ThrottledCalls), r.ThrottledCalls, r.DiscoveryCalls)
 		}
 		return err
 	})
 	s.Then(`^the list service turns away more than (\d+) calls$`, func(least int) error {
 		r, err := w.Result()
-		if err == nil && sum(r.Turned) <= least {
-			err = fmt.Errorf("%d, by second: %v of %v", sum(r.Turned), r.Turned, r.ListCalls)
+		if err == nil && sum(r.ThrottledCalls) <= least {
+			err = fmt.Errorf("%d, by second: %v of %v", sum(r.ThrottledCalls), r.ThrottledCalls, r.DiscoveryCalls)
 		}
 		return err
 	})
@@ -256,9 +256,9 @@
 			return fmt.Errorf("no watch had fallen silent")
 		}
 		for _, m := range r.Missed {
-			if m.Handed >= m.Told {
+			if m.Delivered >= m.Notified {
 				return fmt.Errorf("limiter %d: the drain of %s counted as told at %.3f s, and was handed over at %.3f s",
-					m.Limiter, m.Server, float64(m.Told)/1e9, float64(m.Handed)/1e9)
+					m.Limiter, m.Server, float64(m.Notified)/1e9, float64(m.Delivered)/1e9)
 			}
 		}
 		return nil
@@ -280,10 +280,10 @@
 		return err
 	}
 	of := map[string]bool{}
-	for _, j := range r.Run.Jobs {
+	for _, j := range r.Run.Requests {
 		of[j.ID] = j.Limiter == n
 	}
-	for _, s := range r.Run.Shots {
+	for _, s := range r.Run.Attempts {
 		if s.Server == server && of[s.ID] && s.At >= seconds(from) {
 			return fmt.Errorf("job %s at %.3f s", s.ID, float64(s.At)/1e9)
 		}
@@ -322,9 +322,9 @@
 		return err
 	}
 	all, done := 0, 0
-	for _, j := range r.Run.Jobs {
+	for _, j := range r.Run.Requests {
 		if j.Sent >= seconds(from) && j.Sent < seconds(until) {
-			if all++; j.Outcome == history.Succeeded && j.Answered-j.Sent <= w.fleet.Agreed(j.Class) {
+			if all++; j.Outcome == history.Succeeded && j.Answered-j.Sent <= w.fleet.LatencyObjective(j.Class) {
 				done++
 			}
 		}
--- a/internal/lab/scenarios/walk.go
+++ b/internal/lab/scenarios/walk.go
@@ -14,11 +14,11 @@
 func Walk(t *rapid.T, broken ...simfleet.Broken) (w *World, told []string) {
 	const limiters, servers, end = 5, 6, 11.0
 	o := simfleet.Plain(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), limiters, servers)
-	o.Mode = rapid.SampledFrom([]simfleet.Mode{simfleet.Pushed, simfleet.Asked}).Draw(t, "mode")
+	o.Mode = rapid.SampledFrom([]simfleet.Mode{simfleet.Pushed, simfleet.Polled}).Draw(t, "mode")
 	rate := rapid.SampledFrom([]float64{150, 500}).Draw(t, "rate") // of 900 that the servers can do
-	o.Load.Rate, o.Load.Until, o.Load.Stay, o.Broken = rate, seconds(end), rapid.Bool().Draw(t, "stay"), broken
+	o.Load.Rate, o.Load.Until, o.Load.KeepConnections, o.Broken = rate, seconds(end), rapid.Bool().Draw(t, "stay"), broken
 	for i := range o.Load.Customers {
-		o.Load.Customers[i].Spread, o.Load.Customers[i].First = 2, i%limiters
+		o.Load.Customers[i].Limiters, o.Load.Customers[i].First = 2, i%limiters
 	}
 	w = &World{Options: o}
 	plan := func(at float64, step func(f *simfleet.Fleet)) { _ = w.Plan(seconds(at), step) } // it has a fleet: no error
@@ -36,44 +36,44 @@
 		begin, over := func(*simfleet.Fleet) {}, func(*simfleet.Fleet) {}
 		switch kind {
 		case "drain":
-			begin = func(f *simfleet.Fleet) { f.Drain(server) }
+			begin = func(f *simfleet.Fleet) { f.DrainServer(server) }
 		case "replace":
-			begin = func(f *simfleet.Fleet) { f.Gone(server); f.Add(server, fmt.Sprintf("n%d", i)) }
+			begin = func(f *simfleet.Fleet) { f.RemoveServer(server); f.AddServer(server, fmt.Sprintf("n%d", i)) }
 		case "crash":
-			begin, over = func(f *simfleet.Fleet) { f.Crash(server) }, func(f *simfleet.Fleet) { f.Back(server) }
+			begin, over = func(f *simfleet.Fleet) { f.CrashServer(server) }, func(f *simfleet.Fleet) { f.RestartServer(server) }
 		case "vanish":
-			begin, over = func(f *simfleet.Fleet) { f.Vanish(server) }, func(f *simfleet.Fleet) { f.Back(server) }
+			begin, over = func(f *simfleet.Fleet) { f.VanishServer(server) }, func(f *simfleet.Fleet) { f.RestartServer(server) }
 		case "silent":
-			begin, over = func(f *simfleet.Fleet) { f.Silence(server, true) }, func(f *simfleet.Fleet) { f.Silence(server, false) }
+			begin, over = func(f *simfleet.Fleet) { f.SilenceServer(server, true) }, func(f *simfleet.Fleet) { f.SilenceServer(server, false) }
 		case "slow":
-			begin, over = func(f *simfleet.Fleet) { f.Slow(server, 20) }, func(f *simfleet.Fleet) { f.Slow(server, 0) }
+			begin, over = func(f *simfleet.Fleet) { f.SlowServer(server, 20) }, func(f *simfleet.Fleet) { f.SlowServer(server, 0) }
 		case "kill":
-			begin, over = func(f *simfleet.Fleet) { f.Kill(n) }, func(f *simfleet.Fleet) { f.Start(n) }
+			begin, over = func(f *simfleet.Fleet) { f.KillLimiter(n) }, func(f *simfleet.Fleet) { f.StartLimiter(n) }
 		case "term":
-			begin = func(f *simfleet.Fleet) { f.Term(n, true) }
+			begin = func(f *simfleet.Fleet) { f.TerminateLimiter(n, true) }
 		case "stop":
-			begin, over = func(f *simfleet.Fleet) { f.Stop(n) }, func(f *simfleet.Fleet) { f.Continue(n) }
+			begin, over = func(f *simfleet.Fleet) { f.PauseLimiter(n) }, func(f *simfleet.Fleet) { f.ResumeLimiter(n) }
 		case "quiet":
-			begin = func(f *simfleet.Fleet) { f.Quiet(func(int) bool { return true }) }
+			begin = func(f *simfleet.Fleet) { f.SilenceWatches(func(int) bool { return true }) }
 		case "list":
-			begin, over = func(f *simfleet.Fleet) { f.ListDown(true) }, func(f *simfleet.Fleet) { f.ListDown(false) }
+			begin, over = func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) }, func(f *simfleet.Fleet) { f.SetDiscoveryDown(false) }
 		case "hup":
-			begin = func(f *simfleet.Fleet) { f.Hup(n, 2+i, 2+i) }
+			begin = func(f *simfleet.Fleet) { f.ReloadLimiter(n, 2+i, 2+i) }
 		case "half-open":
 			begin = func(f *simfleet.Fleet) { f.HalfOpen(server, n) }
 		case "burst":
-			begin, over = func(f *simfleet.Fleet) { f.Rate(3 * rate) }, func(f *simfleet.Fleet) { f.Rate(rate) }
+			begin, over = func(f *simfleet.Fleet) { f.SetRequestRate(3 * rate) }, func(f *simfleet.Fleet) { f.SetRequestRate(rate) }
 		case "link":
-			way := simfleet.Way(rapid.IntRange(int(simfleet.Cut), int(simfleet.Late)).Draw(t, "way"))
+			way := simfleet.LinkFault(rapid.IntRange(int(simfleet.LinkCut), int(simfleet.DialDelayed)).Draw(t, "way"))
 			far := rapid.SampledFrom([]string{server, "server", "counter", "list"}).Draw(t, "far")
 			from, to := "limiter", far
 			if rapid.Bool().Draw(t, "back") {
 				from, to = far, "limiter"
 			}
 			told[i] += fmt.Sprintf(": %d %s>%s", way, from, to)
-			var rule *simfleet.Rule
-			begin = func(f *simfleet.Fleet) { rule = f.Link(way, from, to, among, 100e6, 0.1) }
-			over = func(f *simfleet.Fleet) { f.Heal(rule) }
+			var rule *simfleet.LinkRule
+			begin = func(f *simfleet.Fleet) { rule = f.AddLinkFault(way, from, to, among, 100e6, 0.1) }
+			over = func(f *simfleet.Fleet) { f.HealLink(rule) }
 		}
 		plan(at, begin)
 		plan(until, over)
--- a/internal/lab/scenarios/world.go
+++ b/internal/lab/scenarios/world.go
@@ -21,9 +21,9 @@
 
 // World is one scenario's fleet.
 type World struct {
-	Options simfleet.Options
-	Break   []simfleet.Broken // breaks the limiters in these ways beside what the scenario says
-	Shift   uint64            // is added to the scenario's seed
+	Options    simfleet.Options
+	Broken     []simfleet.Broken // breaks the limiters in these ways beside what the scenario says
+	SeedOffset uint64            // is added to the scenario's seed
 	// Transcript takes what crosses the scenario's wires; nil for no record.
 	Transcript *transcript.Transcript
 	plans      []plan
@@ -56,8 +56,8 @@
 		return nil, errNoFleet
 	}
 	if w.fleet == nil {
-		w.Options.Broken = append(w.Options.Broken, w.Break...)
-		w.Options.Seed += w.Shift
+		w.Options.Broken = append(w.Options.Broken, w.Broken...)
+		w.Options.Seed += w.SeedOffset
 		w.Options.Transcript = w.Transcript
 		f, err := simfleet.New(w.Options)
 		if err != nil {
--- a/internal/lab/simfleet/broken.go
+++ b/internal/lab/simfleet/broken.go
@@ -15,7 +15,7 @@
 
 // spoil changes what comes to a broken limiter.
 func (f *Fleet) spoil(s *side, b []byte) []byte {
-	if _, list := s.far.owner.(*desk); !list || !f.is(IgnoresDrains) && !f.is(Overfeeds) {
+	if _, list := s.far.owner.(*desk); !list || !f.is(IgnoresDrains) && !f.is(OverloadsNewServers) {
 		return b
 	}
 	head, body, _ := bytes.Cut(b, []byte("\r\n\r\n"))
@@ -28,7 +28,7 @@
 		if f.is(IgnoresDrains) {
 			e.Lifecycle = "in_service"
 		}
-		if f.is(Overfeeds) && e.StartedMs > 0 {
+		if f.is(OverloadsNewServers) && e.StartedMs > 0 {
 			e.StartedMs, e.Weight = 0, 20
 		}
 	}
@@ -71,7 +71,7 @@
 			inner.Plans[name] = &q
 		}
 	}
-	if f.is(InStep) {
+	if f.is(PollsInStep) {
 		inner.Position = -1
 	}
 	return &set
--- a/internal/lab/simfleet/clients.go
+++ b/internal/lab/simfleet/clients.go
@@ -14,31 +14,31 @@
 
 // Customer is one customer's part of the load.
 type Customer struct {
-	ID     string // 16 hex digits
-	Plan   string
-	Share  float64
-	Spread int // its requests come through so many limiters in a row,
-	First  int // from this one on
+	ID       string // 16 hex digits
+	Plan     string
+	Share    float64
+	Limiters int // its requests come through so many limiters in a row,
+	First    int // from this one on
 }
 
-// Mix is one class's part of the load.
-type Mix struct {
-	Track  string
-	Share  float64
-	Units  float64
-	CutOff int64 // nanoseconds from its sending
+// ClassShare is one class's part of the load.
+type ClassShare struct {
+	Class    string
+	Share    float64
+	Units    float64
+	Deadline int64 // nanoseconds from its sending
 }
 
 // Load is what clients send, open loop: requests come at their rate whatever becomes of the earlier ones.
 type Load struct {
-	Rate      float64 // requests a second, all together
-	From      int64   // when the first may come
-	Until     int64   // and the last
-	Customers []Customer
-	Tracks    []Mix
-	Stay      bool    // they stay on open connections after SIGTERM; else they close them once it is noticed
-	GiveUp    float64 // so many go away after half of their time
-	Retry     float64 // so many of those rejected come again
+	Rate            float64 // requests a second, all together
+	From            int64   // when the first may come
+	Until           int64   // and the last
+	Customers       []Customer
+	Classes         []ClassShare
+	KeepConnections bool    // they stay on open connections after SIGTERM; else they close them once it is noticed
+	GiveUp          float64 // so many go away after half of their time
+	Retry           float64 // so many of those rejected come again
 }
 
 // late is how long past its deadline a client still looks for an answer.
@@ -105,7 +105,7 @@
 			return
 		}
 		c := draw(k.rng, o.Customers, func(c Customer) float64 { return c.Share })
-		m := draw(k.rng, o.Tracks, func(m Mix) float64 { return m.Share })
+		m := draw(k.rng, o.Classes, func(m ClassShare) float64 { return m.Share })
 		k.bring(c, m, false)
 		k.arrive()
 	})
@@ -126,13 +126,13 @@
 }
 
 // bring makes a request and hands it to one of the customer's limiters that is in.
-func (k *clients) bring(c Customer, m Mix, retry bool) {
+func (k *clients) bring(c Customer, m ClassShare, retry bool) {
 	count := len(k.gates)
-	at := k.rng.IntN(c.Spread)
+	at := k.rng.IntN(c.Limiters)
 	n := -1
-	for i := range c.Spread {
-		try := (c.First + (at+i)%c.Spread) % count
-		if g := k.gates[try]; g.in && (!g.leaving || k.f.o.Load.Stay && len(g.idle) > 0) {
+	for i := range c.Limiters {
+		try := (c.First + (at+i)%c.Limiters) % count
+		if g := k.gates[try]; g.in && (!g.leaving || k.f.o.Load.KeepConnections && len(g.idle) > 0) {
 			n = try
 			break
 		}
@@ -142,12 +142,12 @@
 		return
 	}
 	k.next++
-	effect := k.f.set.Classes[m.Track].Idempotency
-	v := &visit{cutOff: m.CutOff, giveUp: k.rng.Float64() < k.f.o.Load.GiveUp}
-	v.job = history.Request{ID: fmt.Sprintf("%016x", k.next), Customer: c.ID, Plan: c.Plan, Class: m.Track, Units: m.Units,
+	effect := k.f.set.Classes[m.Class].Idempotency
+	v := &visit{cutOff: m.Deadline, giveUp: k.rng.Float64() < k.f.o.Load.GiveUp}
+	v.job = history.Request{ID: fmt.Sprintf("%016x", k.next), Customer: c.ID, Plan: c.Plan, Class: m.Class, Units: m.Units,
 		Limiter: n, Retry: retry, NonIdempotent: effect == choice.NonIdempotent}
-	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", m.Track, c.Plan, m.CutOff/1e6,
-		strconv.FormatFloat(m.Units, 'g', -1, 64), c.Spread, c.First)
+	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", m.Class, c.Plan, m.Deadline/1e6,
+		strconv.FormatFloat(m.Units, 'g', -1, 64), c.Limiters, c.First)
 	if retry {
 		list += ",r=1"
 	}
@@ -242,7 +242,7 @@
 		g := k.gates[t.n]
 		g.idle = slices.DeleteFunc(g.idle, func(o *tie) bool { return o == t })
 		if v != nil {
-			k.end(v, history.Broken, 0)
+			k.end(v, history.ConnectionBroken, 0)
 		}
 		return
 	}
@@ -253,7 +253,7 @@
 	}
 	k.end(v, outcome, retryAfter)
 	g := k.gates[t.n]
-	if g.leaving && !k.f.o.Load.Stay {
+	if g.leaving && !k.f.o.Load.KeepConnections {
 		s.close()
 		return
 	}
@@ -287,9 +287,9 @@
 		k.send(v, true)
 	case unread:
 		v.job.Answered = k.f.q.now
-		k.end(v, history.NotTaken, 0)
+		k.end(v, history.NotAccepted, 0)
 	default:
-		k.end(v, history.Broken, 0)
+		k.end(v, history.ConnectionBroken, 0)
 	}
 }
 
@@ -345,7 +345,7 @@
 			return
 		}
 		g.leaving = true
-		if !k.f.o.Load.Stay {
+		if !k.f.o.Load.KeepConnections {
 			for _, t := range g.idle {
 				t.s.close()
 			}
--- a/internal/lab/simfleet/coldload.go
+++ b/internal/lab/simfleet/coldload.go
@@ -72,8 +72,8 @@
 func (f *Fleet) coldLoad(s *server, started, until int64) ColdLoad {
 	load := ColdLoad{Server: s.spec.Name, Started: started}
 	version := f.startVersion(s.spec.Name, started)
-	all := slidingWindow{length: f.o.FallWindow}
-	notified := slidingWindow{length: f.o.FallWindow}
+	all := slidingWindow{length: f.o.OverloadWindow}
+	notified := slidingWindow{length: f.o.OverloadWindow}
 	for _, shot := range f.attempts {
 		if shot.Server != s.spec.Name || shot.At < started || shot.At >= until {
 			continue
@@ -118,8 +118,8 @@
 func (s *server) coldBound(age int64) float64 {
 	o, set := &s.f.o, s.f.set
 	warmth := set.ColdCapacity + (1-set.ColdCapacity)*min(1, float64(age)/float64(set.SlowStartWindow))
-	pace := float64(s.spec.Slots) / (float64(s.spec.Work) / 1e9)
-	n := o.FallMultiple * warmth * pace * float64(o.FallWindow) / 1e9
+	pace := float64(s.spec.Slots) / (float64(s.spec.ServiceTime) / 1e9)
+	n := o.OverloadMultiple * warmth * pace * float64(o.OverloadWindow) / 1e9
 	return n + slackRoot*math.Sqrt(n) + slackFixed
 }
 
--- a/internal/lab/simfleet/coldload_test.go
+++ b/internal/lab/simfleet/coldload_test.go
@@ -37,7 +37,7 @@
 func (c coldFleet) options(seed uint64) Options {
 	o := Plain(seed, c.limiters, c.servers)
 	for i := range o.Servers {
-		o.Servers[i].Slots, o.Servers[i].Work = coldSlots, int64(coldSlots/c.pace*1e9)
+		o.Servers[i].Slots, o.Servers[i].ServiceTime = coldSlots, int64(coldSlots/c.pace*1e9)
 	}
 	capacity := c.pace * float64(c.servers)
 	o.Load.Rate, o.Load.From, o.Load.Until = capacity/2, second, coldEnd
@@ -47,7 +47,7 @@
 	o.Load.Customers = nil
 	for i := range customers {
 		o.Load.Customers = append(o.Load.Customers, Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1,
-			Spread: 10, First: i * c.limiters / customers})
+			Limiters: 10, First: i * c.limiters / customers})
 	}
 	return o
 }
@@ -58,10 +58,10 @@
 	f, err := New(c.options(seed))
 	require.NoError(t, err)
 	f.StartAll(0)
-	f.At(coldCrash, func() { f.Crash("s0"); f.Crash("s1") })
-	f.At(coldBurst, func() { f.Rate(burstOver * c.pace * float64(c.servers)) })
-	f.At(coldReturn, func() { f.Back("s0"); f.Add("s2", "new0") })
-	f.At(coldLater, func() { f.Back("s1"); f.Add("s3", "new1") })
+	f.At(coldCrash, func() { f.CrashServer("s0"); f.CrashServer("s1") })
+	f.At(coldBurst, func() { f.SetRequestRate(burstOver * c.pace * float64(c.servers)) })
+	f.At(coldReturn, func() { f.RestartServer("s0"); f.AddServer("s2", "new0") })
+	f.At(coldLater, func() { f.RestartServer("s1"); f.AddServer("s3", "new1") })
 	f.Run(coldEnd)
 	require.Empty(t, f.faults)
 	loads := f.ColdLoads()
@@ -121,7 +121,7 @@
 func TestColdMarginBroken(t *testing.T) {
 	for _, c := range []coldFleet{{limiters: 30, servers: 10, pace: 5}, {limiters: 300, servers: 40, pace: 5},
 		{limiters: 300, servers: 20, pace: 20}} {
-		c.broken = []Broken{Overfeeds}
+		c.broken = []Broken{OverloadsNewServers}
 		_, notified := c.play(t, 1)
 		assert.Negative(t, notified.Margin(), "%d limiters: %d requests of %.1f", c.limiters, notified.Count, notified.Bound)
 	}
@@ -131,7 +131,7 @@
 func TestColdPeaks(t *testing.T) {
 	f, err := New(Plain(1, 2, 1)) // 150 requests a second, a quarter of it at the start
 	require.NoError(t, err)
-	f.At(10*second, func() { f.Back("s0") })
+	f.At(10*second, func() { f.RestartServer("s0") })
 	f.Run(10 * second)
 	f.limiters[0].lives = []*life{{until: never}}
 	f.limiters[1].lives = []*life{{until: never}}
--- a/internal/lab/simfleet/faults.go
+++ b/internal/lab/simfleet/faults.go
@@ -23,11 +23,11 @@
 	return f.servers[i]
 }
 
-// Drain lists a server as one that wants nothing new; its process goes on.
-func (f *Fleet) Drain(name string) { f.leave(name, "terminating", "drain") }
+// DrainServer lists a server as one that wants nothing new; its process goes on.
+func (f *Fleet) DrainServer(name string) { f.leave(name, "terminating", "drain") }
 
-// Gone ends a server's process, and the list tells so.
-func (f *Fleet) Gone(name string) {
+// RemoveServer ends a server's process, and the list tells so.
+func (f *Fleet) RemoveServer(name string) {
 	f.leave(name, "terminated", "gone")
 	s := f.serverNamed(name)
 	f.net.kill(s.host)
@@ -41,48 +41,48 @@
 	f.lists.set(s.entry(state))
 }
 
-// Crash ends a server's process and nobody is told; Back starts it cold, and the list tells so.
-func (f *Fleet) Crash(name string) {
+// CrashServer ends a server's process and nobody is told; Back starts it cold, and the list tells so.
+func (f *Fleet) CrashServer(name string) {
 	s := f.serverNamed(name)
 	f.event("server-crash", name, "")
 	f.net.kill(s.host)
 	s.reborn()
 }
 
-// Back starts a server's process at its old address, cold.
-func (f *Fleet) Back(name string) {
+// RestartServer starts a server's process at its old address, cold.
+func (f *Fleet) RestartServer(name string) {
 	s := f.serverNamed(name)
 	s.start(f.q.now)
 	f.event("back", name, "")
 	s.change = f.lists.set(s.entry("in_service"))
 }
 
-// Add starts a new server like an old one, cold.
-func (f *Fleet) Add(like, name string) {
+// AddServer starts a new server like an old one, cold.
+func (f *Fleet) AddServer(like, name string) {
 	old := f.serverNamed(like)
 	spec := old.spec
 	spec.Name = name
 	f.addServer(spec, old.seen, uint64(len(f.servers)))
-	f.Back(name)
+	f.RestartServer(name)
 }
 
-// Silence lets a server take commands and answer nothing; Slow makes its work take longer. Both until they are undone.
-func (f *Fleet) Silence(name string, on bool) {
+// SilenceServer lets a server take commands and answer nothing; Slow makes its work take longer. Both until they are undone.
+func (f *Fleet) SilenceServer(name string, on bool) {
 	f.serverNamed(name).silent = on
 	f.event("silence", name, fmt.Sprint(on))
 }
 
-// Slow makes a server's requests take so many times as long.
-func (f *Fleet) Slow(name string, factor float64) {
+// SlowServer makes a server's requests take so many times as long.
+func (f *Fleet) SlowServer(name string, factor float64) {
 	f.serverNamed(name).slow = factor
 	f.event("slow", name, fmt.Sprint(factor))
 }
 
-// Rate changes the rate at which requests come.
-func (f *Fleet) Rate(rate float64) { f.clients.rate = rate }
+// SetRequestRate changes the rate at which requests come.
+func (f *Fleet) SetRequestRate(rate float64) { f.clients.rate = rate }
 
-// ListDown stops the list service, or starts it again. While it is down it says nothing to anybody.
-func (f *Fleet) ListDown(down bool) {
+// SetDiscoveryDown stops the list service, or starts it again. While it is down it says nothing to anybody.
+func (f *Fleet) SetDiscoveryDown(down bool) {
 	f.event("list-down", "list", fmt.Sprint(down))
 	for _, m := range f.limiters {
 		if m.p != nil && down {
@@ -101,8 +101,8 @@
 	f.lists.setDown(down)
 }
 
-// Quiet lets the watches of some limiters fall silent; it tells how many did.
-func (f *Fleet) Quiet(of func(limiter int) bool) int {
+// SilenceWatches lets the watches of some limiters fall silent; it tells how many did.
+func (f *Fleet) SilenceWatches(of func(limiter int) bool) int {
 	hit := f.lists.quiet(of)
 	f.event("quiet", "list", fmt.Sprintf("watches=%d", hit))
 	return hit
@@ -142,13 +142,13 @@
 	return out
 }
 
-// Link puts a fault on the links from some machines to others, in that direction alone: what is "limiter", "server",
+// AddLinkFault puts a fault on the links from some machines to others, in that direction alone: what is "limiter", "server",
 // "counter", "list", "clients" or the name of a server, and among chooses among limiters. extra is for Delay and Late,
 // share for Tear. Heal undoes it.
-func (f *Fleet) Link(way Way, from, to string, among func(int) bool, extra int64, share float64) *Rule {
-	r := &Rule{way: way, from: f.hostsOf(from, among), to: f.hostsOf(to, among), extra: extra, share: share}
+func (f *Fleet) AddLinkFault(way LinkFault, from, to string, among func(int) bool, extra int64, share float64) *LinkRule {
+	r := &LinkRule{way: way, from: f.hostsOf(from, among), to: f.hostsOf(to, among), extra: extra, share: share}
 	f.net.add(r)
-	if f.o.Mode == Asked && way <= Stall && from == "list" { // open watches fall silent
+	if f.o.Mode == Polled && way <= LinkStalled && from == "list" { // open watches fall silent
 		for _, d := range f.lists.desks {
 			f.lists.watches(d, func(p *process, ln *line) {
 				if r.to[p.host] {
@@ -161,8 +161,8 @@
 	return r
 }
 
-// Heal undoes a fault of links.
-func (f *Fleet) Heal(r *Rule) {
+// HealLink undoes a fault of links.
+func (f *Fleet) HealLink(r *LinkRule) {
 	f.event("heal", "", "")
 	f.net.heal(r)
 	f.lists.spread()
@@ -175,8 +175,8 @@
 	f.net.halfOpen(f.serverNamed(name).host, f.limiters[n].host)
 }
 
-// Vanish takes a server's machine away without a word. Back brings it back.
-func (f *Fleet) Vanish(name string) {
+// VanishServer takes a server's machine away without a word. Back brings it back.
+func (f *Fleet) VanishServer(name string) {
 	s := f.serverNamed(name)
 	f.event("vanish", name, "")
 	f.net.vanish(s.host)
--- a/internal/lab/simfleet/fleet.go
+++ b/internal/lab/simfleet/fleet.go
@@ -70,18 +70,18 @@
 		o.Settings = DefaultSettings()
 	}
 	o.Settings = maps.Clone(o.Settings)
-	if o.FallMultiple == 0 {
-		o.FallMultiple, o.FallWindow = 3, 1500e6
+	if o.OverloadMultiple == 0 {
+		o.OverloadMultiple, o.OverloadWindow = 3, 1500e6
 	}
 	if o.Grace == 0 {
 		o.Grace = 300e6
 	}
-	if o.Budget == 0 {
-		o.Budget = 1e9
+	if o.DiscoveryCallRate == 0 {
+		o.DiscoveryCallRate = 1e9
 	}
 	f := &Fleet{o: o, rng: rand.New(rand.NewPCG(o.Seed, 0xf1)), byHost: map[*host]int{}}
 	o.Settings["balancers"] = o.Limiters
-	o.Settings["registry-mode"] = map[Mode]string{Pushed: "pushed", Asked: "on_request"}[o.Mode]
+	o.Settings["registry-mode"] = map[Mode]string{Pushed: "pushed", Polled: "on_request"}[o.Mode]
 	text, err := json.Marshal(o.Settings)
 	if err != nil {
 		return nil, err
@@ -89,22 +89,22 @@
 	if f.set, err = settings.Decode(text); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	for _, m := range o.Load.Tracks {
-		if f.set.Classes[m.Track] == nil {
-			return nil, fmt.Errorf("load: no track %q", m.Track)
+	for _, m := range o.Load.Classes {
+		if f.set.Classes[m.Class] == nil {
+			return nil, fmt.Errorf("load: no track %q", m.Class)
 		}
-		f.longest = max(f.longest, m.CutOff)
+		f.longest = max(f.longest, m.Deadline)
 	}
 	for _, c := range o.Load.Customers {
-		if f.set.Plans[c.Plan] == nil || c.Spread < 1 || c.Spread > o.Limiters {
-			return nil, fmt.Errorf("load: customer %s: plan %q, spread %d", c.ID, c.Plan, c.Spread)
+		if f.set.Plans[c.Plan] == nil || c.Limiters < 1 || c.Limiters > o.Limiters {
+			return nil, fmt.Errorf("load: customer %s: plan %q, spread %d", c.ID, c.Plan, c.Limiters)
 		}
 	}
 	f.net = newNetwork(&f.q, o.Seed)
 	f.net.transcript = o.Transcript
 	f.counter = &counter{f: f, counts: map[string]count{}}
 	f.net.host("counter:1").party = f.counter
-	f.lists = &lists{f: f, tokens: o.Budget}
+	f.lists = &lists{f: f, tokens: o.DiscoveryCallRate}
 	f.net.host("list")
 	zones := map[string]map[string]int64{}
 	for i, spec := range o.Servers {
@@ -114,7 +114,7 @@
 		f.addServer(spec, zones[spec.Zone], uint64(i)).start(longAgo)
 		f.lists.first = append(f.lists.first, f.servers[i].entry("in_service"))
 	}
-	if o.Mode == Asked {
+	if o.Mode == Polled {
 		f.desk("list:1", -1, 0)
 	}
 	known, _ := json.Marshal(map[string]any{"generation": firstVersion, "reset": true, "instances": f.lists.first})
@@ -166,8 +166,8 @@
 // At plans a step of a story.
 func (f *Fleet) At(at int64, step func()) { f.q.at(at, step) }
 
-// Agreed is a class's agreed time.
-func (f *Fleet) Agreed(track string) int64 { return f.set.Classes[track].LatencyObjective }
+// LatencyObjective is a class's agreed time.
+func (f *Fleet) LatencyObjective(track string) int64 { return f.set.Classes[track].LatencyObjective }
 
 // Run lets the fleet run up to a time.
 func (f *Fleet) Run(until int64) { f.q.run(until) }
--- a/internal/lab/simfleet/judge.go
+++ b/internal/lab/simfleet/judge.go
@@ -70,27 +70,27 @@
 	return never
 }
 
-// Miss is a change of the list that a process missed on a watch that had fallen silent.
-type Miss struct {
-	Limiter int
-	Server  string
-	Told    int64 // when it counted as told
-	Handed  int64 // when the list service handed it over on a new watch; far in the future where it never did
+// MissedChange is a change of the list that a process missed on a watch that had fallen silent.
+type MissedChange struct {
+	Limiter   int
+	Server    string
+	Notified  int64 // when it counted as told
+	Delivered int64 // when the list service handed it over on a new watch; far in the future where it never did
 }
 
 // Result is what a run leaves.
 type Result struct {
-	Run       *history.Run
-	Verdict   *invariants.Verdict
-	Faults    []history.Event // crashes, and bytes that no wire allows
-	ListCalls []int           // calls that reached the list service, by second; none where an agent answers
-	Turned    []int           // those of them that it turned away
+	Run            *history.Run
+	Verdict        *invariants.Verdict
+	Faults         []history.Event // crashes, and bytes that no wire allows
+	DiscoveryCalls []int           // calls that reached the list service, by second; none where an agent answers
+	ThrottledCalls []int           // those of them that it turned away
 	// Handshakes are the connections that each server took, by second.
-	Handshakes map[string][]int
-	Falls      int    // of cold servers, whoever was to blame
-	Missed     []Miss // what silent watches missed
-	Unserved   int    // requests that found no limiter that was in
-	Steps      int64  // events of the queue
+	Handshakes      map[string][]int
+	OverloadCrashes int            // of cold servers, whoever was to blame
+	Missed          []MissedChange // what silent watches missed
+	Unserved        int            // requests that found no limiter that was in
+	Steps           int64          // events of the queue
 }
 
 // Finish lets the last requests end and judges the run.
@@ -107,14 +107,14 @@
 	verdict := invariants.Judge(f.requests, shots, f.judged(), f.set, terms)
 	f.judgeDrains(verdict, terms)
 	verdict.Pass = verdict.Pass && verdict.Counts[3] == 0
-	r := &Result{Verdict: verdict, Faults: f.faults, ListCalls: f.lists.calls, Turned: f.lists.turned, Falls: f.falls,
+	r := &Result{Verdict: verdict, Faults: f.faults, DiscoveryCalls: f.lists.calls, ThrottledCalls: f.lists.turned, OverloadCrashes: f.falls,
 		Unserved: f.clients.unserved, Steps: f.q.steps, Missed: f.missed(), Handshakes: map[string][]int{}}
 	for _, s := range f.servers {
 		r.Handshakes[s.spec.Name] = s.dialled
 	}
-	r.Run = &history.Run{Name: "simfleet", Seed: f.o.Seed, Length: f.q.now, Limiters: f.o.Limiters, Jobs: f.requests, Events: f.events}
+	r.Run = &history.Run{Name: "simfleet", Seed: f.o.Seed, Length: f.q.now, Limiters: f.o.Limiters, Requests: f.requests, Events: f.events}
 	for _, s := range f.attempts {
-		r.Run.Shots = append(r.Run.Shots, s.Attempt)
+		r.Run.Attempts = append(r.Run.Attempts, s.Attempt)
 	}
 	r.Run.Settings, _ = json.Marshal(f.o.Settings)
 	r.Run.Verdict, _ = json.Marshal(verdict)
@@ -189,8 +189,8 @@
 }
 
 // missed lists the drains that processes missed on watches that had fallen silent.
-func (f *Fleet) missed() []Miss {
-	var out []Miss
+func (f *Fleet) missed() []MissedChange {
+	var out []MissedChange
 	for _, m := range f.limiters {
 		for _, l := range m.lives {
 			for _, d := range f.drains {
@@ -200,7 +200,7 @@
 				}
 				for _, s := range l.silences {
 					if told := f.counted(m.n, l, d.version); came >= s.from && came < s.until && told < l.until {
-						out = append(out, Miss{m.n, d.server, told, firstAt(l.handed, d.version)})
+						out = append(out, MissedChange{m.n, d.server, told, firstAt(l.handed, d.version)})
 					}
 				}
 			}
--- a/internal/lab/simfleet/lists.go
+++ b/internal/lab/simfleet/lists.go
@@ -16,7 +16,7 @@
 
 const (
 	Pushed Mode = iota // an agent beside each limiter is sent the list, whether or not a watch is open
-	Asked              // one service answers those that ask, so many calls a second
+	Polled             // one service answers those that ask, so many calls a second
 )
 
 // instance is one entry of the list, in the wire's form.
@@ -192,7 +192,7 @@
 			l.calls, l.turned = append(l.calls, 0), append(l.turned, 0)
 		}
 		l.calls[second]++
-		budget := d.f.o.Budget
+		budget := d.f.o.DiscoveryCallRate
 		l.tokens = min(budget, l.tokens+budget*float64(d.f.q.now-l.filled)/1e9)
 		l.filled = d.f.q.now
 		if l.tokens--; l.tokens < 0 {
@@ -261,13 +261,13 @@
 
 // spread brings the present list to each limiter's agent, after a notice of its own, or to the service itself.
 func (s *lists) spread() {
-	if s.f.o.Mode == Asked {
+	if s.f.o.Mode == Polled {
 		s.bring(-1, s.version())
 		return
 	}
 	for n := range s.f.limiters {
 		version := s.version()
-		at := s.f.q.now + s.f.o.Notice[0] + s.f.rng.Int64N(s.f.o.Notice[1]-s.f.o.Notice[0]+1)
+		at := s.f.q.now + s.f.o.NotificationDelay[0] + s.f.rng.Int64N(s.f.o.NotificationDelay[1]-s.f.o.NotificationDelay[0]+1)
 		s.f.q.at(at, func() { s.bring(n, version) })
 	}
 }
--- a/internal/lab/simfleet/lives.go
+++ b/internal/lab/simfleet/lives.go
@@ -51,14 +51,14 @@
 	m.had = append(m.had, mark{version, f.q.now})
 }
 
-// Start starts a limiter with the list of its configuration, which may be old.
-func (f *Fleet) Start(n int) {
+// StartLimiter starts a limiter with the list of its configuration, which may be old.
+func (f *Fleet) StartLimiter(n int) {
 	m := f.limiters[n]
 	if m.p != nil {
 		return
 	}
 	set, known := f.settingsOf(n), m.known
-	if f.is(NoList) {
+	if f.is(NeedsDiscovery) {
 		known = nil
 	}
 	p := &process{f: f, n: n, host: m.host, sides: map[limiter.ConnID]*side{}, life: &life{from: f.q.now, until: never}}
@@ -70,7 +70,7 @@
 	}
 	m.host.party, m.host.vanished = p, false
 	f.event("start", m.host.name, "")
-	l, err := limiter.NewWithOptions(p.clock(), p.config, f.o.Stated, p)
+	l, err := limiter.NewWithOptions(p.clock(), p.config, f.o.Operator, p)
 	if err != nil {
 		f.crash(p, err.Error())
 		return
@@ -102,15 +102,15 @@
 	}
 }
 
-// Kill is SIGKILL: the limiter's state is gone, its connections are reset.
-func (f *Fleet) Kill(n int) {
+// KillLimiter is SIGKILL: the limiter's state is gone, its connections are reset.
+func (f *Fleet) KillLimiter(n int) {
 	if p := f.limiters[n].p; p != nil {
 		f.end(p, "kill", "")
 	}
 }
 
-// Stop is SIGSTOP, Continue SIGCONT: in between a limiter is told nothing, and its clock goes on.
-func (f *Fleet) Stop(n int) {
+// PauseLimiter is SIGSTOP, Continue SIGCONT: in between a limiter is told nothing, and its clock goes on.
+func (f *Fleet) PauseLimiter(n int) {
 	if p := f.limiters[n].p; p != nil && !p.stopped {
 		p.stopped = true
 		p.life.stops = append(p.life.stops, span{f.q.now, never})
@@ -118,8 +118,8 @@
 	}
 }
 
-// Continue is SIGCONT.
-func (f *Fleet) Continue(n int) {
+// ResumeLimiter is SIGCONT.
+func (f *Fleet) ResumeLimiter(n int) {
 	if p := f.limiters[n].p; p != nil && p.stopped {
 		p.life.stops[len(p.life.stops)-1].until = f.q.now
 		f.event("continue", p.host.name, "")
@@ -127,9 +127,9 @@
 	}
 }
 
-// Term is SIGTERM, and SIGKILL after the longest deadline and 0.7 s where the limiter has not ended by then. It starts
+// TerminateLimiter is SIGTERM, and SIGKILL after the longest deadline and 0.7 s where the limiter has not ended by then. It starts
 // again once it has ended, if again is set, with the list of its configuration.
-func (f *Fleet) Term(n int, again bool) {
+func (f *Fleet) TerminateLimiter(n int, again bool) {
 	p := f.limiters[n].p
 	if p == nil || p.stopped {
 		return
@@ -145,14 +145,14 @@
 			f.end(p, "overdue", "killed: it had not ended")
 		}
 		if again {
-			f.Start(n)
+			f.StartLimiter(n)
 		}
 	})
 }
 
-// Hup is SIGHUP with a configuration that names other addresses of the list service and the counter; those are numbered
+// ReloadLimiter is SIGHUP with a configuration that names other addresses of the list service and the counter; those are numbered
 // from 1. The new list service counts its versions otherwise, the old one falls silent.
-func (f *Fleet) Hup(n, list, counter int) {
+func (f *Fleet) ReloadLimiter(n, list, counter int) {
 	m := f.limiters[n]
 	old := f.deskAt(m.list)
 	if f.o.Mode == Pushed {
@@ -173,7 +173,7 @@
 	if !slices.ContainsFunc(f.limiters, func(o *member) bool { return o.list == old.host.name }) {
 		old.retired = true
 		f.q.at(f.q.now+100e6, func() {
-			if f.o.Mode == Asked { // whoever still watches there misses what comes
+			if f.o.Mode == Polled { // whoever still watches there misses what comes
 				f.lists.watches(old, func(p *process, ln *line) { p.fallSilent(ln.call) })
 			}
 		})
@@ -186,7 +186,7 @@
 	config.Discovery, config.Counter = m.list, m.counter
 	f.event("hup", p.host.name, m.list+" "+m.counter)
 	p.life.others = append(p.life.others, span{f.q.now, f.q.now + afterHup})
-	if f.is(DeafToHup) {
+	if f.is(IgnoresReload) {
 		return
 	}
 	p.step(limiter.Event{Kind: limiter.Renewed, Config: &config}, nil)
--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -61,20 +61,20 @@
 	late  bool // it was held: its link was cut
 }
 
-// Way says what a link does to what is sent along it in one direction.
-type Way uint8
+// LinkFault says what a link does to what is sent along it in one direction.
+type LinkFault uint8
 
 const (
-	Cut   Way = iota // nothing passes: a dial never comes up, other packets are sent again once it is healed
-	Stall            // everything waits, dials as well, and passes once it is healed
-	Delay            // everything takes longer
-	Tear             // the connection is reset in the middle of a message
-	Late             // only a new connection takes longer to come up
+	LinkCut     LinkFault = iota // nothing passes: a dial never comes up, other packets are sent again once it is healed
+	LinkStalled                  // everything waits, dials as well, and passes once it is healed
+	LinkDelayed                  // everything takes longer
+	LinkReset                    // the connection is reset in the middle of a message
+	DialDelayed                  // only a new connection takes longer to come up
 )
 
-// Rule is a fault of links from some hosts to some others, in that direction alone.
-type Rule struct {
-	way      Way
+// LinkRule is a fault of links from some hosts to some others, in that direction alone.
+type LinkRule struct {
+	way      LinkFault
 	from, to map[*host]bool
 	extra    int64   // for Delay and Late, nanoseconds
 	share    float64 // for Tear, of the messages
@@ -95,7 +95,7 @@
 	rng   *rand.Rand
 	hosts map[string]*host
 	order []*host
-	rules []*Rule
+	rules []*LinkRule
 	held  []*side // with packets that wait, in the order in which they began to
 	near  map[*host]*host
 	ends  int64 // connection ends that were created
@@ -124,15 +124,15 @@
 			continue
 		}
 		switch r.way {
-		case Cut:
+		case LinkCut:
 			cut = true
-		case Stall:
+		case LinkStalled:
 			stall = true
-		case Delay:
+		case LinkDelayed:
 			extra += r.extra
-		case Late:
+		case DialDelayed:
 			late += r.extra
-		case Tear:
+		case LinkReset:
 			tear = max(tear, r.share)
 		}
 	}
@@ -284,10 +284,10 @@
 }
 
 // add puts a fault in force; heal takes it away again and lets go what it held.
-func (n *network) add(r *Rule) { n.rules = append(n.rules, r) }
+func (n *network) add(r *LinkRule) { n.rules = append(n.rules, r) }
 
-func (n *network) heal(r *Rule) {
-	n.rules = slices.DeleteFunc(n.rules, func(o *Rule) bool { return o == r })
+func (n *network) heal(r *LinkRule) {
+	n.rules = slices.DeleteFunc(n.rules, func(o *LinkRule) bool { return o == r })
 	held := n.held
 	n.held = nil
 	for _, s := range held {
--- a/internal/lab/simfleet/options.go
+++ b/internal/lab/simfleet/options.go
@@ -9,19 +9,19 @@
 
 // Options are a fleet. Times are nanoseconds.
 type Options struct {
-	Seed         uint64
-	Limiters     int
-	Servers      []ServerSpec
-	Settings     map[string]any // in the wire's form, beside the number of limiters; nil for DefaultSettings
-	Load         Load
-	Mode         Mode
-	Budget       float64                 // calls a second that the list service answers, where it is asked
-	Stated       limiter.OperatorOptions // what operators state beside the configuration
-	Notice       [2]int64                // how long the list takes to an agent: from, to
-	FallMultiple float64                 // a cold server falls at so many times what it can do now,
-	FallWindow   int64                   // in so long
-	Grace        int64                   // rule 3
-	Broken       []Broken                // limiters' faults on purpose
+	Seed              uint64
+	Limiters          int
+	Servers           []ServerSpec
+	Settings          map[string]any // in the wire's form, beside the number of limiters; nil for DefaultSettings
+	Load              Load
+	Mode              Mode
+	DiscoveryCallRate float64                 // calls a second that the list service answers, where it is asked
+	Operator          limiter.OperatorOptions // what operators state beside the configuration
+	NotificationDelay [2]int64                // how long the list takes to an agent: from, to
+	OverloadMultiple  float64                 // a cold server falls at so many times what it can do now,
+	OverloadWindow    int64                   // in so long
+	Grace             int64                   // rule 3
+	Broken            []Broken                // limiters' faults on purpose
 	// Transcript takes each packet that crosses the network; nil for no record.
 	Transcript *transcript.Transcript
 }
@@ -31,23 +31,23 @@
 
 // The ways. Some are a wrapper between the reducer and its wires, some are false settings.
 const (
-	IgnoresDrains Broken = "ignores drains"             // it takes servers that drain or are gone for ready
-	DropsRenewals Broken = "drops renewals"             // it does not send the second call on a watch
-	LosesAnswers  Broken = "loses answers"              // one answer in twenty does not go out
-	SendsTwice    Broken = "sends twice"                // commands go out twice
-	Overfeeds     Broken = "overfeeds new servers"      // it takes one that has just started for a large warm one
-	NoCeiling     Broken = "knows no ceiling"           // it takes plans to have none
-	InStep        Broken = "does not know its place"    // all limiters ask the list service in step
-	NoList        Broken = "has no list of its own"     // it needs the list service to begin
-	EndsAtOnce    Broken = "ends at once"               // on SIGTERM
-	DeafToHup     Broken = "ignores SIGHUP"             // so it does not follow a move
-	Reconnects    Broken = "connects anew for each job" // it keeps no connection to a server
-	Trusting      Broken = "keeps to a silent watch"    // it opens no other
+	IgnoresDrains          Broken = "ignores drains"             // it takes servers that drain or are gone for ready
+	DropsRenewals          Broken = "drops renewals"             // it does not send the second call on a watch
+	LosesAnswers           Broken = "loses answers"              // one answer in twenty does not go out
+	SendsTwice             Broken = "sends twice"                // commands go out twice
+	OverloadsNewServers    Broken = "overfeeds new servers"      // it takes one that has just started for a large warm one
+	NoCeiling              Broken = "knows no ceiling"           // it takes plans to have none
+	PollsInStep            Broken = "does not know its place"    // all limiters ask the list service in step
+	NeedsDiscovery         Broken = "has no list of its own"     // it needs the list service to begin
+	EndsAtOnce             Broken = "ends at once"               // on SIGTERM
+	IgnoresReload          Broken = "ignores SIGHUP"             // so it does not follow a move
+	NeverReusesConnections Broken = "connects anew for each job" // it keeps no connection to a server
+	KeepsSilentWatch       Broken = "keeps to a silent watch"    // it opens no other
 )
 
-// Ways are all of them.
-var Ways = []Broken{IgnoresDrains, DropsRenewals, LosesAnswers, SendsTwice, Overfeeds, NoCeiling, InStep, NoList,
-	EndsAtOnce, DeafToHup, Reconnects, Trusting}
+// AllBroken are all of them.
+var AllBroken = []Broken{IgnoresDrains, DropsRenewals, LosesAnswers, SendsTwice, OverloadsNewServers, NoCeiling, PollsInStep, NeedsDiscovery,
+	EndsAtOnce, IgnoresReload, NeverReusesConnections, KeepsSilentWatch}
 
 // DefaultSettings are a plain deployment's: two zones, three classes of each effect and a counter.
 func DefaultSettings() map[string]any {
--- a/internal/lab/simfleet/process.go
+++ b/internal/lab/simfleet/process.go
@@ -141,7 +141,7 @@
 func (p *process) Dial(address string, timeout int64) limiter.ConnID {
 	p.last++
 	id := p.last
-	if p.f.is(Trusting) && address == p.f.limiters[p.n].list && len(p.life.silences) > 0 {
+	if p.f.is(KeepsSilentWatch) && address == p.f.limiters[p.n].list && len(p.life.silences) > 0 {
 		address = "nowhere"
 		p.f.net.host(address).vanished = true
 	}
@@ -164,7 +164,7 @@
 // Alive is an effect.
 func (p *process) Alive(id limiter.ConnID) bool {
 	s := p.sides[id]
-	return s != nil && !s.over && !p.f.is(Reconnects)
+	return s != nil && !s.over && !p.f.is(NeverReusesConnections)
 }
 
 // PeerGone is an effect.
--- a/internal/lab/simfleet/server.go
+++ b/internal/lab/simfleet/server.go
@@ -14,14 +14,14 @@
 
 // ServerSpec is what a server is.
 type ServerSpec struct {
-	Name    string
-	Zone    string // its servers drop one another's repeats
-	Work    int64  // mean time of a request once it is warm, nanoseconds
-	Slots   int    // requests at a time
-	Queue   int    // requests that may wait; more are turned away
-	Conns   int    // connections that it holds, requests on others are turned away; 0 for any number
-	Report  bool   // answers bring a load report
-	Repeats int64  // how long its zone knows a fingerprint, nanoseconds; 0 where it does not
+	Name                string
+	Zone                string // its servers drop one another's repeats
+	ServiceTime         int64  // mean time of a request once it is warm, nanoseconds
+	Slots               int    // requests at a time
+	Queue               int    // requests that may wait; more are turned away
+	Conns               int    // connections that it holds, requests on others are turned away; 0 for any number
+	Report              bool   // answers bring a load report
+	DeduplicationWindow int64  // how long its zone knows a fingerprint, nanoseconds; 0 where it does not
 }
 
 // longAgo is when a server that is warm at the beginning started.
@@ -137,8 +137,8 @@
 // with the slack for what comes together by chance.
 func (s *server) bears(warmth float64) float64 {
 	o := &s.f.o
-	pace := float64(s.spec.Slots) / (float64(s.spec.Work) / 1e9)
-	n := o.FallMultiple * warmth * pace * float64(o.FallWindow) / 1e9
+	pace := float64(s.spec.Slots) / (float64(s.spec.ServiceTime) / 1e9)
+	n := o.OverloadMultiple * warmth * pace * float64(o.OverloadWindow) / 1e9
 	return n + 3*math.Sqrt(n) + 3
 }
 
@@ -151,7 +151,7 @@
 		return false, false
 	}
 	s.recent = append(s.recent, arrival{now, from})
-	for s.recent[0].at <= now-s.f.o.FallWindow {
+	for s.recent[0].at <= now-s.f.o.OverloadWindow {
 		s.recent = s.recent[1:]
 	}
 	if float64(len(s.recent)) <= s.bears(warmth) {
@@ -195,7 +195,7 @@
 	from, _ := f.limiterAt(in.s.far.host)
 	falls, blame := s.pushed(from)
 	if falls {
-		shot.Overrun, shot.Answer = blame, "reset"
+		shot.Overloaded, shot.Answer = blame, "reset"
 		f.recordAttempt(shot, s, from, in.sent)
 		f.event("fall", s.spec.Name, fmt.Sprintf("told=%v jobs=%d", blame, len(s.recent)))
 		f.falls++
@@ -210,18 +210,18 @@
 		f.recordAttempt(shot, s, from, in.sent)
 		s.answer(in, out, []byte("-BUSY\r\n"))
 		return
-	case shot.Key != "" && s.spec.Repeats > 0 && s.repeated(shot.Key):
+	case shot.Key != "" && s.spec.DeduplicationWindow > 0 && s.repeated(shot.Key):
 		shot.Answer = "repeat"
 		f.recordAttempt(shot, s, from, in.sent)
 		s.answer(in, out, s.value(shot.ID))
 		return
 	case s.silent:
-		shot.Ran, shot.Answer = true, "silent"
+		shot.MayHaveRun, shot.Answer = true, "silent"
 		f.recordAttempt(shot, s, from, in.sent)
 		return
 	}
-	work := int64(s.rng.ExpFloat64() * float64(s.spec.Work) / warmth * max(s.slow, 1))
-	shot.Ran, shot.Answer, shot.Work = true, "done", work
+	work := int64(s.rng.ExpFloat64() * float64(s.spec.ServiceTime) / warmth * max(s.slow, 1))
+	shot.MayHaveRun, shot.Answer, shot.ServiceTime = true, "done", work
 	f.recordAttempt(shot, s, from, in.sent)
 	s.queue = append(s.queue, &task{in: in, out: out, id: shot.ID, work: work})
 	s.begin()
@@ -252,7 +252,7 @@
 	if until, known := s.seen[key]; known && now < until {
 		return true
 	}
-	s.seen[key] = now + s.spec.Repeats
+	s.seen[key] = now + s.spec.DeduplicationWindow
 	return false
 }
 
--- a/internal/lab/simfleet/simfleet_test.go
+++ b/internal/lab/simfleet/simfleet_test.go
@@ -27,31 +27,31 @@
 func small(t *testing.T, seed uint64, mode Mode) *Result {
 	t.Helper()
 	o := Plain(seed, 6, 8)
-	o.Mode, o.Load.Stay = mode, true
+	o.Mode, o.Load.KeepConnections = mode, true
 	o.Load.Until = 16 * second
 	for i := range o.Load.Customers {
-		o.Load.Customers[i].Spread = 3
+		o.Load.Customers[i].Limiters = 3
 	}
 	f, err := New(o)
 	require.NoError(t, err)
 	f.StartAll(0)
-	var cut *Rule
-	f.At(3*second, func() { cut = f.Link(Cut, "counter", "limiter", nil, 0, 0) })
-	f.At(14*second, func() { f.Heal(cut) })
-	f.At(4*second, func() { f.Drain("s1") })
-	f.At(5*second, func() { f.Gone("s1"); f.Add("s1", "s1-new") })
-	f.At(6*second, func() { f.Kill(2) })
-	f.At(7*second, func() { f.Start(2) })
-	f.At(8*second, func() { f.Term(3, true) })
-	f.At(9*second, func() { f.Stop(4) })
-	f.At(11*second, func() { f.Continue(4) })
-	f.At(12*second, func() { f.Quiet(func(int) bool { return true }); f.Drain("s2") })
+	var cut *LinkRule
+	f.At(3*second, func() { cut = f.AddLinkFault(LinkCut, "counter", "limiter", nil, 0, 0) })
+	f.At(14*second, func() { f.HealLink(cut) })
+	f.At(4*second, func() { f.DrainServer("s1") })
+	f.At(5*second, func() { f.RemoveServer("s1"); f.AddServer("s1", "s1-new") })
+	f.At(6*second, func() { f.KillLimiter(2) })
+	f.At(7*second, func() { f.StartLimiter(2) })
+	f.At(8*second, func() { f.TerminateLimiter(3, true) })
+	f.At(9*second, func() { f.PauseLimiter(4) })
+	f.At(11*second, func() { f.ResumeLimiter(4) })
+	f.At(12*second, func() { f.SilenceWatches(func(int) bool { return true }); f.DrainServer("s2") })
 	f.Run(16 * second)
 	return f.Finish()
 }
 
 func TestSameSeedSameRecord(t *testing.T) {
-	for _, mode := range []Mode{Pushed, Asked} {
+	for _, mode := range []Mode{Pushed, Polled} {
 		var runs [3][]byte
 		for i, seed := range []uint64{5, 5, 6} {
 			r := small(t, seed, mode)
@@ -66,20 +66,20 @@
 
 // TestColdFall: a fleet that overfeeds new servers pushes one over, and is to blame once it has been told.
 func TestColdFall(t *testing.T) {
-	for _, broken := range [][]Broken{nil, {Overfeeds}} {
+	for _, broken := range [][]Broken{nil, {OverloadsNewServers}} {
 		o := Plain(3, 60, 4)
-		o.Load.Rate, o.Load.Until, o.Broken, o.FallMultiple, o.FallWindow = 520, 14*second, broken, 1, 1500e6
+		o.Load.Rate, o.Load.Until, o.Broken, o.OverloadMultiple, o.OverloadWindow = 520, 14*second, broken, 1, 1500e6
 		for i := range 16 { // with few customers their quotas would bound it
-			o.Load.Customers = append(o.Load.Customers, Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1, Spread: 10})
+			o.Load.Customers = append(o.Load.Customers, Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1, Limiters: 10})
 		}
 		f, err := New(o)
 		require.NoError(t, err)
 		f.StartAll(0)
-		f.At(8*second, func() { f.Crash("s0") })
-		f.At(9*second, func() { f.Back("s0") })
+		f.At(8*second, func() { f.CrashServer("s0") })
+		f.At(9*second, func() { f.RestartServer("s0") })
 		f.Run(14 * second)
 		r := f.Finish()
-		require.Equal(t, broken != nil, r.Falls > 0, "%v: %d falls", broken, r.Falls)
+		require.Equal(t, broken != nil, r.OverloadCrashes > 0, "%v: %d falls", broken, r.OverloadCrashes)
 		require.Equal(t, broken != nil, r.Verdict.Counts[4] > 0, "%v: %s", broken, r.Verdict.Line())
 	}
 }
@@ -118,8 +118,8 @@
 		x, y *ear
 		link *side
 	}
-	rule := func(p pair, way Way, from, to *host, extra int64, share float64) *Rule {
-		r := &Rule{way: way, from: map[*host]bool{from: true}, to: map[*host]bool{to: true}, extra: extra, share: share}
+	rule := func(p pair, way LinkFault, from, to *host, extra int64, share float64) *LinkRule {
+		r := &LinkRule{way: way, from: map[*host]bool{from: true}, to: map[*host]bool{to: true}, extra: extra, share: share}
 		p.n.add(r)
 		return r
 	}
@@ -132,30 +132,30 @@
 		{"plain", func(p pair) { p.link.write([]byte("hi")); p.q.run(101 * ms); p.link.close() },
 			[]string{"0 connected"}, []string{"0 accept", "100 hi", "101 peer-closed"}},
 		{"cut one way: the other way is open, and what was sent comes after", func(p pair) {
-			r := rule(p, Cut, p.a, p.b, 0, 0)
+			r := rule(p, LinkCut, p.a, p.b, 0, 0)
 			p.link.write([]byte("hi"))
 			p.y.last.write([]byte("ho"))
 			p.q.run(2000 * ms)
 			p.n.heal(r)
 		}, []string{"0 connected", "100 ho"}, []string{"0 accept", "2069 hi"}},
 		{"a dial over a link that is cut on the way back never comes up", func(p pair) {
-			rule(p, Cut, p.b, p.a, 0, 0)
+			rule(p, LinkCut, p.b, p.a, 0, 0)
 			p.n.dial(p.a, p.x, "b", 250*ms)
 		}, []string{"0 connected", "350 dial-over"}, []string{"0 accept", "100 accept"}},
 		{"a stall holds everything", func(p pair) {
-			r := rule(p, Stall, p.a, p.b, 0, 0)
+			r := rule(p, LinkStalled, p.a, p.b, 0, 0)
 			p.link.write([]byte("hi"))
 			p.link.close()
 			p.q.run(500 * ms)
 			p.n.heal(r)
 		}, []string{"0 connected"}, []string{"0 accept", "500 hi", "500 peer-closed"}},
 		{"late: only what comes up is", func(p pair) {
-			rule(p, Late, p.a, p.b, 80*ms, 0)
+			rule(p, DialDelayed, p.a, p.b, 80*ms, 0)
 			p.n.dial(p.a, p.x, "b", 250*ms)
 			p.link.write([]byte("hi"))
 		}, []string{"0 connected", "180 connected"}, []string{"0 accept", "100 hi", "180 accept"}},
 		{"torn in the middle of a message", func(p pair) {
-			rule(p, Tear, p.a, p.b, 0, 1)
+			rule(p, LinkReset, p.a, p.b, 0, 1)
 			p.link.write([]byte("hiho"))
 		}, []string{"0 connected", "100 peer-reset"}, []string{"0 accept", "100 hi", "100 peer-reset"}},
 		{"half-open: the next bytes are answered with a reset", func(p pair) {
@@ -193,7 +193,7 @@
 func TestTold(t *testing.T) {
 	o := Plain(1, 1, 1)
 	pushed, err := New(o)
-	o.Mode = Asked
+	o.Mode = Polled
 	asked, askedErr := New(o)
 	require.True(t, err == nil && askedErr == nil, "%v %v", err, askedErr)
 	for _, f := range []*Fleet{pushed, asked} {
--- a/internal/lab/simfleet/transcript_test.go
+++ b/internal/lab/simfleet/transcript_test.go
@@ -27,19 +27,19 @@
 // what operators state, with health checks and without.
 func transcriptOptions(seed uint64) Options {
 	options := Plain(seed, transcriptLimiters, transcriptServers)
-	options.Mode = []Mode{Pushed, Asked}[seed%2]
+	options.Mode = []Mode{Pushed, Polled}[seed%2]
 	options.Load.Until = transcriptUntil
-	options.Load.Stay = seed%4 < 2
+	options.Load.KeepConnections = seed%4 < 2
 	options.Load.Rate = []float64{300, 500, 1100}[seed%3]
 	for i := range options.Load.Customers {
-		options.Load.Customers[i].Spread = 3
+		options.Load.Customers[i].Limiters = 3
 	}
 	options.Settings = DefaultSettings()
 	family := options.Settings["family-info"].(map[string]any)
 	family["has-counter"] = seed%5 != 0
 	options.Settings["permissions"].(map[string]any)["probes"] = seed%3 == 0
 	if seed%4 == 3 {
-		options.Stated = limiter.OperatorOptions{DiscoveryCallRate: 4, ConnectionRate: 40}
+		options.Operator = limiter.OperatorOptions{DiscoveryCallRate: 4, ConnectionRate: 40}
 	}
 	return options
 }
@@ -53,26 +53,26 @@
 		f.At(from, begin)
 		f.At(from+second/5+rng.Int64N(3*second), end)
 	}
-	at(func() { f.Drain("s1") })
-	at(func() { f.Gone("s2"); f.Add("s2", "s2-new") })
-	between(func() { f.Crash("s3") }, func() { f.Back("s3") })
-	between(func() { f.Vanish("s4") }, func() { f.Back("s4") })
-	between(func() { f.Silence("s5", true) }, func() { f.Silence("s5", false) })
-	between(func() { f.Slow("s6", 20) }, func() { f.Slow("s6", 0) })
-	between(func() { f.Kill(0) }, func() { f.Start(0) })
-	at(func() { f.Term(1, true) })
-	between(func() { f.Stop(2) }, func() { f.Continue(2) })
-	at(func() { f.Quiet(func(int) bool { return true }) })
-	between(func() { f.ListDown(true) }, func() { f.ListDown(false) })
-	at(func() { f.Hup(3, 2, 2) })
+	at(func() { f.DrainServer("s1") })
+	at(func() { f.RemoveServer("s2"); f.AddServer("s2", "s2-new") })
+	between(func() { f.CrashServer("s3") }, func() { f.RestartServer("s3") })
+	between(func() { f.VanishServer("s4") }, func() { f.RestartServer("s4") })
+	between(func() { f.SilenceServer("s5", true) }, func() { f.SilenceServer("s5", false) })
+	between(func() { f.SlowServer("s6", 20) }, func() { f.SlowServer("s6", 0) })
+	between(func() { f.KillLimiter(0) }, func() { f.StartLimiter(0) })
+	at(func() { f.TerminateLimiter(1, true) })
+	between(func() { f.PauseLimiter(2) }, func() { f.ResumeLimiter(2) })
+	at(func() { f.SilenceWatches(func(int) bool { return true }) })
+	between(func() { f.SetDiscoveryDown(true) }, func() { f.SetDiscoveryDown(false) })
+	at(func() { f.ReloadLimiter(3, 2, 2) })
 	at(func() { f.HalfOpen("s7", 4) })
-	between(func() { f.Rate(1500) }, func() { f.Rate(300) })
-	for way := Cut; way <= Late; way++ {
+	between(func() { f.SetRequestRate(1500) }, func() { f.SetRequestRate(300) })
+	for way := LinkCut; way <= DialDelayed; way++ {
 		ends := [][2]string{{"limiter", "counter"}, {"server", "limiter"}, {"limiter", "list"}, {"list", "limiter"}, {"limiter", "s0"}}
 		chosen := ends[(int(way)+int(seed))%len(ends)]
 		among := func(n int) bool { return n%2 == int(seed)%2 }
-		var rule *Rule
-		between(func() { rule = f.Link(way, chosen[0], chosen[1], among, 100e6, 0.1) }, func() { f.Heal(rule) })
+		var rule *LinkRule
+		between(func() { rule = f.AddLinkFault(way, chosen[0], chosen[1], among, 100e6, 0.1) }, func() { f.HealLink(rule) })
 	}
 }
 
@@ -87,9 +87,9 @@
 			t.Parallel()
 			options := transcriptOptions(seed)
 			options.Transcript = transcript.New()
-			if options.Stated.DiscoveryCallRate > 0 {
-				options.Stated.SaveEvery = second
-				options.Stated.SaveSnapshot = func(saved *snapshot.Snapshot) {
+			if options.Operator.DiscoveryCallRate > 0 {
+				options.Operator.SaveEvery = second
+				options.Operator.SaveSnapshot = func(saved *snapshot.Snapshot) {
 					text, err := json.Marshal(saved)
 					require.NoError(t, err)
 					options.Transcript.Add(text, saved.Taken)
