--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -9,17 +9,17 @@
 
 // effects writes down what the limiter did, one line each.
 type effects struct {
-	did   []string
-	after int64        // the latest retry-after
-	cause RejectReason // and why
+	did    []string
+	after  int64        // the latest retry-after
+	reason RejectReason // and why
 }
 
 func (d *effects) add(form string, args ...any) { d.did = append(d.did, fmt.Sprintf(form, args...)) }
 
 func (d *effects) Send(request, server string)        { d.add("send %s %s", request, server) }
 func (d *effects) Cancel(request string, attempt int) { d.add("cancel %s %d", request, attempt) }
-func (d *effects) Reject(request string, after int64, cause RejectReason) {
-	d.after, d.cause = after, cause
+func (d *effects) Reject(request string, after int64, reason RejectReason) {
+	d.after, d.reason = after, reason
 	d.add("reject %s", request)
 }
 func (d *effects) Fail(request string)                               { d.add("fail %s", request) }
@@ -50,8 +50,8 @@
 	}
 	l := New(0, set, 1, d)
 	l.UpdateEndpoints(0, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1}, {ID: "b", Zone: "y", Weight: 1}})
-	for _, s := range l.order {
-		s.credit = 0
+	for _, s := range l.servers.ring {
+		s.turns.current = 0
 	}
 	byName(l)
 	opens(l, "plain", 0)
@@ -62,28 +62,28 @@
 // because checks why the latest rejection came.
 func (d *effects) because(t *testing.T, want RejectReason) {
 	t.Helper()
-	if d.cause != want {
-		t.Fatalf("rejected for %v, want %v", d.cause, want)
+	if d.reason != want {
+		t.Fatalf("rejected for %v, want %v", d.reason, want)
 	}
 }
 
 // reindex takes in what a test has changed in the servers by hand.
 func reindex(l *Controller, now int64) {
-	for _, s := range l.order {
-		l.note(now, s)
+	for _, s := range l.servers.ring {
+		l.servers.reindex(now, s)
 	}
 }
 
 // byName puts the servers in the order of their ids instead of the ring's.
 func byName(l *Controller) {
-	slices.SortFunc(l.order, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
-	l.number()
+	slices.SortFunc(l.servers.ring, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
+	l.servers.number()
 }
 
 // opens lets a window of the plan's customer begin at the time.
 func opens(l *Controller, plan string, at int64) {
-	acc := l.accountOf(0, arrival("", "read", plan), l.set.Plans[plan])
-	acc.phase = l.span(acc) - at
+	acc := l.useAccount(0, arrival("", "read", plan), l.settings.Plans[plan])
+	acc.window.offset = windowLength(l.settings, acc) - at
 }
 
 func arrival(id, class, plan string) Arrival {
@@ -93,13 +93,13 @@
 // reserving is a request that waits for the counter.
 func reserving(l *Controller, class, plan string) *request {
 	l.RequestArrived(0, arrival("j", class, plan))
-	return l.requests["j"]
+	return l.requests.byID["j"]
 }
 
 // sent is a request whose first attempt is out.
 func sent(l *Controller, class string) *request {
 	q := reserving(l, class, "plain")
-	l.CounterReplied(0, q.name, Succeeded, 2)
+	l.CounterReplied(0, q.reservation.name, Succeeded, 2)
 	return q
 }
 
@@ -116,3 +116,14 @@
 		}
 	}
 }
+
+// useAccount gives the account of an arrival's customer.
+func (c *Controller) useAccount(now int64, a Arrival, plan *Plan) *account {
+	return c.accounts.use(now, a, plan, c.settings.CounterTimeout == 0 || c.sampling.everAnswered())
+}
+
+// forgetAccounts is the part of a tick that lets go of customers.
+func (c *Controller) forgetAccounts(now int64) {
+	c.lastTick = now
+	c.accounts.forgetUnused(now)
+}
--- a/choice/index.go
+++ b/choice/index.go
@@ -6,61 +6,72 @@
 	"slices"
 )
 
-// group is the part of a serverIndex that holds a server.
-type group uint8
+// indexGroup is the part of a serverIndex that holds a server.
+type indexGroup uint8
 
 const (
-	unlisted group = iota // not ready for new requests, and nothing out
-	idle                  // ready, fit and warm, with nothing out
-	warming               // the same, but still warming up
-	active                // has attempts out, or is ready and not fit: it is looked at by itself
+	groupNone    indexGroup = iota // not ready for new requests, and nothing in flight
+	groupIdle                      // ready, healthy and warm, with nothing in flight
+	groupWarming                   // the same, but still warming up
+	groupActive                    // has attempts in flight, or is ready and not healthy: it is looked at by itself
 )
 
 // serverIndex finds the servers that a request or a tick has to look at, so that their cost follows what is in use and not how
-// many servers there are. Each server is in one group by its state; note moves it there after a change.
+// many servers there are. Each server is in one group by its state; update moves it there after a change.
 type serverIndex struct {
-	ready    int       // servers that are listed as ready
-	idle     int       // servers of the group idle
-	warmSum  int64     // the sum of warmFrom over warming, modulo 2^64
-	warming  warmQueue // the servers of the group warming
-	active   []*server // the servers of the group active, in no order
-	gone     []*server // servers that were listed as gone, each once
-	visiting []*server // a buffer of inOrder
+	ready      int         // servers that are listed as ready
+	idle       int         // servers of the group idle
+	warmingSum int64       // the sum of startedAt over the group warming, modulo 2^64
+	warming    warmingHeap // the servers of the group warming
+	active     []*server   // the servers of the group active, in no order
+	gone       []*server   // servers that were listed as gone, each once
+	ordered    []*server   // a buffer of activeInOrder
+}
+
+// indexEntry is where a serverIndex holds a server.
+type indexEntry struct {
+	group        indexGroup
+	slot         int   // its place in the group's list
+	warmingSince int64 // startedAt, as the group warming has it
+	countedReady bool  // it is counted in serverIndex.ready
+	listedGone   bool  // it is in serverIndex.gone
 }
 
 // groupOf tells where a server belongs.
-func groupOf(now, warmWithin int64, s *server) group {
+func groupOf(now, slowStartWindow int64, s *server) indexGroup {
 	switch {
-	case len(s.attempts) > 0 || s.out > 0 && s.listing == EndpointReady:
-		return active
-	case s.listing != EndpointReady:
-		return unlisted
-	case s.health != healthy || s.warmFrom > now:
-		return active
-	case s.warmFrom == 0 || now >= s.warmFrom+warmWithin:
-		return idle
+	case len(s.attempts) > 0 || s.inFlight > 0 && s.state == EndpointReady:
+		return groupActive
+	case s.state != EndpointReady:
+		return groupNone
+	case s.health.state != healthy || s.startedAt > now:
+		return groupActive
+	case s.startedAt == 0 || now >= s.startedAt+slowStartWindow:
+		return groupIdle
 	}
-	return warming
+	return groupWarming
 }
 
-// note puts a server that is new or has changed into its group.
-func (x *serverIndex) note(now, warmWithin int64, s *server) {
+// update puts a server that is new or has changed into its group.
+func (x *serverIndex) update(now, slowStartWindow int64, s *server) {
 	x.remove(s)
-	if s.listing == EndpointReady {
+	if s.state == EndpointReady {
 		x.ready++
-		s.counted = true
+		s.countedReady = true
 	}
-	if s.listing == EndpointGone && !s.leaving {
-		x.gone, s.leaving = append(x.gone, s), true
+	if s.state == EndpointGone && !s.listedGone {
+		x.gone = append(x.gone, s)
+		s.listedGone = true
 	}
-	switch s.group = groupOf(now, warmWithin, s); s.group {
-	case idle:
+	s.group = groupOf(now, slowStartWindow, s)
+	switch s.group {
+	case groupIdle:
 		x.idle++
-	case warming:
-		s.indexed = s.warmFrom
-		x.warmSum += s.indexed
+	case groupWarming:
+		s.warmingSince = s.startedAt
+		x.warmingSum += s.warmingSince
 		heap.Push(&x.warming, s)
-	case active:
+	case groupActive:
 		s.slot = len(x.active)
 		x.active = append(x.active, s)
 	}
@@ -68,211 +79,102 @@
 
 // remove takes a server out of its group.
 func (x *serverIndex) remove(s *server) {
-	if s.counted {
+	if s.countedReady {
 		x.ready--
-		s.counted = false
+		s.countedReady = false
 	}
 	switch s.group {
-	case idle:
+	case groupIdle:
 		x.idle--
-	case warming:
-		x.warmSum -= s.indexed
+	case groupWarming:
+		x.warmingSum -= s.warmingSince
 		heap.Remove(&x.warming, s.slot)
-	case active:
+	case groupActive:
 		last := len(x.active) - 1
 		x.active[s.slot] = x.active[last]
 		x.active[s.slot].slot = s.slot
 		x.active[last] = nil
 		x.active = x.active[:last]
 	}
-	s.group = unlisted
+	s.group = groupNone
 }
 
-// warmUp moves the servers that are warm by now from warming to idle.
-func (x *serverIndex) warmUp(now, warmWithin int64) {
-	for len(x.warming) > 0 && now >= x.warming[0].indexed+warmWithin {
-		x.note(now, warmWithin, x.warming[0])
+// finishWarming moves the servers that are warm by now from the group warming to idle.
+func (x *serverIndex) finishWarming(now, slowStartWindow int64) {
+	for len(x.warming) > 0 && now >= x.warming[0].warmingSince+slowStartWindow {
+		x.update(now, slowStartWindow, x.warming[0])
 	}
 }
 
-// warmingAge is the number of servers that are warming up with nothing out, and their mean time since they began.
+// warmingAge is the number of servers that are warming up with nothing in flight, and their mean time since they began.
 func (x *serverIndex) warmingAge(now int64) (servers, age int64) {
-	if servers = int64(len(x.warming)); servers > 0 {
-		age = (servers*now - x.warmSum) / servers
+	servers = int64(len(x.warming))
+	if servers > 0 {
+		age = (servers*now - x.warmingSum) / servers
 	}
 	return servers, age
 }
 
-// inOrder lists the active servers in the order of the ring. The list holds until the next call.
-func (x *serverIndex) inOrder() []*server {
-	x.visiting = append(x.visiting[:0], x.active...)
-	slices.SortFunc(x.visiting, func(a, b *server) int { return cmp.Compare(a.position, b.position) })
-	return x.visiting
+// activeInOrder lists the active servers in the order of the ring. The list holds until the next call.
+func (x *serverIndex) activeInOrder() []*server {
+	x.ordered = append(x.ordered[:0], x.active...)
+	slices.SortFunc(x.ordered, func(a, b *server) int { return cmp.Compare(a.ringIndex, b.ringIndex) })
+	return x.ordered
 }
 
-// away is the number of ready servers that are ejected.
-func (x *serverIndex) away() (servers int) {
+// ejected is the number of ready servers that are ejected.
+func (x *serverIndex) ejected() int {
+	servers := 0
 	for _, s := range x.active {
-		if s.listing == EndpointReady && s.health == ejected {
+		if s.state == EndpointReady && s.health.state == ejected {
 			servers++
 		}
 	}
 	return servers
 }
 
-// finished tells whether a server is gone and nothing is out there.
-func (s *server) finished() bool { return s.listing == EndpointGone && len(s.attempts) == 0 }
-
-// forgettable tells whether some server is gone with nothing out.
-func (x *serverIndex) forgettable() bool {
+// hasFinished tells whether some server is gone with nothing in flight.
+func (x *serverIndex) hasFinished() bool {
 	x.gone = slices.DeleteFunc(x.gone, func(s *server) bool {
-		s.leaving = s.listing == EndpointGone
-		return !s.leaving
+		s.listedGone = s.state == EndpointGone
+		return !s.listedGone
 	})
 	return slices.ContainsFunc(x.gone, (*server).finished)
 }
 
 // forget takes a server that is finished out of the index.
-func (x *serverIndex) forget(s *server) {
-	x.remove(s)
-	x.gone = slices.DeleteFunc(x.gone, func(o *server) bool { return o == s })
+func (x *serverIndex) forget(finished *server) {
+	x.remove(finished)
+	x.gone = slices.DeleteFunc(x.gone, func(s *server) bool { return s == finished })
 }
 
-// warmQueue is a heap of servers by when they began to warm up.
-type warmQueue []*server
+// warmingHeap is a heap of servers by when they began to warm up.
+type warmingHeap []*server
 
-func (w warmQueue) Len() int           { return len(w) }
-func (w warmQueue) Less(i, j int) bool { return w[i].indexed < w[j].indexed }
-func (w warmQueue) Swap(i, j int) {
-	w[i], w[j] = w[j], w[i]
-	w[i].slot, w[j].slot = i, j
-}
+// Len is a method of heap.Interface, as are Less, Swap, Push and Pop.
+func (h warmingHeap) Len() int { return len(h) }
 
-// Push is heap's.
-func (w *warmQueue) Push(s any) {
-	s.(*server).slot = len(*w)
-	*w = append(*w, s.(*server))
-}
+// Less puts the server that began first in front.
+func (h warmingHeap) Less(i, j int) bool { return h[i].warmingSince < h[j].warmingSince }
 
-// Pop is heap's.
-func (w *warmQueue) Pop() any {
-	last := len(*w) - 1
-	s := (*w)[last]
-	(*w)[last] = nil
-	*w = (*w)[:last]
-	return s
+// Swap exchanges two servers.
+func (h warmingHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].slot, h[j].slot = i, j
 }
 
-// expiryQueue is a heap of customers by the earliest time at which each could be forgotten. The time may have moved on since it
-// was entered: who takes one out looks again, and enters it anew.
-type expiryQueue []expiry
-
-type expiry struct {
-	at      int64
-	account *account
+// Push appends a server; heap.Push calls it.
+func (h *warmingHeap) Push(x any) {
+	s := x.(*server)
+	s.slot = len(*h)
+	*h = append(*h, s)
 }
 
-func (e expiryQueue) Len() int           { return len(e) }
-func (e expiryQueue) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e expiryQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-
-// Push is heap's.
-func (e *expiryQueue) Push(x any) { *e = append(*e, x.(expiry)) }
-
-// Pop is heap's.
-func (e *expiryQueue) Pop() any {
-	last := len(*e) - 1
-	x := (*e)[last]
-	(*e)[last] = expiry{}
-	*e = (*e)[:last]
-	return x
-}
-
-// due takes out the next customer that could be forgotten by now, nil for none.
-func (e *expiryQueue) due(now int64) *account {
-	if len(*e) == 0 || (*e)[0].at > now {
-		return nil
-	}
-	return heap.Pop(e).(expiry).account
-}
-
-// enter has a customer looked at again by the first tick from a time on.
-func (e *expiryQueue) enter(at int64, a *account) { heap.Push(e, expiry{at, a}) }
-
-// hold notes that a request of the customer is known.
-func (a *account) hold() { a.held++ }
-
-// release notes that one is no longer known. The customer counts as used up to the latest tick at which it was.
-func (a *account) release(ticked int64) {
-	a.held--
-	a.used = max(a.used, ticked)
-}
-
-// fullAt is when the store will be full if nothing is taken, never for one that does not fill.
-func (s *store) fullAt(never int64) int64 {
-	missing := s.depth - s.level
-	switch {
-	case missing <= 0:
-		return s.at
-	case s.rate <= 0 || missing/s.rate >= seconds(never-s.at):
-		return never
-	}
-	return s.at + nanos(missing/s.rate)
-}
-
-// note has the index take in a change of a server.
-func (l *Controller) note(now int64, s *server) { l.index.note(now, l.set.SlowStartWindow, s) }
-
-// usableSums are the units out at all servers that may get the request, and the slow-start weight of these together. It
-// looks at those in use one by one; the others are all usable but where only a group drops a repeat.
-func (l *Controller) usableSums(now int64, q *request) (out, warmth float64) {
-	l.index.warmUp(now, l.set.SlowStartWindow)
-	among := l.index.active
-	if q.class.Idempotency == IdempotentWithKey && slices.ContainsFunc(q.attempts, func(att *attempt) bool { return att.maybe }) {
-		among = l.order
-	} else {
-		cold, age := l.index.warmingAge(now)
-		warmth = float64(l.index.idle) + float64(cold)*l.slowStartWeightAt(age)
-		for _, att := range q.attempts {
-			if att.server.group == idle || att.server.group == warming {
-				warmth -= l.slowStartWeight(now, att.server)
-			}
-		}
-	}
-	for _, s := range among {
-		if l.usable(now, q, s) {
-			out, warmth = out+s.out, warmth+l.slowStartWeight(now, s)
-		}
-	}
-	return out, warmth
-}
-
-// letGo forgets servers that are gone.
-func (l *Controller) letGo() {
-	if !l.index.forgettable() {
-		return
-	}
-	for _, s := range slices.Clone(l.index.gone) {
-		if s.finished() {
-			l.index.forget(s)
-			delete(l.servers, s.id)
-		}
-	}
-	l.order, l.unturned = slices.DeleteFunc(l.order, (*server).finished), true
-	l.number()
-}
-
-// byPlace orders servers on the ring of all limiters.
-func byPlace(a, b *server) int {
-	if a.place != b.place {
-		return cmp.Compare(a.place, b.place)
-	}
-	return cmp.Compare(a.id, b.id)
-}
-
-// number gives the servers their places in the order of the ring.
-func (l *Controller) number() {
-	for i, s := range l.order {
-		s.position = i
-	}
+// Pop removes the last server; heap.Pop calls it.
+func (h *warmingHeap) Pop() any {
+	last := len(*h) - 1
+	s := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	return s
 }
--- a/choice/index_test.go
+++ b/choice/index_test.go
@@ -12,24 +12,24 @@
 func ableByWalk(l *Controller, now int64, q *request) []*server {
 	var able []*server
 	out, usable, ready, near := q.units, 0.0, 0.0, 0
-	for _, s := range l.order {
-		if s.listing == EndpointReady {
+	for _, s := range l.servers.ring {
+		if s.state == EndpointReady {
 			ready++
 		}
-		if !l.usable(now, q, s) {
+		if !l.servers.mayReceive(now, q, s) {
 			continue
 		}
-		warmth := l.slowStartWeight(now, s)
-		out, usable, near = out+s.out, usable+warmth, near+1
-		if near > l.subsetSize() && len(able) > 0 {
+		warmth := l.slowStart.weight(now, s)
+		out, usable, near = out+s.inFlight, usable+warmth, near+1
+		if near > l.servers.subsetSize() && len(able) > 0 {
 			continue
 		}
-		if now >= s.fullTill && (len(s.attempts) == 0 || s.out+q.units <= s.limit*warmth) {
+		if now >= s.overloadedUntil && (len(s.attempts) == 0 || s.inFlight+q.units <= s.limit*warmth) {
 			able = append(able, s)
 		}
 	}
-	room := l.inFlightLimit * l.limitFactor(now, q) * usable / max(ready, 1)
-	room *= 1 - cheapLess*(1-q.class.PriorityWeight/l.highestValue.PriorityWeight)
+	room := l.concurrency.inFlightLimit * l.concurrency.residenceFactor(now, q.class) * usable / max(ready, 1)
+	room *= 1 - priorityReserve*(1-q.class.PriorityWeight/l.concurrency.mostValuable.PriorityWeight)
 	if out > room && out > q.units {
 		return nil
 	}
@@ -39,15 +39,15 @@
 // forgettableByWalk are the customers that a look at every one would let go of now. It changes nothing.
 func forgettableByWalk(l *Controller, now int64) map[uint64]bool {
 	inUse := map[*account]bool{}
-	for _, q := range l.requests {
+	for _, q := range l.requests.byID {
 		inUse[q.account] = true
 	}
 	let := map[uint64]bool{}
-	for id, a := range l.accounts {
-		quota, ceiling := a.quota, a.ceiling
-		unused := !inUse[a] && now-a.used > l.span(a)
-		full := quota.rate <= 0 || unused && quota.fill(now) >= quota.depth
-		let[id] = full && ceiling.fill(now) >= ceiling.depth
+	for id, a := range l.accounts.byCustomer {
+		quota, ceiling := a.sharedQuota, a.ceiling
+		unused := !inUse[a] && now-a.lastUsed > windowLength(l.settings, a)
+		full := quota.rate <= 0 || unused && quota.refill(now) >= quota.burst
+		let[id] = full && ceiling.refill(now) >= ceiling.burst
 	}
 	return let
 }
@@ -138,14 +138,14 @@
 
 // answer ends the open attempt of a request in some way.
 func (w *world) answer(l *Controller, now int64, id string) {
-	q := l.requests[id]
+	q := l.requests.byID[id]
 	if q == nil {
 		return
 	}
 	for _, att := range q.attempts {
 		if att.open {
 			outcome := []Outcome{Succeeded, Succeeded, ServerError, Overloaded, TimedOut, ConnectFailed, ConnectionLost}[w.rng.Intn(7)]
-			l.AttemptDone(now, AttemptResult{Request: id, Attempt: att.number, Outcome: outcome, Duration: now - att.at, Final: outcome == Succeeded})
+			l.AttemptDone(now, AttemptResult{Request: id, Attempt: att.number, Outcome: outcome, Duration: now - att.sentAt, Final: outcome == Succeeded})
 			return
 		}
 	}
@@ -167,38 +167,38 @@
 func check(t *testing.T, l *Controller, now int64) {
 	t.Helper()
 	ready := 0
-	for i, s := range l.order {
-		if s.listing == EndpointReady {
+	for i, s := range l.servers.ring {
+		if s.state == EndpointReady {
 			ready++
 		}
-		inUse := len(s.attempts) > 0 || s.listing == EndpointReady && (s.health != healthy || s.out > 0)
-		if s.position != i || inUse && (s.group != active || l.index.active[s.slot] != s) {
-			t.Fatalf("server %s at %d: position %d, group %d", s.id, i, s.position, s.group)
+		inUse := len(s.attempts) > 0 || s.state == EndpointReady && (s.health.state != healthy || s.inFlight > 0)
+		if s.ringIndex != i || inUse && (s.group != groupActive || l.servers.index.active[s.slot] != s) {
+			t.Fatalf("server %s at %d: position %d, group %d", s.id, i, s.ringIndex, s.group)
 		}
-		if !inUse && s.warmFrom == 0 && s.group == active {
+		if !inUse && s.startedAt == 0 && s.group == groupActive {
 			t.Fatalf("server %s is looked at by itself and not in use", s.id)
 		}
 	}
-	if l.index.ready != ready || len(l.order) != len(l.servers) {
-		t.Fatalf("%d ready, %d counted; %d in order of %d", ready, l.index.ready, len(l.order), len(l.servers))
+	if l.servers.index.ready != ready || len(l.servers.ring) != len(l.servers.byID) {
+		t.Fatalf("%d ready, %d counted; %d in order of %d", ready, l.servers.index.ready, len(l.servers.ring), len(l.servers.byID))
 	}
-	requests := []*request{{units: 1, class: l.set.Classes["read"]}, {units: 1, class: l.set.Classes["write"]}}
-	for _, q := range l.requests {
+	requests := []*request{{units: 1, class: l.settings.Classes["read"]}, {units: 1, class: l.settings.Classes["write"]}}
+	for _, q := range l.requests.byID {
 		if q.account != nil {
 			requests = append(requests, q)
 		}
 	}
 	for _, q := range requests {
-		want, got := ableByWalk(l, now, q), l.able(now, q)
+		want, got := ableByWalk(l, now, q), l.eligibleServers(now, q)
 		if !slices.Equal(want, got) {
 			t.Fatalf("a walk finds %d servers, the index %d", len(want), len(got))
 		}
 	}
 	let := forgettableByWalk(l, now)
-	before := len(l.accounts)
-	l.forget(now)
+	before := len(l.accounts.byCustomer)
+	l.forgetAccounts(now)
 	for id, over := range let {
-		if kept := l.accounts[id] != nil; kept == over {
+		if kept := l.accounts.byCustomer[id] != nil; kept == over {
 			t.Fatalf("of %d customers %d is kept: %v, a walk lets go of it: %v", before, id, kept, over)
 		}
 	}
@@ -215,9 +215,9 @@
 				now += 8 * second // long enough for customers to be forgotten
 			}
 			w.step(l, now, n)
-			for _, q := range l.timers {
-				if now >= q.end {
-					l.TimerFired(now, q.token)
+			for _, q := range l.requests.byTimer {
+				if now >= q.deadline {
+					l.TimerFired(now, q.timer)
 					break
 				}
 			}
@@ -239,12 +239,12 @@
 	now := 109 * second
 	l.UpdateEndpoints(now, true, entries)
 	want := 0.0
-	for _, s := range l.order {
-		if s.listing == EndpointReady {
-			want += l.slowStartWeight(now, s)
+	for _, s := range l.servers.ring {
+		if s.state == EndpointReady {
+			want += l.slowStart.weight(now, s)
 		}
 	}
-	if _, got := l.usableSums(now, &request{units: 1, class: l.set.Classes["read"]}); math.Abs(got-want) > 1e-6 {
+	if _, got := l.servers.available(now, &request{units: 1, class: l.settings.Classes["read"]}); math.Abs(got-want) > 1e-6 {
 		t.Fatalf("the sum is %v, %v by a walk", got, want)
 	}
 }
@@ -256,7 +256,7 @@
 	l.TimerFired(5*second, 0)
 	l.TimerFired(6*second, 0)
 	l.AttemptDone(7*second, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 7 * second, Final: true})
-	if q.account.used != 6*second || q.account.held != 0 {
-		t.Fatalf("used at %d, %d requests held", q.account.used, q.account.held)
+	if q.account.lastUsed != 6*second || q.account.openRequests != 0 {
+		t.Fatalf("used at %d, %d requests held", q.account.lastUsed, q.account.openRequests)
 	}
 }
--- /dev/null
+++ b/choice/outlier.go
@@ -0,0 +1,131 @@
+package choice
+
+const (
+	// failureWeight is the weight of the latest attempt in a server's failure ratio.
+	failureWeight = 0.25
+	// maxFailureRatio: a larger one ejects a server; three failures in a row.
+	maxFailureRatio = 0.55
+	// maxEjectedShare is the share of the servers that may be ejected: a shared cause must not take all of them.
+	maxEjectedShare = 0.75
+	// healthChecksToReinstate is how many health checks in a row an ejected server must answer.
+	healthChecksToReinstate = 2
+)
+
+// healthState is where a server stands with the outlier detection, as a circuit breaker.
+type healthState uint8
+
+const (
+	healthy  healthState = iota
+	halfOpen             // reinstated: it gets one request at a time until its failure ratio has fallen
+	ejected              // it gets no new requests
+)
+
+// serverHealth is the outlier detection's record of a server.
+type serverHealth struct {
+	state        healthState
+	lastSign     int64   // its last sign of life
+	failureRatio float64 // the decaying share of its attempts that failed
+	checksPassed int     // health checks answered in a row
+	ejectionTime int64   // how long it was ejected for, nanoseconds; doubles with each ejection
+	nextCheck    int64   // when it is health-checked or tried next
+}
+
+// outlierDetector ejects servers that fail or show no life, and reinstates them.
+type outlierDetector struct {
+	settings     *Settings
+	effects      Effects
+	servers      *serverSet
+	slowStart    *slowStart
+	tickInterval int64
+}
+
+// succeeded takes in an answer with a value, and tells whether the server is healthy again by it.
+func (d *outlierDetector) succeeded(now int64, s *server) (recovered bool) {
+	h := &s.health
+	h.lastSign = now
+	h.failureRatio *= 1 - failureWeight
+	if h.state == ejected || h.state == halfOpen && h.failureRatio < maxFailureRatio/2 {
+		h.state = healthy
+		h.ejectionTime = 0
+		return true
+	}
+	return false
+}
+
+// failed takes in an attempt that failed. A server that fails is quick at it: its answers say nothing of its pace, or it would
+// draw all requests. One that takes no connection is not tried three times, since each of many limiters would do so.
+func (d *outlierDetector) failed(now int64, s *server, outcome Outcome) {
+	h := &s.health
+	h.failureRatio += failureWeight * (1 - h.failureRatio)
+	if h.failureRatio > maxFailureRatio || outcome == ConnectFailed {
+		d.eject(now, s, "fails")
+	}
+}
+
+// eject keeps new requests from a server until it shows life.
+func (d *outlierDetector) eject(now int64, s *server, why string) {
+	h := &s.health
+	if h.state == ejected || float64(d.servers.index.ejected()+1) > float64(d.servers.ready())*maxEjectedShare {
+		return
+	}
+	d.effects.Log("server " + s.id + " " + why + ", ejected")
+	h.ejectionTime = min(max(2*h.ejectionTime, d.tickInterval*ticksPerObjective), d.settings.SlowStartWindow)
+	h.state = ejected
+	h.checksPassed = 0
+	h.nextCheck = now + h.ejectionTime
+	d.servers.reindex(now, s)
+}
+
+// checkEjected health-checks an ejected server whose time is over, or reinstates it where there are no health checks.
+func (d *outlierDetector) checkEjected(now int64, s *server) {
+	if now < s.health.nextCheck {
+		return
+	}
+	if !d.settings.HealthChecks {
+		d.reinstate(now, s)
+		return
+	}
+	d.effects.HealthCheck(s.id)
+	s.health.nextCheck = now + max(s.health.ejectionTime, d.settings.DialTimeout)
+}
+
+// checkSilent ejects a server that has shown no life for too long while attempts are in flight there.
+func (d *outlierDetector) checkSilent(now int64, s *server) {
+	if len(s.attempts) == 0 {
+		return
+	}
+	oldest := s.attempts[0]
+	patience := oldest.request.class.LatencyObjective
+	if len(s.attempts) > 1 {
+		patience = patience * 2 / 3
+	}
+	if now-max(s.health.lastSign, oldest.sentAt) > patience {
+		d.eject(now, s, "is silent")
+	}
+}
+
+// healthCheckDone takes in what a health check found.
+func (d *outlierDetector) healthCheckDone(now int64, s *server, outcome Outcome) {
+	if s.health.state != ejected {
+		return
+	}
+	if outcome != Succeeded {
+		s.health.checksPassed = 0
+		return
+	}
+	s.health.checksPassed++
+	if s.health.checksPassed >= healthChecksToReinstate {
+		d.reinstate(now, s)
+	}
+}
+
+// reinstate lets a server that was ejected have one request at a time. One that failed may be a new process that the list does not
+// tell of yet, so it warms up.
+func (d *outlierDetector) reinstate(now int64, s *server) {
+	s.health.state = halfOpen
+	s.health.lastSign = now
+	if s.health.failureRatio > maxFailureRatio {
+		s.startedAt = now
+		s.turns.slowStart = d.slowStart.firstTurns(s.ringHash, d.servers.count(), d.servers.subsetSize())
+	}
+}
--- a/choice/owed_test.go
+++ b/choice/owed_test.go
@@ -22,19 +22,19 @@
 	} {
 		for _, slice := range []bool{false, true} {
 			l, d := made()
-			l.retryBudget = 9
+			l.retries.retries = 9
 			l.UpdateEndpoints(0, false, []Endpoint{{ID: "c", Zone: "y", Weight: 1}})
 			opens(l, "hard", second)
 			if slice {
-				l.samplingRate = 0
+				l.sampling.rate = 0
 			}
 			l.RequestArrived(second, arrival("j", "read", "hard"))
-			q := l.requests["j"]
+			q := l.requests.byID["j"]
 			a := q.account
 			if !slice {
-				l.CounterReplied(second, q.name, Succeeded, 2)
+				l.CounterReplied(second, q.reservation.name, Succeeded, 2)
 			}
-			level, owed := a.slice.level, a.pendingAdjustment
+			level, owed := a.localQuota.tokens, a.window.pendingAdjustment
 			for i, o := range c.outcomes {
 				if c.gone && i == len(c.outcomes)-1 {
 					l.ClientDisconnected(second, "j")
@@ -49,13 +49,13 @@
 				}
 			}
 			switch want := c.back; {
-			case slice && a.pendingAdjustment != owed+want, !slice && (counted != 0) != (want != 0), a.slice.level != level-want:
-				t.Errorf("%s, slice %v: did %q, owed %v before and %v, slice %v before and %v", c.name, slice, d.did, owed, a.pendingAdjustment,
-					level, a.slice.level)
-			case (a.ceiling.level == 4) != (want < 0): // it held 4 before the request
-				t.Errorf("%s, slice %v: the ceiling's part holds %v", c.name, slice, a.ceiling.level)
+			case slice && a.window.pendingAdjustment != owed+want, !slice && (counted != 0) != (want != 0), a.localQuota.tokens != level-want:
+				t.Errorf("%s, slice %v: did %q, owed %v before and %v, slice %v before and %v", c.name, slice, d.did, owed, a.window.pendingAdjustment,
+					level, a.localQuota.tokens)
+			case (a.ceiling.tokens == 4) != (want < 0): // it held 4 before the request
+				t.Errorf("%s, slice %v: the ceiling's part holds %v", c.name, slice, a.ceiling.tokens)
 			}
-			if len(l.requests) > 0 {
+			if len(l.requests.byID) > 0 {
 				t.Errorf("%s: it is not forgotten", c.name)
 			}
 		}
@@ -66,9 +66,9 @@
 func TestClosing(t *testing.T) {
 	l, d := made()
 	for id, owed := range map[uint64]float64{7: 2, 3: -1, 5: 0} {
-		a := l.accountOf(0, Arrival{Customer: id, Limiters: 1}, l.set.Plans["plain"])
-		l.turn(0, a)
-		a.pendingAdjustment = owed
+		a := l.useAccount(0, Arrival{Customer: id, Limiters: 1}, l.settings.Plans["plain"])
+		l.reservations.rollOver(0, a)
+		a.window.pendingAdjustment = owed
 	}
 	l.ShutDown(0)
 	expect(t, d, "count -1", "count 2")
@@ -76,8 +76,8 @@
 	if len(d.did) != 2 {
 		t.Fatalf("did %q", d.did)
 	}
-	l.accounts[7].pendingAdjustment, l.accounts[3].pendingAdjustment = 2, -1
-	l.ShutDown(4 * l.span(l.accounts[7]))
+	l.accounts.byCustomer[7].window.pendingAdjustment, l.accounts.byCustomer[3].window.pendingAdjustment = 2, -1
+	l.ShutDown(4 * windowLength(l.settings, l.accounts.byCustomer[7]))
 	if len(d.did) != 3 {
 		t.Fatalf("did %q: what was owed back to a window that has passed is not added", d.did)
 	}
--- /dev/null
+++ b/choice/request.go
@@ -0,0 +1,118 @@
+package choice
+
+import "fmt"
+
+// requestState is where a request stands; request.move is the only function that changes it.
+type requestState uint8
+
+const (
+	stateAccepted   requestState = iota
+	stateReserving               // it waits for the counter
+	stateInFlight                // its first attempt was sent
+	stateAnswered                // a server's answer went to the client
+	stateRejected                // rejected: it had no effect
+	stateFailed                  // failed: it may have had its effect
+	stateClientGone              // the client has left
+)
+
+// request is one request from its arrival until nothing of it is out any more.
+type request struct {
+	id           string
+	timer        int64 // the token of its deadline's timer
+	state        requestState
+	class        *Class
+	account      *account // nil where its plan or class is unknown
+	units        float64
+	charge       float64 // what it takes from its customer's quota: its units, or 1 where the plan caps attempts in flight
+	deadline     int64   // the last moment for a final answer
+	attempts     []*attempt
+	openAttempts int
+	reachedAny   bool // a server got it whole, so that its units are spent
+	reservation  reservation
+}
+
+// attempt is one try of a request at one server.
+type attempt struct {
+	request    *request
+	server     *server
+	number     int
+	sentAt     int64
+	open       bool
+	mayHaveRun bool // true also while it is open
+	overdue    bool // it has lowered its server's limit
+}
+
+func (q *request) ended() bool { return q.state >= stateAnswered }
+
+// move changes the request's state. An ended request keeps its end.
+func (q *request) move(to requestState) {
+	if q.ended() {
+		panic(fmt.Sprintf("request %s moved to %d after its end %d", q.id, to, q.state))
+	}
+	q.state = to
+}
+
+// addAttempt begins an attempt at a server.
+func (q *request) addAttempt(now int64, s *server) *attempt {
+	added := &attempt{request: q, server: s, number: len(q.attempts), sentAt: now, open: true, mayHaveRun: true}
+	q.attempts = append(q.attempts, added)
+	q.openAttempts++
+	return added
+}
+
+// endAttempt notes how an open attempt ended.
+func (q *request) endAttempt(ended *attempt, outcome Outcome) {
+	ended.open = false
+	ended.mayHaveRun = outcome.mayHaveRun()
+	q.openAttempts--
+	q.reachedAny = q.reachedAny || outcome.reachedServer()
+}
+
+// openAttempt is the attempt of a number, nil where there is none that is open.
+func (q *request) openAttempt(number int) *attempt {
+	if number < 0 || number >= len(q.attempts) || !q.attempts[number].open {
+		return nil
+	}
+	return q.attempts[number]
+}
+
+// mayHaveRun tells whether some attempt may have run, or may still run.
+func (q *request) mayHaveRun() bool {
+	for _, a := range q.attempts {
+		if a.mayHaveRun {
+			return true
+		}
+	}
+	return false
+}
+
+// requestTable holds the requests that are not forgotten yet.
+type requestTable struct {
+	byID      map[string]*request
+	byTimer   map[int64]*request // those that are not ended, by the token of their deadline's timer
+	lastTimer int64
+}
+
+func newRequestTable() requestTable {
+	return requestTable{byID: map[string]*request{}, byTimer: map[int64]*request{}}
+}
+
+// add takes a request in and gives it a timer's token.
+func (t *requestTable) add(q *request) {
+	t.lastTimer++
+	q.timer = t.lastTimer
+	t.byID[q.id] = q
+	t.byTimer[q.timer] = q
+}
+
+// stopTimer lets the request's deadline pass unnoticed.
+func (t *requestTable) stopTimer(q *request) { delete(t.byTimer, q.timer) }
+
+// remove forgets a request; false where it was not held, as after its id was taken by another.
+func (t *requestTable) remove(q *request) bool {
+	if t.byID[q.id] != q {
+		return false
+	}
+	delete(t.byID, q.id)
+	return true
+}
--- a/choice/restart_test.go
+++ b/choice/restart_test.go
@@ -20,9 +20,9 @@
 // startedLimiter is a limiter that starts at 0 and has room for all that its customers on the plan "large" may send.
 func startedLimiter() *Controller {
 	l, _ := made()
-	l.set.Plans["large"] = &Plan{Rate: 10, Burst: testBurst}
-	l.inFlightLimit = 1000
-	for _, s := range l.order {
+	l.settings.Plans["large"] = &Plan{Rate: 10, Burst: testBurst}
+	l.concurrency.inFlightLimit = 1000
+	for _, s := range l.servers.ring {
 		s.limit = 1000
 	}
 	return l
@@ -32,7 +32,7 @@
 func heardLimiter() *Controller {
 	l := startedLimiter()
 	l.RequestArrived(0, arrival("first", "read", "plain"))
-	l.CounterReplied(0, l.requests["first"].name, Succeeded, 2)
+	l.CounterReplied(0, l.requests.byID["first"].reservation.name, Succeeded, 2)
 	return l
 }
 
@@ -44,11 +44,11 @@
 	for i := range mostRequests {
 		id := fmt.Sprint(now, "-", i)
 		l.RequestArrived(now, Arrival{ID: id, Timeout: 4 * second, Customer: customer, Plan: "large", Class: "read", Units: size, Limiters: 4})
-		if q := l.requests[id]; q != nil && q.state == stateReserving {
-			total += size * q.weight
-			l.CounterReplied(now, q.name, outcome, total)
+		if q := l.requests.byID[id]; q != nil && q.state == stateReserving {
+			total += size * q.reservation.weight
+			l.CounterReplied(now, q.reservation.name, outcome, total)
 		}
-		if l.requests[id] == nil {
+		if l.requests.byID[id] == nil {
 			return units
 		}
 		units += size
@@ -68,25 +68,25 @@
 	for name, outcome := range map[string]Outcome{"crowded": Overloaded, "silent": TimedOut, "spoilt": ServerError, "down": ConnectFailed} {
 		t.Run(name+": the largest request and what this life has filled", func(t *testing.T) {
 			l := startedLimiter()
-			expectUnits(t, sendAll(l, 0, 50, outcome), l.set.MaxRequestUnits)
-			expectUnits(t, sendAll(l, 8*second, 51, outcome), l.set.MaxRequestUnits+8*sliceRate)
+			expectUnits(t, sendAll(l, 0, 50, outcome), l.settings.MaxRequestUnits)
+			expectUnits(t, sendAll(l, 8*second, 51, outcome), l.settings.MaxRequestUnits+8*sliceRate)
 			expectUnits(t, sendAll(l, 8*second, 50, outcome), 8*sliceRate)
 		})
 	}
 	t.Run("never more than the whole slice", func(t *testing.T) {
 		expectUnits(t, sendAll(startedLimiter(), 60*second, 50, ConnectFailed), wholeSlice)
 		l := startedLimiter()
-		account := l.accountOf(0, Arrival{Customer: 51, Limiters: 1}, &Plan{Rate: 1, Burst: l.set.MaxRequestUnits - 1})
-		expectUnits(t, account.slice.level, l.set.MaxRequestUnits-1)
+		account := l.useAccount(0, Arrival{Customer: 51, Limiters: 1}, &Plan{Rate: 1, Burst: l.settings.MaxRequestUnits - 1})
+		expectUnits(t, account.localQuota.tokens, l.settings.MaxRequestUnits-1)
 	})
 	t.Run("among many limiters the whole slice is the largest request", func(t *testing.T) {
 		l := startedLimiter()
-		account := l.accountOf(0, Arrival{Customer: 50, Limiters: 400}, l.set.Plans["large"])
-		expectUnits(t, account.slice.level, l.set.MaxRequestUnits)
+		account := l.useAccount(0, Arrival{Customer: 50, Limiters: 400}, l.settings.Plans["large"])
+		expectUnits(t, account.localQuota.tokens, l.settings.MaxRequestUnits)
 	})
 	t.Run("the whole slice where no counter is set: none can tell of an earlier life", func(t *testing.T) {
 		l := startedLimiter()
-		l.set.CounterTimeout = 0
+		l.settings.CounterTimeout = 0
 		expectUnits(t, sendAll(l, 0, 50, ConnectFailed), wholeSlice)
 	})
 }
@@ -94,21 +94,21 @@
 // TestSliceWithTheCounterUp: the total decides from the first request on, and the slice goes by it.
 func TestSliceWithTheCounterUp(t *testing.T) {
 	l := startedLimiter()
-	account := l.accountOf(0, Arrival{Customer: 50, Limiters: 4}, l.set.Plans["large"])
-	account.phase = l.span(account) // its window begins now, so units weigh 1
+	account := l.useAccount(0, Arrival{Customer: 50, Limiters: 4}, l.settings.Plans["large"])
+	account.window.offset = windowLength(l.settings, account) // its window begins now, so units weigh 1
 	expectUnits(t, sendAll(l, 0, 50, Succeeded), testBurst)
 
 	l = startedLimiter()
-	expectUnits(t, sendAll(l, 0, 50, ConnectFailed), l.set.MaxRequestUnits)
-	account = l.accounts[50]
-	l.see(0, call{request: &request{}, account: account}, account.name(), 0)
-	expectUnits(t, account.slice.level, wholeSlice)
+	expectUnits(t, sendAll(l, 0, 50, ConnectFailed), l.settings.MaxRequestUnits)
+	account = l.accounts.byCustomer[50]
+	l.reservations.observe(0, counterCall{request: &request{}, account: account}, account.counterName(), 0)
+	expectUnits(t, account.localQuota.tokens, wholeSlice)
 }
 
 func TestSliceAfterTheCounterAnswered(t *testing.T) {
 	t.Run("crowded: the whole slice", func(t *testing.T) {
 		l := heardLimiter()
-		l.samplingRate = samplingLeast
+		l.sampling.rate = minSamplingRate
 		expectUnits(t, sendAll(l, 0, 50, Overloaded), wholeSlice)
 	})
 	for name, outcome := range map[string]Outcome{"crowded": Overloaded, "silent": TimedOut, "spoilt": ServerError, "down": ConnectFailed} {
--- /dev/null
+++ b/choice/server.go
@@ -0,0 +1,59 @@
+package choice
+
+import "slices"
+
+// server is what a limiter knows of one server.
+type server struct {
+	id              string
+	state           EndpointState
+	health          serverHealth
+	startedAt       int64 // when it began to warm up, 0 for long ago
+	attempts        []*attempt
+	inFlight        float64 // units
+	limit           float64 // units that may be in flight
+	overloadedUntil int64   // it has rejected a request and gets none until then
+	nominalWeight   float64 // 0 where the list does not tell
+	pace            servicePace
+	turns           rotationTurns
+	zone            string
+	cell            int64
+	ringHash        uint64 // its place on the ring of all servers, the same at all limiters
+	ringIndex       int    // its place in the order of the ring, from this limiter's place on
+	indexEntry
+}
+
+// servicePace is how much a server does in how long, both decaying.
+type servicePace struct {
+	seconds float64
+	units   float64
+}
+
+// rotationTurns is what a server is owed by the weighted rotation.
+type rotationTurns struct {
+	current   float64 // current weight of the smooth weighted round robin: its claim on the next turn
+	slowStart float64 // turns that it is owed while it warms up
+}
+
+// finished tells whether a server is gone and nothing is in flight there.
+func (s *server) finished() bool { return s.state == EndpointGone && len(s.attempts) == 0 }
+
+// begin takes in an attempt that is sent to the server.
+func (s *server) begin(a *attempt) {
+	s.attempts = append(s.attempts, a)
+	s.inFlight += a.request.units
+}
+
+// end takes out an attempt that has ended.
+func (s *server) end(ended *attempt) {
+	s.attempts = slices.DeleteFunc(s.attempts, func(a *attempt) bool { return a == ended })
+	s.inFlight = max(0, s.inFlight-ended.request.units)
+}
+
+// replaceBy takes the record of a new process at the same endpoint. What is in flight there stays.
+func (s *server) replaceBy(fresh server) {
+	fresh.attempts = s.attempts
+	fresh.inFlight = s.inFlight
+	fresh.ringIndex = s.ringIndex
+	fresh.indexEntry = s.indexEntry
+	*s = fresh
+}
--- a/internal/limiter/servers.go
+++ b/internal/limiter/servers.go
@@ -252,10 +252,10 @@
 	case v.Kind == '*':
 		reply = choice.AttemptResult{Outcome: choice.Succeeded, ActualUnits: figure(v.List[1].Text, "cost", most)}
 		if len(v.List) > 2 {
-			reply.InFlight = figure(v.List[2].Text, "outstanding", mostReport)
-			reply.Throughput = figure(v.List[2].Text, "throughput", mostReport)
-			reply.Queued = figure(v.List[2].Text, "backlog", mostReport)
-			reply.ServiceTime = int64(figure(v.List[2].Text, "recent_ms", mostReport) * 1e6)
+			reply.Load.InFlight = figure(v.List[2].Text, "outstanding", mostReport)
+			reply.Load.Throughput = figure(v.List[2].Text, "throughput", mostReport)
+			reply.Load.Queued = figure(v.List[2].Text, "backlog", mostReport)
+			reply.Load.ServiceTime = int64(figure(v.List[2].Text, "recent_ms", mostReport) * 1e6)
 		}
 		return reply, v.List[0].Text
 	case (string(v.Text) == "BUSY" || bytes.HasPrefix(v.Text, []byte("BUSY "))):
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -226,8 +226,8 @@
 func (it *item) reply(r *reading) choice.AttemptResult {
 	a := choice.AttemptResult{Request: take(r, "handle", it.Handle), Attempt: take(r, "copy", it.Copy),
 		Outcome: choice.Outcome(take(r, "rc", it.Code)), Duration: nanos(take(r, "took", it.Took)),
-		Final: take(r, "final", it.Final), InFlight: it.Load.Held, Throughput: it.Load.Pace,
-		Queued: it.Load.Queue, ServiceTime: int64(it.Load.Recent * 1e6)}
+		Final: take(r, "final", it.Final), Load: choice.LoadReport{InFlight: it.Load.Held, Throughput: it.Load.Pace,
+			Queued: it.Load.Queue, ServiceTime: int64(it.Load.Recent * 1e6)}}
 	if it.True != nil {
 		a.ActualUnits = *it.True
 	}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -90,8 +90,8 @@
 		var it item
 		err := json.Unmarshal([]byte(`{"handle":"j","copy":1,"rc":0,"took":0.5,"final":true,"true-units":3,"feedback":`+c.load+`}`), &it)
 		r := &reading{}
-		want := choice.AttemptResult{Request: "j", Attempt: 1, Duration: 5e8, Final: true, ActualUnits: 3, InFlight: c.held, Throughput: c.pace,
-			Queued: c.queue, ServiceTime: c.work}
+		want := choice.AttemptResult{Request: "j", Attempt: 1, Duration: 5e8, Final: true, ActualUnits: 3, Load: choice.LoadReport{InFlight: c.held, Throughput: c.pace,
+			Queued: c.queue, ServiceTime: c.work}}
 		if got := it.reply(r); err != nil || r.missing != "" || got != want {
 			t.Fatalf("%+v, want %+v, error %v", got, want, err)
 		}
