--- a/choice/scale_bench_test.go
+++ b/choice/bench_test.go
@@ -27,7 +27,7 @@
 
 // benchWorld answers the counter and the servers at once, or leaves requests out.
 type benchWorld struct {
-	effects
+	recordedEffects
 	names  []uint64
 	answer bool
 }
@@ -39,47 +39,47 @@
 // benchFleet is a limiter before so many servers that has met so many customers once.
 func benchFleet(servers, customers int) (*Controller, *benchWorld, int64) {
 	w := &benchWorld{answer: true}
-	l := New(0, benchSettings(), 1, w)
+	controller := New(0, benchSettings(), 1, w)
 	entries := make([]Endpoint, servers)
 	for i := range entries {
 		entries[i] = Endpoint{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprintf("zone-%d", i%4), Weight: 1}
 	}
-	l.UpdateEndpoints(0, true, entries)
+	controller.UpdateEndpoints(0, true, entries)
 	now := 100 * second
 	for i := range customers {
-		w.play(l, now, fmt.Sprintf("first-%d", i), uint64(i))
+		w.play(controller, now, fmt.Sprintf("first-%d", i), uint64(i))
 	}
 	w.answer = false
 	for i := range benchInUse {
 		now += second / 1000
-		w.play(l, now, fmt.Sprintf("out-%d", i), uint64(i%max(customers, 1)))
+		w.play(controller, now, fmt.Sprintf("out-%d", i), uint64(i%max(customers, 1)))
 	}
 	w.answer = true
-	return l, w, now
+	return controller, w, now
 }
 
 // play takes a request through the counter and, if answer is set, to its end.
-func (w *benchWorld) play(l *Controller, now int64, id string, customer uint64) {
-	l.RequestArrived(now, Arrival{ID: id, Timeout: 3600 * second, Customer: customer, Plan: "hard", Class: "read", Units: 0.01, Limiters: 2})
+func (w *benchWorld) play(controller *Controller, now int64, id string, customer uint64) {
+	controller.RequestArrived(now, Arrival{ID: id, Timeout: 3600 * second, Customer: customer, Plan: "hard", Class: "read", Units: 0.01, Limiters: 2})
 	for len(w.names) > 0 {
 		name := w.names[0]
 		w.names = w.names[1:]
-		l.CounterReplied(now, name, Succeeded, 0.01)
+		controller.CounterReplied(now, name, Succeeded, 0.01)
 	}
 	if w.answer {
-		l.AttemptDone(now+second/100, AttemptResult{Request: id, Outcome: Succeeded, Duration: second / 100, Final: true})
+		controller.AttemptDone(now+second/100, AttemptResult{Request: id, Outcome: Succeeded, Duration: second / 100, Final: true})
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
 	for _, servers := range []int{20, 1000, 8500} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			l, w, now := benchFleet(servers, 200)
+			controller, w, now := benchFleet(servers, 200)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				now += second / 100
-				w.play(l, now, "request", uint64(i%200))
+				w.play(controller, now, "request", uint64(i%200))
 			}
 		})
 	}
@@ -98,29 +98,29 @@
 }
 
 func benchTick(b *testing.B, servers, customers int) {
-	l, _, now := benchFleet(servers, customers)
+	controller, _, now := benchFleet(servers, customers)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		now++ // time hardly passes, so that nobody is forgotten
-		l.TimerFired(now, 0)
+		controller.TimerFired(now, 0)
 	}
 }
 
-// BenchmarkMembers takes in a change of one server, and a new server that goes again.
-func BenchmarkMembers(b *testing.B) {
+// BenchmarkUpdateEndpoints takes in a change of one server, and a new server that goes again.
+func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, servers := range []int{20, 1000, 8500} {
 		b.Run(fmt.Sprintf("change/servers=%d", servers), func(b *testing.B) {
-			l, _, now := benchFleet(servers, 1)
+			controller, _, now := benchFleet(servers, 1)
 			for i := range b.N {
-				l.UpdateEndpoints(now, false, []Endpoint{{ID: "server-1", State: EndpointState(i % 2), Weight: 1}})
+				controller.UpdateEndpoints(now, false, []Endpoint{{ID: "server-1", State: EndpointState(i % 2), Weight: 1}})
 			}
 		})
 		b.Run(fmt.Sprintf("new/servers=%d", servers), func(b *testing.B) {
-			l, _, now := benchFleet(servers, 1)
+			controller, _, now := benchFleet(servers, 1)
 			for i := range b.N {
-				l.UpdateEndpoints(now, false, []Endpoint{{ID: "new", State: []EndpointState{EndpointReady, EndpointGone}[i%2], Weight: 1}})
-				l.TimerFired(now, 0)
+				controller.UpdateEndpoints(now, false, []Endpoint{{ID: "new", State: []EndpointState{EndpointReady, EndpointGone}[i%2], Weight: 1}})
+				controller.TimerFired(now, 0)
 			}
 		})
 	}
--- /dev/null
+++ b/choice/concurrency_test.go
@@ -0,0 +1,128 @@
+package choice
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+// The first requests of a limiter among hundreds come together by chance as later ones do.
+func TestInitialInFlightLimit(t *testing.T) {
+	for _, c := range []struct {
+		limiters, servers int
+		least             float64
+	}{{300, 180, 14}, {3, 9, 36}} {
+		controller, _ := newTestController()
+		controller.settings.Limiters, controller.concurrency.minServerLimit, controller.concurrency.inFlightLimit, controller.servers.byID, controller.servers.ring = c.limiters, controller.settings.MaxRequestUnits/float64(c.limiters), 0, map[string]*server{}, nil
+		controller.servers.index = serverIndex{}
+		var entries []Endpoint
+		for i := range c.servers {
+			entries = append(entries, Endpoint{ID: fmt.Sprint(i), Weight: 1})
+		}
+		controller.UpdateEndpoints(0, true, entries)
+		if controller.concurrency.inFlightLimit < controller.concurrency.minInFlightLimit()+burstDeviations*math.Sqrt(controller.concurrency.minInFlightLimit()*controller.settings.MaxRequestUnits) || controller.concurrency.inFlightLimit < c.least {
+			t.Fatalf("%d limiters begin with room for %v units at %d servers", c.limiters, controller.concurrency.inFlightLimit, c.servers)
+		}
+	}
+}
+
+func TestInFlightLimit(t *testing.T) {
+	t.Run("late attempts at any server narrow it, down to a request a server over all limiters", func(t *testing.T) {
+		controller, _ := newTestController()
+		q := sendRequest(controller, "read")
+		controller.concurrency.checkOverdue(second, q.attempts[0])
+		if controller.concurrency.inFlightLimit != 20-1 {
+			t.Fatal("it is", controller.concurrency.inFlightLimit)
+		}
+		controller.concurrency.inFlightLimit = 4.5
+		if controller.concurrency.inFlightLimit < controller.concurrency.minInFlightLimit() {
+			t.Fatal("the least is", controller.concurrency.minInFlightLimit())
+		}
+		controller.concurrency.decrease(q.units)
+		if controller.concurrency.inFlightLimit != 4 {
+			t.Fatal("it is", controller.concurrency.inFlightLimit)
+		}
+	})
+	t.Run("a further attempt that was answered promptly is paid back", func(t *testing.T) {
+		controller, _ := newTestController()
+		q := sendRequest(controller, "read")
+		controller.retries.retries = 1
+		controller.retry(0, q)
+		controller.AttemptDone(1, AttemptResult{Request: "j", Attempt: 1, Outcome: Succeeded, Duration: 1, Final: true})
+		if controller.retries.retries != 1 {
+			t.Fatal("in hand", controller.retries.retries)
+		}
+	})
+}
+
+func TestResidenceFactor(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		reports []float64 // seconds that requests stay, each a server's latest
+		age     int64
+		able    bool
+	}{
+		{"no report: the in-flight limit binds", nil, 0, false},
+		{"requests stay for a fifth of the latency objective: there is room", []float64{0.2, 0.2, 0.2}, 0, true},
+		{"and one stuck server among many does not hide it", []float64{0.2, 0.2, 0.2, 0.2, 30, 0.2, 0.2, 0.2, 0.2, 0.2}, 0, true},
+		{"requests stay for most of the latency objective: the in-flight limit binds", []float64{0.8, 0.8, 0.8}, 0, false},
+		{"reports have grown old: the in-flight limit binds", []float64{0.2, 0.2, 0.2}, 2 * second, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller, _ := newTestController()
+			for _, stay := range c.reports {
+				att := &attempt{request: &request{class: controller.settings.Classes["read"], units: 1}, server: controller.servers.byID["a"]}
+				controller.recordResult(1, att, &AttemptResult{Outcome: Succeeded, Load: LoadReport{InFlight: 10 * stay, Throughput: 10}})
+			}
+			controller.concurrency.inFlightLimit = 2.5
+			controller.servers.byID["a"].inFlight = 3
+			reindex(controller, c.age)
+			if able := controller.eligibleServers(c.age, &request{class: controller.settings.Classes["read"], units: 1}); len(able) > 0 != c.able {
+				t.Fatalf("able %v with a room of %v eased by %v", able, controller.concurrency.inFlightLimit, controller.concurrency.residenceFactor(c.age, controller.settings.Classes["read"]))
+			}
+		})
+	}
+}
+
+func TestDecrease(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		slow, left float64
+	}{
+		{"where answers are slow a late attempt takes four times what a prompt one adds", 0.5, 19},
+		{"where answers are prompt, the others silent, it takes as much", 0, 19.75},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller, _ := newTestController()
+			controller.concurrency.overloadRatio = c.slow
+			controller.concurrency.decrease(2)
+			if controller.concurrency.inFlightLimit != c.left {
+				t.Fatal("left", controller.concurrency.inFlightLimit)
+			}
+		})
+	}
+}
+
+func TestPriorityReserve(t *testing.T) {
+	controller, _ := newTestController()
+	dear := &Class{LatencyObjective: second / 2, PriorityWeight: 5}
+	controller.settings.Classes["dear"], controller.concurrency.inFlightLimit = dear, 4
+	controller = func() *Controller {
+		n := New(0, controller.settings, 1, &recordedEffects{})
+		n.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
+		return n
+	}()
+	controller.concurrency.inFlightLimit = 4
+	controller.servers.byID["a"].inFlight = 2
+	reindex(controller, 0)
+	if len(controller.eligibleServers(0, &request{units: 2, class: dear})) == 0 {
+		t.Fatal("the dearest class's requests do not get all of the in-flight limit")
+	}
+	if len(controller.eligibleServers(0, &request{units: 2, class: controller.settings.Classes["read"]})) != 0 {
+		t.Fatal("a cheap class's requests get as much room")
+	}
+	controller.concurrency.reportedAt, controller.concurrency.meanResidence = 1, math.Log(0.2)
+	if e := controller.concurrency.residenceFactor(1, controller.settings.Classes["read"]); math.Abs(e-1.25) > 1e-9 { // by half a second, not one
+		t.Fatal("a longer latency objective widens the in-flight limit by", e)
+	}
+}
--- /dev/null
+++ b/choice/retry_test.go
@@ -0,0 +1,80 @@
+package choice
+
+import "testing"
+
+func TestRetry(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		set  func(controller *Controller, q *request)
+	}{
+		{"no attempt is left", func(controller *Controller, q *request) { controller.settings.MaxAttempts = 1 }},
+		{"no second attempt is in hand", func(controller *Controller, q *request) { controller.retries.retries = 0 }},
+		{"an attempt is out", func(controller *Controller, q *request) {}},
+		{"its time is over", func(controller *Controller, q *request) { q.deadline = 0 }},
+	} {
+		t.Run("sends nothing when "+c.name, func(t *testing.T) {
+			controller, _ := newTestController()
+			q := sendRequest(controller, "read")
+			q.openAttempts = 0
+			if c.name == "an attempt is out" {
+				q.openAttempts = 1
+			}
+			c.set(controller, q)
+			if controller.retry(1, q) {
+				t.Fatal("it did")
+			}
+		})
+	}
+}
+
+func TestLostAttempts(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		class string
+		slow  float64
+		at    int64
+		want  string
+	}{
+		{"an attempt out for many times its request's time is cancelled", "read", 0, second / 3, "cancel j 0"},
+		{"but not before that", "read", 0, second / 5, "send j a"},
+		{"nor where what is answered is slow", "read", 1, second / 3, "send j a"},
+		{"nor where it cannot go again", "write", 0, second / 3, "send j a"},
+		{"a request past its latency objective is given up at once", "read", 0, second + 1, "reject j"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller, done := newTestController()
+			controller.settings.CanCancel = true
+			q := sendRequest(controller, c.class)
+			controller.concurrency.overloadRatio = c.slow
+			for _, s := range controller.servers.ring {
+				s.pace.seconds, s.pace.units = 0.02, 2 // 10 ms a unit
+			}
+			controller.tick(c.at)
+			if c.want == "reject j" {
+				requireEffects(t, done, "reject j", "cancel j 0")
+				return
+			}
+			requireEffects(t, done, c.want)
+			if c.want == "cancel j 0" {
+				controller.AttemptDone(c.at, AttemptResult{Request: "j", Outcome: Cancelled, Duration: c.at})
+				requireEffects(t, done, "send j b")
+				if q.attempts[0].server.health.failureRatio == 0 {
+					t.Fatal("it does not count against its server")
+				}
+			}
+		})
+	}
+}
+
+func TestDeduplicationWithinACell(t *testing.T) {
+	pod := &Class{LatencyObjective: second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second, PriorityWeight: 1}
+	first := &attempt{server: &server{cell: 3, zone: "x"}, sentAt: second, mayHaveRun: true}
+	for _, c := range []struct {
+		cell, at int64
+		want     bool
+	}{{3, second * 3 / 2, true}, {4, second * 3 / 2, false}, {3, 2 * second, false}} {
+		if got := pod.deduplicates(c.at, first, &server{cell: c.cell, zone: "x"}); got != c.want {
+			t.Errorf("cell %d at %d: %v", c.cell, c.at, got)
+		}
+	}
+}
--- /dev/null
+++ b/choice/slow_start_test.go
@@ -0,0 +1,66 @@
+package choice
+
+import (
+	"math"
+	"testing"
+)
+
+func TestSlowStartTurns(t *testing.T) {
+	controller, _ := newTestController()
+	controller.UpdateEndpoints(second, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1}, {ID: "b", Zone: "y", Weight: 1, StartedAt: second}})
+	controller.tick(second)
+	a, b := controller.servers.byID["a"], controller.servers.byID["b"]
+	a.overloadedUntil, b.turns.slowStart = 1<<62, 0
+	got := 0
+	for range 100 { // the warm one has no room: the cold one gets its turns and no more
+		if s := controller.pickServer(second, &request{units: 1, class: controller.settings.Classes["read"]}); s == b {
+			got++
+		}
+	}
+	if share := controller.settings.ColdCapacity / (1 + controller.settings.ColdCapacity); float64(got) < 90*share || float64(got) > 100*share+1 {
+		t.Fatal("it got", got, "of 100")
+	}
+}
+
+// Where cold servers begin at nothing, a pick at the very start of all of them leaves their turns as they are.
+func TestSlowStartFromNoCapacity(t *testing.T) {
+	controller, _ := newTestController()
+	controller.settings.ColdCapacity = 0
+	controller.UpdateEndpoints(second, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: second}, {ID: "b", Zone: "y", Weight: 1, StartedAt: second}})
+	controller.tick(second)
+	controller.pickServer(second, &request{units: 1, class: controller.settings.Classes["read"]})
+	controller.UpdateEndpoints(second, false, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: 1}}) // a was a mistake: it is warm
+	a, b := controller.servers.byID["a"], controller.servers.byID["b"]
+	a.startedAt, a.overloadedUntil, b.turns.slowStart = 0, 1<<62, math.Min(b.turns.slowStart, 0)
+	reindex(controller, second)
+	now := 2 * second // b is warm for a tenth
+	controller.tick(now)
+	got := 0
+	for range 110 { // its part of both is one in eleven
+		if s := controller.pickServer(now, &request{units: 1, class: controller.settings.Classes["read"]}); s == b {
+			got++
+		}
+	}
+	if got < 8 || got > 11 {
+		t.Fatal("it got", got, "of 110")
+	}
+}
+
+// A server that got hundreds of requests while it was warm owes none of those turns when it comes back cold.
+func TestSlowStartAfterReinstatement(t *testing.T) {
+	controller, _ := newTestController()
+	a, b := controller.servers.byID["a"], controller.servers.byID["b"]
+	controller.tick(0)
+	for range 500 {
+		controller.pickServer(0, &request{units: 1, class: controller.settings.Classes["read"]})
+	}
+	b.health.failureRatio = 1
+	controller.outliers.reinstate(second, b)
+	a.overloadedUntil, b.health.failureRatio = 1<<62, 0
+	for range 40 {
+		if controller.pickServer(second, &request{units: 1, class: controller.settings.Classes["read"]}) == b {
+			return
+		}
+	}
+	t.Fatal("it gets none of 40, and owes", -b.turns.slowStart)
+}
