--- a/internal/lab/simfleet/lives.go
+++ b/internal/lab/simfleet/lives.go
@@ -139,7 +139,7 @@
 	if f.is(EndsAtOnce) {
 		f.exit(p)
 	}
-	p.step(limiter.Event{Kind: limiter.Stopping}, nil)
+	p.step(limiter.ShutdownRequested{}, nil)
 	f.q.at(f.q.now+f.longest+lastCalls, func() {
 		if !p.dead {
 			f.end(p, "overdue", "killed: it had not ended")
@@ -189,5 +189,5 @@
 	if f.is(IgnoresReload) {
 		return
 	}
-	p.step(limiter.Event{Kind: limiter.Renewed, Config: &config}, nil)
+	p.step(limiter.ConfigReloaded{Config: &config}, nil)
 }
--- a/internal/lab/simfleet/process.go
+++ b/internal/lab/simfleet/process.go
@@ -67,7 +67,7 @@
 			p.f.crash(p, "its timers never end")
 			return
 		}
-		p.take(limiter.Event{Kind: limiter.Due}, nil)
+		p.take(limiter.TimersDue{}, nil)
 	}
 	if !p.dead && p.l.Finished() {
 		p.f.exit(p)
@@ -115,11 +115,11 @@
 	p.last++
 	s.id = p.last
 	p.sides[s.id] = s
-	p.step(limiter.Event{Kind: limiter.Accepted, Conn: s.id}, nil)
+	p.step(limiter.ClientAccepted{Conn: s.id}, nil)
 }
 
 func (p *process) connected(s *side) {
-	p.step(limiter.Event{Kind: limiter.Connected, Conn: s.id}, nil)
+	p.step(limiter.Connected{Conn: s.id}, nil)
 }
 
 func (p *process) read(s *side, bytes []byte, _ int64) {
@@ -127,12 +127,12 @@
 		ln.arrive(p, s.got)
 	}
 	if bytes = p.f.spoil(s, bytes); len(bytes) > 0 {
-		p.step(limiter.Event{Kind: limiter.Readable, Conn: s.id, Size: len(bytes)}, bytes)
+		p.step(limiter.DataReceived{Conn: s.id, Size: len(bytes)}, bytes)
 	}
 }
 
 func (p *process) ended(s *side, how limiter.CloseReason) {
-	p.step(limiter.Event{Kind: limiter.Ended, Conn: s.id, End: how}, nil)
+	p.step(limiter.ConnClosed{Conn: s.id, Reason: how}, nil)
 }
 
 // The effects.
@@ -195,7 +195,10 @@
 
 // CloseGracefully is an effect.
 func (p *process) CloseGracefully(id limiter.ConnID, _, _ int64) bool {
-	if slices.ContainsFunc(p.waiting, func(w told) bool { return w.h.Conn == id && w.h.Size > 0 }) {
+	if slices.ContainsFunc(p.waiting, func(w told) bool {
+		received, is := w.h.(limiter.DataReceived)
+		return is && received.Conn == id && received.Size > 0
+	}) {
 		return false
 	}
 	p.Close(id)
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -16,19 +16,19 @@
 
 // client is a connection that a client holds. Answers go out in the order of its commands.
 type client struct {
-	l            *Limiter
-	c            *conn
-	answers      []*answer
-	closing      bool          // it is closed once it is answered
-	parting      bool          // that is looked at again soon
-	deaf         bool          // what it sent was malformed, and what comes behind that is not read
-	reading      bool          // what has come is being read: its answers go out together behind that
-	since        int64         // when it connected
-	wrote        int64         // when it was last written to
-	used         int64         // when its present command began, or its last one was answered
-	half         bool          // a command has begun and is not whole
-	hasRequested bool          // it has brought a request
-	place        *list.Element // in newClients or usedClients
+	l               *Limiter
+	conn            *conn
+	answers         []*answer
+	closing         bool          // it is closed once it is answered
+	closePending    bool          // that is looked at again soon
+	inputDiscarded  bool          // what it sent was malformed, and what comes behind that is not read
+	processingInput bool          // what has come is being read: its answers go out together behind that
+	connectedAt     int64         // when it connected
+	lastWrite       int64         // when it was last written to
+	lastUsed        int64         // when its present command began, or its last one was answered
+	partialCommand  bool          // a command has begun and is not whole
+	hasRequested    bool          // it has brought a request
+	element         *list.Element // in newClients or usedClients
 }
 
 type answer struct {
@@ -37,105 +37,105 @@
 }
 
 func (l *Limiter) accept(id ConnID) {
-	c := &conn{id: id, open: true, since: l.now}
-	cl := &client{l: l, c: c, since: l.now, used: l.now}
-	cl.place = l.newClients.PushBack(cl)
-	c.party, l.conns[id] = cl, c
-	l.clients++
-	l.makeRoom()
+	c := &conn{id: id, open: true, lastUsed: l.now}
+	cl := &client{l: l, conn: c, connectedAt: l.now, lastUsed: l.now}
+	cl.element = l.newClients.PushBack(cl)
+	c.handler, l.conns[id] = cl, c
+	l.clientCount++
+	l.makeRoomForClients()
 }
 
 // MaxClients is how many connections clients may hold together.
-func MaxClients(config *settings.Config) int { return config.Sockets / clientShare }
+func MaxClients(config *settings.Config) int { return config.Sockets / clientDescriptorShare }
 
-// crowded: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and where
+// nearClientLimit: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and where
 // each keeps its connection after one request, only as many requests come as connections are closed.
-func (l *Limiter) crowded() bool { return l.clients >= l.config.Sockets/clientRoom }
+func (l *Limiter) nearClientLimit() bool { return l.clientCount >= l.config.Sockets/clientLimitShare }
 
-// makeRoom closes clients' connections without an open request, so that others can come: first those that never brought
+// makeRoomForClients closes clients' connections without an open request, so that others can come: first those that never brought
 // one and had time to, then the one idle longest.
-func (l *Limiter) makeRoom() {
-	since := l.now - l.set.DialTimeout/settled
-	for l.crowded() && (l.partIdlest(&l.newClients, since) || l.partIdlest(&l.usedClients, since)) {
+func (l *Limiter) makeRoomForClients() {
+	since := l.now - l.settings.DialTimeout/newClientGraceShare
+	for l.nearClientLimit() && (l.closeFirstIdle(&l.newClients, since) || l.closeFirstIdle(&l.usedClients, since)) {
 	}
 }
 
-// partIdlest closes the first of a list that has been idle since a time, and tells whether there is one.
-func (l *Limiter) partIdlest(clients *list.List, since int64) bool {
+// closeFirstIdle closes the first of a list that has been idle since a time, and tells whether there is one.
+func (l *Limiter) closeFirstIdle(clients *list.List, since int64) bool {
 	for e := clients.Front(); e != nil; e = e.Next() {
-		if cl := e.Value.(*client); cl.used > since {
+		if cl := e.Value.(*client); cl.lastUsed > since {
 			return false
-		} else if cl.idle() && cl.part() {
+		} else if cl.idle() && cl.closeIfIdle() {
 			return true
 		}
 	}
 	return false
 }
 
-// part closes the connection, which owes nothing, unless a command has come on it in this very moment.
-func (cl *client) part() bool {
-	if !cl.l.effects.CloseGracefully(cl.c.id, cl.l.set.DialTimeout, cl.l.set.IdleClose) {
+// closeIfIdle closes the connection, which owes nothing, unless a command has come on it in this very moment.
+func (cl *client) closeIfIdle() bool {
+	if !cl.l.effects.CloseGracefully(cl.conn.id, cl.l.settings.DialTimeout, cl.l.settings.IdleClose) {
 		return false
 	}
-	cl.l.over(cl.c, IdleClosed)
+	cl.l.closeConn(cl.conn, IdleClosed)
 	return true
 }
 
-// visit looks at the clients at intervals. One that says nothing or half a command is closed: it would hold its place
+// reapClients looks at the clients at intervals. One that says nothing or half a command is closed: it would hold its place
 // for good.
-func (l *Limiter) visit() {
+func (l *Limiter) reapClients() {
 	for _, clients := range []*list.List{&l.newClients, &l.usedClients} {
 		for e := clients.Front(); e != nil; {
 			cl := e.Value.(*client)
 			e = e.Next()
-			switch idle := l.now - cl.used; {
-			case len(cl.answers) > 0 || cl.deaf || idle < mayClose:
-			case cl.half:
-				l.faulty.silent++
-				cl.refuse("too slow")
+			switch idle := l.now - cl.lastUsed; {
+			case len(cl.answers) > 0 || cl.inputDiscarded || idle < minClientIdle:
+			case cl.partialCommand:
+				l.rejectedInput.silentClients++
+				cl.rejectInput("too slow")
 			case !cl.idle(): // an answer is on its way into the kernel
-			case !cl.hasRequested, idle > l.set.IdleClose/idleShare:
-				if cl.part() {
-					l.faulty.silent++
+			case !cl.hasRequested, idle > l.settings.IdleClose/idleCloseShare:
+				if cl.closeIfIdle() {
+					l.rejectedInput.silentClients++
 				}
 			}
 		}
 	}
-	l.makeRoom()
-	every := l.visits()
-	if l.crowded() {
-		every = min(every, l.set.DialTimeout/crowdLooks)
+	l.makeRoomForClients()
+	every := l.reapInterval()
+	if l.nearClientLimit() {
+		every = min(every, l.settings.DialTimeout/reapsNearLimit)
 	}
-	l.at(l.now+every, l.visit)
+	l.schedule(l.now+every, l.reapClients)
 }
 
-// touch notes that a client that has brought a request is in use.
-func (cl *client) touch() {
+// markUsed notes that a client that has brought a request is in use.
+func (cl *client) markUsed() {
 	if cl.hasRequested {
-		cl.used = cl.l.now
-		cl.l.usedClients.MoveToBack(cl.place)
+		cl.lastUsed = cl.l.now
+		cl.l.usedClients.MoveToBack(cl.element)
 	}
 }
 
-// refuse tells a client why it is closed, behind the answers to what it sent before. Where these take too long they
+// rejectInput tells a client why it is closed, behind the answers to what it sent before. Where these take too long they
 // fail: it is owed an error or a close soon.
-func (cl *client) refuse(why string) {
+func (cl *client) rejectInput(why string) {
 	l := cl.l
-	cl.deaf, cl.closing = true, true
-	cl.own("-ERR " + why)
-	if len(cl.answers) > 0 && l.conns[cl.c.id] == cl.c {
-		l.at(max(cl.since+mayClose, l.now+l.set.DialTimeout), func() {
-			for len(cl.answers) > 0 && l.conns[cl.c.id] == cl.c {
+	cl.inputDiscarded, cl.closing = true, true
+	cl.answerDirectly("-ERR " + why)
+	if len(cl.answers) > 0 && l.conns[cl.conn.id] == cl.conn {
+		l.schedule(max(cl.connectedAt+minClientIdle, l.now+l.settings.DialTimeout), func() {
+			for len(cl.answers) > 0 && l.conns[cl.conn.id] == cl.conn {
 				q := cl.answers[0].request
-				l.pendingResults = append(l.pendingResults, pendingResult{left: q.id})
-				l.move(q, requestFailed, failed)
+				l.pendingResults = append(l.pendingResults, pendingResult{disconnected: q.id})
+				l.move(q, requestFailed, failedAnswer)
 			}
 		})
 	}
 }
 
-// byID lists the connections in a fixed order.
-func (l *Limiter) byID() []*conn {
+// connsInOrder lists the connections in a fixed order.
+func (l *Limiter) connsInOrder() []*conn {
 	list := make([]*conn, 0, len(l.conns))
 	for _, c := range l.conns {
 		list = append(list, c)
@@ -146,99 +146,99 @@
 
 // idle: nothing is owed to the client, all is written and no part of a command has come that is still to be read.
 func (cl *client) idle() bool {
-	return len(cl.answers) == 0 && (cl.deaf || len(cl.c.in.Bytes()) == 0) && cl.l.effects.Written(cl.c.id) >= cl.c.sent
+	return len(cl.answers) == 0 && (cl.inputDiscarded || len(cl.conn.input.Bytes()) == 0) && cl.l.effects.Written(cl.conn.id) >= cl.conn.bytesSent
 }
 
-// leave ends the connection as soon as all is answered: our sending first, behind the last answer, so that it arrives, and nothing
+// closeWhenAnswered ends the connection as soon as all is answered: our sending first, behind the last answer, so that it arrives, and nothing
 // is read from then on. Its client may send on until it finds the end; what was never read it sends again elsewhere.
-func (cl *client) leave() {
+func (cl *client) closeWhenAnswered() {
 	l := cl.l
-	if cl.closing = true; len(cl.answers) > 0 || cl.idle() && cl.part() {
+	if cl.closing = true; len(cl.answers) > 0 || cl.idle() && cl.closeIfIdle() {
 		return
 	}
 	// One that was refused may send on for ever, or never read.
-	waited := l.now - cl.wrote
-	if cl.deaf && (waited > l.set.IdleClose || waited > l.set.DialTimeout && l.effects.Written(cl.c.id) >= cl.c.sent) {
-		l.over(cl.c, IdleClosed)
+	waited := l.now - cl.lastWrite
+	if cl.inputDiscarded && (waited > l.settings.IdleClose || waited > l.settings.DialTimeout && l.effects.Written(cl.conn.id) >= cl.conn.bytesSent) {
+		l.closeConn(cl.conn, IdleClosed)
 		return
 	}
 	// The rest of an answer is on its way, or the rest of a command to us.
-	if !cl.parting {
-		cl.parting = true
-		l.at(l.now+l.set.TimerResolution, func() {
-			if cl.parting = false; l.conns[cl.c.id] == cl.c {
-				cl.leave()
+	if !cl.closePending {
+		cl.closePending = true
+		l.schedule(l.now+l.settings.TimerResolution, func() {
+			if cl.closePending = false; l.conns[cl.conn.id] == cl.conn {
+				cl.closeWhenAnswered()
 			}
 		})
 	}
 }
 
-func (cl *client) up() {}
+func (cl *client) onConnected() {}
 
 // open tells whether the connection has not ended, as far as the reducer was told.
-func (cl *client) open() bool { return cl.l.conns[cl.c.id] == cl.c }
+func (cl *client) open() bool { return cl.l.conns[cl.conn.id] == cl.conn }
 
-// endIfGone ends the connection of a client that has gone. The event that tells of it may be far behind others.
-func (cl *client) endIfGone() {
-	if cl.open() && cl.l.effects.PeerGone(cl.c.id) {
-		cl.l.over(cl.c, PeerClosed)
+// closeIfGone ends the connection of a client that has gone. The event that tells of it may be far behind others.
+func (cl *client) closeIfGone() {
+	if cl.open() && cl.l.effects.PeerGone(cl.conn.id) {
+		cl.l.closeConn(cl.conn, PeerClosed)
 	}
 }
 
-func (cl *client) ended(end CloseReason, _ int64) {
+func (cl *client) onClosed(end CloseReason, _ int64) {
 	l := cl.l
-	l.clients--
+	l.clientCount--
 	if cl.hasRequested {
-		l.usedClients.Remove(cl.place)
+		l.usedClients.Remove(cl.element)
 	} else {
-		l.newClients.Remove(cl.place)
+		l.newClients.Remove(cl.element)
 	}
 	if end == SlowReader {
-		l.faulty.unread++
+		l.rejectedInput.slowReaders++
 	}
 	for _, a := range cl.answers {
 		if a.request != nil && a.request.state == accepted {
 			l.move(a.request, clientGone, nil)
-			l.pendingResults = append(l.pendingResults, pendingResult{left: a.request.id})
+			l.pendingResults = append(l.pendingResults, pendingResult{disconnected: a.request.id})
 		}
 	}
 }
 
-// read takes the commands that have come, and answers together what can be answered at once.
-func (cl *client) read(b []byte) (used int, err error) {
-	if !cl.l.effects.Alive(cl.c.id) {
+// onData takes the commands that have come, and answers together what can be answered at once.
+func (cl *client) onData(b []byte) (used int, err error) {
+	if !cl.l.effects.Alive(cl.conn.id) {
 		return len(b), nil // it has gone, and waits for nothing: its end is told next
 	}
-	cl.reading = true
-	for n := 1; n > 0 && used < len(b) && !cl.deaf && cl.open(); used += n {
+	cl.processingInput = true
+	for n := 1; n > 0 && used < len(b) && !cl.inputDiscarded && cl.open(); used += n {
 		n = cl.next(b[used:])
 	}
-	if cl.deaf {
+	if cl.inputDiscarded {
 		used = len(b)
 	}
-	if half := used < len(b); half != cl.half {
-		cl.half = half
-		cl.touch()
+	if half := used < len(b); half != cl.partialCommand {
+		cl.partialCommand = half
+		cl.markUsed()
 	}
-	cl.reading = false
+	cl.processingInput = false
 	cl.flush()
 	return used, nil
 }
 
 // next takes one command.
 func (cl *client) next(b []byte) int {
-	words, n, err := resp.ReadCommand(b, cl.l.words[:0])
-	cl.l.words = words[:0]
-	if len(cl.answers) >= mostPipeline {
+	words, n, err := resp.ReadCommand(b, cl.l.wordBuffer[:0])
+	cl.l.wordBuffer = words[:0]
+	if len(cl.answers) >= maxPipelined {
 		cl.flush()
 	}
-	crowded := n == 0 && len(b) > buffer.MinCapacity && cl.l.buffered > cl.l.config.Memory/heldShare
-	if err == nil && (crowded || len(cl.answers) >= mostPipeline) {
+	crowded := n == 0 && len(b) > buffer.MinCapacity && cl.l.bufferedBytes > cl.l.config.Memory/memoryShare
+	if err == nil && (crowded || len(cl.answers) >= maxPipelined) {
 		err = resp.ErrTooLong
 	}
 	if err != nil {
-		cl.l.faulty.malformed++
-		cl.refuse(err.Error())
+		cl.l.rejectedInput.malformedCommands++
+		cl.rejectInput(err.Error())
 		return len(b)
 	}
 	if n > 0 {
@@ -247,20 +247,20 @@
 	return n
 }
 
-// own answers a command without the module.
-func (cl *client) own(text string) {
+// answerDirectly answers a command without the module.
+func (cl *client) answerDirectly(text string) {
 	a := &answer{}
 	cl.answers = append(cl.answers, a)
 	cl.answer(a, []byte(text+"\r\n"))
 }
 
-// busy rejects a request that nothing was done for: another limiter may take it soon.
-func (cl *client) busy() {
+// answerBusy rejects a request that nothing was done for: another limiter may take it soon.
+func (cl *client) answerBusy() {
 	text := "-BUSY"
-	if after := min(cl.l.set.DialTimeout, cl.l.set.MaxRetryAfter); after > 0 {
+	if after := min(cl.l.settings.DialTimeout, cl.l.settings.MaxRetryAfter); after > 0 {
 		text += " " + strconv.FormatInt((after+1e6-1)/1e6, 10)
 	}
-	cl.own(text)
+	cl.answerDirectly(text)
 }
 
 func (cl *client) command(words [][]byte) {
@@ -270,72 +270,72 @@
 		cl.request(words)
 	case "PING":
 		if l.ready {
-			cl.own("+PONG")
+			cl.answerDirectly("+PONG")
 		} else {
-			cl.own("-LOADING not ready yet")
+			cl.answerDirectly("-LOADING not ready yet")
 		}
 	default:
-		cl.fault("unknown command")
+		cl.answerError("unknown command")
 	}
 }
 
-// fault answers a command that can never be right; -BUSY would say that it may be sent again.
-func (cl *client) fault(why string) {
-	cl.l.faulty.faulty++
-	cl.own("-ERR " + why)
+// answerError answers a command that can never be right; -BUSY would say that it may be sent again.
+func (cl *client) answerError(why string) {
+	cl.l.rejectedInput.invalidCommands++
+	cl.answerDirectly("-ERR " + why)
 }
 
 // request hands a request to the module, or answers what no module can make sense of.
 func (cl *client) request(words [][]byte) {
 	l := cl.l
 	if len(words) < 4 || len(words) > 5 {
-		cl.fault("wrong number of arguments")
+		cl.answerError("wrong number of arguments")
 		return
 	}
-	arrival, before, past, fault := l.arrival(words)
+	arrival, before, past, fault := l.parseArrival(words)
 	if fault == "" && l.requests[arrival.ID] != nil {
 		fault = "id is in use"
 	}
 	if fault != "" {
-		cl.fault(fault)
+		cl.answerError(fault)
 		return
 	}
-	age := l.age()
-	if cl.closing || l.leaves(arrival.Timeout) || arrival.Timeout <= age {
+	age := l.readDelay()
+	if cl.closing || l.outlivesShutdown(arrival.Timeout) || arrival.Timeout <= age {
 		// A connection that is never without an open request would never end, nor would the process; or the client's time is
 		// over.
-		cl.busy()
+		cl.answerBusy()
 		return
 	}
-	if l.held > l.config.Memory/heldShare {
+	if l.heldBytes > l.config.Memory/memoryShare {
 		// Nothing of it was sent, and one more might end the process with all that it has taken.
-		cl.own("-BUSY")
+		cl.answerDirectly("-BUSY")
 		return
 	}
 	arrival.Timeout -= age
 	if !cl.hasRequested {
-		l.newClients.Remove(cl.place)
-		cl.hasRequested, cl.place = true, l.usedClients.PushBack(cl)
+		l.newClients.Remove(cl.element)
+		cl.hasRequested, cl.element = true, l.usedClients.PushBack(cl)
 	}
-	cl.touch()
+	cl.markUsed()
 	a := &answer{}
 	cl.answers = append(cl.answers, a)
-	a.request = l.take(cl, a, words, before, past, arrival.Timeout)
-	if t := l.set.Classes[arrival.Class]; t.Idempotency == choice.IdempotentWithKey {
-		a.request.repeats, a.request.group = t.DeduplicationWindow, t.DeduplicationScope
+	a.request = l.addRequest(cl, a, words, before, past, arrival.Timeout)
+	if t := l.settings.Classes[arrival.Class]; t.Idempotency == choice.IdempotentWithKey {
+		a.request.deduplicationWindow, a.request.deduplicationScope = t.DeduplicationWindow, t.DeduplicationScope
 	}
-	l.logic.RequestArrived(l.now, arrival)
+	l.controller.RequestArrived(l.now, arrival)
 }
 
-// arrival reads a request's command; before and past enclose the time in its list of names and values. It is as strict as
+// parseArrival reads a request's command; before and past enclose the time in its list of names and values. It is as strict as
 // the protocol: what a server turns away costs that server's connection and its standing, and what is not so may spoil
 // the record of a customer that others share.
-func (l *Limiter) arrival(words [][]byte) (a choice.Arrival, before, past int, fault string) {
+func (l *Limiter) parseArrival(words [][]byte) (a choice.Arrival, before, past int, fault string) {
 	var err error
 	if a.Customer, err = strconv.ParseUint(string(words[1]), 16, 64); err != nil || len(words[1]) != 16 || a.Customer >= 1<<33 {
 		return a, 0, 0, "customer is not a number below 2^33 in 16 digits"
 	}
-	if len(words[2]) == 0 || len(words[2]) > mostID {
+	if len(words[2]) == 0 || len(words[2]) > maxIDBytes {
 		return a, 0, 0, "id is empty or too long"
 	}
 	a.ID = string(words[2])
@@ -364,15 +364,15 @@
 			a.Timeout = int64(left * 1e6)
 			before, past = from+len("d="), from+len(field)
 		case "units":
-			if a.Units, err = number(value); err != nil || a.Units <= 0 || a.Units > l.set.MaxRequestUnits {
+			if a.Units, err = number(value); err != nil || a.Units <= 0 || a.Units > l.settings.MaxRequestUnits {
 				return a, 0, 0, "units is not a number of units"
 			}
 		case "spread":
-			if a.Limiters, err = strconv.Atoi(string(value)); err != nil || a.Limiters < 1 || a.Limiters > l.set.Limiters {
+			if a.Limiters, err = strconv.Atoi(string(value)); err != nil || a.Limiters < 1 || a.Limiters > l.settings.Limiters {
 				return a, 0, 0, "spread is not a number of limiters"
 			}
 		case "first":
-			if first, err = number(value); err != nil || first >= float64(l.set.Limiters) || first != math.Trunc(first) {
+			if first, err = number(value); err != nil || first >= float64(l.settings.Limiters) || first != math.Trunc(first) {
 				return a, 0, 0, "first is not a limiter's number"
 			}
 		case "r":
@@ -382,11 +382,11 @@
 		}
 		from += len(field) + 1
 	}
-	t := l.set.Classes[a.Class]
+	t := l.settings.Classes[a.Class]
 	switch {
 	case t == nil:
 		return a, 0, 0, "unknown class"
-	case l.set.Plans[a.Plan] == nil:
+	case l.settings.Plans[a.Plan] == nil:
 		return a, 0, 0, "unknown plan"
 	case a.Timeout == 0:
 		return a, 0, 0, "d is missing"
@@ -416,7 +416,7 @@
 
 // answer fills one place and writes what is due, unless more is to come: answers go out in the order of the commands.
 func (cl *client) answer(a *answer, text []byte) {
-	if a.text = text; !cl.reading {
+	if a.text = text; !cl.processingInput {
 		cl.flush()
 	}
 }
@@ -425,34 +425,34 @@
 func (cl *client) flush() {
 	l := cl.l
 	due := 0
-	l.scratch = l.scratch[:0]
+	l.writeBuffer = l.writeBuffer[:0]
 	for due < len(cl.answers) && cl.answers[due].text != nil {
-		l.scratch = append(l.scratch, cl.answers[due].text...)
+		l.writeBuffer = append(l.writeBuffer, cl.answers[due].text...)
 		cl.answers[due] = nil
 		due++
 	}
-	if due == 0 || l.conns[cl.c.id] != cl.c {
+	if due == 0 || l.conns[cl.conn.id] != cl.conn {
 		return
 	}
 	if cl.answers = cl.answers[due:]; len(cl.answers) == 0 {
 		cl.answers = nil // what many at once have taken is let go
 	}
-	cl.touch()
-	l.write(cl.c, l.scratch)
-	cl.wrote = l.now
-	if l.effects.Written(cl.c.id) < cl.c.sent && l.backlog() > l.config.Memory/heldShare {
-		l.over(cl.c, SlowReader)
-	} else if cl.closing || l.stopping != 0 && l.now >= l.stopping { // one that came late is left after its first answers
-		cl.leave()
+	cl.markUsed()
+	l.write(cl.conn, l.writeBuffer)
+	cl.lastWrite = l.now
+	if l.effects.Written(cl.conn.id) < cl.conn.bytesSent && l.unreadBytes() > l.config.Memory/memoryShare {
+		l.closeConn(cl.conn, SlowReader)
+	} else if cl.closing || l.lingerUntil != 0 && l.now >= l.lingerUntil { // one that came late is left after its first answers
+		cl.closeWhenAnswered()
 	}
 }
 
-// backlog is how many bytes wait for clients that do not read.
-func (l *Limiter) backlog() int64 {
+// unreadBytes is how many bytes wait for clients that do not read.
+func (l *Limiter) unreadBytes() int64 {
 	waiting := int64(0)
 	for id, c := range l.conns {
-		if _, is := c.party.(*client); is {
-			waiting += c.sent - l.effects.Written(id)
+		if _, is := c.handler.(*client); is {
+			waiting += c.bytesSent - l.effects.Written(id)
 		}
 	}
 	return waiting
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -18,11 +18,11 @@
 		for _, end := range []int64{472e6, 480e6} {
 			for _, first := range []bool{true, false} {
 				l, w, id := sent(t, class)
-				l.Step(end-1, Event{Kind: Due})
+				l.Step(end-1, TimersDue{})
 				if first {
 					w.say(l, end, id, served)
 				}
-				l.Step(end, Event{Kind: Due})
+				l.Step(end, TimersDue{})
 				if l.conns[id] != nil { // else its bytes are nobody's any more
 					w.say(l, end, id, served)
 				}
@@ -32,7 +32,7 @@
 				case first && end == 472e6:
 					require.Equal(t, value, got)
 				case class == "write":
-					require.Equal(t, string(failed), got)
+					require.Equal(t, string(failedAnswer), got)
 				default:
 					require.Regexp(t, "^-BUSY [0-9]+\r\n$", got)
 				}
@@ -45,12 +45,12 @@
 // TestReadyInTime: clients come in time, though a ceiling's parts fill slowly and servers warm up for long.
 func TestReadyInTime(t *testing.T) {
 	l, w := made(t)
-	l.set.Plans["plain"].CeilingRate, l.set.Plans["plain"].CeilingBurst, l.set.SlowStartWindow = 0.01, 8, 60*second
+	l.settings.Plans["plain"].CeilingRate, l.settings.Plans["plain"].CeilingBurst, l.settings.SlowStartWindow = 0.01, 8, 60*second
 	w.say(l, 0, watching, httpAnswer(strings.Replace(known, "7", "8", 1)))
 	ping := func(at int64) string {
 		w.pass(l, at)
 		id := visitor + ConnID(at)
-		l.Step(at, Event{Kind: Accepted, Conn: id})
+		l.Step(at, ClientAccepted{Conn: id})
 		w.say(l, at, id, "*1\r\n$4\r\nPING\r\n")
 		return w.wrote[id]
 	}
--- a/internal/limiter/departed_test.go
+++ b/internal/limiter/departed_test.go
@@ -15,13 +15,13 @@
 		t.Run(class, func(t *testing.T) {
 			l, w, id := dialling(t, class)
 			w.gone = map[ConnID]bool{visitor: true}
-			l.Step(0, Event{Kind: Connected, Conn: id})
+			l.Step(0, Connected{Conn: id})
 			require.Empty(t, w.wrote[id])
 			require.Equal(t, []ConnID{visitor}, w.closed)
 			require.Empty(t, l.requests)
-			require.Zero(t, l.clients)
+			require.Zero(t, l.clientCount)
 			require.Len(t, l.pools["s"].idle, 1)
-			l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed}) // the word of it comes later
+			l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed}) // the word of it comes later
 			require.Equal(t, []ConnID{visitor}, w.closed)
 		})
 	}
@@ -31,10 +31,10 @@
 // answer, and nothing would end them.
 func TestDepartedAsItIsRead(t *testing.T) {
 	l, w := made(t)
-	l.set.CounterTimeout = 0 // each is sent as it is read
+	l.settings.CounterTimeout = 0 // each is sent as it is read
 	w.say(l, 0, visitor, command("k0", "read", "480"))
 	id := w.last
-	l.Step(0, Event{Kind: Connected, Conn: id})
+	l.Step(0, Connected{Conn: id})
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	w.pass(l, second/10) // its connection rests
 	wrote := w.wrote[id]
--- a/internal/limiter/hints_test.go
+++ b/internal/limiter/hints_test.go
@@ -46,8 +46,8 @@
 // A configuration that knows of no server yet ends no start, and the whole list is asked for.
 func TestKnowsNone(t *testing.T) {
 	l, _ := made(t)
-	l.watch.fetched = false
-	require.NoError(t, l.watch.known([]byte(`{"generation":0,"reset":true,"instances":null}`)))
-	require.False(t, l.watch.fetched)
-	require.ErrorContains(t, l.watch.known([]byte(`{"instances":[]}`)), "generation")
+	l.discovery.versionKnown = false
+	require.NoError(t, l.discovery.restore([]byte(`{"generation":0,"reset":true,"instances":null}`)))
+	require.False(t, l.discovery.versionKnown)
+	require.ErrorContains(t, l.discovery.restore([]byte(`{"instances":[]}`)), "generation")
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -57,9 +57,9 @@
 // pass lets the time pass as it does on sockets: nothing is due for longer than a wake takes.
 func (w *wire) pass(l *Limiter, to int64) {
 	for w.wake < to {
-		l.Step(max(l.now, w.wake), Event{Kind: Due})
+		l.Step(max(l.now, w.wake), TimersDue{})
 	}
-	l.Step(to, Event{Kind: Due})
+	l.Step(to, TimersDue{})
 }
 
 const (
@@ -89,16 +89,16 @@
 		t.Fatal(err)
 	}
 	if w.dialed[watching] == "disco" {
-		l.Step(0, Event{Kind: Connected, Conn: watching})
-		l.Step(0, Event{Kind: Connected, Conn: counting})
+		l.Step(0, Connected{Conn: watching})
+		l.Step(0, Connected{Conn: counting})
 	}
-	l.Step(0, Event{Kind: Accepted, Conn: visitor})
+	l.Step(0, ClientAccepted{Conn: visitor})
 	return l, w
 }
 
 func (w *wire) say(l *Limiter, now int64, id ConnID, text string) {
 	w.coming = text
-	l.Step(now, Event{Kind: Readable, Conn: id, Size: len(text)})
+	l.Step(now, DataReceived{Conn: id, Size: len(text)})
 }
 
 // command is a request with so many milliseconds left.
@@ -137,7 +137,7 @@
 func sentFor(t *testing.T, class, left string) (*Limiter, *wire, ConnID) {
 	t.Helper()
 	l, w, id := diallingFor(t, class, left)
-	l.Step(0, Event{Kind: Connected, Conn: id})
+	l.Step(0, Connected{Conn: id})
 	return l, w, id
 }
 
@@ -222,13 +222,13 @@
 		w.say(l, 0, visitor, command("j", "read", "480")+"*1\r\n$4\r\nECHO\r\n")
 		expect(t, w.wrote[visitor], "")
 		w.say(l, 0, counting, "ok 2\r\n")
-		l.Step(0, Event{Kind: Connected, Conn: w.last})
+		l.Step(0, Connected{Conn: w.last})
 		w.say(l, 0, w.last, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n-ERR unknown command\r\n")
 	})
 	t.Run("an id that is in use", func(t *testing.T) {
 		l, w, _ := sent(t, "read")
-		l.Step(0, Event{Kind: Accepted, Conn: visitor + 1})
+		l.Step(0, ClientAccepted{Conn: visitor + 1})
 		w.say(l, 0, visitor+1, command("j", "read", "480"))
 		expect(t, w.wrote[visitor+1], "-ERR id is in use\r\n")
 	})
@@ -243,7 +243,7 @@
 	})
 	t.Run("and the module is ready", func(t *testing.T) {
 		l, w := made(t)
-		l.set.Plans["plain"].CeilingRate, l.set.Plans["plain"].CeilingBurst = 8, 8
+		l.settings.Plans["plain"].CeilingRate, l.settings.Plans["plain"].CeilingBurst = 8, 8
 		w.say(l, 0, watching, httpAnswer(strings.Replace(known, "7", "8", 1)))
 		w.say(l, 0, visitor, "*1\r\n$4\r\nPING\r\n")
 		w.pass(l, second)
@@ -260,7 +260,7 @@
 
 func TestCommand(t *testing.T) {
 	l, w, id := dialling(t, "read")
-	l.Step(second/10, Event{Kind: Connected, Conn: id})
+	l.Step(second/10, Connected{Conn: id})
 	expect(t, w.wrote[id], command("j", "read", "380")) // all as the client sent it, but for the time that is left
 }
 
@@ -272,10 +272,10 @@
 	}{
 		{"before its last byte is written: it never ran", func(l *Limiter, w *wire, id ConnID) {
 			w.kernel[id] = int64(len(w.wrote[id])) - 1
-			l.Step(0, Event{Kind: Ended, Conn: id, End: PeerReset})
+			l.Step(0, ConnClosed{Conn: id, Reason: PeerReset})
 		}, "-BUSY 2"},
 		{"after it: it may have run", func(l *Limiter, w *wire, id ConnID) {
-			l.Step(0, Event{Kind: Ended, Conn: id, End: PeerClosed})
+			l.Step(0, ConnClosed{Conn: id, Reason: PeerClosed})
 		}, "-ERR written off"},
 		{"turned away: the module words the answer", func(l *Limiter, w *wire, id ConnID) {
 			w.say(l, 0, id, "-BUSY 7777\r\n")
@@ -300,8 +300,8 @@
 			if got := w.wrote[visitor]; !strings.HasPrefix(got, c.out) || strings.Count(got, "\r\n") != strings.Count(c.out+"\r\n", "\r\n")-strings.Count(c.out, "v\r\n") {
 				t.Fatalf("client got %q, want %q", got, c.out)
 			}
-			if len(l.requests) > 0 || l.held != 0 {
-				t.Fatalf("%d requests and %d bytes are held", len(l.requests), l.held)
+			if len(l.requests) > 0 || l.heldBytes != 0 {
+				t.Fatalf("%d requests and %d bytes are held", len(l.requests), l.heldBytes)
 			}
 		})
 	}
@@ -312,7 +312,7 @@
 		l, w, id := dialling(t, "write")
 		w.say(l, 0, id, "-BUSY\r\n")
 		expect(t, w.wrote[visitor], "")
-		l.Step(0, Event{Kind: Connected, Conn: id})
+		l.Step(0, Connected{Conn: id})
 		if got := w.wrote[visitor]; !strings.HasPrefix(got, "-BUSY ") || len(l.pools["s"].idle) != 1 {
 			t.Fatalf("client got %q, %d idle connections", got, len(l.pools["s"].idle))
 		}
@@ -320,7 +320,7 @@
 	t.Run("the module hears that a client has left", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, visitor, command("j", "read", "480"))
-		l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed})
+		l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed})
 		w.say(l, 0, counting, "ok 2\r\n")
 		if w.last != counting || !strings.Contains(w.wrote[counting], " -2") {
 			t.Fatalf("dialled %v, counted %q", w.dialed, w.wrote[counting])
@@ -330,9 +330,9 @@
 		for _, in := range []string{"*3\r\n*3\r\n", ":5\r\n", "*2\r\n", "*3\r\n$-7\r\n", "*3\r\n$3000000000\r\n", "*3\r\n$9\r\nv\r\n"} {
 			l, w, id := sent(t, "write")
 			w.say(l, 0, id, in)
-			w.pass(l, l.set.DialTimeout)
-			expect(t, w.wrote[visitor], string(failed))
-			if !slices.Contains(w.closed, id) || l.faulty.garbled != 1 {
+			w.pass(l, l.settings.DialTimeout)
+			expect(t, w.wrote[visitor], string(failedAnswer))
+			if !slices.Contains(w.closed, id) || l.rejectedInput.malformedAnswers != 1 {
 				t.Fatalf("closed %v after %q", w.closed, in)
 			}
 		}
@@ -341,13 +341,13 @@
 		l, w, id := sent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		p := l.pools["s"]
-		for ; l.now < rests*l.set.TimerResolution; l.now += l.set.TimerResolution {
-			if b := p.backend(); b.c != nil || len(p.idle) != 1 {
+		for ; l.now < restTicks*l.settings.TimerResolution; l.now += l.settings.TimerResolution {
+			if b := p.acquire(); b.conn != nil || len(p.idle) != 1 {
 				t.Fatal("a connection that has not rested is used again")
 			}
 		}
-		l.now = rests * l.set.TimerResolution
-		if b := p.backend(); b.c == nil || b.c.id != id {
+		l.now = restTicks * l.settings.TimerResolution
+		if b := p.acquire(); b.conn == nil || b.conn.id != id {
 			t.Fatal("one that has rested is not")
 		}
 	})
@@ -361,17 +361,17 @@
 	})
 	t.Run("commands past the memory for them are turned away", func(t *testing.T) {
 		l, w := made(t)
-		l.held = l.config.Memory/heldShare + 1
+		l.heldBytes = l.config.Memory/memoryShare + 1
 		w.say(l, 0, visitor, command("j", "read", "480"))
 		expect(t, w.wrote[visitor], "-BUSY\r\n")
 	})
 	t.Run("parts of commands past the memory for them too", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, visitor, strings.Repeat("*1\r\n$4\r\nECHO\r\n", 1000)) // used up at once, it takes nothing
-		if l.buffered > buffer.MinCapacity*3 {
-			t.Fatalf("%d bytes are held", l.buffered)
+		if l.bufferedBytes > buffer.MinCapacity*3 {
+			t.Fatalf("%d bytes are held", l.bufferedBytes)
 		}
-		l.buffered = l.config.Memory/heldShare + 1
+		l.bufferedBytes = l.config.Memory/memoryShare + 1
 		w.say(l, 0, visitor, "*1\r\n$4\r\nECHO\r\n*1\r\n$9000\r\n")
 		if strings.HasSuffix(w.wrote[visitor], "-ERR too long\r\n") {
 			t.Fatal("a small part was turned away")
@@ -383,7 +383,7 @@
 	})
 	t.Run("a client that does not read is closed", func(t *testing.T) {
 		l, w := made(t)
-		w.kernel[visitor], l.conns[visitor].sent = 0, l.config.Memory
+		w.kernel[visitor], l.conns[visitor].bytesSent = 0, l.config.Memory
 		w.say(l, 0, visitor, "*1\r\n$4\r\nECHO\r\n")
 		if !slices.Contains(w.closed, visitor) {
 			t.Fatalf("closed %v", w.closed)
@@ -398,13 +398,13 @@
 		end  func(l *Limiter)
 		now  int64
 	}{
-		{"the client has left", func(l *Limiter) { l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed}) }, 0},
+		{"the client has left", func(l *Limiter) { l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed}) }, 0},
 		{"its time is over", func(l *Limiter) {}, second / 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := dialling(t, "write")
 			c.end(l)
-			l.Step(c.now, Event{Kind: Connected, Conn: id})
+			l.Step(c.now, Connected{Conn: id})
 			expect(t, w.wrote[id], "")
 			if b := l.pools["s"]; len(b.idle) != 1 || len(l.requests) > 1 {
 				t.Fatalf("%d idle connections, %d requests", len(b.idle), len(l.requests))
@@ -417,14 +417,14 @@
 	t.Run("what is only partly in the kernel is not finished for a request that has ended", func(t *testing.T) {
 		l, w, id := sent(t, "write")
 		w.kernel[id] = 5
-		l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed})
+		l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed})
 		if !slices.Contains(w.closed, id) || len(l.requests) > 0 {
 			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
 		}
 	})
 	t.Run("what is whole may come to its end", func(t *testing.T) {
 		l, w, id := sent(t, "write")
-		l.Step(0, Event{Kind: Ended, Conn: visitor, End: PeerClosed})
+		l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed})
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		if slices.Contains(w.closed, id) || len(l.pools["s"].idle) != 1 || len(l.requests) > 0 {
 			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
@@ -435,9 +435,9 @@
 func TestDeadline(t *testing.T) {
 	l, w, id := sent(t, "write")
 	w.pass(l, second/2)
-	expect(t, w.wrote[visitor], string(failed))
-	if !slices.Contains(w.closed, id) || len(l.requests) > 0 || l.backends != 0 {
-		t.Fatalf("closed %v, %d requests, %d connections", w.closed, len(l.requests), l.backends)
+	expect(t, w.wrote[visitor], string(failedAnswer))
+	if !slices.Contains(w.closed, id) || len(l.requests) > 0 || l.serverConns != 0 {
+		t.Fatalf("closed %v, %d requests, %d connections", w.closed, len(l.requests), l.serverConns)
 	}
 }
 
@@ -446,19 +446,19 @@
 	l, w := made(t)
 	w.say(l, 0, visitor, command("j", "read", "480"))
 	w.pass(l, second/20)
-	first := l.counter.lines[0].calls[0]
-	if !first.told {
+	first := l.counter.conns[0].calls[0]
+	if !first.answered {
 		t.Fatal("a call without an answer was not given up")
 	}
 	l.AddToCounter(first.name, 3, second)
-	if used, err := l.counter.lines[0].read([]byte("ok 2\r\n")); used != 6 || err != nil || len(l.pendingResults) != 0 {
+	if used, err := l.counter.conns[0].onData([]byte("ok 2\r\n")); used != 6 || err != nil || len(l.pendingResults) != 0 {
 		t.Fatalf("used %d, error %v, the module is owed %+v", used, err, l.pendingResults)
 	}
-	if calls := l.counter.lines[0].calls; len(calls) != 1 || calls[0].told || calls[0].amount != 3 {
+	if calls := l.counter.conns[0].calls; len(calls) != 1 || calls[0].answered || calls[0].amount != 3 {
 		t.Fatalf("calls %+v", calls)
 	}
 	w.say(l, second/20, counting, "ok 5\r\n")
-	if calls := l.counter.lines[0].calls; len(calls) != 0 {
+	if calls := l.counter.conns[0].calls; len(calls) != 0 {
 		t.Fatalf("calls %+v", calls)
 	}
 }
@@ -466,11 +466,11 @@
 func TestCounterLine(t *testing.T) {
 	t.Run("a call that was not written in time never will be", func(t *testing.T) {
 		l, w := made(t)
-		l.Step(0, Event{Kind: Ended, Conn: counting, End: PeerClosed})
+		l.Step(0, ConnClosed{Conn: counting, Reason: PeerClosed})
 		l.AddToCounter(1, 2, second)
 		line := w.last
 		w.pass(l, second/20)
-		l.Step(second/20, Event{Kind: Connected, Conn: line})
+		l.Step(second/20, Connected{Conn: line})
 		expect(t, w.wrote[line], "")
 	})
 	t.Run("calls on one name keep to one line, others spread", func(t *testing.T) {
@@ -478,7 +478,7 @@
 		for _, name := range []uint64{1, 1, 2} {
 			l.AddToCounter(name, 2, second)
 		}
-		if lines := l.counter.lines; len(lines) != 2 || len(lines[0].calls) != 2 {
+		if lines := l.counter.conns; len(lines) != 2 || len(lines[0].calls) != 2 {
 			t.Fatalf("%d lines, %d calls on the first", len(lines), len(lines[0].calls))
 		}
 	})
@@ -499,14 +499,14 @@
 		for _, c := range []struct {
 			at   int64
 			down bool
-		}{{0, false}, {silentFor * l.set.CounterTimeout, false}, {silentFor*l.set.CounterTimeout + 1, true}} {
+		}{{0, false}, {silentTimeouts * l.settings.CounterTimeout, false}, {silentTimeouts*l.settings.CounterTimeout + 1, true}} {
 			l.now = c.at
-			if l.counter.tell(&call{}, choice.TimedOut, 0); l.counter.down != c.down {
-				t.Fatalf("down %v after %d", l.counter.down, c.at)
+			if l.counter.reply(&counterCall{}, choice.TimedOut, 0); l.counter.loggedDown != c.down {
+				t.Fatalf("down %v after %d", l.counter.loggedDown, c.at)
 			}
 		}
 		l.AddToCounter(1, 2, second)
-		if w.say(l, l.now, counting, "ok 2\r\n"); l.counter.down {
+		if w.say(l, l.now, counting, "ok 2\r\n"); l.counter.loggedDown {
 			t.Fatal("it has answered")
 		}
 	})
@@ -514,7 +514,7 @@
 		l, w := made(t)
 		l.AddToCounter(1, 2, second)
 		w.say(l, 0, counting, "okay\r\n")
-		if !slices.Contains(w.closed, counting) || len(l.counter.lines) != 0 {
+		if !slices.Contains(w.closed, counting) || len(l.counter.conns) != 0 {
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
@@ -535,7 +535,7 @@
 	t.Run("with its connection too", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
-		l.Step(0, Event{Kind: Ended, Conn: watching, End: PeerClosed})
+		l.Step(0, ConnClosed{Conn: watching, Reason: PeerClosed})
 		if w.dialed[w.last] != "disco" || w.last == watching {
 			t.Fatalf("dialled %v", w.dialed)
 		}
@@ -544,7 +544,7 @@
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
 		w.pass(l, 3*second/2)
-		l.Step(3*second/2, Event{Kind: Connected, Conn: w.last})
+		l.Step(3*second/2, Connected{Conn: w.last})
 		if !slices.Contains(w.closed, watching) || !strings.Contains(w.wrote[w.last], "from=7&") {
 			t.Fatalf("closed %v, wrote %q", w.closed, w.wrote[w.last])
 		}
@@ -552,19 +552,19 @@
 	t.Run("what comes ahead of an answer is passed over", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, watching, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+httpAnswer(strings.Replace(known, "7", "8", 1)))
-		if l.watch.version != 8 || slices.Contains(w.closed, watching) {
-			t.Fatalf("version %d, closed %v", l.watch.version, w.closed)
+		if l.discovery.version != 8 || slices.Contains(w.closed, watching) {
+			t.Fatalf("version %d, closed %v", l.discovery.version, w.closed)
 		}
 	})
 	t.Run("a bad list is refused and asked for again", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
 		w.say(l, 0, watching, httpAnswer(`{"generation":8,"reset":true,"instances":[{"instanceId":"s","lifecycle":"odd"}]}`))
-		if l.watch.version != 7 || len(l.pools) != 1 || !slices.Contains(w.closed, watching) {
-			t.Fatalf("version %d, closed %v", l.watch.version, w.closed)
+		if l.discovery.version != 7 || len(l.pools) != 1 || !slices.Contains(w.closed, watching) {
+			t.Fatalf("version %d, closed %v", l.discovery.version, w.closed)
 		}
 		w.pass(l, second/10)
-		l.Step(second/10, Event{Kind: Connected, Conn: w.last})
+		l.Step(second/10, Connected{Conn: w.last})
 		if !strings.HasPrefix(w.wrote[w.last], "GET /discovery/hosts HTTP") {
 			t.Fatalf("wrote %q", w.wrote[w.last])
 		}
@@ -575,7 +575,7 @@
 	l, w, id := sent(t, "read")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	l.Reject("nobody's", 0, choice.RejectedForCapacity)
-	want := outcomeCounts{taken: 1, succeeded: 1}
+	want := outcomeCounts{accepted: 1, succeeded: 1}
 	want.rejected[choice.RejectedForCapacity] = 1
 	if l.outcomes != want {
 		t.Fatalf("%+v", l.outcomes)
@@ -599,10 +599,10 @@
 		w.say(l, 0, watching, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		config := *l.config
 		config.Discovery = "disco 2"
-		if l.Step(second/10, Event{Kind: Renewed, Config: &config}); w.dialed[w.last] != "disco 2" {
+		if l.Step(second/10, ConfigReloaded{Config: &config}); w.dialed[w.last] != "disco 2" {
 			t.Fatalf("dialled %v", w.dialed)
 		}
-		l.Step(second/10, Event{Kind: Connected, Conn: w.last})
+		l.Step(second/10, Connected{Conn: w.last})
 		w.say(l, second/10, w.last, httpAnswer(known))
 		dialled := len(w.dialed)
 		if w.pass(l, 6*second); len(w.dialed) > dialled {
@@ -612,7 +612,7 @@
 	for len(w.dialed) == dialled && l.now < 6*second {
 		w.pass(l, w.wake)
 	}
-	l.Step(l.now, Event{Kind: Connected, Conn: w.last})
+	l.Step(l.now, Connected{Conn: w.last})
 	if !strings.Contains(w.wrote[w.last], "from=7&") {
 		t.Fatalf("what is newer is not asked for: %q", w.wrote[w.last])
 	}
@@ -657,7 +657,7 @@
 	l, w := first(1)
 	config := *l.config
 	config.Discovery = "disco 2"
-	l.Step(0, Event{Kind: Renewed, Config: &config})
+	l.Step(0, ConfigReloaded{Config: &config})
 	if w.dialed[w.last] != "disco 2" {
 		t.Fatal("not asked at once where it moved to")
 	}
@@ -668,14 +668,14 @@
 	moved := func(l *Limiter) Event {
 		config := *l.config
 		config.Discovery, config.Counter = "disco 2", "counter 2"
-		return Event{Kind: Renewed, Config: &config}
+		return ConfigReloaded{Config: &config}
 	}
 	t.Run("the whole list is asked for at discovery's new address", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
 		l.Step(0, moved(l))
-		watch := l.watch.c.id
-		l.Step(0, Event{Kind: Connected, Conn: watch})
+		watch := l.discovery.conn.id
+		l.Step(0, Connected{Conn: watch})
 		if w.dialed[watch] != "disco 2" || !slices.Contains(w.closed, watching) || len(l.pools) != 1 {
 			t.Fatalf("dialled %v, closed %v", w.dialed, w.closed)
 		}
@@ -687,7 +687,7 @@
 		before := w.wrote[counting]
 		l.Step(0, moved(l))
 		line := w.last
-		l.Step(0, Event{Kind: Connected, Conn: line})
+		l.Step(0, Connected{Conn: line})
 		l.AddToCounter(1, 2, second)
 		w.say(l, 0, counting, "ok 2\r\n")
 		if w.dialed[w.last] != "127.0.0.1:9" || w.wrote[counting] != before || !slices.Contains(w.closed, counting) {
@@ -699,20 +699,20 @@
 	})
 	t.Run("a call that was not written moves, once, and on to where the next one says", func(t *testing.T) {
 		l, w := made(t)
-		l.Step(0, Event{Kind: Ended, Conn: counting, End: PeerClosed})
+		l.Step(0, ConnClosed{Conn: counting, Reason: PeerClosed})
 		l.AddToCounter(1, 2, second)
 		line := w.last
 		for range 2 {
 			l.Step(0, moved(l))
 			l.config.Counter = "counter" // so that the next one moves it again
 		}
-		if !slices.Contains(w.closed, line) || len(l.pendingResults) > 0 || len(l.counter.lines) != 1 {
-			t.Fatalf("closed %v, the module is owed %+v, %d lines", w.closed, l.pendingResults, len(l.counter.lines))
+		if !slices.Contains(w.closed, line) || len(l.pendingResults) > 0 || len(l.counter.conns) != 1 {
+			t.Fatalf("closed %v, the module is owed %+v, %d lines", w.closed, l.pendingResults, len(l.counter.conns))
 		}
-		l.Step(0, Event{Kind: Connected, Conn: l.counter.lines[0].c.id})
-		expect(t, w.wrote[l.counter.lines[0].c.id], "tally 1 2 1000\r\n")
+		l.Step(0, Connected{Conn: l.counter.conns[0].conn.id})
+		expect(t, w.wrote[l.counter.conns[0].conn.id], "tally 1 2 1000\r\n")
 		w.pass(l, second/20)
-		if !l.counter.lines[0].calls[0].told {
+		if !l.counter.conns[0].calls[0].answered {
 			t.Fatal("its time is over, and the module has not heard so")
 		}
 	})
@@ -729,8 +729,8 @@
 		}
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n")
-		if len(l.pools) != 0 || !slices.Contains(w.closed, id) || l.backends != 0 {
-			t.Fatalf("%d servers, closed %v, %d connections", len(l.pools), w.closed, l.backends)
+		if len(l.pools) != 0 || !slices.Contains(w.closed, id) || l.serverConns != 0 {
+			t.Fatalf("%d servers, closed %v, %d connections", len(l.pools), w.closed, l.serverConns)
 		}
 	})
 	t.Run("at another address the same server gets connections of its own", func(t *testing.T) {
@@ -772,15 +772,15 @@
 		at            int64 // when it is visited
 		closed        bool
 	}{
-		{"nothing, for a while", "", "", mayClose / 2, false},
-		{"nothing", "", "", mayClose, true},
-		{"half a command", "*1\r\n$4\r\nPI", "-ERR too slow\r\n", mayClose, true},
-		{"no request", "*1\r\n$4\r\nECHO\r\n", "-ERR unknown command\r\n", mayClose, true},
-		{"a request, and its answer is not there yet", command("j", "read", "9000"), "", 3 * mayClose, false},
-		{"a request, and nonsense", command("j", "read", "9000") + "?", "-ERR written off\r\n-ERR malformed\r\n", mayClose, true},
-		{"a request that was answered", "done", "$1\r\nv\r\n", mayClose, false},
+		{"nothing, for a while", "", "", minClientIdle / 2, false},
+		{"nothing", "", "", minClientIdle, true},
+		{"half a command", "*1\r\n$4\r\nPI", "-ERR too slow\r\n", minClientIdle, true},
+		{"no request", "*1\r\n$4\r\nECHO\r\n", "-ERR unknown command\r\n", minClientIdle, true},
+		{"a request, and its answer is not there yet", command("j", "read", "9000"), "", 3 * minClientIdle, false},
+		{"a request, and nonsense", command("j", "read", "9000") + "?", "-ERR written off\r\n-ERR malformed\r\n", minClientIdle, true},
+		{"a request that was answered", "done", "$1\r\nv\r\n", minClientIdle, false},
 		{"the same, long ago", "done", "$1\r\nv\r\n", 15 * second, true},
-		{"half a command behind it", "done half", "$1\r\nv\r\n-ERR too slow\r\n", mayClose, true},
+		{"half a command behind it", "done half", "$1\r\nv\r\n-ERR too slow\r\n", minClientIdle, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := made(t)
@@ -795,11 +795,11 @@
 				w.say(l, 0, visitor, c.in)
 			}
 			l.now = c.at
-			l.visit()
+			l.reapClients()
 			w.pass(l, c.at)
 			expect(t, w.wrote[visitor], c.out)
-			if slices.Contains(w.closed, visitor) != c.closed || c.closed && l.clients != 0 {
-				t.Fatalf("closed %v, %d clients", w.closed, l.clients)
+			if slices.Contains(w.closed, visitor) != c.closed || c.closed && l.clientCount != 0 {
+				t.Fatalf("closed %v, %d clients", w.closed, l.clientCount)
 			}
 		})
 	}
@@ -810,10 +810,10 @@
 func TestMakeRoom(t *testing.T) {
 	l, w, id := sent(t, "read")
 	w.say(l, 1, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	most := l.config.Sockets / clientRoom
+	most := l.config.Sockets / clientLimitShare
 	newcomer := visitor + 1
 	for i := range ConnID(most - 1) {
-		l.Step(2, Event{Kind: Accepted, Conn: newcomer + i})
+		l.Step(2, ClientAccepted{Conn: newcomer + i})
 	}
 	for _, c := range []struct {
 		name string
@@ -821,19 +821,19 @@
 		want []ConnID
 	}{
 		{"nobody who has just come", 3, nil},
-		{"the new client that came first", 2 + l.set.DialTimeout/settled, []ConnID{newcomer}},
+		{"the new client that came first", 2 + l.settings.DialTimeout/newClientGraceShare, []ConnID{newcomer}},
 		{"and, once they are all in use, the one that was idle longest", second, []ConnID{newcomer, visitor}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if l.now = c.now; l.now == second {
 				for i := range ConnID(most) {
 					if conn := l.conns[newcomer+i]; conn != nil {
-						conn.party.(*client).answers = []*answer{{}}
+						conn.handler.(*client).answers = []*answer{{}}
 					}
 				}
 				l.accept(newcomer + ConnID(most))
 			}
-			if l.makeRoom(); !slices.Equal(w.closed, c.want) {
+			if l.makeRoomForClients(); !slices.Equal(w.closed, c.want) {
 				t.Fatalf("closed %v, want %v", w.closed, c.want)
 			}
 		})
@@ -842,16 +842,16 @@
 
 func TestFreeBackend(t *testing.T) {
 	l, w, id := sent(t, "read")
-	l.backends = l.config.Sockets / serverShare
+	l.serverConns = l.config.Sockets / serverDescriptorShare
 	t.Run("an attempt without a descriptor was never sent", func(t *testing.T) {
-		if l.freeBackend() || l.pools["s"].backend() != nil {
+		if l.closeOldestIdle() || l.pools["s"].acquire() != nil {
 			t.Fatal("a connection in use was given away")
 		}
 	})
 	t.Run("an idle connection makes room", func(t *testing.T) {
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if !l.freeBackend() || l.backends != l.config.Sockets/serverShare-1 || !slices.Contains(w.closed, id) {
-			t.Fatalf("closed %v, %d connections", w.closed, l.backends)
+		if !l.closeOldestIdle() || l.serverConns != l.config.Sockets/serverDescriptorShare-1 || !slices.Contains(w.closed, id) {
+			t.Fatalf("closed %v, %d connections", w.closed, l.serverConns)
 		}
 	})
 }
@@ -859,21 +859,21 @@
 func TestProbe(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(l *Limiter, b *backend)
+		end  func(l *Limiter, b *serverConn)
 		want choice.Outcome
 	}{
-		{"answered", func(l *Limiter, b *backend) { _, _ = b.read([]byte("+OK\r\n")) }, choice.Succeeded},
-		{"not in time", func(l *Limiter, b *backend) { b.probe.run() }, choice.TimedOut},
-		{"broken", func(l *Limiter, b *backend) { l.over(b.c, PeerReset) }, choice.ConnectionLost},
+		{"answered", func(l *Limiter, b *serverConn) { _, _ = b.onData([]byte("+OK\r\n")) }, choice.Succeeded},
+		{"not in time", func(l *Limiter, b *serverConn) { b.healthCheckTimer.run() }, choice.TimedOut},
+		{"broken", func(l *Limiter, b *serverConn) { l.closeConn(b.conn, PeerReset) }, choice.ConnectionLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := made(t)
 			l.HealthCheck("s")
-			l.Step(0, Event{Kind: Connected, Conn: w.last})
+			l.Step(0, Connected{Conn: w.last})
 			expect(t, w.wrote[w.last], "*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n")
-			b := l.conns[w.last].party.(*backend)
+			b := l.conns[w.last].handler.(*serverConn)
 			c.end(l, b)
-			if b.probe != nil || len(l.pendingResults) != 1 || l.pendingResults[0].probed != "s" || l.pendingResults[0].outcome != c.want {
+			if b.healthCheckTimer != nil || len(l.pendingResults) != 1 || l.pendingResults[0].healthChecked != "s" || l.pendingResults[0].outcome != c.want {
 				t.Fatalf("the module is owed %+v", l.pendingResults)
 			}
 		})
@@ -901,7 +901,7 @@
 	} {
 		t.Run(strconv.Quote(c.in), func(t *testing.T) {
 			v, _, err := resp.ReadAnswer([]byte(c.in))
-			if r, _ := judge(v, 8); err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.held || r.Load.Throughput != c.pace ||
+			if r, _ := decodeAnswer(v, 8); err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.held || r.Load.Throughput != c.pace ||
 				strings.Contains(c.in, "backlog") && (r.Load.Queued != 3 || r.Load.ServiceTime != 135500000) {
 				t.Fatalf("%+v, error %v", r, err)
 			}
@@ -913,10 +913,10 @@
 	l, w, id := sent(t, "write")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	w.dead = map[ConnID]bool{id: true}
-	l.now = rests * l.set.TimerResolution
+	l.now = restTicks * l.settings.TimerResolution
 	p := l.pools["s"]
-	if !p.use(func(b *backend) {}) || w.last == id || l.backends != 1 || !slices.Contains(w.closed, id) {
-		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.backends)
+	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.serverConns != 1 || !slices.Contains(w.closed, id) {
+		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.serverConns)
 	}
 }
 
@@ -929,9 +929,9 @@
 		t.Run(c.end.String(), func(t *testing.T) {
 			l, w, id := sent(t, "read")
 			p := l.pools["s"]
-			p.idle = append(p.idle, &backend{pool: p, c: l.dial(nil, "", second)})
-			p.idle[0].c.party = p.idle[0]
-			l.over(l.conns[id], c.end)
+			p.idle = append(p.idle, &serverConn{pool: p, conn: l.dial(nil, "", second)})
+			p.idle[0].conn.handler = p.idle[0]
+			l.closeConn(l.conns[id], c.end)
 			if len(p.idle) != c.idle {
 				t.Fatalf("%d idle connections, closed %v", len(p.idle), w.closed)
 			}
@@ -958,13 +958,13 @@
 				w.say(l, c.idle, visitor, command("k", "write", "480"))
 				w.say(l, c.idle, counting, "ok 4\r\n")
 			}
-			before := l.keep
-			l.Step(c.idle+c.after, Event{Kind: Ended, Conn: id, End: PeerReset})
-			if l.keep > before || (l.keep < before) != c.shorter {
-				t.Fatalf("kept for %d before and %d now", before, l.keep)
+			before := l.keepIdle
+			l.Step(c.idle+c.after, ConnClosed{Conn: id, Reason: PeerReset})
+			if l.keepIdle > before || (l.keepIdle < before) != c.shorter {
+				t.Fatalf("kept for %d before and %d now", before, l.keepIdle)
 			}
-			short := l.keep
-			if l.sweep(); c.shorter && l.keep <= short {
+			short := l.keepIdle
+			if l.maintain(); c.shorter && l.keepIdle <= short {
 				t.Fatal("it does not come back")
 			}
 		})
@@ -972,8 +972,8 @@
 	t.Run("one that was idle for longer is not used again", func(t *testing.T) {
 		l, w, id := sent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		l.keep, l.now = second, second+1
-		if b := l.pools["s"].backend(); b.c != nil {
+		l.keepIdle, l.now = second, second+1
+		if b := l.pools["s"].acquire(); b.conn != nil {
 			t.Fatal("it was")
 		}
 	})
@@ -982,8 +982,8 @@
 func TestSweep(t *testing.T) {
 	l, w, id := sent(t, "read")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	l.now = l.set.IdleClose/idleShare + 1
-	l.closeIdle()
+	l.now = l.settings.IdleClose/idleCloseShare + 1
+	l.closeExpiredIdle()
 	if !slices.Contains(w.closed, id) {
 		t.Fatalf("an idle connection was kept: closed %v", w.closed)
 	}
@@ -991,18 +991,18 @@
 
 func TestStop(t *testing.T) {
 	l, w, id := sentFor(t, "read", "3000")
-	l.Step(0, Event{Kind: Stopping})
-	w.pass(l, lingers/2)
-	l.Step(lingers/2, Event{Kind: Accepted, Conn: visitor + 1})
-	w.say(l, lingers/2, visitor+1, "*1\r\n$4\r\nECHO\r\n")
+	l.Step(0, ShutdownRequested{})
+	w.pass(l, shutdownLinger/2)
+	l.Step(shutdownLinger/2, ClientAccepted{Conn: visitor + 1})
+	w.say(l, shutdownLinger/2, visitor+1, "*1\r\n$4\r\nECHO\r\n")
 	expect(t, w.wrote[visitor+1], "-ERR unknown command\r\n") // it is served still
 	w.kernel[visitor] = 0
-	w.pass(l, lingers)
+	w.pass(l, shutdownLinger)
 	if slices.Contains(w.closed, visitor) || !slices.Contains(w.closed, visitor+1) || l.Finished() {
 		t.Fatal("what was taken has no answer yet")
 	}
 	delete(w.kernel, visitor)
-	w.say(l, lingers, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	w.say(l, shutdownLinger, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	require.True(t, slices.Contains(w.closed, visitor) && !l.Finished(),
 		"closed %v, finished %v while one may come", w.closed, l.Finished())
 	w.full = true
@@ -1019,30 +1019,30 @@
 	answer := "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 	stopped := func() (*Limiter, *wire, ConnID) {
 		l, w, id := sentFor(t, "read", "3000")
-		l.Step(0, Event{Kind: Stopping})
-		w.pass(l, lingers-1)
+		l.Step(0, ShutdownRequested{})
+		w.pass(l, shutdownLinger-1)
 		return l, w, id
 	}
 	t.Run("a client that is never without an open request comes to its end", func(t *testing.T) {
 		l, w, id := stopped()
-		w.pass(l, lingers)
+		w.pass(l, shutdownLinger)
 		counted := w.wrote[counting]
-		w.say(l, lingers, visitor, command("k", "read", "480"))
+		w.say(l, shutdownLinger, visitor, command("k", "read", "480"))
 		require.True(t, w.wrote[visitor] == "" && len(l.requests) == 1 && w.wrote[counting] == counted,
 			"wrote %q, %d requests", w.wrote[visitor], len(l.requests))
-		w.say(l, lingers, id, answer)
+		w.say(l, shutdownLinger, id, answer)
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n"+busy)
 		require.True(t, slices.Contains(w.closed, visitor), "closed %v", w.closed)
 	})
 	t.Run("one that comes late is served and left", func(t *testing.T) {
 		l, w, id := stopped()
-		w.say(l, lingers-1, id, answer)
-		w.pass(l, lingers+1)
-		l.Step(lingers+1, Event{Kind: Accepted, Conn: visitor + 1})
-		w.say(l, lingers+1, visitor+1, command("k", "read", "480"))
-		w.say(l, lingers+1, counting, "ok 4\r\n")
-		l.Step(lingers+1, Event{Kind: Connected, Conn: w.last})
-		w.say(l, lingers+1, w.last, answer)
+		w.say(l, shutdownLinger-1, id, answer)
+		w.pass(l, shutdownLinger+1)
+		l.Step(shutdownLinger+1, ClientAccepted{Conn: visitor + 1})
+		w.say(l, shutdownLinger+1, visitor+1, command("k", "read", "480"))
+		w.say(l, shutdownLinger+1, counting, "ok 4\r\n")
+		l.Step(shutdownLinger+1, Connected{Conn: w.last})
+		w.say(l, shutdownLinger+1, w.last, answer)
 		expect(t, w.wrote[visitor+1], "$1\r\nv\r\n")
 		require.True(t, slices.Contains(w.closed, visitor+1), "closed %v", w.closed)
 	})
@@ -1051,15 +1051,15 @@
 		at         int64
 		taken      bool
 	}{
-		{"in time, however long it may take", "9000", lateFrom, true},
+		{"in time, however long it may take", "9000", lateRequestFrom, true},
 		{"late, and it ends before the process", "1500", second, true},
 		{"late, and it may not", "3000", second, false},
 	} {
 		t.Run("a request that comes "+c.name, func(t *testing.T) {
 			l, w, id := stopped()
-			w.say(l, lingers-1, id, answer)
-			w.pass(l, lingers+1)
-			l.Step(lingers+1, Event{Kind: Accepted, Conn: visitor + 1})
+			w.say(l, shutdownLinger-1, id, answer)
+			w.pass(l, shutdownLinger+1)
+			l.Step(shutdownLinger+1, ClientAccepted{Conn: visitor + 1})
 			w.pass(l, c.at)
 			w.say(l, c.at, visitor+1, command("k", "read", c.left))
 			require.True(t, len(l.requests) == 1 == c.taken && (w.wrote[visitor+1] == busy) != c.taken,
@@ -1069,17 +1069,17 @@
 	t.Run("a command that has come in the moment of closing is answered first", func(t *testing.T) {
 		l, w, id := stopped()
 		w.unread = map[ConnID]bool{visitor: true}
-		w.say(l, lingers-1, id, answer)
-		w.pass(l, lingers+second/10)
+		w.say(l, shutdownLinger-1, id, answer)
+		w.pass(l, shutdownLinger+second/10)
 		require.False(t, slices.Contains(w.closed, visitor), "it would be lost")
 		delete(w.unread, visitor)
-		w.say(l, lingers+second/10, visitor, command("k", "read", "480")) // what is read is taken, and has its answer
+		w.say(l, shutdownLinger+second/10, visitor, command("k", "read", "480")) // what is read is taken, and has its answer
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n"+busy)
 		require.True(t, slices.Contains(w.closed, visitor), "it has the answer")
 	})
 	t.Run("what is added back is waited for", func(t *testing.T) {
 		l, w, id := stopped()
-		w.say(l, lingers-1, id, answer)
+		w.say(l, shutdownLinger-1, id, answer)
 		w.pass(l, second-1)
 		l.AddToCounter(1, -2, second)
 		l.now = second
@@ -1111,8 +1111,8 @@
 		return l, w
 	}
 	hear := func(l *Limiter, w *wire, text string) {
-		id := l.watch.c.id
-		l.Step(woken+1, Event{Kind: Connected, Conn: id})
+		id := l.discovery.conn.id
+		l.Step(woken+1, Connected{Conn: id})
 		require.True(t, strings.Contains(w.wrote[id], "from=7&hold_ms=1 "), "wrote %q", w.wrote[id])
 		w.say(l, woken+1, id, text)
 	}
@@ -1135,7 +1135,7 @@
 	})
 	t.Run("a list service that is down stops nothing", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		w.pass(l, woken+l.set.DialTimeout)
+		w.pass(l, woken+l.settings.DialTimeout)
 		require.True(t, servers(w) == 1, "%d dials", servers(w))
 	})
 	t.Run("one that is asked is asked anew after 2 s only", func(t *testing.T) {
@@ -1145,30 +1145,30 @@
 		}{{second, false}, {2 * second, true}} {
 			l, w := madeTo(t, 10*second, 0)
 			w.say(l, 0, watching, nothing)
-			l.Step(c.slept, Event{Kind: Due})
-			require.True(t, slices.Contains(w.closed, watching) == c.anew && l.wake.doubts == true,
+			l.Step(c.slept, TimersDue{})
+			require.True(t, slices.Contains(w.closed, watching) == c.anew && l.suspension.listInDoubt == true,
 				"closed %v after %d", w.closed, c.slept)
-			w.pass(l, c.slept+l.set.DialTimeout)
-			require.False(t, l.wake.doubts, "it never trusts the list again")
+			w.pass(l, c.slept+l.settings.DialTimeout)
+			require.False(t, l.suspension.listInDoubt, "it never trusts the list again")
 		}
 	})
 	t.Run("what came meanwhile is read before timers run", func(t *testing.T) {
 		l, w, id := sent(t, "write")
-		l.Step(woken, Event{Kind: Due})
+		l.Step(woken, TimersDue{})
 		w.say(l, woken, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n")
 	})
 	t.Run("an attempt decided on before is not sent", func(t *testing.T) {
 		l, w, id := diallingFor(t, "read", "20000")
-		l.Step(woken, Event{Kind: Connected, Conn: id})
+		l.Step(woken, Connected{Conn: id})
 		expect(t, w.wrote[id], "")
 	})
 	t.Run("a repeat past the window in which servers know it is not sent", func(t *testing.T) {
 		l, w, id := dialling(t, "read")
 		q := l.requests["j"]
-		q.repeats, q.attempts = second/5, []*attempt{{request: q, at: 0, last: 1}, q.attempts[0]}
+		q.deduplicationWindow, q.attempts = second/5, []*attempt{{request: q, decidedAt: 0, lastByte: 1}, q.attempts[0]}
 		q.attempts[1].number = 1
-		l.Step(second/5, Event{Kind: Connected, Conn: id})
+		l.Step(second/5, Connected{Conn: id})
 		expect(t, w.wrote[id], "")
 	})
 	t.Run("a cancelled attempt that waits for the list has ended", func(t *testing.T) {
--- a/internal/limiter/notification_test.go
+++ b/internal/limiter/notification_test.go
@@ -65,7 +65,7 @@
 	}
 	broken := false
 	for now := int64(0); now < never; now = max(now, min(o.w.wake, o.next(now))) {
-		o.l.Step(now, Event{Kind: Due})
+		o.l.Step(now, TimersDue{})
 		if now >= o.moved {
 			o.move(now)
 		}
@@ -79,7 +79,7 @@
 		}
 		o.accept(now)
 		o.look(now)
-		if o.l.pools["s"] == nil || o.l.pools["s"].leaving {
+		if o.l.pools["s"] == nil || o.l.pools["s"].draining {
 			return now
 		}
 	}
@@ -122,11 +122,11 @@
 		switch id := o.last; {
 		case !strings.HasPrefix(o.w.dialed[id], "disco"):
 		case o.down(now) && o.fault == refusing:
-			o.l.Step(now, Event{Kind: Ended, Conn: id, End: ConnRefused})
+			o.l.Step(now, ConnClosed{Conn: id, Reason: ConnRefused})
 		case o.down(now) && o.fault == unanswering:
 		default:
 			o.open[id] = &held{}
-			o.l.Step(now, Event{Kind: Connected, Conn: id})
+			o.l.Step(now, Connected{Conn: id})
 		}
 	}
 }
@@ -137,7 +137,7 @@
 		if o.open[id].due = 0; o.fault == refusing || o.fault == unanswering || o.fault == hanging {
 			delete(o.open, id)
 			o.ended = true
-			o.l.Step(now, Event{Kind: Ended, Conn: id, End: PeerReset})
+			o.l.Step(now, ConnClosed{Conn: id, Reason: PeerReset})
 		} else {
 			o.fail(now, id)
 		}
@@ -152,7 +152,7 @@
 	case cutting:
 		o.w.say(o.l, now, id, whole[:len(whole)-20])
 		delete(o.open, id)
-		o.l.Step(now, Event{Kind: Ended, Conn: id, End: PeerReset})
+		o.l.Step(now, ConnClosed{Conn: id, Reason: PeerReset})
 	case stopping:
 		o.w.say(o.l, now, id, whole[:strings.Index(whole, "\r\n\r\n")+4])
 	}
@@ -186,8 +186,8 @@
 
 // look notes each retry as it comes to be due, and has discovery come back near one, or move before it.
 func (o *outage) look(now int64) {
-	again := o.l.watch.again
-	if again == nil || again == o.again || again.place < 0 {
+	again := o.l.discovery.retryTimer
+	if again == nil || again == o.again || again.index < 0 {
 		return
 	}
 	if o.again = again; now < downFrom {
@@ -206,7 +206,7 @@
 func (o *outage) move(now int64) {
 	config := *o.l.config
 	config.Discovery = "disco 2"
-	o.l.Step(now, Event{Kind: Renewed, Config: &config})
+	o.l.Step(now, ConfigReloaded{Config: &config})
 	if o.movers {
 		o.back = now
 	}
@@ -281,7 +281,7 @@
 func outageOf(t *testing.T, every int64, position int) *outage {
 	t.Helper()
 	l, w := madeTo(t, every, 0)
-	l.watch.pace = pollpacer.New(0, l.set.DialTimeout, position, every)
+	l.discovery.pacer = pollpacer.New(0, l.settings.DialTimeout, position, every)
 	return &outage{l: l, w: w, open: map[ConnID]*held{watching: {}}, last: counting}
 }
 
@@ -289,7 +289,7 @@
 func budgeted(t *testing.T, limiters, position int, round int64) *outage {
 	t.Helper()
 	made, w := madeTo(t, 10*second, position)
-	made.set.Limiters = limiters
+	made.settings.Limiters = limiters
 	*w = wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := NewWithOptions(0, made.config, OperatorOptions{DiscoveryCallRate: float64(limiters) * 1e9 / float64(round)}, w)
 	require.NoError(t, err)
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -28,61 +28,61 @@
 	answer   *answer // its place among the client's answers
 	deadline int64
 	// How long a server knows the request again after an attempt, where it does; 0 else.
-	repeats  int64
-	group    choice.DeduplicationScope // and which servers do
-	attempts []*attempt
-	open     int // attempts that are out
-	size     int64
+	deduplicationWindow int64
+	deduplicationScope  choice.DeduplicationScope // and which servers do
+	attempts            []*attempt
+	openAttempts        int // attempts that are out
+	bytes               int64
 	// The command as the client sent it: its words, and the third of them around the time that it gives.
-	words        [][]byte
-	before, past []byte
+	words                       [][]byte
+	beforeTimeout, afterTimeout []byte
 }
 
 type attempt struct {
-	request *request
-	number  int
-	at      int64
-	open    bool
-	backend *backend
-	limit   *timer
-	last    int64 // the place of its last byte among all that was written on its connection, 0 before
-	place   place // where its server was then
-	never   bool  // it has ended, and has not run
+	request       *request
+	number        int
+	decidedAt     int64
+	open          bool
+	conn          *serverConn
+	deadlineTimer *timer
+	lastByte      int64    // the place of its last byte among all that was written on its connection, 0 before
+	location      location // where its server was then
+	neverRan      bool     // it has ended, and has not run
 }
 
-// place is what a list says of where a server stands.
-type place struct {
+// location is what a list says of where a server stands.
+type location struct {
 	zone string
 	cell int64
 }
 
-// same tells whether two places are in one group.
-func (p place) same(group choice.DeduplicationScope, o place) bool {
+// sharesScope tells whether two places are in one group.
+func (p location) sharesScope(group choice.DeduplicationScope, o location) bool {
 	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == o.zone || group == choice.ScopeCell && p.cell == o.cell
 }
 
 var (
-	rejectedPlain = []byte("-BUSY\r\n")
-	failed        = []byte("-ERR written off\r\n")
+	busyAnswer   = []byte("-BUSY\r\n")
+	failedAnswer = []byte("-ERR written off\r\n")
 )
 
-// take makes a request of a command; the words are copied, for they stand in the connection's buffer.
-func (l *Limiter) take(c *client, a *answer, words [][]byte, before, past int, budget int64) *request {
+// addRequest makes a request of a command; the words are copied, for they stand in the connection's buffer.
+func (l *Limiter) addRequest(c *client, a *answer, words [][]byte, before, past int, budget int64) *request {
 	size := 0
 	for _, w := range words {
 		size += len(w)
 	}
 	text := make([]byte, 0, size)
-	q := &request{id: string(words[2]), client: c, answer: a, deadline: l.now + budget, size: int64(size),
+	q := &request{id: string(words[2]), client: c, answer: a, deadline: l.now + budget, bytes: int64(size),
 		words: make([][]byte, len(words))}
 	for i, w := range words {
 		text = append(text, w...)
 		q.words[i] = text[len(text)-len(w):]
 	}
-	q.before, q.past = q.words[3][:before], q.words[3][past:]
-	l.outcomes.taken++
-	l.held += q.size
-	l.requests[q.id], l.settled = q, false
+	q.beforeTimeout, q.afterTimeout = q.words[3][:before], q.words[3][past:]
+	l.outcomes.accepted++
+	l.heldBytes += q.bytes
+	l.requests[q.id], l.flushed = q, false
 	return q
 }
 
@@ -91,49 +91,49 @@
 	if q.state != accepted {
 		return
 	}
-	l.ended = l.now
+	l.lastRequestEnd = l.now
 	if q.state = to; to == succeeded {
 		l.outcomes.succeeded++
 	}
 	for _, att := range q.attempts {
 		// A command of which the kernel has only a part must not become whole after the request's end: this comes before the
 		// answer.
-		if att.open && att.last > 0 && l.effects.Written(att.backend.c.id) < att.last {
-			l.over(att.backend.c, AttemptCancelled)
+		if att.open && att.lastByte > 0 && l.effects.Written(att.conn.conn.id) < att.lastByte {
+			l.closeConn(att.conn.conn, AttemptCancelled)
 		}
 	}
 	if to != clientGone {
 		q.client.answer(q.answer, text)
 	}
-	l.drop(q)
+	l.forgetIfDone(q)
 }
 
-// drop lets go of a request that has ended, once nothing of it is out.
-func (l *Limiter) drop(q *request) {
-	if q.state != accepted && q.open == 0 && l.requests[q.id] == q {
-		l.held -= q.size
+// forgetIfDone lets go of a request that has ended, once nothing of it is out.
+func (l *Limiter) forgetIfDone(q *request) {
+	if q.state != accepted && q.openAttempts == 0 && l.requests[q.id] == q {
+		l.heldBytes -= q.bytes
 		delete(l.requests, q.id)
 	}
 }
 
-// command writes the request's command with the time that is left.
-func (q *request) command(to []byte, now int64) []byte {
+// appendCommand writes the request's appendCommand with the time that is left.
+func (q *request) appendCommand(to []byte, now int64) []byte {
 	left := strconv.AppendInt(nil, max(1, (q.deadline-now)/1e6), 10)
-	list := bytes.Join([][]byte{q.before, left, q.past}, nil)
+	list := bytes.Join([][]byte{q.beforeTimeout, left, q.afterTimeout}, nil)
 	words := append(append(make([][]byte, 0, len(q.words)), q.words[:3]...), list)
 	return resp.AppendCommand(to, append(words, q.words[4:]...)...)
 }
 
 // outcomeCounts counts what became of requests since it was last logged.
 type outcomeCounts struct {
-	taken, succeeded int
-	rejected         [choice.RejectReasons]int
+	accepted, succeeded int
+	rejected            [choice.RejectReasons]int
 }
 
 // LogOutcomes logs the counts since the last time, if there are any, in one line whatever their number.
 func (l *Limiter) LogOutcomes() {
 	if t := l.outcomes; t != (outcomeCounts{}) {
-		line := fmt.Sprintf("event=requests taken=%d succeeded=%d", t.taken, t.succeeded)
+		line := fmt.Sprintf("event=requests taken=%d succeeded=%d", t.accepted, t.succeeded)
 		for c, n := range t.rejected {
 			line += fmt.Sprintf(" %s=%d", choice.RejectReason(c), n)
 		}
@@ -145,16 +145,16 @@
 // Send is an effect of the module. An attempt that cannot be sent any more was never sent.
 func (l *Limiter) Send(id, server string) {
 	q := l.requests[id]
-	att := &attempt{request: q, number: len(q.attempts), at: l.now, open: true}
+	att := &attempt{request: q, number: len(q.attempts), decidedAt: l.now, open: true}
 	q.attempts = append(q.attempts, att)
-	q.open++
-	if q.state != accepted || l.now >= q.deadline || len(q.attempts) > l.set.MaxAttempts {
+	q.openAttempts++
+	if q.state != accepted || l.now >= q.deadline || len(q.attempts) > l.settings.MaxAttempts {
 		l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		return
 	}
 	p := l.pools[server]
-	l.sure(func() {
-		if q.state != accepted || l.now >= q.deadline || p.leaving {
+	l.whenListTrusted(func() {
+		if q.state != accepted || l.now >= q.deadline || p.draining {
 			l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		} else if att.open {
 			p.send(att)
@@ -168,8 +168,8 @@
 	if q == nil || number >= len(q.attempts) || !q.attempts[number].open {
 		return
 	}
-	if b := q.attempts[number].backend; b != nil {
-		l.over(b.c, AttemptCancelled)
+	if b := q.attempts[number].conn; b != nil {
+		l.closeConn(b.conn, AttemptCancelled)
 	} else { // it waits for a sure list
 		l.endAttempt(q.attempts[number], choice.AttemptResult{Outcome: choice.NotAttempted})
 	}
@@ -181,19 +181,19 @@
 		return
 	}
 	q := att.request
-	l.timers.drop(att.limit)
-	att.open, att.backend = false, nil
-	att.never = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed || reply.Outcome == choice.NotAttempted
-	q.open--
-	reply.Request, reply.Attempt, reply.Duration, reply.Final = q.id, att.number, l.now-att.at, q.state != accepted
-	l.pendingResults = append(l.pendingResults, pendingResult{reply: reply})
-	l.drop(q)
+	l.timers.cancel(att.deadlineTimer)
+	att.open, att.conn = false, nil
+	att.neverRan = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed || reply.Outcome == choice.NotAttempted
+	q.openAttempts--
+	reply.Request, reply.Attempt, reply.Duration, reply.Final = q.id, att.number, l.now-att.decidedAt, q.state != accepted
+	l.pendingResults = append(l.pendingResults, pendingResult{attempt: reply})
+	l.forgetIfDone(q)
 }
 
 // Reject is an effect of the module.
 func (l *Limiter) Reject(id string, retryAfter int64, cause choice.RejectReason) {
 	l.outcomes.rejected[cause]++
-	text := rejectedPlain
+	text := busyAnswer
 	if retryAfter > 0 {
 		text = strconv.AppendInt([]byte("-BUSY "), (retryAfter+1e6-1)/1e6, 10)
 		text = append(text, "\r\n"...)
@@ -206,6 +206,6 @@
 // Fail is an effect of the module.
 func (l *Limiter) Fail(id string) {
 	if q := l.requests[id]; q != nil {
-		l.move(q, requestFailed, failed)
+		l.move(q, requestFailed, failedAnswer)
 	}
 }
--- a/internal/limiter/scale_bench_test.go
+++ b/internal/limiter/scale_bench_test.go
@@ -50,11 +50,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	l.watch.apply(benchList(b, 0, servers, true, "in_service"), coldstart.ListReceived)
+	l.discovery.applyList(benchList(b, 0, servers, true, "in_service"), coldstart.ListReceived)
 	for i := range min(benchConnections, servers) {
-		connection := l.pools[fmt.Sprintf("server-%d", i*servers/min(benchConnections, servers))].backend()
-		connection.c = l.dial(connection, connection.to, second)
-		l.Step(0, Event{Kind: Connected, Conn: connection.c.id})
+		connection := l.pools[fmt.Sprintf("server-%d", i*servers/min(benchConnections, servers))].acquire()
+		connection.conn = l.dial(connection, connection.address, second)
+		l.Step(0, Connected{Conn: connection.conn.id})
 	}
 	return l
 }
@@ -75,7 +75,7 @@
 					b.StopTimer()
 					l := benchLimiter(b, servers)
 					b.StartTimer()
-					l.watch.apply(change.list, coldstart.ListReceived)
+					l.discovery.applyList(change.list, coldstart.ListReceived)
 				}
 			})
 		}
@@ -88,7 +88,7 @@
 			l := benchLimiter(b, servers)
 			b.ResetTimer()
 			for range b.N {
-				l.sweep()
+				l.maintain()
 				l.timers = l.timers[:0]
 			}
 		})
--- a/internal/limiter/silence_test.go
+++ b/internal/limiter/silence_test.go
@@ -42,7 +42,7 @@
 	seen := watching
 	for now := int64(0); now < end; now += second / 200 {
 		for w.wake <= now {
-			l.Step(now, Event{Kind: Due})
+			l.Step(now, TimersDue{})
 		}
 		for seen++; seen <= w.last; seen++ {
 			if !strings.HasPrefix(w.dialed[seen], "disco") {
@@ -51,7 +51,7 @@
 			d.dials++
 			if now >= d.until || d.noDial == nil || !d.noDial(d.dials) {
 				d.open[seen] = &held{}
-				l.Step(now, Event{Kind: Connected, Conn: seen})
+				l.Step(now, Connected{Conn: seen})
 			}
 		}
 		seen = w.last
@@ -60,7 +60,7 @@
 				d.serve(l, w, now, id, h)
 			}
 		}
-		if p := l.pools["s"]; p == nil || p.leaving {
+		if p := l.pools["s"]; p == nil || p.draining {
 			return now
 		}
 	}
@@ -73,7 +73,7 @@
 		d.calls++
 		if d.calls > 1 && now < d.until && d.fault != nil {
 			if says := d.fault(d.calls); says == "end" {
-				l.Step(now, Event{Kind: Ended, Conn: id, End: PeerReset})
+				l.Step(now, ConnClosed{Conn: id, Reason: PeerReset})
 				delete(d.open, id)
 			} else if says != "" {
 				w.say(l, now, id, says)
@@ -101,7 +101,7 @@
 	}
 	w.say(l, now, id, httpAnswer(body))
 	if d.closes {
-		l.Step(now, Event{Kind: Ended, Conn: id, End: PeerClosed})
+		l.Step(now, ConnClosed{Conn: id, Reason: PeerClosed})
 		delete(d.open, id)
 	}
 }
@@ -147,7 +147,7 @@
 					continue
 				}
 				l, w := madeTo(t, mode.every, 0)
-				l.watch.pace = pollpacer.New(0, l.set.DialTimeout, position, mode.every)
+				l.discovery.pacer = pollpacer.New(0, l.settings.DialTimeout, position, mode.every)
 				d := c.d
 				d.change = max(d.change, 1)
 				require.LessOrEqual(t, d.play(l, w, never), mode.by, "%s: asked every %d s, limiter %d", c.name, mode.every/second, position)
@@ -166,9 +166,9 @@
 				for i := range moves {
 					config := *l.config
 					config.Discovery = fmt.Sprint("disco ", i+2)
-					l.Step(int64(i)*second/10, Event{Kind: Renewed, Config: &config})
+					l.Step(int64(i)*second/10, ConfigReloaded{Config: &config})
 				}
-				l.Step(second/10, Event{Kind: Due})
+				l.Step(second/10, TimersDue{})
 				d := listService{change: 1, until: second / 2, calls: 1}
 				if fault == "silent" {
 					d.fault = func(int) string { return "" }
@@ -176,8 +176,8 @@
 					d.noDial = func(dial int) bool { return dial == moves+1 }
 				}
 				at := d.play(l, w, 9*second)
-				require.True(t, at <= 4*second && l.watch.version == 8, "%d moves, %q, asked every %d s: acted on after %d ns, version %d",
-					moves, fault, every/second, at, l.watch.version)
+				require.True(t, at <= 4*second && l.discovery.version == 8, "%d moves, %q, asked every %d s: acted on after %d ns, version %d",
+					moves, fault, every/second, at, l.discovery.version)
 			}
 		}
 	}
--- a/internal/limiter/start.go
+++ b/internal/limiter/start.go
@@ -15,8 +15,8 @@
 
 // What the protocol says of every deployment, in nanoseconds.
 const (
-	listTold   = 6e9  // what a silent discovery has to tell counts as told so long after the silence began
-	readyBound = 30e9 // and a limiter has to be ready within this time
+	notificationDeadline = 6e9  // what a silent discovery has to tell counts as told so long after the silence began
+	readinessDeadline    = 30e9 // and a limiter has to be ready within this time
 )
 
 // OperatorOptions is what operators state beside the configuration; the zero value leaves a start to the settings and pollpacer alone.
@@ -36,47 +36,49 @@
 	set := config.Settings
 	return coldstart.Settings{Limiters: set.Limiters, Position: set.Position, Jitter: float64(uint64(config.Seed)>>11) / (1 << 53),
 		DialTimeout: set.DialTimeout, PollInterval: set.PollInterval, ColdCapacity: min(max(set.ColdCapacity, 0), 1), SlowStartWindow: set.SlowStartWindow,
-		NotificationDeadline: max(listTold, 4*set.DialTimeout), ReadinessDeadline: readyBound, CallRate: stated.DiscoveryCallRate, ConnectionRate: stated.ConnectionRate}
+		NotificationDeadline: max(notificationDeadline, 4*set.DialTimeout), ReadinessDeadline: readinessDeadline, CallRate: stated.DiscoveryCallRate, ConnectionRate: stated.ConnectionRate}
 }
 
-// start is how this limiter comes up where operators state something; package coldstart decides. Its methods up to bucket
+// coldStart is how this limiter comes up where operators state something; package coldstart decides. Its methods up to bucket
 // take a nil one: nothing is stated.
-type start struct {
-	l      *Limiter
-	stated OperatorOptions
-	set    coldstart.Settings
-	rules  *coldstart.Start
-	phase  coldstart.Phase               // as last logged
-	timer  *timer                        // when the limiter may be ready
-	held   map[string]discovery.Endpoint // the list, where it is saved
-	saved  int64
+type coldStart struct {
+	l         *Limiter
+	options   OperatorOptions
+	settings  coldstart.Settings
+	start     *coldstart.Start
+	phase     coldstart.Phase               // as last logged
+	timer     *timer                        // when the limiter may be ready
+	endpoints map[string]discovery.Endpoint // the list, where it is saved
+	savedAt   int64
 }
 
-func (l *Limiter) begin(stated OperatorOptions) error {
+func (l *Limiter) startCold(stated OperatorOptions) error {
 	if stated.DiscoveryCallRate == 0 && stated.ConnectionRate == 0 && stated.Snapshot == nil && stated.SaveSnapshot == nil {
 		return nil
 	}
 	set := ColdStartSettings(l.config, stated)
-	set.CeilingLeadTime = min(l.logic.ReadyAt(), l.readyBy) - l.now
+	set.CeilingLeadTime = min(l.controller.ReadyAt(), l.readyBy) - l.now
 	rules, err := coldstart.New(l.now, set)
 	if err == nil {
-		l.start = &start{l: l, stated: stated, set: set, rules: rules, held: map[string]discovery.Endpoint{}}
+		l.coldStart = &coldStart{l: l, options: stated, settings: set, start: rules, endpoints: map[string]discovery.Endpoint{}}
 	}
 	return err
 }
 
-// budgeted tells whether the calls for lists go by the limiter's own instants, and not by pollpacer's pace.
-func (s *start) budgeted() bool { return s != nil && s.set.PollInterval > 0 && s.set.CallRate > 0 }
+// hasCallRate tells whether the calls for lists go by the limiter's own instants, and not by pollpacer's pace.
+func (s *coldStart) hasCallRate() bool {
+	return s != nil && s.settings.PollInterval > 0 && s.settings.CallRate > 0
+}
 
-// asked notes a call that goes out by pollpacer's pace.
-func (s *start) asked() {
-	if s != nil && !s.budgeted() {
+// pollMade notes a call that goes out by pollpacer's pace.
+func (s *coldStart) pollMade() {
+	if s != nil && !s.hasCallRate() {
 		s.step(coldstart.Event{Kind: coldstart.CallMade})
 	}
 }
 
-// failed notes a call that brought no list.
-func (s *start) failed(end pollpacer.Failure) {
+// pollFailed notes a call that brought no list.
+func (s *coldStart) pollFailed(end pollpacer.Failure) {
 	if s == nil {
 		return
 	}
@@ -87,19 +89,19 @@
 	s.step(coldstart.Event{Kind: kind})
 }
 
-// bucket holds the new connections to one of so many servers.
-func (s *start) bucket(servers int) (b coldstart.Bucket) {
-	if s != nil && s.set.ConnectionRate > 0 {
-		b = coldstart.NewBucket(s.l.now, &s.set, servers)
+// connectionBucket holds the new connections to one of so many servers.
+func (s *coldStart) connectionBucket(servers int) (b coldstart.Bucket) {
+	if s != nil && s.settings.ConnectionRate > 0 {
+		b = coldstart.NewBucket(s.l.now, &s.settings, servers)
 	}
 	return b
 }
 
-// recall takes the list of the configuration, nil for none, and gives the one to begin with: the snapshot's where the same
+// chooseList takes the list of the configuration, nil for none, and gives the one to begin with: the snapshot's where the same
 // discovery has counted it further, or where there is no other. A start that the snapshot knows is not forgotten. The
 // version of the list is discovery's own if counted.
-func (s *start) recall(known *discovery.List) (list *discovery.List, counted bool) {
-	old := s.stated.Snapshot
+func (s *coldStart) chooseList(known *discovery.List) (list *discovery.List, counted bool) {
+	old := s.options.Snapshot
 	if old == nil {
 		return known, known != nil
 	}
@@ -126,62 +128,62 @@
 	return list, counted
 }
 
-// keep takes a list into what is held, and has that saved where a call has brought or confirmed it.
-func (s *start) keep(list *discovery.List, kind coldstart.Kind) {
+// saveList takes a list into what is held, and has that saved where a call has brought or confirmed it.
+func (s *coldStart) saveList(list *discovery.List, kind coldstart.Kind) {
 	if list.Whole {
-		clear(s.held)
+		clear(s.endpoints)
 	}
 	for _, e := range list.Entries {
-		was := s.held[e.ID]
+		was := s.endpoints[e.ID]
 		if e.StartedAt = max(e.StartedAt, was.StartedAt); e.Address == "" {
 			e.Address = was.Address
 		}
-		if s.held[e.ID] = e; e.State == choice.EndpointGone {
-			delete(s.held, e.ID)
+		if s.endpoints[e.ID] = e; e.State == choice.EndpointGone {
+			delete(s.endpoints, e.ID)
 		}
 	}
 	l := s.l
-	if kind == coldstart.ListRestored || len(list.Entries) == 0 && !list.Whole && l.now-s.saved < s.stated.SaveEvery {
+	if kind == coldstart.ListRestored || len(list.Entries) == 0 && !list.Whole && l.now-s.savedAt < s.options.SaveEvery {
 		return
 	}
-	s.saved = l.now
+	s.savedAt = l.now
 	out := &snapshot.Snapshot{Taken: l.now, Discovery: l.config.Discovery, Generation: list.Version}
-	for _, id := range slices.Sorted(maps.Keys(s.held)) {
-		e := s.held[id]
+	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
+		e := s.endpoints[id]
 		out.Servers = append(out.Servers, snapshot.Server{ID: id, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 			StartedAt: e.StartedAt, Draining: e.State == choice.EndpointDraining})
 	}
-	s.stated.SaveSnapshot(out)
+	s.options.SaveSnapshot(out)
 }
 
 // step tells the rules what happened and does what follows: clients may come, or the phase is another.
-func (s *start) step(e coldstart.Event) {
+func (s *coldStart) step(e coldstart.Event) {
 	l := s.l
-	s.rules.Step(l.now, e)
-	phase := s.rules.Phase()
+	s.start.Step(l.now, e)
+	phase := s.start.Phase()
 	if phase != coldstart.Starting && !l.ready {
 		l.ready = true
-		log.Printf("event=ready servers=%d generation=%d", len(l.pools), l.watch.version)
+		log.Printf("event=ready servers=%d generation=%d", len(l.pools), l.discovery.version)
 	}
 	if phase != s.phase {
-		log.Printf("event=start phase=%s share=%.2f setbacks=%d", phase, s.rules.Share(), s.rules.Setbacks)
+		log.Printf("event=start phase=%s share=%.2f setbacks=%d", phase, s.start.Share(), s.start.Setbacks)
 		s.phase = phase
 	}
-	if l.timers.drop(s.timer); phase == coldstart.Starting {
-		s.timer = l.at(max(l.now, s.rules.ReadyAt()), s.tick)
+	if l.timers.cancel(s.timer); phase == coldstart.Starting {
+		s.timer = l.schedule(max(l.now, s.start.ReadyAt()), s.timePassed)
 	}
 }
 
-func (s *start) tick() { s.step(coldstart.Event{}) }
+func (s *coldStart) timePassed() { s.step(coldstart.Event{}) }
 
-// list tells the rules of a list that was applied.
-func (s *start) list(kind coldstart.Kind, list *discovery.List) {
+// listApplied tells the rules of a listApplied that was applied.
+func (s *coldStart) listApplied(kind coldstart.Kind, list *discovery.List) {
 	e := coldstart.Event{Kind: kind, Whole: list.Whole, Servers: make([]coldstart.Server, len(list.Entries))}
 	for i, entry := range list.Entries {
 		e.Servers[i] = coldstart.Server{ID: entry.ID, StartedAt: entry.StartedAt, Leaving: entry.State != choice.EndpointReady}
 	}
 	s.step(e)
-	if s.stated.SaveSnapshot != nil {
-		s.keep(list, kind)
+	if s.options.SaveSnapshot != nil {
+		s.saveList(list, kind)
 	}
 }
--- a/internal/limiter/start_test.go
+++ b/internal/limiter/start_test.go
@@ -26,7 +26,7 @@
 func stated(t *testing.T, limiters int, s OperatorOptions) (*Limiter, *wire) {
 	t.Helper()
 	made, w := madeTo(t, 10*second, limiters-1)
-	made.set.Limiters = limiters
+	made.settings.Limiters = limiters
 	*w = wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := NewWithOptions(0, made.config, s, w)
 	require.NoError(t, err)
@@ -39,27 +39,27 @@
 	// through takes it to a time, with each call to discovery coming up at once, and tells how many were made.
 	through := func(l *Limiter, w *wire, until int64) int {
 		for now := l.now; now <= until; now += second / 20 {
-			l.Step(now, Event{Kind: Due})
+			l.Step(now, TimersDue{})
 			if w.dialed[w.last] != "127.0.0.1:9" && l.conns[w.last] != nil && !l.conns[w.last].open {
-				l.Step(now, Event{Kind: Connected, Conn: w.last})
+				l.Step(now, Connected{Conn: w.last})
 			}
 		}
 		return asks(w)
 	}
 	asked := OperatorOptions{DiscoveryCallRate: 4.0 / 6}
 	l, w := stated(t, 4, asked)
-	l.Step(at+second*2, Event{Kind: Due})
+	l.Step(at+second*2, TimersDue{})
 	require.Equal(t, 0, through(l, w, at+6*second-second/20), "calls behind an instant that was slept through")
 	require.Equal(t, 1, through(l, w, at+6*second), "calls at the next one")
 	type act = func(l *Limiter, w *wire, id ConnID)
 	says := func(text string) act {
 		return func(l *Limiter, w *wire, id ConnID) { w.say(l, l.now, id, text) }
 	}
-	ends := func(l *Limiter, _ *wire, id ConnID) { l.Step(l.now, Event{Kind: Ended, Conn: id, End: PeerReset}) }
+	ends := func(l *Limiter, _ *wire, id ConnID) { l.Step(l.now, ConnClosed{Conn: id, Reason: PeerReset}) }
 	moves := func(l *Limiter, _ *wire, _ ConnID) {
 		config := *l.config
 		config.Discovery = "disco 2"
-		l.Step(l.now, Event{Kind: Renewed, Config: &config})
+		l.Step(l.now, ConfigReloaded{Config: &config})
 	}
 	for _, c := range []struct {
 		name string
@@ -85,7 +85,7 @@
 			}
 			require.Equal(t, 1, through(l, w, at+6*second-second/20), "calls before its second instant")
 			require.InDelta(t, 2, through(l, w, at+6*second), float64(c.late), "calls at its second instant")
-			l.Step(l.now, Event{Kind: Ended, Conn: w.last, End: PeerReset})
+			l.Step(l.now, ConnClosed{Conn: w.last, Reason: PeerReset})
 			require.InDelta(t, 2, through(l, w, at+12*second-second/20), float64(c.late), "calls before its third instant")
 			require.InDelta(t, 3, through(l, w, at+12*second), float64(c.late), "calls at its third instant")
 		})
@@ -99,26 +99,26 @@
 	config.Known, config.Settings, set.PollInterval, w.last = nil, &set, 10*second, 0
 	l, _ := NewWithOptions(0, &config, OperatorOptions{DiscoveryCallRate: 1}, w)
 	for now := int64(0); now <= 20*second; now += second / 10 {
-		l.Step(now, Event{Kind: Due})
+		l.Step(now, TimersDue{})
 		require.True(t, l.ready == (now >= 20*second), "ready %v after %d ns", l.ready, now)
 	}
-	for l.conns[l.watch.c.id] == nil || l.conns[l.watch.c.id].open {
-		l.Step(l.now+second/10, Event{Kind: Due})
+	for l.conns[l.discovery.conn.id] == nil || l.conns[l.discovery.conn.id].open {
+		l.Step(l.now+second/10, TimersDue{})
 	}
-	l.Step(l.now, Event{Kind: Connected, Conn: l.watch.c.id})
-	w.say(l, l.now, l.watch.c.id, httpAnswer(strings.Replace(known, `"weight"`, `"startedAtMs":16000,"weight"`, 1)))
-	require.True(t, l.start.phase == coldstart.Warming, "%v", l.start.phase)
+	l.Step(l.now, Connected{Conn: l.discovery.conn.id})
+	w.say(l, l.now, l.discovery.conn.id, httpAnswer(strings.Replace(known, `"weight"`, `"startedAtMs":16000,"weight"`, 1)))
+	require.True(t, l.coldStart.phase == coldstart.Warming, "%v", l.coldStart.phase)
 	for now := l.now; now < 27*second; now += second / 10 {
-		l.Step(now, Event{Kind: Due})
+		l.Step(now, TimersDue{})
 	}
-	require.True(t, l.start.phase == coldstart.Steady, "%v", l.start.phase)
+	require.True(t, l.coldStart.phase == coldstart.Steady, "%v", l.coldStart.phase)
 }
 
 // TestSnapshot: what one life has saved the next one begins with, where it is newer than the configuration's list.
 func TestSnapshot(t *testing.T) {
 	made, w := made(t)
 	config := *made.config
-	made.set.DialTimeout = 6 * second // nothing told for 10 s is no standing still
+	made.settings.DialTimeout = 6 * second // nothing told for 10 s is no standing still
 	var saved []*snapshot.Snapshot
 	life := func(old *snapshot.Snapshot, known string) *Limiter {
 		t.Helper()
@@ -126,7 +126,7 @@
 		l, err := NewWithOptions(second, &config, OperatorOptions{Snapshot: old, SaveSnapshot: func(s *snapshot.Snapshot) { saved = append(saved, s) },
 			SaveEvery: 10 * second}, w)
 		require.NoError(t, err)
-		l.Step(second, Event{Kind: Connected, Conn: watching})
+		l.Step(second, Connected{Conn: watching})
 		return l
 	}
 	tell := func(l *Limiter, now int64, text string) { w.say(l, now, watching, httpAnswer(text)) }
@@ -169,9 +169,9 @@
 	old := *last
 	old.Generation, old.Servers = 1, []snapshot.Server{{ID: "s", StartedAt: second / 2}}
 	l = life(&old, known)
-	require.True(t, l.start.rules.Share() == 1, "a share before it is ready")
-	l.Step(7*second, Event{Kind: Due})
-	require.True(t, l.start.rules.Share() != 1, "a start that was known is forgotten")
+	require.True(t, l.coldStart.start.Share() == 1, "a share before it is ready")
+	l.Step(7*second, TimersDue{})
+	require.True(t, l.coldStart.start.Share() != 1, "a start that was known is forgotten")
 }
 
 // TestBucket: a limiter opens no more connections to a server than its part of what is stated.
@@ -179,20 +179,20 @@
 	l, w := stated(t, 1, OperatorOptions{ConnectionRate: 2})
 	opened := 0
 	for now := int64(0); now < 7*second; now += second / 100 {
-		if l.now = now; l.pools["s"].backend() != nil {
+		if l.now = now; l.pools["s"].acquire() != nil {
 			opened++
 		}
 	}
 	require.True(t, opened >= 12 && opened <= 15, "%d connections in 7 s, 2 a second are stated", opened)
 	l, _ = New(0, l.config, w)
 	for range 2 {
-		require.NotNil(t, l.pools["s"].backend(), "held back where nothing is stated")
+		require.NotNil(t, l.pools["s"].acquire(), "held back where nothing is stated")
 	}
 }
 
 func TestStartSettings(t *testing.T) {
 	l, _ := made(t)
-	set := ColdStartSettings(&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.set.Settings}}, OperatorOptions{})
+	set := ColdStartSettings(&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.settings.Settings}}, OperatorOptions{})
 	require.True(t, set.Check() == nil && set.Jitter >= 0.99, "%+v: %v", set, set.Check())
 }
 
@@ -201,10 +201,10 @@
 func TestNothingStated(t *testing.T) {
 	for _, every := range []int64{0, 10 * second} {
 		l, w := madeTo(t, every, 0)
-		require.True(t, l.start == nil && l.pools["s"].bucket == (coldstart.Bucket{}), "a start, or a bound of connections")
-		hold, limit := l.watch.pace.NextPoll(0, false)
-		if w.say(l, 0, watching, httpAnswer(known)); asks(w) != 2 || !l.ready || l.watch.limit.at != limit {
-			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.ready, l.watch.limit.at)
+		require.True(t, l.coldStart == nil && l.pools["s"].newConns == (coldstart.Bucket{}), "a start, or a bound of connections")
+		hold, limit := l.discovery.pacer.NextPoll(0, false)
+		if w.say(l, 0, watching, httpAnswer(known)); asks(w) != 2 || !l.ready || l.discovery.responseTimer.at != limit {
+			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.ready, l.discovery.responseTimer.at)
 		}
 		expect(t, w.wrote[watching], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
 	}
@@ -216,13 +216,13 @@
 	stated, v := stated(t, 1, OperatorOptions{ConnectionRate: 2})
 	for now := int64(0); now < 30*second; now += second / 20 {
 		for l, w := range map[*Limiter]*wire{plain: w, stated: v} {
-			l.Step(now, Event{Kind: Due})
-			switch c := l.watch.c; {
+			l.Step(now, TimersDue{})
+			switch c := l.discovery.conn; {
 			case c == nil || l.conns[c.id] != c:
 			case !c.open:
-				l.Step(now, Event{Kind: Connected, Conn: c.id})
+				l.Step(now, Connected{Conn: c.id})
 			case now/second%7 == 3:
-				l.Step(now, Event{Kind: Ended, Conn: c.id, End: PeerReset})
+				l.Step(now, ConnClosed{Conn: c.id, Reason: PeerReset})
 			case now/second%7 == 5:
 				w.say(l, now, c.id, httpAnswer(known))
 			}
@@ -235,11 +235,11 @@
 // TestStoodStill: a limiter that stood still and goes on with all others makes no call out of its turn.
 func TestStoodStill(t *testing.T) {
 	l, w := stated(t, 1, OperatorOptions{DiscoveryCallRate: 1. / 30})
-	id := l.watch.c.id
-	l.Step(0, Event{Kind: Connected, Conn: id})
+	id := l.discovery.conn.id
+	l.Step(0, Connected{Conn: id})
 	w.pass(l, second)
-	require.True(t, asks(w) == 1 && l.watch.limit.at >= 29*second, "%d calls, given up at %d", asks(w), l.watch.limit.at)
-	l.Step(9*second, Event{Kind: Due})
+	require.True(t, asks(w) == 1 && l.discovery.responseTimer.at >= 29*second, "%d calls, given up at %d", asks(w), l.discovery.responseTimer.at)
+	l.Step(9*second, TimersDue{})
 	w.pass(l, 10*second)
-	require.True(t, asks(w) == 1 && !l.wake.doubts && l.conns[id] != nil, "%d calls, in doubt %v", asks(w), l.wake.doubts)
+	require.True(t, asks(w) == 1 && !l.suspension.listInDoubt && l.conns[id] != nil, "%d calls, in doubt %v", asks(w), l.suspension.listInDoubt)
 }
--- a/internal/limiter/wake.go
+++ b/internal/limiter/wake.go
@@ -9,104 +9,104 @@
 // that clients' requests have waited unread, and that the list may have changed. What it was told meanwhile counts.
 
 const (
-	standsStill = 2     // so many dial time-outs without an event are none that the timers allow
-	stillLeast  = 250e6 // nor are so many nanoseconds,
-	spare       = 50e6  // but so many beyond the grace in which news has to be acted on are, where the settings tell it
-	settles     = 8     // for this part of the time between visits what has come meanwhile is read, and no timer runs
-	countsFrom  = 2e9   // where discovery is asked, what it had to tell in less than this is in the kernel, or not told
+	maxQuietDialTimeouts = 2     // so many dial time-outs without an event are none that the timers allow
+	minQuietTime         = 250e6 // nor are so many nanoseconds,
+	graceMargin          = 50e6  // but so many beyond the grace in which news has to be acted on are, where the settings tell it
+	settleShare          = 8     // for this part of the time between visits what has come meanwhile is read, and no timer runs
+	minMissedNews        = 2e9   // where discovery is asked, what it had to tell in less than this is in the kernel, or not told
 )
 
-// wake is what the limiter knows of the latest time for which it stood still.
-type wake struct {
-	begun  bool  // something has happened
-	at     int64 // when it ended
-	slept  int64 // how long it was
-	blind  int64 // until when no timer runs
-	doubts bool  // the list may have changed meanwhile, and no attempt goes out
-	held   []func()
-	limit  *timer
+// suspension is what the limiter knows of the latest time for which it stood still.
+type suspension struct {
+	started            bool  // something has happened
+	wokeAt             int64 // when it ended
+	duration           int64 // how long it was
+	timersBlockedUntil int64 // until when no timer runs
+	listInDoubt        bool  // the list may have changed meanwhile, and no attempt goes out
+	heldActions        []func()
+	trustTimer         *timer
 }
 
-// visits is how often clients are visited, so that something happens: in a dial time-out or in the grace, if that is shorter.
-func (l *Limiter) visits() int64 {
-	if l.set.DrainGrace > 0 {
-		return min(l.set.DialTimeout, max(l.set.DrainGrace, spare))
+// reapInterval is how often clients are visited, so that something happens: in a dial time-out or in the grace, if that is shorter.
+func (l *Limiter) reapInterval() int64 {
+	if l.settings.DrainGrace > 0 {
+		return min(l.settings.DialTimeout, max(l.settings.DrainGrace, graceMargin))
 	}
-	return l.set.DialTimeout
+	return l.settings.DialTimeout
 }
 
-// still is the longest time without an event that is no standing still. What the process was told in it may be read behind
+// maxQuietTime is the longest time without an event that is no standing maxQuietTime. What the process was told in it may be read behind
 // a request, so it must not be longer than the grace.
-func (l *Limiter) still() int64 {
-	still := max(standsStill*l.set.DialTimeout, stillLeast)
-	if l.set.DrainGrace > 0 {
-		still = min(still, max(l.set.DrainGrace, l.visits()+spare))
+func (l *Limiter) maxQuietTime() int64 {
+	still := max(maxQuietDialTimeouts*l.settings.DialTimeout, minQuietTime)
+	if l.settings.DrainGrace > 0 {
+		still = min(still, max(l.settings.DrainGrace, l.reapInterval()+graceMargin))
 	}
 	return still
 }
 
-// looked moves the clock on.
-func (l *Limiter) looked(now int64) {
-	gap, first := now-l.now, !l.wake.begun
-	l.now, l.wake.begun = now, true
-	if first || gap <= l.still() { // what a start takes is no standing still
+// observeClock moves the clock on.
+func (l *Limiter) observeClock(now int64) {
+	gap, first := now-l.now, !l.suspension.started
+	l.now, l.suspension.started = now, true
+	if first || gap <= l.maxQuietTime() { // what a start takes is no standing still
 		return
 	}
-	w := &l.wake
-	w.at, w.slept, w.blind, w.doubts = now, gap, now+l.visits()/settles, true
+	w := &l.suspension
+	w.wokeAt, w.duration, w.timersBlockedUntil, w.listInDoubt = now, gap, now+l.reapInterval()/settleShare, true
 	log.Printf("event=woken still_ms=%d", gap/1e6)
-	l.timers.drop(w.limit)
-	w.limit = l.at(now+l.watch.pace.DialTimeout(), l.trust) // what is held then must do: a list service that is down stops nothing
-	if (l.set.PollInterval == 0 || gap >= countsFrom) && !l.start.budgeted() {
-		l.watch.anew()
+	l.timers.cancel(w.trustTimer)
+	w.trustTimer = l.schedule(now+l.discovery.pacer.DialTimeout(), l.trustList) // what is held then must do: a list service that is down stops nothing
+	if (l.settings.PollInterval == 0 || gap >= minMissedNews) && !l.coldStart.hasCallRate() {
+		l.discovery.revalidate()
 	} else { // the answer of the call that is out is in the kernel, if there is one
-		l.timers.drop(w.limit)
-		w.limit = l.at(w.blind, l.trust)
+		l.timers.cancel(w.trustTimer)
+		w.trustTimer = l.schedule(w.timersBlockedUntil, l.trustList)
 	}
 }
 
-// sure does something at once, or where the list is in doubt once it is not.
-func (l *Limiter) sure(do func()) {
-	if l.wake.doubts {
-		l.wake.held = append(l.wake.held, do)
+// whenListTrusted does something at once, or where the list is in doubt once it is not.
+func (l *Limiter) whenListTrusted(do func()) {
+	if l.suspension.listInDoubt {
+		l.suspension.heldActions = append(l.suspension.heldActions, do)
 	} else {
 		do()
 	}
 }
 
-// trust lets go what waited for the list.
-func (l *Limiter) trust() {
-	l.timers.drop(l.wake.limit)
-	l.wake.doubts = false
-	held := l.wake.held
-	l.wake.held = nil
+// trustList lets go what waited for the list.
+func (l *Limiter) trustList() {
+	l.timers.cancel(l.suspension.trustTimer)
+	l.suspension.listInDoubt = false
+	held := l.suspension.heldActions
+	l.suspension.heldActions = nil
 	for _, do := range held {
 		do()
 	}
 }
 
-// age is how long a request that is read now may have waited to be read.
-func (l *Limiter) age() int64 {
-	if l.wake.slept == 0 || l.now >= l.wake.at+l.visits()/settles {
+// readDelay is how long a request that is read now may have waited to be read.
+func (l *Limiter) readDelay() int64 {
+	if l.suspension.duration == 0 || l.now >= l.suspension.wokeAt+l.reapInterval()/settleShare {
 		return 0
 	}
-	return l.wake.slept + l.now - l.wake.at
+	return l.suspension.duration + l.now - l.suspension.wokeAt
 }
 
-// stale: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
+// outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
 // know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
-func (att *attempt) stale() bool {
-	now := att.backend.pool.l.now
-	return now-att.at > standsStill*att.backend.pool.l.set.DialTimeout || now >= att.known()
+func (att *attempt) outdated() bool {
+	now := att.conn.pool.l.now
+	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.l.settings.DialTimeout || now >= att.deduplicatedUntil()
 }
 
-// known is until when the server would know the request again by each earlier attempt that may have run: 0 if it does not by one,
+// deduplicatedUntil is until when the server would know the request again by each earlier attempt that may have run: 0 if it does not by one,
 // and without end where none has. What counts is where an earlier attempt was written, wherever a list has its server now.
-func (att *attempt) known() int64 {
+func (att *attempt) deduplicatedUntil() int64 {
 	q, until := att.request, int64(math.MaxInt64)
 	for _, e := range q.attempts[:att.number] {
-		if q.repeats > 0 && e.last > 0 && !e.never {
-			if until = min(until, e.at+q.repeats); !e.place.same(q.group, att.backend.pool.place) {
+		if q.deduplicationWindow > 0 && e.lastByte > 0 && !e.neverRan {
+			if until = min(until, e.decidedAt+q.deduplicationWindow); !e.location.sharesScope(q.deduplicationScope, att.conn.pool.location) {
 				return 0
 			}
 		}
--- a/internal/sockets/bounds_test.go
+++ b/internal/sockets/bounds_test.go
@@ -16,9 +16,9 @@
 
 // story is what the reducer was told of one connection, in order.
 type story struct {
-	kinds []limiter.Kind
+	kinds []eventKind
 	text  strings.Builder
-	last  limiter.Event
+	last  queuedEvent
 }
 
 // pressed is a drive that keeps what the reducer is told, and for which nothing may stand still.
@@ -45,14 +45,14 @@
 	require.LessOrEqual(d.t, len(d.s.now.bytes), mostWaiting+pieces, "more waited than may")
 	from := 0
 	for _, e := range d.s.now.events {
-		s := d.told[e.Conn]
+		s := d.told[e.conn]
 		if s == nil {
 			s = &story{}
-			d.told[e.Conn] = s
+			d.told[e.conn] = s
 		}
-		s.kinds, s.last = append(s.kinds, e.Kind), e
-		s.text.Write(d.s.now.bytes[from : from+e.Size])
-		from += e.Size
+		s.kinds, s.last = append(s.kinds, e.kind), e
+		s.text.Write(d.s.now.bytes[from : from+e.size])
+		from += e.size
 	}
 }
 
@@ -89,7 +89,7 @@
 // ending tells whether the reducer was told of a connection's end, and of nothing behind it.
 func (d *pressed) ending(id limiter.ConnID) bool {
 	s := d.told[id]
-	return s != nil && s.kinds[len(s.kinds)-1] == limiter.Ended
+	return s != nil && s.kinds[len(s.kinds)-1] == connClosed
 }
 
 // busy tells whether bytes are read from a connection and not posted.
@@ -201,8 +201,8 @@
 		require.True(t, d.told[l.id].text.String() == texts[i+1], "out of order")
 	}
 	require.True(t, strings.HasPrefix(texts[0], d.told[links[0].id].text.String()))
-	require.Equal(t, limiter.Connected, d.told[up].last.Kind)
-	require.Equal(t, limiter.ConnRefused, d.told[refused].last.End)
+	require.Equal(t, connected, d.told[up].last.kind)
+	require.Equal(t, limiter.ConnRefused, d.told[refused].last.reason)
 	require.Equal(t, ping, d.told[quietly.id].text.String())
 	for _, c := range append(ends[:], quiet, written, left) {
 		_ = c.Close()
@@ -210,7 +210,7 @@
 	d.comes("each that came is told of, and each end", func() bool {
 		came := map[string]int{} // the reset one may not have come up
 		for id, s := range d.told {
-			if s.kinds[0] == limiter.Accepted && s.text.String() != ping+ping && !d.ending(id) {
+			if s.kinds[0] == clientAccepted && s.text.String() != ping+ping && !d.ending(id) {
 				return false
 			} else if s.text.Len() > 0 && s.text.Len() <= 3*len(ping) {
 				came[s.text.String()]++
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -158,7 +158,7 @@
 	require.NoError(t, err)
 	defer func() { _ = other.Close() }()
 	id := s.Dial(other.Addr().String(), int64(patience))
-	expect(t, s, limiter.Connected, id)
+	expect(t, s, connected, id)
 	far, err := other.Accept()
 	require.NoError(t, err)
 	defer func() { _ = far.Close() }()
@@ -199,9 +199,9 @@
 			require.NoError(t, err)
 			defer func() { _ = other.Close() }()
 			id := s.Dial(other.Addr().String(), int64(patience))
-			expect(t, s, limiter.Connected, id)
+			expect(t, s, connected, id)
 			far := <-accepts(t, other)
-			held, l := s.links[e.Conn], s.links[id]
+			held, l := s.links[e.conn], s.links[id]
 			held.reading.Lock()
 			ask(t, client, "*")
 			require.Eventually(t, func() bool { return !still(held.conn.Load()) }, patience, time.Millisecond)
@@ -212,11 +212,11 @@
 			s.Write(id, []byte("abc"))
 			held.reading.Unlock()
 			e, text := next(t, s)
-			for e.Conn != id {
+			for e.conn != id {
 				e, text = next(t, s)
 			}
 			require.Equal(t, "last", text)
-			require.Equal(t, limiter.Ended, expect(t, s, limiter.Ended, id).Kind)
+			require.Equal(t, connClosed, expect(t, s, connClosed, id).kind)
 			require.Zero(t, s.Written(id))
 		})
 	}
--- a/internal/sockets/departed_test.go
+++ b/internal/sockets/departed_test.go
@@ -249,17 +249,17 @@
 func (d *drive) connected() {
 	d.t.Helper()
 	require.Eventually(d.t, func() bool {
-		return d.waiting(func(e limiter.Event) bool { return e.Kind == limiter.Connected })
+		return d.waiting(func(e queuedEvent) bool { return e.kind == connected })
 	}, patience, time.Millisecond)
 }
 
 // ends tells whether the word that a connection has ended waits for the reducer.
 func (d *drive) ends(id limiter.ConnID) bool {
-	return d.waiting(func(e limiter.Event) bool { return e.Kind == limiter.Ended && e.Conn == id })
+	return d.waiting(func(e queuedEvent) bool { return e.kind == connClosed && e.conn == id })
 }
 
 // waiting tells whether an event waits for the reducer.
-func (d *drive) waiting(is func(e limiter.Event) bool) bool {
+func (d *drive) waiting(is func(e queuedEvent) bool) bool {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
 	for _, e := range d.s.next.events {
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -27,10 +27,10 @@
 			if ctx.Err() != nil {
 				end = limiter.DialTimedOut
 			}
-			s.post(l, limiter.Event{Kind: limiter.Ended, End: end}, nil)
+			s.post(l, queuedEvent{kind: connClosed, reason: end}, nil)
 			return
 		}
-		s.post(l, limiter.Event{Kind: limiter.Connected}, nil)
+		s.post(l, queuedEvent{kind: connected}, nil)
 	}()
 	return l.id
 }
--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -21,8 +21,8 @@
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
 	for _, e := range d.s.next.events {
-		if id == 0 || e.Conn == id {
-			size += e.Size
+		if id == 0 || e.conn == id {
+			size += e.size
 		}
 	}
 	return size
@@ -126,5 +126,5 @@
 	require.NoError(t, err)
 	defer func() { _ = later.Close() }()
 	e, _ := next(t, s)
-	require.Equal(t, limiter.Accepted, e.Kind)
+	require.Equal(t, clientAccepted, e.kind)
 }
--- a/internal/sockets/leave_test.go
+++ b/internal/sockets/leave_test.go
@@ -63,12 +63,12 @@
 	d.now += later
 	d.s.take()
 	for _, e := range d.s.now.events {
-		end := d.s.read + e.Size
+		end := d.s.read + e.size
 		d.s.telling(e)
-		d.l.Step(d.now, e)
+		e.deliver(d.now, d.l)
 		d.s.read = end
 	}
-	d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
+	d.l.Step(d.now, limiter.TimersDue{})
 }
 
 // until turns until something holds.
@@ -116,20 +116,20 @@
 		"idle for long": func(d *drive) {
 			for range 40 {
 				d.now += 1e8
-				d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
+				d.l.Step(d.now, limiter.TimersDue{})
 			}
 		},
 		"the process ends": func(d *drive) {
-			d.l.Step(d.now, limiter.Event{Kind: limiter.Stopping})
+			d.l.Step(d.now, limiter.ShutdownRequested{})
 			d.now += 4e8
-			d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
+			d.l.Step(d.now, limiter.TimersDue{})
 			d.now += 11e7
-			d.l.Step(d.now, limiter.Event{Kind: limiter.Due})
+			d.l.Step(d.now, limiter.TimersDue{})
 		},
 		"room for others": func(d *drive) {
 			d.now += 7e7
 			for id := range limiter.ConnID(8) { // makes the limiter full: a quarter of its descriptors is eight
-				d.l.Step(d.now, limiter.Event{Kind: limiter.Accepted, Conn: 1000 + id})
+				d.l.Step(d.now, limiter.ClientAccepted{Conn: 1000 + id})
 			}
 		},
 	} {
@@ -180,7 +180,7 @@
 		defer d.s.mutex.Unlock()
 		size, ended := 0, false
 		for _, e := range d.s.next.events {
-			size, ended = size+e.Size, ended || e.Kind == limiter.Ended && size > 0
+			size, ended = size+e.size, ended || e.kind == connClosed && size > 0
 		}
 		return ended
 	}
--- a/internal/sockets/poller.go
+++ b/internal/sockets/poller.go
@@ -27,11 +27,43 @@
 
 // batch is what waits for the reducer: events, and the bytes that they tell of, in order.
 type batch struct {
-	events   []limiter.Event
+	events   []queuedEvent
 	bytes    []byte
 	accepted []*link
 }
 
+// eventKind tells which of the limiter's events a queuedEvent becomes.
+type eventKind uint8
+
+const (
+	clientAccepted eventKind = iota
+	connected
+	dataReceived
+	connClosed
+)
+
+// queuedEvent is an event of one connection that waits for the reducer. It becomes one of the limiter's events as it is delivered.
+type queuedEvent struct {
+	kind   eventKind
+	conn   limiter.ConnID
+	size   int                 // bytes, of dataReceived
+	reason limiter.CloseReason // of connClosed
+}
+
+// deliver tells the limiter of the event.
+func (e queuedEvent) deliver(now int64, l *limiter.Limiter) {
+	switch e.kind {
+	case clientAccepted:
+		l.Step(now, limiter.ClientAccepted{Conn: e.conn})
+	case connected:
+		l.Step(now, limiter.Connected{Conn: e.conn})
+	case dataReceived:
+		l.Step(now, limiter.DataReceived{Conn: e.conn, Size: e.size})
+	case connClosed:
+		l.Step(now, limiter.ConnClosed{Conn: e.conn, Reason: e.reason})
+	}
+}
+
 // pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of its
 // leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere. Nor is what
 // a client that has gone sent past mostOfOne: the poller closes a connection on the word that it ends, whatever is unread.
@@ -56,7 +88,7 @@
 		switch {
 		case n > 0:
 			l.posted += int64(n)
-			s.post(l, limiter.Event{Kind: limiter.Readable, Size: n}, into[:n])
+			s.post(l, queuedEvent{kind: dataReceived, size: n}, into[:n])
 		case err == nil:
 			return errInOrder
 		case errors.Is(err, syscall.EAGAIN):
@@ -79,24 +111,24 @@
 
 // telling notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of its own,
 // which closes nothing: the poller sees the end as well.
-func (s *Sockets) telling(e limiter.Event) {
-	l := s.links[e.Conn]
-	if l == nil || e.Size == 0 {
+func (s *Sockets) telling(e queuedEvent) {
+	l := s.links[e.conn]
+	if l == nil || e.size == 0 {
 		return
 	}
-	if l.told.Add(int64(e.Size)); l.stuffed.CompareAndSwap(true, false) {
+	if l.told.Add(int64(e.size)); l.stuffed.CompareAndSwap(true, false) {
 		go func() { _ = s.drain(l, l.conn.Load(), make([]byte, pieces), true) }()
 	}
 }
 
 // post hands an event on a connection to the reducer.
-func (s *Sockets) post(l *link, e limiter.Event, data []byte) {
+func (s *Sockets) post(l *link, e queuedEvent, data []byte) {
 	s.mutex.Lock()
-	e.Conn = l.id
+	e.conn = l.id
 	for len(s.next.bytes) > mostWaiting {
 		s.drained.Wait()
 	}
-	if e.Kind == limiter.Accepted {
+	if e.kind == clientAccepted {
 		s.next.accepted = append(s.next.accepted, l)
 	}
 	s.next.events = append(s.next.events, e)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -78,7 +78,7 @@
 		l := s.link(nil, gate)
 		l.conn.Store(c)
 		c.SetSession(l)
-		s.post(l, limiter.Event{Kind: limiter.Accepted}, nil)
+		s.post(l, queuedEvent{kind: clientAccepted}, nil)
 	})
 	into := make([]byte, pieces) // there is one poller
 	s.engine.OnRead(func(c *nbio.Conn) {
@@ -103,7 +103,7 @@
 		if s.client(l) {
 			s.gate.leave()
 		}
-		s.post(l, limiter.Event{Kind: limiter.Ended, End: end}, nil)
+		s.post(l, queuedEvent{kind: connClosed, reason: end}, nil)
 	})
 	if err := s.engine.Start(); err != nil {
 		return nil, refused(address, err)
@@ -139,19 +139,19 @@
 		case <-timer.C:
 		case <-stop:
 			stop = nil
-			l.Step(clock(), limiter.Event{Kind: limiter.Stopping})
+			l.Step(clock(), limiter.ShutdownRequested{})
 		case config := <-renewed:
-			l.Step(clock(), limiter.Event{Kind: limiter.Renewed, Config: config})
+			l.Step(clock(), limiter.ConfigReloaded{Config: config})
 		}
 		s.take()
 		for _, e := range s.now.events {
-			end := s.read + e.Size
+			end := s.read + e.size
 			s.telling(e)
-			l.Step(clock(), e)
+			e.deliver(clock(), l)
 			s.read = end // whether the reducer has read them or not
 		}
 		if now := clock(); s.wake <= now {
-			l.Step(now, limiter.Event{Kind: limiter.Due})
+			l.Step(now, limiter.TimersDue{})
 		}
 		wait := max(0, s.wake-clock())
 		if len(s.left) > 0 && l.Finished() { // nothing tells that a client's machine has all
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -40,7 +40,7 @@
 }
 
 // next waits for the next event and reads what it tells of.
-func next(t *testing.T, s *Sockets) (limiter.Event, string) {
+func next(t *testing.T, s *Sockets) (queuedEvent, string) {
 	t.Helper()
 	for len(s.now.events) == 0 {
 		select {
@@ -52,19 +52,19 @@
 	}
 	e := s.now.events[0]
 	s.now.events = s.now.events[1:]
-	into := make([]byte, e.Size)
+	into := make([]byte, e.size)
 	s.Read(into)
-	s.read += e.Size
+	s.read += e.size
 	return e, string(into)
 }
 
-func expect(t *testing.T, s *Sockets, kind limiter.Kind, id limiter.ConnID) limiter.Event {
+func expect(t *testing.T, s *Sockets, kind eventKind, id limiter.ConnID) queuedEvent {
 	t.Helper()
 	e, _ := next(t, s)
-	for e.Conn < id { // it has been closed, and the limiter knows it no more
+	for e.conn < id { // it has been closed, and the limiter knows it no more
 		e, _ = next(t, s)
 	}
-	if e.Kind != kind || e.Conn != id {
+	if e.kind != kind || e.conn != id {
 		t.Fatalf("event %+v, want kind %d on %d", e, kind, id)
 	}
 	return e
@@ -79,7 +79,7 @@
 	address := other.Addr().String()
 	t.Run("a connection comes up where it was dialled", func(t *testing.T) {
 		id := s.Dial(address, int64(patience))
-		expect(t, s, limiter.Connected, id)
+		expect(t, s, connected, id)
 		s.Write(id, []byte("abc"))
 		far, err := other.Accept()
 		if err != nil {
@@ -94,27 +94,27 @@
 			t.Fatal(err)
 		}
 		_ = far.Close()
-		if e, text := next(t, s); e.Kind != limiter.Readable || text != "last" {
+		if e, text := next(t, s); e.kind != dataReceived || text != "last" {
 			t.Fatalf("event %+v with %q", e, text)
 		}
-		expect(t, s, limiter.Ended, id)
+		expect(t, s, connClosed, id)
 	})
 	t.Run("it breaks", func(t *testing.T) {
 		id := s.Dial(address, int64(patience))
-		expect(t, s, limiter.Connected, id)
+		expect(t, s, connected, id)
 		far, err := other.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = far.(*net.TCPConn).SetLinger(0)
 		_ = far.Close()
-		if e := expect(t, s, limiter.Ended, id); e.End != limiter.PeerReset && e.End != limiter.PeerClosed {
-			t.Fatalf("end %s", e.End)
+		if e := expect(t, s, connClosed, id); e.reason != limiter.PeerReset && e.reason != limiter.PeerClosed {
+			t.Fatalf("end %s", e.reason)
 		}
 	})
 	t.Run("what the kernel does not take is not written", func(t *testing.T) {
 		id := s.Dial(address, int64(patience))
-		expect(t, s, limiter.Connected, id)
+		expect(t, s, connected, id)
 		far, err := other.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -129,8 +129,8 @@
 	t.Run("nobody listens", func(t *testing.T) {
 		_ = other.Close()
 		id := s.Dial(address, int64(patience))
-		if e := expect(t, s, limiter.Ended, id); e.End != limiter.ConnRefused {
-			t.Fatalf("end %s", e.End)
+		if e := expect(t, s, connClosed, id); e.reason != limiter.ConnRefused {
+			t.Fatalf("end %s", e.reason)
 		}
 	})
 }
@@ -142,9 +142,9 @@
 		t.Fatal(err)
 	}
 	e, _ := next(t, s)
-	s.Write(e.Conn, []byte("answer"))
-	if written := s.Close(e.Conn); written != 6 || s.Written(e.Conn) != 0 {
-		t.Fatalf("written %d, then %d", written, s.Written(e.Conn))
+	s.Write(e.conn, []byte("answer"))
+	if written := s.Close(e.conn); written != 6 || s.Written(e.conn) != 0 {
+		t.Fatalf("written %d, then %d", written, s.Written(e.conn))
 	}
 	got := make([]byte, 9)
 	if n, err := far.Read(got); err != nil || string(got[:n]) != "answer" {
@@ -153,7 +153,7 @@
 	if _, err := far.Read(got); err == nil {
 		t.Fatal("the connection is open still")
 	}
-	expect(t, s, limiter.Ended, e.Conn) // the poller has closed the descriptor
+	expect(t, s, connClosed, e.conn) // the poller has closed the descriptor
 }
 
 // Connections past the limit wait in the kernel: taken in and closed, their requests would be lost. A process does not end
@@ -179,22 +179,22 @@
 		t.Fatalf("event %+v, want none", s.now.events[0])
 	}
 	_ = first.Close()
-	var let []limiter.Event // the place is free before the first one's end is told
+	var let []queuedEvent // the place is free before the first one's end is told
 	for range 3 {
 		got, text := next(t, s)
-		if got.Conn == e.Conn {
-			require.Equal(t, limiter.Ended, got.Kind)
+		if got.conn == e.conn {
+			require.Equal(t, connClosed, got.kind)
 			continue
 		}
-		require.Equal(t, "early"[:got.Size], text)
+		require.Equal(t, "early"[:got.size], text)
 		let = append(let, got)
 	}
 	require.Len(t, let, 2)
-	require.Equal(t, limiter.Accepted, let[0].Kind)
-	require.Equal(t, limiter.Event{Kind: limiter.Readable, Conn: let[0].Conn, Size: 5}, let[1])
+	require.Equal(t, clientAccepted, let[0].kind)
+	require.Equal(t, queuedEvent{kind: dataReceived, conn: let[0].conn, size: 5}, let[1])
 	e = let[0]
-	s.Close(e.Conn)
-	expect(t, s, limiter.Ended, e.Conn)
+	s.Close(e.conn)
+	expect(t, s, connClosed, e.conn)
 	require.Eventually(t, func() bool { return !s.HasBacklog() }, patience, time.Millisecond, "nobody waits any more")
 }
 
@@ -268,10 +268,10 @@
 			e, _ := next(t, s)
 			_ = far.(*net.TCPConn).SetReadBuffer(1 << 12)
 			text := strings.Repeat("x", 1<<16) // more than its machine takes before it reads, and less than ours does
-			s.Write(e.Conn, []byte(text))
-			require.True(t, s.Written(e.Conn) >= 1<<16, "written %d", s.Written(e.Conn))
+			s.Write(e.conn, []byte(text))
+			require.True(t, s.Written(e.conn) >= 1<<16, "written %d", s.Written(e.conn))
 			const after = int64(50 * time.Millisecond)
-			require.True(t, s.CloseGracefully(e.Conn, after, int64(patience)))
+			require.True(t, s.CloseGracefully(e.conn, after, int64(patience)))
 			require.True(t, s.owes())
 			_, err = io.WriteString(far, "late")
 			require.NoError(t, err)
@@ -284,7 +284,7 @@
 				_ = far.Close()
 			}
 			require.Eventually(t, func() bool { return s.left == nil || s.left[0].closed() }, patience, time.Millisecond, "it is closed")
-			if e := expect(t, s, limiter.Ended, e.Conn); e.Size > 0 {
+			if e := expect(t, s, connClosed, e.conn); e.size > 0 {
 				t.Fatal("it was read")
 			}
 		})
--- a/internal/sockets/stale_test.go
+++ b/internal/sockets/stale_test.go
@@ -9,8 +9,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"ospreycroft/internal/limiter"
 )
 
 // TestWriteToTheBroken: a write that finds its connection broken off leaves the descriptor to the poller, which may already have
@@ -28,7 +26,7 @@
 		defer func() { _ = c.Close() }()
 		if far[i] = c.(*net.TCPConn); i < len(near) {
 			e, _ := next(t, s)
-			near[i] = s.links[e.Conn]
+			near[i] = s.links[e.conn]
 		}
 	}
 	stands := func() bool { // the poller waits for the lock of a connection
@@ -49,7 +47,7 @@
 	_ = far[2].Close()
 	near[0].reading.Unlock()
 	e, _ := next(t, s)
-	require.Equal(t, near[0].id, e.Conn)
+	require.Equal(t, near[0].id, e.conn)
 	require.Eventually(t, stands, patience, time.Millisecond)
 	fills := []*os.File{hole} // all lower numbers are taken but the one that accepting takes and gives back
 	for int(fills[len(fills)-1].Fd()) < near[2].conn.Load().Hash() {
@@ -63,7 +61,7 @@
 	time.Sleep(50 * time.Millisecond) // were there a place now, the next client would be let in
 	near[1].reading.Unlock()
 	ask(t, far[3], ping)
-	for heard := false; !heard; heard = e.Conn > near[2].id && e.Kind == limiter.Readable {
+	for heard := false; !heard; heard = e.conn > near[2].id && e.kind == dataReceived {
 		e, _ = next(t, s)
 	}
 	_ = far[3].SetReadDeadline(time.Now().Add(50 * time.Millisecond))
--- a/internal/sockets/watch_test.go
+++ b/internal/sockets/watch_test.go
@@ -41,7 +41,7 @@
 		at, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer func() { _ = at.Close() }()
-		d.l.Step(d.now, limiter.Event{Kind: limiter.Renewed, Config: &settings.Config{Discovery: at.Addr().String(),
+		d.l.Step(d.now, limiter.ConfigReloaded{Config: &settings.Config{Discovery: at.Addr().String(),
 			Settings: &settings.Settings{Settings: &choice.Settings{}}}})
 		c, err := at.Accept()
 		require.NoError(t, err)
