--- a/choice/account.go
+++ b/choice/account.go
@@ -134,7 +134,9 @@
 // quotaOf is the quota of a plan. A cap on attempts in flight is one whose charges fade as attempts end: each counts 1, so that
 // the faded use is what is in flight.
 func (t *accountTable) quotaOf(plan *Plan) (rate, burst, maxCharge float64) {
-	rate, burst, maxCharge = plan.Rate, plan.Burst, t.settings.MaxRequestUnits
+	rate = plan.Rate
+	burst = plan.Burst
+	maxCharge = t.settings.MaxRequestUnits
 	switch {
 	case plan.MaxInFlight <= 0:
 	case rate <= 0:
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -112,7 +112,8 @@
 	case endpoint.StartedAt > s.startedAt:
 		s.replaceBy(fresh) // nothing that is known of the old process holds for the new one
 	}
-	s.zone, s.cell = endpoint.Zone, endpoint.Cell
+	s.zone = endpoint.Zone
+	s.cell = endpoint.Cell
 	s.state = endpoint.State
 	s.nominalWeight = endpoint.Weight
 	c.servers.reindex(now, s)
--- a/choice/index.go
+++ b/choice/index.go
@@ -160,7 +160,8 @@
 // Swap exchanges two servers.
 func (h warmingHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot, h[j].slot = i, j
+	h[i].slot = i
+	h[j].slot = j
 }
 
 // Push appends a server; heap.Push calls it.
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -54,7 +54,9 @@
 	if number := shifted / length; number != a.window.number {
 		w := &a.window
 		w.number = number
-		w.total, w.unconfirmed, w.unconfirmedUnsent = 0, 0, 0
+		w.total = 0
+		w.unconfirmed = 0
+		w.unconfirmedUnsent = 0
 		w.pendingAdjustment = max(w.pendingAdjustment, 0) * math.Exp(-a.fillTimes(length))
 	}
 	return math.Exp(a.fillTimes(shifted % length))
@@ -245,6 +247,7 @@
 	w.total = total
 	ours := math.Min(max(others, math.Min(w.unconfirmed, 0)), max(w.unconfirmed, 0))
 	w.pendingAdjustment -= math.Min(w.unconfirmedUnsent, max(ours, 0))
-	w.unconfirmed, w.unconfirmedUnsent = 0, 0
+	w.unconfirmed = 0
+	w.unconfirmedUnsent = 0
 	return others - ours
 }
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -72,7 +72,8 @@
 
 // cancelLost cancels an attempt whose answer is lost, or whose server is ejected or gone. It is sent again once its end is known.
 func (c *Controller) cancelLost(now int64, a *attempt) {
-	s, q := a.server, a.request
+	s := a.server
+	q := a.request
 	lost := c.isLost(now, a)
 	if q.state != stateInFlight || q.class.Idempotency == NonIdempotent || !c.settings.CanCancel {
 		return
--- a/choice/rotation.go
+++ b/choice/rotation.go
@@ -62,7 +62,8 @@
 // flight are passed over.
 func (r *rotation) next(now int64, eligible []*server, units float64) *server {
 	inFlight := units
-	total, warming := 0.0, 0.0
+	total := 0.0
+	warming := 0.0
 	for _, s := range eligible {
 		weight := r.weight(now, s)
 		inFlight += s.inFlight
@@ -72,7 +73,8 @@
 		}
 	}
 	var best *server
-	turn, bestClaim := 0.0, 0.0
+	turn := 0.0
+	bestClaim := 0.0
 	for _, s := range eligible {
 		weight := r.weight(now, s)
 		preference, skip := r.slowStartTurn(now, s, weight, total, warming)
@@ -83,7 +85,8 @@
 		s.turns.current += weight
 		claim := preference + s.turns.current
 		if best == nil || claim > bestClaim {
-			best, bestClaim = s, claim
+			best = s
+			bestClaim = claim
 		}
 	}
 	if best != nil {
--- a/cmd/ospreycroft/main.go
+++ b/cmd/ospreycroft/main.go
@@ -112,7 +112,8 @@
 	}
 	place := snapshot.Place{Dir: o.SnapshotPath, Installation: o.Installation, Limiter: config.Name, MaxAge: o.SnapshotMaxAge}
 	var err error
-	if stated.Snapshot, err = place.Load(snapshot.Disk{}, time.Now().UnixNano()); err != nil {
+	stated.Snapshot, err = place.Load(snapshot.Disk{}, time.Now().UnixNano())
+	if err != nil {
 		log.Printf("event=snapshot-refused %s", hint.LogFields(err))
 	}
 	w := snapshot.NewWriter(snapshot.Disk{}, place, func(err error) {
@@ -122,7 +123,8 @@
 		}
 		log.Printf("event=snapshot-unwritten %s", hint.LogFields(err))
 	})
-	stated.SaveSnapshot, stated.SaveEvery = w.Save, o.SnapshotMaxAge/8
+	stated.SaveSnapshot = w.Save
+	stated.SaveEvery = o.SnapshotMaxAge / 8
 	return w.Close
 }
 
--- a/cmd/testlab/main.go
+++ b/cmd/testlab/main.go
@@ -129,7 +129,8 @@
 			for _, arg := range args {
 				label, path, named := strings.Cut(arg, "=")
 				if !named {
-					label, path = filepath.Base(filepath.Dir(arg)), arg
+					label = filepath.Base(filepath.Dir(arg))
+					path = arg
 				}
 				r, err := history.Read(path)
 				if err != nil {
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -26,7 +26,8 @@
 	if want := b.to + n; len(b.data) < want {
 		larger := make([]byte, max(want, 2*len(b.data), MinCapacity))
 		b.to = copy(larger, b.data[b.from:b.to])
-		b.from, b.data = 0, larger
+		b.from = 0
+		b.data = larger
 	}
 	return b.data[b.to : b.to+n]
 }
@@ -36,10 +37,12 @@
 
 // Use drops the first n bytes. An empty buffer that has grown is let go, so that one large value does not stay.
 func (b *Buffer) Use(n int) {
-	if b.from += n; b.from < b.to {
+	b.from += n
+	if b.from < b.to {
 		return
 	}
-	b.from, b.to = 0, 0
+	b.from = 0
+	b.to = 0
 	if len(b.data) > MinCapacity {
 		b.data = nil
 	}
--- a/internal/ci/knownred/main/main.go
+++ b/internal/ci/knownred/main/main.go
@@ -44,7 +44,8 @@
 	}
 	var packages []string
 	if len(entries) > 0 {
-		if packages, err = lines(root, errs, "go", "list", "./..."); err != nil {
+		packages, err = lines(root, errs, "go", "list", "./...")
+		if err != nil {
 			return err
 		}
 		tests := map[string][]string{}
@@ -54,7 +55,8 @@
 				continue
 			}
 			list := append(append([]string{"go", "test"}, flags...), "-list", "^(Test|Fuzz|Example)", e.Package)
-			if tests[e.Package], err = lines(root, errs, list...); err != nil {
+			tests[e.Package], err = lines(root, errs, list...)
+			if err != nil {
 				return fmt.Errorf("KNOWN-RED.txt: the tests of %s cannot be listed: %w", e.Package, err)
 			}
 		}
@@ -83,7 +85,9 @@
 
 func command(root string, out, errs io.Writer, words ...string) *exec.Cmd {
 	c := exec.Command(words[0], words[1:]...)
-	c.Dir, c.Stdout, c.Stderr = root, out, errs
+	c.Dir = root
+	c.Stdout = out
+	c.Stderr = errs
 	return c
 }
 
--- a/internal/coldstart/advice.go
+++ b/internal/coldstart/advice.go
@@ -77,7 +77,8 @@
 	if s.PollInterval == 0 {
 		return a, nil
 	}
-	a.AllPolledWithin, a.StatedRate = s.Period(), s.CallRate > 0
+	a.AllPolledWithin = s.Period()
+	a.StatedRate = s.CallRate > 0
 	a.CallRate = float64(s.Limiters) * 1e9 / float64(a.AllPolledWithin)
 	a.Late = max(0, a.AllPolledWithin+answerTime*s.DialTimeout-s.NotificationDeadline)
 	a.Enough = float64(s.Limiters) * 1e9 / float64(s.NotificationDeadline-answerTime*s.DialTimeout)
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -119,7 +119,8 @@
 		return nil, err
 	}
 	s := &Start{set: set, round: set.Period(), began: now, share: 1, spread: spreadFrom, last: now - 1}
-	if s.offset = int64(set.fraction() * float64(s.round)); set.PollInterval == 0 {
+	s.offset = int64(set.fraction() * float64(s.round))
+	if set.PollInterval == 0 {
 		s.next = now // the agent is asked at no cost
 		return s, nil
 	}
@@ -179,7 +180,8 @@
 	case SlotMissed:
 		s.missed, s.next = s.missed+1, s.instant(now)
 	case CallMade:
-		s.last, s.missed = now, 0
+		s.last = now
+		s.missed = 0
 		if hold, more := s.HoldTime(now); s.silent == 0 {
 			s.silent = now + hold + more
 		}
@@ -193,7 +195,8 @@
 	case CallFailed:
 		s.fail(now)
 	case DiscoveryMoved: // what the new address has to tell counts as told soon; a stated budget goes before that
-		if s.next = now; s.set.PollInterval > 0 && s.set.CallRate > 0 {
+		s.next = now
+		if s.set.PollInterval > 0 && s.set.CallRate > 0 {
 			s.next = s.after(now)
 		}
 	}
@@ -202,7 +205,8 @@
 
 // fail notes a call without an answer: since its service owes one, the list may be older than it counts as told.
 func (s *Start) fail(now int64) {
-	if s.silent = min(s.silent, now); s.silent == 0 {
+	s.silent = min(s.silent, now)
+	if s.silent == 0 {
 		s.silent = now
 	}
 	s.retry = true
@@ -280,7 +284,8 @@
 	if sure < s.share {
 		s.Setbacks++
 	}
-	if s.share = sure; s.phase == Warming && sure == 1 {
+	s.share = sure
+	if s.phase == Warming && sure == 1 {
 		s.move(Steady)
 	}
 }
--- a/internal/counterloss/counterloss.go
+++ b/internal/counterloss/counterloss.go
@@ -73,7 +73,8 @@
 	case Lost:
 		// s slices, each max(u·B/s, J) at once and u·R/s a second, against B + R·t.
 		u := math.Min(n, choice.LocalQuotaParts)
-		b.BurstExcess, b.ExcessRate = max(u*plan.Burst, n*mostUnits)-plan.Burst, (u-1)*plan.Rate
+		b.BurstExcess = max(u*plan.Burst, n*mostUnits) - plan.Burst
+		b.ExcessRate = (u - 1) * plan.Rate
 	case Reset:
 		// A limiter that has not looked lately takes the burst anew from an empty total, once for the store
 		// that was forgotten; those that had looked keep what they knew, and a fallen total gives nothing back.
@@ -86,7 +87,8 @@
 		// heals, the parts that lose forget what was added there, which is a reset for their limiters.
 		m := float64(min(parts, s))
 		b.Parts = parts
-		b.BurstExcess, b.ExcessRate = m*plan.Burst, (m-1)*plan.Rate
+		b.BurstExcess = m * plan.Burst
+		b.ExcessRate = (m - 1) * plan.Rate
 	}
 	b.Capped = plan.CeilingRate > 0
 	return b, nil
--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -41,7 +41,8 @@
 		}
 		return a, 0, err
 	}
-	head, rest := b[:end+len(headEnd)], b[end+len(headEnd):]
+	head := b[:end+len(headEnd)]
+	rest := b[end+len(headEnd):]
 	// Only the head is given to it: it is short, so to read it again with each piece of a long body costs little.
 	from := bufio.NewReaderSize(bytes.NewReader(head), len(head))
 	r, err := http.ReadResponse(from, nil)
@@ -53,19 +54,22 @@
 	case r.StatusCode < 100:
 		return a, 0, &MalformedError{Why: "its status is " + r.Status}
 	}
-	a.Status, a.CloseAfter = r.StatusCode, r.Close || r.ProtoMinor == 0
+	a.Status = r.StatusCode
+	a.CloseAfter = r.Close || r.ProtoMinor == 0
 	switch {
 	case r.Body == http.NoBody: // by its status, whatever its fields say, or by a length of 0
 		return a, len(head), nil
 	case len(r.TransferEncoding) > 0: // net/http knows no other than chunked
-		if a.Body, n, err = unchunk(rest); n > 0 {
+		a.Body, n, err = unchunk(rest)
+		if n > 0 {
 			n += len(head)
 		}
 		return a, n, err
 	case r.ContentLength > mostBody, r.ContentLength < 0 && len(rest) > mostBody:
 		return a, 0, &TooLongError{Part: "body", Max: mostBody}
 	case r.ContentLength < 0 && ended:
-		a.Body, a.CloseAfter = rest, true
+		a.Body = rest
+		a.CloseAfter = true
 		return a, len(b), nil
 	case r.ContentLength < 0:
 		return a, 0, nil
--- a/internal/distribution/acknowledgement.go
+++ b/internal/distribution/acknowledgement.go
@@ -139,7 +139,8 @@
 func (t *tally) sum(now int64, relay string) Summary {
 	t.forget(now)
 	s := Summary{Relay: relay}
-	versions, refusals := map[Version]int{}, map[Version]Refusal{}
+	versions := map[Version]int{}
+	refusals := map[Version]Refusal{}
 	for _, name := range slices.Sorted(maps.Keys(t.limiters)) {
 		a := t.limiters[name].value
 		versions[a.Version]++
--- a/internal/distribution/limiterapplier.go
+++ b/internal/distribution/limiterapplier.go
@@ -44,7 +44,8 @@
 			return err
 		}
 	}
-	a.endpoints, a.held = endpoints, next
+	a.endpoints = endpoints
+	a.held = next
 	return nil
 }
 
--- a/internal/distribution/log.go
+++ b/internal/distribution/log.go
@@ -111,7 +111,10 @@
 // follow takes an update that a subscriber has checked: the log of a relay.
 func (l *Log) follow(update *Update) {
 	if update.Whole != nil {
-		l.head, l.base, l.records, l.bytes = update.To, update.To, nil, 0
+		l.head = update.To
+		l.base = update.To
+		l.records = nil
+		l.bytes = 0
 		l.state = update.Whole.Clone()
 		return
 	}
@@ -177,7 +180,8 @@
 	bytes := 0
 	for ; at < len(l.records) && d.To.Less(until); at++ {
 		change := scoped(l.records[at].Change, scope)
-		if bytes += change.size(); bytes > MaxDeltaBytes && len(d.Changes) > 0 {
+		bytes += change.size()
+		if bytes > MaxDeltaBytes && len(d.Changes) > 0 {
 			break
 		}
 		d.Changes = append(d.Changes, change)
--- a/internal/distribution/poller.go
+++ b/internal/distribution/poller.go
@@ -117,7 +117,8 @@
 func (p *Poller) spread() int64 {
 	span := throttledFirst
 	for range p.throttled {
-		if span = min(2*span, throttledMost); span == throttledMost {
+		span = min(2*span, throttledMost)
+		if span == throttledMost {
 			break
 		}
 	}
--- a/internal/distribution/relaychoice.go
+++ b/internal/distribution/relaychoice.go
@@ -95,4 +95,7 @@
 }
 
 // Failed notes that the selected relay did not answer with something of use: the other one is next.
-func (s *Selector) Failed(now int64) { s.second, s.since = !s.second, now }
+func (s *Selector) Failed(now int64) {
+	s.second = !s.second
+	s.since = now
+}
--- a/internal/distribution/resync.go
+++ b/internal/distribution/resync.go
@@ -18,7 +18,8 @@
 func (r *resync) takePiece(piece *Piece, scope Scope) error {
 	switch {
 	case r.after == nil:
-		r.oldest, r.newest = piece.Version, piece.Version
+		r.oldest = piece.Version
+		r.newest = piece.Version
 	case piece.Version.Epoch != r.newest.Epoch: // another writer, whose changes may not follow these entries
 		return &SkipError{Held: r.newest, Given: piece.Version}
 	case piece.Version.Less(r.oldest):
@@ -46,7 +47,8 @@
 	if r.state.bytes > MaxStateBytes {
 		return &TooLargeError{What: "the state", Bytes: r.state.bytes, Max: MaxStateBytes}
 	}
-	r.whole, r.at = piece.Last, r.oldest
+	r.whole = piece.Last
+	r.at = r.oldest
 	return nil
 }
 
--- a/internal/distribution/state.go
+++ b/internal/distribution/state.go
@@ -159,7 +159,8 @@
 	from := 0
 	if key != nil {
 		at, found := slices.BinarySearchFunc(keys, *key, Key.compare)
-		if from = at; found {
+		from = at
+		if found {
 			from++
 		}
 	}
@@ -169,7 +170,8 @@
 			continue
 		}
 		e := Entry{Key: k, Value: s.values[k]}
-		if bytes += e.size(); bytes > maxBytes {
+		bytes += e.size()
+		if bytes > maxBytes {
 			return entries, false
 		}
 		entries = append(entries, e)
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -197,7 +197,8 @@
 			return s.refuse(now, delta.To, err)
 		}
 		s.state.apply(delta.Changes)
-		s.version, s.refused = delta.To, nil
+		s.version = delta.To
+		s.refused = nil
 	}
 	return nil
 }
@@ -260,7 +261,8 @@
 
 // refuse notes that the applier did not put a version in force.
 func (s *Subscriber) refuse(now int64, version Version, cause error) error {
-	s.refused, s.refusedAt = &RefusedError{Version: version, Cause: cause}, now
+	s.refused = &RefusedError{Version: version, Cause: cause}
+	s.refusedAt = now
 	return s.refused
 }
 
--- a/internal/distribution/transport/client.go
+++ b/internal/distribution/transport/client.go
@@ -135,7 +135,8 @@
 	var text []byte
 	if body != nil {
 		var err error
-		if text, err = json.Marshal(body); err != nil {
+		text, err = json.Marshal(body)
+		if err != nil {
 			return nil, &distribution.MalformedError{What: "the call", Cause: err}
 		}
 	}
--- a/internal/distribution/transport/failure.go
+++ b/internal/distribution/transport/failure.go
@@ -112,7 +112,9 @@
 
 // errorOf is the typed error that a failure stands for, nil where it names none that is known.
 func errorOf(f Failure) error {
-	from, head, key := f.From, f.Head, f.Key
+	from := f.From
+	head := f.Head
+	key := f.Key
 	if from == nil {
 		from = &distribution.Version{}
 	}
--- a/internal/distribution/transport/follower.go
+++ b/internal/distribution/transport/follower.go
@@ -59,7 +59,8 @@
 // NewRelayFollower makes the follower of a relay, which its server serves meanwhile.
 func NewRelayFollower(relay *distribution.Relay, server *Server, options FollowerOptions) *Follower {
 	f := newFollower(relay.Subscriber, options, distribution.RelayHold)
-	f.do, f.summary = server.do, relay.Summary
+	f.do = server.do
+	f.summary = relay.Summary
 	return f
 }
 
@@ -163,7 +164,8 @@
 	if sameNews(a, f.said) && now-f.saidAt < distribution.AcknowledgementEvery {
 		return
 	}
-	f.said, f.saidAt = a, now
+	f.said = a
+	f.saidAt = now
 	select {
 	case <-f.say: // the newest takes the place of one that waits
 	default:
--- a/internal/hint/hint_test.go
+++ b/internal/hint/hint_test.go
@@ -22,9 +22,9 @@
 )
 
 // elsewhere are those that the tests of their own packages provoke, or of the limiter, which logs them.
-var elsewhere = []string{"counterwire.CrossedError", "counterwire.RefusedError", "coldstart.Bad", "coldstart.Late", "operator.Unreadable",
-	"operator.BadKey", "snapshot.Unreadable", "snapshot.CutShort", "snapshot.Spoilt", "snapshot.Other", "snapshot.Foreign",
-	"snapshot.Old", "snapshot.Unwritten",
+var elsewhere = []string{"counterwire.MismatchError", "counterwire.RejectedError", "coldstart.SettingError", "coldstart.LateNotificationError", "operator.UnreadableError",
+	"operator.KeyError", "snapshot.UnreadableError", "snapshot.TruncatedError", "snapshot.ChecksumError", "snapshot.FormatError", "snapshot.OwnerError",
+	"snapshot.StaleError", "snapshot.WriteError",
 	"distribution.KindError", "distribution.KeyError", "distribution.TooLargeError", "distribution.EmptyChangeError",
 	"distribution.FencedError", "distribution.EpochStepError", "distribution.ConflictError", "distribution.SkipError",
 	"distribution.StaleAnswerError", "distribution.DigestError", "distribution.CompactedError",
@@ -33,7 +33,7 @@
 	"distribution.MalformedError", "distribution.NoRelayError", "transport.UnreachableError",
 	"transport.UnansweredError", "transport.TruncatedError", "transport.TooLongError", "transport.StatusError",
 	"statefile.UnreadableError", "statefile.TruncatedError", "statefile.ChecksumError", "statefile.FormatError",
-	"statefile.OwnerError", "statefile.StaleError", "statefile.OlderError", "statefile.UnwrittenError",
+	"statefile.OwnerError", "statefile.StaleError", "statefile.OlderError", "statefile.WriteError",
 	"main.FlagError", "main.ListenError", "main.SourceStateError", "main.NotInForceError"}
 
 // match tells whether an error is one of a type or has one underneath, and names the type.
--- a/internal/lab/distbench/fleet.go
+++ b/internal/lab/distbench/fleet.go
@@ -126,7 +126,8 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	if f.source, f.address, err = f.options.Programs.StartSource(dir, "127.0.0.1:0"); err != nil {
+	f.source, f.address, err = f.options.Programs.StartSource(dir, "127.0.0.1:0")
+	if err != nil {
 		return err
 	}
 	f.client = transport.NewClient(f.address, callTimeout)
@@ -239,7 +240,8 @@
 		}
 		key := [2]string{z.name, r.Name}
 		if f.wires[key] == nil {
-			if f.wires[key], err = newWire(z.name, r.Zone, r.Address); err != nil {
+			f.wires[key], err = newWire(z.name, r.Zone, r.Address)
+			if err != nil {
 				return servers, err
 			}
 		}
--- a/internal/lab/distbench/process.go
+++ b/internal/lab/distbench/process.go
@@ -76,7 +76,8 @@
 func Start(program string, environment []string, arguments ...string) (*Process, error) {
 	p := &Process{command: exec.Command(program, arguments...), ended: make(chan struct{})}
 	p.command.Env = append(os.Environ(), environment...)
-	p.command.Stdout, p.command.Stderr = p, p
+	p.command.Stdout = p
+	p.command.Stderr = p
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
 	if err := p.command.Start(); err != nil {
 		return nil, &StartError{What: program, Cause: err}
--- a/internal/lab/distbench/real.go
+++ b/internal/lab/distbench/real.go
@@ -89,12 +89,14 @@
 	l := &realLimiter{number: number}
 	var err error
 	for i := range l.places {
-		if l.places[i], err = startStandIn(); err != nil {
+		l.places[i], err = startStandIn()
+		if err != nil {
 			l.stop()
 			return nil, &StartError{What: "a stand-in of discovery", Cause: err}
 		}
 	}
-	if l.port, err = ports.Keep(); err != nil {
+	l.port, err = ports.Keep()
+	if err != nil {
 		l.stop()
 		return nil, err
 	}
--- a/internal/lab/distbench/usage.go
+++ b/internal/lab/distbench/usage.go
@@ -16,7 +16,8 @@
 // usageOf reads a process's usage. Errors: *procfs.Error.
 func usageOf(pid int) (u usage, err error) {
 	u.at = time.Now()
-	if u.processor, err = procfs.ProcessorTime(pid); err != nil {
+	u.processor, err = procfs.ProcessorTime(pid)
+	if err != nil {
 		return u, err
 	}
 	u.bytes, err = procfs.SystemCallBytes(pid)
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -124,7 +124,8 @@
 			k.book.AddEvent(history.Event{At: now, Kind: "counter-split", Target: "counter"})
 		case f.Kind == "split" && !inside && k.split == i:
 			k.mu.Lock()
-			k.parts, k.split = k.parts[:1], -1
+			k.parts = k.parts[:1]
+			k.split = -1
 			k.mu.Unlock()
 			k.book.AddEvent(history.Event{At: now, Kind: "counter-healed", Target: "counter"})
 		}
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -204,7 +204,8 @@
 	if watching && d.changes && from > 0 {
 		key = from
 	}
-	if text = d.texts[key]; text != nil && d.reach == nil {
+	text = d.texts[key]
+	if text != nil && d.reach == nil {
 		return text, d.generation
 	}
 	list := List{}
@@ -251,7 +252,8 @@
 		d.mu.Unlock()
 		if !down && (!watching || generation > from) {
 			text, generation := d.answer(limiter, watching, from)
-			call.End, call.Generation = history.Answered, generation
+			call.End = history.Answered
+			call.Generation = generation
 			d.write(w, text)
 			return
 		}
@@ -263,7 +265,8 @@
 				<-r.Context().Done() // nothing is said, not even an empty answer; the caller's own time-out ends it
 				return
 			}
-			call.End, call.Generation = history.Answered, generation
+			call.End = history.Answered
+			call.Generation = generation
 			text, _ := json.Marshal(List{Generation: generation, Instances: []Instance{}})
 			d.write(w, text)
 			return
--- a/internal/lab/emulator/port.go
+++ b/internal/lab/emulator/port.go
@@ -22,7 +22,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.kept == nil {
-		if p.kept, err = ports.Keep(); err != nil {
+		p.kept, err = ports.Keep()
+		if err != nil {
 			return err
 		}
 	}
@@ -30,7 +31,9 @@
 	if err != nil {
 		return err
 	}
-	p.listener, p.up, p.conns = l, true, map[net.Conn]struct{}{}
+	p.listener = l
+	p.up = true
+	p.conns = map[net.Conn]struct{}{}
 	go func() {
 		for {
 			c, err := l.Accept()
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -121,8 +121,12 @@
 // Start listens on the port kept for it; it begins cold, but for the first start of one that is warm.
 func (s *Server) Start() error {
 	s.mu.Lock()
-	s.warm, s.spec.Warm = s.spec.Warm, false // a further start is cold
-	s.started, s.window, s.windowIDs, s.fallen = s.clock.Now(), nil, nil, false
+	s.warm = s.spec.Warm
+	s.spec.Warm = false // a further start is cold
+	s.started = s.clock.Now()
+	s.window = nil
+	s.windowIDs = nil
+	s.fallen = false
 	s.mu.Unlock()
 	return s.open(s.serve)
 }
@@ -281,13 +285,15 @@
 	shot := history.Attempt{Server: s.spec.Name, Group: s.spec.Zone, ID: j.id, Customer: j.customer, Class: j.track,
 		Key: j.key, Units: j.units, At: now, MayHaveRun: true, Overloaded: overrun}
 	if faulty && fault.Kind == "busy" {
-		shot.MayHaveRun, shot.Answer = false, "busy"
+		shot.MayHaveRun = false
+		shot.Answer = "busy"
 		s.book.AddAttempt(shot)
 		slots <- reply{text: []byte("-BUSY\r\n")}
 		return
 	}
 	if j.key != "" && s.repeats != nil && s.repeats.seenBefore(j.key, now) {
-		shot.MayHaveRun, shot.Answer = false, "repeat"
+		shot.MayHaveRun = false
+		shot.Answer = "repeat"
 		s.book.AddAttempt(shot)
 		slots <- reply{text: s.value(j)}
 		return
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -188,7 +188,8 @@
 		return fmt.Errorf("settings: missing")
 	}
 	raw["balancers"] = int64(e.Limiters.Count)
-	if e.Text, _ = json.Marshal(raw); e.Text == nil {
+	e.Text, _ = json.Marshal(raw)
+	if e.Text == nil {
 		return fmt.Errorf("settings: cannot be written as JSON")
 	}
 	set, err := settings.Decode(e.Text)
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -54,7 +54,8 @@
 	if !of {
 		return bad
 	}
-	if f.Limiters, err = limitersOf(which, e.Limiters.Count); err != nil {
+	f.Limiters, err = limitersOf(which, e.Limiters.Count)
+	if err != nil {
 		return err
 	}
 	if f.Share < 0 || f.Share > 1 {
--- a/internal/lab/experiment/steps.go
+++ b/internal/lab/experiment/steps.go
@@ -36,12 +36,14 @@
 
 // limitersOf reads the numbers of limiters: "3", "0..9" (both ends included) or "*".
 func limitersOf(text string, count int) ([]int, error) {
-	first, last := 0, count-1
+	first := 0
+	last := count - 1
 	if text != "*" {
 		a, b, span := strings.Cut(text, "..")
 		var err, other error
 		first, err = strconv.Atoi(a)
-		if last = first; span {
+		last = first
+		if span {
 			last, other = strconv.Atoi(b)
 		}
 		if err != nil || other != nil || first < 0 || last < first || last >= count {
@@ -56,7 +58,8 @@
 }
 
 func (e *Experiment) checkSteps(f *Fault, name string) (err error) {
-	if f.Limiters, err = limitersOf(name, e.Limiters.Count); err != nil {
+	f.Limiters, err = limitersOf(name, e.Limiters.Count)
+	if err != nil {
 		return err
 	}
 	for _, k := range []struct {
--- a/internal/lab/faultproxy/conn.go
+++ b/internal/lab/faultproxy/conn.go
@@ -184,7 +184,8 @@
 			}
 			continue
 		}
-		n, cut := len(head.bytes), c.cond.reset && p.to == c.cutTo && len(head.bytes) > 1
+		n := len(head.bytes)
+		cut := c.cond.reset && p.to == c.cutTo && len(head.bytes) > 1
 		if cut {
 			n = 1 + c.rng.IntN(n-1)
 		}
@@ -215,7 +216,8 @@
 		if t, ok := p.dst.(*net.TCPConn); ok {
 			_ = t.CloseWrite()
 		}
-		if c.ended++; c.ended == 2 {
+		c.ended++
+		if c.ended == 2 {
 			c.end(false)
 		}
 	}
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -88,13 +88,19 @@
 		}
 		switch f.Kind {
 		case Cut:
-			c.cut, c.holdTo, c.holdFrom, c.deaf = true, true, true, true
+			c.cut = true
+			c.holdTo = true
+			c.holdFrom = true
+			c.deaf = true
 		case CutTo:
-			c.holdTo, c.deaf = true, true
+			c.holdTo = true
+			c.deaf = true
 		case CutFrom:
-			c.holdFrom, c.deaf = true, true
+			c.holdFrom = true
+			c.deaf = true
 		case Stall:
-			c.holdTo, c.holdFrom = true, true
+			c.holdTo = true
+			c.holdFrom = true
 		case Slow:
 			c.delay += f.Delay
 		case Reset:
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -72,7 +72,9 @@
 
 // JudgeRun applies the five rules to a run's whole record; rule 3 goes by the list's clock for each limiter.
 func JudgeRun(r *history.Run, set *settings.Settings, t Terms) *Verdict {
-	jobs, shots, events := r.Requests, r.Attempts, r.Events
+	jobs := r.Requests
+	shots := r.Attempts
+	events := r.Events
 	v := &Verdict{Requests: len(jobs), Outcomes: map[history.Outcome]int{}, Attempts: len(shots)}
 	sort.SliceStable(shots, func(i, j int) bool { return shots[i].At < shots[j].At })
 	byID := map[string]*history.Request{}
@@ -85,7 +87,8 @@
 		}
 	}
 	kills, stops := downs(events, "kill", "restart"), downs(events, "stop", "continue")
-	cuts, excused := map[int][]history.LinkFault{}, map[string]bool{}
+	cuts := map[int][]history.LinkFault{}
+	excused := map[string]bool{}
 	for _, c := range r.LinkFaults {
 		cuts[c.Limiter] = append(cuts[c.Limiter], c)
 	}
--- a/internal/lab/invariants/outages.go
+++ b/internal/lab/invariants/outages.go
@@ -195,7 +195,8 @@
 			last = before
 		}
 		span := &out[len(out)-1]
-		span.From, span.Until = min(span.From, from), j.Answered
+		span.From = min(span.From, from)
+		span.Until = j.Answered
 		span.Requests++
 	}
 	return out
--- a/internal/lab/invariants/unanswered.go
+++ b/internal/lab/invariants/unanswered.go
@@ -119,7 +119,8 @@
 		limiter int
 		cause   Cause
 	}
-	why, counts := newCauses(r, t), map[key]*Unanswered{}
+	why := newCauses(r, t)
+	counts := map[key]*Unanswered{}
 	for i := range r.Requests {
 		j := &r.Requests[i]
 		missed := delayOf(j)
--- a/internal/lab/loadgen/holder.go
+++ b/internal/lab/loadgen/holder.go
@@ -48,7 +48,8 @@
 		if err != nil {
 			return
 		}
-		if h.Answered++; value {
+		h.Answered++
+		if value {
 			h.Served++
 		}
 		h.Lost = h.Lost[1:]
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -103,7 +103,8 @@
 	}
 	u := rng.Float64() * total
 	for _, it := range items {
-		if u -= share(it); u < 0 {
+		u -= share(it)
+		if u < 0 {
 			return it
 		}
 	}
@@ -229,7 +230,8 @@
 		}
 		if err != nil {
 			job.Sent, job.Deadline = d.clock.Now(), d.clock.Now()+int64(cutOff)
-			job.Answered, job.Outcome = job.Sent, history.NotAccepted
+			job.Answered = job.Sent
+			job.Outcome = history.NotAccepted
 			return false
 		}
 	}
--- a/internal/lab/logsummary/logsummary.go
+++ b/internal/lab/logsummary/logsummary.go
@@ -48,7 +48,8 @@
 		if found == nil {
 			continue
 		}
-		name, rest := line[found[2]:found[3]], line[found[1]:]
+		name := line[found[2]:found[3]]
+		rest := line[found[1]:]
 		switch name {
 		case "requests", "turned-away": // lines of counts
 			for _, f := range figure.FindAllStringSubmatch(rest, -1) {
@@ -87,7 +88,8 @@
 		for limiter, n := range by {
 			r.Total += n
 			if n > r.Most || n == r.Most && limiter < r.Where {
-				r.Most, r.Where = n, limiter
+				r.Most = n
+				r.Where = limiter
 			}
 		}
 		rows = append(rows, r)
--- a/internal/lab/memfs/memfs.go
+++ b/internal/lab/memfs/memfs.go
@@ -21,7 +21,8 @@
 func New() *Disk { return &Disk{Held: map[string][]byte{}} }
 
 func (d *Disk) step(what, path string) error {
-	if d.Log = append(d.Log, what); what == d.Fail {
+	d.Log = append(d.Log, what)
+	if what == d.Fail {
 		return &fs.PathError{Op: what, Path: path, Err: syscall.ENOSPC}
 	}
 	return nil
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -173,7 +173,8 @@
 		}
 		value, turn, tries, wait := "-ERR no server\r\n", int(turns.Add(1)), 1, 2*time.Second
 		if mode == Again {
-			tries, wait = 3, 300*time.Millisecond
+			tries = 3
+			wait = 300 * time.Millisecond
 		}
 		for try := range tries {
 			server := servers[(turn+try)%len(servers)]
--- a/internal/lab/ports/ports.go
+++ b/internal/lab/ports/ports.go
@@ -44,11 +44,13 @@
 	if err != nil {
 		return nil, &KeepError{"socket", err}
 	}
-	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+	err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
+	if err != nil {
 		_ = syscall.Close(fd)
 		return nil, &KeepError{"setsockopt", err}
 	}
-	if err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+	err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	if err != nil {
 		_ = syscall.Close(fd)
 		return nil, &KeepError{"bind", err}
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -106,7 +106,9 @@
 // svg draws lines over seconds, with the run's faults as grey marks, and gives the SVG text.
 func svg(title, unit string, lines []line, events []history.Event) (template.HTML, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
+	p.Title.Text = title
+	p.X.Label.Text = "seconds"
+	p.Y.Label.Text = unit
 	p.Legend.Top = true
 	top := 1.0
 	for i, l := range lines {
@@ -303,7 +305,8 @@
 	}
 	if len(runs) > 1 {
 		var err error
-		if data.Compare, err = comparison(runs); err != nil {
+		data.Compare, err = comparison(runs)
+		if err != nil {
 			return err
 		}
 	}
--- a/internal/lab/runner/fleet.go
+++ b/internal/lab/runner/fleet.go
@@ -31,12 +31,14 @@
 // FleetOf adds up a run's record.
 func FleetOf(r *history.Run) Fleet {
 	f := Fleet{Calls: len(r.Calls), Falls: len(r.OverloadCrashes), Listed: [3]int64{-1, -1, -1}}
-	first, last := int64(-1), int64(0)
+	first := int64(-1)
+	last := int64(0)
 	began := map[int]bool{}
 	for _, l := range r.Processes {
 		if !began[l.Limiter] {
 			began[l.Limiter] = true
-			if last = max(last, l.Started); first < 0 || l.Started < first {
+			last = max(last, l.Started)
+			if first < 0 || l.Started < first {
 				first = l.Started
 			}
 		}
--- a/internal/lab/runner/process.go
+++ b/internal/lab/runner/process.go
@@ -160,7 +160,8 @@
 func (l *Lab) moves(lim *limiter, h happening, cause error) bool {
 	lim.mu.Lock()
 	to, crash, ok := next(lim.state, h)
-	if lim.state = to; ok {
+	lim.state = to
+	if ok {
 		lim.dead = crash || h == shot || lim.dead && h != begun
 	}
 	lim.mu.Unlock()
@@ -205,7 +206,8 @@
 	known, gen := lim.known, lim.gen
 	if !oldList || known == nil {
 		known, _ = json.Marshal(list)
-		if gen = list.Generation; lim.known == nil {
+		gen = list.Generation
+		if lim.known == nil {
 			lim.known, lim.gen = known, gen
 		}
 	}
@@ -254,7 +256,8 @@
 		}
 		cmd.Env = append(cmd.Env, "GW_OPERATOR="+stated)
 	}
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Stdout = out
+	cmd.Stderr = out
 	if err := cmd.Start(); err != nil {
 		_ = out.Close()
 		return failed(err)
@@ -271,7 +274,8 @@
 		err := cmd.Wait()
 		_ = out.Close()
 		l.lived(life, func(r *history.Process) {
-			if r.Ended = l.clock.Now(); err != nil {
+			r.Ended = l.clock.Now()
+			if err != nil {
 				r.End = err.Error()
 			}
 		})
@@ -350,7 +354,8 @@
 		go func() {
 			defer begun.Done()
 			for i := hand; i < len(l.limiters); i += starters {
-				if errs[i] = l.exec(l.limiters[i]); errs[i] == nil {
+				errs[i] = l.exec(l.limiters[i])
+				if errs[i] == nil {
 					wait.Add(1)
 					go func() { defer wait.Done(); errs[i] = l.awaited(l.limiters[i]) }()
 				}
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -115,7 +115,8 @@
 // load drives the load and plays the timeline beside it, to the end of both.
 func (l *Lab) load(progress func(float64)) {
 	driver := loadgen.New(l.e, l.clock, l.book, l)
-	stop, played := make(chan struct{}), make(chan struct{})
+	stop := make(chan struct{})
+	played := make(chan struct{})
 	go func() { l.play(stop); close(played) }()
 	l.log.Info("load", "rate", l.e.Load.Rate, "seconds", l.e.Length, "limiters", l.e.Limiters.Count,
 		"servers", len(l.servers))
@@ -127,7 +128,8 @@
 
 // stand starts the stand-ins: discovery, the counter and the servers.
 func (l *Lab) stand() (err error) {
-	if l.discovery, err = emulator.NewDiscovery(l.clock, l.book, l.scriptOf("discovery"), l.e.Limiters.Count); err != nil {
+	l.discovery, err = emulator.NewDiscovery(l.clock, l.book, l.scriptOf("discovery"), l.e.Limiters.Count)
+	if err != nil {
 		return err
 	}
 	l.discovery.Reach(func(n int, in emulator.Instance) string { return l.net.Address(party(n), in.ID, in.HostPort) })
@@ -289,7 +291,8 @@
 		now := l.clock.Now()
 		if l.counter != nil {
 			was := l.counter.Up()
-			if l.counter.Tick(now); l.counter.Up() != was {
+			l.counter.Tick(now)
+			if l.counter.Up() != was {
 				l.refuse(experiment.Counting, was)
 			}
 		}
--- a/internal/lab/runner/summary.go
+++ b/internal/lab/runner/summary.go
@@ -109,7 +109,8 @@
 			continue
 		}
 		if !seen {
-			first, seen = e.At, true
+			first = e.At
+			seen = true
 		}
 		last = e.At
 	}
--- a/internal/lab/scale/alike.go
+++ b/internal/lab/scale/alike.go
@@ -91,7 +91,8 @@
 		}
 		all, pids = append(all, l), append(pids, l.pid())
 	}
-	if f.all, err = h.watchFleet(s, pids, limiters); err != nil {
+	f.all, err = h.watchFleet(s, pids, limiters)
+	if err != nil {
 		return f, err
 	}
 	for _, l := range all {
@@ -111,7 +112,8 @@
 		return f, err
 	}
 	defer stopHosts(hosts)
-	if f.all, err = h.watchFleet(s, pidsOf(hosts), limiters); err != nil {
+	f.all, err = h.watchFleet(s, pidsOf(hosts), limiters)
+	if err != nil {
 		return f, err
 	}
 	for _, one := range hosts {
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -119,7 +119,8 @@
 		err = c.skip(line)
 	}
 	for range items {
-		if line, err = c.in.ReadString('\n'); err == nil {
+		line, err = c.in.ReadString('\n')
+		if err == nil {
 			err = c.skip(line)
 		}
 		if err != nil {
@@ -147,7 +148,8 @@
 	var wait sync.WaitGroup
 	end := c.clock.Now() + int64(length)
 	for at, i := c.clock.Now(), 0; ; i++ {
-		if at += int64(rng.ExpFloat64() / rate * 1e9); at >= end {
+		at += int64(rng.ExpFloat64() / rate * 1e9)
+		if at >= end {
 			break
 		}
 		if pause := time.Duration(at - c.clock.Now()); pause > 0 {
--- a/internal/lab/scale/counter.go
+++ b/internal/lab/scale/counter.go
@@ -77,7 +77,8 @@
 		return err
 	}
 	defer one.stop()
-	capacity, cost := Point{}, Point{}
+	capacity := Point{}
+	cost := Point{}
 	for range h.samples() {
 		before, err := procfs.ProcessorTime(one.pid())
 		if err != nil {
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -37,7 +37,8 @@
 	for i := range x {
 		sumX, sumY = sumX+x[i], sumY+y[i]
 	}
-	meanX, meanY := sumX/n, sumY/n
+	meanX := sumX / n
+	meanY := sumY / n
 	var squares, products float64
 	for i := range x {
 		squares += (x[i] - meanX) * (x[i] - meanX)
--- a/internal/lab/scale/idle.go
+++ b/internal/lab/scale/idle.go
@@ -44,7 +44,8 @@
 		{Quantity: "control bytes", Unit: "B/s", Points: s.bytes, Mechanism: watchMechanism},
 		{Quantity: "control messages", Unit: "/s", Points: s.messages, Mechanism: watchMechanism},
 	} {
-		one.Experiment, one.Over = experiment, over
+		one.Experiment = experiment
+		one.Over = over
 		h.add(one)
 	}
 }
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -133,7 +133,8 @@
 func (m *marks) clear() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.served, m.counts = map[string]emulator.Handled{}, map[uint64][]emulator.Tally{}
+	m.served = map[string]emulator.Handled{}
+	m.counts = map[uint64][]emulator.Tally{}
 }
 
 func (m *marks) handled(one emulator.Handled) {
@@ -246,7 +247,9 @@
 
 // lostNote tells how many requests the figures leave out, and how many opened a connection.
 func lostNote(all []leg) string {
-	requests, lost, connected := 0, 0, 0
+	requests := 0
+	lost := 0
+	connected := 0
 	for _, one := range all {
 		for _, w := range one.windows {
 			requests += len(w.added) + w.lost
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -129,7 +129,8 @@
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+l.path, "GW_NAME="+l.config.Name, "GW_LISTEN="+l.address,
 		"GW_DISCOVERY="+l.config.Discovery, "GODEBUG=gctrace=1")
 	log := filepath.Join(h.options.Out, name+".log")
-	if l.process, err = begin(cmd, log); err != nil {
+	l.process, err = begin(cmd, log)
+	if err != nil {
 		return nil, &StartError{h.options.Program, log, err}
 	}
 	end := time.Now().Add(startWithin)
@@ -206,7 +207,8 @@
 	var all []*host
 	errs := make(chan error, hosts)
 	for i := range hosts {
-		from, to := first+i*count/hosts, first+(i+1)*count/hosts
+		from := first + i*count/hosts
+		to := first + (i+1)*count/hosts
 		one, err := h.startHost(s, from, to, known, mostMemory/int64(hosts))
 		if err != nil {
 			stopHosts(all)
@@ -292,7 +294,8 @@
 }
 
 func (o *host) answer() (answer hostAnswer, err error) {
-	if err = readLine(o.out, &answer); err == nil && answer.Error != "" {
+	err = readLine(o.out, &answer)
+	if err == nil && answer.Error != "" {
 		err = errors.New(answer.Error)
 	}
 	return answer, err
--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -20,7 +20,8 @@
 	length := h.window(10 * time.Second)
 	time.Sleep(h.window(3 * time.Second))
 	for _, part := range []string{"idle", "changes"} {
-		stop, done := make(chan struct{}), make(chan struct{})
+		stop := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			if part == "changes" {
--- a/internal/lab/scale/request.go
+++ b/internal/lab/scale/request.go
@@ -58,7 +58,8 @@
 func (h *Harness) requestCost(servers, rate int) (point Point, err error) {
 	for range tries {
 		var refused *LoadError
-		if point, err = h.requestCostOnce(servers, rate); !errors.As(err, &refused) {
+		point, err = h.requestCostOnce(servers, rate)
+		if !errors.As(err, &refused) {
 			break
 		}
 		h.logf("%d servers, %d requests/s, again: %v", servers, rate, err)
--- a/internal/lab/scale/stands.go
+++ b/internal/lab/scale/stands.go
@@ -55,14 +55,16 @@
 		addresses = append(addresses, server.Address())
 	}
 	s.list = instances(spec.servers, addresses)
-	if s.discovery, err = emulator.NewDiscovery(s.clock, s.book, nil, spec.limiters); err != nil {
+	s.discovery, err = emulator.NewDiscovery(s.clock, s.book, nil, spec.limiters)
+	if err != nil {
 		return nil, err
 	}
 	if !spec.whole {
 		s.discovery.TellChanges()
 	}
 	s.discovery.SetAll(s.list)
-	if err = s.discovery.Start(); err != nil {
+	err = s.discovery.Start()
+	if err != nil {
 		return nil, err
 	}
 	s.counter = emulator.NewCounter(s.clock, s.book, spec.counter, spec.limiters)
@@ -100,7 +102,8 @@
 }
 
 func (s *stands) traffic() traffic {
-	d, k := &s.discovery.Traffic, &s.counter.Traffic
+	d := &s.discovery.Traffic
+	k := &s.counter.Traffic
 	return traffic{float64(d.Calls.Load()), float64(d.Received.Load() + d.Sent.Load()),
 		float64(k.Calls.Load()), float64(k.Received.Load() + k.Sent.Load())}
 }
--- a/internal/lab/scenarios/steps.go
+++ b/internal/lab/scenarios/steps.go
@@ -23,7 +23,8 @@
 		`whose list is asked for at a service that answers (\d+) calls a second$`,
 		func(limiters, servers, seed, budget int) error {
 			w.Options = simfleet.Plain(uint64(seed), limiters, servers)
-			w.Options.Mode, w.Options.DiscoveryCallRate = simfleet.Polled, float64(budget)
+			w.Options.Mode = simfleet.Polled
+			w.Options.DiscoveryCallRate = float64(budget)
 			return nil
 		})
 	s.Given(`^operators state that it bears (\d+) calls a second$`, func(calls int) error {
@@ -32,7 +33,8 @@
 	})
 	s.Given(`^a limiter that (.+)$`, w.limiterThat)
 	s.Given(`^cold servers fall at ([\d.]+) times what they can do$`, func(times float64) error {
-		w.Options.OverloadMultiple, w.Options.OverloadWindow = times, 1500e6
+		w.Options.OverloadMultiple = times
+		w.Options.OverloadWindow = 1500e6
 		return nil
 	})
 	s.Given(`^clients send (\d+) jobs a second from second ([\d.]+) to second ([\d.]+)$`, func(rate int, from, until float64) error {
@@ -321,10 +323,12 @@
 	if err != nil {
 		return err
 	}
-	all, done := 0, 0
+	all := 0
+	done := 0
 	for _, j := range r.Run.Requests {
 		if j.Sent >= seconds(from) && j.Sent < seconds(until) {
-			if all++; j.Outcome == history.Succeeded && j.Answered-j.Sent <= w.fleet.LatencyObjective(j.Class) {
+			all++
+			if j.Outcome == history.Succeeded && j.Answered-j.Sent <= w.fleet.LatencyObjective(j.Class) {
 				done++
 			}
 		}
--- a/internal/lab/scenarios/walk.go
+++ b/internal/lab/scenarios/walk.go
@@ -18,7 +18,8 @@
 	rate := rapid.SampledFrom([]float64{150, 500}).Draw(t, "rate") // of 900 that the servers can do
 	o.Load.Rate, o.Load.Until, o.Load.KeepConnections, o.Broken = rate, seconds(end), rapid.Bool().Draw(t, "stay"), broken
 	for i := range o.Load.Customers {
-		o.Load.Customers[i].Limiters, o.Load.Customers[i].First = 2, i%limiters
+		o.Load.Customers[i].Limiters = 2
+		o.Load.Customers[i].First = i % limiters
 	}
 	w = &World{Options: o}
 	plan := func(at float64, step func(f *simfleet.Fleet)) { _ = w.Plan(seconds(at), step) } // it has a fleet: no error
@@ -33,7 +34,8 @@
 			"half-open", "link", "link", "link", "burst"}
 		kind := rapid.SampledFrom(kinds).Draw(t, "kind")
 		told = append(told, fmt.Sprintf("%.1f s to %.2f s: %s, limiter %d, %s", at, until, kind, n, server))
-		begin, over := func(*simfleet.Fleet) {}, func(*simfleet.Fleet) {}
+		begin := func(*simfleet.Fleet) {}
+		over := func(*simfleet.Fleet) {}
 		switch kind {
 		case "drain":
 			begin = func(f *simfleet.Fleet) { f.DrainServer(server) }
@@ -66,9 +68,11 @@
 		case "link":
 			way := simfleet.LinkFault(rapid.IntRange(int(simfleet.LinkCut), int(simfleet.DialDelayed)).Draw(t, "way"))
 			far := rapid.SampledFrom([]string{server, "server", "counter", "list"}).Draw(t, "far")
-			from, to := "limiter", far
+			from := "limiter"
+			to := far
 			if rapid.Bool().Draw(t, "back") {
-				from, to = far, "limiter"
+				from = far
+				to = "limiter"
 			}
 			told[i] += fmt.Sprintf(": %d %s>%s", way, from, to)
 			var rule *simfleet.LinkRule
--- a/internal/lab/simdistribution/fleet.go
+++ b/internal/lab/simdistribution/fleet.go
@@ -212,7 +212,9 @@
 	n.poller = distribution.NewPoller(f.queue.now, n.relay.Subscriber,
 		distribution.PollerOptions{DialTimeout: dialTimeout, Hold: distribution.RelayHold, Position: i})
 	n.servers = [2]*node{f.sourceAt, f.sourceAt}
-	n.held, n.down, n.stalled = nil, false, false
+	n.held = nil
+	n.down = false
+	n.stalled = false
 	f.inLife(n, n.poller.First(), func() { f.ask(n) })
 	f.inLife(n, distribution.SummaryEvery, func() { f.summarize(n) })
 }
@@ -220,7 +222,8 @@
 func (f *Fleet) startLimiter(i int, n *node, from *disk) error {
 	n.life++
 	n.applier = &applier{}
-	n.acknowledged, n.saidAt = distribution.Acknowledgement{}, 0
+	n.acknowledged = distribution.Acknowledgement{}
+	n.saidAt = 0
 	n.seenInForce = map[distribution.Version]int64{}
 	subscriber := distribution.NewSubscriber(f.queue.now, distribution.SubscriberOptions{Name: n.name, Scope: f.scopeOf(n), Applier: n.applier})
 	if from != nil {
@@ -427,7 +430,8 @@
 	if same && f.queue.now-n.saidAt < distribution.AcknowledgementEvery {
 		return
 	}
-	n.acknowledged, n.saidAt = a, f.queue.now
+	n.acknowledged = a
+	n.saidAt = f.queue.now
 	f.transcribe(a)
 	n.bytes += headerBytes + size(a)
 	to := n.servers[n.poller.Server(f.queue.now)]
--- a/internal/lab/simdistribution/scenarios.go
+++ b/internal/lab/simdistribution/scenarios.go
@@ -181,7 +181,9 @@
 	}
 	slices.Sort(delays)
 	if len(delays) > 0 {
-		r.P50, r.P99, r.Max = delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1]
+		r.P50 = delays[len(delays)/2]
+		r.P99 = delays[len(delays)*99/100]
+		r.Max = delays[len(delays)-1]
 	}
 	span := seconds(f.queue.now)
 	r.BytesPerSecond = float64(bytes) / float64(len(f.limiters)) / span
--- a/internal/lab/simfleet/broken.go
+++ b/internal/lab/simfleet/broken.go
@@ -29,7 +29,8 @@
 			e.Lifecycle = "in_service"
 		}
 		if f.is(OverloadsNewServers) && e.StartedMs > 0 {
-			e.StartedMs, e.Weight = 0, 20
+			e.StartedMs = 0
+			e.Weight = 20
 		}
 	}
 	if f.is(IgnoresDrains) && answer.Whole {
@@ -62,12 +63,14 @@
 // settingsOf are a limiter's settings, false ones where it is broken so.
 func (f *Fleet) settingsOf(n int) *settings.Settings {
 	set, inner := *f.set, *f.set.Settings
-	set.Settings, inner.Position = &inner, n
+	set.Settings = &inner
+	inner.Position = n
 	if f.is(NoCeiling) {
 		inner.Plans = maps.Clone(inner.Plans)
 		for name, p := range inner.Plans {
 			q := *p
-			q.CeilingRate, q.CeilingBurst = 0, 0
+			q.CeilingRate = 0
+			q.CeilingBurst = 0
 			inner.Plans[name] = &q
 		}
 	}
--- a/internal/lab/simfleet/clients.go
+++ b/internal/lab/simfleet/clients.go
@@ -118,7 +118,8 @@
 	}
 	u := rng.Float64() * total
 	for _, it := range items {
-		if u -= share(it); u < 0 {
+		u -= share(it)
+		if u < 0 {
 			return it
 		}
 	}
@@ -174,13 +175,15 @@
 	if last := len(g.idle) - 1; last >= 0 && !fresh {
 		t := g.idle[last]
 		g.idle = g.idle[:last]
-		t.out, v.tie = v, t
+		t.out = v
+		v.tie = t
 		k.put(t)
 		return
 	}
 	t := &tie{n: v.job.Limiter, out: v}
 	v.tie = t
-	v.job.Sent, v.job.Deadline = k.f.q.now, k.f.q.now+v.cutOff
+	v.job.Sent = k.f.q.now
+	v.job.Deadline = k.f.q.now + v.cutOff
 	t.s = k.f.net.dial(k.host, k, k.f.limiters[t.n].host.name, 1e9)
 	t.s.data = t
 }
@@ -188,7 +191,8 @@
 // put writes a request: its time is counted from here.
 func (k *clients) put(t *tie) {
 	v, now := t.out, k.f.q.now
-	v.job.Sent, v.job.Deadline = now, now+v.cutOff
+	v.job.Sent = now
+	v.job.Deadline = now + v.cutOff
 	t.s.write(v.text)
 	number := v.number
 	look := v.job.Deadline + late
@@ -211,7 +215,9 @@
 // end writes a request down.
 func (k *clients) end(v *visit, outcome history.Outcome, retryAfter int64) {
 	v.over = true
-	v.job.Answered, v.job.Outcome, v.job.RetryAfter = k.f.q.now, outcome, retryAfter
+	v.job.Answered = k.f.q.now
+	v.job.Outcome = outcome
+	v.job.RetryAfter = retryAfter
 	if v.tie != nil {
 		v.tie.out = nil
 	}
@@ -296,7 +302,8 @@
 // started: the front asks a limiter until it says that it is ready.
 func (k *clients) started(n int) {
 	g := k.gates[n]
-	g.in, g.leaving = false, false
+	g.in = false
+	g.leaving = false
 	g.starts++
 	k.ask(n, g.starts)
 }
@@ -320,7 +327,8 @@
 func (k *clients) takeIn(n int) {
 	g := k.gates[n]
 	if !g.in {
-		g.in, g.readyAt = true, k.f.q.now
+		g.in = true
+		g.readyAt = k.f.q.now
 		k.f.event("ready", fmt.Sprintf("limiter:%d", n), "")
 	}
 }
--- a/internal/lab/simfleet/counter.go
+++ b/internal/lab/simfleet/counter.go
@@ -59,7 +59,8 @@
 		return []byte("error\r\n")
 	}
 	k.calls++
-	now, name := k.f.q.now, string(words[1])
+	now := k.f.q.now
+	name := string(words[1])
 	c, known := k.counts[name]
 	if !known || now >= c.until {
 		c = count{until: now + min(life, 60000)*1e6}
--- a/internal/lab/simfleet/fleet.go
+++ b/internal/lab/simfleet/fleet.go
@@ -71,7 +71,8 @@
 	}
 	o.Settings = maps.Clone(o.Settings)
 	if o.OverloadMultiple == 0 {
-		o.OverloadMultiple, o.OverloadWindow = 3, 1500e6
+		o.OverloadMultiple = 3
+		o.OverloadWindow = 1500e6
 	}
 	if o.Grace == 0 {
 		o.Grace = 300e6
@@ -86,7 +87,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if f.set, err = settings.Decode(text); err != nil {
+	f.set, err = settings.Decode(text)
+	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for _, m := range o.Load.Classes {
--- a/internal/lab/simfleet/judge.go
+++ b/internal/lab/simfleet/judge.go
@@ -54,7 +54,8 @@
 		for _, spans := range of {
 			for _, s := range spans {
 				if at >= s.from && at < s.until {
-					at, moved = s.until, true
+					at = s.until
+					moved = true
 				}
 			}
 		}
@@ -100,7 +101,8 @@
 	terms := invariants.Terms{Late: 50e6, Grace: f.o.Grace, Slack: 150e6}
 	for i, s := range f.attempts {
 		// What a fault of the network held up is judged by when it was sent: a limiter cannot take it back.
-		if shots[i] = s.Attempt; s.At > s.sent+terms.Late {
+		shots[i] = s.Attempt
+		if s.At > s.sent+terms.Late {
 			shots[i].At = s.sent
 		}
 	}
@@ -158,7 +160,8 @@
 	for _, s := range f.attempts {
 		if server := name(s.Server, s.life); at[server] {
 			shot := s.Attempt
-			shot.Server, shot.At = server, s.sent
+			shot.Server = server
+			shot.At = s.sent
 			byLimiter[s.limiter] = append(byLimiter[s.limiter], shot)
 		}
 	}
--- a/internal/lab/simfleet/lists.go
+++ b/internal/lab/simfleet/lists.go
@@ -152,7 +152,8 @@
 			d.f.fault("syntax", d.host.name, err.Error())
 			return
 		}
-		c.s, c.at = s, d.f.q.now
+		c.s = s
+		c.at = d.f.q.now
 		ln.call = c
 		d.take(c)
 	}
@@ -195,7 +196,8 @@
 		budget := d.f.o.DiscoveryCallRate
 		l.tokens = min(budget, l.tokens+budget*float64(d.f.q.now-l.filled)/1e9)
 		l.filled = d.f.q.now
-		if l.tokens--; l.tokens < 0 {
+		l.tokens--
+		if l.tokens < 0 {
 			l.tokens++
 			l.turned[second]++
 			c.s.write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
--- a/internal/lab/simfleet/lives.go
+++ b/internal/lab/simfleet/lives.go
@@ -68,7 +68,8 @@
 	if f.lists.down {
 		p.life.others = append(p.life.others, span{f.q.now, never})
 	}
-	m.host.party, m.host.vanished = p, false
+	m.host.party = p
+	m.host.vanished = false
 	f.event("start", m.host.name, "")
 	l, err := limiter.NewWithOptions(p.clock(), p.config, f.o.Operator, p)
 	if err != nil {
@@ -83,7 +84,9 @@
 // end takes a process away; nothing of it is left.
 func (f *Fleet) end(p *process, kind, detail string) {
 	m := f.limiters[p.n]
-	p.dead, p.life.until, m.p = true, f.q.now, nil
+	p.dead = true
+	p.life.until = f.q.now
+	m.p = nil
 	f.event(kind, m.host.name, detail)
 	f.net.kill(m.host)
 	f.clients.died(p.n)
@@ -183,7 +186,8 @@
 		return
 	}
 	config := *p.config
-	config.Discovery, config.Counter = m.list, m.counter
+	config.Discovery = m.list
+	config.Counter = m.counter
 	f.event("hup", p.host.name, m.list+" "+m.counter)
 	p.life.others = append(p.life.others, span{f.q.now, f.q.now + afterHup})
 	if f.is(IgnoresReload) {
--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -251,7 +251,8 @@
 			s.send(packet{kind: refusing})
 			return
 		}
-		s.owner, s.up = h.party, true
+		s.owner = h.party
+		s.up = true
 		h.add(s)
 		s.send(packet{kind: opened})
 		s.owner.accept(s)
@@ -317,7 +318,8 @@
 
 // vanish takes a machine away: nothing is said. What still speaks to it once it is back is reset.
 func (n *network) vanish(h *host) {
-	h.party, h.vanished = nil, true
+	h.party = nil
+	h.vanished = true
 	for _, s := range slices.Clone(h.sides) {
 		s.finish()
 	}
--- a/internal/lab/simfleet/process.go
+++ b/internal/lab/simfleet/process.go
@@ -86,7 +86,8 @@
 		if p.armed != at {
 			return // a nearer wish has come since
 		}
-		if p.armed = 0; !p.dead && !p.stopped {
+		p.armed = 0
+		if !p.dead && !p.stopped {
 			p.due()
 		}
 	})
@@ -103,7 +104,8 @@
 		p.waiting = p.waiting[1:]
 		p.take(w.h, w.bytes)
 	}
-	if p.waiting = nil; p.dead {
+	p.waiting = nil
+	if p.dead {
 		return
 	}
 	p.due()
@@ -126,7 +128,8 @@
 	if ln, list := s.far.data.(*line); list {
 		ln.arrive(p, s.got)
 	}
-	if bytes = p.f.spoil(s, bytes); len(bytes) > 0 {
+	bytes = p.f.spoil(s, bytes)
+	if len(bytes) > 0 {
 		p.step(limiter.DataReceived{Conn: s.id, Size: len(bytes)}, bytes)
 	}
 }
--- a/internal/lab/simfleet/queue.go
+++ b/internal/lab/simfleet/queue.go
@@ -34,7 +34,8 @@
 func (q *queue) run(until int64) {
 	for len(q.heap) > 0 && q.heap[0].at <= until {
 		h := q.heap
-		next, last := h[0], len(h)-1
+		next := h[0]
+		last := len(h) - 1
 		h[0], h[last] = h[last], event{}
 		h = h[:last]
 		q.heap = h
--- a/internal/lab/simfleet/server.go
+++ b/internal/lab/simfleet/server.go
@@ -195,7 +195,8 @@
 	from, _ := f.limiterAt(in.s.far.host)
 	falls, blame := s.pushed(from)
 	if falls {
-		shot.Overloaded, shot.Answer = blame, "reset"
+		shot.Overloaded = blame
+		shot.Answer = "reset"
 		f.recordAttempt(shot, s, from, in.sent)
 		f.event("fall", s.spec.Name, fmt.Sprintf("told=%v jobs=%d", blame, len(s.recent)))
 		f.falls++
@@ -216,12 +217,15 @@
 		s.answer(in, out, s.value(shot.ID))
 		return
 	case s.silent:
-		shot.MayHaveRun, shot.Answer = true, "silent"
+		shot.MayHaveRun = true
+		shot.Answer = "silent"
 		f.recordAttempt(shot, s, from, in.sent)
 		return
 	}
 	work := int64(s.rng.ExpFloat64() * float64(s.spec.ServiceTime) / warmth * max(s.slow, 1))
-	shot.MayHaveRun, shot.Answer, shot.ServiceTime = true, "done", work
+	shot.MayHaveRun = true
+	shot.Answer = "done"
+	shot.ServiceTime = work
 	f.recordAttempt(shot, s, from, in.sent)
 	s.queue = append(s.queue, &task{in: in, out: out, id: shot.ID, work: work})
 	s.begin()
@@ -270,12 +274,18 @@
 // reborn drops what a process held once it has ended.
 func (s *server) reborn() {
 	s.life++
-	s.links, s.busy, s.queue, s.recent, s.done, s.work = 0, 0, nil, nil, 0, 0
+	s.links = 0
+	s.busy = 0
+	s.queue = nil
+	s.recent = nil
+	s.done = 0
+	s.work = 0
 }
 
 // start starts the process, cold unless it has run for long.
 func (s *server) start(at int64) {
 	s.reborn()
 	s.started = at
-	s.host.party, s.host.vanished = s, false
+	s.host.party = s
+	s.host.vanished = false
 }
--- /dev/null
+++ b/internal/limiter/attempts.go
@@ -0,0 +1,104 @@
+package limiter
+
+import (
+	"math"
+	"ospreycroft/choice"
+)
+
+type attempt struct {
+	request       *request
+	number        int
+	decidedAt     int64
+	open          bool
+	conn          *serverConn
+	deadlineTimer *timer
+	lastByte      int64    // the place of its last byte among all that was written on its connection, 0 before
+	location      location // where its server was then
+	neverRan      bool     // it has ended, and has not run
+}
+
+// location is what a list says of where a server stands.
+type location struct {
+	zone string
+	cell int64
+}
+
+// sharesScope tells whether two places are in one group.
+func (p location) sharesScope(group choice.DeduplicationScope, o location) bool {
+	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == o.zone || group == choice.ScopeCell && p.cell == o.cell
+}
+
+// Send is an effect of the module. An attempt that cannot be sent any more was never sent.
+func (l *Limiter) Send(id, server string) {
+	q := l.requests.byID[id]
+	att := &attempt{request: q, number: len(q.attempts), decidedAt: l.now, open: true}
+	q.attempts = append(q.attempts, att)
+	q.openAttempts++
+	if q.state != accepted || l.now >= q.deadline || len(q.attempts) > l.settings.MaxAttempts {
+		l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
+		return
+	}
+	p := l.servers.pools[server]
+	l.whenListTrusted(func() {
+		if q.state != accepted || l.now >= q.deadline || p.draining {
+			l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
+		} else if att.open {
+			p.send(att)
+		}
+	})
+}
+
+// Cancel is an effect of the module: it closes the attempt's connection.
+func (l *Limiter) Cancel(id string, number int) {
+	q := l.requests.byID[id]
+	if q == nil || number >= len(q.attempts) || !q.attempts[number].open {
+		return
+	}
+	if b := q.attempts[number].conn; b != nil {
+		l.closeConn(b.conn, AttemptCancelled)
+	} else { // it waits for a sure list
+		l.endAttempt(q.attempts[number], choice.AttemptResult{Outcome: choice.NotAttempted})
+	}
+}
+
+// endAttempt ends an attempt, once, and owes the module its answer.
+func (l *Limiter) endAttempt(att *attempt, reply choice.AttemptResult) {
+	if !att.open {
+		return
+	}
+	q := att.request
+	l.timers.cancel(att.deadlineTimer)
+	att.open = false
+	att.conn = nil
+	att.neverRan = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed || reply.Outcome == choice.NotAttempted
+	q.openAttempts--
+	reply.Request = q.id
+	reply.Attempt = att.number
+	reply.Duration = l.now - att.decidedAt
+	reply.Final = q.state != accepted
+	l.results = append(l.results, pendingResult{attempt: reply})
+	l.forgetIfDone(q)
+}
+
+// outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
+// know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
+func (att *attempt) outdated() bool {
+	now := att.conn.pool.l.now
+	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.l.settings.DialTimeout || now >= att.deduplicatedUntil()
+}
+
+// deduplicatedUntil is until when the server would know the request again by each earlier attempt that may have run: 0 if it does not by one,
+// and without end where none has. What counts is where an earlier attempt was written, wherever a list has its server now.
+func (att *attempt) deduplicatedUntil() int64 {
+	q := att.request
+	until := int64(math.MaxInt64)
+	for _, e := range q.attempts[:att.number] {
+		if q.deduplicationWindow > 0 && e.lastByte > 0 && !e.neverRan {
+			until = min(until, e.decidedAt+q.deduplicationWindow)
+			if !e.location.sharesScope(q.deduplicationScope, att.conn.pool.location) {
+				return 0
+			}
+		}
+	}
+	return until
+}
--- /dev/null
+++ b/internal/limiter/client.go
@@ -0,0 +1,291 @@
+package limiter
+
+import (
+	"bytes"
+	"container/list"
+	"ospreycroft/choice"
+	"ospreycroft/internal/buffer"
+	"ospreycroft/internal/resp"
+	"strconv"
+)
+
+// maxPipelined is how many commands may wait on one client's connection.
+const maxPipelined = 1024
+
+// client is a connection that a client holds. Answers go out in the order of its commands.
+type client struct {
+	l               *Limiter
+	conn            *conn
+	answers         []*answer
+	closing         bool          // it is closed once it is answered
+	closePending    bool          // that is looked at again soon
+	inputDiscarded  bool          // what it sent was malformed, and what comes behind that is not read
+	processingInput bool          // what has come is being read: its answers go out together behind that
+	connectedAt     int64         // when it connected
+	lastWrite       int64         // when it was last written to
+	lastUsed        int64         // when its present command began, or its last one was answered
+	partialCommand  bool          // a command has begun and is not whole
+	hasRequested    bool          // it has brought a request
+	element         *list.Element // in newClients or usedClients
+}
+
+type answer struct {
+	request *request // nil where the limiter itself answers
+	text    []byte
+}
+
+func (cl *client) onConnected() {}
+
+// open tells whether the connection has not ended, as far as the reducer was told.
+func (cl *client) open() bool { return cl.l.conns[cl.conn.id] == cl.conn }
+
+// idle: nothing is owed to the client, all is written and no part of a command has come that is still to be read.
+func (cl *client) idle() bool {
+	return len(cl.answers) == 0 && (cl.inputDiscarded || len(cl.conn.input.Bytes()) == 0) && cl.l.effects.Written(cl.conn.id) >= cl.conn.bytesSent
+}
+
+// onData takes the commands that have come, and answers together what can be answered at once.
+func (cl *client) onData(b []byte) (used int, err error) {
+	if !cl.l.effects.Alive(cl.conn.id) {
+		return len(b), nil // it has gone, and waits for nothing: its end is told next
+	}
+	cl.processingInput = true
+	for n := 1; n > 0 && used < len(b) && !cl.inputDiscarded && cl.open(); used += n {
+		n = cl.next(b[used:])
+	}
+	if cl.inputDiscarded {
+		used = len(b)
+	}
+	if half := used < len(b); half != cl.partialCommand {
+		cl.partialCommand = half
+		cl.markUsed()
+	}
+	cl.processingInput = false
+	cl.flush()
+	return used, nil
+}
+
+// next takes one command.
+func (cl *client) next(b []byte) int {
+	words, n, err := resp.ReadCommand(b, cl.l.scratch.words[:0])
+	cl.l.scratch.words = words[:0]
+	if len(cl.answers) >= maxPipelined {
+		cl.flush()
+	}
+	crowded := n == 0 && len(b) > buffer.MinCapacity && cl.l.bufferedBytes > cl.l.config.Memory/memoryShare
+	if err == nil && (crowded || len(cl.answers) >= maxPipelined) {
+		err = resp.ErrTooLong
+	}
+	if err != nil {
+		cl.l.stats.inputErrors.malformedCommands++
+		cl.rejectInput(err.Error())
+		return len(b)
+	}
+	if n > 0 {
+		cl.command(words)
+	}
+	return n
+}
+
+func (cl *client) command(words [][]byte) {
+	l := cl.l
+	switch string(bytes.ToUpper(words[0])) {
+	case "SVC.QUERY", "SVC.SUBMIT":
+		cl.request(words)
+	case "PING":
+		if l.readiness.ready {
+			cl.answerDirectly("+PONG")
+		} else {
+			cl.answerDirectly("-LOADING not ready yet")
+		}
+	default:
+		cl.answerError("unknown command")
+	}
+}
+
+// request hands a request to the module, or answers what no module can make sense of.
+func (cl *client) request(words [][]byte) {
+	l := cl.l
+	if len(words) < 4 || len(words) > 5 {
+		cl.answerError("wrong number of arguments")
+		return
+	}
+	arrival, before, past, fault := l.parseArrival(words)
+	if fault == "" && l.requests.byID[arrival.ID] != nil {
+		fault = "id is in use"
+	}
+	if fault != "" {
+		cl.answerError(fault)
+		return
+	}
+	age := l.readDelay()
+	if cl.closing || l.outlivesShutdown(arrival.Timeout) || arrival.Timeout <= age {
+		// A connection that is never without an open request would never end, nor would the process; or the client's time is
+		// over.
+		cl.answerBusy()
+		return
+	}
+	if l.requests.heldBytes > l.config.Memory/memoryShare {
+		// Nothing of it was sent, and one more might end the process with all that it has taken.
+		cl.answerDirectly("-BUSY")
+		return
+	}
+	arrival.Timeout -= age
+	if !cl.hasRequested {
+		l.clients.withoutRequest.Remove(cl.element)
+		cl.hasRequested, cl.element = true, l.clients.withRequest.PushBack(cl)
+	}
+	cl.markUsed()
+	a := &answer{}
+	cl.answers = append(cl.answers, a)
+	a.request = l.addRequest(cl, a, words, before, past, arrival.Timeout)
+	if t := l.settings.Classes[arrival.Class]; t.Idempotency == choice.IdempotentWithKey {
+		a.request.deduplicationWindow = t.DeduplicationWindow
+		a.request.deduplicationScope = t.DeduplicationScope
+	}
+	l.controller.RequestArrived(l.now, arrival)
+}
+
+// answerDirectly answers a command without the module.
+func (cl *client) answerDirectly(text string) {
+	a := &answer{}
+	cl.answers = append(cl.answers, a)
+	cl.answer(a, []byte(text+"\r\n"))
+}
+
+// answerBusy rejects a request that nothing was done for: another limiter may take it soon.
+func (cl *client) answerBusy() {
+	text := "-BUSY"
+	if after := min(cl.l.settings.DialTimeout, cl.l.settings.MaxRetryAfter); after > 0 {
+		text += " " + strconv.FormatInt((after+1e6-1)/1e6, 10)
+	}
+	cl.answerDirectly(text)
+}
+
+// answerError answers a command that can never be right; -BUSY would say that it may be sent again.
+func (cl *client) answerError(why string) {
+	cl.l.stats.inputErrors.invalidCommands++
+	cl.answerDirectly("-ERR " + why)
+}
+
+// rejectInput tells a client why it is closed, behind the answers to what it sent before. Where these take too long they
+// fail: it is owed an error or a close soon.
+func (cl *client) rejectInput(why string) {
+	l := cl.l
+	cl.inputDiscarded = true
+	cl.closing = true
+	cl.answerDirectly("-ERR " + why)
+	if len(cl.answers) > 0 && l.conns[cl.conn.id] == cl.conn {
+		l.schedule(max(cl.connectedAt+minClientIdle, l.now+l.settings.DialTimeout), func() {
+			for len(cl.answers) > 0 && l.conns[cl.conn.id] == cl.conn {
+				q := cl.answers[0].request
+				l.results = append(l.results, pendingResult{disconnected: q.id})
+				l.move(q, requestFailed, failedAnswer)
+			}
+		})
+	}
+}
+
+// answer fills one place and writes what is due, unless more is to come: answers go out in the order of the commands.
+func (cl *client) answer(a *answer, text []byte) {
+	a.text = text
+	if !cl.processingInput {
+		cl.flush()
+	}
+}
+
+// flush writes the answers that are due.
+func (cl *client) flush() {
+	l := cl.l
+	due := 0
+	l.scratch.write = l.scratch.write[:0]
+	for due < len(cl.answers) && cl.answers[due].text != nil {
+		l.scratch.write = append(l.scratch.write, cl.answers[due].text...)
+		cl.answers[due] = nil
+		due++
+	}
+	if due == 0 || l.conns[cl.conn.id] != cl.conn {
+		return
+	}
+	cl.answers = cl.answers[due:]
+	if len(cl.answers) == 0 {
+		cl.answers = nil // what many at once have taken is let go
+	}
+	cl.markUsed()
+	l.write(cl.conn, l.scratch.write)
+	cl.lastWrite = l.now
+	if l.effects.Written(cl.conn.id) < cl.conn.bytesSent && l.clients.unreadBytes() > l.config.Memory/memoryShare {
+		l.closeConn(cl.conn, SlowReader)
+	} else if cl.closing || l.shutdown.lingerUntil != 0 && l.now >= l.shutdown.lingerUntil { // one that came late is left after its first answers
+		cl.closeWhenAnswered()
+	}
+}
+
+// closeIfIdle closes the connection, which owes nothing, unless a command has come on it in this very moment.
+func (cl *client) closeIfIdle() bool {
+	if !cl.l.effects.CloseGracefully(cl.conn.id, cl.l.settings.DialTimeout, cl.l.settings.IdleClose) {
+		return false
+	}
+	cl.l.closeConn(cl.conn, IdleClosed)
+	return true
+}
+
+// closeWhenAnswered ends the connection as soon as all is answered: our sending first, behind the last answer, so that it arrives, and nothing
+// is read from then on. Its client may send on until it finds the end; what was never read it sends again elsewhere.
+func (cl *client) closeWhenAnswered() {
+	l := cl.l
+	cl.closing = true
+	if len(cl.answers) > 0 || cl.idle() && cl.closeIfIdle() {
+		return
+	}
+	// One that was refused may send on for ever, or never read.
+	waited := l.now - cl.lastWrite
+	if cl.inputDiscarded && (waited > l.settings.IdleClose || waited > l.settings.DialTimeout && l.effects.Written(cl.conn.id) >= cl.conn.bytesSent) {
+		l.closeConn(cl.conn, IdleClosed)
+		return
+	}
+	// The rest of an answer is on its way, or the rest of a command to us.
+	if !cl.closePending {
+		cl.closePending = true
+		l.schedule(l.now+l.settings.TimerResolution, func() {
+			cl.closePending = false
+			if l.conns[cl.conn.id] == cl.conn {
+				cl.closeWhenAnswered()
+			}
+		})
+	}
+}
+
+// closeIfGone ends the connection of a client that has gone. The event that tells of it may be far behind others.
+func (cl *client) closeIfGone() {
+	if cl.open() && cl.l.effects.PeerGone(cl.conn.id) {
+		cl.l.closeConn(cl.conn, PeerClosed)
+	}
+}
+
+// markUsed notes that a client that has brought a request is in use.
+func (cl *client) markUsed() {
+	if cl.hasRequested {
+		cl.lastUsed = cl.l.now
+		cl.l.clients.withRequest.MoveToBack(cl.element)
+	}
+}
+
+func (cl *client) onClosed(end CloseReason, _ int64) {
+	l := cl.l
+	l.clients.count--
+	if cl.hasRequested {
+		l.clients.withRequest.Remove(cl.element)
+	} else {
+		l.clients.withoutRequest.Remove(cl.element)
+	}
+	if end == SlowReader {
+		l.stats.inputErrors.slowReaders++
+	}
+	for _, a := range cl.answers {
+		if a.request != nil && a.request.state == accepted {
+			l.move(a.request, clientGone, nil)
+			l.results = append(l.results, pendingResult{disconnected: a.request.id})
+		}
+	}
+}
--- a/internal/limiter/start.go
+++ b/internal/limiter/cold_start.go
@@ -3,14 +3,13 @@
 import (
 	"log"
 	"maps"
-	"slices"
-
 	"ospreycroft/choice"
 	"ospreycroft/internal/coldstart"
 	"ospreycroft/internal/discovery"
 	"ospreycroft/internal/pollpacer"
 	"ospreycroft/internal/settings"
 	"ospreycroft/internal/snapshot"
+	"slices"
 )
 
 // What the protocol says of every deployment, in nanoseconds.
@@ -57,7 +56,7 @@
 		return nil
 	}
 	set := ColdStartSettings(l.config, stated)
-	set.CeilingLeadTime = min(l.controller.ReadyAt(), l.readyBy) - l.now
+	set.CeilingLeadTime = min(l.controller.ReadyAt(), l.readiness.deadline) - l.now
 	rules, err := coldstart.New(l.now, set)
 	if err == nil {
 		l.coldStart = &coldStart{l: l, options: stated, settings: set, start: rules, endpoints: map[string]discovery.Endpoint{}}
@@ -117,8 +116,11 @@
 		}
 		kept.Entries = append(kept.Entries, entry)
 	}
-	if list, counted = known, true; known == nil || same && old.Generation > known.Version {
-		list, counted = kept, same
+	list = known
+	counted = true
+	if known == nil || same && old.Generation > known.Version {
+		list = kept
+		counted = same
 	}
 	for i := range list.Entries {
 		list.Entries[i].StartedAt = max(list.Entries[i].StartedAt, ramps[list.Entries[i].ID])
@@ -135,10 +137,12 @@
 	}
 	for _, e := range list.Entries {
 		was := s.endpoints[e.ID]
-		if e.StartedAt = max(e.StartedAt, was.StartedAt); e.Address == "" {
+		e.StartedAt = max(e.StartedAt, was.StartedAt)
+		if e.Address == "" {
 			e.Address = was.Address
 		}
-		if s.endpoints[e.ID] = e; e.State == choice.EndpointGone {
+		s.endpoints[e.ID] = e
+		if e.State == choice.EndpointGone {
 			delete(s.endpoints, e.ID)
 		}
 	}
@@ -161,15 +165,15 @@
 	l := s.l
 	s.start.Step(l.now, e)
 	phase := s.start.Phase()
-	if phase != coldstart.Starting && !l.ready {
-		l.ready = true
-		log.Printf("event=ready servers=%d generation=%d", len(l.pools), l.discovery.version)
+	if phase != coldstart.Starting && !l.readiness.ready {
+		l.becomeReady()
 	}
 	if phase != s.phase {
 		log.Printf("event=start phase=%s share=%.2f setbacks=%d", phase, s.start.Share(), s.start.Setbacks)
 		s.phase = phase
 	}
-	if l.timers.cancel(s.timer); phase == coldstart.Starting {
+	l.timers.cancel(s.timer)
+	if phase == coldstart.Starting {
 		s.timer = l.schedule(max(l.now, s.start.ReadyAt()), s.timePassed)
 	}
 }
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -2,11 +2,10 @@
 
 import (
 	"log"
-	"slices"
-
 	"ospreycroft/choice"
 	"ospreycroft/internal/counterwire"
 	"ospreycroft/internal/hint"
+	"slices"
 )
 
 const (
@@ -81,7 +80,8 @@
 		if ln.draining {
 			continue
 		}
-		if lines++; best == nil || len(ln.calls) < len(best.calls) {
+		lines++
+		if best == nil || len(ln.calls) < len(best.calls) {
 			best = ln
 		}
 	}
@@ -121,11 +121,11 @@
 func (ln *counterConn) write(c *counterCall) {
 	l := ln.client.l
 	if c.ping {
-		l.writeBuffer = counterwire.AppendPing(l.writeBuffer[:0])
+		l.scratch.write = counterwire.AppendPing(l.scratch.write[:0])
 	} else {
-		l.writeBuffer = counterwire.AppendAdd(l.writeBuffer[:0], c.name, c.amount, c.lifetime)
+		l.scratch.write = counterwire.AppendAdd(l.scratch.write[:0], c.name, c.amount, c.lifetime)
 	}
-	l.write(ln.conn, l.writeBuffer)
+	l.write(ln.conn, l.scratch.write)
 	c.lastByte = ln.conn.bytesSent
 }
 
@@ -144,7 +144,7 @@
 	}
 	c.answered = true
 	k.l.timers.cancel(c.timeout)
-	k.l.pendingResults = append(k.l.pendingResults, pendingResult{counterReply: true, name: c.name, outcome: outcome, total: total})
+	k.l.results = append(k.l.results, pendingResult{counterReply: true, name: c.name, outcome: outcome, total: total})
 	if down := k.l.now-k.lastReply > silentTimeouts*k.l.settings.CounterTimeout; down && !k.loggedDown {
 		k.loggedDown = true
 		log.Printf("event=counter answers=false")
@@ -153,7 +153,8 @@
 
 // noteReply notes a sign of life.
 func (k *counterClient) noteReply() {
-	if k.lastReply = k.l.now; k.loggedDown {
+	k.lastReply = k.l.now
+	if k.loggedDown {
 		k.loggedDown = false
 		log.Printf("event=counter answers=true")
 	}
@@ -168,7 +169,7 @@
 func (ln *counterConn) onData(b []byte) (int, error) {
 	kind, total, n, err := counterwire.ReadReply(b)
 	if err != nil {
-		ln.client.l.rejectedInput.malformedCounterReplies++
+		ln.client.l.stats.inputErrors.malformedCounterReplies++
 		return 0, err
 	}
 	if n == 0 {
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -36,7 +36,7 @@
 				default:
 					require.Regexp(t, "^-BUSY [0-9]+\r\n$", got)
 				}
-				require.Empty(t, l.requests)
+				require.Empty(t, l.requests.byID)
 			}
 		}
 	}
--- a/internal/limiter/departed_test.go
+++ b/internal/limiter/departed_test.go
@@ -18,9 +18,9 @@
 			l.Step(0, Connected{Conn: id})
 			require.Empty(t, w.wrote[id])
 			require.Equal(t, []ConnID{visitor}, w.closed)
-			require.Empty(t, l.requests)
-			require.Zero(t, l.clientCount)
-			require.Len(t, l.pools["s"].idle, 1)
+			require.Empty(t, l.requests.byID)
+			require.Zero(t, l.clients.count)
+			require.Len(t, l.servers.pools["s"].idle, 1)
 			l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed}) // the word of it comes later
 			require.Equal(t, []ConnID{visitor}, w.closed)
 		})
@@ -43,6 +43,6 @@
 	w.say(l, second/10, visitor, command("k1", "read", "480")+command("k2", "read", "480")+command("k3", "read", "480"))
 	require.Equal(t, wrote, w.wrote[id])
 	require.Contains(t, w.closed, visitor)
-	require.Empty(t, l.requests)
+	require.Empty(t, l.requests.byID)
 	require.Equal(t, id, w.last, "another connection was opened")
 }
--- a/internal/limiter/watch.go
+++ b/internal/limiter/discovery.go
@@ -1,14 +1,10 @@
 package limiter
 
 import (
-	"cmp"
 	"errors"
 	"fmt"
 	"log"
 	"net/http"
-	"slices"
-
-	"ospreycroft/choice"
 	"ospreycroft/internal/coldstart"
 	"ospreycroft/internal/discovery"
 	"ospreycroft/internal/hint"
@@ -38,6 +34,27 @@
 	awaitingSlot     bool              // no call is out on the connection: with a stated budget the next one goes out at its time
 }
 
+// newDiscoveryClient makes the client, which makes its first call in start.
+func newDiscoveryClient(l *Limiter) discoveryClient {
+	pacer := pollpacer.New(l.now, l.settings.DialTimeout, max(l.settings.Position, 0), l.settings.PollInterval)
+	pacer.SetNotificationBound(l.settings.DrainGrace)
+	return discoveryClient{l: l, pacer: pacer}
+}
+
+// start makes the first call, or plans it.
+func (w *discoveryClient) start() {
+	if w.l.coldStart.hasCallRate() {
+		w.scheduleSlot()
+		return
+	}
+	delay := w.pacer.FirstDelay()
+	if delay > 0 && w.versionKnown {
+		w.retryTimer = w.l.schedule(w.l.now+delay, w.connect)
+		return
+	}
+	w.connect()
+}
+
 // restore takes the list of the configuration, which may be old.
 func (w *discoveryClient) restore(text []byte) error {
 	if len(text) == 0 || string(text) == "null" {
@@ -61,7 +78,8 @@
 		list, counted = w.l.coldStart.chooseList(list)
 	}
 	if list != nil {
-		list.Whole, w.versionKnown = true, counted // what is newer is enough: a whole list costs discovery as much as several watches
+		list.Whole = true
+		w.versionKnown = counted // what is newer is enough: a whole list costs discovery as much as several watches
 		w.applyList(list, coldstart.ListRestored)
 	}
 	return nil
@@ -94,7 +112,8 @@
 }
 
 func (w *discoveryClient) connect() {
-	w.responseReceived, w.lastFailure = false, pollpacer.Failed
+	w.responseReceived = false
+	w.lastFailure = pollpacer.Failed
 	w.conn = w.l.dial(w, w.l.config.Discovery, w.pacer.DialTimeout())
 }
 
@@ -107,7 +126,8 @@
 	if !l.coldStart.hasCallRate() {
 		wait, limit = w.pacer.NextPoll(l.now, !w.versionKnown)
 	} else {
-		w.responseReceived, w.lastFailure = false, pollpacer.Failed // each call counts for itself
+		w.responseReceived = false
+		w.lastFailure = pollpacer.Failed // each call counts for itself
 		if w.versionKnown {
 			wait, _ = l.coldStart.start.HoldTime(l.now)
 		}
@@ -118,11 +138,11 @@
 		wait, limit = 1e6, limit-wait
 	}
 	if w.versionKnown {
-		l.writeBuffer = discovery.AppendWatch(l.writeBuffer[:0], l.config.Discovery, w.version, wait)
+		l.scratch.write = discovery.AppendWatch(l.scratch.write[:0], l.config.Discovery, w.version, wait)
 	} else {
-		l.writeBuffer = discovery.AppendFetch(l.writeBuffer[:0], l.config.Discovery)
+		l.scratch.write = discovery.AppendFetch(l.scratch.write[:0], l.config.Discovery)
 	}
-	l.write(w.conn, l.writeBuffer)
+	l.write(w.conn, l.scratch.write)
 	w.partialResponse = false
 	w.setResponseTimeout(l.now + limit)
 }
@@ -153,12 +173,14 @@
 	}
 	if err != nil { // asked at once again, it would be as bad
 		w.logFailure("event=list-refused %s", hint.LogFields(err))
-		w.responseReceived, w.lastFailure = false, pollpacer.Failed
+		w.responseReceived = false
+		w.lastFailure = pollpacer.Failed
 	}
 	if err != nil || n == 0 || a.Status < 200 { // the answer itself comes behind a status of 1xx
 		return n, err
 	}
-	if err = w.handleResponse(a); err != nil {
+	err = w.handleResponse(a)
+	if err != nil {
 		return 0, err
 	}
 	if a.CloseAfter {
@@ -175,19 +197,24 @@
 
 // handleResponse takes a whole answer: a list, or word that there is none.
 func (w *discoveryClient) handleResponse(a discovery.Response) (err error) {
-	if w.responseReceived = true; a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests {
+	w.responseReceived = true
+	if a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests {
 		w.logFailure("event=list-turned-away status=%d %s", a.Status, hint.LogFields(a.Err()))
-		w.responseReceived, w.lastFailure = false, pollpacer.Throttled // what is held stays, and what is newer than that is asked for again
+		w.responseReceived = false
+		w.lastFailure = pollpacer.Throttled // what is held stays, and what is newer than that is asked for again
 		return errThrottled
 	}
 	var list *discovery.List
-	if err = a.Err(); err == nil {
+	err = a.Err()
+	if err == nil {
 		list, err = discovery.DecodeList(a.Body)
 	}
 	if err != nil {
 		// The last good list stays. Asked at once again, it would be as bad.
 		w.logFailure("event=list-refused %s", hint.LogFields(err))
-		w.versionKnown, w.responseReceived, w.lastFailure = false, false, pollpacer.Failed
+		w.versionKnown = false
+		w.responseReceived = false
+		w.lastFailure = pollpacer.Failed
 		return err
 	}
 	w.pacer.ResponseReceived(w.l.now)
@@ -272,66 +299,3 @@
 	}
 	w.connect()
 }
-
-// applyList takes a list in: addresses for the pools, the rest for the module.
-func (w *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
-	l := w.l
-	w.version = list.Version
-	entries := make([]choice.Endpoint, len(list.Entries))
-	var retiring []*serverPool
-	if list.Whole {
-		w.completeLists++
-	}
-	for i, e := range list.Entries {
-		entries[i] = e.Endpoint
-		p := l.pools[e.ID]
-		if p == nil {
-			p = l.addPool(e.ID, max(len(list.Entries), len(l.pools)+1))
-		}
-		p.listedIn = w.completeLists
-		p.draining, p.removed = e.State != choice.EndpointReady, e.State == choice.EndpointGone
-		if p.draining || e.Address != p.address {
-			retiring = append(retiring, p)
-		}
-		if e.Address != "" {
-			p.address = e.Address
-		}
-		p.location = location{e.Zone, e.Cell}
-		p.closeIdleSince(e.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
-	}
-	if list.Whole {
-		retiring = append(l.markMissing(w.completeLists), retiring...)
-	}
-	if len(entries) > 0 || list.Whole {
-		log.Printf("event=list generation=%d whole=%v entries=%d", list.Version, list.Whole, len(entries))
-		l.controller.UpdateEndpoints(l.now, list.Whole, entries)
-	}
-	// Only now, or the module would send what is taken back to the same server again.
-	for _, p := range retiring {
-		p.closeUnused()
-		p.forgetIfEmpty()
-	}
-	if l.coldStart != nil {
-		l.coldStart.listApplied(kind, list)
-	}
-}
-
-// addPool makes the pool of a server that was not listed yet, one of so many.
-func (l *Limiter) addPool(id string, servers int) *serverPool {
-	l.poolsSeen++
-	p := &serverPool{l: l, id: id, order: l.poolsSeen, newConns: l.coldStart.connectionBucket(servers)}
-	l.pools[id] = p
-	return p
-}
-
-// markMissing are the servers that a whole list does not name, which are gone, in the order in which they were met.
-func (l *Limiter) markMissing(whole int64) (missing []*serverPool) {
-	for _, p := range l.pools {
-		if p.listedIn != whole {
-			p.draining, p.removed = true, true
-			missing = append(missing, p)
-		}
-	}
-	slices.SortFunc(missing, func(a, b *serverPool) int { return cmp.Compare(a.order, b.order) })
-	return missing
-}
--- a/internal/limiter/events.go
+++ b/internal/limiter/events.go
@@ -32,13 +32,19 @@
 	ConfigReloaded struct{ Config *settings.Config }
 )
 
-func (ClientAccepted) isEvent()    {}
-func (Connected) isEvent()         {}
-func (DataReceived) isEvent()      {}
-func (ConnClosed) isEvent()        {}
-func (TimersDue) isEvent()         {}
+func (ClientAccepted) isEvent() {}
+
+func (Connected) isEvent() {}
+
+func (DataReceived) isEvent() {}
+
+func (ConnClosed) isEvent() {}
+
+func (TimersDue) isEvent() {}
+
 func (ShutdownRequested) isEvent() {}
-func (ConfigReloaded) isEvent()    {}
+
+func (ConfigReloaded) isEvent() {}
 
 // Effects are what the reducer asks of the sockets.
 type Effects interface {
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -212,8 +212,8 @@
 			}
 			w.pass(l, second/100)
 			expect(t, w.wrote[visitor], c.out)
-			if slices.Contains(w.closed, visitor) != c.closed || w.wrote[counting] != counted || len(l.requests) > 0 {
-				t.Fatalf("closed %v, counted %q, requests %d", w.closed, w.wrote[counting], len(l.requests))
+			if slices.Contains(w.closed, visitor) != c.closed || w.wrote[counting] != counted || len(l.requests.byID) > 0 {
+				t.Fatalf("closed %v, counted %q, requests %d", w.closed, w.wrote[counting], len(l.requests.byID))
 			}
 		})
 	}
@@ -300,8 +300,8 @@
 			if got := w.wrote[visitor]; !strings.HasPrefix(got, c.out) || strings.Count(got, "\r\n") != strings.Count(c.out+"\r\n", "\r\n")-strings.Count(c.out, "v\r\n") {
 				t.Fatalf("client got %q, want %q", got, c.out)
 			}
-			if len(l.requests) > 0 || l.heldBytes != 0 {
-				t.Fatalf("%d requests and %d bytes are held", len(l.requests), l.heldBytes)
+			if len(l.requests.byID) > 0 || l.requests.heldBytes != 0 {
+				t.Fatalf("%d requests and %d bytes are held", len(l.requests.byID), l.requests.heldBytes)
 			}
 		})
 	}
@@ -313,8 +313,8 @@
 		w.say(l, 0, id, "-BUSY\r\n")
 		expect(t, w.wrote[visitor], "")
 		l.Step(0, Connected{Conn: id})
-		if got := w.wrote[visitor]; !strings.HasPrefix(got, "-BUSY ") || len(l.pools["s"].idle) != 1 {
-			t.Fatalf("client got %q, %d idle connections", got, len(l.pools["s"].idle))
+		if got := w.wrote[visitor]; !strings.HasPrefix(got, "-BUSY ") || len(l.servers.pools["s"].idle) != 1 {
+			t.Fatalf("client got %q, %d idle connections", got, len(l.servers.pools["s"].idle))
 		}
 	})
 	t.Run("the module hears that a client has left", func(t *testing.T) {
@@ -332,7 +332,7 @@
 			w.say(l, 0, id, in)
 			w.pass(l, l.settings.DialTimeout)
 			expect(t, w.wrote[visitor], string(failedAnswer))
-			if !slices.Contains(w.closed, id) || l.rejectedInput.malformedAnswers != 1 {
+			if !slices.Contains(w.closed, id) || l.stats.inputErrors.malformedAnswers != 1 {
 				t.Fatalf("closed %v after %q", w.closed, in)
 			}
 		}
@@ -340,7 +340,7 @@
 	t.Run("the next command does not go behind an answer at once: more may be coming", func(t *testing.T) {
 		l, w, id := sent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		p := l.pools["s"]
+		p := l.servers.pools["s"]
 		for ; l.now < restTicks*l.settings.TimerResolution; l.now += l.settings.TimerResolution {
 			if b := p.acquire(); b.conn != nil || len(p.idle) != 1 {
 				t.Fatal("a connection that has not rested is used again")
@@ -355,13 +355,13 @@
 		l, w, id := sent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n+OK\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n")
-		if !slices.Contains(w.closed, id) || len(l.pools["s"].idle) != 0 {
+		if !slices.Contains(w.closed, id) || len(l.servers.pools["s"].idle) != 0 {
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
 	t.Run("commands past the memory for them are turned away", func(t *testing.T) {
 		l, w := made(t)
-		l.heldBytes = l.config.Memory/memoryShare + 1
+		l.requests.heldBytes = l.config.Memory/memoryShare + 1
 		w.say(l, 0, visitor, command("j", "read", "480"))
 		expect(t, w.wrote[visitor], "-BUSY\r\n")
 	})
@@ -406,8 +406,8 @@
 			c.end(l)
 			l.Step(c.now, Connected{Conn: id})
 			expect(t, w.wrote[id], "")
-			if b := l.pools["s"]; len(b.idle) != 1 || len(l.requests) > 1 {
-				t.Fatalf("%d idle connections, %d requests", len(b.idle), len(l.requests))
+			if b := l.servers.pools["s"]; len(b.idle) != 1 || len(l.requests.byID) > 1 {
+				t.Fatalf("%d idle connections, %d requests", len(b.idle), len(l.requests.byID))
 			}
 		})
 	}
@@ -418,16 +418,16 @@
 		l, w, id := sent(t, "write")
 		w.kernel[id] = 5
 		l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed})
-		if !slices.Contains(w.closed, id) || len(l.requests) > 0 {
-			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
+		if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 {
+			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests.byID))
 		}
 	})
 	t.Run("what is whole may come to its end", func(t *testing.T) {
 		l, w, id := sent(t, "write")
 		l.Step(0, ConnClosed{Conn: visitor, Reason: PeerClosed})
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if slices.Contains(w.closed, id) || len(l.pools["s"].idle) != 1 || len(l.requests) > 0 {
-			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests))
+		if slices.Contains(w.closed, id) || len(l.servers.pools["s"].idle) != 1 || len(l.requests.byID) > 0 {
+			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests.byID))
 		}
 	})
 }
@@ -436,8 +436,8 @@
 	l, w, id := sent(t, "write")
 	w.pass(l, second/2)
 	expect(t, w.wrote[visitor], string(failedAnswer))
-	if !slices.Contains(w.closed, id) || len(l.requests) > 0 || l.serverConns != 0 {
-		t.Fatalf("closed %v, %d requests, %d connections", w.closed, len(l.requests), l.serverConns)
+	if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 || l.servers.connCount != 0 {
+		t.Fatalf("closed %v, %d requests, %d connections", w.closed, len(l.requests.byID), l.servers.connCount)
 	}
 }
 
@@ -451,8 +451,8 @@
 		t.Fatal("a call without an answer was not given up")
 	}
 	l.AddToCounter(first.name, 3, second)
-	if used, err := l.counter.conns[0].onData([]byte("ok 2\r\n")); used != 6 || err != nil || len(l.pendingResults) != 0 {
-		t.Fatalf("used %d, error %v, the module is owed %+v", used, err, l.pendingResults)
+	if used, err := l.counter.conns[0].onData([]byte("ok 2\r\n")); used != 6 || err != nil || len(l.results) != 0 {
+		t.Fatalf("used %d, error %v, the module is owed %+v", used, err, l.results)
 	}
 	if calls := l.counter.conns[0].calls; len(calls) != 1 || calls[0].answered || calls[0].amount != 3 {
 		t.Fatalf("calls %+v", calls)
@@ -560,7 +560,7 @@
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
 		w.say(l, 0, watching, httpAnswer(`{"generation":8,"reset":true,"instances":[{"instanceId":"s","lifecycle":"odd"}]}`))
-		if l.discovery.version != 7 || len(l.pools) != 1 || !slices.Contains(w.closed, watching) {
+		if l.discovery.version != 7 || len(l.servers.pools) != 1 || !slices.Contains(w.closed, watching) {
 			t.Fatalf("version %d, closed %v", l.discovery.version, w.closed)
 		}
 		w.pass(l, second/10)
@@ -577,11 +577,11 @@
 	l.Reject("nobody's", 0, choice.RejectedForCapacity)
 	want := outcomeCounts{accepted: 1, succeeded: 1}
 	want.rejected[choice.RejectedForCapacity] = 1
-	if l.outcomes != want {
-		t.Fatalf("%+v", l.outcomes)
+	if l.stats.outcomes != want {
+		t.Fatalf("%+v", l.stats.outcomes)
 	}
-	if l.LogOutcomes(); l.outcomes != (outcomeCounts{}) {
-		t.Fatalf("%+v after they were logged", l.outcomes)
+	if l.LogOutcomes(); l.stats.outcomes != (outcomeCounts{}) {
+		t.Fatalf("%+v after they were logged", l.stats.outcomes)
 	}
 }
 
@@ -591,8 +591,8 @@
 	w.say(l, 0, watching, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	dialled := len(w.dialed)
 	w.pass(l, second/2)
-	if len(w.dialed) != dialled || !slices.Contains(w.closed, watching) || len(l.pools) != 1 {
-		t.Fatalf("it is asked again at once: dialled %v, closed %v, %d servers", w.dialed, w.closed, len(l.pools))
+	if len(w.dialed) != dialled || !slices.Contains(w.closed, watching) || len(l.servers.pools) != 1 {
+		t.Fatalf("it is asked again at once: dialled %v, closed %v, %d servers", w.dialed, w.closed, len(l.servers.pools))
 	}
 	t.Run("but at once where it has moved", func(t *testing.T) {
 		l, w := madeTo(t, 10*second, 0)
@@ -676,7 +676,7 @@
 		l.Step(0, moved(l))
 		watch := l.discovery.conn.id
 		l.Step(0, Connected{Conn: watch})
-		if w.dialed[watch] != "disco 2" || !slices.Contains(w.closed, watching) || len(l.pools) != 1 {
+		if w.dialed[watch] != "disco 2" || !slices.Contains(w.closed, watching) || len(l.servers.pools) != 1 {
 			t.Fatalf("dialled %v, closed %v", w.dialed, w.closed)
 		}
 		expect(t, w.wrote[watch], "GET /discovery/hosts HTTP/1.1\r\nHost: disco 2\r\n\r\n")
@@ -706,8 +706,8 @@
 			l.Step(0, moved(l))
 			l.config.Counter = "counter" // so that the next one moves it again
 		}
-		if !slices.Contains(w.closed, line) || len(l.pendingResults) > 0 || len(l.counter.conns) != 1 {
-			t.Fatalf("closed %v, the module is owed %+v, %d lines", w.closed, l.pendingResults, len(l.counter.conns))
+		if !slices.Contains(w.closed, line) || len(l.results) > 0 || len(l.counter.conns) != 1 {
+			t.Fatalf("closed %v, the module is owed %+v, %d lines", w.closed, l.results, len(l.counter.conns))
 		}
 		l.Step(0, Connected{Conn: l.counter.conns[0].conn.id})
 		expect(t, w.wrote[l.counter.conns[0].conn.id], "tally 1 2 1000\r\n")
@@ -724,27 +724,27 @@
 	t.Run("idle connections go at once, one in use once it is answered", func(t *testing.T) {
 		l, w, id := sent(t, "read")
 		w.say(l, 0, watching, gone)
-		if len(l.pools) != 1 || slices.Contains(w.closed, id) {
-			t.Fatalf("%d servers, closed %v", len(l.pools), w.closed)
+		if len(l.servers.pools) != 1 || slices.Contains(w.closed, id) {
+			t.Fatalf("%d servers, closed %v", len(l.servers.pools), w.closed)
 		}
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n")
-		if len(l.pools) != 0 || !slices.Contains(w.closed, id) || l.serverConns != 0 {
-			t.Fatalf("%d servers, closed %v, %d connections", len(l.pools), w.closed, l.serverConns)
+		if len(l.servers.pools) != 0 || !slices.Contains(w.closed, id) || l.servers.connCount != 0 {
+			t.Fatalf("%d servers, closed %v, %d connections", len(l.servers.pools), w.closed, l.servers.connCount)
 		}
 	})
 	t.Run("at another address the same server gets connections of its own", func(t *testing.T) {
 		l, w, id := sent(t, "read")
 		w.say(l, 0, watching, httpAnswer(strings.Replace(known, ":9", ":10", 1)))
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if !slices.Contains(w.closed, id) || len(l.pools["s"].idle) != 0 {
+		if !slices.Contains(w.closed, id) || len(l.servers.pools["s"].idle) != 0 {
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
 	t.Run("a list that does not name it", func(t *testing.T) {
 		l, w := made(t)
-		if w.say(l, 0, watching, httpAnswer(`{"generation":8,"reset":true,"instances":[]}`)); len(l.pools)+len(l.pools) > 0 {
-			t.Fatalf("%d servers", len(l.pools))
+		if w.say(l, 0, watching, httpAnswer(`{"generation":8,"reset":true,"instances":[]}`)); len(l.servers.pools)+len(l.servers.pools) > 0 {
+			t.Fatalf("%d servers", len(l.servers.pools))
 		}
 	})
 }
@@ -758,8 +758,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := dialling(t, "write")
 			w.say(l, 0, watching, httpAnswer(c.list))
-			if !slices.Contains(w.closed, id) || len(l.requests) > 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
-				t.Fatalf("closed %v, %d requests, client got %q", w.closed, len(l.requests), w.wrote[visitor])
+			if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
+				t.Fatalf("closed %v, %d requests, client got %q", w.closed, len(l.requests.byID), w.wrote[visitor])
 			}
 		})
 	}
@@ -795,11 +795,11 @@
 				w.say(l, 0, visitor, c.in)
 			}
 			l.now = c.at
-			l.reapClients()
+			l.clients.reap()
 			w.pass(l, c.at)
 			expect(t, w.wrote[visitor], c.out)
-			if slices.Contains(w.closed, visitor) != c.closed || c.closed && l.clientCount != 0 {
-				t.Fatalf("closed %v, %d clients", w.closed, l.clientCount)
+			if slices.Contains(w.closed, visitor) != c.closed || c.closed && l.clients.count != 0 {
+				t.Fatalf("closed %v, %d clients", w.closed, l.clients.count)
 			}
 		})
 	}
@@ -831,9 +831,9 @@
 						conn.handler.(*client).answers = []*answer{{}}
 					}
 				}
-				l.accept(newcomer + ConnID(most))
+				l.clients.accept(newcomer + ConnID(most))
 			}
-			if l.makeRoomForClients(); !slices.Equal(w.closed, c.want) {
+			if l.clients.makeRoom(); !slices.Equal(w.closed, c.want) {
 				t.Fatalf("closed %v, want %v", w.closed, c.want)
 			}
 		})
@@ -842,16 +842,16 @@
 
 func TestFreeBackend(t *testing.T) {
 	l, w, id := sent(t, "read")
-	l.serverConns = l.config.Sockets / serverDescriptorShare
+	l.servers.connCount = l.config.Sockets / serverDescriptorShare
 	t.Run("an attempt without a descriptor was never sent", func(t *testing.T) {
-		if l.closeOldestIdle() || l.pools["s"].acquire() != nil {
+		if l.servers.closeOldestIdle() || l.servers.pools["s"].acquire() != nil {
 			t.Fatal("a connection in use was given away")
 		}
 	})
 	t.Run("an idle connection makes room", func(t *testing.T) {
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if !l.closeOldestIdle() || l.serverConns != l.config.Sockets/serverDescriptorShare-1 || !slices.Contains(w.closed, id) {
-			t.Fatalf("closed %v, %d connections", w.closed, l.serverConns)
+		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorShare-1 || !slices.Contains(w.closed, id) {
+			t.Fatalf("closed %v, %d connections", w.closed, l.servers.connCount)
 		}
 	})
 }
@@ -873,8 +873,8 @@
 			expect(t, w.wrote[w.last], "*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n")
 			b := l.conns[w.last].handler.(*serverConn)
 			c.end(l, b)
-			if b.healthCheckTimer != nil || len(l.pendingResults) != 1 || l.pendingResults[0].healthChecked != "s" || l.pendingResults[0].outcome != c.want {
-				t.Fatalf("the module is owed %+v", l.pendingResults)
+			if b.healthCheckTimer != nil || len(l.results) != 1 || l.results[0].healthChecked != "s" || l.results[0].outcome != c.want {
+				t.Fatalf("the module is owed %+v", l.results)
 			}
 		})
 	}
@@ -914,9 +914,9 @@
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	w.dead = map[ConnID]bool{id: true}
 	l.now = restTicks * l.settings.TimerResolution
-	p := l.pools["s"]
-	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.serverConns != 1 || !slices.Contains(w.closed, id) {
-		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.serverConns)
+	p := l.servers.pools["s"]
+	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.servers.connCount != 1 || !slices.Contains(w.closed, id) {
+		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.servers.connCount)
 	}
 }
 
@@ -928,7 +928,7 @@
 	}{{DeadlineExceeded, 0}, {AttemptCancelled, 0}, {PeerReset, 0}, {ConnRefused, 1}, {ProtocolError, 1}} {
 		t.Run(c.end.String(), func(t *testing.T) {
 			l, w, id := sent(t, "read")
-			p := l.pools["s"]
+			p := l.servers.pools["s"]
 			p.idle = append(p.idle, &serverConn{pool: p, conn: l.dial(nil, "", second)})
 			p.idle[0].conn.handler = p.idle[0]
 			l.closeConn(l.conns[id], c.end)
@@ -958,13 +958,13 @@
 				w.say(l, c.idle, visitor, command("k", "write", "480"))
 				w.say(l, c.idle, counting, "ok 4\r\n")
 			}
-			before := l.keepIdle
+			before := l.servers.keepIdle
 			l.Step(c.idle+c.after, ConnClosed{Conn: id, Reason: PeerReset})
-			if l.keepIdle > before || (l.keepIdle < before) != c.shorter {
-				t.Fatalf("kept for %d before and %d now", before, l.keepIdle)
+			if l.servers.keepIdle > before || (l.servers.keepIdle < before) != c.shorter {
+				t.Fatalf("kept for %d before and %d now", before, l.servers.keepIdle)
 			}
-			short := l.keepIdle
-			if l.maintain(); c.shorter && l.keepIdle <= short {
+			short := l.servers.keepIdle
+			if l.maintain(); c.shorter && l.servers.keepIdle <= short {
 				t.Fatal("it does not come back")
 			}
 		})
@@ -972,8 +972,8 @@
 	t.Run("one that was idle for longer is not used again", func(t *testing.T) {
 		l, w, id := sent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		l.keepIdle, l.now = second, second+1
-		if b := l.pools["s"].acquire(); b.conn != nil {
+		l.servers.keepIdle, l.now = second, second+1
+		if b := l.servers.pools["s"].acquire(); b.conn != nil {
 			t.Fatal("it was")
 		}
 	})
@@ -983,7 +983,7 @@
 	l, w, id := sent(t, "read")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	l.now = l.settings.IdleClose/idleCloseShare + 1
-	l.closeExpiredIdle()
+	l.servers.closeExpiredIdle()
 	if !slices.Contains(w.closed, id) {
 		t.Fatalf("an idle connection was kept: closed %v", w.closed)
 	}
@@ -1028,8 +1028,8 @@
 		w.pass(l, shutdownLinger)
 		counted := w.wrote[counting]
 		w.say(l, shutdownLinger, visitor, command("k", "read", "480"))
-		require.True(t, w.wrote[visitor] == "" && len(l.requests) == 1 && w.wrote[counting] == counted,
-			"wrote %q, %d requests", w.wrote[visitor], len(l.requests))
+		require.True(t, w.wrote[visitor] == "" && len(l.requests.byID) == 1 && w.wrote[counting] == counted,
+			"wrote %q, %d requests", w.wrote[visitor], len(l.requests.byID))
 		w.say(l, shutdownLinger, id, answer)
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n"+busy)
 		require.True(t, slices.Contains(w.closed, visitor), "closed %v", w.closed)
@@ -1062,8 +1062,8 @@
 			l.Step(shutdownLinger+1, ClientAccepted{Conn: visitor + 1})
 			w.pass(l, c.at)
 			w.say(l, c.at, visitor+1, command("k", "read", c.left))
-			require.True(t, len(l.requests) == 1 == c.taken && (w.wrote[visitor+1] == busy) != c.taken,
-				"%d requests, wrote %q", len(l.requests), w.wrote[visitor+1])
+			require.True(t, len(l.requests.byID) == 1 == c.taken && (w.wrote[visitor+1] == busy) != c.taken,
+				"%d requests, wrote %q", len(l.requests.byID), w.wrote[visitor+1])
 		})
 	}
 	t.Run("a command that has come in the moment of closing is answered first", func(t *testing.T) {
@@ -1122,15 +1122,15 @@
 	})
 	t.Run("others have what is left, and nothing is sent before the list is heard", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		require.True(t, servers(w) == 0 && l.requests["k"].deadline == woken+480*second/1000,
-			"%d dials, deadline %d", servers(w), l.requests["k"].deadline)
+		require.True(t, servers(w) == 0 && l.requests.byID["k"].deadline == woken+480*second/1000,
+			"%d dials, deadline %d", servers(w), l.requests.byID["k"].deadline)
 		hear(l, w, nothing)
 		require.True(t, servers(w) == 1, "%d dials", servers(w))
 	})
 	t.Run("nor at all where its server drains", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		if hear(l, w, drains); servers(w) != 0 || len(l.requests) != 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
-			t.Fatalf("%d dials, %d requests, client got %q", servers(w), len(l.requests), w.wrote[visitor])
+		if hear(l, w, drains); servers(w) != 0 || len(l.requests.byID) != 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
+			t.Fatalf("%d dials, %d requests, client got %q", servers(w), len(l.requests.byID), w.wrote[visitor])
 		}
 	})
 	t.Run("a list service that is down stops nothing", func(t *testing.T) {
@@ -1165,7 +1165,7 @@
 	})
 	t.Run("a repeat past the window in which servers know it is not sent", func(t *testing.T) {
 		l, w, id := dialling(t, "read")
-		q := l.requests["j"]
+		q := l.requests.byID["j"]
 		q.deduplicationWindow, q.attempts = second/5, []*attempt{{request: q, decidedAt: 0, lastByte: 1}, q.attempts[0]}
 		q.attempts[1].number = 1
 		l.Step(second/5, Connected{Conn: id})
@@ -1175,6 +1175,6 @@
 		l, w := asked(t, "10480")
 		l.Cancel("k", 0)
 		hear(l, w, nothing)
-		require.True(t, servers(w) <= 1 && (l.requests["k"] == nil || !l.requests["k"].attempts[0].open), "%d dials", servers(w))
+		require.True(t, servers(w) <= 1 && (l.requests.byID["k"] == nil || !l.requests.byID["k"].attempts[0].open), "%d dials", servers(w))
 	})
 }
--- a/internal/limiter/notification_test.go
+++ b/internal/limiter/notification_test.go
@@ -79,7 +79,7 @@
 		}
 		o.accept(now)
 		o.look(now)
-		if o.l.pools["s"] == nil || o.l.pools["s"].draining {
+		if o.l.servers.pools["s"] == nil || o.l.servers.pools["s"].draining {
 			return now
 		}
 	}
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -2,14 +2,18 @@
 
 import (
 	"bytes"
-	"fmt"
-	"log"
-	"strconv"
-
 	"ospreycroft/choice"
 	"ospreycroft/internal/resp"
+	"strconv"
 )
 
+// requestTable holds the requests that are not forgotten yet.
+type requestTable struct {
+	byID      map[string]*request
+	heldBytes int64 // bytes of their commands
+	lastEnd   int64 // when a request last ended
+}
+
 // requestState is where a request stands; move is the only function that changes it.
 type requestState uint8
 
@@ -38,29 +42,6 @@
 	beforeTimeout, afterTimeout []byte
 }
 
-type attempt struct {
-	request       *request
-	number        int
-	decidedAt     int64
-	open          bool
-	conn          *serverConn
-	deadlineTimer *timer
-	lastByte      int64    // the place of its last byte among all that was written on its connection, 0 before
-	location      location // where its server was then
-	neverRan      bool     // it has ended, and has not run
-}
-
-// location is what a list says of where a server stands.
-type location struct {
-	zone string
-	cell int64
-}
-
-// sharesScope tells whether two places are in one group.
-func (p location) sharesScope(group choice.DeduplicationScope, o location) bool {
-	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == o.zone || group == choice.ScopeCell && p.cell == o.cell
-}
-
 var (
 	busyAnswer   = []byte("-BUSY\r\n")
 	failedAnswer = []byte("-ERR written off\r\n")
@@ -79,10 +60,11 @@
 		text = append(text, w...)
 		q.words[i] = text[len(text)-len(w):]
 	}
-	q.beforeTimeout, q.afterTimeout = q.words[3][:before], q.words[3][past:]
-	l.outcomes.accepted++
-	l.heldBytes += q.bytes
-	l.requests[q.id], l.flushed = q, false
+	q.beforeTimeout = q.words[3][:before]
+	q.afterTimeout = q.words[3][past:]
+	l.stats.outcomes.accepted++
+	l.requests.heldBytes += q.bytes
+	l.requests.byID[q.id], l.shutdown.flushed = q, false
 	return q
 }
 
@@ -91,9 +73,10 @@
 	if q.state != accepted {
 		return
 	}
-	l.lastRequestEnd = l.now
-	if q.state = to; to == succeeded {
-		l.outcomes.succeeded++
+	l.requests.lastEnd = l.now
+	q.state = to
+	if to == succeeded {
+		l.stats.outcomes.succeeded++
 	}
 	for _, att := range q.attempts {
 		// A command of which the kernel has only a part must not become whole after the request's end: this comes before the
@@ -110,9 +93,9 @@
 
 // forgetIfDone lets go of a request that has ended, once nothing of it is out.
 func (l *Limiter) forgetIfDone(q *request) {
-	if q.state != accepted && q.openAttempts == 0 && l.requests[q.id] == q {
-		l.heldBytes -= q.bytes
-		delete(l.requests, q.id)
+	if q.state != accepted && q.openAttempts == 0 && l.requests.byID[q.id] == q {
+		l.requests.heldBytes -= q.bytes
+		delete(l.requests.byID, q.id)
 	}
 }
 
@@ -124,88 +107,22 @@
 	return resp.AppendCommand(to, append(words, q.words[4:]...)...)
 }
 
-// outcomeCounts counts what became of requests since it was last logged.
-type outcomeCounts struct {
-	accepted, succeeded int
-	rejected            [choice.RejectReasons]int
-}
-
-// LogOutcomes logs the counts since the last time, if there are any, in one line whatever their number.
-func (l *Limiter) LogOutcomes() {
-	if t := l.outcomes; t != (outcomeCounts{}) {
-		line := fmt.Sprintf("event=requests taken=%d succeeded=%d", t.accepted, t.succeeded)
-		for c, n := range t.rejected {
-			line += fmt.Sprintf(" %s=%d", choice.RejectReason(c), n)
-		}
-		log.Print(line)
-		l.outcomes = outcomeCounts{}
-	}
-}
-
-// Send is an effect of the module. An attempt that cannot be sent any more was never sent.
-func (l *Limiter) Send(id, server string) {
-	q := l.requests[id]
-	att := &attempt{request: q, number: len(q.attempts), decidedAt: l.now, open: true}
-	q.attempts = append(q.attempts, att)
-	q.openAttempts++
-	if q.state != accepted || l.now >= q.deadline || len(q.attempts) > l.settings.MaxAttempts {
-		l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
-		return
-	}
-	p := l.pools[server]
-	l.whenListTrusted(func() {
-		if q.state != accepted || l.now >= q.deadline || p.draining {
-			l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
-		} else if att.open {
-			p.send(att)
-		}
-	})
-}
-
-// Cancel is an effect of the module: it closes the attempt's connection.
-func (l *Limiter) Cancel(id string, number int) {
-	q := l.requests[id]
-	if q == nil || number >= len(q.attempts) || !q.attempts[number].open {
-		return
-	}
-	if b := q.attempts[number].conn; b != nil {
-		l.closeConn(b.conn, AttemptCancelled)
-	} else { // it waits for a sure list
-		l.endAttempt(q.attempts[number], choice.AttemptResult{Outcome: choice.NotAttempted})
-	}
-}
-
-// endAttempt ends an attempt, once, and owes the module its answer.
-func (l *Limiter) endAttempt(att *attempt, reply choice.AttemptResult) {
-	if !att.open {
-		return
-	}
-	q := att.request
-	l.timers.cancel(att.deadlineTimer)
-	att.open, att.conn = false, nil
-	att.neverRan = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed || reply.Outcome == choice.NotAttempted
-	q.openAttempts--
-	reply.Request, reply.Attempt, reply.Duration, reply.Final = q.id, att.number, l.now-att.decidedAt, q.state != accepted
-	l.pendingResults = append(l.pendingResults, pendingResult{attempt: reply})
-	l.forgetIfDone(q)
-}
-
 // Reject is an effect of the module.
 func (l *Limiter) Reject(id string, retryAfter int64, cause choice.RejectReason) {
-	l.outcomes.rejected[cause]++
+	l.stats.outcomes.rejected[cause]++
 	text := busyAnswer
 	if retryAfter > 0 {
 		text = strconv.AppendInt([]byte("-BUSY "), (retryAfter+1e6-1)/1e6, 10)
 		text = append(text, "\r\n"...)
 	}
-	if q := l.requests[id]; q != nil {
+	if q := l.requests.byID[id]; q != nil {
 		l.move(q, rejected, text)
 	}
 }
 
 // Fail is an effect of the module.
 func (l *Limiter) Fail(id string) {
-	if q := l.requests[id]; q != nil {
+	if q := l.requests.byID[id]; q != nil {
 		l.move(q, requestFailed, failedAnswer)
 	}
 }
--- a/internal/limiter/scale_bench_test.go
+++ b/internal/limiter/scale_bench_test.go
@@ -52,7 +52,7 @@
 	}
 	l.discovery.applyList(benchList(b, 0, servers, true, "in_service"), coldstart.ListReceived)
 	for i := range min(benchConnections, servers) {
-		connection := l.pools[fmt.Sprintf("server-%d", i*servers/min(benchConnections, servers))].acquire()
+		connection := l.servers.pools[fmt.Sprintf("server-%d", i*servers/min(benchConnections, servers))].acquire()
 		connection.conn = l.dial(connection, connection.address, second)
 		l.Step(0, Connected{Conn: connection.conn.id})
 	}
@@ -89,7 +89,7 @@
 			b.ResetTimer()
 			for range b.N {
 				l.maintain()
-				l.timers = l.timers[:0]
+				l.timers.heap = l.timers.heap[:0]
 			}
 		})
 	}
--- /dev/null
+++ b/internal/limiter/server_answer.go
@@ -0,0 +1,43 @@
+package limiter
+
+import (
+	"bytes"
+	"ospreycroft/choice"
+	"ospreycroft/internal/resp"
+	"strconv"
+)
+
+// maxReportFigure is the largest figure of a load report that is believed, the protocol's largest amount.
+const maxReportFigure = 1e9
+
+// decodeAnswer tells what a server's answer means and its value: the true units, so many at most, and the load report where
+// it gives them.
+func decodeAnswer(v resp.Value, most float64) (reply choice.AttemptResult, value []byte) {
+	switch {
+	case v.Kind == '*':
+		reply = choice.AttemptResult{Outcome: choice.Succeeded, ActualUnits: loadFigure(v.List[1].Text, "cost", most)}
+		if len(v.List) > 2 {
+			reply.Load.InFlight = loadFigure(v.List[2].Text, "outstanding", maxReportFigure)
+			reply.Load.Throughput = loadFigure(v.List[2].Text, "throughput", maxReportFigure)
+			reply.Load.Queued = loadFigure(v.List[2].Text, "backlog", maxReportFigure)
+			reply.Load.ServiceTime = int64(loadFigure(v.List[2].Text, "recent_ms", maxReportFigure) * 1e6)
+		}
+		return reply, v.List[0].Text
+	case (string(v.Text) == "BUSY" || bytes.HasPrefix(v.Text, []byte("BUSY "))):
+		return choice.AttemptResult{Outcome: choice.Overloaded}, nil
+	}
+	return choice.AttemptResult{Outcome: choice.ServerError}, nil
+}
+
+// loadFigure finds one of the figures on use or load by its name. One that cannot be right counts as none, 0: settled,
+// it would spoil the customer's account for good.
+func loadFigure(figures []byte, wanted string, most float64) float64 {
+	for _, field := range bytes.Split(figures, []byte(",")) {
+		if name, value, _ := bytes.Cut(field, []byte("=")); string(name) == wanted {
+			if x, err := strconv.ParseFloat(string(value), 64); err == nil && x > 0 && x <= most {
+				return x
+			}
+		}
+	}
+	return 0
+}
--- a/internal/limiter/silence_test.go
+++ b/internal/limiter/silence_test.go
@@ -60,7 +60,7 @@
 				d.serve(l, w, now, id, h)
 			}
 		}
-		if p := l.pools["s"]; p == nil || p.draining {
+		if p := l.servers.pools["s"]; p == nil || p.draining {
 			return now
 		}
 	}
--- a/internal/limiter/start_test.go
+++ b/internal/limiter/start_test.go
@@ -77,7 +77,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w := stated(t, 4, asked)
 			require.Equal(t, 0, through(l, w, at-second/20), "calls before its instant")
-			require.True(t, l.ready)
+			require.True(t, l.readiness.ready)
 			require.Equal(t, 1, through(l, w, at), "calls at its instant")
 			id := w.last
 			for _, then := range c.then {
@@ -100,7 +100,7 @@
 	l, _ := NewWithOptions(0, &config, OperatorOptions{DiscoveryCallRate: 1}, w)
 	for now := int64(0); now <= 20*second; now += second / 10 {
 		l.Step(now, TimersDue{})
-		require.True(t, l.ready == (now >= 20*second), "ready %v after %d ns", l.ready, now)
+		require.True(t, l.readiness.ready == (now >= 20*second), "ready %v after %d ns", l.readiness.ready, now)
 	}
 	for l.conns[l.discovery.conn.id] == nil || l.conns[l.discovery.conn.id].open {
 		l.Step(l.now+second/10, TimersDue{})
@@ -163,7 +163,7 @@
 		old := *last
 		old.Discovery = c.disco
 		w.wrote = map[ConnID]string{}
-		require.Len(t, life(&old, c.known).pools, c.servers, c.name)
+		require.Len(t, life(&old, c.known).servers.pools, c.servers, c.name)
 		require.Contains(t, w.wrote[watching], c.from, c.name)
 	}
 	old := *last
@@ -179,14 +179,14 @@
 	l, w := stated(t, 1, OperatorOptions{ConnectionRate: 2})
 	opened := 0
 	for now := int64(0); now < 7*second; now += second / 100 {
-		if l.now = now; l.pools["s"].acquire() != nil {
+		if l.now = now; l.servers.pools["s"].acquire() != nil {
 			opened++
 		}
 	}
 	require.True(t, opened >= 12 && opened <= 15, "%d connections in 7 s, 2 a second are stated", opened)
 	l, _ = New(0, l.config, w)
 	for range 2 {
-		require.NotNil(t, l.pools["s"].acquire(), "held back where nothing is stated")
+		require.NotNil(t, l.servers.pools["s"].acquire(), "held back where nothing is stated")
 	}
 }
 
@@ -201,10 +201,10 @@
 func TestNothingStated(t *testing.T) {
 	for _, every := range []int64{0, 10 * second} {
 		l, w := madeTo(t, every, 0)
-		require.True(t, l.coldStart == nil && l.pools["s"].newConns == (coldstart.Bucket{}), "a start, or a bound of connections")
+		require.True(t, l.coldStart == nil && l.servers.pools["s"].newConns == (coldstart.Bucket{}), "a start, or a bound of connections")
 		hold, limit := l.discovery.pacer.NextPoll(0, false)
-		if w.say(l, 0, watching, httpAnswer(known)); asks(w) != 2 || !l.ready || l.discovery.responseTimer.at != limit {
-			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.ready, l.discovery.responseTimer.at)
+		if w.say(l, 0, watching, httpAnswer(known)); asks(w) != 2 || !l.readiness.ready || l.discovery.responseTimer.at != limit {
+			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.readiness.ready, l.discovery.responseTimer.at)
 		}
 		expect(t, w.wrote[watching], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
 	}
--- /dev/null
+++ b/internal/limiter/statistics.go
@@ -0,0 +1,69 @@
+package limiter
+
+import (
+	"fmt"
+	"log"
+	"ospreycroft/choice"
+)
+
+// outcomeLogsPerIdleClose is how often the outcomes of requests are logged in the time after which a server closes idle
+// connections.
+const outcomeLogsPerIdleClose = 3
+
+// statistics counts what is logged at intervals.
+type statistics struct {
+	inputErrors       inputErrors
+	inputErrorsLogged int64 // when they were last logged
+	outcomes          outcomeCounts
+	outcomesLogged    int64 // when they were last logged
+}
+
+// inputErrors counts what is logged at intervals: a line for each would let whoever sends nonsense fill the log.
+type inputErrors struct {
+	malformedCommands       int // clients' bytes that are no command
+	invalidCommands         int // commands that can never be right
+	silentClients           int // clients that said nothing, or half a command
+	slowReaders             int // clients that did not read their answers
+	malformedAnswers        int // servers' answers that are none
+	malformedCounterReplies int // the same of the counter
+}
+
+// outcomeCounts counts what became of requests since it was last logged.
+type outcomeCounts struct {
+	accepted, succeeded int
+	rejected            [choice.RejectReasons]int
+}
+
+// logStatistics logs the counts that are due.
+func (l *Limiter) logStatistics() {
+	if l.now-l.stats.inputErrorsLogged >= l.settings.IdleClose {
+		l.logInputErrors()
+	}
+	if l.now-l.stats.outcomesLogged >= l.settings.IdleClose/outcomeLogsPerIdleClose {
+		l.LogOutcomes()
+		l.stats.outcomesLogged = l.now
+	}
+}
+
+func (l *Limiter) logInputErrors() {
+	e := l.stats.inputErrors
+	if e == (inputErrors{}) {
+		return
+	}
+	log.Printf("event=turned-away malformed=%d faulty=%d silent=%d unread=%d garbled=%d spoilt=%d", e.malformedCommands,
+		e.invalidCommands, e.silentClients, e.slowReaders, e.malformedAnswers, e.malformedCounterReplies)
+	l.stats.inputErrors = inputErrors{}
+	l.stats.inputErrorsLogged = l.now
+}
+
+// LogOutcomes logs the counts since the last time, if there are any, in one line whatever their number.
+func (l *Limiter) LogOutcomes() {
+	if t := l.stats.outcomes; t != (outcomeCounts{}) {
+		line := fmt.Sprintf("event=requests taken=%d succeeded=%d", t.accepted, t.succeeded)
+		for c, n := range t.rejected {
+			line += fmt.Sprintf(" %s=%d", choice.RejectReason(c), n)
+		}
+		log.Print(line)
+		l.stats.outcomes = outcomeCounts{}
+	}
+}
--- a/internal/limiter/stored_test.go
+++ b/internal/limiter/stored_test.go
@@ -23,7 +23,7 @@
 	_, wires := made(t)
 	l, err := NewWithOptions(storedAt+int64(time.Minute), config, OperatorOptions{Snapshot: stored}, wires)
 	require.NoError(t, err)
-	require.Len(t, l.pools, 2)
-	require.Equal(t, "127.0.0.1:17101", l.pools["toy-0"].address)
-	require.Equal(t, "127.0.0.1:17102", l.pools["toy-1"].address)
+	require.Len(t, l.servers.pools, 2)
+	require.Equal(t, "127.0.0.1:17101", l.servers.pools["toy-0"].address)
+	require.Equal(t, "127.0.0.1:17102", l.servers.pools["toy-1"].address)
 }
--- a/internal/limiter/wake.go
+++ b/internal/limiter/suspension.go
@@ -1,9 +1,6 @@
 package limiter
 
-import (
-	"log"
-	"math"
-)
+import "log"
 
 // The process may stand still for long, stopped or without a processor, and finds on waking that all its timers are due,
 // that clients' requests have waited unread, and that the list may have changed. What it was told meanwhile counts.
@@ -47,8 +44,10 @@
 
 // observeClock moves the clock on.
 func (l *Limiter) observeClock(now int64) {
-	gap, first := now-l.now, !l.suspension.started
-	l.now, l.suspension.started = now, true
+	gap := now - l.now
+	first := !l.suspension.started
+	l.now = now
+	l.suspension.started = true
 	if first || gap <= l.maxQuietTime() { // what a start takes is no standing still
 		return
 	}
@@ -92,24 +91,3 @@
 	}
 	return l.suspension.duration + l.now - l.suspension.wokeAt
 }
-
-// outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
-// know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
-func (att *attempt) outdated() bool {
-	now := att.conn.pool.l.now
-	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.l.settings.DialTimeout || now >= att.deduplicatedUntil()
-}
-
-// deduplicatedUntil is until when the server would know the request again by each earlier attempt that may have run: 0 if it does not by one,
-// and without end where none has. What counts is where an earlier attempt was written, wherever a list has its server now.
-func (att *attempt) deduplicatedUntil() int64 {
-	q, until := att.request, int64(math.MaxInt64)
-	for _, e := range q.attempts[:att.number] {
-		if q.deduplicationWindow > 0 && e.lastByte > 0 && !e.neverRan {
-			if until = min(until, e.decidedAt+q.deduplicationWindow); !e.location.sharesScope(q.deduplicationScope, att.conn.pool.location) {
-				return 0
-			}
-		}
-	}
-	return until
-}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -92,7 +92,8 @@
 		return nil, &UnreadableError{path, err}
 	}
 	o := &Options{}
-	oldest, oldestState := 0.0, 0.0
+	oldest := 0.0
+	oldestState := 0.0
 	numbers := map[string]*float64{"list_calls_per_s": &o.DiscoveryCallRate, "start.connections_per_s": &o.ConnectionRate, "snapshot.oldest_s": &oldest,
 		"distribution.oldest_s": &oldestState}
 	words := map[string]*string{"installation": &o.Installation, "snapshot.path": &o.SnapshotPath,
@@ -100,7 +101,9 @@
 	keys := k.Keys()
 	slices.Sort(keys)
 	for _, key := range keys {
-		value, number, word := k.Get(key), numbers[key], words[key]
+		value := k.Get(key)
+		number := numbers[key]
+		word := words[key]
 		text, is := value.(string)
 		switch {
 		case word != nil && is && strings.TrimSpace(text) != "":
@@ -108,7 +111,8 @@
 		case word != nil:
 			return nil, &KeyError{path, key, value, "a text"}
 		case key == relaysKey:
-			if o.Distribution.Relays, is = relays(value); !is {
+			o.Distribution.Relays, is = relays(value)
+			if !is {
 				return nil, &KeyError{path, key, value, "a list of two addresses, host:port"}
 			}
 		case number == nil:
@@ -125,7 +129,8 @@
 			}
 		}
 	}
-	o.SnapshotMaxAge, o.Distribution.StateMaxAge = int64(oldest*1e9), int64(oldestState*1e9)
+	o.SnapshotMaxAge = int64(oldest * 1e9)
+	o.Distribution.StateMaxAge = int64(oldestState * 1e9)
 	switch {
 	case o.SnapshotPath != "" && o.Installation == "":
 		return nil, &KeyError{path, "installation", "missing", "a name, as snapshot.path is set"}
--- a/internal/pollpacer/pollpacer.go
+++ b/internal/pollpacer/pollpacer.go
@@ -117,7 +117,8 @@
 	if whole && p.told-p.room()-now >= p.dial {
 		told = min(told, p.told)
 	}
-	p.waits, p.asked = now+hold, now
+	p.waits = now + hold
+	p.asked = now
 	limit = max(told, p.waits+toldWait) - now - p.room()
 	if whole {
 		limit = told - now - p.room()
@@ -130,8 +131,13 @@
 
 // ResponseReceived notes a list: nothing is missed.
 func (p *Pacer) ResponseReceived(now int64) {
-	p.failures, p.known, p.told, p.early, p.resume = 0, now, 0, true, 0
-	p.retry, p.asked = false, noCall
+	p.failures = 0
+	p.known = now
+	p.told = 0
+	p.early = true
+	p.resume = 0
+	p.retry = false
+	p.asked = noCall
 }
 
 // ConnectionLost notes that a connection that has served ended from the other side with a call out. The call is made again at once, as a
@@ -145,7 +151,10 @@
 // ServiceMoved notes that discovery is at a new address, from which nothing has come yet. As at the start, all limiters ask it
 // together, so no call comes early.
 func (p *Pacer) ServiceMoved(now int64) {
-	p.failures, p.told, p.early, p.resume = 0, now+toldMoved, false, 0
+	p.failures = 0
+	p.told = now + toldMoved
+	p.early = false
+	p.resume = 0
 }
 
 // RetryDelay takes the end of a call that brought no list and tells how long to wait before the next one: longer with each in a
@@ -160,7 +169,8 @@
 		}
 	}
 	asked := p.asked
-	p.retry, p.asked = true, noCall
+	p.retry = true
+	p.asked = noCall
 	if left := p.resume - now; left > 0 {
 		p.resume = 0
 		return left
@@ -170,7 +180,8 @@
 	_, part := math.Modf(p.place + float64(p.failures)*math.Phi)
 	pause := p.apart(span, p.longest(now, asked, end), part)
 	if left := p.told - now - 2*p.dial - margin; p.early && pause > left && left > 0 {
-		p.early, p.resume = false, now+pause
+		p.early = false
+		p.resume = now + pause
 		return left/4 + int64(part*float64(left*3/4))
 	}
 	return pause
@@ -178,15 +189,18 @@
 
 // span is the mean pause behind a failed call where the notification deadline leaves it, longer with each failure in a row.
 func (p *Pacer) span(end Failure) int64 {
-	span, most := p.dial/brokeFirst, brokeMost*p.dial
+	span := p.dial / brokeFirst
+	most := brokeMost * p.dial
 	switch {
 	case p.every == 0:
 		return min(span, p.pause)
 	case end == Throttled:
-		span, most = turnedFirst*p.dial, turnedMost*p.dial
+		span = turnedFirst * p.dial
+		most = turnedMost * p.dial
 	}
 	for range p.failures {
-		if span = min(2*span, most); span == most {
+		span = min(2*span, most)
+		if span == most {
 			break
 		}
 	}
@@ -208,7 +222,8 @@
 // would be longer. Half of the draw is the limiter's place then: pauses of one mean would keep a fleet in step for good. part is
 // in [0, 1).
 func (p *Pacer) apart(span, longest int64, part float64) int64 {
-	least, most := span/2, span/2+span
+	least := span / 2
+	most := span/2 + span
 	if most > longest {
 		least, most, part = longest/2, longest, (part+p.place)/2
 	}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -90,7 +90,8 @@
 	switch v.Kind {
 	case ':':
 		_, err = strconv.ParseInt(string(text), 10, 64)
-		if v.Text = text; err != nil {
+		v.Text = text
+		if err != nil {
 			err = ErrMalformed
 		}
 	case '$':
@@ -117,7 +118,8 @@
 		}
 		for range n {
 			var item Value
-			if item, rest, err = read(rest, depth-1); err != nil || rest == nil {
+			item, rest, err = read(rest, depth-1)
+			if err != nil || rest == nil {
 				return v, nil, err
 			}
 			v.List = append(v.List, item)
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -31,7 +31,8 @@
 // NeedRestart names every key that differs in another configuration and cannot change before the next start, a class or a plan by
 // its name. Discovery and the counter may move, but a counter is neither added nor taken away.
 func (c *Config) NeedRestart(other *Config) (keys []string) {
-	a, b := c.Settings, other.Settings
+	a := c.Settings
+	b := other.Settings
 	all := []kept{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen},
 		{"counter", c.counter(c, other), other.counter(c, other)}, {"seed", c.Seed, other.Seed},
 		{"limits: memory_mb", c.Memory, other.Memory}, {"limits: sockets", c.Sockets, other.Sockets}}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -166,7 +166,8 @@
 		return nil, wrong("classes", "none")
 	}
 	for _, t := range f.Tariffs {
-		part, worth := "tariffs: "+t.Name, 1.0 // not told: as good as any
+		part := "tariffs: " + t.Name
+		worth := 1.0 // not told: as good as any
 		if err := once("tariffs", t.Name, s.Plans[t.Name] != nil); err != nil {
 			return nil, err
 		}
@@ -214,7 +215,8 @@
 		return nil, err
 	}
 	if f.Position != nil {
-		if s.Position = *f.Position; s.Position < 0 || s.Position >= s.Limiters {
+		s.Position = *f.Position
+		if s.Position < 0 || s.Position >= s.Limiters {
 			return nil, wrong("position", "is %d, of %d balancers", s.Position, s.Limiters)
 		}
 	}
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -28,7 +28,8 @@
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(text); err == nil {
+	_, err = f.Write(text)
+	if err == nil {
 		err = f.Sync()
 	}
 	if ended := f.Close(); err == nil {
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -48,7 +48,8 @@
 	}
 	c.SetSession(l)
 	l.conn.Store(c)
-	if _, err = s.engine.AddConn(c); err == nil && l.unasked.Load() {
+	_, err = s.engine.AddConn(c)
+	if err == nil && l.unasked.Load() {
 		shut(c, syscall.SHUT_RDWR)
 	}
 	return err
--- a/internal/sockets/gate.go
+++ b/internal/sockets/gate.go
@@ -34,7 +34,8 @@
 	c, err := g.Listener.Accept()
 	if err == nil {
 		var taken *nbio.Conn // nbio would keep the place of one that it cannot take over for want of a descriptor
-		if taken, err = nbio.NBConn(c); err == nil {
+		taken, err = nbio.NBConn(c)
+		if err == nil {
 			return taken, nil
 		}
 		_ = c.Close()
--- a/internal/sockets/poller.go
+++ b/internal/sockets/poller.go
@@ -116,7 +116,8 @@
 	if l == nil || e.size == 0 {
 		return
 	}
-	if l.told.Add(int64(e.size)); l.stuffed.CompareAndSwap(true, false) {
+	l.told.Add(int64(e.size))
+	if l.stuffed.CompareAndSwap(true, false) {
 		go func() { _ = s.drain(l, l.conn.Load(), make([]byte, pieces), true) }()
 	}
 }
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -30,7 +30,8 @@
 	if l.gate == nil && ended(c) {
 		return
 	}
-	if l.handed += int64(len(bytes)); !waits {
+	l.handed += int64(len(bytes))
+	if !waits {
 		n, err := put(c, bytes)
 		if err != nil {
 			shut(c, syscall.SHUT_RDWR)
