--- a/internal/limiter/arrival.go
+++ b/internal/limiter/arrival.go
@@ -2,105 +2,183 @@
 
 import (
 	"bytes"
+	"errors"
 	"math"
-	"ospreycroft/choice"
 	"slices"
 	"strconv"
+
+	"ospreycroft/choice"
+	"ospreycroft/internal/settings"
 )
 
-// maxIDBytes is the length of a request's id.
-const maxIDBytes = 64
+const (
+	// maxIDBytes is the length of a request's id.
+	maxIDBytes = 64
+	// customerDigits is the number of digits of a customer's number, in base 16.
+	customerDigits = 16
+	// maxCustomer is the number below which customers are numbered.
+	maxCustomer = 1 << 33
+	// maxNumber bounds the numbers in a command: no count of units or milliseconds is larger.
+	maxNumber = 1e9
+)
 
-// parseArrival reads a request's command; before and past enclose the time in its list of names and values. It is as strict as
-// the protocol: what a server turns away costs that server's connection and its standing, and what is not so may spoil
-// the record of a customer that others share.
-func (l *Limiter) parseArrival(words [][]byte) (a choice.Arrival, before, past int, fault string) {
+// What is wrong with a command that can never be right. The texts go to the client.
+var (
+	errArguments   = errors.New("wrong number of arguments")
+	errCustomer    = errors.New("customer is not a number below 2^33 in 16 digits")
+	errID          = errors.New("id is empty or too long")
+	errIDInUse     = errors.New("id is in use")
+	errField       = errors.New("a name without a value, or twice")
+	errTimeout     = errors.New("d is not a time")
+	errUnits       = errors.New("units is not a number of units")
+	errLimiters    = errors.New("spread is not a number of limiters")
+	errFirst       = errors.New("first is not a limiter's number")
+	errRetry       = errors.New("r is neither 0 nor 1")
+	errClass       = errors.New("unknown class")
+	errPlan        = errors.New("unknown plan")
+	errNoTimeout   = errors.New("d is missing")
+	errNoLimiters  = errors.New("spread or first is missing")
+	errNoUnits     = errors.New("units is missing")
+	errWrongVerb   = errors.New("the class goes by the other command")
+	errBody        = errors.New("a body that is missing or too much")
+	errUnknownVerb = errors.New("unknown command")
+)
+
+// The words of a request's command.
+const (
+	wordVerb = iota
+	wordCustomer
+	wordID
+	wordFields
+	wordBody // only of classes that are not idempotent
+)
+
+// parsedRequest is what a request's command says.
+type parsedRequest struct {
+	arrival choice.Arrival
+	// timeoutStart and timeoutEnd enclose the client's time in the word of fields.
+	timeoutStart, timeoutEnd int
+	firstLimiter             float64 // the first of the customer's limiters, negative where it is not told
+}
+
+// parseRequest reads a request's command. It is as strict as the protocol: what a server turns away costs that server's connection
+// and its standing, and what is wrong may spoil the record of a customer that other limiters share.
+func parseRequest(words [][]byte, set *settings.Settings) (parsedRequest, error) {
+	p := parsedRequest{firstLimiter: -1}
+	if len(words) <= wordFields || len(words) > wordBody+1 {
+		return p, errArguments
+	}
 	var err error
-	a.Customer, err = strconv.ParseUint(string(words[1]), 16, 64)
-	if err != nil || len(words[1]) != 16 || a.Customer >= 1<<33 {
-		return a, 0, 0, "customer is not a number below 2^33 in 16 digits"
+	p.arrival.Customer, err = strconv.ParseUint(string(words[wordCustomer]), 16, 64)
+	if err != nil || len(words[wordCustomer]) != customerDigits || p.arrival.Customer >= maxCustomer {
+		return p, errCustomer
+	}
+	if len(words[wordID]) == 0 || len(words[wordID]) > maxIDBytes {
+		return p, errID
 	}
-	if len(words[2]) == 0 || len(words[2]) > maxIDBytes {
-		return a, 0, 0, "id is empty or too long"
+	p.arrival.ID = string(words[wordID])
+	if err := p.parseFields(words[wordFields], set); err != nil {
+		return p, err
 	}
-	a.ID = string(words[2])
+	return p, p.check(words, set)
+}
+
+// parseFields reads the list of names and values, which are separated by commas.
+func (p *parsedRequest) parseFields(list []byte, set *settings.Settings) error {
 	names := make([][]byte, 0, 8)
-	first := -1.0
-	for from := 0; from <= len(words[3]); {
-		field := words[3][from:]
-		if i := bytes.IndexByte(field, ','); i >= 0 {
-			field = field[:i]
+	for start := 0; start <= len(list); {
+		field := list[start:]
+		if comma := bytes.IndexByte(field, ','); comma >= 0 {
+			field = field[:comma]
 		}
 		name, value, found := bytes.Cut(field, []byte("="))
-		twice := slices.ContainsFunc(names, func(o []byte) bool { return bytes.Equal(o, name) })
-		if !found || len(value) == 0 || twice {
-			return a, 0, 0, "a name without a value, or twice"
+		repeated := slices.ContainsFunc(names, func(earlier []byte) bool { return bytes.Equal(earlier, name) })
+		if !found || len(value) == 0 || repeated {
+			return errField
 		}
 		names = append(names, name)
-		switch string(name) {
-		case "c":
-			a.Class = string(value)
-		case "t":
-			a.Plan = string(value)
-		case "d":
-			var left float64
-			left, err = number(value)
-			if err != nil || left <= 0 {
-				return a, 0, 0, "d is not a time"
-			}
-			a.Timeout = int64(left * 1e6)
-			before = from + len("d=")
-			past = from + len(field)
-		case "units":
-			a.Units, err = number(value)
-			if err != nil || a.Units <= 0 || a.Units > l.settings.MaxRequestUnits {
-				return a, 0, 0, "units is not a number of units"
-			}
-		case "spread":
-			a.Limiters, err = strconv.Atoi(string(value))
-			if err != nil || a.Limiters < 1 || a.Limiters > l.settings.Limiters {
-				return a, 0, 0, "spread is not a number of limiters"
-			}
-		case "first":
-			first, err = number(value)
-			if err != nil || first >= float64(l.settings.Limiters) || first != math.Trunc(first) {
-				return a, 0, 0, "first is not a limiter's number"
-			}
-		case "r":
-			if string(value) != "0" && string(value) != "1" {
-				return a, 0, 0, "r is neither 0 nor 1"
-			}
+		if string(name) == "d" {
+			p.timeoutStart = start + len("d=")
+			p.timeoutEnd = start + len(field)
+		}
+		if err := p.parseField(string(name), value, set); err != nil {
+			return err
+		}
+		start += len(field) + 1
+	}
+	return nil
+}
+
+// parseField reads one value. Names that are not known are left alone.
+func (p *parsedRequest) parseField(name string, value []byte, set *settings.Settings) (err error) {
+	a := &p.arrival
+	switch name {
+	case "c":
+		a.Class = string(value)
+	case "t":
+		a.Plan = string(value)
+	case "d":
+		milliseconds, err := parseNumber(value)
+		if err != nil || milliseconds <= 0 {
+			return errTimeout
+		}
+		a.Timeout = int64(milliseconds * 1e6)
+	case "units":
+		a.Units, err = parseNumber(value)
+		if err != nil || a.Units <= 0 || a.Units > set.MaxRequestUnits {
+			return errUnits
 		}
-		from += len(field) + 1
+	case "spread":
+		a.Limiters, err = strconv.Atoi(string(value))
+		if err != nil || a.Limiters < 1 || a.Limiters > set.Limiters {
+			return errLimiters
+		}
+	case "first":
+		p.firstLimiter, err = parseNumber(value)
+		if err != nil || p.firstLimiter >= float64(set.Limiters) || p.firstLimiter != math.Trunc(p.firstLimiter) {
+			return errFirst
+		}
+	case "r":
+		if string(value) != "0" && string(value) != "1" {
+			return errRetry
+		}
+	}
+	return nil
+}
+
+// check refuses what is missing, and what does not go together.
+func (p *parsedRequest) check(words [][]byte, set *settings.Settings) error {
+	a := &p.arrival
+	class := set.Classes[a.Class]
+	if class == nil {
+		return errClass
 	}
-	t := l.settings.Classes[a.Class]
+	idempotent := class.Idempotency == choice.Idempotent
 	switch {
-	case t == nil:
-		return a, 0, 0, "unknown class"
-	case l.settings.Plans[a.Plan] == nil:
-		return a, 0, 0, "unknown plan"
+	case set.Plans[a.Plan] == nil:
+		return errPlan
 	case a.Timeout == 0:
-		return a, 0, 0, "d is missing"
-	case a.Limiters == 0 || first < 0:
-		return a, 0, 0, "spread or first is missing"
+		return errNoTimeout
+	case a.Limiters == 0 || p.firstLimiter < 0:
+		return errNoLimiters
 	case a.Units == 0:
-		return a, 0, 0, "units is missing"
-	case bytes.EqualFold(words[0], []byte("SVC.QUERY")) != (t.Idempotency == choice.Idempotent):
-		return a, 0, 0, "the class goes by the other command"
-	case (len(words) == 4) != (t.Idempotency == choice.Idempotent):
-		return a, 0, 0, "a body that is missing or too much"
+		return errNoUnits
+	case bytes.EqualFold(words[wordVerb], []byte("SVC.QUERY")) != idempotent:
+		return errWrongVerb
+	case (len(words) == wordBody) != idempotent:
+		return errBody
 	}
-	return a, before, past, ""
+	return nil
 }
 
-// number reads what fits any count of units or milliseconds: digits, with a point among them or none.
-func number(text []byte) (float64, error) {
+// parseNumber reads a number of units or milliseconds: digits, with a point among them or none.
+func parseNumber(text []byte) (float64, error) {
 	if len(bytes.Trim(text, "0123456789.")) > 0 {
 		return 0, strconv.ErrSyntax
 	}
-	x, err := strconv.ParseFloat(string(text), 64)
-	if err == nil && x > 1e9 {
+	number, err := strconv.ParseFloat(string(text), 64)
+	if err == nil && number > maxNumber {
 		err = strconv.ErrRange
 	}
-	return x, err
+	return number, err
 }
--- a/internal/limiter/attempts.go
+++ b/internal/limiter/attempts.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"ospreycroft/choice"
 )
 
@@ -34,13 +35,13 @@
 	att := &attempt{request: q, number: len(q.attempts), decidedAt: l.now, open: true}
 	q.attempts = append(q.attempts, att)
 	q.openAttempts++
-	if q.state != accepted || l.now >= q.deadline || len(q.attempts) > l.settings.MaxAttempts {
+	if q.state != stateAccepted || l.now >= q.deadline || len(q.attempts) > l.settings.MaxAttempts {
 		l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		return
 	}
 	p := l.servers.pools[server]
 	l.whenListTrusted(func() {
-		if q.state != accepted || l.now >= q.deadline || p.draining {
+		if q.state != stateAccepted || l.now >= q.deadline || p.draining {
 			l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		} else if att.open {
 			p.send(att)
@@ -75,7 +76,7 @@
 	reply.Request = q.id
 	reply.Attempt = att.number
 	reply.Duration = l.now - att.decidedAt
-	reply.Final = q.state != accepted
+	reply.Final = q.state != stateAccepted
 	l.results = append(l.results, pendingResult{attempt: reply})
 	l.forgetIfDone(q)
 }
@@ -83,8 +84,8 @@
 // outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
 // know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
 func (att *attempt) outdated() bool {
-	now := att.conn.pool.l.now
-	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.l.settings.DialTimeout || now >= att.deduplicatedUntil()
+	now := att.conn.pool.limiter.now
+	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.limiter.settings.DialTimeout || now >= att.deduplicatedUntil()
 }
 
 // deduplicatedUntil is until when the server would know the request again by each earlier attempt that may have run: 0 if it does not by one,
--- a/internal/limiter/client.go
+++ b/internal/limiter/client.go
@@ -3,10 +3,10 @@
 import (
 	"bytes"
 	"container/list"
-	"ospreycroft/choice"
+	"strconv"
+
 	"ospreycroft/internal/buffer"
 	"ospreycroft/internal/resp"
-	"strconv"
 )
 
 // maxPipelined is how many commands may wait on one client's connection.
@@ -14,7 +14,7 @@
 
 // client is a connection that a client holds. Answers go out in the order of its commands.
 type client struct {
-	l               *Limiter
+	limiter         *Limiter
 	conn            *conn
 	answers         []*answer
 	closing         bool          // it is closed once it is answered
@@ -29,24 +29,32 @@
 	element         *list.Element // in newClients or usedClients
 }
 
+// answer is the place of one command's answer among a client's.
 type answer struct {
 	request *request // nil where the limiter itself answers
 	text    []byte
 }
 
+// onConnected is for connections that were dialled, which a client's never is.
 func (cl *client) onConnected() {}
 
 // open tells whether the connection has not ended, as far as the reducer was told.
-func (cl *client) open() bool { return cl.l.conns[cl.conn.id] == cl.conn }
+func (cl *client) open() bool { return cl.limiter.conns[cl.conn.id] == cl.conn }
 
 // idle: nothing is owed to the client, all is written and no part of a command has come that is still to be read.
 func (cl *client) idle() bool {
-	return len(cl.answers) == 0 && (cl.inputDiscarded || len(cl.conn.input.Bytes()) == 0) && cl.l.effects.Written(cl.conn.id) >= cl.conn.bytesSent
+	inputRead := cl.inputDiscarded || len(cl.conn.input.Bytes()) == 0
+	return len(cl.answers) == 0 && inputRead && cl.allWritten()
+}
+
+// allWritten tells whether the kernel has taken all that was written to the client.
+func (cl *client) allWritten() bool {
+	return cl.limiter.effects.Written(cl.conn.id) >= cl.conn.bytesSent
 }
 
 // onData takes the commands that have come, and answers together what can be answered at once.
 func (cl *client) onData(b []byte) (used int, err error) {
-	if !cl.l.effects.Alive(cl.conn.id) {
+	if !cl.limiter.effects.Alive(cl.conn.id) {
 		return len(b), nil // it has gone, and waits for nothing: its end is told next
 	}
 	cl.processingInput = true
@@ -67,17 +75,17 @@
 
 // next takes one command.
 func (cl *client) next(b []byte) int {
-	words, n, err := resp.ReadCommand(b, cl.l.scratch.words[:0])
-	cl.l.scratch.words = words[:0]
+	words, n, err := resp.ReadCommand(b, cl.limiter.scratch.words[:0])
+	cl.limiter.scratch.words = words[:0]
 	if len(cl.answers) >= maxPipelined {
 		cl.flush()
 	}
-	crowded := n == 0 && len(b) > buffer.MinCapacity && cl.l.bufferedBytes > cl.l.config.Memory/memoryShare
+	crowded := n == 0 && len(b) > buffer.MinCapacity && cl.limiter.bufferedBytes > cl.limiter.config.Memory/memoryShare
 	if err == nil && (crowded || len(cl.answers) >= maxPipelined) {
 		err = resp.ErrTooLong
 	}
 	if err != nil {
-		cl.l.stats.inputErrors.malformedCommands++
+		cl.limiter.stats.inputErrors.malformedCommands++
 		cl.rejectInput(err.Error())
 		return len(b)
 	}
@@ -87,8 +95,9 @@
 	return n
 }
 
+// command acts on one command.
 func (cl *client) command(words [][]byte) {
-	l := cl.l
+	l := cl.limiter
 	switch string(bytes.ToUpper(words[0])) {
 	case "SVC.QUERY", "SVC.SUBMIT":
 		cl.request(words)
@@ -99,54 +108,52 @@
 			cl.answerDirectly("-LOADING not ready yet")
 		}
 	default:
-		cl.answerError("unknown command")
+		cl.answerError(errUnknownVerb)
 	}
 }
 
-// request hands a request to the module, or answers what no module can make sense of.
+// request hands a request to the controller, or answers what no controller can make sense of.
 func (cl *client) request(words [][]byte) {
-	l := cl.l
-	if len(words) < 4 || len(words) > 5 {
-		cl.answerError("wrong number of arguments")
-		return
+	l := cl.limiter
+	parsed, err := parseRequest(words, l.settings)
+	if err == nil && l.requests.byID[parsed.arrival.ID] != nil {
+		err = errIDInUse
 	}
-	arrival, before, past, fault := l.parseArrival(words)
-	if fault == "" && l.requests.byID[arrival.ID] != nil {
-		fault = "id is in use"
-	}
-	if fault != "" {
-		cl.answerError(fault)
+	if err != nil {
+		cl.answerError(err)
 		return
 	}
-	age := l.readDelay()
-	if cl.closing || l.outlivesShutdown(arrival.Timeout) || arrival.Timeout <= age {
-		// A connection that is never without an open request would never end, nor would the process; or the client's time is
-		// over.
+	delay := l.readDelay()
+	timeout := parsed.arrival.Timeout
+	if cl.closing || l.outlivesShutdown(timeout) || timeout <= delay {
+		// A connection that is never without an open request would never end, nor would the process; or the client's time is over.
 		cl.answerBusy()
 		return
 	}
 	if l.requests.heldBytes > l.config.Memory/memoryShare {
-		// Nothing of it was sent, and one more might end the process with all that it has taken.
+		// Nothing of it was sent, and one more might end the process with all that it has accepted.
 		cl.answerDirectly("-BUSY")
 		return
 	}
-	arrival.Timeout -= age
+	parsed.arrival.Timeout = timeout - delay
+	cl.markRequested()
+	place := &answer{}
+	cl.answers = append(cl.answers, place)
+	place.request = l.addRequest(cl, place, words, &parsed)
+	l.controller.RequestArrived(l.now, parsed.arrival)
+}
+
+// markRequested notes that the client has brought a request.
+func (cl *client) markRequested() {
 	if !cl.hasRequested {
-		l.clients.withoutRequest.Remove(cl.element)
-		cl.hasRequested, cl.element = true, l.clients.withRequest.PushBack(cl)
+		cl.limiter.clients.withoutRequest.Remove(cl.element)
+		cl.hasRequested = true
+		cl.element = cl.limiter.clients.withRequest.PushBack(cl)
 	}
 	cl.markUsed()
-	a := &answer{}
-	cl.answers = append(cl.answers, a)
-	a.request = l.addRequest(cl, a, words, before, past, arrival.Timeout)
-	if t := l.settings.Classes[arrival.Class]; t.Idempotency == choice.IdempotentWithKey {
-		a.request.deduplicationWindow = t.DeduplicationWindow
-		a.request.deduplicationScope = t.DeduplicationScope
-	}
-	l.controller.RequestArrived(l.now, arrival)
 }
 
-// answerDirectly answers a command without the module.
+// answerDirectly answers a command without the controller.
 func (cl *client) answerDirectly(text string) {
 	a := &answer{}
 	cl.answers = append(cl.answers, a)
@@ -156,22 +163,22 @@
 // answerBusy rejects a request that nothing was done for: another limiter may take it soon.
 func (cl *client) answerBusy() {
 	text := "-BUSY"
-	if after := min(cl.l.settings.DialTimeout, cl.l.settings.MaxRetryAfter); after > 0 {
+	if after := min(cl.limiter.settings.DialTimeout, cl.limiter.settings.MaxRetryAfter); after > 0 {
 		text += " " + strconv.FormatInt((after+1e6-1)/1e6, 10)
 	}
 	cl.answerDirectly(text)
 }
 
 // answerError answers a command that can never be right; -BUSY would say that it may be sent again.
-func (cl *client) answerError(why string) {
-	cl.l.stats.inputErrors.invalidCommands++
-	cl.answerDirectly("-ERR " + why)
+func (cl *client) answerError(err error) {
+	cl.limiter.stats.inputErrors.invalidCommands++
+	cl.answerDirectly("-ERR " + err.Error())
 }
 
 // rejectInput tells a client why it is closed, behind the answers to what it sent before. Where these take too long they
 // fail: it is owed an error or a close soon.
 func (cl *client) rejectInput(why string) {
-	l := cl.l
+	l := cl.limiter
 	cl.inputDiscarded = true
 	cl.closing = true
 	cl.answerDirectly("-ERR " + why)
@@ -180,7 +187,7 @@
 			for len(cl.answers) > 0 && l.conns[cl.conn.id] == cl.conn {
 				q := cl.answers[0].request
 				l.results = append(l.results, pendingResult{disconnected: q.id})
-				l.move(q, requestFailed, failedAnswer)
+				l.move(q, stateFailed, failedAnswer)
 			}
 		})
 	}
@@ -196,7 +203,7 @@
 
 // flush writes the answers that are due.
 func (cl *client) flush() {
-	l := cl.l
+	l := cl.limiter
 	due := 0
 	l.scratch.write = l.scratch.write[:0]
 	for due < len(cl.answers) && cl.answers[due].text != nil {
@@ -214,33 +221,34 @@
 	cl.markUsed()
 	l.write(cl.conn, l.scratch.write)
 	cl.lastWrite = l.now
-	if l.effects.Written(cl.conn.id) < cl.conn.bytesSent && l.clients.unreadBytes() > l.config.Memory/memoryShare {
+	switch {
+	case l.effects.Written(cl.conn.id) < cl.conn.bytesSent && l.clients.unreadBytes() > l.config.Memory/memoryShare:
 		l.closeConn(cl.conn, SlowReader)
-	} else if cl.closing || l.shutdown.lingerUntil != 0 && l.now >= l.shutdown.lingerUntil { // one that came late is left after its first answers
+	case cl.closing, l.shutdown.lingering(l.now): // one that came late is closed after its first answers
 		cl.closeWhenAnswered()
 	}
 }
 
 // closeIfIdle closes the connection, which owes nothing, unless a command has come on it in this very moment.
 func (cl *client) closeIfIdle() bool {
-	if !cl.l.effects.CloseGracefully(cl.conn.id, cl.l.settings.DialTimeout, cl.l.settings.IdleClose) {
+	if !cl.limiter.effects.CloseGracefully(cl.conn.id, cl.limiter.settings.DialTimeout, cl.limiter.settings.IdleClose) {
 		return false
 	}
-	cl.l.closeConn(cl.conn, IdleClosed)
+	cl.limiter.closeConn(cl.conn, IdleClosed)
 	return true
 }
 
-// closeWhenAnswered ends the connection as soon as all is answered: our sending first, behind the last answer, so that it arrives, and nothing
-// is read from then on. Its client may send on until it finds the end; what was never read it sends again elsewhere.
+// closeWhenAnswered ends the connection as soon as all is answered: our sending first, behind the last answer, so that it arrives,
+// and nothing is read from then on. Its client may send on until it finds the end; what was never read it sends again elsewhere.
 func (cl *client) closeWhenAnswered() {
-	l := cl.l
+	l := cl.limiter
 	cl.closing = true
 	if len(cl.answers) > 0 || cl.idle() && cl.closeIfIdle() {
 		return
 	}
 	// One that was refused may send on for ever, or never read.
 	waited := l.now - cl.lastWrite
-	if cl.inputDiscarded && (waited > l.settings.IdleClose || waited > l.settings.DialTimeout && l.effects.Written(cl.conn.id) >= cl.conn.bytesSent) {
+	if cl.inputDiscarded && (waited > l.settings.IdleClose || waited > l.settings.DialTimeout && cl.allWritten()) {
 		l.closeConn(cl.conn, IdleClosed)
 		return
 	}
@@ -258,21 +266,22 @@
 
 // closeIfGone ends the connection of a client that has gone. The event that tells of it may be far behind others.
 func (cl *client) closeIfGone() {
-	if cl.open() && cl.l.effects.PeerGone(cl.conn.id) {
-		cl.l.closeConn(cl.conn, PeerClosed)
+	if cl.open() && cl.limiter.effects.PeerGone(cl.conn.id) {
+		cl.limiter.closeConn(cl.conn, PeerClosed)
 	}
 }
 
 // markUsed notes that a client that has brought a request is in use.
 func (cl *client) markUsed() {
 	if cl.hasRequested {
-		cl.lastUsed = cl.l.now
-		cl.l.clients.withRequest.MoveToBack(cl.element)
+		cl.lastUsed = cl.limiter.now
+		cl.limiter.clients.withRequest.MoveToBack(cl.element)
 	}
 }
 
+// onClosed gives up what the client still waits for.
 func (cl *client) onClosed(end CloseReason, _ int64) {
-	l := cl.l
+	l := cl.limiter
 	l.clients.count--
 	if cl.hasRequested {
 		l.clients.withRequest.Remove(cl.element)
@@ -283,8 +292,8 @@
 		l.stats.inputErrors.slowReaders++
 	}
 	for _, a := range cl.answers {
-		if a.request != nil && a.request.state == accepted {
-			l.move(a.request, clientGone, nil)
+		if a.request != nil && a.request.state == stateAccepted {
+			l.move(a.request, stateClientGone, nil)
 			l.results = append(l.results, pendingResult{disconnected: a.request.id})
 		}
 	}
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -25,18 +25,18 @@
 
 // clientTable holds the clients' connections, and closes those that are idle for long or in the way of others.
 type clientTable struct {
-	l     *Limiter
-	count int
+	limiter *Limiter
+	count   int
 	// withoutRequest are those that have brought no request yet, the oldest first; withRequest the others, the one used last at the
 	// end.
 	withoutRequest, withRequest list.List
 }
 
 func (t *clientTable) accept(id ConnID) {
-	c := &conn{id: id, open: true, lastUsed: t.l.now}
-	cl := &client{l: t.l, conn: c, connectedAt: t.l.now, lastUsed: t.l.now}
+	c := &conn{id: id, open: true, lastUsed: t.limiter.now}
+	cl := &client{limiter: t.limiter, conn: c, connectedAt: t.limiter.now, lastUsed: t.limiter.now}
 	cl.element = t.withoutRequest.PushBack(cl)
-	c.handler, t.l.conns[id] = cl, c
+	c.handler, t.limiter.conns[id] = cl, c
 	t.count++
 	t.makeRoom()
 }
@@ -46,12 +46,12 @@
 
 // nearLimit: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and where
 // each keeps its connection after one request, only as many requests come as connections are closed.
-func (t *clientTable) nearLimit() bool { return t.count >= t.l.config.Sockets/clientLimitShare }
+func (t *clientTable) nearLimit() bool { return t.count >= t.limiter.config.Sockets/clientLimitShare }
 
 // makeRoom closes clients' connections without an open request, so that others can come: first those that never brought
 // one and had time to, then the one idle longest.
 func (t *clientTable) makeRoom() {
-	since := t.l.now - t.l.settings.DialTimeout/newClientGraceShare
+	since := t.limiter.now - t.limiter.settings.DialTimeout/newClientGraceShare
 	for t.nearLimit() && (t.closeFirstIdle(&t.withoutRequest, since) || t.closeFirstIdle(&t.withRequest, since)) {
 	}
 }
@@ -75,31 +75,31 @@
 		for e := clients.Front(); e != nil; {
 			cl := e.Value.(*client)
 			e = e.Next()
-			switch idle := t.l.now - cl.lastUsed; {
+			switch idle := t.limiter.now - cl.lastUsed; {
 			case len(cl.answers) > 0 || cl.inputDiscarded || idle < minClientIdle:
 			case cl.partialCommand:
-				t.l.stats.inputErrors.silentClients++
+				t.limiter.stats.inputErrors.silentClients++
 				cl.rejectInput("too slow")
 			case !cl.idle(): // an answer is on its way into the kernel
-			case !cl.hasRequested, idle > t.l.settings.IdleClose/idleCloseShare:
+			case !cl.hasRequested, idle > t.limiter.settings.IdleClose/idleCloseShare:
 				if cl.closeIfIdle() {
-					t.l.stats.inputErrors.silentClients++
+					t.limiter.stats.inputErrors.silentClients++
 				}
 			}
 		}
 	}
 	t.makeRoom()
-	every := t.l.reapInterval()
+	every := t.limiter.reapInterval()
 	if t.nearLimit() {
-		every = min(every, t.l.settings.DialTimeout/reapsNearLimit)
+		every = min(every, t.limiter.settings.DialTimeout/reapsNearLimit)
 	}
-	t.l.schedule(t.l.now+every, t.reap)
+	t.limiter.schedule(t.limiter.now+every, t.reap)
 }
 
 // inOrder lists the connections in a fixed order.
 func (t *clientTable) inOrder() []*conn {
-	list := make([]*conn, 0, len(t.l.conns))
-	for _, c := range t.l.conns {
+	list := make([]*conn, 0, len(t.limiter.conns))
+	for _, c := range t.limiter.conns {
 		list = append(list, c)
 	}
 	slices.SortFunc(list, func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
@@ -109,9 +109,9 @@
 // unreadBytes is how many bytes wait for clients that do not read.
 func (t *clientTable) unreadBytes() int64 {
 	waiting := int64(0)
-	for id, c := range t.l.conns {
+	for id, c := range t.limiter.conns {
 		if _, is := c.handler.(*client); is {
-			waiting += c.bytesSent - t.l.effects.Written(id)
+			waiting += c.bytesSent - t.limiter.effects.Written(id)
 		}
 	}
 	return waiting
--- a/internal/limiter/cold_start.go
+++ b/internal/limiter/cold_start.go
@@ -3,13 +3,14 @@
 import (
 	"log"
 	"maps"
+	"slices"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/coldstart"
 	"ospreycroft/internal/discovery"
 	"ospreycroft/internal/pollpacer"
 	"ospreycroft/internal/settings"
 	"ospreycroft/internal/snapshot"
-	"slices"
 )
 
 // What the protocol says of every deployment, in nanoseconds.
@@ -41,7 +42,7 @@
 // coldStart is how this limiter comes up where operators state something; package coldstart decides. Its methods up to bucket
 // take a nil one: nothing is stated.
 type coldStart struct {
-	l         *Limiter
+	limiter   *Limiter
 	options   OperatorOptions
 	settings  coldstart.Settings
 	start     *coldstart.Start
@@ -59,7 +60,7 @@
 	set.CeilingLeadTime = min(l.controller.ReadyAt(), l.readiness.deadline) - l.now
 	rules, err := coldstart.New(l.now, set)
 	if err == nil {
-		l.coldStart = &coldStart{l: l, options: stated, settings: set, start: rules, endpoints: map[string]discovery.Endpoint{}}
+		l.coldStart = &coldStart{limiter: l, options: stated, settings: set, start: rules, endpoints: map[string]discovery.Endpoint{}}
 	}
 	return err
 }
@@ -91,7 +92,7 @@
 // connectionBucket holds the new connections to one of so many servers.
 func (s *coldStart) connectionBucket(servers int) (b coldstart.Bucket) {
 	if s != nil && s.settings.ConnectionRate > 0 {
-		b = coldstart.NewBucket(s.l.now, &s.settings, servers)
+		b = coldstart.NewBucket(s.limiter.now, &s.settings, servers)
 	}
 	return b
 }
@@ -104,7 +105,7 @@
 	if old == nil {
 		return known, known != nil
 	}
-	same := old.Discovery == s.l.config.Discovery
+	same := old.Discovery == s.limiter.config.Discovery
 	ramps := map[string]int64{}
 	kept := &discovery.List{Version: old.Generation}
 	for _, v := range old.Servers {
@@ -126,7 +127,7 @@
 		list.Entries[i].StartedAt = max(list.Entries[i].StartedAt, ramps[list.Entries[i].ID])
 	}
 	log.Printf("event=snapshot-read generation=%d servers=%d age=%.0f used=%v", old.Generation, len(old.Servers),
-		float64(s.l.now-old.Taken)/1e9, list == kept)
+		float64(s.limiter.now-old.Taken)/1e9, list == kept)
 	return list, counted
 }
 
@@ -146,7 +147,7 @@
 			delete(s.endpoints, e.ID)
 		}
 	}
-	l := s.l
+	l := s.limiter
 	if kind == coldstart.ListRestored || len(list.Entries) == 0 && !list.Whole && l.now-s.savedAt < s.options.SaveEvery {
 		return
 	}
@@ -162,7 +163,7 @@
 
 // step tells the rules what happened and does what follows: clients may come, or the phase is another.
 func (s *coldStart) step(e coldstart.Event) {
-	l := s.l
+	l := s.limiter
 	s.start.Step(l.now, e)
 	phase := s.start.Phase()
 	if phase != coldstart.Starting && !l.readiness.ready {
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -2,10 +2,11 @@
 
 import (
 	"log"
+	"slices"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/counterwire"
 	"ospreycroft/internal/hint"
-	"slices"
 )
 
 const (
@@ -16,7 +17,7 @@
 
 // counterClient holds the connections to the counterClient.
 type counterClient struct {
-	l          *Limiter
+	limiter    *Limiter
 	conns      []*counterConn
 	lastReply  int64 // when the counter last answered
 	loggedDown bool  // as logged: it has not for long
@@ -46,7 +47,7 @@
 func (k *counterClient) connect() *counterConn {
 	ln := &counterConn{client: k}
 	k.conns = append(k.conns, ln)
-	ln.conn = k.l.dial(ln, k.l.config.Counter, k.l.settings.DialTimeout)
+	ln.conn = k.limiter.dial(ln, k.limiter.config.Counter, k.limiter.settings.DialTimeout)
 	return ln
 }
 
@@ -114,12 +115,12 @@
 // closeIfDrained closes a line to the old address that nothing is out on any more.
 func (ln *counterConn) closeIfDrained() {
 	if ln.draining && len(ln.calls) == 0 {
-		ln.client.l.closeConn(ln.conn, IdleClosed)
+		ln.client.limiter.closeConn(ln.conn, IdleClosed)
 	}
 }
 
 func (ln *counterConn) write(c *counterCall) {
-	l := ln.client.l
+	l := ln.client.limiter
 	if c.ping {
 		l.scratch.write = counterwire.AppendPing(l.scratch.write[:0])
 	} else {
@@ -143,9 +144,9 @@
 		return
 	}
 	c.answered = true
-	k.l.timers.cancel(c.timeout)
-	k.l.results = append(k.l.results, pendingResult{counterReply: true, name: c.name, outcome: outcome, total: total})
-	if down := k.l.now-k.lastReply > silentTimeouts*k.l.settings.CounterTimeout; down && !k.loggedDown {
+	k.limiter.timers.cancel(c.timeout)
+	k.limiter.results = append(k.limiter.results, pendingResult{counterReply: true, name: c.name, outcome: outcome, total: total})
+	if down := k.limiter.now-k.lastReply > silentTimeouts*k.limiter.settings.CounterTimeout; down && !k.loggedDown {
 		k.loggedDown = true
 		log.Printf("event=counter answers=false")
 	}
@@ -153,7 +154,7 @@
 
 // noteReply notes a sign of life.
 func (k *counterClient) noteReply() {
-	k.lastReply = k.l.now
+	k.lastReply = k.limiter.now
 	if k.loggedDown {
 		k.loggedDown = false
 		log.Printf("event=counter answers=true")
@@ -169,7 +170,7 @@
 func (ln *counterConn) onData(b []byte) (int, error) {
 	kind, total, n, err := counterwire.ReadReply(b)
 	if err != nil {
-		ln.client.l.stats.inputErrors.malformedCounterReplies++
+		ln.client.limiter.stats.inputErrors.malformedCounterReplies++
 		return 0, err
 	}
 	if n == 0 {
@@ -209,7 +210,7 @@
 
 // maintain gives up silent lines and keeps idle ones from being closed by the counter.
 func (k *counterClient) maintain() {
-	l := k.l
+	l := k.limiter
 	for _, ln := range slices.Clone(k.conns) {
 		switch {
 		case !ln.conn.open:
--- a/internal/limiter/discovery.go
+++ b/internal/limiter/discovery.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log"
 	"net/http"
+
 	"ospreycroft/internal/coldstart"
 	"ospreycroft/internal/discovery"
 	"ospreycroft/internal/hint"
@@ -18,7 +19,7 @@
 
 // discoveryClient is the connection to discovery.
 type discoveryClient struct {
-	l                *Limiter
+	limiter          *Limiter
 	conn             *conn
 	version          int64
 	completeLists    int64  // whole lists that were taken in
@@ -38,18 +39,18 @@
 func newDiscoveryClient(l *Limiter) discoveryClient {
 	pacer := pollpacer.New(l.now, l.settings.DialTimeout, max(l.settings.Position, 0), l.settings.PollInterval)
 	pacer.SetNotificationBound(l.settings.DrainGrace)
-	return discoveryClient{l: l, pacer: pacer}
+	return discoveryClient{limiter: l, pacer: pacer}
 }
 
 // start makes the first call, or plans it.
 func (w *discoveryClient) start() {
-	if w.l.coldStart.hasCallRate() {
+	if w.limiter.coldStart.hasCallRate() {
 		w.scheduleSlot()
 		return
 	}
 	delay := w.pacer.FirstDelay()
 	if delay > 0 && w.versionKnown {
-		w.retryTimer = w.l.schedule(w.l.now+delay, w.connect)
+		w.retryTimer = w.limiter.schedule(w.limiter.now+delay, w.connect)
 		return
 	}
 	w.connect()
@@ -74,8 +75,8 @@
 // restoreList begins with a list, nil for none.
 func (w *discoveryClient) restoreList(list *discovery.List) error {
 	counted := list != nil
-	if w.l.coldStart != nil {
-		list, counted = w.l.coldStart.chooseList(list)
+	if w.limiter.coldStart != nil {
+		list, counted = w.limiter.coldStart.chooseList(list)
 	}
 	if list != nil {
 		list.Whole = true
@@ -87,9 +88,9 @@
 
 // scheduleSlot makes the scheduleSlot call when a stated budget allows it.
 func (w *discoveryClient) scheduleSlot() {
-	w.l.timers.cancel(w.retryTimer)
-	if at := w.l.coldStart.start.NextSlot(); at > w.l.now {
-		w.retryTimer = w.l.schedule(at, w.onSlot)
+	w.limiter.timers.cancel(w.retryTimer)
+	if at := w.limiter.coldStart.start.NextSlot(); at > w.limiter.now {
+		w.retryTimer = w.limiter.schedule(at, w.onSlot)
 		return
 	}
 	w.onSlot()
@@ -97,12 +98,12 @@
 
 // onSlot: it is time for a call, or long past it.
 func (w *discoveryClient) onSlot() {
-	if w.l.coldStart.start.MissedSlot(w.l.now) {
-		w.l.coldStart.step(coldstart.Event{Kind: coldstart.SlotMissed})
+	if w.limiter.coldStart.start.MissedSlot(w.limiter.now) {
+		w.limiter.coldStart.step(coldstart.Event{Kind: coldstart.SlotMissed})
 		w.scheduleSlot()
 		return
 	}
-	w.l.coldStart.step(coldstart.Event{Kind: coldstart.CallMade})
+	w.limiter.coldStart.step(coldstart.Event{Kind: coldstart.CallMade})
 	if w.awaitingSlot {
 		w.awaitingSlot = false
 		w.poll()
@@ -114,14 +115,14 @@
 func (w *discoveryClient) connect() {
 	w.responseReceived = false
 	w.lastFailure = pollpacer.Failed
-	w.conn = w.l.dial(w, w.l.config.Discovery, w.pacer.DialTimeout())
+	w.conn = w.limiter.dial(w, w.limiter.config.Discovery, w.pacer.DialTimeout())
 }
 
 func (w *discoveryClient) onConnected() { w.poll() }
 
 // poll calls for the whole list first and then waits for what is newer.
 func (w *discoveryClient) poll() {
-	l := w.l
+	l := w.limiter
 	var wait, limit int64
 	if !l.coldStart.hasCallRate() {
 		wait, limit = w.pacer.NextPoll(l.now, !w.versionKnown)
@@ -149,14 +150,14 @@
 
 // setResponseTimeout gives the call that is out up at a time.
 func (w *discoveryClient) setResponseTimeout(at int64) {
-	w.l.timers.cancel(w.responseTimer)
-	w.responseTimer = w.l.schedule(at, func() { w.l.closeConn(w.conn, NoResponse) })
+	w.limiter.timers.cancel(w.responseTimer)
+	w.responseTimer = w.limiter.schedule(at, func() { w.limiter.closeConn(w.conn, NoResponse) })
 }
 
 // logFailure logs a failure, if none was lately: an agent on the own machine is asked again many times a second.
 func (w *discoveryClient) logFailure(form string, args ...any) {
-	if w.failureLoggedAt == 0 || w.l.now-w.failureLoggedAt >= failureLogInterval {
-		w.failureLoggedAt = w.l.now
+	if w.failureLoggedAt == 0 || w.limiter.now-w.failureLoggedAt >= failureLogInterval {
+		w.failureLoggedAt = w.limiter.now
 		log.Printf(form, args...)
 	}
 }
@@ -169,7 +170,7 @@
 	if err == nil && n == 0 && len(b) > 0 && !w.partialResponse {
 		// The rest of an answer is right behind; one that stops there would hide its news for the whole wait.
 		w.partialResponse = true
-		w.setResponseTimeout(min(w.responseTimer.at, w.l.now+w.pacer.PartialResponseTimeout()))
+		w.setResponseTimeout(min(w.responseTimer.at, w.limiter.now+w.pacer.PartialResponseTimeout()))
 	}
 	if err != nil { // asked at once again, it would be as bad
 		w.logFailure("event=list-refused %s", hint.LogFields(err))
@@ -184,9 +185,9 @@
 		return 0, err
 	}
 	if a.CloseAfter {
-		w.l.closeConn(w.conn, IdleClosed)
-	} else if w.l.coldStart.hasCallRate() {
-		w.l.timers.cancel(w.responseTimer)
+		w.limiter.closeConn(w.conn, IdleClosed)
+	} else if w.limiter.coldStart.hasCallRate() {
+		w.limiter.timers.cancel(w.responseTimer)
 		w.awaitingSlot = true
 		w.scheduleSlot()
 	} else {
@@ -217,23 +218,23 @@
 		w.lastFailure = pollpacer.Failed
 		return err
 	}
-	w.pacer.ResponseReceived(w.l.now)
+	w.pacer.ResponseReceived(w.limiter.now)
 	// One that counts from anew behind the same address may hold what was never told here.
 	w.versionKnown = list.Whole || list.Version >= w.version
 	w.applyList(list, coldstart.ListReceived)
 	if w.revalidating {
 		w.revalidating = false
-		w.l.trustList()
+		w.limiter.trustList()
 	}
-	if w.l.coldStart == nil {
-		w.l.checkReady()
+	if w.limiter.coldStart == nil {
+		w.limiter.checkReady()
 	}
 	return nil
 }
 
 // onClosed renews the connection: at once where it has served, else when the pace allows it.
 func (w *discoveryClient) onClosed(end CloseReason, _ int64) {
-	w.l.timers.cancel(w.responseTimer)
+	w.limiter.timers.cancel(w.responseTimer)
 	if w.awaitingSlot {
 		w.awaitingSlot = false // its next call waits for its time already
 		return
@@ -244,16 +245,16 @@
 		}
 	}
 	if !w.responseReceived {
-		w.l.coldStart.pollFailed(w.lastFailure)
+		w.limiter.coldStart.pollFailed(w.lastFailure)
 	} else if end != IdleClosed {
-		w.pacer.ConnectionLost(w.l.now)
+		w.pacer.ConnectionLost(w.limiter.now)
 	}
-	if w.l.coldStart.hasCallRate() {
+	if w.limiter.coldStart.hasCallRate() {
 		w.scheduleSlot()
 		return
 	}
 	if !w.responseReceived {
-		w.retryTimer = w.l.schedule(w.l.now+w.pacer.RetryDelay(w.l.now, w.lastFailure), w.connect)
+		w.retryTimer = w.limiter.schedule(w.limiter.now+w.pacer.RetryDelay(w.limiter.now, w.lastFailure), w.connect)
 		return
 	}
 	w.connect()
@@ -265,12 +266,12 @@
 		return
 	}
 	w.revalidating = true
-	if w.l.conns[w.conn.id] == w.conn {
+	if w.limiter.conns[w.conn.id] == w.conn {
 		w.responseReceived = true
-		w.l.closeConn(w.conn, IdleClosed)
+		w.limiter.closeConn(w.conn, IdleClosed)
 		return
 	}
-	w.l.timers.cancel(w.retryTimer)
+	w.limiter.timers.cancel(w.retryTimer)
 	w.connect()
 }
 
@@ -278,22 +279,22 @@
 // the last good one holds meanwhile.
 func (w *discoveryClient) followMove() {
 	w.versionKnown = false
-	w.pacer.ServiceMoved(w.l.now)
-	if w.l.coldStart != nil {
-		w.l.coldStart.step(coldstart.Event{Kind: coldstart.DiscoveryMoved})
+	w.pacer.ServiceMoved(w.limiter.now)
+	if w.limiter.coldStart != nil {
+		w.limiter.coldStart.step(coldstart.Event{Kind: coldstart.DiscoveryMoved})
 	}
-	if w.l.coldStart.hasCallRate() {
+	if w.limiter.coldStart.hasCallRate() {
 		w.awaitingSlot = false
-		w.l.timers.cancel(w.retryTimer)
+		w.limiter.timers.cancel(w.retryTimer)
 	}
-	if w.conn != nil && w.l.conns[w.conn.id] == w.conn {
+	if w.conn != nil && w.limiter.conns[w.conn.id] == w.conn {
 		w.responseReceived = true
-		w.l.closeConn(w.conn, IdleClosed)
+		w.limiter.closeConn(w.conn, IdleClosed)
 		return
 	}
 	// It waits for its turn at the old address. What the new one has to tell counts as told before that may be over.
-	w.l.timers.cancel(w.retryTimer)
-	if w.l.coldStart.hasCallRate() {
+	w.limiter.timers.cancel(w.retryTimer)
+	if w.limiter.coldStart.hasCallRate() {
 		w.scheduleSlot()
 		return
 	}
--- a/internal/limiter/endpoints.go
+++ b/internal/limiter/endpoints.go
@@ -2,51 +2,59 @@
 
 import (
 	"log"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/coldstart"
 	"ospreycroft/internal/discovery"
 )
 
-// applyList takes a list in: addresses for the pools, the rest for the module.
+// applyList takes a list in: addresses for the pools, the rest for the controller.
 func (w *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
-	l := w.l
+	l := w.limiter
 	w.version = list.Version
-	entries := make([]choice.Endpoint, len(list.Entries))
-	var retiring []*serverPool
 	if list.Whole {
 		w.completeLists++
 	}
-	for i, e := range list.Entries {
-		entries[i] = e.Endpoint
-		p := l.servers.pools[e.ID]
-		if p == nil {
-			p = l.servers.addPool(e.ID, max(len(list.Entries), len(l.servers.pools)+1))
-		}
-		p.listedIn = w.completeLists
-		p.draining = e.State != choice.EndpointReady
-		p.removed = e.State == choice.EndpointGone
-		if p.draining || e.Address != p.address {
-			retiring = append(retiring, p)
+	endpoints := make([]choice.Endpoint, len(list.Entries))
+	var unused []*serverPool
+	for i, entry := range list.Entries {
+		endpoints[i] = entry.Endpoint
+		pool := l.servers.pools[entry.ID]
+		if pool == nil {
+			pool = l.servers.addPool(entry.ID, max(len(list.Entries), len(l.servers.pools)+1))
 		}
-		if e.Address != "" {
-			p.address = e.Address
+		pool.listedIn = w.completeLists
+		if pool.update(&entry) {
+			unused = append(unused, pool)
 		}
-		p.location = location{e.Zone, e.Cell}
-		p.closeIdleSince(e.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
 	}
 	if list.Whole {
-		retiring = append(l.servers.markMissing(w.completeLists), retiring...)
+		unused = append(l.servers.markMissing(w.completeLists), unused...)
 	}
-	if len(entries) > 0 || list.Whole {
-		log.Printf("event=list generation=%d whole=%v entries=%d", list.Version, list.Whole, len(entries))
-		l.controller.UpdateEndpoints(l.now, list.Whole, entries)
+	if len(endpoints) > 0 || list.Whole {
+		log.Printf("event=list generation=%d whole=%v entries=%d", list.Version, list.Whole, len(endpoints))
+		l.controller.UpdateEndpoints(l.now, list.Whole, endpoints)
 	}
-	// Only now, or the module would send what is taken back to the same server again.
-	for _, p := range retiring {
-		p.closeUnused()
-		p.forgetIfEmpty()
+	// Only now, or the controller would send what is taken back to the same server again.
+	for _, pool := range unused {
+		pool.closeUnused()
+		pool.forgetIfEmpty()
 	}
 	if l.coldStart != nil {
 		l.coldStart.listApplied(kind, list)
 	}
 }
+
+// update takes in an entry of the list, and tells whether connections of the pool that are not in use are to be closed: its server
+// leaves, or has moved.
+func (p *serverPool) update(entry *discovery.Endpoint) (closeUnused bool) {
+	p.draining = entry.State != choice.EndpointReady
+	p.removed = entry.State == choice.EndpointGone
+	closeUnused = p.draining || entry.Address != p.address
+	if entry.Address != "" {
+		p.address = entry.Address
+	}
+	p.location = location{entry.Zone, entry.Cell}
+	p.closeIdleSince(entry.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
+	return closeUnused
+}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -2,6 +2,7 @@
 
 import (
 	"log"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/settings"
 )
@@ -65,10 +66,10 @@
 // NewWithOptions makes a limiter that starts by what operators state beside its configuration.
 func NewWithOptions(now int64, config *settings.Config, options OperatorOptions, effects Effects) (*Limiter, error) {
 	l := &Limiter{config: config, settings: config.Settings, effects: effects, now: now, conns: map[ConnID]*conn{}}
-	l.clients.l = l
+	l.clients.limiter = l
 	l.requests.byID = map[string]*request{}
-	l.servers = serverPools{l: l, pools: map[string]*serverPool{}, keepIdle: l.settings.IdleClose / idleCloseShare}
-	l.counter = counterClient{l: l, lastReply: now}
+	l.servers = serverPools{limiter: l, pools: map[string]*serverPool{}, keepIdle: l.settings.IdleClose / idleCloseShare}
+	l.counter = counterClient{limiter: l, lastReply: now}
 	l.discovery = newDiscoveryClient(l)
 	l.controller = choice.New(now, l.settings.Settings, config.Seed, l)
 	l.readiness.deadline = now + readyWithin
--- a/internal/limiter/reload.go
+++ b/internal/limiter/reload.go
@@ -2,6 +2,7 @@
 
 import (
 	"log"
+
 	"ospreycroft/internal/settings"
 )
 
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -2,9 +2,10 @@
 
 import (
 	"bytes"
+	"strconv"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/resp"
-	"strconv"
 )
 
 // requestTable holds the requests that are not forgotten yet.
@@ -18,11 +19,11 @@
 type requestState uint8
 
 const (
-	accepted requestState = iota
-	succeeded
-	rejected
-	requestFailed
-	clientGone // its client has gone
+	stateAccepted requestState = iota
+	stateSucceeded
+	stateRejected
+	stateFailed
+	stateClientGone // its client has gone
 )
 
 type request struct {
@@ -48,20 +49,26 @@
 )
 
 // addRequest makes a request of a command; the words are copied, for they stand in the connection's buffer.
-func (l *Limiter) addRequest(c *client, a *answer, words [][]byte, before, past int, budget int64) *request {
+func (l *Limiter) addRequest(c *client, a *answer, words [][]byte, parsed *parsedRequest) *request {
 	size := 0
 	for _, w := range words {
 		size += len(w)
 	}
 	text := make([]byte, 0, size)
-	q := &request{id: string(words[2]), client: c, answer: a, deadline: l.now + budget, bytes: int64(size),
-		words: make([][]byte, len(words))}
+	q := &request{
+		id: parsed.arrival.ID, client: c, answer: a, deadline: l.now + parsed.arrival.Timeout, bytes: int64(size),
+		words: make([][]byte, len(words)),
+	}
 	for i, w := range words {
 		text = append(text, w...)
 		q.words[i] = text[len(text)-len(w):]
 	}
-	q.beforeTimeout = q.words[3][:before]
-	q.afterTimeout = q.words[3][past:]
+	q.beforeTimeout = q.words[wordFields][:parsed.timeoutStart]
+	q.afterTimeout = q.words[wordFields][parsed.timeoutEnd:]
+	if class := l.settings.Classes[parsed.arrival.Class]; class.Idempotency == choice.IdempotentWithKey {
+		q.deduplicationWindow = class.DeduplicationWindow
+		q.deduplicationScope = class.DeduplicationScope
+	}
 	l.stats.outcomes.accepted++
 	l.requests.heldBytes += q.bytes
 	l.requests.byID[q.id], l.shutdown.flushed = q, false
@@ -70,12 +77,12 @@
 
 // move is the only place where a request changes its state. A request ends once, with one answer to its client.
 func (l *Limiter) move(q *request, to requestState, text []byte) {
-	if q.state != accepted {
+	if q.state != stateAccepted {
 		return
 	}
 	l.requests.lastEnd = l.now
 	q.state = to
-	if to == succeeded {
+	if to == stateSucceeded {
 		l.stats.outcomes.succeeded++
 	}
 	for _, att := range q.attempts {
@@ -85,7 +92,7 @@
 			l.closeConn(att.conn.conn, AttemptCancelled)
 		}
 	}
-	if to != clientGone {
+	if to != stateClientGone {
 		q.client.answer(q.answer, text)
 	}
 	l.forgetIfDone(q)
@@ -93,7 +100,7 @@
 
 // forgetIfDone lets go of a request that has ended, once nothing of it is out.
 func (l *Limiter) forgetIfDone(q *request) {
-	if q.state != accepted && q.openAttempts == 0 && l.requests.byID[q.id] == q {
+	if q.state != stateAccepted && q.openAttempts == 0 && l.requests.byID[q.id] == q {
 		l.requests.heldBytes -= q.bytes
 		delete(l.requests.byID, q.id)
 	}
@@ -103,8 +110,8 @@
 func (q *request) appendCommand(to []byte, now int64) []byte {
 	left := strconv.AppendInt(nil, max(1, (q.deadline-now)/1e6), 10)
 	list := bytes.Join([][]byte{q.beforeTimeout, left, q.afterTimeout}, nil)
-	words := append(append(make([][]byte, 0, len(q.words)), q.words[:3]...), list)
-	return resp.AppendCommand(to, append(words, q.words[4:]...)...)
+	words := append(append(make([][]byte, 0, len(q.words)), q.words[:wordFields]...), list)
+	return resp.AppendCommand(to, append(words, q.words[wordBody:]...)...)
 }
 
 // Reject is an effect of the module.
@@ -116,13 +123,13 @@
 		text = append(text, "\r\n"...)
 	}
 	if q := l.requests.byID[id]; q != nil {
-		l.move(q, rejected, text)
+		l.move(q, stateRejected, text)
 	}
 }
 
 // Fail is an effect of the module.
 func (l *Limiter) Fail(id string) {
 	if q := l.requests.byID[id]; q != nil {
-		l.move(q, requestFailed, failedAnswer)
+		l.move(q, stateFailed, failedAnswer)
 	}
 }
--- a/internal/limiter/server_answer.go
+++ b/internal/limiter/server_answer.go
@@ -2,9 +2,10 @@
 
 import (
 	"bytes"
+	"strconv"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/resp"
-	"strconv"
 )
 
 // maxReportFigure is the largest figure of a load report that is believed, the protocol's largest amount.
--- a/internal/limiter/server_conn.go
+++ b/internal/limiter/server_conn.go
@@ -4,9 +4,10 @@
 	"container/list"
 	"errors"
 	"math"
+	"slices"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/resp"
-	"slices"
 )
 
 // promptCloseShare: an end within this part of a dial time-out is the answer to a command's first byte.
@@ -16,10 +17,10 @@
 // other's answer.
 type serverConn struct {
 	pool             *serverPool
-	address          string // the address
+	address          string
 	conn             *conn
 	attempt          *attempt
-	healthCheckTimer *timer        // until when the probe that is out must be answered, nil if none is
+	healthCheckTimer *timer        // until when the health check that is out must be answered, nil if none is
 	responseTimer    *timer        // until when an answer that has begun must be whole
 	idleTime         int64         // how long it had been idle before the command that is out, 0 where it is new
 	writtenAt        int64         // when that was written
@@ -31,17 +32,10 @@
 	errEarlyResponse      = errors.New("an answer to a command of which the kernel has only a part")
 )
 
+// onConnected writes the command that the connection was opened or taken for.
 func (b *serverConn) onConnected() {
-	l := b.pool.l
-	if att := b.attempt; att != nil && att.request.state == accepted {
-		att.request.client.closeIfGone()
-	}
-	if att := b.attempt; att != nil && (att.request.state != accepted || l.now >= att.request.deadline || b.pool.draining || att.outdated()) {
-		// The request has ended while its connection came up, and nothing may be sent for it any more, or it is too late for this
-		// attempt: it was decided on before the process stood still.
-		b.attempt = nil
-		l.endAttempt(att, choice.AttemptResult{Outcome: DeadlineExceeded.outcome(false)})
-	}
+	l := b.pool.limiter
+	b.dropEndedAttempt()
 	if b.attempt == nil && b.healthCheckTimer == nil {
 		b.release()
 		return
@@ -54,34 +48,64 @@
 	}
 	l.write(b.conn, l.scratch.write)
 	b.writtenAt = l.now
-	if att := b.attempt; att != nil {
-		att.lastByte, att.location = b.conn.bytesSent, b.pool.location
-		if l.effects.Written(b.conn.id) < att.lastByte && att.deduplicatedUntil() < math.MaxInt64 {
-			// The kernel has a part of a repeat, which must not become whole once servers do not know the request again.
-			l.schedule(att.deduplicatedUntil(), func() {
-				if att.open && l.effects.Written(b.conn.id) < att.lastByte {
-					l.closeConn(b.conn, DeadlineExceeded)
-				}
-			})
-		}
+	if b.attempt != nil {
+		b.attempt.lastByte = b.conn.bytesSent
+		b.attempt.location = b.pool.location
+		b.guardPartialRepeat(b.attempt)
+	}
+}
+
+// dropEndedAttempt ends the connection's attempt if its request has ended while the connection came up, so that nothing may be
+// sent for it any more, or if it is too late for the attempt: it was decided on before the process stood still.
+func (b *serverConn) dropEndedAttempt() {
+	l := b.pool.limiter
+	att := b.attempt
+	if att == nil {
+		return
+	}
+	if att.request.state == stateAccepted {
+		att.request.client.closeIfGone()
 	}
+	att = b.attempt // none is left where the client has gone
+	if att == nil {
+		return
+	}
+	if att.request.state != stateAccepted || l.now >= att.request.deadline || b.pool.draining || att.outdated() {
+		b.attempt = nil
+		l.endAttempt(att, choice.AttemptResult{Outcome: DeadlineExceeded.outcome(false)})
+	}
+}
+
+// guardPartialRepeat closes the connection in time where the kernel has only a part of a repeat: it must not become whole once
+// servers do not know the request again.
+func (b *serverConn) guardPartialRepeat(att *attempt) {
+	l := b.pool.limiter
+	partial := func() bool { return l.effects.Written(b.conn.id) < att.lastByte }
+	if !partial() || att.deduplicatedUntil() == math.MaxInt64 {
+		return
+	}
+	l.schedule(att.deduplicatedUntil(), func() {
+		if att.open && partial() {
+			l.closeConn(b.conn, DeadlineExceeded)
+		}
+	})
 }
 
 // release keeps the connection for the next command, if the server is to get any.
 func (b *serverConn) release() {
 	if b.pool.draining || b.address != b.pool.address {
-		b.pool.l.closeConn(b.conn, IdleClosed)
+		b.pool.limiter.closeConn(b.conn, IdleClosed)
 		return
 	}
 	b.pool.idle = append(b.pool.idle, b)
-	b.idleElement = b.pool.l.servers.idle.PushBack(b)
+	b.idleElement = b.pool.limiter.servers.idle.PushBack(b)
 }
 
 // takeFromIdle takes the connection out of the idle ones, if it is one.
 func (b *serverConn) takeFromIdle() {
 	b.pool.idle = without(b.pool.idle, b)
 	if b.idleElement != nil {
-		b.pool.l.servers.idle.Remove(b.idleElement)
+		b.pool.limiter.servers.idle.Remove(b.idleElement)
 		b.idleElement = nil
 	}
 }
@@ -99,73 +123,94 @@
 	if len(bytes) == 0 {
 		return 0, nil
 	}
-	l := b.pool.l
-	att := b.attempt
+	if b.attempt == nil && b.healthCheckTimer == nil {
+		return 0, errUnexpectedResponse
+	}
 	parse := resp.ReadAnswer
-	switch {
-	case b.healthCheckTimer != nil:
+	if b.healthCheckTimer != nil {
 		parse = resp.ReadValue
-	case att == nil:
-		return 0, errUnexpectedResponse
 	}
-	v, n, err := parse(bytes)
+	value, n, err := parse(bytes)
 	if err != nil {
 		return 0, err
 	}
+	l := b.pool.limiter
 	if n == 0 {
-		// The rest of a good answer is right behind; a spoilt one would hold its request until the deadline.
-		if b.responseTimer == nil {
-			b.responseTimer = l.schedule(l.now+l.settings.DialTimeout, func() { l.closeConn(b.conn, ProtocolError) })
-		}
+		b.awaitRest()
 		return 0, nil
 	}
-	early := att != nil && l.effects.Written(b.conn.id) < att.lastByte
+	early := b.attempt != nil && l.effects.Written(b.conn.id) < b.attempt.lastByte
 	l.timers.cancel(b.responseTimer)
 	b.responseTimer = nil
 	if b.idleTime > l.servers.keepIdle/2 {
 		l.servers.lengthenKeepIdle()
 	}
 	if b.healthCheckTimer != nil {
-		l.timers.cancel(b.healthCheckTimer)
-		b.healthCheckTimer = nil
-		l.results = append(l.results, pendingResult{healthChecked: b.pool.id, outcome: choice.Succeeded})
-	} else {
-		reply, value := decodeAnswer(v, l.settings.MaxActualUnits)
-		if early && reply.Outcome != choice.Overloaded {
-			return 0, errEarlyResponse
-		}
-		if reply.Outcome == choice.Succeeded {
-			l.move(att.request, succeeded, resp.AppendBulk(nil, value))
-		}
-		b.attempt = nil
-		l.endAttempt(att, reply)
+		b.endHealthCheck(choice.Succeeded)
+	} else if err := b.takeAnswer(value, early); err != nil {
+		return 0, err
 	}
-	if early {
+	switch {
+	case early:
 		l.closeConn(b.conn, AttemptCancelled) // the rest of the command must not follow
-	} else if l.conns[b.conn.id] == b.conn {
+	case l.conns[b.conn.id] == b.conn:
 		b.release()
 	}
 	return n, nil
 }
 
+// awaitRest bounds how long the rest of an answer may take. The rest of a good answer is right behind; a malformed one would hold
+// its request until the deadline.
+func (b *serverConn) awaitRest() {
+	l := b.pool.limiter
+	if b.responseTimer == nil {
+		b.responseTimer = l.schedule(l.now+l.settings.DialTimeout, func() { l.closeConn(b.conn, ProtocolError) })
+	}
+}
+
+// takeAnswer ends the attempt by its answer. early says that the kernel has only a part of the command, so that a server can only
+// have rejected it.
+func (b *serverConn) takeAnswer(value resp.Value, early bool) error {
+	l := b.pool.limiter
+	att := b.attempt
+	result, body := decodeAnswer(value, l.settings.MaxActualUnits)
+	if early && result.Outcome != choice.Overloaded {
+		return errEarlyResponse
+	}
+	if result.Outcome == choice.Succeeded {
+		l.move(att.request, stateSucceeded, resp.AppendBulk(nil, body))
+	}
+	b.attempt = nil
+	l.endAttempt(att, result)
+	return nil
+}
+
+// endHealthCheck ends the health check that is out, and owes the controller its outcome.
+func (b *serverConn) endHealthCheck(outcome choice.Outcome) {
+	l := b.pool.limiter
+	l.timers.cancel(b.healthCheckTimer)
+	b.healthCheckTimer = nil
+	l.results = append(l.results, pendingResult{healthChecked: b.pool.id, outcome: outcome})
+}
+
+// onClosed ends what was out on the connection.
 func (b *serverConn) onClosed(end CloseReason, written int64) {
-	l := b.pool.l
+	l := b.pool.limiter
 	att := b.attempt
 	l.servers.connCount--
 	b.pool.conns = without(b.pool.conns, b)
 	l.timers.cancel(b.responseTimer)
 	b.takeFromIdle()
-	if (att != nil || b.healthCheckTimer != nil) && end != ConnRefused && end != ProtocolError {
-		// What is still idle may be as dead, where a machine has vanished and says nothing: a command on it might
-		// have run for all we know, while one for which no connection comes up has not. One that writes nonsense
-		// is not dead.
+	inUse := att != nil || b.healthCheckTimer != nil
+	if inUse && end != ConnRefused && end != ProtocolError {
+		// What is still idle may be as dead, where a machine has vanished and says nothing: a command on it might have run for all
+		// we know, while one for which no connection comes up has not. A server that writes nonsense is not dead.
 		b.pool.closeIdle()
 	}
 	if end == ProtocolError {
 		l.stats.inputErrors.malformedAnswers++
 	}
-	if (end == PeerReset || end == PeerClosed) && att != nil && b.idleTime > 0 && b.responseTimer == nil && l.now-b.writtenAt <= l.settings.DialTimeout/promptCloseShare {
-		// It had ended before the command came, and nobody had said so: what is idle is not to be trusted for so long.
+	if att != nil && b.endedWhileIdle(end) {
 		l.servers.shortenKeepIdle()
 	}
 	if att != nil {
@@ -173,9 +218,15 @@
 		l.endAttempt(att, choice.AttemptResult{Outcome: end.outcome(att.lastByte > 0 && written >= att.lastByte)})
 	}
 	if b.healthCheckTimer != nil {
-		l.timers.cancel(b.healthCheckTimer)
-		b.healthCheckTimer = nil
-		l.results = append(l.results, pendingResult{healthChecked: b.pool.id, outcome: end.outcome(written > 0)})
+		b.endHealthCheck(end.outcome(written > 0))
 	}
 	b.pool.forgetIfEmpty()
 }
+
+// endedWhileIdle tells whether the server had closed the connection, without notice, before its latest command came.
+func (b *serverConn) endedWhileIdle(end CloseReason) bool {
+	l := b.pool.limiter
+	byServer := end == PeerReset || end == PeerClosed
+	prompt := l.now-b.writtenAt <= l.settings.DialTimeout/promptCloseShare
+	return byServer && prompt && b.idleTime > 0 && b.responseTimer == nil
+}
--- a/internal/limiter/server_pools.go
+++ b/internal/limiter/server_pools.go
@@ -4,9 +4,10 @@
 	"cmp"
 	"container/list"
 	"math"
+	"slices"
+
 	"ospreycroft/choice"
 	"ospreycroft/internal/coldstart"
-	"slices"
 )
 
 const (
@@ -23,7 +24,7 @@
 
 // serverPools holds the connections to servers, in a pool for each.
 type serverPools struct {
-	l         *Limiter
+	limiter   *Limiter
 	pools     map[string]*serverPool // by the server's id
 	poolsSeen int64                  // servers that were ever listed
 	connCount int                    // connections to servers
@@ -33,17 +34,17 @@
 
 // lengthenKeepIdle trusts idle connections for a little longer.
 func (s *serverPools) lengthenKeepIdle() {
-	s.keepIdle = min(s.keepIdle+s.keepIdle/keepIdleIncrease, s.l.settings.IdleClose/idleCloseShare)
+	s.keepIdle = min(s.keepIdle+s.keepIdle/keepIdleIncrease, s.limiter.settings.IdleClose/idleCloseShare)
 }
 
 // shortenKeepIdle trusts them for a shorter time.
 func (s *serverPools) shortenKeepIdle() {
-	s.keepIdle = max(s.keepIdle-s.keepIdle/keepIdleDecrease, 2*s.l.settings.TimerResolution)
+	s.keepIdle = max(s.keepIdle-s.keepIdle/keepIdleDecrease, 2*s.limiter.settings.TimerResolution)
 }
 
 // serverPool holds the connections to one server.
 type serverPool struct {
-	l        *Limiter
+	limiter  *Limiter
 	id       string
 	address  string
 	location location
@@ -59,7 +60,7 @@
 // addPool makes the pool of a server that was not listed yet, one of so many.
 func (s *serverPools) addPool(id string, servers int) *serverPool {
 	s.poolsSeen++
-	p := &serverPool{l: s.l, id: id, order: s.poolsSeen, newConns: s.l.coldStart.connectionBucket(servers)}
+	p := &serverPool{limiter: s.limiter, id: id, order: s.poolsSeen, newConns: s.limiter.coldStart.connectionBucket(servers)}
 	s.pools[id] = p
 	return p
 }
@@ -83,15 +84,15 @@
 	if oldest == nil {
 		return false
 	}
-	s.l.closeConn(oldest.Value.(*serverConn).conn, IdleClosed)
+	s.limiter.closeConn(oldest.Value.(*serverConn).conn, IdleClosed)
 	return true
 }
 
 // closeExpiredIdle closes the connections to servers that have been idle for long: a command that crosses with the server's closing
 // counts as sent.
 func (s *serverPools) closeExpiredIdle() {
-	for e := s.idle.Front(); e != nil && e.Value.(*serverConn).conn.lastUsed < s.l.now-s.keepIdle; e = s.idle.Front() {
-		s.l.closeConn(e.Value.(*serverConn).conn, IdleClosed)
+	for e := s.idle.Front(); e != nil && e.Value.(*serverConn).conn.lastUsed < s.limiter.now-s.keepIdle; e = s.idle.Front() {
+		s.limiter.closeConn(e.Value.(*serverConn).conn, IdleClosed)
 	}
 }
 
@@ -100,7 +101,7 @@
 // just brought an answer rests first: what a server sends too much comes some milliseconds behind, and would be taken for the
 // answer to the next command.
 func (p *serverPool) acquire() *serverConn {
-	l := p.l
+	l := p.limiter
 	rest := max(l.settings.TimerResolution, min(restTicks*l.settings.TimerResolution, l.servers.keepIdle/2))
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		b := p.idle[i]
@@ -132,20 +133,20 @@
 		}
 		if b.conn == nil {
 			begin(b)
-			b.conn = p.l.dial(b, b.address, p.l.settings.DialTimeout)
+			b.conn = p.limiter.dial(b, b.address, p.limiter.settings.DialTimeout)
 			return true
 		}
-		if p.l.effects.Alive(b.conn.id) {
+		if p.limiter.effects.Alive(b.conn.id) {
 			begin(b)
 			b.onConnected()
 			return true
 		}
-		p.l.closeConn(b.conn, PeerClosed)
+		p.limiter.closeConn(b.conn, PeerClosed)
 	}
 }
 
 func (p *serverPool) send(att *attempt) {
-	l := p.l
+	l := p.limiter
 	begin := func(b *serverConn) {
 		b.attempt = att
 		att.conn = b
@@ -169,7 +170,7 @@
 // forgetIfEmpty lets go of a server that is gone once nothing is open to it: on a day on which all servers are replaced,
 // again and again, they would fill the memory.
 func (p *serverPool) forgetIfEmpty() {
-	if l := p.l; p.removed && len(p.conns) == 0 && l.servers.pools[p.id] == p {
+	if l := p.limiter; p.removed && len(p.conns) == 0 && l.servers.pools[p.id] == p {
 		delete(l.servers.pools, p.id)
 	}
 }
@@ -179,8 +180,8 @@
 func (p *serverPool) closeUnused() {
 	p.closeIdle()
 	for _, b := range slices.Clone(p.conns) {
-		if p.l.conns[b.conn.id] == b.conn && !b.conn.open {
-			p.l.closeConn(b.conn, AttemptCancelled)
+		if p.limiter.conns[b.conn.id] == b.conn && !b.conn.open {
+			p.limiter.closeConn(b.conn, AttemptCancelled)
 		}
 	}
 }
@@ -190,6 +191,6 @@
 // closeIdleSince ends the connections that have been idle since before a time.
 func (p *serverPool) closeIdleSince(at int64) {
 	for len(p.idle) > 0 && p.idle[0].conn.lastUsed < at {
-		p.l.closeConn(p.idle[0].conn, IdleClosed)
+		p.limiter.closeConn(p.idle[0].conn, IdleClosed)
 	}
 }
--- a/internal/limiter/shutdown.go
+++ b/internal/limiter/shutdown.go
@@ -23,6 +23,9 @@
 	flushed     bool  // what customers owe the counter was added
 }
 
+// lingering tells whether the linger time is over: clients' connections are closed once they are answered.
+func (s *shutdown) lingering(now int64) bool { return s.lingerUntil != 0 && now >= s.lingerUntil }
+
 // startShutdown begins the end: clients still come for a while, and what was taken is answered.
 func (l *Limiter) startShutdown() {
 	if l.shutdown.lingerUntil != 0 {
--- a/internal/limiter/statistics.go
+++ b/internal/limiter/statistics.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log"
+
 	"ospreycroft/choice"
 )
 
