--- a/choice/account.go
+++ b/choice/account.go
@@ -8,11 +8,11 @@
 
 // localQuota: a limiter's local quota is a part of the customer's quota.
 const (
-	// LocalQuotaParts is the number of equal parts in which the quota is divided while it is full, however many limiters share
-	// the customer: use is uneven, and most customers take half of theirs.
+	// LocalQuotaParts is the number of equal parts in which the quota is divided while it is full, however many
+	// limiters share the customer: use is uneven, and most customers take half of theirs.
 	LocalQuotaParts = 2
-	// maxInFlightDecay: an attempt of a plan that caps attempts in flight counts for this part of the shortest latency objective,
-	// fading.
+	// maxInFlightDecay: an attempt of a plan that caps attempts in flight counts for this part of the shortest latency
+	// objective, fading.
 	maxInFlightDecay = 4
 )
 
@@ -30,8 +30,8 @@
 	openRequests int // requests of the customer that are not forgotten
 }
 
-// resetLocalQuota gives this limiter its part of what the quota holds. It holds the largest request at least: among many
-// limiters an equal part is smaller, and would reject for good requests well inside the quota.
+// resetLocalQuota gives this limiter its part of what the quota holds. It holds the largest request at least: among
+// many limiters an equal part is smaller, and would reject for good requests well inside the quota.
 func (a *account) resetLocalQuota(now int64, tokens float64) {
 	parts := max(1, a.limiters/(1+(LocalQuotaParts-1)*max(0, tokens)/a.sharedQuota.burst))
 	a.localQuota = tokenBucket{
@@ -42,7 +42,8 @@
 	}
 }
 
-// ceilingWait is how many nanoseconds this limiter's part of the ceiling must fill before it holds the units; 0 where it does.
+// ceilingWait is how many nanoseconds this limiter's part of the ceiling must fill before it holds the units; 0 where
+// it does.
 func (a *account) ceilingWait(now int64, units float64) int64 {
 	if a.plan.CeilingRate <= 0 || a.ceiling.refill(now) >= units {
 		return 0
@@ -76,7 +77,8 @@
 // requestStarted notes that a request of the customer is known.
 func (a *account) requestStarted() { a.openRequests++ }
 
-// requestEnded notes that a request is no longer known. The customer counts as used up to the latest tick at which it was.
+// requestEnded notes that a request is no longer known. The customer counts as used up to the latest tick at which it
+// was.
 func (a *account) requestEnded(lastTick int64) {
 	a.openRequests--
 	a.lastUsed = max(a.lastUsed, lastTick)
@@ -98,8 +100,8 @@
 	}
 }
 
-// use gives the customer's account, which it makes where there is none. counterKnown says that the counter has answered in this
-// process's life, or that there is none.
+// use gives the customer's account, which it makes where there is none. counterKnown says that the counter has
+// answered in this process's life, or that there is none.
 func (t *accountTable) use(now int64, arrival Arrival, plan *Plan, counterKnown bool) *account {
 	a := t.byCustomer[arrival.Customer]
 	if a == nil {
@@ -123,16 +125,20 @@
 		id: arrival.Customer, plan: plan, limiters: limiters, maxCharge: maxCharge,
 		window:      newCounterWindow(arrival.Customer),
 		sharedQuota: tokenBucket{tokens: burst / limiters, burst: burst, rate: rate, updatedAt: now},
-		// The ceiling's bucket stands as it was before the start, so this limiter's part of it starts empty: what all lives of
-		// all limiters send is then never more than the bucket has held and filled.
-		ceiling: tokenBucket{burst: plan.CeilingBurst / limiters, rate: plan.CeilingRate / limiters, updatedAt: t.startedAt},
+		// The ceiling's bucket stands as it was before the start, so this limiter's part of it starts empty: what all
+		// lives of all limiters send is then never more than the bucket has held and filled.
+		ceiling: tokenBucket{
+			burst:     plan.CeilingBurst / limiters,
+			rate:      plan.CeilingRate / limiters,
+			updatedAt: t.startedAt,
+		},
 	}
 	a.resetLocalQuota(now, burst)
 	return a
 }
 
-// quotaOf is the quota of a plan. A cap on attempts in flight is one whose charges fade as attempts end: each counts 1, so that
-// the faded use is what is in flight.
+// quotaOf is the quota of a plan. A cap on attempts in flight is one whose charges fade as attempts end: each counts
+// 1, so that the faded use is what is in flight.
 func (t *accountTable) quotaOf(plan *Plan) (rate, burst, maxCharge float64) {
 	rate = plan.Rate
 	burst = plan.Burst
@@ -150,8 +156,8 @@
 // customers lists the customers in the order of their numbers.
 func (t *accountTable) customers() []uint64 { return slices.Sorted(maps.Keys(t.byCustomer)) }
 
-// forgetUnused lets go of the customers whose counts and buckets are as good as new and who have nothing to settle. A part of a
-// ceiling is once it is full: a new one, which fills from the start on, would be full too.
+// forgetUnused lets go of the customers whose counts and buckets are as good as new and who have nothing to settle. A
+// part of a ceiling is once it is full: a new one, which fills from the start on, would be full too.
 func (t *accountTable) forgetUnused(now int64) {
 	for a := t.expiries.due(now); a != nil; a = t.expiries.due(now) {
 		if t.byCustomer[a.id] != a {
--- a/choice/account_test.go
+++ b/choice/account_test.go
@@ -21,7 +21,13 @@
 		if len(controller.accounts.byCustomer) > 0 {
 			t.Fatal(len(controller.accounts.byCustomer), "kept")
 		}
-		if a := controller.useAccount(101*second, arrival("", "read", "hard"), controller.settings.Plans["hard"]); a.ceiling.refill(101*second) != 8 {
+		if a := controller.useAccount(
+			101*second,
+			arrival("", "read", "hard"),
+			controller.settings.Plans["hard"],
+		); a.ceiling.refill(
+			101*second,
+		) != 8 {
 			t.Fatal("a new one holds", a.ceiling.tokens)
 		}
 	})
@@ -37,7 +43,10 @@
 			t.Fatal("it is forgotten while an attempt is out")
 		}
 		done.did = nil
-		controller.AttemptDone(200*second, AttemptResult{Request: "j", Outcome: Succeeded, ActualUnits: 3, Duration: second, Final: true})
+		controller.AttemptDone(
+			200*second,
+			AttemptResult{Request: "j", Outcome: Succeeded, ActualUnits: 3, Duration: second, Final: true},
+		)
 		controller.ShutDown(200 * second)
 		if len(done.did) != 1 {
 			t.Fatalf("did %q: the true units are lost", done.did)
@@ -53,7 +62,10 @@
 			controller.settings.Plans["free"], controller.accounts.byCustomer = &Plan{}, map[uint64]*account{}
 			controller.RequestArrived(3*second, arrival("j", "read", plan))
 			controller.CounterReplied(3*second, controller.requests.byID["j"].reservation.name, Succeeded, 2)
-			controller.AttemptDone(4*second, AttemptResult{Request: "j", Outcome: Succeeded, Duration: second, Final: true})
+			controller.AttemptDone(
+				4*second,
+				AttemptResult{Request: "j", Outcome: Succeeded, Duration: second, Final: true},
+			)
 			controller.forgetAccounts(200 * second)
 			if len(controller.accounts.byCustomer) > 0 {
 				t.Fatalf("%s: %d kept", plan, len(controller.accounts.byCustomer))
@@ -80,14 +92,17 @@
 		startWindow(controller, "cap", 0)
 		return controller, done
 	}
-	t.Run("counts each request as one, whatever its units, and lets none in beyond it though that would earn", func(t *testing.T) {
-		controller, done := capped()
-		q := waitForCounter(controller, "read", "cap")
-		requireEffects(t, done, "count 1")
-		controller.CounterReplied(0, q.reservation.name, Succeeded, 3) // two of others have just gone out
-		requireEffects(t, done, "count -1", "reject j")
-		done.requireReason(t, RejectedForQuota)
-	})
+	t.Run(
+		"counts each request as one, whatever its units, and lets none in beyond it though that would earn",
+		func(t *testing.T) {
+			controller, done := capped()
+			q := waitForCounter(controller, "read", "cap")
+			requireEffects(t, done, "count 1")
+			controller.CounterReplied(0, q.reservation.name, Succeeded, 3) // two of others have just gone out
+			requireEffects(t, done, "count -1", "reject j")
+			done.requireReason(t, RejectedForQuota)
+		},
+	)
 	t.Run("a place fades with the attempts that hold it", func(t *testing.T) {
 		controller, done := capped()
 		waitForCounter(controller, "read", "cap")
@@ -103,7 +118,10 @@
 		q := waitForCounter(controller, "read", "cap")
 		controller.CounterReplied(0, q.reservation.name, Succeeded, 1)
 		done.did = nil
-		controller.AttemptDone(1, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true, ActualUnits: 4})
+		controller.AttemptDone(
+			1,
+			AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true, ActualUnits: 4},
+		)
 		if len(done.did) != 0 || q.account.window.pendingAdjustment != 0 {
 			t.Fatalf("did %q, owes %v", done.did, q.account.window.pendingAdjustment)
 		}
@@ -128,12 +146,18 @@
 	if q.account.ceiling.tokens != 2 { // half of 8 units filled, 2 taken
 		t.Fatal("the ceiling's part holds", q.account.ceiling.tokens)
 	}
-	controller.AttemptDone(second, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true, ActualUnits: 4})
+	controller.AttemptDone(
+		second,
+		AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true, ActualUnits: 4},
+	)
 	requireEffects(t, done, "count 2")
 	if q.account.ceiling.tokens != 2 { // settled on the quota, not on the ceiling
 		t.Fatal("the ceiling's part holds", q.account.ceiling.tokens)
 	}
-	controller.RequestArrived(second, Arrival{ID: "k", Timeout: second, Customer: 8, Plan: "cap+rate", Class: "read", Units: 3, Limiters: 2})
+	controller.RequestArrived(
+		second,
+		Arrival{ID: "k", Timeout: second, Customer: 8, Plan: "cap+rate", Class: "read", Units: 3, Limiters: 2},
+	)
 	requireEffects(t, done, "reject k")
 	done.requireReason(t, RejectedForCeiling)
 }
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The benchmarks measure what a request and a tick cost while few servers and customers are in use, by how many there are.
-// They use the exported calls alone, so that they run on any edition of the module.
+// The benchmarks measure what a request and a tick cost while few servers and customers are in use, by how many there
+// are. They use the exported calls alone, so that they run on any edition of the module.
 
 const (
 	benchLimiters = 550
@@ -60,14 +60,28 @@
 
 // play takes a request through the counter and, if answer is set, to its end.
 func (w *benchWorld) play(controller *Controller, now int64, id string, customer uint64) {
-	controller.RequestArrived(now, Arrival{ID: id, Timeout: 3600 * second, Customer: customer, Plan: "hard", Class: "read", Units: 0.01, Limiters: 2})
+	controller.RequestArrived(
+		now,
+		Arrival{
+			ID:       id,
+			Timeout:  3600 * second,
+			Customer: customer,
+			Plan:     "hard",
+			Class:    "read",
+			Units:    0.01,
+			Limiters: 2,
+		},
+	)
 	for len(w.names) > 0 {
 		name := w.names[0]
 		w.names = w.names[1:]
 		controller.CounterReplied(now, name, Succeeded, 0.01)
 	}
 	if w.answer {
-		controller.AttemptDone(now+second/100, AttemptResult{Request: id, Outcome: Succeeded, Duration: second / 100, Final: true})
+		controller.AttemptDone(
+			now+second/100,
+			AttemptResult{Request: id, Outcome: Succeeded, Duration: second / 100, Final: true},
+		)
 	}
 }
 
@@ -113,13 +127,21 @@
 		b.Run(fmt.Sprintf("change/servers=%d", servers), func(b *testing.B) {
 			controller, _, now := benchFleet(servers, 1)
 			for i := range b.N {
-				controller.UpdateEndpoints(now, false, []Endpoint{{ID: "server-1", State: EndpointState(i % 2), Weight: 1}})
+				controller.UpdateEndpoints(
+					now,
+					false,
+					[]Endpoint{{ID: "server-1", State: EndpointState(i % 2), Weight: 1}},
+				)
 			}
 		})
 		b.Run(fmt.Sprintf("new/servers=%d", servers), func(b *testing.B) {
 			controller, _, now := benchFleet(servers, 1)
 			for i := range b.N {
-				controller.UpdateEndpoints(now, false, []Endpoint{{ID: "new", State: []EndpointState{EndpointReady, EndpointGone}[i%2], Weight: 1}})
+				controller.UpdateEndpoints(
+					now,
+					false,
+					[]Endpoint{{ID: "new", State: []EndpointState{EndpointReady, EndpointGone}[i%2], Weight: 1}},
+				)
 				controller.TimerFired(now, 0)
 			}
 		})
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,14 +1,15 @@
-// Package choice decides about the requests of one limiter: whether a request is admitted, which server gets it, whether it is
-// tried again, and what is added to the customer's count on the shared counter.
+// Package choice decides about the requests of one limiter: whether a request is admitted, which server gets it,
+// whether it is tried again, and what is added to the customer's count on the shared counter.
 //
 // A Controller is told what happens by its methods, each with the clock, and acts through Effects. Its callers are
-// internal/limiter, on sockets, and internal/simwire, on the simulator's wire. It does no I/O, has no goroutine, and draws chance
-// from the seed that it is given. All times and durations are whole nanoseconds of the caller's clock.
+// internal/limiter, on sockets, and internal/simwire, on the simulator's wire. It does no I/O, has no goroutine, and
+// draws chance from the seed that it is given. All times and durations are whole nanoseconds of the caller's clock.
 //
-// The ordinary path is Reserve and Reconcile (docs/design.md). The Controller asks its parts in this order: the customer's account
-// for the hard ceiling (account.go), the counter windows for the quota (reservation.go, sampled by counter_sampling.go), the
-// concurrency limits for capacity (concurrency.go), the server subset and the rotation for a server (subset.go, rotation.go).
-// Slow start, outlier detection, retries and rejection have a file each; request.go is a request's state machine.
+// The ordinary path is Reserve and Reconcile (docs/design.md). The Controller asks its parts in this order: the
+// customer's account for the hard ceiling (account.go), the counter windows for the quota (reservation.go, sampled by
+// counter_sampling.go), the concurrency limits for capacity (concurrency.go), the server subset and the rotation for a
+// server (subset.go, rotation.go). Slow start, outlier detection, retries and rejection have a file each; request.go
+// is a request's state machine.
 package choice
 
 import (
@@ -67,8 +68,8 @@
 	return c
 }
 
-// ReadyAt is when this limiter's part of each ceiling holds the largest request. Before that, customers inside their quotas are
-// rejected for what a limiter of this name may have sent before this start; clients that can wait should.
+// ReadyAt is when this limiter's part of each ceiling holds the largest request. Before that, customers inside their
+// quotas are rejected for what a limiter of this name may have sent before this start; clients that can wait should.
 func (c *Controller) ReadyAt() int64 {
 	at := c.startedAt
 	for _, plan := range c.settings.Plans {
@@ -99,8 +100,8 @@
 
 // updateEndpoint takes in one entry of the endpoint list.
 func (c *Controller) updateEndpoint(now int64, endpoint *Endpoint) {
-	// The record of a new process is made for each entry, whether it is needed or not: it draws chance, and a controller that is
-	// told the same must decide the same.
+	// The record of a new process is made for each entry, whether it is needed or not: it draws chance, and a
+	// controller that is told the same must decide the same.
 	fresh := c.newServer(now, endpoint)
 	s := c.servers.byID[endpoint.ID]
 	switch {
@@ -129,8 +130,8 @@
 	}
 }
 
-// RequestArrived takes a request from a client: it reserves the request's units on the counter, or decides by the local quota
-// where it cannot.
+// RequestArrived takes a request from a client: it reserves the request's units on the counter, or decides by the
+// local quota where it cannot.
 func (c *Controller) RequestArrived(now int64, arrival Arrival) {
 	q := &request{
 		id: arrival.ID, class: c.settings.Classes[arrival.Class], units: arrival.Units, charge: arrival.Units,
@@ -158,7 +159,8 @@
 	c.checkQuota(now, q)
 }
 
-// checkQuota reserves the request's charge on the counter, or has the local quota decide where the counter is not asked.
+// checkQuota reserves the request's charge on the counter, or has the local quota decide where the counter is not
+// asked.
 func (c *Controller) checkQuota(now int64, q *request) {
 	a := q.account
 	if a.sharedQuota.rate <= 0 {
@@ -175,9 +177,9 @@
 	c.decideLocally(now, q)
 }
 
-// asksCounter tells whether the counter is asked for the request. It is not for a customer that is known to be out of units: the
-// bucket kept here fills at the whole rate, so the true one holds no more, except for what others add back. A call that brings what
-// is still to be added back is made: the others go by a total that is too high until then.
+// asksCounter tells whether the counter is asked for the request. It is not for a customer that is known to be out of
+// units: the bucket kept here fills at the whole rate, so the true one holds no more, except for what others add back.
+// A call that brings what is still to be added back is made: the others go by a total that is too high until then.
 func (c *Controller) asksCounter(now int64, q *request) bool {
 	a := q.account
 	exhausted := a.sharedQuota.refill(now) < q.charge && a.window.pendingAdjustment >= 0
@@ -227,8 +229,8 @@
 	c.effects.Send(q.id, s.id)
 }
 
-// eligibleServers lists the servers that have capacity for the request, if there is capacity in all: among many limiters one
-// request at each server is too much already. The list holds until the next call.
+// eligibleServers lists the servers that have capacity for the request, if there is capacity in all: among many
+// limiters one request at each server is too much already. The list holds until the next call.
 func (c *Controller) eligibleServers(now int64, q *request) []*server {
 	inFlight, capacity := c.servers.available(now, q)
 	if !c.concurrency.admits(now, q, inFlight, capacity) {
@@ -257,8 +259,8 @@
 	return c.rotation.next(now, c.eligibleServers(now, q), q.units)
 }
 
-// CounterReplied takes the counter's answer to the oldest call on a name. total is the name's total after the add, where the call
-// succeeded.
+// CounterReplied takes the counter's answer to the oldest call on a name. total is the name's total after the add,
+// where the call succeeded.
 func (c *Controller) CounterReplied(now int64, name uint64, outcome Outcome, total float64) {
 	call, found := c.reservations.oldestCall(name)
 	if !found {
@@ -284,7 +286,8 @@
 	}
 }
 
-// decideByQuota admits a request whose reservation was made if the customer's quota holds it, else adds it back and rejects.
+// decideByQuota admits a request whose reservation was made if the customer's quota holds it, else adds it back and
+// rejects.
 func (c *Controller) decideByQuota(now int64, q *request) {
 	quota := &q.account.sharedQuota
 	waiting := q.state == stateReserving
@@ -376,8 +379,8 @@
 	}
 }
 
-// ShutDown says that the process ends with nothing in flight: what customers still owe is added to their counts, as no later call
-// will bring it.
+// ShutDown says that the process ends with nothing in flight: what customers still owe is added to their counts, as no
+// later call will bring it.
 func (c *Controller) ShutDown(now int64) {
 	for _, customer := range c.accounts.customers() {
 		c.reservations.flush(now, c.accounts.byCustomer[customer])
@@ -429,7 +432,8 @@
 	}
 }
 
-// forgetIfDone forgets an ended request once nothing of it is in flight. If no server got it whole, all that it took is put back.
+// forgetIfDone forgets an ended request once nothing of it is in flight. If no server got it whole, all that it took
+// is put back.
 func (c *Controller) forgetIfDone(now int64, q *request) {
 	c.requests.stopTimer(q)
 	if q.openAttempts > 0 || !c.requests.remove(q) {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -82,7 +82,8 @@
 		sendRequest(controller, "read")
 		controller.UpdateEndpoints(0, true, nil)
 		controller.tick(0)
-		if len(controller.servers.ring) != 1 || controller.servers.byID["a"] == nil || controller.servers.byID["b"] != nil {
+		if len(controller.servers.ring) != 1 || controller.servers.byID["a"] == nil ||
+			controller.servers.byID["b"] != nil {
 			t.Fatal(len(controller.servers.ring), "kept")
 		}
 		controller.AttemptDone(1, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 1, Final: true})
@@ -102,7 +103,8 @@
 		sendRequest(controller, "read")
 		controller.outliers.eject(0, controller.servers.byID["a"], "")
 		controller.UpdateEndpoints(second, false, []Endpoint{{ID: "a", StartedAt: second}})
-		if a := controller.servers.byID["a"]; a.health.state != healthy || a.inFlight != 2 || controller.slowStart.weight(second, a) != controller.settings.ColdCapacity {
+		if a := controller.servers.byID["a"]; a.health.state != healthy || a.inFlight != 2 ||
+			controller.slowStart.weight(second, a) != controller.settings.ColdCapacity {
 			t.Fatal("standing", a.health.state, "out", a.inFlight)
 		}
 	})
@@ -173,7 +175,10 @@
 	t.Run("true units settle the reservation once", func(t *testing.T) {
 		controller, done := newTestController()
 		q := sendRequest(controller, "read")
-		controller.AttemptDone(second/10, AttemptResult{Request: "j", Outcome: Succeeded, Duration: second / 10, Final: true, ActualUnits: 5})
+		controller.AttemptDone(
+			second/10,
+			AttemptResult{Request: "j", Outcome: Succeeded, Duration: second / 10, Final: true, ActualUnits: 5},
+		)
 		requireEffects(t, done, "send j a", "count 3")
 		if controller.requests.byID["j"] != nil || q.state != stateAnswered || q.account.sharedQuota.tokens > 5.6 {
 			t.Fatalf("request is kept in state %d, the bucket holds %v", q.state, q.account.sharedQuota.tokens)
@@ -208,7 +213,8 @@
 	t.Run("the in-flight limit grows to what chance brings together and no further", func(t *testing.T) {
 		controller, _ := newTestController()
 		q := sendRequest(controller, "read")
-		controller.concurrency.meanInFlight, controller.concurrency.inFlightLimit = 4, 19.9 // the load and four deviations of it are 20
+		// the load and four deviations of it are 20
+		controller.concurrency.meanInFlight, controller.concurrency.inFlightLimit = 4, 19.9
 		for range 3 {
 			controller.recordResult(0, q.attempts[0], &AttemptResult{Outcome: Succeeded, Duration: 1})
 		}
--- a/choice/concurrency.go
+++ b/choice/concurrency.go
@@ -3,21 +3,26 @@
 import "math"
 
 const (
-	// initialLimitRequests is how many of the largest requests all limiters together may have in flight at a new server.
+	// initialLimitRequests is how many of the largest requests all limiters together may have in flight at a new
+	// server.
 	initialLimitRequests = 3
 	// limitIncrease is how many prompt answers raise a limit by their own size.
 	limitIncrease = 8
-	// serverLimitDecrease is how many times more an overdue attempt takes from its server's limit than a prompt answer adds.
+	// serverLimitDecrease is how many times more an overdue attempt takes from its server's limit than a prompt answer
+	// adds.
 	serverLimitDecrease = 10
-	// maxInFlightLimitDecrease bounds the same for the in-flight limit, which falls the more, the more answers are slow.
+	// maxInFlightLimitDecrease bounds the same for the in-flight limit, which falls the more, the more answers are
+	// slow.
 	maxInFlightLimitDecrease = 4
-	// overloadPerDecrease is the share of slow answers for which an attempt takes from the in-flight limit what a prompt one adds.
+	// overloadPerDecrease is the share of slow answers for which an attempt takes from the in-flight limit what a
+	// prompt one adds.
 	overloadPerDecrease = 1.0 / 32
 	// overloadDecay is after how many answers an old one has lost most of its weight in the share of slow answers.
 	overloadDecay = 16
 	// promptParts: an answer within this part of the latency objective is prompt.
 	promptParts = 2
-	// residenceDecay is after how many load reports an old one has lost most of its weight: each limiter hears a few a second.
+	// residenceDecay is after how many load reports an old one has lost most of its weight: each limiter hears a few a
+	// second.
 	residenceDecay = 8
 	// burstDeviations: the in-flight limit grows to the mean in flight and so many standard deviations.
 	burstDeviations = 4
@@ -25,9 +30,9 @@
 	priorityReserve = 0.8
 )
 
-// concurrencyLimits bounds the units in flight, at each server and at all together, by additive increase and multiplicative
-// decrease (AIMD): limits grow while answers come well inside the latency objective. Load reports that show short residence times
-// raise the limit at all servers.
+// concurrencyLimits bounds the units in flight, at each server and at all together, by additive increase and
+// multiplicative decrease (AIMD): limits grow while answers come well inside the latency objective. Load reports that
+// show short residence times raise the limit at all servers.
 type concurrencyLimits struct {
 	settings       *Settings
 	servers        *serverSet
@@ -58,17 +63,21 @@
 	return l.minServerLimit * float64(l.servers.count())
 }
 
-// initialize sets the in-flight limit once servers are known. The first requests of a limiter come together by chance as later
-// ones do.
+// initialize sets the in-flight limit once servers are known. The first requests of a limiter come together by chance
+// as later ones do.
 func (l *concurrencyLimits) initialize() {
 	if l.inFlightLimit == 0 {
 		least := l.minInFlightLimit()
-		l.inFlightLimit = max(initialLimitRequests*least, least+burstDeviations*math.Sqrt(least*l.settings.MaxRequestUnits))
+		l.inFlightLimit = max(
+			initialLimitRequests*least,
+			least+burstDeviations*math.Sqrt(least*l.settings.MaxRequestUnits),
+		)
 	}
 }
 
-// admits tells whether the in-flight limit has capacity for a request. inFlight is what is in flight at the servers that may get
-// it, available their capacity in servers. What may be in flight shrinks with the servers that can be used.
+// admits tells whether the in-flight limit has capacity for a request. inFlight is what is in flight at the servers
+// that may get it, available their capacity in servers. What may be in flight shrinks with the servers that can be
+// used.
 func (l *concurrencyLimits) admits(now int64, q *request, inFlight, available float64) bool {
 	inFlight += q.units
 	limit := l.inFlightLimit * l.residenceFactor(now, q.class) * available / max(float64(l.servers.ready()), 1)
@@ -82,14 +91,15 @@
 	return now >= s.overloadedUntil && (len(s.attempts) == 0 || s.inFlight+units <= s.limit*slowStartWeight)
 }
 
-// residenceFactor raises the in-flight limit while load reports show that requests, of whatever limiter, stay at the servers for
-// well inside the latency objective. One limiter among many cannot tell a few heavy requests of its own from servers that fill up.
-// Old reports say nothing.
+// residenceFactor raises the in-flight limit while load reports show that requests, of whatever limiter, stay at the
+// servers for well inside the latency objective. One limiter among many cannot tell a few heavy requests of its own
+// from servers that fill up. Old reports say nothing.
 func (l *concurrencyLimits) residenceFactor(now int64, class *Class) float64 {
 	if l.reportedAt == 0 || now-l.reportedAt > class.LatencyObjective {
 		return 1
 	}
-	objective := min(class.LatencyObjective, l.mostValuable.LatencyObjective) // no class may fill the servers for a dearer one
+	// no class may fill the servers for a dearer one
+	objective := min(class.LatencyObjective, l.mostValuable.LatencyObjective)
 	return max(1, seconds(objective)/promptParts/math.Exp(l.meanResidence))
 }
 
@@ -111,8 +121,8 @@
 func (l *concurrencyLimits) decayMean()       { l.meanInFlight -= l.meanInFlight / ticksPerObjective }
 func (l *concurrencyLimits) sample(s *server) { l.meanInFlight += s.inFlight / ticksPerObjective }
 
-// checkOverdue lowers a server's limit for an attempt that is not answered well inside the latency objective, without waiting for
-// the answer: servers that slow down together would fill up until then.
+// checkOverdue lowers a server's limit for an attempt that is not answered well inside the latency objective, without
+// waiting for the answer: servers that slow down together would fill up until then.
 func (l *concurrencyLimits) checkOverdue(now int64, a *attempt) {
 	if !a.overdue && now-a.sentAt > a.request.class.LatencyObjective/promptParts {
 		a.overdue = true
@@ -121,9 +131,9 @@
 	}
 }
 
-// decrease takes from the in-flight limit for an attempt that is overdue or was rejected. One limiter among hundreds sees a server
-// too seldom to learn its limit in time; all together soon tell that the servers fill up. Where answers are prompt the rest are
-// silent, not overloaded, and it takes no more than a prompt answer adds.
+// decrease takes from the in-flight limit for an attempt that is overdue or was rejected. One limiter among hundreds
+// sees a server too seldom to learn its limit in time; all together soon tell that the servers fill up. Where answers
+// are prompt the rest are silent, not overloaded, and it takes no more than a prompt answer adds.
 func (l *concurrencyLimits) decrease(units float64) {
 	times := max(1, math.Min(maxInFlightLimitDecrease, l.overloadRatio/overloadPerDecrease))
 	l.inFlightLimit = max(l.inFlightLimit-units*times/limitIncrease, l.minInFlightLimit())
--- a/choice/concurrency_test.go
+++ b/choice/concurrency_test.go
@@ -13,15 +13,25 @@
 		least             float64
 	}{{300, 180, 14}, {3, 9, 36}} {
 		controller, _ := newTestController()
-		controller.settings.Limiters, controller.concurrency.minServerLimit, controller.concurrency.inFlightLimit, controller.servers.byID, controller.servers.ring = c.limiters, controller.settings.MaxRequestUnits/float64(c.limiters), 0, map[string]*server{}, nil
+		controller.settings.Limiters, controller.concurrency.minServerLimit, controller.concurrency.inFlightLimit, controller.servers.byID, controller.servers.ring = c.limiters, controller.settings.MaxRequestUnits/float64(
+			c.limiters,
+		), 0, map[string]*server{}, nil
 		controller.servers.index = serverIndex{}
 		var entries []Endpoint
 		for i := range c.servers {
 			entries = append(entries, Endpoint{ID: fmt.Sprint(i), Weight: 1})
 		}
 		controller.UpdateEndpoints(0, true, entries)
-		if controller.concurrency.inFlightLimit < controller.concurrency.minInFlightLimit()+burstDeviations*math.Sqrt(controller.concurrency.minInFlightLimit()*controller.settings.MaxRequestUnits) || controller.concurrency.inFlightLimit < c.least {
-			t.Fatalf("%d limiters begin with room for %v units at %d servers", c.limiters, controller.concurrency.inFlightLimit, c.servers)
+		if controller.concurrency.inFlightLimit < controller.concurrency.minInFlightLimit()+burstDeviations*math.Sqrt(
+			controller.concurrency.minInFlightLimit()*controller.settings.MaxRequestUnits,
+		) ||
+			controller.concurrency.inFlightLimit < c.least {
+			t.Fatalf(
+				"%d limiters begin with room for %v units at %d servers",
+				c.limiters,
+				controller.concurrency.inFlightLimit,
+				c.servers,
+			)
 		}
 	}
 }
@@ -71,14 +81,31 @@
 		t.Run(c.name, func(t *testing.T) {
 			controller, _ := newTestController()
 			for _, stay := range c.reports {
-				att := &attempt{request: &request{class: controller.settings.Classes["read"], units: 1}, server: controller.servers.byID["a"]}
-				controller.recordResult(1, att, &AttemptResult{Outcome: Succeeded, Load: LoadReport{InFlight: 10 * stay, Throughput: 10}})
+				att := &attempt{
+					request: &request{class: controller.settings.Classes["read"], units: 1},
+					server:  controller.servers.byID["a"],
+				}
+				controller.recordResult(
+					1,
+					att,
+					&AttemptResult{Outcome: Succeeded, Load: LoadReport{InFlight: 10 * stay, Throughput: 10}},
+				)
 			}
 			controller.concurrency.inFlightLimit = 2.5
 			controller.servers.byID["a"].inFlight = 3
 			reindex(controller, c.age)
-			if able := controller.eligibleServers(c.age, &request{class: controller.settings.Classes["read"], units: 1}); len(able) > 0 != c.able {
-				t.Fatalf("able %v with a room of %v eased by %v", able, controller.concurrency.inFlightLimit, controller.concurrency.residenceFactor(c.age, controller.settings.Classes["read"]))
+			if able := controller.eligibleServers(
+				c.age,
+				&request{class: controller.settings.Classes["read"], units: 1},
+			); len(
+				able,
+			) > 0 != c.able {
+				t.Fatalf(
+					"able %v with a room of %v eased by %v",
+					able,
+					controller.concurrency.inFlightLimit,
+					controller.concurrency.residenceFactor(c.age, controller.settings.Classes["read"]),
+				)
 			}
 		})
 	}
@@ -122,7 +149,8 @@
 		t.Fatal("a cheap class's requests get as much room")
 	}
 	controller.concurrency.reportedAt, controller.concurrency.meanResidence = 1, math.Log(0.2)
-	if e := controller.concurrency.residenceFactor(1, controller.settings.Classes["read"]); math.Abs(e-1.25) > 1e-9 { // by half a second, not one
+	// by half a second, not one
+	if e := controller.concurrency.residenceFactor(1, controller.settings.Classes["read"]); math.Abs(e-1.25) > 1e-9 {
 		t.Fatal("a longer latency objective widens the in-flight limit by", e)
 	}
 }
--- a/choice/counter_sampling.go
+++ b/choice/counter_sampling.go
@@ -16,9 +16,9 @@
 	penaltyDecay = 40
 )
 
-// counterSampling decides for which requests the counter is asked. A counter that is down or overloaded is asked for fewer, so
-// that nothing waits for it in vain and it can work off its queue, and for more again step by step, so that its return brings no
-// rush.
+// counterSampling decides for which requests the counter is asked. A counter that is down or overloaded is asked for
+// fewer, so that nothing waits for it in vain and it can work off its queue, and for more again step by step, so that
+// its return brings no rush.
 type counterSampling struct {
 	random        *rand.Rand
 	rate          float64 // share of requests for which the counter is asked
@@ -37,9 +37,9 @@
 // everAnswered tells whether the counter has answered in this process's life.
 func (s *counterSampling) everAnswered() bool { return s.answers+s.sustainedRate != 0 }
 
-// includes tells whether the counter is asked for a request of the customer while the rate is reduced: always for some customers,
-// the same at all limiters (the count of a part of the use says little), and for more where going past the quota costs more. A
-// few requests of the others see whether the counter is back.
+// includes tells whether the counter is asked for a request of the customer while the rate is reduced: always for some
+// customers, the same at all limiters (the count of a part of the use says little), and for more where going past the
+// quota costs more. A few requests of the others see whether the counter is back.
 func (s *counterSampling) includes(a *account) bool {
 	penalty := max(0, a.plan.OverQuotaPenalty-a.plan.OverQuotaRevenue) * a.plan.PriorityWeight
 	s.meanPenalty += (penalty - s.meanPenalty) / penaltyDecay
--- a/choice/counter_sampling_test.go
+++ b/choice/counter_sampling_test.go
@@ -33,7 +33,18 @@
 func TestSamplingAfterOutage(t *testing.T) {
 	end := func(controller *Controller, outcome Outcome, n int) {
 		for range n {
-			controller.reservations.calls[1] = append(controller.reservations.calls[1], counterCall{request: &request{state: stateInFlight}, account: controller.useAccount(0, arrival("", "read", "plain"), controller.settings.Plans["plain"]), background: true})
+			controller.reservations.calls[1] = append(
+				controller.reservations.calls[1],
+				counterCall{
+					request: &request{state: stateInFlight},
+					account: controller.useAccount(
+						0,
+						arrival("", "read", "plain"),
+						controller.settings.Plans["plain"],
+					),
+					background: true,
+				},
+			)
 			controller.CounterReplied(0, 1, outcome, 0)
 		}
 	}
--- a/choice/expiry_queue.go
+++ b/choice/expiry_queue.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// expiryQueue is a heap of customers by the earliest time at which each could be forgotten. The time may have moved on since it
-// was entered: whoever takes one out looks again, and enters it anew.
+// expiryQueue is a heap of customers by the earliest time at which each could be forgotten. The time may have moved on
+// since it was entered: whoever takes one out looks again, and enters it anew.
 type expiryQueue []expiry
 
 type expiry struct {
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -36,14 +36,20 @@
 
 const second = int64(1e9)
 
-// newTestController makes a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent class, and one
-// plan without and one with a ceiling.
+// newTestController makes a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent class, and
+// one plan without and one with a ceiling.
 func newTestController() (*Controller, *recordedEffects) {
 	done := &recordedEffects{}
 	set := &Settings{
 		Classes: map[string]*Class{
-			"read":  {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
-			"mark":  {LatencyObjective: second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, DeduplicationWindow: second, PriorityWeight: 1},
+			"read": {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
+			"mark": {
+				LatencyObjective:    second,
+				Idempotency:         IdempotentWithKey,
+				DeduplicationScope:  ScopeZone,
+				DeduplicationWindow: second,
+				PriorityWeight:      1,
+			},
 			"write": {LatencyObjective: second, Idempotency: NonIdempotent, PriorityWeight: 1},
 		},
 		Plans: map[string]*Plan{
@@ -93,7 +99,15 @@
 }
 
 func arrival(id, class, plan string) Arrival {
-	return Arrival{ID: id, Timeout: 4 * second, Customer: uint64(len(plan)), Plan: plan, Class: class, Units: 2, Limiters: 2}
+	return Arrival{
+		ID:       id,
+		Timeout:  4 * second,
+		Customer: uint64(len(plan)),
+		Plan:     plan,
+		Class:    class,
+		Units:    2,
+		Limiters: 2,
+	}
 }
 
 // waitForCounter makes a request that waits for the counter.
--- a/choice/index.go
+++ b/choice/index.go
@@ -16,8 +16,8 @@
 	groupActive                    // has attempts in flight, or is ready and not healthy: it is looked at by itself
 )
 
-// serverIndex finds the servers that a request or a tick has to look at, so that their cost follows what is in use and not how
-// many servers there are. Each server is in one group by its state; update moves it there after a change.
+// serverIndex finds the servers that a request or a tick has to look at, so that their cost follows what is in use and
+// not how many servers there are. Each server is in one group by its state; update moves it there after a change.
 type serverIndex struct {
 	ready      int         // servers that are listed as ready
 	idle       int         // servers of the group idle
--- a/choice/index_test.go
+++ b/choice/index_test.go
@@ -28,7 +28,13 @@
 			able = append(able, s)
 		}
 	}
-	room := controller.concurrency.inFlightLimit * controller.concurrency.residenceFactor(now, q.class) * usable / max(ready, 1)
+	room := controller.concurrency.inFlightLimit * controller.concurrency.residenceFactor(
+		now,
+		q.class,
+	) * usable / max(
+		ready,
+		1,
+	)
 	room *= 1 - priorityReserve*(1-q.class.PriorityWeight/controller.concurrency.mostValuable.PriorityWeight)
 	if out > room && out > q.units {
 		return nil
@@ -73,16 +79,28 @@
 	w := &world{rng: rand.New(rand.NewSource(seed)), ended: map[string]bool{}}
 	set := &Settings{
 		Classes: map[string]*Class{
-			"read":  {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
-			"mark":  {LatencyObjective: 2 * second, Idempotency: IdempotentWithKey, DeduplicationScope: DeduplicationScope(w.rng.Intn(3)), DeduplicationWindow: 3 * second, PriorityWeight: 2},
+			"read": {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
+			"mark": {
+				LatencyObjective:    2 * second,
+				Idempotency:         IdempotentWithKey,
+				DeduplicationScope:  DeduplicationScope(w.rng.Intn(3)),
+				DeduplicationWindow: 3 * second,
+				PriorityWeight:      2,
+			},
 			"write": {LatencyObjective: second / 2, Idempotency: NonIdempotent, PriorityWeight: 1},
 		},
 		Plans: map[string]*Plan{
-			"plain": {Rate: 5, Burst: 10, PriorityWeight: 1}, "hard": {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16, PriorityWeight: 1},
+			"plain": {
+				Rate:           5,
+				Burst:          10,
+				PriorityWeight: 1,
+			}, "hard": {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16, PriorityWeight: 1},
 			"open": {MaxInFlight: 4, PriorityWeight: 1}, "free": {PriorityWeight: 1},
 		},
 		CounterTimeout: second / 20, MaxRequestUnits: 4, MaxLease: 20 * second, Limiters: 1 + w.rng.Intn(60), Position: w.rng.Intn(60),
-		ColdCapacity: 0.25 * float64(w.rng.Intn(3)), SlowStartWindow: 4 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second,
+		ColdCapacity: 0.25 * float64(
+			w.rng.Intn(3),
+		), SlowStartWindow: 4 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second,
 		HealthChecks: w.rng.Intn(2) == 0, CanCancel: true, TimerResolution: second / 500,
 	}
 	controller := New(0, set, seed, w)
@@ -115,11 +133,19 @@
 	case 0, 1, 2:
 		plans, classes := []string{"plain", "hard", "open", "free"}, []string{"read", "mark", "write"}
 		customer := w.rng.Intn(40)
-		controller.RequestArrived(now, Arrival{ID: fmt.Sprint("q", n), Timeout: 3 * second, Customer: uint64(customer), Plan: plans[customer%4],
-			Class: classes[w.rng.Intn(3)], Units: 1, Limiters: 2})
+		controller.RequestArrived(
+			now,
+			Arrival{ID: fmt.Sprint("q", n), Timeout: 3 * second, Customer: uint64(customer), Plan: plans[customer%4],
+				Class: classes[w.rng.Intn(3)], Units: 1, Limiters: 2},
+		)
 	case 3, 4:
 		if len(w.called) > 0 {
-			controller.CounterReplied(now, w.called[0], []Outcome{Succeeded, Succeeded, TimedOut, ServerError}[w.rng.Intn(4)], 3)
+			controller.CounterReplied(
+				now,
+				w.called[0],
+				[]Outcome{Succeeded, Succeeded, TimedOut, ServerError}[w.rng.Intn(4)],
+				3,
+			)
 			w.called = w.called[1:]
 		}
 	case 5, 6, 7:
@@ -145,7 +171,16 @@
 	for _, att := range q.attempts {
 		if att.open {
 			outcome := []Outcome{Succeeded, Succeeded, ServerError, Overloaded, TimedOut, ConnectFailed, ConnectionLost}[w.rng.Intn(7)]
-			controller.AttemptDone(now, AttemptResult{Request: id, Attempt: att.number, Outcome: outcome, Duration: now - att.sentAt, Final: outcome == Succeeded})
+			controller.AttemptDone(
+				now,
+				AttemptResult{
+					Request:  id,
+					Attempt:  att.number,
+					Outcome:  outcome,
+					Duration: now - att.sentAt,
+					Final:    outcome == Succeeded,
+				},
+			)
 			return
 		}
 	}
@@ -180,9 +215,18 @@
 		}
 	}
 	if controller.servers.index.ready != ready || len(controller.servers.ring) != len(controller.servers.byID) {
-		t.Fatalf("%d ready, %d counted; %d in order of %d", ready, controller.servers.index.ready, len(controller.servers.ring), len(controller.servers.byID))
+		t.Fatalf(
+			"%d ready, %d counted; %d in order of %d",
+			ready,
+			controller.servers.index.ready,
+			len(controller.servers.ring),
+			len(controller.servers.byID),
+		)
+	}
+	requests := []*request{
+		{units: 1, class: controller.settings.Classes["read"]},
+		{units: 1, class: controller.settings.Classes["write"]},
 	}
-	requests := []*request{{units: 1, class: controller.settings.Classes["read"]}, {units: 1, class: controller.settings.Classes["write"]}}
 	for _, q := range controller.requests.byID {
 		if q.account != nil {
 			requests = append(requests, q)
@@ -204,7 +248,8 @@
 	}
 }
 
-// TestIndex plays random fleets: what the index finds is what a walk over all servers and customers finds, at every step.
+// TestIndex plays random fleets: what the index finds is what a walk over all servers and customers finds, at every
+// step.
 func TestIndex(t *testing.T) {
 	for seed := range int64(40) {
 		controller, w := randomFleet(seed)
@@ -229,7 +274,8 @@
 	}
 }
 
-// TestWarmingCapacity: the warmth of servers that warm up is summed exactly, however many there are and whenever they began.
+// TestWarmingCapacity: the warmth of servers that warm up is summed exactly, however many there are and whenever they
+// began.
 func TestWarmingCapacity(t *testing.T) {
 	controller, _ := newTestController()
 	var entries []Endpoint
@@ -244,7 +290,12 @@
 			want += controller.slowStart.weight(now, s)
 		}
 	}
-	if _, got := controller.servers.available(now, &request{units: 1, class: controller.settings.Classes["read"]}); math.Abs(got-want) > 1e-6 {
+	if _, got := controller.servers.available(
+		now,
+		&request{units: 1, class: controller.settings.Classes["read"]},
+	); math.Abs(
+		got-want,
+	) > 1e-6 {
 		t.Fatalf("the sum is %v, %v by a walk", got, want)
 	}
 }
--- a/choice/local_quota_test.go
+++ b/choice/local_quota_test.go
@@ -6,8 +6,8 @@
 )
 
 // These tests cover what a customer's slice holds when the limiter first meets the customer. While the counter has not
-// answered in this life, an earlier life may have spent the local quota without it: it starts with the largest request and what
-// this life has filled it by. Once the counter has answered, it starts whole.
+// answered in this life, an earlier life may have spent the local quota without it: it starts with the largest request
+// and what this life has filled it by. Once the counter has answered, it starts whole.
 
 const (
 	testBurst       = 200.0 // of the plan "large", shared by four limiters
@@ -36,14 +36,25 @@
 	return controller
 }
 
-// sendAll sends requests for a customer until one is rejected, but no more than mostRequests, and returns the units that
-// were sent. Each call to the counter ends with the outcome, and with the total of the calls so far.
+// sendAll sends requests for a customer until one is rejected, but no more than mostRequests, and returns the units
+// that were sent. Each call to the counter ends with the outcome, and with the total of the calls so far.
 func sendAll(controller *Controller, now int64, customer uint64, outcome Outcome) (units float64) {
 	const size = 2.0
 	total := 0.0
 	for i := range mostRequests {
 		id := fmt.Sprint(now, "-", i)
-		controller.RequestArrived(now, Arrival{ID: id, Timeout: 4 * second, Customer: customer, Plan: "large", Class: "read", Units: size, Limiters: 4})
+		controller.RequestArrived(
+			now,
+			Arrival{
+				ID:       id,
+				Timeout:  4 * second,
+				Customer: customer,
+				Plan:     "large",
+				Class:    "read",
+				Units:    size,
+				Limiters: 4,
+			},
+		)
 		if q := controller.requests.byID[id]; q != nil && q.state == stateReserving {
 			total += size * q.reservation.weight
 			controller.CounterReplied(now, q.reservation.name, outcome, total)
@@ -69,14 +80,22 @@
 		t.Run(name+": the largest request and what this life has filled", func(t *testing.T) {
 			controller := startedController()
 			expectUnits(t, sendAll(controller, 0, 50, outcome), controller.settings.MaxRequestUnits)
-			expectUnits(t, sendAll(controller, 8*second, 51, outcome), controller.settings.MaxRequestUnits+8*localQuotaRate)
+			expectUnits(
+				t,
+				sendAll(controller, 8*second, 51, outcome),
+				controller.settings.MaxRequestUnits+8*localQuotaRate,
+			)
 			expectUnits(t, sendAll(controller, 8*second, 50, outcome), 8*localQuotaRate)
 		})
 	}
 	t.Run("never more than the whole slice", func(t *testing.T) {
 		expectUnits(t, sendAll(startedController(), 60*second, 50, ConnectFailed), wholeLocalQuota)
 		controller := startedController()
-		account := controller.useAccount(0, Arrival{Customer: 51, Limiters: 1}, &Plan{Rate: 1, Burst: controller.settings.MaxRequestUnits - 1})
+		account := controller.useAccount(
+			0,
+			Arrival{Customer: 51, Limiters: 1},
+			&Plan{Rate: 1, Burst: controller.settings.MaxRequestUnits - 1},
+		)
 		expectUnits(t, account.localQuota.tokens, controller.settings.MaxRequestUnits-1)
 	})
 	t.Run("among many limiters the whole slice is the largest request", func(t *testing.T) {
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -52,8 +52,9 @@
 	return false
 }
 
-// failed takes in an attempt that failed. A server that fails is quick at it: its answers say nothing of its pace, or it would
-// draw all requests. One that takes no connection is not tried three times, since each of many limiters would do so.
+// failed takes in an attempt that failed. A server that fails is quick at it: its answers say nothing of its pace, or
+// it would draw all requests. One that takes no connection is not tried three times, since each of many limiters would
+// do so.
 func (d *outlierDetector) failed(now int64, s *server, outcome Outcome) {
 	h := &s.health
 	h.failureRatio += failureWeight * (1 - h.failureRatio)
@@ -119,8 +120,8 @@
 	}
 }
 
-// reinstate lets a server that was ejected have one request at a time. One that failed may be a new process that the list does not
-// tell of yet, so it warms up.
+// reinstate lets a server that was ejected have one request at a time. One that failed may be a new process that the
+// list does not tell of yet, so it warms up.
 func (d *outlierDetector) reinstate(now int64, s *server) {
 	s.health.state = halfOpen
 	s.health.lastSign = now
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -4,7 +4,13 @@
 
 func TestTick(t *testing.T) {
 	out := func(controller *Controller, id string, s *server) *request {
-		q := &request{id: id, class: controller.settings.Classes["read"], state: stateInFlight, units: 1, deadline: 9 * second}
+		q := &request{
+			id:       id,
+			class:    controller.settings.Classes["read"],
+			state:    stateInFlight,
+			units:    1,
+			deadline: 9 * second,
+		}
 		controller.send(0, q, s)
 		return q
 	}
@@ -19,18 +25,21 @@
 			t.Fatal("not ejected")
 		}
 	})
-	t.Run("a lone attempt shows a silent server only after the latency objective, and is not copied then", func(t *testing.T) {
-		controller, done := newTestController()
-		a := controller.servers.byID["a"]
-		out(controller, "k", a)
-		controller.tick(second * 3 / 4)
-		early := a.health.state
-		controller.tick(second * 5 / 4)
-		requireEffects(t, done, "send k a")
-		if early != healthy || a.health.state != ejected {
-			t.Fatal("standing", early, "then", a.health.state)
-		}
-	})
+	t.Run(
+		"a lone attempt shows a silent server only after the latency objective, and is not copied then",
+		func(t *testing.T) {
+			controller, done := newTestController()
+			a := controller.servers.byID["a"]
+			out(controller, "k", a)
+			controller.tick(second * 3 / 4)
+			early := a.health.state
+			controller.tick(second * 5 / 4)
+			requireEffects(t, done, "send k a")
+			if early != healthy || a.health.state != ejected {
+				t.Fatal("standing", early, "then", a.health.state)
+			}
+		},
+	)
 	t.Run("its attempt is cancelled, then sent again", func(t *testing.T) {
 		controller, done := newTestController()
 		controller.settings.CanCancel = true
@@ -58,7 +67,8 @@
 		for _, s := range controller.servers.ring {
 			controller.outliers.eject(0, s, "")
 		}
-		if controller.servers.byID["a"].health.state != ejected || controller.servers.byID["b"].health.state != healthy {
+		if controller.servers.byID["a"].health.state != ejected ||
+			controller.servers.byID["b"].health.state != healthy {
 			t.Fatal("none is left, or none is ejected")
 		}
 	})
@@ -70,7 +80,8 @@
 		controller.HealthCheckDone(second, "a", Succeeded)
 		once := a.health.state
 		controller.HealthCheckDone(second, "a", Succeeded)
-		if once != ejected || a.health.state != halfOpen || controller.slowStart.weight(second, a) != controller.settings.ColdCapacity {
+		if once != ejected || a.health.state != halfOpen ||
+			controller.slowStart.weight(second, a) != controller.settings.ColdCapacity {
 			t.Fatal("standing", once, "then", a.health.state, "warmth", controller.slowStart.weight(second, a))
 		}
 	})
--- a/choice/refund_test.go
+++ b/choice/refund_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRefund: what a request took goes back, once, if no server got it whole, whoever ended it and whether the counter or the
-// slice let it in; else the units are taken, and the true ones are settled even if the client has gone.
+// TestRefund: what a request took goes back, once, if no server got it whole, whoever ended it and whether the counter
+// or the slice let it in; else the units are taken, and the true ones are settled even if the client has gone.
 func TestRefund(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -40,7 +40,16 @@
 					controller.ClientDisconnected(second, "j")
 				}
 				done.did = nil
-				controller.AttemptDone(second, AttemptResult{Request: "j", Attempt: i, Outcome: o, Final: q.ended() || o == Succeeded, ActualUnits: c.units})
+				controller.AttemptDone(
+					second,
+					AttemptResult{
+						Request:     "j",
+						Attempt:     i,
+						Outcome:     o,
+						Final:       q.ended() || o == Succeeded,
+						ActualUnits: c.units,
+					},
+				)
 			}
 			counted := 0
 			for _, did := range done.did {
@@ -49,9 +58,19 @@
 				}
 			}
 			switch want := c.back; {
-			case slice && a.window.pendingAdjustment != owed+want, !slice && (counted != 0) != (want != 0), a.localQuota.tokens != level-want:
-				t.Errorf("%s, slice %v: did %q, owed %v before and %v, slice %v before and %v", c.name, slice, done.did, owed, a.window.pendingAdjustment,
-					level, a.localQuota.tokens)
+			case slice && a.window.pendingAdjustment != owed+want,
+				!slice && (counted != 0) != (want != 0),
+				a.localQuota.tokens != level-want:
+				t.Errorf(
+					"%s, slice %v: did %q, owed %v before and %v, slice %v before and %v",
+					c.name,
+					slice,
+					done.did,
+					owed,
+					a.window.pendingAdjustment,
+					level,
+					a.localQuota.tokens,
+				)
 			case (a.ceiling.tokens == 4) != (want < 0): // it held 4 before the request
 				t.Errorf("%s, slice %v: the ceiling's part holds %v", c.name, slice, a.ceiling.tokens)
 			}
@@ -62,7 +81,8 @@
 	}
 }
 
-// TestShutDown: at the end of the process what is owed is added, customer by customer, once; what fades with its window is not.
+// TestShutDown: at the end of the process what is owed is added, customer by customer, once; what fades with its
+// window is not.
 func TestShutDown(t *testing.T) {
 	controller, done := newTestController()
 	for id, owed := range map[uint64]float64{7: 2, 3: -1, 5: 0} {
--- a/choice/request.go
+++ b/choice/request.go
@@ -17,14 +17,15 @@
 
 // request is one request from its arrival until nothing of it is out any more.
 type request struct {
-	id           string
-	timer        int64 // the token of its deadline's timer
-	state        requestState
-	class        *Class
-	account      *account // nil where its plan or class is unknown
-	units        float64
-	charge       float64 // what it takes from its customer's quota: its units, or 1 where the plan caps attempts in flight
-	deadline     int64   // the last moment for a final answer
+	id      string
+	timer   int64 // the token of its deadline's timer
+	state   requestState
+	class   *Class
+	account *account // nil where its plan or class is unknown
+	units   float64
+	// what it takes from its customer's quota: its units, or 1 where the plan caps attempts in flight
+	charge       float64
+	deadline     int64 // the last moment for a final answer
 	attempts     []*attempt
 	openAttempts int
 	reachedAny   bool // a server got it whole, so that its units are spent
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -9,9 +9,9 @@
 	leaseWindows = 2
 )
 
-// A customer's use is counted on the shared counter under a name that changes with each window of time. Adds weigh more the
-// later in the window they come, by a factor of e for each time in which the quota fills: the total over the present weight is
-// the use of all limiters, the old faded out. So a first look tells what the quota holds.
+// A customer's use is counted on the shared counter under a name that changes with each window of time. Adds weigh
+// more the later in the window they come, by a factor of e for each time in which the quota fills: the total over the
+// present weight is the use of all limiters, the old faded out. So a first look tells what the quota holds.
 
 // counterWindow is what a limiter knows of a customer's count in its present window.
 type counterWindow struct {
@@ -32,8 +32,8 @@
 // customerHash is the customer's place between 0 and 1, the same at all limiters.
 func (w *counterWindow) customerHash() float64 { return float64(w.offset) / math.MaxInt64 }
 
-// windowLength is the length of the customer's windows, in nanoseconds. At each new window what was added before goes unseen, so
-// windows are long; but a lease must not be longer than the counter keeps a name.
+// windowLength is the length of the customer's windows, in nanoseconds. At each new window what was added before goes
+// unseen, so windows are long; but a lease must not be longer than the counter keeps a name.
 func windowLength(settings *Settings, a *account) int64 {
 	length := nanoseconds(windowFillTimes * a.sharedQuota.burst / a.sharedQuota.rate)
 	return min(length, settings.MaxLease/leaseWindows)
@@ -79,7 +79,8 @@
 	background bool
 }
 
-// reservations adds to the shared counter: it reserves, releases and settles, and learns from the totals that come back.
+// reservations adds to the shared counter: it reserves, releases and settles, and learns from the totals that come
+// back.
 type reservations struct {
 	settings *Settings
 	effects  Effects
@@ -118,7 +119,12 @@
 func (r *reservations) reserve(now int64, q *request) {
 	a := q.account
 	weight := r.rollOver(now, a)
-	q.reservation = reservation{held: true, name: a.counterName(), weight: weight, leaseEnd: now + windowLength(r.settings, a)}
+	q.reservation = reservation{
+		held:     true,
+		name:     a.counterName(),
+		weight:   weight,
+		leaseEnd: now + windowLength(r.settings, a),
+	}
 	q.move(stateReserving)
 	amount := q.charge*weight + a.window.pendingAdjustment
 	a.window.pendingAdjustment = 0
@@ -153,8 +159,8 @@
 	q.reservation.held = false
 }
 
-// settle puts the actual units in the place of the estimate, once: in the quotas, and on the count at once or, to spare the
-// counter a call, with the next one.
+// settle puts the actual units in the place of the estimate, once: in the quotas, and on the count at once or, to
+// spare the counter a call, with the next one.
 func (r *reservations) settle(now int64, q *request, actual float64, spareCounter bool) {
 	difference := actual - q.units
 	if actual > 0 && difference != 0 && q.account.plan.Rate > 0 {
@@ -182,8 +188,8 @@
 	r.call(a.counterName(), counterCall{request: &request{}, account: a, amount: amount, background: true})
 }
 
-// failed notes that a call brought no total. Its request, if one waits for it, has no reservation any more: what the local quota
-// then sends is owed anew.
+// failed notes that a call brought no total. Its request, if one waits for it, has no reservation any more: what the
+// local quota then sends is owed anew.
 func (r *reservations) failed(c counterCall, outcome Outcome) {
 	unsent := 0.0
 	if !c.background {
@@ -199,8 +205,8 @@
 	w.pendingAdjustment += c.amount - unsent
 }
 
-// minObservationGap keeps the correction for the time between two totals finite when they come at once, in times that the quota
-// takes to fill.
+// minObservationGap keeps the correction for the time between two totals finite when they come at once, in times that
+// the quota takes to fill.
 const minObservationGap = 1e-9
 
 // observe draws what a total shows into the customer's quota: what other limiters have added is taken from it.
@@ -216,8 +222,8 @@
 	sinceLast := a.fillTimes(now - a.window.seenAt)
 	switch {
 	case others < -a.maxCharge*float64(r.settings.Limiters)*weight:
-		// Others add back what they rejected, but a total that falls further means that the counter has forgotten, and that gives
-		// nothing back: a counter that lost its counts grants nobody a fresh burst.
+		// Others add back what they rejected, but a total that falls further means that the counter has forgotten, and
+		// that gives nothing back: a counter that lost its counts grants nobody a fresh burst.
 		others = 0
 	case !a.window.known || sinceLast > 1:
 		// What was known of the quota counts no more: it stands as the faded use of all says.
@@ -227,7 +233,8 @@
 		}
 		others = 0
 	default:
-		// They added over the whole time since the last total, so a bucket that has overflowed meanwhile lost nothing by it.
+		// They added over the whole time since the last total, so a bucket that has overflowed meanwhile lost nothing
+		// by it.
 		gap := max(sinceLast, minObservationGap)
 		others *= gap / (weight * -math.Expm1(-gap))
 		others -= math.Min(max(others, 0), quota.overflow)
@@ -239,9 +246,9 @@
 	a.resetLocalQuota(now, quota.tokens)
 }
 
-// addedByOthers takes in a total and gives what other limiters have added since the last one. Calls that nobody answered may have
-// been worked off late: what they added is not the others', and what was added for requests that were never sent is added back
-// with the next call.
+// addedByOthers takes in a total and gives what other limiters have added since the last one. Calls that nobody
+// answered may have been worked off late: what they added is not the others', and what was added for requests that
+// were never sent is added back with the next call.
 func (w *counterWindow) addedByOthers(c counterCall, total float64) float64 {
 	others := total - w.total - c.amount
 	w.total = total
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -11,7 +11,8 @@
 	minLostParts = 4
 )
 
-// retryBudget bounds the retries by the requests: retries of many limiters would overload servers that are slow already.
+// retryBudget bounds the retries by the requests: retries of many limiters would overload servers that are slow
+// already.
 type retryBudget struct {
 	retries float64 // that may be made now
 }
@@ -32,8 +33,8 @@
 // paidOff gives retries back that brought a prompt answer: where some servers are bad and others good, more may follow.
 func (b *retryBudget) paidOff(retries int) { b.retries += float64(retries) }
 
-// deduplicates tells whether a server would drop the repeat of a request with an idempotency key that may have run by an earlier
-// attempt.
+// deduplicates tells whether a server would drop the repeat of a request with an idempotency key that may have run by
+// an earlier attempt.
 func (class *Class) deduplicates(now int64, earlier *attempt, s *server) bool {
 	var inScope bool
 	switch class.DeduplicationScope {
@@ -47,7 +48,8 @@
 	return inScope && now < earlier.sentAt+class.DeduplicationWindow
 }
 
-// mayRunAfter tells whether a request may be sent to a server after an earlier attempt, as far as its idempotency key goes.
+// mayRunAfter tells whether a request may be sent to a server after an earlier attempt, as far as its idempotency key
+// goes.
 func mayRunAfter(now int64, earlier *attempt, s *server) bool {
 	class := earlier.request.class
 	return !earlier.mayHaveRun || class.Idempotency != IdempotentWithKey || class.deduplicates(now, earlier, s)
@@ -70,7 +72,8 @@
 	return true
 }
 
-// cancelLost cancels an attempt whose answer is lost, or whose server is ejected or gone. It is sent again once its end is known.
+// cancelLost cancels an attempt whose answer is lost, or whose server is ejected or gone. It is sent again once its
+// end is known.
 func (c *Controller) cancelLost(now int64, a *attempt) {
 	s := a.server
 	q := a.request
@@ -93,8 +96,8 @@
 	}
 }
 
-// isLost tells whether an attempt's answer is likely not to come, whether its server lives or not: it is in flight for many times
-// as long as a request of its size takes there, while the answers that do come are prompt.
+// isLost tells whether an attempt's answer is likely not to come, whether its server lives or not: it is in flight for
+// many times as long as a request of its size takes there, while the answers that do come are prompt.
 func (c *Controller) isLost(now int64, a *attempt) bool {
 	s := a.server
 	if s.pace.units <= 0 || !c.concurrency.answersArePrompt() {
--- a/choice/retry_test.go
+++ b/choice/retry_test.go
@@ -67,7 +67,13 @@
 }
 
 func TestDeduplicationWithinACell(t *testing.T) {
-	pod := &Class{LatencyObjective: second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second, PriorityWeight: 1}
+	pod := &Class{
+		LatencyObjective:    second,
+		Idempotency:         IdempotentWithKey,
+		DeduplicationScope:  ScopeCell,
+		DeduplicationWindow: second,
+		PriorityWeight:      1,
+	}
 	first := &attempt{server: &server{cell: 3, zone: "x"}, sentAt: second, mayHaveRun: true}
 	for _, c := range []struct {
 		cell, at int64
--- a/choice/rotation.go
+++ b/choice/rotation.go
@@ -13,8 +13,8 @@
 	enoughAvailable = 0.5
 )
 
-// rotation deals requests out to servers by smooth weighted round robin. The weights follow the servers' nominal weight, the pace
-// that their answers have shown, their failures and their slow start.
+// rotation deals requests out to servers by smooth weighted round robin. The weights follow the servers' nominal
+// weight, the pace that their answers have shown, their failures and their slow start.
 type rotation struct {
 	slowStart    *slowStart
 	subsetWeight float64     // the weight of all servers in the subset, as of the last tick
@@ -58,8 +58,8 @@
 	}
 }
 
-// next is the server that gets the next request of some units, nil for none. Servers that hold more than their share of what is in
-// flight are passed over.
+// next is the server that gets the next request of some units, nil for none. Servers that hold more than their share
+// of what is in flight are passed over.
 func (r *rotation) next(now int64, eligible []*server, units float64) *server {
 	inFlight := units
 	total := 0.0
@@ -96,9 +96,9 @@
 	return best
 }
 
-// slowStartTurn credits a warming server with its part of a turn. It gives a preference over the other servers, which is infinite
-// for a server that is owed a whole turn, or tells to skip the server. total and warming are the weights of all eligible servers
-// and of those that warm up.
+// slowStartTurn credits a warming server with its part of a turn. It gives a preference over the other servers, which
+// is infinite for a server that is owed a whole turn, or tells to skip the server. total and warming are the weights
+// of all eligible servers and of those that warm up.
 func (r *rotation) slowStartTurn(now int64, s *server, weight, total, warming float64) (preference float64, skip bool) {
 	if !r.slowStart.warming(now, s) {
 		return 0, false
@@ -109,8 +109,8 @@
 	if s.turns.slowStart < 1 && total < r.subsetWeight*enoughAvailable {
 		return 0, true
 	}
-	// Beside enough warm servers it gets its turns at once: turns that are kept could all come together. Before that it is chosen
-	// only where no warm server can be.
+	// Beside enough warm servers it gets its turns at once: turns that are kept could all come together. Before that
+	// it is chosen only where no warm server can be.
 	if warming < total*enoughAvailable {
 		return math.Copysign(math.Inf(1), s.turns.slowStart-1), false
 	}
--- a/choice/rotation_test.go
+++ b/choice/rotation_test.go
@@ -13,24 +13,45 @@
 	t.Run("gives a server that fails fewer turns", func(t *testing.T) {
 		controller, _ := newTestController()
 		controller.servers.byID["a"].health.failureRatio = 0.5
-		if a, b := controller.rotation.weight(0, controller.servers.byID["a"]), controller.rotation.weight(0, controller.servers.byID["b"]); a != b/2 {
+		if a, b := controller.rotation.weight(
+			0,
+			controller.servers.byID["a"],
+		), controller.rotation.weight(
+			0,
+			controller.servers.byID["b"],
+		); a != b/2 {
 			t.Fatal("weights", a, b)
 		}
 	})
-	t.Run("passes a server that is half-open for non-idempotent requests, and for others while one is out", func(t *testing.T) {
-		controller, _ := newTestController()
-		a := controller.servers.byID["a"]
-		a.health.state = halfOpen
-		reindex(controller, 0)
-		free, nonIdempotent := controller.servers.mayReceive(0, unsentRequest, a), controller.servers.mayReceive(0, &request{class: controller.settings.Classes["write"]}, a)
-		controller.send(0, &request{class: unsentRequest.class}, a)
-		if !free || nonIdempotent || controller.servers.mayReceive(0, unsentRequest, a) {
-			t.Fatal("usable", free, nonIdempotent, controller.servers.mayReceive(0, unsentRequest, a))
-		}
-	})
+	t.Run(
+		"passes a server that is half-open for non-idempotent requests, and for others while one is out",
+		func(t *testing.T) {
+			controller, _ := newTestController()
+			a := controller.servers.byID["a"]
+			a.health.state = halfOpen
+			reindex(controller, 0)
+			free, nonIdempotent := controller.servers.mayReceive(
+				0,
+				unsentRequest,
+				a,
+			), controller.servers.mayReceive(
+				0,
+				&request{class: controller.settings.Classes["write"]},
+				a,
+			)
+			controller.send(0, &request{class: unsentRequest.class}, a)
+			if !free || nonIdempotent || controller.servers.mayReceive(0, unsentRequest, a) {
+				t.Fatal("usable", free, nonIdempotent, controller.servers.mayReceive(0, unsentRequest, a))
+			}
+		},
+	)
 	t.Run("passes a server that drains", func(t *testing.T) {
 		controller, _ := newTestController()
-		controller.UpdateEndpoints(0, false, []Endpoint{{ID: "a", State: EndpointDraining}, {ID: "b", State: EndpointGone}})
+		controller.UpdateEndpoints(
+			0,
+			false,
+			[]Endpoint{{ID: "a", State: EndpointDraining}, {ID: "b", State: EndpointGone}},
+		)
 		if s := controller.pickServer(0, unsentRequest); s != nil {
 			t.Fatal("took", s.id)
 		}
@@ -56,7 +77,12 @@
 	for seed := range int64(20) {
 		done := &recordedEffects{}
 		read := &Class{LatencyObjective: second, PriorityWeight: 1}
-		controller := New(0, &Settings{Limiters: 20, MaxRequestUnits: 1, SlowStartWindow: 1, Classes: map[string]*Class{"read": read}}, seed, done)
+		controller := New(
+			0,
+			&Settings{Limiters: 20, MaxRequestUnits: 1, SlowStartWindow: 1, Classes: map[string]*Class{"read": read}},
+			seed,
+			done,
+		)
 		controller.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
 		first[controller.pickServer(0, &request{units: 1, class: read}).id] = true
 	}
--- a/choice/slow_start.go
+++ b/choice/slow_start.go
@@ -5,8 +5,8 @@
 	"math/rand"
 )
 
-// slowStart gives servers that have just started less to do. The capacity of such a server grows evenly over the window, from a
-// least share on.
+// slowStart gives servers that have just started less to do. The capacity of such a server grows evenly over the
+// window, from a least share on.
 type slowStart struct {
 	settings *Settings
 	random   *rand.Rand
@@ -29,8 +29,8 @@
 // warming tells whether a server has less than its full capacity.
 func (w *slowStart) warming(now int64, s *server) bool { return w.weight(now, s) < 1 }
 
-// firstTurns is what a warming server is owed of its first turn: the limiters that share it stand evenly over it. servers is the
-// number of all servers, subset that of this limiter's.
+// firstTurns is what a warming server is owed of its first turn: the limiters that share it stand evenly over it.
+// servers is the number of all servers, subset that of this limiter's.
 func (w *slowStart) firstTurns(ringHash uint64, servers, subset int) float64 {
 	if w.settings.Position < 0 {
 		return w.random.Float64()
--- a/choice/slow_start_test.go
+++ b/choice/slow_start_test.go
@@ -7,7 +7,11 @@
 
 func TestSlowStartTurns(t *testing.T) {
 	controller, _ := newTestController()
-	controller.UpdateEndpoints(second, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1}, {ID: "b", Zone: "y", Weight: 1, StartedAt: second}})
+	controller.UpdateEndpoints(
+		second,
+		true,
+		[]Endpoint{{ID: "a", Zone: "x", Weight: 1}, {ID: "b", Zone: "y", Weight: 1, StartedAt: second}},
+	)
 	controller.tick(second)
 	a, b := controller.servers.byID["a"], controller.servers.byID["b"]
 	a.overloadedUntil, b.turns.slowStart = 1<<62, 0
@@ -17,7 +21,8 @@
 			got++
 		}
 	}
-	if share := controller.settings.ColdCapacity / (1 + controller.settings.ColdCapacity); float64(got) < 90*share || float64(got) > 100*share+1 {
+	if share := controller.settings.ColdCapacity / (1 + controller.settings.ColdCapacity); float64(got) < 90*share ||
+		float64(got) > 100*share+1 {
 		t.Fatal("it got", got, "of 100")
 	}
 }
@@ -26,10 +31,18 @@
 func TestSlowStartFromNoCapacity(t *testing.T) {
 	controller, _ := newTestController()
 	controller.settings.ColdCapacity = 0
-	controller.UpdateEndpoints(second, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: second}, {ID: "b", Zone: "y", Weight: 1, StartedAt: second}})
+	controller.UpdateEndpoints(
+		second,
+		true,
+		[]Endpoint{
+			{ID: "a", Zone: "x", Weight: 1, StartedAt: second},
+			{ID: "b", Zone: "y", Weight: 1, StartedAt: second},
+		},
+	)
 	controller.tick(second)
 	controller.pickServer(second, &request{units: 1, class: controller.settings.Classes["read"]})
-	controller.UpdateEndpoints(second, false, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: 1}}) // a was a mistake: it is warm
+	// a was a mistake: it is warm
+	controller.UpdateEndpoints(second, false, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: 1}})
 	a, b := controller.servers.byID["a"], controller.servers.byID["b"]
 	a.startedAt, a.overloadedUntil, b.turns.slowStart = 0, 1<<62, math.Min(b.turns.slowStart, 0)
 	reindex(controller, second)
--- a/choice/subset.go
+++ b/choice/subset.go
@@ -13,9 +13,9 @@
 	minSubsetSize = 8
 )
 
-// serverSet holds the servers of the endpoint list on a ring, and knows which of them are this limiter's subset. Each connection
-// to a server costs a handshake, and what a limiter learns of a server that it seldom meets comes late: so among many limiters each
-// keeps to a few servers, enough of them that a server's load is the sum over many limiters.
+// serverSet holds the servers of the endpoint list on a ring, and knows which of them are this limiter's subset. Each
+// connection to a server costs a handshake, and what a limiter learns of a server that it seldom meets comes late: so
+// among many limiters each keeps to a few servers, enough of them that a server's load is the sum over many limiters.
 type serverSet struct {
 	settings     *Settings
 	slowStart    *slowStart
@@ -27,7 +27,12 @@
 }
 
 func newServerSet(settings *Settings, slowStart *slowStart) serverSet {
-	return serverSet{settings: settings, slowStart: slowStart, repeatable: settings.hasRepeatableClass(), byID: map[string]*server{}}
+	return serverSet{
+		settings:   settings,
+		slowStart:  slowStart,
+		repeatable: settings.hasRepeatableClass(),
+		byID:       map[string]*server{},
+	}
 }
 
 // count is the number of servers, whatever their state.
@@ -60,9 +65,9 @@
 	}
 }
 
-// sortRing puts the servers in the order of the ring, from this limiter's place on. Places go by rank: each server is near equally
-// many limiters, in steps of the golden section, so that limiters next to each other in number, which share customers, stand far
-// apart. A change of the list moves a limiter by a server or two.
+// sortRing puts the servers in the order of the ring, from this limiter's place on. Places go by rank: each server is
+// near equally many limiters, in steps of the golden section, so that limiters next to each other in number, which
+// share customers, stand far apart. A change of the list moves a limiter by a server or two.
 func (x *serverSet) sortRing() {
 	slices.SortFunc(x.ring, byRingHash)
 	_, place := math.Modf(float64(max(x.settings.Position, 0)) * math.Phi)
@@ -108,8 +113,9 @@
 	return true
 }
 
-// available sums the units in flight at the servers that may get the request, and the slow-start weight of these servers. It looks
-// at those in use one by one; the others are all available, except where only some servers drop a repeat.
+// available sums the units in flight at the servers that may get the request, and the slow-start weight of these
+// servers. It looks at those in use one by one; the others are all available, except where only some servers drop a
+// repeat.
 func (x *serverSet) available(now int64, q *request) (inFlight, capacity float64) {
 	x.index.finishWarming(now, x.settings.SlowStartWindow)
 	among := x.index.active
@@ -127,7 +133,8 @@
 	return inFlight, capacity
 }
 
-// idleCapacity is the slow-start weight of the servers that have nothing in flight and that the request was not sent to yet.
+// idleCapacity is the slow-start weight of the servers that have nothing in flight and that the request was not sent
+// to yet.
 func (x *serverSet) idleCapacity(now int64, q *request) float64 {
 	warming, age := x.index.warmingAge(now)
 	capacity := float64(x.index.idle) + float64(warming)*x.slowStart.weightAt(age)
--- a/choice/subset_test.go
+++ b/choice/subset_test.go
@@ -98,25 +98,28 @@
 			}
 		}
 	})
-	t.Run("those beyond it come in for each that cannot be used, and one at a time where none has room", func(t *testing.T) {
-		if n := both(able(), circles[7]); n != controller.servers.subsetSize() || len(able()) != n {
-			t.Fatal(n, "servers")
-		}
-		for _, s := range controller.servers.ring[:controller.servers.subsetSize()/2] {
-			s.health.state = ejected
-		}
-		reindex(controller, 0)
-		if n := len(able()); n != controller.servers.subsetSize() {
-			t.Fatal(n, "servers with half of them aside")
-		}
-		for _, s := range controller.servers.ring[:2*controller.servers.subsetSize()] {
-			s.health.state, s.overloadedUntil = healthy, 1
-		}
-		reindex(controller, 0)
-		if n := len(able()); n != 1 {
-			t.Fatal(n, "servers where all are full")
-		}
-	})
+	t.Run(
+		"those beyond it come in for each that cannot be used, and one at a time where none has room",
+		func(t *testing.T) {
+			if n := both(able(), circles[7]); n != controller.servers.subsetSize() || len(able()) != n {
+				t.Fatal(n, "servers")
+			}
+			for _, s := range controller.servers.ring[:controller.servers.subsetSize()/2] {
+				s.health.state = ejected
+			}
+			reindex(controller, 0)
+			if n := len(able()); n != controller.servers.subsetSize() {
+				t.Fatal(n, "servers with half of them aside")
+			}
+			for _, s := range controller.servers.ring[:2*controller.servers.subsetSize()] {
+				s.health.state, s.overloadedUntil = healthy, 1
+			}
+			reindex(controller, 0)
+			if n := len(able()); n != 1 {
+				t.Fatal(n, "servers where all are full")
+			}
+		},
+	)
 	t.Run("a limiter that is not told its place uses all servers", func(t *testing.T) {
 		controller, _ := newTestController()
 		controller.settings.Limiters, controller.settings.Position = limiters, -1
@@ -130,7 +133,12 @@
 			controller.UpdateEndpoints(1, false, []Endpoint{{ID: "s33", State: EndpointGone}})
 			controller.TimerFired(1, 0)
 			controller.UpdateEndpoints(1, false, nil)
-			if kept := both(ids(controller.servers.ring[:controller.servers.subsetSize()]), circles[i]); kept < len(circles[i])-3 {
+			if kept := both(
+				ids(controller.servers.ring[:controller.servers.subsetSize()]),
+				circles[i],
+			); kept < len(
+				circles[i],
+			)-3 {
 				t.Fatalf("limiter %d kept %d of %d", i, kept, len(circles[i]))
 			}
 		}
--- a/choice/token_bucket.go
+++ b/choice/token_bucket.go
@@ -35,9 +35,6 @@
 	return nanoseconds((tokens - b.tokens) / b.rate)
 }
 
-// fillTime is the seconds in which the empty bucket fills.
-func (b *tokenBucket) fillTime() float64 { return b.burst / b.rate }
-
 // fullAt is when the bucket will be full if nothing is taken, math.MaxInt64 for one that does not fill.
 func (b *tokenBucket) fullAt() int64 {
 	missing := b.burst - b.tokens
--- a/choice/types.go
+++ b/choice/types.go
@@ -26,7 +26,8 @@
 	ScopeCell
 )
 
-// Outcome is how an attempt, a health check or a call to the counter ended. The numbers are those of the simulator's wire.
+// Outcome is how an attempt, a health check or a call to the counter ended. The numbers are those of the simulator's
+// wire.
 type Outcome uint8
 
 const (
@@ -160,7 +161,8 @@
 	return false
 }
 
-// mostValuableClass is the class whose units are worth the most, and of several the one with the shortest latency objective.
+// mostValuableClass is the class whose units are worth the most, and of several the one with the shortest latency
+// objective.
 func (s *Settings) mostValuableClass() *Class {
 	var most *Class
 	for _, class := range s.Classes {
@@ -202,7 +204,8 @@
 	ServiceTime int64   // nanoseconds that its latest requests took without their wait
 }
 
-// residenceSeconds is how long a request stays at the server, by Little's law where the report allows, 0 where it says nothing.
+// residenceSeconds is how long a request stays at the server, by Little's law where the report allows, 0 where it says
+// nothing.
 func (r *LoadReport) residenceSeconds() float64 {
 	switch {
 	case r.InFlight > 0 && r.Throughput > 0:
@@ -213,14 +216,15 @@
 	return seconds(r.ServiceTime)
 }
 
-// Effects is what a controller can do. Each call takes effect at once; what comes of it is told to the controller by a later
-// call, never within this one.
+// Effects is what a controller can do. Each call takes effect at once; what comes of it is told to the controller by a
+// later call, never within this one.
 type Effects interface {
 	// Send sends a request's next attempt to a server; AttemptDone follows.
 	Send(request, server string)
 	// Cancel withdraws an attempt; AttemptDone follows.
 	Cancel(request string, attempt int)
-	// Reject answers a request finally: it had no effect. retryAfter is in nanoseconds, 0 where none is to be passed on.
+	// Reject answers a request finally: it had no effect. retryAfter is in nanoseconds, 0 where none is to be passed
+	// on.
 	Reject(request string, retryAfter int64, reason RejectReason)
 	// Fail answers a request finally: it may have had its effect.
 	Fail(request string)
--- a/cmd/configdist/configdist_test.go
+++ b/cmd/configdist/configdist_test.go
@@ -87,15 +87,22 @@
 	return func() bool {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		return len(r.versions) > 0 && r.versions[len(r.versions)-1] == distribution.Version{Epoch: epoch, Number: number}
+		return len(r.versions) > 0 &&
+			r.versions[len(r.versions)-1] == distribution.Version{Epoch: epoch, Number: number}
 	}
 }
 
 // follow runs a subscriber until the test ends.
 func follow(t *testing.T, name string, relays ...string) *recorder {
 	r, clock := &recorder{}, monotonic()
-	f := transport.NewFollower(distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: name, Applier: r}),
-		transport.FollowerOptions{Servers: [2]string{relays[0], relays[len(relays)-1]}, DialTimeout: 250 * time.Millisecond, Clock: clock})
+	f := transport.NewFollower(
+		distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: name, Applier: r}),
+		transport.FollowerOptions{
+			Servers:     [2]string{relays[0], relays[len(relays)-1]},
+			DialTimeout: 250 * time.Millisecond,
+			Clock:       clock,
+		},
+	)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { f.Run(ctx) })
@@ -117,7 +124,14 @@
 	require.True(t, ok, text)
 	require.Equal(t, "epoch=1 version=2\n", text)
 	file := filepath.Join(t.TempDir(), "change.json")
-	require.NoError(t, os.WriteFile(file, []byte(`[{"kind":"routes","name":"r","value":"x"},{"kind":"plans","name":"gold","delete":true}]`), 0o600))
+	require.NoError(
+		t,
+		os.WriteFile(
+			file,
+			[]byte(`[{"kind":"routes","name":"r","value":"x"},{"kind":"plans","name":"gold","delete":true}]`),
+			0o600,
+		),
+	)
 	text, ok = run(t, "publish", "--source", source, "--file", file)
 	require.True(t, ok, text)
 	require.Equal(t, "epoch=1 version=3\n", text)
@@ -177,8 +191,8 @@
 	return path
 }
 
-// TestSourceRestart kills a source behind each publication: what was answered is there in its next life, which opens a higher
-// epoch, and limiters go on from it. The older epoch's writer is fenced.
+// TestSourceRestart kills a source behind each publication: what was answered is there in its next life, which opens a
+// higher epoch, and limiters go on from it. The older epoch's writer is fenced.
 func TestSourceRestart(t *testing.T) {
 	of, dir := programs(t), t.TempDir()
 	p, source := startSource(t, of, dir, "127.0.0.1:0")
@@ -186,17 +200,45 @@
 	limiter := follow(t, "one", relay)
 	number := uint64(1)
 	for life := uint64(1); life <= 3; life++ {
-		text, ok := run(t, "publish", "--source", source, "--kind", "plans", "--key", fmt.Sprint("p", life), "--value", "x")
+		text, ok := run(
+			t,
+			"publish",
+			"--source",
+			source,
+			"--kind",
+			"plans",
+			"--key",
+			fmt.Sprint("p", life),
+			"--value",
+			"x",
+		)
 		require.True(t, ok, text)
 		number++
 		require.Equal(t, fmt.Sprintf("epoch=%d version=%d\n", life, number), text)
 		p.Kill()
 		p, _ = startSource(t, of, dir, source)
 		number++
-		require.Contains(t, p.Log(), fmt.Sprintf("event=source-started epoch=%d version=%d entries=%d", life+1, number, life))
+		require.Contains(
+			t,
+			p.Log(),
+			fmt.Sprintf("event=source-started epoch=%d version=%d entries=%d", life+1, number, life),
+		)
 		require.Eventually(t, limiter.has(life+1, number), soon, 10*time.Millisecond, "life %d", life)
 	}
-	text, ok := run(t, "publish", "--source", source, "--kind", "plans", "--key", "late", "--value", "x", "--epoch", "3")
+	text, ok := run(
+		t,
+		"publish",
+		"--source",
+		source,
+		"--kind",
+		"plans",
+		"--key",
+		"late",
+		"--value",
+		"x",
+		"--epoch",
+		"3",
+	)
 	require.False(t, ok, text)
 	require.Contains(t, text, "epoch 3 is not the open one, which is 4")
 	p.Kill()
@@ -215,8 +257,8 @@
 	require.Contains(t, p.Log(), "event=source-started epoch=2 version=5 entries=4")
 }
 
-// TestReplacedSource has an older source that still runs beside a newer epoch's: a call from that epoch's version fences it, and
-// it publishes nothing more.
+// TestReplacedSource has an older source that still runs beside a newer epoch's: a call from that epoch's version
+// fences it, and it publishes nothing more.
 func TestReplacedSource(t *testing.T) {
 	of := programs(t)
 	_, older := startSource(t, of, t.TempDir(), "127.0.0.1:0")
@@ -225,7 +267,12 @@
 	require.Eventually(t, follow(t, "one", relay).has(2, 1), soon, 10*time.Millisecond)
 	client := transport.NewClient(older, time.Second)
 	defer client.Close()
-	_, _ = client.Changes(context.Background(), distribution.ChangesRequest{From: distribution.Version{Epoch: 2, Number: 1}}, 0, time.Second)
+	_, _ = client.Changes(
+		context.Background(),
+		distribution.ChangesRequest{From: distribution.Version{Epoch: 2, Number: 1}},
+		0,
+		time.Second,
+	)
 	text, ok := run(t, "publish", "--source", older, "--kind", "plans", "--key", "k", "--value", "x")
 	require.False(t, ok, text)
 	require.Contains(t, text, "epoch 1 is not the open one, which is 2")
@@ -340,7 +387,12 @@
 	has := func(version distribution.Version, limiters int) distribution.VersionCount {
 		return distribution.VersionCount{Version: version, Limiters: limiters}
 	}
-	good := distribution.Summary{Relay: "a/r", Version: head, Age: 5e8, Versions: []distribution.VersionCount{has(head, 4)}}
+	good := distribution.Summary{
+		Relay:    "a/r",
+		Version:  head,
+		Age:      5e8,
+		Versions: []distribution.VersionCount{has(head, 4)},
+	}
 	behind, unconfirmed := good, good
 	behind.Relay, behind.Versions = "b/r", []distribution.VersionCount{has(head, 1), has(older, 2)}
 	behind.Refusals = []distribution.Refusal{{VersionCount: has(head, 2), Reason: "no address"}}
@@ -363,7 +415,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out strings.Builder
-			err := status(t.Context(), &statusOptions{source: startFake(t, &fake{head: head, overview: c.overview}), timeout: soon}, &out)
+			err := status(
+				t.Context(),
+				&statusOptions{source: startFake(t, &fake{head: head, overview: c.overview}), timeout: soon},
+				&out,
+			)
 			if c.want == nil {
 				require.NoError(t, err)
 			} else {
--- a/cmd/configdist/errors.go
+++ b/cmd/configdist/errors.go
@@ -59,8 +59,14 @@
 }
 
 func (e *NotInForceError) Error() string {
-	return fmt.Sprintf("version %v is in force at %d of %d limiters, %d unconfirmed, %d relays silent", e.Version, e.InForce,
-		e.Limiters, e.Unconfirmed, e.Silent)
+	return fmt.Sprintf(
+		"version %v is in force at %d of %d limiters, %d unconfirmed, %d relays silent",
+		e.Version,
+		e.InForce,
+		e.Limiters,
+		e.Unconfirmed,
+		e.Silent,
+	)
 }
 
 // Hint is what to do.
--- a/cmd/configdist/journal.go
+++ b/cmd/configdist/journal.go
@@ -7,15 +7,15 @@
 	"net/http"
 	"sync"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/distribution"
 	"ospreycroft/internal/distribution/statefile"
 	"ospreycroft/internal/hint"
-	"ospreycroft/internal/snapshot"
 )
 
-// journal keeps a source's state on a disk: each write to the source is answered only once the state with it is there. A change
-// that a relay has read before the disk had it, and that a crash then loses, is taken back everywhere by the next writer's
-// epoch; its publisher had no answer.
+// journal keeps a source's state on a disk: each write to the source is answered only once the state with it is there.
+// A change that a relay has read before the disk had it, and that a crash then loses, is taken back everywhere by the
+// next writer's epoch; its publisher had no answer.
 type journal struct {
 	mutex sync.Mutex // over all writes, in their order
 	log   *distribution.Log
@@ -24,11 +24,14 @@
 	next  http.Handler
 }
 
-// openJournal reads what an earlier life has left; both are of the same state, one for the source and one for the journal.
-// Errors: *SourceStateError.
+// openJournal reads what an earlier life has left; both are of the same state, one for the source and one for the
+// journal. Errors: *SourceStateError.
 func openJournal(options *sourceOptions, clock func() int64) (*journal, *distribution.Log, error) {
-	j := &journal{clock: clock, place: statefile.Place{Dir: options.dir, Installation: options.installation, Subscriber: options.name,
-		MaxAge: math.MaxInt64, Files: snapshot.Disk{}}}
+	j := &journal{
+		clock: clock,
+		place: statefile.Place{Dir: options.dir, Installation: options.installation, Subscriber: options.name,
+			MaxAge: math.MaxInt64, Files: atomicfile.Disk{}},
+	}
 	held, err := j.place.Load(clock())
 	if err != nil {
 		return nil, nil, &SourceStateError{Path: j.place.Path(), Cause: err}
@@ -84,7 +87,9 @@
 	if err != nil {
 		return err
 	}
-	return j.place.Save(&distribution.Snapshot{Version: j.log.Head(), Taken: j.clock(), Entries: j.log.State().Entries()})
+	return j.place.Save(
+		&distribution.Snapshot{Version: j.log.Head(), TakenAt: j.clock(), Entries: j.log.State().Entries()},
+	)
 }
 
 // recorded is an answer that is not sent yet.
--- a/cmd/configdist/main.go
+++ b/cmd/configdist/main.go
@@ -1,5 +1,5 @@
-// Command configdist distributes configuration to limiters: it runs the source and the relays, publishes changes, and tells
-// which version is in force where. docs/distribution.md describes the design.
+// Command configdist distributes configuration to limiters: it runs the source and the relays, publishes changes, and
+// tells which version is in force where. docs/distribution.md describes the design.
 package main
 
 import (
@@ -27,7 +27,12 @@
 }
 
 func root() *cobra.Command {
-	top := &cobra.Command{Use: "configdist", Short: "distributes configuration to limiters", SilenceUsage: true, SilenceErrors: true}
+	top := &cobra.Command{
+		Use:           "configdist",
+		Short:         "distributes configuration to limiters",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
 	top.AddCommand(sourceCommand(), relayCommand(), publishCommand(), statusCommand())
 	return top
 }
--- a/cmd/configdist/publish.go
+++ b/cmd/configdist/publish.go
@@ -25,9 +25,13 @@
 
 func publishCommand() *cobra.Command {
 	o := &publishOptions{}
-	c := &cobra.Command{Use: "publish", Short: "publish one change: an entry by flags, or several from a file", Args: cobra.NoArgs,
-		Long: "The file is a JSON list of {\"kind\":\"\",\"scope\":\"\",\"name\":\"\",\"value\":\"\",\"delete\":true}; they come in force together.",
-		RunE: func(c *cobra.Command, _ []string) error { return publish(c.Context(), o, c.OutOrStdout()) }}
+	c := &cobra.Command{
+		Use:   "publish",
+		Short: "publish one change: an entry by flags, or several from a file",
+		Args:  cobra.NoArgs,
+		Long:  "The file is a JSON list of {\"kind\":\"\",\"scope\":\"\",\"name\":\"\",\"value\":\"\",\"delete\":true}; they come in force together.",
+		RunE:  func(c *cobra.Command, _ []string) error { return publish(c.Context(), o, c.OutOrStdout()) },
+	}
 	c.Flags().StringVar(&o.source, "source", "127.0.0.1:7401", "address of the source")
 	c.Flags().StringVar(&o.file, "file", "", "JSON file with the entries, in place of the flags of one entry")
 	c.Flags().StringVar(&o.kind, "kind", "", "kind of the entry: routes, tenants, plans or endpoints")
@@ -40,8 +44,8 @@
 	return c
 }
 
-// publish publishes the change for the source's head, so that it is safe to repeat, and prints its version. Errors: *FlagError,
-// and those of transport.Client.
+// publish publishes the change for the source's head, so that it is safe to repeat, and prints its version. Errors:
+// *FlagError, and those of transport.Client.
 func publish(ctx context.Context, o *publishOptions, out io.Writer) error {
 	mutations, err := o.mutations()
 	if err != nil {
@@ -57,7 +61,11 @@
 	if epoch == 0 {
 		epoch = head.Epoch
 	}
-	change, err := client.Publish(ctx, transport.Publication{Epoch: epoch, Expected: &head, Mutations: mutations}, o.timeout)
+	change, err := client.Publish(
+		ctx,
+		transport.Publication{Epoch: epoch, Expected: &head, Mutations: mutations},
+		o.timeout,
+	)
 	if err != nil {
 		return err
 	}
@@ -71,7 +79,10 @@
 		if o.kind == "" || o.key == "" {
 			return nil, &FlagError{Name: "--kind and --key", Value: "empty", Want: "the entry's, or --file"}
 		}
-		entry := distribution.Entry{Key: distribution.Key{Kind: distribution.Kind(o.kind), Scope: o.scope, Name: o.key}, Value: o.value}
+		entry := distribution.Entry{
+			Key:   distribution.Key{Kind: distribution.Kind(o.kind), Scope: o.scope, Name: o.key},
+			Value: o.value,
+		}
 		return []distribution.Mutation{{Entry: entry, Delete: o.delete}}, nil
 	}
 	if o.kind != "" || o.scope != "" || o.key != "" || o.value != "" || o.delete {
--- a/cmd/configdist/relay.go
+++ b/cmd/configdist/relay.go
@@ -28,7 +28,8 @@
 	c.Flags().StringVar(&o.source, "source", "", "address of the source")
 	c.Flags().StringVar(&o.zone, "zone", "", "zone that it serves")
 	c.Flags().StringVar(&o.name, "name", "relay", "name of the relay within its zone")
-	c.Flags().DurationVar(&o.dialTimeout, "dial-timeout", 500*time.Millisecond, "a connection to the source that takes longer is given up")
+	c.Flags().
+		DurationVar(&o.dialTimeout, "dial-timeout", 500*time.Millisecond, "a connection to the source that takes longer is given up")
 	return c
 }
 
@@ -50,11 +51,15 @@
 	name := o.zone + "/" + o.name
 	relay := distribution.NewRelay(clock(), distribution.RelayOptions{Name: name})
 	server := transport.NewRelayServer(relay, clock)
-	follower := transport.NewRelayFollower(relay, server, transport.FollowerOptions{Servers: [2]string{o.source, o.source},
-		DialTimeout: o.dialTimeout, Position: positionOf(name), Clock: clock, Report: reportCalls(clock),
-		Changed: func(s *distribution.Snapshot) {
-			log.Printf("event=config-version epoch=%d version=%d", s.Version.Epoch, s.Version.Number)
-		}})
+	follower := transport.NewRelayFollower(
+		relay,
+		server,
+		transport.FollowerOptions{Servers: [2]string{o.source, o.source},
+			DialTimeout: o.dialTimeout, Position: positionOf(name), Clock: clock, Report: reportCalls(clock),
+			Changed: func(s *distribution.Snapshot) {
+				log.Printf("event=config-version epoch=%d version=%d", s.Version.Epoch, s.Version.Number)
+			}},
+	)
 	ctx, cancel := context.WithCancel(ctx)
 	var following sync.WaitGroup
 	following.Go(func() { follower.Run(ctx) })
--- a/cmd/configdist/source.go
+++ b/cmd/configdist/source.go
@@ -55,7 +55,12 @@
 	if err != nil {
 		return err
 	}
-	log.Printf("event=source-started epoch=%d version=%d entries=%d", change.Version.Epoch, change.Version.Number, source.State().Len())
+	log.Printf(
+		"event=source-started epoch=%d version=%d entries=%d",
+		change.Version.Epoch,
+		change.Version.Number,
+		source.State().Len(),
+	)
 	served := transport.NewSourceServer(source, clock)
 	journal.next = served
 	server := served.HTTP()
--- a/cmd/configdist/status.go
+++ b/cmd/configdist/status.go
@@ -62,21 +62,43 @@
 	oldest := head
 	for _, relay := range overview.Relays {
 		report.Unconfirmed += relay.Unconfirmed
-		fmt.Fprintf(&lines, "relay=%s version=%v age_s=%.3f limiters=%d syncing=%d unconfirmed=%d older=%d\n", relay.Relay, relay.Version,
-			float64(relay.Age)/1e9, relay.Limiters(), relay.Syncing, relay.Unconfirmed, relay.Older)
+		fmt.Fprintf(
+			&lines,
+			"relay=%s version=%v age_s=%.3f limiters=%d syncing=%d unconfirmed=%d older=%d\n",
+			relay.Relay,
+			relay.Version,
+			float64(relay.Age)/1e9,
+			relay.Limiters(),
+			relay.Syncing,
+			relay.Unconfirmed,
+			relay.Older,
+		)
 		for _, count := range relay.Versions {
 			if count.Version.Less(oldest) {
 				oldest = count.Version
 			}
 		}
 		for _, refusal := range relay.Refusals {
-			fmt.Fprintf(&lines, "refused=%v relay=%s limiters=%d reason=%q\n", refusal.Version, relay.Relay, refusal.Limiters, refusal.Reason)
+			fmt.Fprintf(
+				&lines,
+				"refused=%v relay=%s limiters=%d reason=%q\n",
+				refusal.Version,
+				relay.Relay,
+				refusal.Limiters,
+				refusal.Reason,
+			)
 		}
 	}
 	for _, name := range overview.Silent {
 		fmt.Fprintf(&lines, "silent=%s\n", name)
 	}
-	first := fmt.Sprintf("version=%v in_force=%d limiters=%d unconfirmed=%d oldest=%v\n", head, report.InForce, report.Limiters,
-		report.Unconfirmed, oldest)
+	first := fmt.Sprintf(
+		"version=%v in_force=%d limiters=%d unconfirmed=%d oldest=%v\n",
+		head,
+		report.InForce,
+		report.Limiters,
+		report.Unconfirmed,
+		oldest,
+	)
 	return report, first + lines.String()
 }
--- a/cmd/ospreycroft/descriptors_test.go
+++ b/cmd/ospreycroft/descriptors_test.go
@@ -21,7 +21,8 @@
 // reachedWithin is how soon after discovery's return its list has to be heard and used.
 const reachedWithin = 6 * time.Second
 
-// idlers are clients that take every connection that they are let have, say nothing, and come again when they are closed.
+// idlers are clients that take every connection that they are let have, say nothing, and come again when they are
+// closed.
 func idlers(t *testing.T, address string, many int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -82,11 +83,19 @@
 	case l.heard <- time.Now():
 	default:
 	}
-	_, _ = fmt.Fprintf(w, `{"generation":2,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service","weight":1}]}`, l.server)
+	_, _ = fmt.Fprintf(
+		w,
+		`{"generation":2,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service","weight":1}]}`,
+		l.server,
+	)
 }
 
 // limited starts the program with so many descriptors, of which its configuration says another number, and no server.
-func limited(t *testing.T, descriptors, configured int, discovery string) (address string, program *exec.Cmd, log *os.File) {
+func limited(
+	t *testing.T,
+	descriptors, configured int,
+	discovery string,
+) (address string, program *exec.Cmd, log *os.File) {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -115,9 +124,9 @@
 	return address, program, log
 }
 
-// TestIdleClientsInOutage: idle clients take every descriptor that they are let have while discovery refuses. Once it is back its list
-// is heard, and a request on a client's connection that was open all the while is served, in time. The second case is a process that
-// may hold fewer descriptors than its configuration says.
+// TestIdleClientsInOutage: idle clients take every descriptor that they are let have while discovery refuses. Once it
+// is back its list is heard, and a request on a client's connection that was open all the while is served, in time.
+// The second case is a process that may hold fewer descriptors than its configuration says.
 func TestIdleClientsInOutage(t *testing.T) {
 	for _, c := range []struct{ descriptors, configured int }{{96, 96}, {64, 1024}} {
 		t.Run(fmt.Sprintf("%d descriptors, %d configured", c.descriptors, c.configured), func(t *testing.T) {
@@ -175,8 +184,14 @@
 			text, err := os.ReadFile(log.Name())
 			require.NoError(t, err)
 			require.Less(t, len(text), 1<<16, "it floods its log")
-			t.Logf("%d descriptors held, %d sockets; the list was asked for %v after discovery's return, a request served in %v; %d bytes of log",
-				all, sockets, heard.Sub(back), time.Since(sent), len(text))
+			t.Logf(
+				"%d descriptors held, %d sockets; the list was asked for %v after discovery's return, a request served in %v; %d bytes of log",
+				all,
+				sockets,
+				heard.Sub(back),
+				time.Since(sent),
+				len(text),
+			)
 		})
 	}
 }
--- a/cmd/ospreycroft/distribution.go
+++ b/cmd/ospreycroft/distribution.go
@@ -8,20 +8,21 @@
 	"sync"
 	"time"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/distribution"
 	"ospreycroft/internal/distribution/statefile"
 	"ospreycroft/internal/distribution/transport"
 	"ospreycroft/internal/hint"
 	"ospreycroft/internal/operator"
 	"ospreycroft/internal/settings"
-	"ospreycroft/internal/snapshot"
 )
 
 const (
 	watchEvery     = time.Second      // between two looks at how the distribution stands
 	callErrorEvery = 10 * time.Second // a failed call is logged no more often for each type of error
 	places         = 4096             // of limiters without a stated one
-	savesInOldest  = 8                // a state that does not change is saved so often within the age up to which it is believed
+	// a state that does not change is saved so often within the age up to which it is believed
+	savesInOldest = 8
 )
 
 // renewals gives the reducer the configurations that come while it runs: that of the file, with the addresses that the
@@ -61,8 +62,8 @@
 
 func (r *renewals) hasCounter() bool { return r.file.Settings.CounterTimeout > 0 }
 
-// reread takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs the
-// reducer says that it holds from the next start on, so only the addresses are noted.
+// reread takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs
+// the reducer says that it holds from the next start on, so only the addresses are noted.
 func (r *renewals) reread(file *settings.Config) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -79,13 +80,15 @@
 	r.send(config)
 }
 
-// move puts the distribution's addresses in force, both or neither. Errors: *distribution.FixedKeyError for the counter of a
-// limiter that has none.
+// move puts the distribution's addresses in force, both or neither. Errors: *distribution.FixedKeyError for the
+// counter of a limiter that has none.
 func (r *renewals) move(addresses distribution.Addresses) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if addresses.Counter != "" && !r.hasCounter() {
-		return &distribution.FixedKeyError{Key: distribution.Key{Kind: distribution.KindEndpoints, Name: distribution.EndpointCounter}}
+		return &distribution.FixedKeyError{
+			Key: distribution.Key{Kind: distribution.KindEndpoints, Name: distribution.EndpointCounter},
+		}
 	}
 	r.addresses = addresses
 	if r.running {
@@ -106,17 +109,18 @@
 	*transport.Follower
 	subscriber *distribution.Subscriber
 	renewals   *renewals
-	place      *statefile.Place  // nil where no state is kept
-	writer     *statefile.Writer // nil where no state is kept
-	restored   bool              // it began with a state from the disk,
-	started    int64             // then
-	logged     map[string]int64  // when a type of error was last logged
+	place      *statefile.Place                          // nil where no state is kept
+	writer     *atomicfile.Writer[distribution.Snapshot] // nil where no state is kept
+	restored   bool                                      // it began with a state from the disk,
+	started    int64                                     // then
+	logged     map[string]int64                          // when a type of error was last logged
 	clock      func() int64
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
 
-// newFollower makes the follower of a limiter and puts the state on the disk in force; nil where the operator names no relays.
+// newFollower makes the follower of a limiter and puts the state on the disk in force; nil where the operator names no
+// relays.
 func newFollower(config *settings.Config, o *operator.Options, renewals *renewals, clock func() int64) *follower {
 	if o.Distribution.Relays == [2]string{} {
 		return nil
@@ -124,13 +128,22 @@
 	scope, _ := distribution.ParseScope(o.Distribution.Scope) // package operator has checked it
 	applier := &distribution.LimiterApplier{Move: renewals.move}
 	f := &follower{renewals: renewals, clock: clock, started: clock(), logged: map[string]int64{}}
-	f.subscriber = distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: config.Name, Scope: scope, Applier: applier})
+	f.subscriber = distribution.NewSubscriber(
+		clock(),
+		distribution.SubscriberOptions{Name: config.Name, Scope: scope, Applier: applier},
+	)
 	f.Follower = transport.NewFollower(f.subscriber, transport.FollowerOptions{Servers: o.Distribution.Relays,
 		DialTimeout: time.Duration(config.Settings.DialTimeout), Position: position(config), Clock: clock,
 		Report: f.report, Changed: f.changed})
 	if o.Distribution.StatePath != "" {
-		f.place = &statefile.Place{Dir: o.Distribution.StatePath, Installation: o.Installation, Subscriber: config.Name, Scope: scope,
-			MaxAge: o.Distribution.StateMaxAge, Files: snapshot.Disk{}}
+		f.place = &statefile.Place{
+			Dir:          o.Distribution.StatePath,
+			Installation: o.Installation,
+			Subscriber:   config.Name,
+			Scope:        scope,
+			MaxAge:       o.Distribution.StateMaxAge,
+			Files:        atomicfile.Disk{},
+		}
 		f.restore()
 	}
 	return f
@@ -159,7 +172,7 @@
 	}
 	state, err := distribution.NewStateOf(held.Entries)
 	if err == nil {
-		err = f.subscriber.Restore(held.Version, state, max(now-held.Taken, 0))
+		err = f.subscriber.Restore(held.Version, state, max(now-held.TakenAt, 0))
 	}
 	if err != nil {
 		log.Printf("event=config-refused %s", hint.LogFields(err))
@@ -213,7 +226,8 @@
 	log.Printf("event=config-call-failed %s", hint.LogFields(err))
 }
 
-// watch logs when the version in force is unconfirmed and when it is confirmed again, and saves a state that does not change.
+// watch logs when the version in force is unconfirmed and when it is confirmed again, and saves a state that does not
+// change.
 func (f *follower) watch(ctx context.Context) {
 	ticker := time.NewTicker(watchEvery)
 	defer ticker.Stop()
@@ -240,8 +254,8 @@
 	}
 }
 
-// status is how the subscriber stands, and whether its version is unconfirmed. One from the disk is, until the source was heard in
-// this life: until then its age is not below this life's.
+// status is how the subscriber stands, and whether its version is unconfirmed. One from the disk is, until the source
+// was heard in this life: until then its age is not below this life's.
 func (f *follower) status() (status distribution.Status, unconfirmed bool) {
 	f.Do(func(now int64, s *distribution.Subscriber) {
 		status = s.Status(now)
--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -18,6 +18,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/distribution"
 	"ospreycroft/internal/distribution/statefile"
 	"ospreycroft/internal/distribution/transport"
@@ -28,7 +29,6 @@
 	"ospreycroft/internal/lab/ports"
 	"ospreycroft/internal/operator"
 	"ospreycroft/internal/settings"
-	"ospreycroft/internal/snapshot"
 )
 
 const (
@@ -146,7 +146,13 @@
 	require.NoError(t, err)
 	t.Cleanup(n.source.Kill)
 	for i, zone := range []string{"a", "b"} {
-		n.links[i], err = faultproxy.New(zone, "source", n.address, []faultproxy.Fault{{Kind: faultproxy.Cut, From: cutFrom, Until: cutUntil}}, 1)
+		n.links[i], err = faultproxy.New(
+			zone,
+			"source",
+			n.address,
+			[]faultproxy.Fault{{Kind: faultproxy.Cut, From: cutFrom, Until: cutUntil}},
+			1,
+		)
 		require.NoError(t, err)
 		t.Cleanup(n.links[i].Close)
 		n.startRelay(t, i, "127.0.0.1:0")
@@ -188,7 +194,11 @@
 	t.Helper()
 	client := transport.NewClient(n.address, time.Second)
 	defer client.Close()
-	change, err := client.Publish(context.Background(), transport.Publication{Epoch: 1, Mutations: []distribution.Mutation{mutation}}, soon)
+	change, err := client.Publish(
+		context.Background(),
+		transport.Publication{Epoch: 1, Mutations: []distribution.Mutation{mutation}},
+		soon,
+	)
 	require.NoError(t, err)
 	return change.Version.Number
 }
@@ -217,9 +227,19 @@
 		"granularity":0.004}}`, l.address, at.Address(0), known)
 	require.NoError(t, os.WriteFile(l.path, []byte(l.text), 0o600))
 	stated := filepath.Join(n.dir, "operator.toml")
-	require.NoError(t, os.WriteFile(stated, fmt.Appendf(nil, "installation = 'i'\n[distribution]\nrelays = [%q, %q]\nstate_path = %q\noldest_s = 600\n",
-		servers[0], servers[1], n.state), 0o600))
-	l.Process, err = distbench.Start(os.Args[0], []string{"OSPREYCROFT_IS_THE_PROGRAM=1", "GW_CONFIG=" + l.path, operator.Variable + "=" + stated})
+	require.NoError(
+		t,
+		os.WriteFile(
+			stated,
+			fmt.Appendf(nil, "installation = 'i'\n[distribution]\nrelays = [%q, %q]\nstate_path = %q\noldest_s = 600\n",
+				servers[0], servers[1], n.state),
+			0o600,
+		),
+	)
+	l.Process, err = distbench.Start(
+		os.Args[0],
+		[]string{"OSPREYCROFT_IS_THE_PROGRAM=1", "GW_CONFIG=" + l.path, operator.Variable + "=" + stated},
+	)
 	require.NoError(t, err)
 	t.Cleanup(l.Kill)
 	require.NoError(t, l.Reachable(l.address))
@@ -285,7 +305,10 @@
 		c.served = append(c.served, id)
 		_, err = in.ReadString('\n')
 	} else {
-		c.rejected = append(c.rejected, fmt.Sprintf("%s: %q, %v, at %s", id, line, err, time.Now().Format(time.StampMicro)))
+		c.rejected = append(
+			c.rejected,
+			fmt.Sprintf("%s: %q, %v, at %s", id, line, err, time.Now().Format(time.StampMicro)),
+		)
 	}
 	return err
 }
@@ -307,8 +330,9 @@
 	}
 }
 
-// TestPublishedAddress moves a limiter under load by publications: it asks the new discovery, each request is answered and runs
-// once. An address that is none is refused whole, and what was in force serves; SIGHUP keeps what was published.
+// TestPublishedAddress moves a limiter under load by publications: it asks the new discovery, each request is answered
+// and runs once. An address that is none is refused whole, and what was in force serves; SIGHUP keeps what was
+// published.
 func TestPublishedAddress(t *testing.T) {
 	t.Parallel()
 	n := startNetwork(t)
@@ -334,8 +358,8 @@
 	require.True(t, ended && err == nil, l.Log())
 }
 
-// TestMendedPublication publishes what cannot be put in force, an address that is none and a key that a running limiter cannot
-// change, and each time a change that mends it: that one is in force.
+// TestMendedPublication publishes what cannot be put in force, an address that is none and a key that a running
+// limiter cannot change, and each time a change that mends it: that one is in force.
 func TestMendedPublication(t *testing.T) {
 	t.Parallel()
 	n := startNetwork(t)
@@ -392,8 +416,9 @@
 	}
 }
 
-// TestCutOff cuts both relays off from the source while an address is published: the limiter serves on, and moves once the way
-// is healed. Then both relays are gone: it says that its version is unconfirmed, and one that is back confirms it.
+// TestCutOff cuts both relays off from the source while an address is published: the limiter serves on, and moves once
+// the way is healed. Then both relays are gone: it says that its version is unconfirmed, and one that is back confirms
+// it.
 func TestCutOff(t *testing.T) {
 	t.Parallel()
 	n := startNetwork(t)
@@ -418,8 +443,8 @@
 	c.judge(t, l, first, second)
 }
 
-// TestRestart kills a limiter whose relays are gone: in its next life it serves what was in force from its disk, unconfirmed,
-// though its file says another address. With the state spoilt it says so and starts by its file.
+// TestRestart kills a limiter whose relays are gone: in its next life it serves what was in force from its disk,
+// unconfirmed, though its file says another address. With the state spoilt it says so and starts by its file.
 func TestRestart(t *testing.T) {
 	t.Parallel()
 	n := startNetwork(t)
@@ -468,11 +493,13 @@
 // withCounter is a configuration of a limiter with a counter.
 func withCounter(t *testing.T, discovery, counter string) *settings.Config {
 	t.Helper()
-	config, err := settings.DecodeConfig(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:1","discovery":%q,"counter":%q,"seed":"ff",
+	config, err := settings.DecodeConfig(
+		fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:1","discovery":%q,"counter":%q,"seed":"ff",
 		"limits":{"memory_mb":192,"sockets":1024},"known":{"generation":1},"settings":{"balancers":1,"classes":
 		[{"name":"c","aim":1,"effect":"free","group":"all"}],"tariffs":[{"name":"p","rate":5,"most-at-once":10}],
 		"family-info":{"has-counter":true,"count-wait":0.05,"units-top":4},"contract":{"cold-from":0.3,"warm-within":10},
-		"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15},"granularity":0.004}}`, discovery, counter))
+		"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15},"granularity":0.004}}`, discovery, counter),
+	)
 	require.NoError(t, err)
 	return config
 }
@@ -488,9 +515,18 @@
 		config := <-r.next
 		return []string{config.Discovery, config.Counter}
 	}
-	require.Equal(t, []string{"b:1", "b:2"}, taken(func() { _ = r.move(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}) }))
+	require.Equal(
+		t,
+		[]string{"b:1", "b:2"},
+		taken(func() { _ = r.move(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}) }),
+	)
 	require.Equal(t, []string{"b:1", "b:2"}, taken(func() { r.reread(withCounter(t, "c:1", "c:2")) }), "SIGHUP")
-	require.Equal(t, []string{"c:1", "d:2"}, taken(func() { _ = r.move(distribution.Addresses{Counter: "d:2"}) }), "the file's newest")
+	require.Equal(
+		t,
+		[]string{"c:1", "d:2"},
+		taken(func() { _ = r.move(distribution.Addresses{Counter: "d:2"}) }),
+		"the file's newest",
+	)
 	close(r.done)
 	require.NoError(t, r.move(distribution.Addresses{Counter: "e:2"}), "the reducer takes no more")
 }
@@ -513,7 +549,8 @@
 	require.Equal(t, config, r.start())
 }
 
-// TestFollowerEnds ends a follower in the middle of a move that the reducer no longer takes, with no relay there: nothing is left.
+// TestFollowerEnds ends a follower in the middle of a move that the reducer no longer takes, with no relay there:
+// nothing is left.
 func TestFollowerEnds(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	config := withCounter(t, "a:1", "a:2")
@@ -533,8 +570,8 @@
 	require.Less(t, time.Since(begun), time.Second)
 }
 
-// TestUnchangedState keeps a state that does not change: it is saved again while it is confirmed, so that it does not become too
-// old to be believed.
+// TestUnchangedState keeps a state that does not change: it is saved again while it is confirmed, so that it does not
+// become too old to be believed.
 func TestUnchangedState(t *testing.T) {
 	t.Parallel()
 	n := startNetwork(t)
@@ -547,12 +584,18 @@
 	_ = r.start()
 	defer f.start()()
 	taken := func() int64 {
-		place := statefile.Place{Dir: n.state, Installation: "i", Subscriber: "n", MaxAge: int64(time.Hour), Files: snapshot.Disk{}}
+		place := statefile.Place{
+			Dir:          n.state,
+			Installation: "i",
+			Subscriber:   "n",
+			MaxAge:       int64(time.Hour),
+			Files:        atomicfile.Disk{},
+		}
 		held, err := place.Load(time.Now().UnixNano())
 		if err != nil || held == nil {
 			return 0
 		}
-		return held.Taken
+		return held.TakenAt
 	}
 	require.Eventually(t, func() bool { return taken() > 0 }, soon, 5*time.Millisecond)
 	first := taken()
--- a/cmd/ospreycroft/end_test.go
+++ b/cmd/ospreycroft/end_test.go
@@ -49,8 +49,13 @@
 	require.NoError(t, err)
 	listen := free.Addr().String()
 	_ = free.Close()
-	e := &ending{t: t, config: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1), counter: testbed.Listen(t),
-		moved: testbed.Listen(t)}
+	e := &ending{
+		t:       t,
+		config:  filepath.Join(t.TempDir(), "config.json"),
+		ended:   make(chan error, 1),
+		counter: testbed.Listen(t),
+		moved:   testbed.Listen(t),
+	}
 	e.configure(listen, e.counter.Address, server)
 	e.program = exec.Command(os.Args[0])
 	e.program.Env = append(os.Environ(), "OSPREYCROFT_IS_THE_PROGRAM=1", "GW_CONFIG="+e.config)
@@ -81,8 +86,8 @@
 	}
 }
 
-// TestSignalsAsItEnds: SIGTERM finds a request in each state, and SIGTERM again and SIGHUP twice come behind it. The request is served, its
-// units are settled, at the counter's new place, and the process ends in order and in time.
+// TestSignalsAsItEnds: SIGTERM finds a request in each state, and SIGTERM again and SIGHUP twice come behind it. The
+// request is served, its units are settled, at the counter's new place, and the process ends in order and in time.
 func TestSignalsAsItEnds(t *testing.T) {
 	for _, state := range []string{"reserving", "dialling", "sent"} {
 		t.Run(state, func(t *testing.T) {
@@ -146,7 +151,8 @@
 	}
 }
 
-// TestLogBreaksOff: who reads the log may end first, where both are told to end together. What was taken is answered all the same.
+// TestLogBreaksOff: who reads the log may end first, where both are told to end together. What was taken is answered
+// all the same.
 func TestLogBreaksOff(t *testing.T) {
 	server := testbed.Listen(t)
 	read, write, err := os.Pipe()
--- a/cmd/ospreycroft/main.go
+++ b/cmd/ospreycroft/main.go
@@ -1,4 +1,5 @@
-// Command ospreycroft is one real limiter: it takes clients' requests and sends them to servers as package choice decides.
+// Command ospreycroft is one real limiter: it takes clients' requests and sends them to servers as package choice
+// decides.
 package main
 
 import (
@@ -16,6 +17,7 @@
 
 	"github.com/spf13/cobra"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/coldstart"
 	"ospreycroft/internal/counterloss"
 	"ospreycroft/internal/discovery"
@@ -78,13 +80,16 @@
 	return nil
 }
 
-// startBounds states what a start of all limiters costs the list service, and how late news can come. A budget that is too
-// small for the list's clock is said, and is no error.
+// startBounds states what a start of all limiters costs the list service, and how late news can come. A budget that is
+// too small for the list's clock is said, and is no error.
 func startBounds(config *settings.Config, o *operator.Options, say func(string)) error {
-	set := limiter.ColdStartSettings(config, limiter.OperatorOptions{DiscoveryCallRate: o.DiscoveryCallRate, ConnectionRate: o.ConnectionRate})
+	set := limiter.ColdStartSettings(
+		config,
+		limiter.OperatorOptions{DiscoveryCallRate: o.DiscoveryCallRate, ConnectionRate: o.ConnectionRate},
+	)
 	servers := 0
 	if list, err := discovery.DecodeList(config.Known); err == nil {
-		servers = len(list.Entries)
+		servers = len(list.Endpoints)
 	}
 	a, err := set.Advise(servers)
 	var late *coldstart.LateNotificationError
@@ -96,7 +101,13 @@
 			a.CallRate, a.StatedRate, a.EvenRate, float64(a.AllPolledWithin)/1e9))
 	}
 	if a.ConnectionRate > 0 {
-		say(fmt.Sprintf("event=start-bound connections_per_s=%.4g one_limiter=%.4g", set.ConnectionRate, a.ConnectionRate))
+		say(
+			fmt.Sprintf(
+				"event=start-bound connections_per_s=%.4g one_limiter=%.4g",
+				set.ConnectionRate,
+				a.ConnectionRate,
+			),
+		)
 	}
 	if late != nil {
 		say("event=list-late " + hint.LogFields(late))
@@ -104,19 +115,24 @@
 	return nil
 }
 
-// snapshots reads what an earlier life of this limiter has left on a disk and begins to write there. Whatever is wrong with it
-// is logged, and the start goes on without it.
+// snapshots reads what an earlier life of this limiter has left on a disk and begins to write there. Whatever is wrong
+// with it is logged, and the start goes on without it.
 func snapshots(config *settings.Config, o *operator.Options, stated *limiter.OperatorOptions) (stop func()) {
 	if o.SnapshotPath == "" {
 		return func() {}
 	}
-	place := snapshot.Place{Dir: o.SnapshotPath, Installation: o.Installation, Limiter: config.Name, MaxAge: o.SnapshotMaxAge}
+	place := snapshot.Place{
+		Dir:          o.SnapshotPath,
+		Installation: o.Installation,
+		Limiter:      config.Name,
+		MaxAge:       o.SnapshotMaxAge,
+	}
 	var err error
-	stated.Snapshot, err = place.Load(snapshot.Disk{}, time.Now().UnixNano())
+	stated.Snapshot, err = place.Load(atomicfile.Disk{}, time.Now().UnixNano())
 	if err != nil {
 		log.Printf("event=snapshot-refused %s", hint.LogFields(err))
 	}
-	w := snapshot.NewWriter(snapshot.Disk{}, place, func(err error) {
+	w := snapshot.NewWriter(atomicfile.Disk{}, place, func(err error) {
 		if err == nil {
 			log.Printf("event=snapshot-written")
 			return
--- a/cmd/ospreycroft/renew_test.go
+++ b/cmd/ospreycroft/renew_test.go
@@ -12,8 +12,8 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// TestRefusedRenewal sends SIGHUP for files that cannot work: each is turned down whole, with its key in the log, and nothing
-// moves. A good one behind them moves the list service.
+// TestRefusedRenewal sends SIGHUP for files that cannot work: each is turned down whole, with its key in the log, and
+// nothing moves. A good one behind them moves the list service.
 func TestRefusedRenewal(t *testing.T) {
 	first, second := testbed.Listen(t), testbed.Listen(t)
 	_, program, ended, log := start(t, first.Address)
--- a/cmd/ospreycroft/stop_test.go
+++ b/cmd/ospreycroft/stop_test.go
@@ -78,7 +78,11 @@
 }
 
 // start starts the program and waits until it listens.
-func start(t *testing.T, discovery string, servers ...emulator.Instance) (address string, program *exec.Cmd, ended chan error,
+func start(
+	t *testing.T,
+	discovery string,
+	servers ...emulator.Instance,
+) (address string, program *exec.Cmd, ended chan error,
 	log *strings.Builder) {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,8 +116,8 @@
 	}
 }
 
-// TestStopUnderLoad ends a real process under clients that never let go. What it has sent on it answers, it ends before it may
-// be killed, and who comes in the first half second is served.
+// TestStopUnderLoad ends a real process under clients that never let go. What it has sent on it answers, it ends
+// before it may be killed, and who comes in the first half second is served.
 func TestStopUnderLoad(t *testing.T) {
 	all, entries := make([]*servant, 24), make([]emulator.Instance, 24)
 	for i := range all {
@@ -123,7 +127,12 @@
 	callers := make([]loadgen.Holder, 8)
 	var running sync.WaitGroup
 	call := func(i int, first time.Duration) {
-		callers[i] = loadgen.Holder{Name: fmt.Sprint("caller", i), First: first, Second: 70 * time.Millisecond, Patient: 8 * time.Second}
+		callers[i] = loadgen.Holder{
+			Name:    fmt.Sprint("caller", i),
+			First:   first,
+			Second:  70 * time.Millisecond,
+			Patient: 8 * time.Second,
+		}
 		running.Go(func() { callers[i].Run(address, func(id string) []byte { return request(id, 2000) }) })
 	}
 	for i := range 5 {
@@ -159,8 +168,8 @@
 	}
 }
 
-// TestWoken stops a real process while requests come and its list changes behind them: woken, it sends nothing to the server that
-// drains, though it reads the requests first, and serves them elsewhere.
+// TestWoken stops a real process while requests come and its list changes behind them: woken, it sends nothing to the
+// server that drains, though it reads the requests first, and serves them elsewhere.
 func TestWoken(t *testing.T) {
 	drains, leaving := serving(t, "drains")
 	stays, staying := serving(t, "stays")
--- a/cmd/testlab/distribution.go
+++ b/cmd/testlab/distribution.go
@@ -10,13 +10,17 @@
 	"ospreycroft/internal/lab/distbench"
 )
 
-// distributionCommand measures the configuration distribution at its size; docs/distribution-measured.md holds its figures.
+// distributionCommand measures the configuration distribution at its size; docs/distribution-measured.md holds its
+// figures.
 func distributionCommand() *cobra.Command {
 	options := distbench.Options{Log: os.Stderr, Hollow: 550, Hosts: 5, Real: 4, RelaysInZone: 2, Entries: 1000}
 	short := false
-	c := &cobra.Command{Use: "distribution [CASE ...]", Short: "measure how long published configuration takes to be in force",
+	c := &cobra.Command{
+		Use:       "distribution [CASE ...]",
+		Short:     "measure how long published configuration takes to be in force",
 		Long:      "The cases are " + strings.Join(distbench.CaseNames, ", ") + "; without a name all of them are run.",
-		ValidArgs: distbench.CaseNames, RunE: func(c *cobra.Command, args []string) error {
+		ValidArgs: distbench.CaseNames,
+		RunE: func(c *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
@@ -36,9 +40,11 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "\nrecord=%s\n", path)
 			return err
-		}}
+		},
+	}
 	c.Flags().BoolVar(&short, "short", false, "a few seconds for each case, to see that it works")
-	c.Flags().StringVar(&options.Dir, "out", "lab-runs/distribution", "new folder for the figures and the processes' files")
+	c.Flags().
+		StringVar(&options.Dir, "out", "lab-runs/distribution", "new folder for the figures and the processes' files")
 	c.Flags().StringVar(&options.Programs.Limiter, "limiter", "bin/ospreycroft", "the limiter's program")
 	c.Flags().StringVar(&options.Programs.Distribution, "distribution", "bin/configdist", "the distribution's program")
 	c.Flags().IntVar(&options.Hollow, "hollow", options.Hollow, "hollow limiters")
@@ -48,6 +54,11 @@
 
 // distributionHostCommand is the process of hollow limiters that distributionCommand starts.
 func distributionHostCommand() *cobra.Command {
-	return &cobra.Command{Use: "distribution-host", Short: "hollow limiters, as distribution tells", Hidden: true, Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return distbench.HostMain(os.Stdin, os.Stdout) }}
+	return &cobra.Command{
+		Use:    "distribution-host",
+		Short:  "hollow limiters, as distribution tells",
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		RunE:   func(*cobra.Command, []string) error { return distbench.HostMain(os.Stdin, os.Stdout) },
+	}
 }
--- a/cmd/testlab/main.go
+++ b/cmd/testlab/main.go
@@ -182,8 +182,11 @@
 
 // censusCommand counts what limiters logged, over the whole fleet.
 func censusCommand() *cobra.Command {
-	return &cobra.Command{Use: "census LOG ...", Short: "count what the logs of many limiters say, over the whole fleet",
-		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
+	return &cobra.Command{
+		Use:   "census LOG ...",
+		Short: "count what the logs of many limiters say, over the whole fleet",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
 			all := logsummary.New()
 			for _, path := range args {
 				f, err := os.Open(path)
@@ -197,5 +200,6 @@
 				}
 			}
 			return all.Write(c.OutOrStdout())
-		}}
+		},
+	}
 }
--- a/cmd/testlab/scale.go
+++ b/cmd/testlab/scale.go
@@ -18,9 +18,12 @@
 	for _, one := range scale.Experiments() {
 		names = append(names, one.Name)
 	}
-	c := &cobra.Command{Use: "scale [EXPERIMENT ...]", Short: "measure how a limiter's cost grows with the fleet around it",
+	c := &cobra.Command{
+		Use:       "scale [EXPERIMENT ...]",
+		Short:     "measure how a limiter's cost grows with the fleet around it",
 		Long:      "The experiments are " + strings.Join(names, ", ") + "; without a name all of them are run.",
-		ValidArgs: names, RunE: func(c *cobra.Command, args []string) error {
+		ValidArgs: names,
+		RunE: func(c *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
@@ -39,7 +42,8 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "record=%s\n", path)
 			return err
-		}}
+		},
+	}
 	c.Flags().BoolVar(&options.Short, "short", false, "a few seconds for each experiment, to see that it works")
 	c.Flags().StringVar(&options.Out, "out", "lab-runs/scale", "folder for the figures and the processes' logs")
 	c.Flags().StringVar(&options.Program, "program", "bin/ospreycroft", "the limiter's program")
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -107,7 +107,8 @@
 func hosts(w http.ResponseWriter, r *http.Request, list []string) {
 	entries := []byte{}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	if hold, err := strconv.Atoi(r.URL.Query().Get("hold_ms")); err == nil && from > 0 { // its one list has the number 1
+	// its one list has the number 1
+	if hold, err := strconv.Atoi(r.URL.Query().Get("hold_ms")); err == nil && from > 0 {
 		select {
 		case <-time.After(time.Duration(hold) * time.Millisecond):
 		case <-r.Context().Done():
@@ -119,7 +120,12 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = fmt.Fprintf(w, `{"generation":1,"reset":%v,"instances":[%s]}`, len(entries) > 0, bytes.TrimPrefix(entries, []byte(",")))
+	_, _ = fmt.Fprintf(
+		w,
+		`{"generation":1,"reset":%v,"instances":[%s]}`,
+		len(entries) > 0,
+		bytes.TrimPrefix(entries, []byte(",")),
+	)
 }
 
 type counts struct {
--- /dev/null
+++ b/internal/atomicfile/atomicfile_test.go
@@ -0,0 +1,90 @@
+package atomicfile
+
+import (
+	"errors"
+	"io/fs"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+
+	"ospreycroft/internal/lab/memfs"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+var testFormat = Format{Name: "test-file", Version: 3}
+
+func TestUnframeGivesWhatFrameTook(t *testing.T) {
+	body, err := testFormat.Unframe(testFormat.Frame([]byte("a body\nof two lines")))
+	require.NoError(t, err)
+	require.Equal(t, "a body\nof two lines", string(body))
+}
+
+func TestUnframeRefuses(t *testing.T) {
+	framed := string(testFormat.Frame([]byte("body")))
+	isVersion := func(err error) bool {
+		var version *VersionError
+		return errors.As(err, &version) && version.Version == 4 && version.Error() != ""
+	}
+	for _, c := range []struct {
+		name, text string
+		is         func(error) bool
+	}{
+		{"an empty file", "", func(err error) bool { return errors.Is(err, ErrTruncated) }},
+		{"a file cut short", framed[:len(framed)-1], func(err error) bool { return errors.Is(err, ErrTruncated) }},
+		{"a byte more", framed + "x", func(err error) bool { return errors.Is(err, ErrChecksum) }},
+		{"another byte", framed[:len(framed)-1] + "Y", func(err error) bool { return errors.Is(err, ErrChecksum) }},
+		{"another version", string(Format{Name: "test-file", Version: 4}.Frame([]byte("body"))), isVersion},
+		{"another program's", "what\n", func(err error) bool { return err != nil }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := testFormat.Unframe([]byte(c.text))
+			require.True(t, c.is(err), "%v", err)
+		})
+	}
+}
+
+func TestWriteLeavesTheOldFileWhereAStepFails(t *testing.T) {
+	for _, step := range []string{"write", "rename"} {
+		t.Run(step, func(t *testing.T) {
+			disk := memfs.New()
+			require.NoError(t, Write(disk, "/d/file", []byte("old")))
+			disk.Fail = step
+			require.Error(t, Write(disk, "/d/file", []byte("new")))
+			require.Equal(t, map[string][]byte{"/d/file": []byte("old")}, disk.Held)
+		})
+	}
+}
+
+func TestDiskWritesAndReads(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "file")
+	require.NoError(t, Write(Disk{}, path, []byte("text")))
+	text, err := Disk{}.Read(path)
+	require.NoError(t, err)
+	require.Equal(t, "text", string(text))
+	_, err = Disk{}.Read(path + ".none")
+	require.ErrorIs(t, err, fs.ErrNotExist)
+	require.Error(t, Write(Disk{}, filepath.Join(path, "below"), nil))
+	require.Error(t, Disk{}.Sync(path+".none"))
+}
+
+func TestWriterWritesTheLatestOfWhatWaits(t *testing.T) {
+	release := make(chan struct{})
+	var saved []int
+	writer := NewWriter(func(value *int) error {
+		saved = append(saved, *value)
+		<-release
+		return nil
+	}, func(err error) { t.Error(err) })
+	one, two, three := 1, 2, 3
+	writer.Save(&one)
+	release <- struct{}{} // the first is being written
+	writer.Save(&two)
+	writer.Save(&three)
+	close(release)
+	writer.Close()
+	require.Equal(t, 3, saved[len(saved)-1])
+	require.LessOrEqual(t, len(saved), 3)
+}
--- /dev/null
+++ b/internal/atomicfile/writer.go
@@ -0,0 +1,68 @@
+package atomicfile
+
+import "sync"
+
+// Writer saves values on a goroutine of its own, so that a slow disk holds nothing up. Of those that wait only the latest is
+// written. Save and Close are for one goroutine.
+type Writer[T any] struct {
+	mutex  sync.Mutex
+	next   *T
+	wake   chan struct{}
+	closed chan struct{}
+	done   chan struct{}
+}
+
+// NewWriter starts a writer, which ends with Close. save and report are called on the writer's goroutine; report is told of the
+// first error in a row and, with nil, of the first value that is written after it.
+func NewWriter[T any](save func(*T) error, report func(error)) *Writer[T] {
+	w := &Writer[T]{wake: make(chan struct{}, 1), closed: make(chan struct{}), done: make(chan struct{})}
+	go w.run(save, report)
+	return w
+}
+
+// Save hands a value over and does not wait. The value must not be changed any more.
+func (w *Writer[T]) Save(value *T) {
+	w.mutex.Lock()
+	w.next = value
+	w.mutex.Unlock()
+	select {
+	case w.wake <- struct{}{}:
+	default: // the writer has been woken already
+	}
+}
+
+// Close returns once what was handed over is written. No Save may follow.
+func (w *Writer[T]) Close() {
+	close(w.closed)
+	<-w.done
+}
+
+func (w *Writer[T]) run(save func(*T) error, report func(error)) {
+	defer close(w.done)
+	failed := false
+	for last := false; !last; {
+		select {
+		case <-w.wake:
+		case <-w.closed:
+			last = true
+		}
+		value := w.take()
+		if value == nil {
+			continue
+		}
+		err := save(value)
+		if (err != nil) != failed {
+			report(err)
+		}
+		failed = err != nil
+	}
+}
+
+// take takes the value that waits, nil for none.
+func (w *Writer[T]) take() *T {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	value := w.next
+	w.next = nil
+	return value
+}
--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -120,7 +120,11 @@
 
 // Alone is how one named test is run apart; its events come as JSON.
 func Alone(flags []string, e Entry) []string {
-	return slices.Concat([]string{"go", "test"}, flags, []string{"-json", "-count=1", "-run", Exactly(e.Test), e.Package})
+	return slices.Concat(
+		[]string{"go", "test"},
+		flags,
+		[]string{"-json", "-count=1", "-run", Exactly(e.Test), e.Package},
+	)
 }
 
 // Exactly is the pattern that -run and -skip take for one test and no other.
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -13,7 +13,8 @@
 	if err != nil || len(entries) != 2 {
 		t.Fatal(entries, err)
 	}
-	if e := entries[1]; e.Package != "m/b" || e.Test != "TestTable/the_last:_one" || e.Cause != "why (at all)" || e.Issue != "12" {
+	if e := entries[1]; e.Package != "m/b" || e.Test != "TestTable/the_last:_one" || e.Cause != "why (at all)" ||
+		e.Issue != "12" {
 		t.Error(e)
 	}
 	if entries, err := Parse(""); err != nil || entries != nil {
--- a/internal/coldstart/advice.go
+++ b/internal/coldstart/advice.go
@@ -29,7 +29,7 @@
 		{s.PollInterval < 0, "ask-every", float64(s.PollInterval), "0 or more"},
 		{!(s.ColdCapacity >= 0 && s.ColdCapacity <= 1), "cold-from", s.ColdCapacity, "from 0 to 1"},
 		{s.SlowStartWindow <= 0, "warm-within", float64(s.SlowStartWindow), "above 0"},
-		{s.NotificationDeadline <= answerTime*s.DialTimeout, "told", float64(s.NotificationDeadline), "more than two dial time-outs"},
+		{s.NotificationDeadline <= answerDialTimeouts*s.DialTimeout, "told", float64(s.NotificationDeadline), "more than two dial time-outs"},
 		{s.ReadinessDeadline <= 0, "bound", float64(s.ReadinessDeadline), "above 0"},
 		{s.CeilingLeadTime < 0, "lead", float64(s.CeilingLeadTime), "0 or more"},
 		{!(s.CallRate >= 0 && s.CallRate <= 1e6), "list_calls_per_s", s.CallRate, "from 0 to a million"},
@@ -44,31 +44,41 @@
 
 // Advice is what the settings mean for the fleet; all of it holds whatever is killed and started again.
 type Advice struct {
-	CallRate        float64 // to the list service, a second, from all limiters together at most
-	StatedRate      bool    // by the operator, and not implied by the settings
-	EvenRate        bool    // limiters know their places; else they ask at instants drawn by chance, and Calls is a mean
-	AllPolledWithin int64   // nanoseconds until all limiters have asked, and between the calls of one after news
-	Late            int64   // so much later than it counts as told can news come, behind failed calls too, in nanoseconds; 0 where it cannot
-	Enough          float64 // calls a second with which it could not
-	ConnectionRate  float64 // new connections a second that one limiter opens to one server of so many, 0 for no bound
+	CallRate   float64 // to the list service, a second, from all limiters together at most
+	StatedRate bool    // by the operator, and not implied by the settings
+	// limiters know their places; else they ask at instants drawn by chance, and Calls is a mean
+	EvenRate        bool
+	AllPolledWithin int64 // nanoseconds until all limiters have asked, and between the calls of one after news
+	// so much later than it counts as told can news come, behind failed calls too, in nanoseconds; 0 where it cannot
+	Late           int64
+	Enough         float64 // calls a second with which it could not
+	ConnectionRate float64 // new connections a second that one limiter opens to one server of so many, 0 for no bound
 }
 
-// LateNotificationError is the advice that the stated budget cannot give all limiters their list before it counts as told.
+// LateNotificationError is the advice that the stated budget cannot give all limiters their list before it counts as
+// told.
 type LateNotificationError struct{ Advice }
 
 func (l *LateNotificationError) Error() string {
-	return fmt.Sprintf("with %.4g calls a second all limiters have asked the list service after %.3g s, and news can come %.3g s "+
-		"later than it counts as told", l.CallRate, float64(l.AllPolledWithin)/1e9, float64(l.Late)/1e9)
+	return fmt.Sprintf(
+		"with %.4g calls a second all limiters have asked the list service after %.3g s, and news can come %.3g s "+
+			"later than it counts as told",
+		l.CallRate,
+		float64(l.AllPolledWithin)/1e9,
+		float64(l.Late)/1e9,
+	)
 }
 
 // Hint is what to do.
 func (l *LateNotificationError) Hint() string {
-	return fmt.Sprintf("let the list service bear %.4g calls a second and state that, run fewer limiters, or have lists pushed",
-		l.Enough)
+	return fmt.Sprintf(
+		"let the list service bear %.4g calls a second and state that, run fewer limiters, or have lists pushed",
+		l.Enough,
+	)
 }
 
-// Advise states the bounds for a fleet that shares so many servers. Errors: *Bad; *Late beside the advice, with which limiters
-// start all the same.
+// Advise states the bounds for a fleet that shares so many servers. Errors: *Bad; *Late beside the advice, with which
+// limiters start all the same.
 func (s *Settings) Advise(servers int) (Advice, error) {
 	if err := s.Check(); err != nil {
 		return Advice{}, err
@@ -80,8 +90,8 @@
 	a.AllPolledWithin = s.Period()
 	a.StatedRate = s.CallRate > 0
 	a.CallRate = float64(s.Limiters) * 1e9 / float64(a.AllPolledWithin)
-	a.Late = max(0, a.AllPolledWithin+answerTime*s.DialTimeout-s.NotificationDeadline)
-	a.Enough = float64(s.Limiters) * 1e9 / float64(s.NotificationDeadline-answerTime*s.DialTimeout)
+	a.Late = max(0, a.AllPolledWithin+answerDialTimeouts*s.DialTimeout-s.NotificationDeadline)
+	a.Enough = float64(s.Limiters) * 1e9 / float64(s.NotificationDeadline-answerDialTimeouts*s.DialTimeout)
 	if a.Late > 0 {
 		return a, &LateNotificationError{a}
 	}
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -21,8 +21,18 @@
 )
 
 func settings(limiters, place int, budget float64) Settings {
-	return Settings{Limiters: limiters, Position: place, DialTimeout: second / 4, PollInterval: 10 * second, ColdCapacity: 0.25,
-		SlowStartWindow: 15 * second, NotificationDeadline: 6 * second, ReadinessDeadline: 30 * second, CeilingLeadTime: second, CallRate: budget}
+	return Settings{
+		Limiters:             limiters,
+		Position:             place,
+		DialTimeout:          second / 4,
+		PollInterval:         10 * second,
+		ColdCapacity:         0.25,
+		SlowStartWindow:      15 * second,
+		NotificationDeadline: 6 * second,
+		ReadinessDeadline:    30 * second,
+		CeilingLeadTime:      second,
+		CallRate:             budget,
+	}
 }
 
 // fleet is all limiters before one list service.
@@ -75,17 +85,17 @@
 	s := f.all[i]
 	from, share, setbacks := s.Phase(), s.Share(), s.Setbacks
 	s.Step(now, e) // panics off the edges
-	switch age := now - s.began; {
-	case s.Phase() == Starting && from != Starting, s.Phase() == Starting && age >= s.set.ReadinessDeadline:
+	switch age := now - s.startedAt; {
+	case s.Phase() == Starting && from != Starting, s.Phase() == Starting && age >= s.settings.ReadinessDeadline:
 		require.FailNow(f.t, "not ready", "after %d ns", age)
-	case s.Phase() != Starting && age < min(s.set.CeilingLeadTime, s.set.ReadinessDeadline/2):
+	case s.Phase() != Starting && age < min(s.settings.CeilingLeadTime, s.settings.ReadinessDeadline/2):
 		require.FailNow(f.t, "ready before its parts have filled", "after %d ns", age)
 	case s.Share() < share && s.Setbacks == setbacks || s.Share() <= 0 || s.Share() > 1:
 		require.FailNow(f.t, "no list has thrown it back", "share %v after %v in %v", s.Share(), share, s.Phase())
-	case s.NextSlot() > now+(spreadMost+1)*s.round:
+	case s.NextSlot() > now+(maxSpread+1)*s.period:
 		require.FailNow(f.t, "it asks no more", "limiter %d", i)
 	}
-	if hold, _ := s.HoldTime(now); hold > 0 && hold < mostHold && (now+hold-s.offset)%s.round < s.round/2 {
+	if hold, _ := s.HoldTime(now); hold > 0 && hold < maxHold && (now+hold-s.slotOffset)%s.period < s.period/2 {
 		require.FailNow(f.t, "a call comes back behind its instant", "held for %d ns", hold)
 	}
 }
@@ -95,7 +105,7 @@
 	for ; now < until; now += 1e6 {
 		for i, s := range f.all {
 			switch {
-			case now < s.began: // not yet there
+			case now < s.startedAt: // not yet there
 			case f.back[i] > 0 && now >= f.back[i] && f.down:
 				f.step(i, now, Event{Kind: CallFailed})
 				f.back[i] = 0
@@ -141,9 +151,11 @@
 	return most
 }
 
-// TestFleet: whatever is killed, turned away, moved and silent, all limiters together keep within the budget, at every size.
+// TestFleet: whatever is killed, turned away, moved and silent, all limiters together keep within the budget, at every
+// size.
 func TestFleet(t *testing.T) {
-	for name, value := range map[string]string{"checks": "5", "seed": "7", "nofailfile": "true"} { // a hundred take minutes
+	// a hundred take minutes
+	for name, value := range map[string]string{"checks": "5", "seed": "7", "nofailfile": "true"} {
 		require.NoError(t, flag.Set("rapid."+name, value))
 	}
 	for _, limiters := range []int{10, 100, 300, 1000} {
@@ -153,13 +165,16 @@
 				f := made(t, set)
 				f.news = true
 				for range min(max(12000/limiters, 30), 200) {
-					f.down, f.refuses = rapid.IntRange(0, 4).Draw(t, "down") == 0, rapid.SampledFrom([]float64{0, 0, 0.5, 1}).Draw(t, "503")
+					f.down, f.refuses = rapid.IntRange(0, 4).
+						Draw(t, "down") ==
+						0, rapid.SampledFrom([]float64{0, 0, 0.5, 1}).
+						Draw(t, "503")
 					killed := rapid.SampledFrom([]float64{0, 0, 0.1, 0.7, 1}).Draw(t, "killed")
 					moved := rapid.IntRange(0, 9).Draw(t, "moved") == 0
 					for i := range f.all {
 						if f.chance.Float64() < killed {
 							f.start(i, now+f.chance.Int63n(second))
-						} else if moved && now > f.all[i].began {
+						} else if moved && now > f.all[i].startedAt {
 							f.step(i, now, Event{Kind: DiscoveryMoved})
 							f.back[i] = 0
 						}
@@ -220,7 +235,8 @@
 	}
 }
 
-// TestShare: with all servers cold it begins with what they can do for sure, and what came back cold later throws it back.
+// TestShare: with all servers cold it begins with what they can do for sure, and what came back cold later throws it
+// back.
 func TestShare(t *testing.T) {
 	set := settings(10, 0, 20)
 	set.CeilingLeadTime = 0
@@ -250,7 +266,8 @@
 	}
 }
 
-// TestBucket: the limiters that share a server open no more connections to it in a second than it bears, and one each way.
+// TestBucket: the limiters that share a server open no more connections to it in a second than it bears, and one each
+// way.
 func TestBucket(t *testing.T) {
 	for _, c := range []struct{ limiters, servers int }{{10, 8}, {100, 40}, {300, 200}, {1000, 200}} {
 		set := settings(c.limiters, 0, 20)
@@ -259,7 +276,7 @@
 		for i := range c.limiters {
 			set.Position = i
 			_, golden := math.Modf(float64(i) * math.Phi)
-			for k := range circle(c.limiters, c.servers) {
+			for k := range subsetSize(c.limiters, c.servers) {
 				server := (int(golden*float64(c.servers)) + k) % c.servers
 				b := NewBucket(0, &set, c.servers)
 				for now := int64(0); now < 10*second; now += 5e6 {
@@ -270,7 +287,14 @@
 			}
 		}
 		for server, calls := range at {
-			assert.LessOrEqual(t, worst(calls), int(set.ConnectionRate)+3, "%v: connections to server %d in a second", c, server)
+			assert.LessOrEqual(
+				t,
+				worst(calls),
+				int(set.ConnectionRate)+3,
+				"%v: connections to server %d in a second",
+				c,
+				server,
+			)
 		}
 	}
 }
--- a/internal/counterloss/counterloss.go
+++ b/internal/counterloss/counterloss.go
@@ -1,12 +1,12 @@
-// Package counterloss states in advance how far a customer's use can pass its quota when the shared counter is
-// lost, emptied or split, from the settings alone, as the decision module's arithmetic gives it. It does no
-// I/O and decides nothing on the request path: the limiter logs its figures at the start and `ospreycroft check`
-// prints them, so that an operator knows the error before the counter fails.
+// Package counterloss states in advance how far a customer's use can pass its quota when the shared counter is lost,
+// emptied or split, from the settings alone, as the decision module's arithmetic gives it. It does no I/O and decides
+// nothing on the request path: the limiter logs its figures at the start and `ospreycroft check` prints them, so that
+// an operator knows the error before the counter fails.
 //
-// Source: Reserve and Reconcile (docs/design.md): without the counter each of a customer's s limiters decides by its slice, which
-// holds max(u·B/s, J) and fills at u·R/s (B the plan's burst, R its rate, J the largest request, u the most equal parts that a
-// slice can be, choice.Uneven, and no more than s); a fallen total gives no store back; a hard ceiling is kept by each limiter's
-// own part, D/s filling at H/s, with no answer of the counter at all.
+// Source: Reserve and Reconcile (docs/design.md): without the counter each of a customer's s limiters decides by its
+// slice, which holds max(u·B/s, J) and fills at u·R/s (B the plan's burst, R its rate, J the largest request, u the
+// most equal parts that a slice can be, choice.Uneven, and no more than s); a fallen total gives no store back; a hard
+// ceiling is kept by each limiter's own part, D/s filling at H/s, with no answer of the counter at all.
 package counterloss
 
 import (
--- a/internal/counterwire/counterwire_test.go
+++ b/internal/counterwire/counterwire_test.go
@@ -50,7 +50,8 @@
 		t.Run(c.in[:min(8, len(c.in))], func(t *testing.T) {
 			kind, total, used, err := ReadReply([]byte(c.in))
 			var spoilt *MalformedError
-			if kind != c.kind || total != c.total || used != c.used || errors.As(err, &spoilt) != c.bad || !c.bad && err != nil {
+			if kind != c.kind || total != c.total || used != c.used || errors.As(err, &spoilt) != c.bad ||
+				!c.bad && err != nil {
 				t.Fatalf("kind %d, total %v, used %d, error %v", kind, total, used, err)
 			}
 		})
--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -17,27 +17,27 @@
 }
 
 var (
-	version = []byte("HTTP/1.")
-	headEnd = []byte("\r\n\r\n")
+	httpVersion = []byte("HTTP/1.")
+	headEnd     = []byte("\r\n\r\n")
 )
 
-// ReadResponse reads one answer from all bytes that have come so far and tells how many it took: 0 while it is not whole. What
-// cannot become an answer is told as soon as it shows. The reading itself is net/http's; how much to wait for, and what
-// no list service sends, is settled here. An answer without a length is never whole here: see ReadEnded.
-func ReadResponse(b []byte) (a Response, n int, err error) { return read(b, false) }
+// ReadResponse reads one answer from all bytes that have come so far and tells how many it took: 0 while it is not
+// whole. What cannot become an answer is told as soon as it shows. The reading itself is net/http's; how much to wait
+// for, and what no list service sends, is settled here. An answer without a length is never whole here: see ReadEnded.
+func ReadResponse(b []byte) (a Response, n int, err error) { return parseResponse(b, false) }
 
-// ReadClosedResponse is the same where nothing comes behind the bytes: the other side has ended the connection in order, which ends an
-// answer without a length. A connection that was broken off, or that we gave up, ends none.
-func ReadClosedResponse(b []byte) (a Response, n int, err error) { return read(b, true) }
+// ReadClosedResponse is the same where nothing comes behind the bytes: the other side has ended the connection in
+// order, which ends an answer without a length. A connection that was broken off, or that we gave up, ends none.
+func ReadClosedResponse(b []byte) (a Response, n int, err error) { return parseResponse(b, true) }
 
-func read(b []byte, ended bool) (a Response, n int, err error) {
-	if k := min(len(b), len(version)); !bytes.Equal(b[:k], version[:k]) {
+func parseResponse(b []byte, ended bool) (a Response, n int, err error) {
+	if k := min(len(b), len(httpVersion)); !bytes.Equal(b[:k], httpVersion[:k]) {
 		return a, 0, &MalformedError{Why: "it is no HTTP/1"}
 	}
-	end := bytes.Index(b[:min(len(b), mostHead)], headEnd)
+	end := bytes.Index(b[:min(len(b), maxHeadBytes)], headEnd)
 	if end < 0 {
-		if len(b) >= mostHead {
-			err = &TooLongError{Part: "head", Max: mostHead}
+		if len(b) >= maxHeadBytes {
+			err = &TooLongError{Part: "head", Max: maxHeadBytes}
 		}
 		return a, 0, err
 	}
@@ -60,13 +60,13 @@
 	case r.Body == http.NoBody: // by its status, whatever its fields say, or by a length of 0
 		return a, len(head), nil
 	case len(r.TransferEncoding) > 0: // net/http knows no other than chunked
-		a.Body, n, err = unchunk(rest)
+		a.Body, n, err = joinChunks(rest)
 		if n > 0 {
 			n += len(head)
 		}
 		return a, n, err
-	case r.ContentLength > mostBody, r.ContentLength < 0 && len(rest) > mostBody:
-		return a, 0, &TooLongError{Part: "body", Max: mostBody}
+	case r.ContentLength > maxBodyBytes, r.ContentLength < 0 && len(rest) > maxBodyBytes:
+		return a, 0, &TooLongError{Part: "body", Max: maxBodyBytes}
 	case r.ContentLength < 0 && ended:
 		a.Body = rest
 		a.CloseAfter = true
@@ -80,26 +80,26 @@
 	return a, len(head) + len(a.Body), nil
 }
 
-// unchunk puts the chunks of a body together; it takes 0 bytes while the body is not whole.
-func unchunk(b []byte) (body []byte, took int, err error) {
+// joinChunks puts the chunks of a body together; it takes 0 bytes while the body is not whole.
+func joinChunks(b []byte) (body []byte, took int, err error) {
 	// Nothing is kept until the last chunk is there: most calls find that more is to come.
-	size, took, err := chunks(b, io.Discard)
+	size, took, err := readChunks(b, io.Discard)
 	if err != nil || took == 0 {
 		return nil, 0, err
 	}
 	whole := bytes.NewBuffer(make([]byte, 0, size))
-	_, took, err = chunks(b, whole)
+	_, took, err = readChunks(b, whole)
 	return whole.Bytes(), took, err
 }
 
-// chunks writes the content of chunks and tells its size and how many bytes they took.
-func chunks(b []byte, to io.Writer) (size int64, took int, err error) {
+// readChunks writes the content of readChunks and tells its size and how many bytes they took.
+func readChunks(b []byte, to io.Writer) (size int64, took int, err error) {
 	under := bytes.NewReader(b)
 	from := bufio.NewReader(under)
-	size, err = io.Copy(to, io.LimitReader(httputil.NewChunkedReader(from), mostBody+1))
+	size, err = io.Copy(to, io.LimitReader(httputil.NewChunkedReader(from), maxBodyBytes+1))
 	switch {
-	case size > mostBody:
-		return 0, 0, &TooLongError{Part: "body", Max: mostBody}
+	case size > maxBodyBytes:
+		return 0, 0, &TooLongError{Part: "body", Max: maxBodyBytes}
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return 0, 0, nil
 	case err != nil:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	mostHead = 16 << 10
-	mostBody = 4 << 20
-	// latestStart is the last start of a server, in milliseconds, whose nanoseconds an int64 holds.
-	latestStart = math.MaxInt64 / 1e6
+	maxHeadBytes = 16 << 10
+	maxBodyBytes = 4 << 20
+	// maxStartMilliseconds is the last start of a server, in milliseconds, whose nanoseconds an int64 holds.
+	maxStartMilliseconds = math.MaxInt64 / 1e6
 )
 
-var listings = map[string]choice.EndpointState{
+var endpointStates = map[string]choice.EndpointState{
 	"in_service": choice.EndpointReady, "terminating": choice.EndpointDraining, "terminated": choice.EndpointGone,
 }
 
@@ -30,9 +30,9 @@
 
 // List is the whole list or its changes.
 type List struct {
-	Version int64
-	Whole   bool
-	Entries []Endpoint
+	Version   int64
+	Complete  bool
+	Endpoints []Endpoint
 }
 
 // AppendFetch writes the call for the whole list.
@@ -42,7 +42,13 @@
 
 // AppendWatch writes the call that waits, for hold nanoseconds at most, for something newer than a version.
 func AppendWatch(to []byte, host string, version, hold int64) []byte {
-	return fmt.Appendf(to, "GET /discovery/hosts?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n", version, hold/1e6, host)
+	return fmt.Appendf(
+		to,
+		"GET /discovery/hosts?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
+		version,
+		hold/1e6,
+		host,
+	)
 }
 
 // DecodeList reads a list and refuses one that cannot be used, whole.
@@ -70,14 +76,18 @@
 		// Taken at its word it would end all servers. A whole list of none is written [].
 		return nil, &ListRefusedError{Key: "instances", Why: "missing in a whole list"}
 	}
-	list := &List{Version: *f.Version, Whole: f.Whole}
+	list := &List{Version: *f.Version, Complete: f.Whole}
 	for i, e := range f.Entries {
-		listing, known := listings[e.State]
+		listing, known := endpointStates[e.State]
 		if !known {
-			return nil, &ListRefusedError{Server: named(i, e.ID), Key: "lifecycle", Why: strconv.Quote(e.State) + " is not known"}
+			return nil, &ListRefusedError{
+				Server: entryName(i, e.ID),
+				Key:    "lifecycle",
+				Why:    strconv.Quote(e.State) + " is not known",
+			}
 		}
 		if e.ID == "" {
-			return nil, &ListRefusedError{Server: named(i, ""), Key: "instanceId", Why: "missing"}
+			return nil, &ListRefusedError{Server: entryName(i, ""), Key: "instanceId", Why: "missing"}
 		}
 		if _, _, err := net.SplitHostPort(e.Address); err != nil && listing == choice.EndpointReady {
 			return nil, &ListRefusedError{Server: e.ID, Key: "hostPort", Cause: err}
@@ -85,17 +95,20 @@
 		if e.Weight < 0 {
 			return nil, &ListRefusedError{Server: e.ID, Key: "weight", Why: fmt.Sprintf("is %v", e.Weight)}
 		}
-		if e.Started < 0 || e.Started > latestStart {
+		if e.Started < 0 || e.Started > maxStartMilliseconds {
 			return nil, &ListRefusedError{Server: e.ID, Key: "startedAtMs", Why: fmt.Sprintf("is %v", e.Started)}
 		}
-		list.Entries = append(list.Entries, Endpoint{Address: e.Address, Endpoint: choice.Endpoint{ID: e.ID, Zone: e.Zone,
-			Cell: e.Cell, State: listing, Weight: e.Weight, StartedAt: int64(e.Started * 1e6)}})
+		list.Endpoints = append(
+			list.Endpoints,
+			Endpoint{Address: e.Address, Endpoint: choice.Endpoint{ID: e.ID, Zone: e.Zone,
+				Cell: e.Cell, State: listing, Weight: e.Weight, StartedAt: int64(e.Started * 1e6)}},
+		)
 	}
 	return list, nil
 }
 
-// named is how an error names an entry: by its id, or by its place in the list, from 0, where it has none.
-func named(i int, id string) string {
+// entryName is how an error names an entry: by its id, or by its place in the list, from 0, where it has none.
+func entryName(i int, id string) string {
 	if id == "" {
 		return strconv.Itoa(i)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -50,7 +50,7 @@
 			"HTTP/1.1 204 No Content\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "", 55, false, none},
 		{"the answer is still to come", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + whole, "", 37, false, none},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\n{}", "", 0, false, none},
-		{"no length, and it does not end", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat(" ", mostBody+1), "", 0, false, tooLong},
+		{"no length, and it does not end", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat(" ", maxBodyBytes+1), "", 0, false, tooLong},
 		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "", 0, false, malformed},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "", 0, false, malformed},
 		{"a length that no number holds", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n", "", 0, false, malformed},
@@ -65,11 +65,12 @@
 		{"a status that is none", "HTTP/1.1 099 x\r\nContent-Length: 0\r\n\r\n", "", 0, false, malformed},
 		{"a head that ends twice", "HTTP/1.1 200 OK\nContent-Length: 2\n\n{}\r\n\r\n", "", 0, false, malformed},
 		{"another protocol, told at its first byte", "+", "", 0, false, malformed},
-		{"a head without an end", "HTTP/1.1 200 " + strings.Repeat("x", mostHead), "", 0, false, tooLong},
+		{"a head without an end", "HTTP/1.1 200 " + strings.Repeat("x", maxHeadBytes), "", 0, false, tooLong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a, used, err := ReadResponse([]byte(c.in))
-			if !c.err(err) || err == nil && (used != c.used || string(a.Body) != c.body || used > 0 && a.CloseAfter != c.last) {
+			if !c.err(err) ||
+				err == nil && (used != c.used || string(a.Body) != c.body || used > 0 && a.CloseAfter != c.last) {
 				t.Fatalf("answer %+v, used %d, error %v", a, used, err)
 			}
 		})
@@ -105,7 +106,7 @@
 		`"lifecycle":"terminating","weight":1.5,"startedAtMs":2000}]}`
 	list, err := DecodeList([]byte(good))
 	want := choice.Endpoint{ID: "s", Zone: "a", Cell: 3, State: choice.EndpointDraining, Weight: 1.5, StartedAt: 2e9}
-	if err != nil || list.Version != 4 || !list.Whole || len(list.Entries) != 1 || list.Entries[0].Endpoint != want {
+	if err != nil || list.Version != 4 || !list.Complete || len(list.Endpoints) != 1 || list.Endpoints[0].Endpoint != want {
 		t.Fatalf("list %+v, error %v", list, err)
 	}
 	var indented bytes.Buffer
@@ -138,7 +139,7 @@
 		})
 	}
 	list, err = DecodeList([]byte(`{"generation":5,"reset":false,"instances":null}`))
-	require.True(t, err == nil && len(list.Entries) == 0, "changes that are none: list %+v, error %v", list, err)
+	require.True(t, err == nil && len(list.Endpoints) == 0, "changes that are none: list %+v, error %v", list, err)
 }
 
 func FuzzRead(f *testing.F) {
@@ -170,12 +171,24 @@
 func list(servers int) []byte {
 	l := emulator.List{Generation: 41, Reset: true}
 	for i := range servers {
-		l.Instances = append(l.Instances, emulator.Instance{ID: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Zone: "a", Machine: "m2",
-			HostPort: fmt.Sprintf("10.1.%d.%d:6379", i/250, i%250), Cell: i % 8, Lifecycle: "in_service", Weight: 1})
+		l.Instances = append(
+			l.Instances,
+			emulator.Instance{ID: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Zone: "a", Machine: "m2",
+				HostPort: fmt.Sprintf(
+					"10.1.%d.%d:6379",
+					i/250,
+					i%250,
+				), Cell: i % 8, Lifecycle: "in_service", Weight: 1},
+		)
 	}
 	body, _ := json.Marshal(l)
-	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nDate: Wed, 02 Dec 2026 00:00:00 GMT\r\n"+
-		"Content-Length: %d\r\n\r\n%s", len(body), body)
+	return fmt.Appendf(
+		nil,
+		"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nDate: Wed, 02 Dec 2026 00:00:00 GMT\r\n"+
+			"Content-Length: %d\r\n\r\n%s",
+		len(body),
+		body,
+	)
 }
 
 // BenchmarkRead reads a list of 200 servers that comes in pieces of 4 KiB, and decodes it or not.
@@ -193,7 +206,7 @@
 						continue
 					}
 					if decoded {
-						if l, err := DecodeList(a.Body); err != nil || len(l.Entries) != 200 {
+						if l, err := DecodeList(a.Body); err != nil || len(l.Endpoints) != 200 {
 							b.Fatalf("error %v", err)
 						}
 					}
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -12,7 +12,7 @@
 }
 
 func (e *MalformedError) Error() string {
-	return "discovery's answer is malformed" + behind(e.Why, e.Cause)
+	return "discovery's answer is malformed" + detail(e.Why, e.Cause)
 }
 func (e *MalformedError) Unwrap() error { return e.Cause }
 func (e *MalformedError) Hint() string {
@@ -55,7 +55,7 @@
 // ListMalformedError is for a list that is no JSON of the right shape.
 type ListMalformedError struct{ Cause error }
 
-func (e *ListMalformedError) Error() string { return "the list is malformed" + behind("", e.Cause) }
+func (e *ListMalformedError) Error() string { return "the list is malformed" + detail("", e.Cause) }
 func (e *ListMalformedError) Unwrap() error { return e.Cause }
 func (e *ListMalformedError) Hint() string {
 	return "look at who writes the list: its JSON does not have the form of discovery's lists"
@@ -74,7 +74,7 @@
 	if e.Server != "" {
 		where = "instances: " + e.Server + ": " + e.Key
 	}
-	return "the list cannot be used: " + where + behind(e.Why, e.Cause)
+	return "the list cannot be used: " + where + detail(e.Why, e.Cause)
 }
 func (e *ListRefusedError) Unwrap() error { return e.Cause }
 func (e *ListRefusedError) Hint() string {
@@ -95,8 +95,8 @@
 	return &StatusError{Status: a.Status}
 }
 
-// behind is the end of a message: why, and the cause underneath, as far as there are any.
-func behind(why string, cause error) string {
+// detail is the end of a message: why, and the cause underneath, as far as there are any.
+func detail(why string, cause error) string {
 	text := ""
 	if why != "" {
 		text = ": " + why
--- a/internal/distribution/acknowledgement.go
+++ b/internal/distribution/acknowledgement.go
@@ -87,9 +87,17 @@
 	case s.Relay == "" || len(s.Relay) > MaxNameBytes:
 		return &KeyError{Why: "of a summary names no relay"}
 	case len(s.Versions) > MaxSummaryVersions:
-		return &TooLargeError{What: "the number of versions in a summary", Bytes: len(s.Versions), Max: MaxSummaryVersions}
+		return &TooLargeError{
+			What:  "the number of versions in a summary",
+			Bytes: len(s.Versions),
+			Max:   MaxSummaryVersions,
+		}
 	case len(s.Refusals) > MaxSummaryRefusals:
-		return &TooLargeError{What: "the number of refusals in a summary", Bytes: len(s.Refusals), Max: MaxSummaryRefusals}
+		return &TooLargeError{
+			What:  "the number of refusals in a summary",
+			Bytes: len(s.Refusals),
+			Max:   MaxSummaryRefusals,
+		}
 	case s.Older < 0 || s.Syncing < 0 || s.Unconfirmed < 0:
 		return &KeyError{Why: "of a summary counts less than none"}
 	}
@@ -124,7 +132,11 @@
 		t.forget(now)
 	}
 	if !held && len(t.limiters) >= MaxTallyLimiters {
-		return &TooLargeError{What: "the number of limiters at a relay", Bytes: len(t.limiters) + 1, Max: MaxTallyLimiters}
+		return &TooLargeError{
+			What:  "the number of limiters at a relay",
+			Bytes: len(t.limiters) + 1,
+			Max:   MaxTallyLimiters,
+		}
 	}
 	t.limiters[a.Limiter] = noted[Acknowledgement]{a, now}
 	return nil
@@ -188,8 +200,8 @@
 	Silent []string `json:"silent,omitempty"`
 }
 
-// InForce is how many limiters have a version or a newer one in force, and how many there are in all. A limiter that has
-// just changed its relay may be counted at both for AcknowledgementLife. Those of silent relays are not counted.
+// InForce is how many limiters have a version or a newer one in force, and how many there are in all. A limiter that
+// has just changed its relay may be counted at both for AcknowledgementLife. Those of silent relays are not counted.
 func (o Overview) InForce(version Version) (inForce, limiters int) {
 	for _, s := range o.Relays {
 		limiters += s.Limiters()
--- a/internal/distribution/digest.go
+++ b/internal/distribution/digest.go
@@ -7,9 +7,10 @@
 	"fmt"
 )
 
-// Digest stands for a set of entries, whatever their order: the sum of the SHA-256 hashes of its entries, word by word, modulo
-// 2^64. So it is kept up to date by one addition or subtraction an entry. It finds states that have diverged; it is no
-// signature, and proves nothing against a server that means harm. The zero value is that of no entries.
+// Digest stands for a set of entries, whatever their order: the sum of the SHA-256 hashes of its entries, word by
+// word, modulo 2^64. So it is kept up to date by one addition or subtraction an entry. It finds states that have
+// diverged; it is no signature, and proves nothing against a server that means harm. The zero value is that of no
+// entries.
 type Digest [sha256.Size / 8]uint64
 
 // digestOf is the digest of one entry.
@@ -42,8 +43,8 @@
 	return d
 }
 
-// at is the digest of a state at a version: it tells the same state at two versions apart, so that a version that was changed
-// on its way is found as well.
+// at is the digest of a state at a version: it tells the same state at two versions apart, so that a version that was
+// changed on its way is found as well.
 func (d Digest) at(v Version) Digest {
 	return d.plus(digestOf(Key{Kind: "version", Name: v.String()}, ""))
 }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -126,8 +126,13 @@
 	var err error
 	for i := 0; err == nil; i += 3 {
 		require.Less(t, i, 1100)
-		_, err = s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", fmt.Sprint(i), value), put(KindPlans, "", fmt.Sprint(i+1), value),
-			put(KindPlans, "", fmt.Sprint(i+2), value)})
+		_, err = s.Publish(
+			1,
+			1,
+			nil,
+			[]Mutation{put(KindPlans, "", fmt.Sprint(i), value), put(KindPlans, "", fmt.Sprint(i+1), value),
+				put(KindPlans, "", fmt.Sprint(i+2), value)},
+		)
 	}
 	require.True(t, is[*TooLargeError](err), "%v", err)
 	require.LessOrEqual(t, s.log.State().bytes, MaxStateBytes)
@@ -208,7 +213,12 @@
 			ask(t, sub, s, 1)
 			before := sub.Version()
 			for _, value := range []string{"1", "2"} {
-				_, err = s.Publish(1, 2, nil, []Mutation{put(KindPlans, "eu", "a", value), put(KindRoutes, "", "r", value)})
+				_, err = s.Publish(
+					1,
+					2,
+					nil,
+					[]Mutation{put(KindPlans, "eu", "a", value), put(KindRoutes, "", "r", value)},
+				)
 				require.NoError(t, err)
 			}
 			delta, err := s.Changes(2, *sub.Next(2).Changes)
@@ -253,7 +263,10 @@
 		{"outside the scope", func(p *Piece) { p.Entries = []Entry{{Key{KindPlans, "us", "z"}, "1"}} }, is[*KeyError]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			sub := NewSubscriber(1, SubscriberOptions{Name: "n", Scope: Scope{Names: []string{"eu"}}, Applier: &inForce{}})
+			sub := NewSubscriber(
+				1,
+				SubscriberOptions{Name: "n", Scope: Scope{Names: []string{"eu"}}, Applier: &inForce{}},
+			)
 			require.NoError(t, sub.Restore(Version{2, 3}, NewState(), 0))
 			sub.TakeError(&CompactedError{})
 			require.NoError(t, sub.TakePiece(1, first()))
@@ -270,8 +283,8 @@
 	}
 }
 
-// TestStates: a subscriber is syncing until it has a version, current while the source is heard, and unconfirmed with its
-// age behind a relay that is cut off; it goes on serving what it has.
+// TestStates: a subscriber is syncing until it has a version, current while the source is heard, and unconfirmed with
+// its age behind a relay that is cut off; it goes on serving what it has.
 func TestStates(t *testing.T) {
 	s := opened(t, put(KindPlans, "", "a", "0"))
 	r := NewRelay(1, RelayOptions{Name: "r"})
@@ -301,7 +314,8 @@
 	require.Equal(t, Status{Condition: Current, Version: Version{1, 2}, Age: second}, sub.Status(61*second))
 }
 
-// TestRestored: a restored state is in force at once, unconfirmed with the age that it had; one of another scope is not.
+// TestRestored: a restored state is in force at once, unconfirmed with the age that it had; one of another scope is
+// not.
 func TestRestored(t *testing.T) {
 	state, err := NewStateOf([]Entry{{Key{KindPlans, "us", "a"}, "1"}})
 	require.NoError(t, err)
@@ -311,7 +325,7 @@
 	require.Equal(t, Status{Condition: Unconfirmed, Version: Version{1, 7}, Age: 3601 * second}, sub.Status(6*second))
 	require.Equal(t, entries{{KindPlans, "us", "a"}: "1"}, f.state)
 	saved := sub.Snapshot(6 * second)
-	require.Equal(t, Snapshot{Version: Version{1, 7}, Taken: 6*second - 3601*second, Entries: state.Entries()}, *saved)
+	require.Equal(t, Snapshot{Version: Version{1, 7}, TakenAt: 6*second - 3601*second, Entries: state.Entries()}, *saved)
 	f = &inForce{}
 	sub = NewSubscriber(1, SubscriberOptions{Applier: f, Scope: Scope{Names: []string{"eu"}}})
 	require.True(t, is[*KeyError](sub.Restore(Version{1, 7}, state, 0)))
@@ -520,14 +534,18 @@
 	require.Error(t, again.UnmarshalText([]byte("x")))
 }
 
-// TestAcknowledgements: relays sum up what their limiters said lately, in bounded messages, and the source tells from these
-// in how many limiters a version is in force.
+// TestAcknowledgements: relays sum up what their limiters said lately, in bounded messages, and the source tells from
+// these in how many limiters a version is in force.
 func TestAcknowledgements(t *testing.T) {
 	s := opened(t)
 	relays := []*Relay{NewRelay(1, RelayOptions{Name: "a"}), NewRelay(1, RelayOptions{Name: "b"})}
 	refused := Version{2, 9}
 	for i := range 550 {
-		a := Acknowledgement{Limiter: fmt.Sprint("limiter-", i), Version: Version{2, uint64(i % 10)}, Condition: Current}
+		a := Acknowledgement{
+			Limiter:   fmt.Sprint("limiter-", i),
+			Version:   Version{2, uint64(i % 10)},
+			Condition: Current,
+		}
 		if i%10 == 0 {
 			a.Condition = Unconfirmed
 		}
@@ -537,7 +555,10 @@
 		require.NoError(t, relays[i%2].Acknowledge(1, a))
 		require.NoError(t, relays[i%2].Acknowledge(1, a), "said twice")
 	}
-	require.NoError(t, relays[0].Acknowledge(2, Acknowledgement{Limiter: "limiter-0", Version: Version{2, 2}, Condition: Syncing}))
+	require.NoError(
+		t,
+		relays[0].Acknowledge(2, Acknowledgement{Limiter: "limiter-0", Version: Version{2, 2}, Condition: Syncing}),
+	)
 	for _, r := range relays {
 		summary := r.Summary(2)
 		require.NoError(t, s.Summarize(2, summary))
@@ -558,7 +579,11 @@
 	require.Equal(t, []VersionCount{{Version{2, 8}, 55}, {Version{2, 6}, 55}, {Version{2, 4}, 55}, {Version{2, 2}, 56},
 		{Version{2, 0}, 54}}, o.Relays[0].Versions)
 	require.Equal(t, []Refusal{{VersionCount{refused, 55}, strings.Repeat("é", 100)}}, o.Relays[0].Refusals)
-	require.Empty(t, relays[1].Summary(2+AcknowledgementLife).Versions, "limiters that say nothing are not counted for long")
+	require.Empty(
+		t,
+		relays[1].Summary(2+AcknowledgementLife).Versions,
+		"limiters that say nothing are not counted for long",
+	)
 	o = s.Overview(3 + AcknowledgementLife)
 	require.Equal(t, []string{"a", "b"}, o.Silent)
 	require.NoError(t, s.Acknowledge(3, Acknowledgement{Limiter: "direct", Version: Version{2, 9}, Condition: Current}))
@@ -567,7 +592,13 @@
 	many := newTally()
 	for i := range 20 {
 		version := Version{1, uint64(i)}
-		require.NoError(t, many.take(1, Acknowledgement{Limiter: fmt.Sprint(i), Version: version, Condition: Current, Refused: &version}))
+		require.NoError(
+			t,
+			many.take(
+				1,
+				Acknowledgement{Limiter: fmt.Sprint(i), Version: version, Condition: Current, Refused: &version},
+			),
+		)
 	}
 	sum := many.sum(1, "r")
 	require.Len(t, sum.Versions, MaxSummaryVersions)
@@ -604,7 +635,8 @@
 	require.True(t, is[*TooLargeError](s.Summarize(1, Summary{Relay: "more"})))
 }
 
-// TestChooseRelays: the first is of the own zone, the second of another one, and those of a lost relay are shared evenly.
+// TestChooseRelays: the first is of the own zone, the second of another one, and those of a lost relay are shared
+// evenly.
 func TestChooseRelays(t *testing.T) {
 	var relays []RelayAddress
 	for _, zone := range []string{"c", "a", "d", "b"} {
@@ -657,7 +689,8 @@
 	require.Equal(t, 0, s.Selected(4+ReturnAfter), "both failed")
 }
 
-// TestLimiterApplier: addresses move together or not at all, whatever else cannot change is named, and the rest is carried.
+// TestLimiterApplier: addresses move together or not at all, whatever else cannot change is named, and the rest is
+// carried.
 func TestLimiterApplier(t *testing.T) {
 	var moved []Addresses
 	var fails error
@@ -671,7 +704,10 @@
 	apply := func(mutations ...Mutation) error { return a.Apply(&Update{Changes: []Change{{Mutations: mutations}}}) }
 	discovery := func(address string) Mutation { return put(KindEndpoints, "", EndpointDiscovery, address) }
 	counter := func(address string) Mutation { return put(KindEndpoints, "", EndpointCounter, address) }
-	require.NoError(t, apply(put(KindPlans, "", "p", "{}"), put(KindRoutes, "", "r", "{}"), put(KindTenants, "", "t", "{}")))
+	require.NoError(
+		t,
+		apply(put(KindPlans, "", "p", "{}"), put(KindRoutes, "", "r", "{}"), put(KindTenants, "", "t", "{}")),
+	)
 	require.Empty(t, moved)
 	require.NoError(t, apply(discovery("127.0.0.1:1"), counter("127.0.0.1:2")))
 	require.NoError(t, apply(discovery("127.0.0.1:1")))
@@ -699,7 +735,11 @@
 	require.Equal(t, want, moved, "none of these moved anything")
 	require.NoError(t, apply(drop(KindEndpoints, "eu", EndpointDiscovery)), "the one for every limiter counts again")
 	require.NoError(t, a.Apply(&Update{Whole: whole(t, discovery("127.0.0.1:7"), counter("127.0.0.1:8"))}))
-	require.Equal(t, append(want, Addresses{"127.0.0.1:1", "127.0.0.1:2"}, Addresses{"127.0.0.1:7", "127.0.0.1:8"}), moved)
+	require.Equal(
+		t,
+		append(want, Addresses{"127.0.0.1:1", "127.0.0.1:2"}, Addresses{"127.0.0.1:7", "127.0.0.1:8"}),
+		moved,
+	)
 }
 
 func whole(t *testing.T, mutations ...Mutation) *State {
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -1,11 +1,11 @@
-// Package distribution decides how numbered configuration changes reach limiters. It does no I/O: the caller passes the
-// time in and carries the messages (see package transport below it).
+// Package distribution decides how numbered configuration changes reach limiters. It does no I/O: the caller passes
+// the time in and carries the messages (see package transport below it).
 //
 // A source appends changes to a Log. One Relay a zone follows the source and serves the limiters of that zone, each of
 // which runs a Subscriber. A subscriber asks for the changes behind its version, in its Scope, checks them against the
-// digest of the resulting state, and puts them in force through its Applier whole or not at all. Where its version is no
-// longer in the log, or its state has diverged, it reads the whole state in pieces. Acknowledgements of the versions in
-// force are summed at relays, so that the source reads one message a relay.
+// digest of the resulting state, and puts them in force through its Applier whole or not at all. Where its version is
+// no longer in the log, or its state has diverged, it reads the whole state in pieces. Acknowledgements of the
+// versions in force are summed at relays, so that the source reads one message a relay.
 //
 // All times are nanoseconds; those that are points in time count from the caller's own epoch (Unix time for
 // Change.Published). The design, its message shapes and its bounds are in docs/distribution.md.
@@ -36,8 +36,8 @@
 	Append(now int64, epoch uint64, expected *Version, mutations []Mutation) (Change, error)
 }
 
-// Applier puts versions in force at a subscriber. A limiter implements it between two requests: Apply never blocks on I/O
-// and no request waits for it.
+// Applier puts versions in force at a subscriber. A limiter implements it between two requests: Apply never blocks on
+// I/O and no request waits for it.
 type Applier interface {
 	// Apply puts an update in force whole and returns nil, or changes nothing and returns the reason. The update is
 	// read-only and must not be kept.
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -72,7 +72,11 @@
 	case len(k.Name) > MaxNameBytes:
 		return &TooLargeError{What: "the name of an entry of " + string(k.Kind), Bytes: len(k.Name), Max: MaxNameBytes}
 	case len(k.Scope) > MaxScopeBytes:
-		return &TooLargeError{What: "the scope of an entry of " + string(k.Kind), Bytes: len(k.Scope), Max: MaxScopeBytes}
+		return &TooLargeError{
+			What:  "the scope of an entry of " + string(k.Kind),
+			Bytes: len(k.Scope),
+			Max:   MaxScopeBytes,
+		}
 	case !utf8.ValidString(k.Name):
 		return &KeyError{Key: k, Why: "has a name that is not UTF-8"}
 	case strings.Trim(k.Scope, scopeNameAlphabet) != "":
--- a/internal/distribution/errors.go
+++ b/internal/distribution/errors.go
@@ -120,7 +120,8 @@
 	return "nothing: the state is read anew; if it comes again, compare the digests of source and relays"
 }
 
-// CompactedError is for a version that the log does not hold: it was compacted away, or belongs to a writer that lost it.
+// CompactedError is for a version that the log does not hold: it was compacted away, or belongs to a writer that lost
+// it.
 type CompactedError struct{ From, Oldest Version }
 
 func (e *CompactedError) Error() string {
--- a/internal/distribution/log.go
+++ b/internal/distribution/log.go
@@ -30,8 +30,8 @@
 	bytes   int
 }
 
-// Log is the numbered changes and the state at the newest of them. Older changes are compacted away; the state stands for
-// them. It is not safe for concurrent use.
+// Log is the numbered changes and the state at the newest of them. Older changes are compacted away; the state stands
+// for them. It is not safe for concurrent use.
 type Log struct {
 	retention Retention
 	head      Version
--- a/internal/distribution/poller.go
+++ b/internal/distribution/poller.go
@@ -25,8 +25,8 @@
 	Position    int   // of this subscriber among all: those that start together ask apart
 }
 
-// Poller decides when a subscriber calls which of its two servers, and for how long it waits. Package pollpacer gives the
-// pauses, so that subscribers that start or fail together spare their servers. It is not safe for concurrent use.
+// Poller decides when a subscriber calls which of its two servers, and for how long it waits. Package pollpacer gives
+// the pauses, so that subscribers that start or fail together spare their servers. It is not safe for concurrent use.
 type Poller struct {
 	*Subscriber
 	selector  Selector
@@ -92,8 +92,8 @@
 	}
 }
 
-// TakeError takes what came in place of an answer, be it a server's error or one of the way to it, and tells how long to wait
-// before the next call.
+// TakeError takes what came in place of an answer, be it a server's error or one of the way to it, and tells how long
+// to wait before the next call.
 func (p *Poller) TakeError(now int64, err error) (wait int64) {
 	var throttled *ThrottledError
 	var compacted *CompactedError
--- a/internal/distribution/poller_test.go
+++ b/internal/distribution/poller_test.go
@@ -13,7 +13,11 @@
 // polled is a poller whose subscriber has a source's state.
 func polled(t *testing.T, s *Source, applier Applier, position int) *Poller {
 	t.Helper()
-	return NewPoller(1, synced(t, s, applier), PollerOptions{DialTimeout: testDial, Hold: LimiterHold, Position: position})
+	return NewPoller(
+		1,
+		synced(t, s, applier),
+		PollerOptions{DialTimeout: testDial, Hold: LimiterHold, Position: position},
+	)
 }
 
 // TestFirstCalls: subscribers that start together make their first calls evenly over half of a hold.
@@ -21,7 +25,10 @@
 	var waits []int64
 	for i := range 550 {
 		sub := NewSubscriber(1, SubscriberOptions{Applier: &inForce{}})
-		waits = append(waits, NewPoller(1, sub, PollerOptions{DialTimeout: testDial, Hold: LimiterHold, Position: i}).First())
+		waits = append(
+			waits,
+			NewPoller(1, sub, PollerOptions{DialTimeout: testDial, Hold: LimiterHold, Position: i}).First(),
+		)
 	}
 	slices.Sort(waits)
 	require.Less(t, waits[549], LimiterHold/2)
@@ -80,7 +87,8 @@
 	require.Less(t, last, 2*second)
 }
 
-// TestBadAnswer: an answer that is refused sends the subscriber to its other relay; one that the applier refuses does not.
+// TestBadAnswer: an answer that is refused sends the subscriber to its other relay; one that the applier refuses does
+// not.
 func TestBadAnswer(t *testing.T) {
 	s := opened(t)
 	f := &inForce{state: entries{}}
@@ -118,8 +126,8 @@
 	require.Equal(t, Current, p.Status(1).Condition, "it was heard through the source itself before")
 }
 
-// TestThrottledApart: subscribers that are throttled together come again apart, and over a longer time with each call in a
-// row; an answer ends the row.
+// TestThrottledApart: subscribers that are throttled together come again apart, and over a longer time with each call
+// in a row; an answer ends the row.
 func TestThrottledApart(t *testing.T) {
 	s := opened(t)
 	var pollers []*Poller
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -9,8 +9,9 @@
 	UnconfirmedAfter int64
 }
 
-// Relay follows a source as a subscriber to everything, and serves subscribers from its own log. While it is cut off from
-// the source it goes on serving, with answers that tell its age. It takes no writes. It is not safe for concurrent use.
+// Relay follows a source as a subscriber to everything, and serves subscribers from its own log. While it is cut off
+// from the source it goes on serving, with answers that tell its age. It takes no writes. It is not safe for
+// concurrent use.
 type Relay struct {
 	*Subscriber
 	feed
--- a/internal/distribution/relaychoice.go
+++ b/internal/distribution/relaychoice.go
@@ -12,9 +12,9 @@
 	Address string // host and port
 }
 
-// ChooseRelays gives the two relays of a limiter: one of its own zone where there is one, and one of another zone where there
-// is one. Limiters of a zone are spread over the others by their positions, so that the loss of a relay is shared. With
-// one relay in all, both are that one. Errors: *NoRelayError.
+// ChooseRelays gives the two relays of a limiter: one of its own zone where there is one, and one of another zone
+// where there is one. Limiters of a zone are spread over the others by their positions, so that the loss of a relay is
+// shared. With one relay in all, both are that one. Errors: *NoRelayError.
 func ChooseRelays(relays []RelayAddress, zone string, position int) ([2]RelayAddress, error) {
 	if err := checkRelays(relays); err != nil {
 		return [2]RelayAddress{}, err
--- a/internal/distribution/resync.go
+++ b/internal/distribution/resync.go
@@ -1,8 +1,8 @@
 package distribution
 
-// resync collects the whole state in pieces. Each piece is of the server's version when it was read; the changes behind
-// the oldest of these versions are then applied over the entries, up to the newest at least. As each change says the whole
-// value of its keys, the outcome is the state at the version reached, which its digest confirms.
+// resync collects the whole state in pieces. Each piece is of the server's version when it was read; the changes
+// behind the oldest of these versions are then applied over the entries, up to the newest at least. As each change
+// says the whole value of its keys, the outcome is the state at the version reached, which its digest confirms.
 type resync struct {
 	state  *State
 	after  *Key // the last key held, nil before the first piece
--- a/internal/distribution/resync_test.go
+++ b/internal/distribution/resync_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestResyncWhilePublishing: while a state is read in pieces, from a source and a relay that lags, it goes on changing. No
-// honest answer is refused, and the outcome is the state at the version reached.
+// TestResyncWhilePublishing: while a state is read in pieces, from a source and a relay that lags, it goes on
+// changing. No honest answer is refused, and the outcome is the state at the version reached.
 func TestResyncWhilePublishing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewSource(NewLog(Retention{}), Budget{Rate: 1 << 40, Burst: 1 << 40})
@@ -72,7 +72,8 @@
 	})
 }
 
-// TestResyncFromBehind: a state that is older than the one in force does not take its place, though that one has diverged.
+// TestResyncFromBehind: a state that is older than the one in force does not take its place, though that one has
+// diverged.
 func TestResyncFromBehind(t *testing.T) {
 	s := opened(t)
 	r := NewRelay(1, RelayOptions{Name: "r"})
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -20,7 +20,7 @@
 
 // Snapshot is the state at the head, from which NewLogAt goes on.
 func (s *Source) Snapshot(now int64) *Snapshot {
-	return &Snapshot{Version: s.Head(), Taken: now, Entries: s.State().Entries()}
+	return &Snapshot{Version: s.Head(), TakenAt: now, Entries: s.State().Entries()}
 }
 
 // Open begins an epoch, which has to be higher than any heard of. Errors: *FencedError, *EpochStepError.
@@ -35,7 +35,8 @@
 	return change, err
 }
 
-// Publish appends a change. Errors: as of Writer.Append, and *FencedError where a subscriber has told of a higher epoch.
+// Publish appends a change. Errors: as of Writer.Append, and *FencedError where a subscriber has told of a higher
+// epoch.
 func (s *Source) Publish(now int64, epoch uint64, expected *Version, mutations []Mutation) (Change, error) {
 	if epoch < s.fenced {
 		return Change{}, &FencedError{Open: s.fenced, Given: epoch}
--- a/internal/distribution/statefile/errors.go
+++ b/internal/distribution/statefile/errors.go
@@ -64,7 +64,7 @@
 }
 
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("the state file %s is of format version %d, not %d", e.Path, e.Version, formatVersion)
+	return fmt.Sprintf("the state file %s is of format version %d, not %d", e.Path, e.Version, fileFormat.Version)
 }
 
 // Hint is what to do.
@@ -74,7 +74,13 @@
 type OwnerError struct{ Path, Installation, Subscriber, Scope string }
 
 func (e *OwnerError) Error() string {
-	return fmt.Sprintf("the state file %s is of %q of installation %q with scope %q", e.Path, e.Subscriber, e.Installation, e.Scope)
+	return fmt.Sprintf(
+		"the state file %s is of %q of installation %q with scope %q",
+		e.Path,
+		e.Subscriber,
+		e.Installation,
+		e.Scope,
+	)
 }
 
 // Hint is what to do.
@@ -89,7 +95,12 @@
 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("the state file %s was confirmed %v ago, no more than %v is believed", e.Path, time.Duration(e.Age), time.Duration(e.MaxAge))
+	return fmt.Sprintf(
+		"the state file %s was confirmed %v ago, no more than %v is believed",
+		e.Path,
+		time.Duration(e.Age),
+		time.Duration(e.MaxAge),
+	)
 }
 
 // Hint is what to do.
--- a/internal/distribution/statefile/statefile_test.go
+++ b/internal/distribution/statefile/statefile_test.go
@@ -11,24 +11,33 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/distribution"
 	"ospreycroft/internal/hint"
 	"ospreycroft/internal/lab/memfs"
-	"ospreycroft/internal/snapshot"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const taken = int64(1e18)
 
-func placeOn(files snapshot.Files) *Place {
-	return &Place{Dir: "/d", Installation: "east", Subscriber: "n/1", Scope: distribution.Scope{Names: []string{"eu"}}, MaxAge: 3600e9,
-		Files: files}
+func placeOn(files atomicfile.Files) *Place {
+	return &Place{
+		Dir:          "/d",
+		Installation: "east",
+		Subscriber:   "n/1",
+		Scope:        distribution.Scope{Names: []string{"eu"}},
+		MaxAge:       3600e9,
+		Files:        files,
+	}
 }
 
+// frame is a file with a body and a first line that fits.
+func frame(body string) string { return string(fileFormat.Frame([]byte(body))) }
+
 func state(number uint64) *distribution.Snapshot {
 	key := distribution.Key{Kind: distribution.KindPlans, Scope: "eu", Name: "a"}
-	return &distribution.Snapshot{Version: distribution.Version{Epoch: 2, Number: number}, Taken: taken, Scope: "@eu",
+	return &distribution.Snapshot{Version: distribution.Version{Epoch: 2, Number: number}, TakenAt: taken, Scope: "@eu",
 		Entries: []distribution.Entry{{Key: key, Value: fmt.Sprint("value ", number)}}}
 }
 
@@ -102,7 +111,14 @@
 			require.NoError(t, p.Save(state(7)))
 			d.Fail, d.Keep = step, keep
 			err := p.Save(state(8))
-			require.True(t, is[*WriteError](err) && errors.Is(err, syscall.ENOSPC) && len(d.Held) == 1, "%s: %v, %v", step, err, d.Held)
+			require.True(
+				t,
+				is[*WriteError](err) && errors.Is(err, syscall.ENOSPC) && len(d.Held) == 1,
+				"%s: %v, %v",
+				step,
+				err,
+				d.Held,
+			)
 			s, err := p.Load(taken)
 			require.NoError(t, err)
 			require.True(t, s.Version.Number == 7 || step == "sync", "%s: %v", step, s)
@@ -130,7 +146,7 @@
 
 // TestRestart: a subscriber that begins with a file serves at once, unconfirmed.
 func TestRestart(t *testing.T) {
-	p := placeOn(snapshot.Disk{})
+	p := placeOn(atomicfile.Disk{})
 	p.Dir = t.TempDir()
 	w := NewWriter(p, func(err error) { t.Error(err) })
 	for i := range uint64(50) {
@@ -140,7 +156,7 @@
 	files, err := os.ReadDir(p.Dir)
 	require.NoError(t, err)
 	require.Len(t, files, 1)
-	again := placeOn(snapshot.Disk{})
+	again := placeOn(atomicfile.Disk{})
 	again.Dir = p.Dir
 	s, err := again.Load(taken + 60e9)
 	require.NoError(t, err)
@@ -170,7 +186,7 @@
 	w.Close()
 	require.Contains(t, string(slow.Held[p.Path()]), "value 3")
 
-	p = placeOn(snapshot.Disk{})
+	p = placeOn(atomicfile.Disk{})
 	p.Dir = t.TempDir() + "/none"
 	reports := make(chan error, 9)
 	w = NewWriter(p, func(err error) { reports <- err })
--- a/internal/distribution/statefile/stored_test.go
+++ b/internal/distribution/statefile/stored_test.go
@@ -6,15 +6,18 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/distribution"
-	"ospreycroft/internal/snapshot"
 )
 
-// TestLoadsFilesOfAnEarlierVersion: the files in testdata were written by a source and a limiter of version f99e54e, and such
-// files stay readable. A relay keeps no file.
+// TestLoadsFilesOfAnEarlierVersion: the files in testdata were written by a source and a limiter of version f99e54e,
+// and such files stay readable. A relay keeps no file.
 func TestLoadsFilesOfAnEarlierVersion(t *testing.T) {
 	plans := func(name, value string) distribution.Entry {
-		return distribution.Entry{Key: distribution.Key{Kind: distribution.KindPlans, Scope: "eu", Name: name}, Value: value}
+		return distribution.Entry{
+			Key:   distribution.Key{Kind: distribution.KindPlans, Scope: "eu", Name: name},
+			Value: value,
+		}
 	}
 	discovery := distribution.Entry{Value: "127.0.0.1:18500",
 		Key: distribution.Key{Kind: distribution.KindEndpoints, Name: distribution.EndpointDiscovery}}
@@ -29,8 +32,14 @@
 		t.Run(c.subscriber, func(t *testing.T) {
 			scope, err := distribution.ParseScope(c.scope)
 			require.NoError(t, err)
-			place := &Place{Dir: "testdata", Installation: "east", Subscriber: c.subscriber, Scope: scope, MaxAge: math.MaxInt64,
-				Files: snapshot.Disk{}}
+			place := &Place{
+				Dir:          "testdata",
+				Installation: "east",
+				Subscriber:   c.subscriber,
+				Scope:        scope,
+				MaxAge:       math.MaxInt64,
+				Files:        atomicfile.Disk{},
+			}
 			loaded, err := place.Load(1)
 			require.NoError(t, err)
 			require.Equal(t, distribution.Version{Epoch: 1, Number: 4}, loaded.Version)
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -7,8 +7,8 @@
 
 // The conditions of a subscriber.
 const (
-	// Syncing: no version is in force yet, or the state has diverged or lost its place in the log and is read anew. What
-	// was in force stays so meanwhile.
+	// Syncing: no version is in force yet, or the state has diverged or lost its place in the log and is read anew.
+	// What was in force stays so meanwhile.
 	Syncing Condition = "syncing"
 	// Current: the source was heard, through the relay, no longer ago than SubscriberOptions.UnconfirmedAfter.
 	Current Condition = "current"
@@ -41,7 +41,8 @@
 	DefaultRefusedRetry     = 30 * second
 )
 
-// Subscriber is the state of one limiter or relay, and decides what it asks for next. It is not safe for concurrent use.
+// Subscriber is the state of one limiter or relay, and decides what it asks for next. It is not safe for concurrent
+// use.
 type Subscriber struct {
 	options   SubscriberOptions
 	version   Version
@@ -69,8 +70,8 @@
 	return &Subscriber{options: options, state: NewState(), started: now}
 }
 
-// Restore begins with a state that an earlier life left, of an age in nanoseconds. It is put in force unconfirmed. Errors:
-// *RefusedError, *KeyError where it is of another scope.
+// Restore begins with a state that an earlier life left, of an age in nanoseconds. It is put in force unconfirmed.
+// Errors: *RefusedError, *KeyError where it is of another scope.
 func (s *Subscriber) Restore(version Version, state *State, age int64) error {
 	for key := range state.values {
 		if !s.options.Scope.Contains(key) {
@@ -133,9 +134,14 @@
 func (s *Subscriber) Next(now int64) Request {
 	switch {
 	case s.resync != nil && s.resync.whole:
-		return Request{Changes: &ChangesRequest{From: s.resync.at, Scope: s.options.Scope}, Hold: s.waitsAt(now, s.resync.at)}
+		return Request{
+			Changes: &ChangesRequest{From: s.resync.at, Scope: s.options.Scope},
+			Hold:    s.waitsAt(now, s.resync.at),
+		}
 	case s.resync != nil:
-		return Request{Piece: &PieceRequest{After: s.resync.after, Scope: s.options.Scope, MaxBytes: s.options.PieceBytes}}
+		return Request{
+			Piece: &PieceRequest{After: s.resync.after, Scope: s.options.Scope, MaxBytes: s.options.PieceBytes},
+		}
 	case s.version == Version{}:
 		return Request{Piece: &PieceRequest{Scope: s.options.Scope, MaxBytes: s.options.PieceBytes}}
 	}
--- a/internal/distribution/transport/client.go
+++ b/internal/distribution/transport/client.go
@@ -14,8 +14,8 @@
 	"ospreycroft/internal/distribution"
 )
 
-// MaxAnswerBytes bounds the body of an answer: MaxDeltaBytes or MaxPieceBytes of content, every character of which may be
-// escaped.
+// MaxAnswerBytes bounds the body of an answer: MaxDeltaBytes or MaxPieceBytes of content, every character of which may
+// be escaped.
 const MaxAnswerBytes = 4 << 20
 
 // Client calls one server. It is safe for concurrent use.
@@ -24,13 +24,18 @@
 	http    *http.Client
 }
 
-// NewClient makes a client of the server at an address of host and port. A connection that has not come up after dialTimeout
-// is given up.
+// NewClient makes a client of the server at an address of host and port. A connection that has not come up after
+// dialTimeout is given up.
 func NewClient(address string, dialTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{address: address, http: &http.Client{
-		Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: idleTimeout / 2,
-			MaxResponseHeaderBytes: maxHead, DisableCompression: true},
+		Transport: &http.Transport{
+			DialContext:            dialer.DialContext,
+			MaxIdleConnsPerHost:    2,
+			IdleConnTimeout:        idleTimeout / 2,
+			MaxResponseHeaderBytes: maxHead,
+			DisableCompression:     true,
+		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
@@ -40,7 +45,11 @@
 
 // Changes asks for changes; the server may hold the call for hold. Errors: those of the answer, see Failure, and
 // *UnreachableError, *UnansweredError, *TruncatedError, *TooLongError, *StatusError, *MalformedError.
-func (c *Client) Changes(ctx context.Context, request distribution.ChangesRequest, hold, timeout time.Duration) (*distribution.Delta, error) {
+func (c *Client) Changes(
+	ctx context.Context,
+	request distribution.ChangesRequest,
+	hold, timeout time.Duration,
+) (*distribution.Delta, error) {
 	delta := &distribution.Delta{}
 	err := c.call(ctx, timeout, http.MethodGet, "/v1/changes?"+changesQuery(request, int64(hold)).Encode(), nil, delta)
 	if err == nil && delta.To == (distribution.Version{}) {
@@ -53,7 +62,11 @@
 }
 
 // Piece asks for a piece of the state. Errors: as of Changes.
-func (c *Client) Piece(ctx context.Context, request distribution.PieceRequest, timeout time.Duration) (*distribution.Piece, error) {
+func (c *Client) Piece(
+	ctx context.Context,
+	request distribution.PieceRequest,
+	timeout time.Duration,
+) (*distribution.Piece, error) {
 	piece := &distribution.Piece{}
 	err := c.call(ctx, timeout, http.MethodGet, "/v1/pieces?"+pieceQuery(request).Encode(), nil, piece)
 	if err == nil && piece.Version == (distribution.Version{}) {
@@ -76,14 +89,22 @@
 }
 
 // Open opens an epoch at a source. Errors: as of Changes.
-func (c *Client) Open(ctx context.Context, epoch uint64, timeout time.Duration) (change distribution.Change, err error) {
+func (c *Client) Open(
+	ctx context.Context,
+	epoch uint64,
+	timeout time.Duration,
+) (change distribution.Change, err error) {
 	err = c.call(ctx, timeout, http.MethodPost, "/v1/epochs", Opening{Epoch: epoch}, &change)
 	return change, err
 }
 
-// Publish publishes a change at a source. Errors: as of Changes. After *UnansweredError or *TruncatedError it may have been
-// published: with Expected set it is safe to repeat.
-func (c *Client) Publish(ctx context.Context, p Publication, timeout time.Duration) (change distribution.Change, err error) {
+// Publish publishes a change at a source. Errors: as of Changes. After *UnansweredError or *TruncatedError it may have
+// been published: with Expected set it is safe to repeat.
+func (c *Client) Publish(
+	ctx context.Context,
+	p Publication,
+	timeout time.Duration,
+) (change distribution.Change, err error) {
 	err = c.call(ctx, timeout, http.MethodPost, "/v1/changes", p, &change)
 	return change, err
 }
