--- a/internal/distribution/transport/doc.go
+++ b/internal/distribution/transport/doc.go
@@ -1,5 +1,5 @@
-// Package transport carries the messages of package distribution over HTTP/1.1 with JSON bodies: a server for the source and
-// for relays, and a client that follows them by long polls.
+// Package transport carries the messages of package distribution over HTTP/1.1 with JSON bodies: a server for the
+// source and for relays, and a client that follows them by long polls.
 //
 // Calls of subscribers, at the source and at relays:
 //
@@ -14,7 +14,8 @@
 //	POST /v1/summaries    distribution.Summary -> 204
 //	GET /v1/overview    distribution.Overview
 //
-// epoch and from are the version that the subscriber has, seen_epoch and seen one that it has refused, hold_ms is how long the
-// call may be held in milliseconds, up to MaxHold. Times in bodies are nanoseconds. An error has a status of 400 or above and
-// a Failure as its body, from which the client makes the typed error again. docs/distribution.md lists them.
+// epoch and from are the version that the subscriber has, seen_epoch and seen one that it has refused, hold_ms is how
+// long the call may be held in milliseconds, up to MaxHold. Times in bodies are nanoseconds. An error has a status of
+// 400 or above and a Failure as its body, from which the client makes the typed error again. docs/distribution.md
+// lists them.
 package transport
--- a/internal/distribution/transport/failure.go
+++ b/internal/distribution/transport/failure.go
@@ -101,7 +101,12 @@
 	case errors.As(err, &scope):
 		return http.StatusBadRequest, Failure{Code: codeScope, Why: scope.Why}
 	case errors.As(err, &tooLarge):
-		return http.StatusRequestEntityTooLarge, Failure{Code: codeTooLarge, What: tooLarge.What, Bytes: tooLarge.Bytes, Max: tooLarge.Max}
+		return http.StatusRequestEntityTooLarge, Failure{
+			Code:  codeTooLarge,
+			What:  tooLarge.What,
+			Bytes: tooLarge.Bytes,
+			Max:   tooLarge.Max,
+		}
 	case errors.As(err, &readOnly):
 		return http.StatusMethodNotAllowed, Failure{Code: codeReadOnly}
 	case errors.As(err, &malformed):
--- a/internal/distribution/transport/query.go
+++ b/internal/distribution/transport/query.go
@@ -58,7 +58,11 @@
 func readPieceQuery(q url.Values) (request distribution.PieceRequest, err error) {
 	r := reader{query: q}
 	if q.Has("after_kind") {
-		request.After = &distribution.Key{Kind: distribution.Kind(q.Get("after_kind")), Scope: q.Get("after_scope"), Name: q.Get("after_name")}
+		request.After = &distribution.Key{
+			Kind:  distribution.Kind(q.Get("after_kind")),
+			Scope: q.Get("after_scope"),
+			Name:  q.Get("after_name"),
+		}
 	}
 	request.MaxBytes = int(min(r.number("max_bytes"), distribution.MaxPieceBytes))
 	request.Scope = r.scope()
--- a/internal/distribution/transport/server.go
+++ b/internal/distribution/transport/server.go
@@ -66,7 +66,10 @@
 func NewRelayServer(relay *distribution.Relay, clock func() int64) *Server {
 	s := newServer(relay, clock)
 	for _, route := range []string{"POST /v1/epochs", "POST /v1/changes", "POST /v1/summaries", "GET /v1/overview"} {
-		s.routes.HandleFunc(route, func(w http.ResponseWriter, _ *http.Request) { fail(w, &distribution.ReadOnlyError{}) })
+		s.routes.HandleFunc(
+			route,
+			func(w http.ResponseWriter, _ *http.Request) { fail(w, &distribution.ReadOnlyError{}) },
+		)
 	}
 	return s
 }
--- a/internal/distribution/transport/transport_test.go
+++ b/internal/distribution/transport/transport_test.go
@@ -96,7 +96,9 @@
 }
 
 func plan(name, value string) distribution.Mutation {
-	return distribution.Mutation{Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindPlans, Name: name}, Value: value}}
+	return distribution.Mutation{
+		Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindPlans, Name: name}, Value: value},
+	}
 }
 
 func (s *source) publish(value string) distribution.Version {
@@ -123,8 +125,11 @@
 		web.Handler = front(server)
 	}
 	r := &relay{listen: serve(t, web, address), core: core}
-	r.stop = run(t, NewRelayFollower(core, server, FollowerOptions{Servers: [2]string{source, source}, DialTimeout: dial,
-		Hold: 200 * time.Millisecond, Clock: clock}))
+	r.stop = run(
+		t,
+		NewRelayFollower(core, server, FollowerOptions{Servers: [2]string{source, source}, DialTimeout: dial,
+			Hold: 200 * time.Millisecond, Clock: clock}),
+	)
 	client := NewClient(r.address, dial)
 	defer client.Close()
 	eventually(t, func() bool {
@@ -200,17 +205,23 @@
 func startLimiter(t *testing.T, name string, servers [2]string) *limiter {
 	t.Helper()
 	l := &limiter{t: t, values: map[string]string{}}
-	sub := distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: name, Applier: l, UnconfirmedAfter: int64(time.Second)})
-	l.Follower = NewFollower(sub, FollowerOptions{Servers: servers, DialTimeout: dial, Hold: 200 * time.Millisecond, Clock: clock,
-		Report: func(err error) {
-			l.mutex.Lock()
-			defer l.mutex.Unlock()
-			l.errors = append(l.errors, err)
-		}, Changed: func(s *distribution.Snapshot) {
-			l.mutex.Lock()
-			defer l.mutex.Unlock()
-			l.changed = append(l.changed, s)
-		}})
+	sub := distribution.NewSubscriber(
+		clock(),
+		distribution.SubscriberOptions{Name: name, Applier: l, UnconfirmedAfter: int64(time.Second)},
+	)
+	l.Follower = NewFollower(
+		sub,
+		FollowerOptions{Servers: servers, DialTimeout: dial, Hold: 200 * time.Millisecond, Clock: clock,
+			Report: func(err error) {
+				l.mutex.Lock()
+				defer l.mutex.Unlock()
+				l.errors = append(l.errors, err)
+			}, Changed: func(s *distribution.Snapshot) {
+				l.mutex.Lock()
+				defer l.mutex.Unlock()
+				l.changed = append(l.changed, s)
+			}},
+	)
 	run(t, l.Follower)
 	return l
 }
@@ -269,7 +280,8 @@
 		reached, _ := o.InForce(version)
 		for _, r := range o.Relays {
 			for _, refusal := range r.Refusals {
-				return reached == 5 && refusal.Version == version && refusal.Limiters == 1 && refusal.Reason == "not this one"
+				return reached == 5 && refusal.Version == version && refusal.Limiters == 1 &&
+					refusal.Reason == "not this one"
 			}
 		}
 		return false
@@ -365,8 +377,8 @@
 	<-r.Context().Done()
 }
 
-// TestFaultyRelay: whatever a limiter's first relay answers, the last good version serves, nothing is half in force, the error
-// has its type, and the second relay brings what is new.
+// TestFaultyRelay: whatever a limiter's first relay answers, the last good version serves, nothing is half in force,
+// the error has its type, and the second relay brings what is new.
 func TestFaultyRelay(t *testing.T) {
 	const oldDelta = `{"from":{"epoch":1,"number":1},"to":{"epoch":1,"number":2},"changes":[{"version":{"epoch":1,"number":2},` +
 		`"published":1,"mutations":[{"kind":"plans","name":"first","value":"zero"}]}],` +
@@ -418,8 +430,8 @@
 	}
 }
 
-// TestRelaysGone: with one relay killed the other serves; with both gone the last version serves, unconfirmed, with its age;
-// the same where the relays are there and the source is gone. Nothing can be published at a relay.
+// TestRelaysGone: with one relay killed the other serves; with both gone the last version serves, unconfirmed, with
+// its age; the same where the relays are there and the source is gone. Nothing can be published at a relay.
 func TestRelaysGone(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -438,7 +450,11 @@
 	require.GreaterOrEqual(t, l.status().Age, int64(time.Second))
 	client := NewClient(b.address, dial)
 	defer client.Close()
-	_, err := client.Publish(context.Background(), Publication{Epoch: 1, Mutations: []distribution.Mutation{plan("first", "x")}}, patience)
+	_, err := client.Publish(
+		context.Background(),
+		Publication{Epoch: 1, Mutations: []distribution.Mutation{plan("first", "x")}},
+		patience,
+	)
 	require.True(t, is[*distribution.ReadOnlyError](err), "%v", err)
 	_, err = client.Open(context.Background(), 2, patience)
 	require.True(t, is[*distribution.ReadOnlyError](err), "%v", err)
@@ -458,8 +474,8 @@
 	eventually(t, func() bool { return l.value() == "three" }, "three")
 }
 
-// TestSourceReplaced: a source that lost its last changes opens a higher epoch, and all go to its state; the one that it
-// replaced publishes no more once a subscriber has told it.
+// TestSourceReplaced: a source that lost its last changes opens a higher epoch, and all go to its state; the one that
+// it replaced publishes no more once a subscriber has told it.
 func TestSourceReplaced(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -474,7 +490,10 @@
 	s.client.Close() // its connection is of the old process
 	state, err := distribution.NewStateOf(saved.Entries)
 	require.NoError(t, err)
-	next := distribution.NewSource(distribution.NewLogAt(distribution.Retention{}, saved.Version, state), distribution.Budget{})
+	next := distribution.NewSource(
+		distribution.NewLogAt(distribution.Retention{}, saved.Version, state),
+		distribution.Budget{},
+	)
 	at := serve(t, NewSourceServer(next, clock).HTTP(), s.address)
 	_, err = s.client.Open(context.Background(), 2, patience)
 	require.NoError(t, err)
@@ -483,7 +502,11 @@
 	s.client.Close()
 	serve(t, NewSourceServer(old, clock).HTTP(), s.address)
 	eventually(t, func() bool {
-		_, err := s.client.Publish(context.Background(), Publication{Epoch: 1, Mutations: []distribution.Mutation{plan("first", "x")}}, patience)
+		_, err := s.client.Publish(
+			context.Background(),
+			Publication{Epoch: 1, Mutations: []distribution.Mutation{plan("first", "x")}},
+			patience,
+		)
 		return is[*distribution.FencedError](err)
 	}, "fenced")
 	require.Equal(t, "one", l.value())
@@ -495,8 +518,12 @@
 	s := startSource(t)
 	ask := func(hold time.Duration) (*distribution.Delta, time.Duration) {
 		began := time.Now()
-		delta, err := s.client.Changes(context.Background(), distribution.ChangesRequest{From: distribution.Version{Epoch: 1, Number: 1}},
-			hold, patience)
+		delta, err := s.client.Changes(
+			context.Background(),
+			distribution.ChangesRequest{From: distribution.Version{Epoch: 1, Number: 1}},
+			hold,
+			patience,
+		)
 		require.NoError(t, err)
 		return delta, time.Since(began)
 	}
@@ -505,13 +532,22 @@
 	require.GreaterOrEqual(t, took, 190*time.Millisecond)
 	go func() {
 		time.Sleep(100 * time.Millisecond)
-		_, _ = s.client.Publish(context.Background(), Publication{Epoch: 1, Mutations: []distribution.Mutation{plan("first", "1")}}, patience)
+		_, _ = s.client.Publish(
+			context.Background(),
+			Publication{Epoch: 1, Mutations: []distribution.Mutation{plan("first", "1")}},
+			patience,
+		)
 	}()
 	delta, took = ask(9 * time.Second)
 	require.Equal(t, distribution.Version{Epoch: 1, Number: 2}, delta.To)
 	require.GreaterOrEqual(t, took, 90*time.Millisecond)
 	require.Less(t, took, 8*time.Second)
-	_, err := s.client.Changes(context.Background(), distribution.ChangesRequest{From: delta.To}, time.Second, 50*time.Millisecond)
+	_, err := s.client.Changes(
+		context.Background(),
+		distribution.ChangesRequest{From: delta.To},
+		time.Second,
+		50*time.Millisecond,
+	)
 	require.True(t, is[*UnansweredError](err), "%v", err)
 }
 
@@ -526,7 +562,10 @@
 	ctx, leave := context.WithCancel(context.Background())
 	call := func(ctx context.Context) int {
 		w := httptest.NewRecorder()
-		server.ServeHTTP(w, httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/changes?epoch=1&from=1&hold_ms=10000", nil))
+		server.ServeHTTP(
+			w,
+			httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/changes?epoch=1&from=1&hold_ms=10000", nil),
+		)
 		return w.Code
 	}
 	done := make(chan int)
@@ -726,12 +765,23 @@
 	require.True(t, sameNews(older, base))
 }
 
-// TestSaidAgain: a limiter says what it has in force again and again, so that its relay, or another, goes on counting it.
+// TestSaidAgain: a limiter says what it has in force again and again, so that its relay, or another, goes on counting
+// it.
 func TestSaidAgain(t *testing.T) {
 	t.Parallel()
 	now := int64(1)
-	sub := distribution.NewSubscriber(now, distribution.SubscriberOptions{Name: "n", Applier: &limiter{t: t, values: map[string]string{}}})
-	f := NewFollower(sub, FollowerOptions{Servers: [2]string{"127.0.0.1:1", "127.0.0.1:1"}, DialTimeout: dial, Clock: func() int64 { return now }})
+	sub := distribution.NewSubscriber(
+		now,
+		distribution.SubscriberOptions{Name: "n", Applier: &limiter{t: t, values: map[string]string{}}},
+	)
+	f := NewFollower(
+		sub,
+		FollowerOptions{
+			Servers:     [2]string{"127.0.0.1:1", "127.0.0.1:1"},
+			DialTimeout: dial,
+			Clock:       func() int64 { return now },
+		},
+	)
 	said := func(now int64) bool {
 		f.acknowledge(now)
 		select {
--- a/internal/distribution/version.go
+++ b/internal/distribution/version.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// MaxEpochStep is how far an epoch may be above the one before it. Epochs are counted up, one a writer: a larger step is an
-// error, and would leave less room above it.
+// MaxEpochStep is how far an epoch may be above the one before it. Epochs are counted up, one a writer: a larger step
+// is an error, and would leave less room above it.
 const MaxEpochStep = 1 << 20
 
-// Version names one change of the log. Numbers run on over epochs, one at a time; an epoch stands for one writer. The zero
-// value is the version before the first change.
+// Version names one change of the log. Numbers run on over epochs, one at a time; an epoch stands for one writer. The
+// zero value is the version before the first change.
 type Version struct {
 	Epoch  uint64 `json:"epoch"`
 	Number uint64 `json:"number"`
--- a/internal/distribution/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -93,8 +93,13 @@
 var walkScopes = []Scope{{}, {Names: []string{"eu"}}, {Kinds: []Kind{KindPlans, KindRoutes}, Names: []string{"us"}}}
 
 func newWalk(retained Retention) *walk {
-	w := &walk{now: 1, history: map[Version]entries{}, retained: retained, budget: Budget{Rate: 4 * MaxPieceBytes, Burst: MaxPieceBytes},
-		given: map[Server][]given{}}
+	w := &walk{
+		now:      1,
+		history:  map[Version]entries{},
+		retained: retained,
+		budget:   Budget{Rate: 4 * MaxPieceBytes, Burst: MaxPieceBytes},
+		given:    map[Server][]given{},
+	}
 	w.source = NewSource(NewLog(retained), w.budget)
 	for i := range 2 {
 		w.relays = append(w.relays, nil)
@@ -116,8 +121,11 @@
 func (w *walk) startLimiter(i int, from *Snapshot) error {
 	m := w.limiters[i]
 	m.inForce, m.highest, m.diverged = &inForce{state: entries{}}, Version{}, false
-	m.Subscriber = NewSubscriber(w.now, SubscriberOptions{Name: fmt.Sprint("limiter-", i), Scope: m.scope, Applier: m.inForce,
-		RefusedRetry: 3 * second})
+	m.Subscriber = NewSubscriber(
+		w.now,
+		SubscriberOptions{Name: fmt.Sprint("limiter-", i), Scope: m.scope, Applier: m.inForce,
+			RefusedRetry: 3 * second},
+	)
 	if from == nil {
 		return nil
 	}
@@ -125,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	return m.Restore(from.Version, state, w.now-from.Taken)
+	return m.Restore(from.Version, state, w.now-from.TakenAt)
 }
 
 func (w *walk) servers() []Server { return []Server{w.source, w.relays[0], w.relays[1]} }
@@ -141,7 +149,12 @@
 }
 
 // ask makes one call of a subscriber to a server; spoil may change the answer, or drop it by returning false.
-func (w *walk) ask(m *member, server Server, spoilDelta func(*Delta) (*Delta, bool), spoilPiece func(*Piece) (*Piece, bool)) error {
+func (w *walk) ask(
+	m *member,
+	server Server,
+	spoilDelta func(*Delta) (*Delta, bool),
+	spoilPiece func(*Piece) (*Piece, bool),
+) error {
 	request := m.Next(w.now)
 	if request.Piece != nil {
 		piece, err := server.Piece(w.now, *request.Piece)
@@ -184,7 +197,8 @@
 
 // disturbed makes one call whose answer may be lost, cut, changed or one of an earlier call.
 func (w *walk) disturbed(t *rapid.T, m *member, server Server) error {
-	fault := rapid.SampledFrom([]string{"none", "none", "none", "lost", "cut", "changed", "skips", "earlier"}).Draw(t, "fault")
+	fault := rapid.SampledFrom([]string{"none", "none", "none", "lost", "cut", "changed", "skips", "earlier"}).
+		Draw(t, "fault")
 	return w.ask(m, server, func(d *Delta) (*Delta, bool) {
 		spoilt := *d
 		switch {
@@ -267,8 +281,11 @@
 
 func drawMutations(t *rapid.T, state *State) []Mutation {
 	key := rapid.Custom(func(t *rapid.T) Key {
-		return Key{rapid.SampledFrom(Kinds).Draw(t, "kind"), rapid.SampledFrom([]string{"", "eu", "us"}).Draw(t, "scope"),
-			rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")}
+		return Key{
+			rapid.SampledFrom(Kinds).Draw(t, "kind"),
+			rapid.SampledFrom([]string{"", "eu", "us"}).Draw(t, "scope"),
+			rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"),
+		}
 	})
 	var mutations []Mutation
 	for _, k := range rapid.SliceOfNDistinct(key, 1, 4, func(k Key) Key { return k }).Draw(t, "keys") {
@@ -350,9 +367,9 @@
 	}
 }
 
-// TestWalk: whatever is lost, cut, changed, replayed, refused or restarted, no version is published twice or taken back,
-// every state in force is the log's at its version, pieces keep the byte budget, and undisturbed calls bring all to the
-// source's state.
+// TestWalk: whatever is lost, cut, changed, replayed, refused or restarted, no version is published twice or taken
+// back, every state in force is the log's at its version, pieces keep the byte budget, and undisturbed calls bring all
+// to the source's state.
 func TestWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWalk(Retention{Changes: rapid.SampledFrom([]int{1, 3, 100}).Draw(t, "retained")})
@@ -373,7 +390,11 @@
 			"publish again": w.publish,
 			"open":          func(t *rapid.T) { w.open(t) },
 			"take source's snapshot": func(*rapid.T) {
-				w.snapshot = &Snapshot{Version: w.source.log.Head(), Taken: w.now, Entries: w.source.log.State().Entries()}
+				w.snapshot = &Snapshot{
+					Version: w.source.log.Head(),
+					TakenAt: w.now,
+					Entries: w.source.log.State().Entries(),
+				}
 			},
 			"replace source": func(t *rapid.T) { w.replaceSource(t) },
 			"relay asks":     askSource, "relay asks again": askSource,
--- a/internal/hint/hint_test.go
+++ b/internal/hint/hint_test.go
@@ -22,24 +22,67 @@
 )
 
 // elsewhere are those that the tests of their own packages provoke, or of the limiter, which logs them.
-var elsewhere = []string{"counterwire.MismatchError", "counterwire.RejectedError", "coldstart.SettingError", "coldstart.LateNotificationError", "operator.UnreadableError",
-	"operator.KeyError", "snapshot.UnreadableError", "snapshot.TruncatedError", "snapshot.ChecksumError", "snapshot.FormatError", "snapshot.OwnerError",
-	"snapshot.StaleError", "snapshot.WriteError",
-	"distribution.KindError", "distribution.KeyError", "distribution.TooLargeError", "distribution.EmptyChangeError",
-	"distribution.FencedError", "distribution.EpochStepError", "distribution.ConflictError", "distribution.SkipError",
-	"distribution.StaleAnswerError", "distribution.DigestError", "distribution.CompactedError",
-	"distribution.BehindError", "distribution.NotReadyError", "distribution.ThrottledError", "distribution.ScopeError",
-	"distribution.ReadOnlyError", "distribution.FixedKeyError", "distribution.RefusedError",
-	"distribution.MalformedError", "distribution.NoRelayError", "transport.UnreachableError",
-	"transport.UnansweredError", "transport.TruncatedError", "transport.TooLongError", "transport.StatusError",
-	"statefile.UnreadableError", "statefile.TruncatedError", "statefile.ChecksumError", "statefile.FormatError",
-	"statefile.OwnerError", "statefile.StaleError", "statefile.OlderError", "statefile.WriteError",
-	"main.FlagError", "main.ListenError", "main.SourceStateError", "main.NotInForceError"}
+var elsewhere = []string{
+	"counterwire.MismatchError",
+	"counterwire.RejectedError",
+	"coldstart.SettingError",
+	"coldstart.LateNotificationError",
+	"operator.UnreadableError",
+	"operator.KeyError",
+	"snapshot.UnreadableError",
+	"snapshot.TruncatedError",
+	"snapshot.ChecksumError",
+	"snapshot.FormatError",
+	"snapshot.OwnerError",
+	"snapshot.StaleError",
+	"snapshot.WriteError",
+	"distribution.KindError",
+	"distribution.KeyError",
+	"distribution.TooLargeError",
+	"distribution.EmptyChangeError",
+	"distribution.FencedError",
+	"distribution.EpochStepError",
+	"distribution.ConflictError",
+	"distribution.SkipError",
+	"distribution.StaleAnswerError",
+	"distribution.DigestError",
+	"distribution.CompactedError",
+	"distribution.BehindError",
+	"distribution.NotReadyError",
+	"distribution.ThrottledError",
+	"distribution.ScopeError",
+	"distribution.ReadOnlyError",
+	"distribution.FixedKeyError",
+	"distribution.RefusedError",
+	"distribution.MalformedError",
+	"distribution.NoRelayError",
+	"transport.UnreachableError",
+	"transport.UnansweredError",
+	"transport.TruncatedError",
+	"transport.TooLongError",
+	"transport.StatusError",
+	"statefile.UnreadableError",
+	"statefile.TruncatedError",
+	"statefile.ChecksumError",
+	"statefile.FormatError",
+	"statefile.OwnerError",
+	"statefile.StaleError",
+	"statefile.OlderError",
+	"statefile.WriteError",
+	"main.FlagError",
+	"main.ListenError",
+	"main.SourceStateError",
+	"main.NotInForceError",
+}
 
 // match tells whether an error is one of a type or has one underneath, and names the type.
 func match[E hint.Error](err error) (string, bool) {
 	var e E
-	return strings.TrimPrefix(reflect.TypeFor[E]().String(), "*"), errors.As(err, &e) && e.Hint() != "" && e.Error() != ""
+	return strings.TrimPrefix(
+			reflect.TypeFor[E]().String(),
+			"*",
+		), errors.As(err, &e) && e.Hint() != "" &&
+			e.Error() != ""
 }
 
 func answer(text string) error {
@@ -125,7 +168,10 @@
 		}
 		text, err := os.ReadFile(path)
 		for _, of := range regexp.MustCompile(`(?m)^func \((?:\w+ )?\*?(\w+)\) Hint\(`).FindAllSubmatch(text, -1) {
-			names = append(names, string(regexp.MustCompile(`(?m)^package (\w+)`).FindSubmatch(text)[1])+"."+string(of[1]))
+			names = append(
+				names,
+				string(regexp.MustCompile(`(?m)^package (\w+)`).FindSubmatch(text)[1])+"."+string(of[1]),
+			)
 		}
 		return err
 	})
--- a/internal/lab/distbench/cases.go
+++ b/internal/lab/distbench/cases.go
@@ -15,10 +15,24 @@
 }
 
 var (
-	long = lengths{idle: 20 * time.Second, settle: 2 * time.Second, regionCut: time.Minute, changesEvery: 1500 * time.Millisecond,
-		calm: 10, regionChanges: 10, changes: 40}
-	short = lengths{idle: time.Second, settle: 200 * time.Millisecond, regionCut: 2 * time.Second, changesEvery: 50 * time.Millisecond,
-		calm: 2, regionChanges: 2, changes: 4}
+	long = lengths{
+		idle:          20 * time.Second,
+		settle:        2 * time.Second,
+		regionCut:     time.Minute,
+		changesEvery:  1500 * time.Millisecond,
+		calm:          10,
+		regionChanges: 10,
+		changes:       40,
+	}
+	short = lengths{
+		idle:          time.Second,
+		settle:        200 * time.Millisecond,
+		regionCut:     2 * time.Second,
+		changesEvery:  50 * time.Millisecond,
+		calm:          2,
+		regionChanges: 2,
+		changes:       4,
+	}
 )
 
 // caseEnd is how long after its publication a version is waited for.
@@ -159,8 +173,12 @@
 	for _, z := range zones {
 		inside[z.name] = z.region != zones[0].region
 	}
-	return f.cutOff(fmt.Sprintf("a region cut for %v, %d changes", l.regionCut, l.regionChanges), l.regionChanges, l.regionCut,
-		func(zone string) bool { return inside[zone] })
+	return f.cutOff(
+		fmt.Sprintf("a region cut for %v, %d changes", l.regionCut, l.regionChanges),
+		l.regionChanges,
+		l.regionCut,
+		func(zone string) bool { return inside[zone] },
+	)
 }
 
 // cutOff cuts zones off for a time, in which changes are published, and heals them.
@@ -178,7 +196,10 @@
 		}
 		all = append(all, p)
 	}
-	outside := f.measure(name+": outside, from publication", f.all(func(l hollowLimiter) bool { return !inside(l.zone.name) }), all...)
+	outside := f.measure(
+		name+": outside, from publication",
+		f.all(func(l hollowLimiter) bool { return !inside(l.zone.name) }),
+		all...)
 	time.Sleep(time.Until(begun.Add(length)))
 	cut := f.all(func(l hollowLimiter) bool { return inside(l.zone.name) })
 	early := 0
@@ -195,7 +216,8 @@
 	return []Case{outside, within}, nil
 }
 
-// restart restarts every tenth limiter, and publishes a change once all of them have begun again with the state on their disks.
+// restart restarts every tenth limiter, and publishes a change once all of them have begun again with the state on
+// their disks.
 func (f *Fleet) restart(lengths) ([]Case, error) {
 	begun := time.Now()
 	var tenth []int
@@ -212,7 +234,11 @@
 		}
 	}
 	if !f.await(tenth, f.head, begun, caseEnd) {
-		return nil, &StartError{What: "a tenth of the limiters", Log: "no state from the disk", Cause: os.ErrDeadlineExceeded}
+		return nil, &StartError{
+			What:  "a tenth of the limiters",
+			Log:   "no state from the disk",
+			Cause: os.ErrDeadlineExceeded,
+		}
 	}
 	p, err := f.publish()
 	if err != nil {
--- a/internal/lab/distbench/distbench_test.go
+++ b/internal/lab/distbench/distbench_test.go
@@ -24,13 +24,17 @@
 	os.Exit(m.Run())
 }
 
-// TestShortRun plays cases at a small size: every change comes in force everywhere in time, also past a relay that is killed, and
-// no limiter that is cut off has it before the heal. All cases at full size: testlab distribution.
+// TestShortRun plays cases at a small size: every change comes in force everywhere in time, also past a relay that is
+// killed, and no limiter that is cut off has it before the heal. All cases at full size: testlab distribution.
 func TestShortRun(t *testing.T) {
 	programs, err := Build(t.TempDir())
 	require.NoError(t, err)
-	report, err := Run([]string{"calm", "zone", "killed", "restart", "changes", "cold"}, true, Options{Programs: programs, Host: []string{os.Args[0]}, Dir: t.TempDir(), Hollow: 40, Hosts: 2, Real: 1,
-		RelaysInZone: 1, Entries: 90, Log: os.Stderr})
+	report, err := Run(
+		[]string{"calm", "zone", "killed", "restart", "changes", "cold"},
+		true,
+		Options{Programs: programs, Host: []string{os.Args[0]}, Dir: t.TempDir(), Hollow: 40, Hosts: 2, Real: 1,
+			RelaysInZone: 1, Entries: 90, Log: os.Stderr},
+	)
 	require.NoError(t, err)
 	require.Empty(t, report.NotRun)
 	require.NoError(t, report.WriteTable(os.Stderr))
@@ -55,7 +59,8 @@
 	require.FileExists(t, path)
 }
 
-// TestLedger reads times from what was recorded: of a version or a newer one, not before the publication, in the order of arrival.
+// TestLedger reads times from what was recorded: of a version or a newer one, not before the publication, in the order
+// of arrival.
 func TestLedger(t *testing.T) {
 	l, from := newLedger(), time.Unix(100, 0)
 	version := func(n uint64) distribution.Version { return distribution.Version{Epoch: 1, Number: n} }
--- a/internal/lab/distbench/fleet.go
+++ b/internal/lab/distbench/fleet.go
@@ -110,8 +110,8 @@
 	versions int // published
 }
 
-// StartFleet starts a source with a state, its relays and all limiters; it does not wait until they have the state. Errors:
-// *StartError, *link.ListenError, and those of transport.Client.
+// StartFleet starts a source with a state, its relays and all limiters; it does not wait until they have the state.
+// Errors: *StartError, *link.ListenError, and those of transport.Client.
 func StartFleet(options Options) (*Fleet, error) {
 	f := &Fleet{options: options, ledger: newLedger(), wires: map[[2]string]*wire{}}
 	if err := f.start(); err != nil {
@@ -168,8 +168,11 @@
 	for from := 0; from < f.options.Entries; from += distribution.MaxMutations {
 		var mutations []distribution.Mutation
 		for i := from; i < min(from+distribution.MaxMutations, f.options.Entries); i++ {
-			mutations = append(mutations, distribution.Mutation{Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindTenants,
-				Scope: scopes[i%len(scopes)], Name: fmt.Sprintf("tenant-%d", i)}, Value: value}})
+			mutations = append(
+				mutations,
+				distribution.Mutation{Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindTenants,
+					Scope: scopes[i%len(scopes)], Name: fmt.Sprintf("tenant-%d", i)}, Value: value}},
+			)
 		}
 		if _, err := f.change(mutations); err != nil {
 			return err
@@ -180,7 +183,11 @@
 
 // change publishes a change.
 func (f *Fleet) change(mutations []distribution.Mutation) (distribution.Version, error) {
-	change, err := f.client.Publish(context.Background(), transport.Publication{Epoch: 1, Mutations: mutations}, callTimeout)
+	change, err := f.client.Publish(
+		context.Background(),
+		transport.Publication{Epoch: 1, Mutations: mutations},
+		callTimeout,
+	)
 	if err != nil {
 		return distribution.Version{}, err
 	}
@@ -197,8 +204,10 @@
 // publish publishes a change that concerns every limiter, and moves the real ones to their other place.
 func (f *Fleet) publish() (publication, error) {
 	f.versions++
-	mutations := []distribution.Mutation{{Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindPlans, Name: "gold"},
-		Value: fmt.Sprintf(`{"rate":%d}`, f.versions)}}}
+	mutations := []distribution.Mutation{
+		{Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindPlans, Name: "gold"},
+			Value: fmt.Sprintf(`{"rate":%d}`, f.versions)}},
+	}
 	for _, l := range f.real {
 		mutations = append(mutations, l.move())
 	}
--- a/internal/lab/distbench/hollow.go
+++ b/internal/lab/distbench/hollow.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/distribution"
 	"ospreycroft/internal/distribution/statefile"
 	"ospreycroft/internal/distribution/transport"
-	"ospreycroft/internal/snapshot"
 )
 
 // HostVariable is set in the environment of a process that is to be a host of hollow limiters (HostMain).
@@ -20,7 +20,8 @@
 
 const dialTimeout = 250 * time.Millisecond // of limiters, as in the lab's configurations
 
-// hollowSpec is one hollow limiter: a real follower over real connections, with an applier that records what comes in force.
+// hollowSpec is one hollow limiter: a real follower over real connections, with an applier that records what comes in
+// force.
 type hollowSpec struct {
 	Number  int       `json:"number"` // among all
 	Scope   string    `json:"scope"`
@@ -112,8 +113,11 @@
 	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 	subscriber := distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: spec.name(), Scope: scope,
 		Applier: &recorder{h, spec.Number}})
-	one := &hollow{hollowSpec: spec, place: statefile.Place{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
-		MaxAge: int64(time.Hour), Files: snapshot.Disk{}}}
+	one := &hollow{
+		hollowSpec: spec,
+		place: statefile.Place{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
+			MaxAge: int64(time.Hour), Files: atomicfile.Disk{}},
+	}
 	held, err := one.place.Load(clock())
 	if err != nil {
 		return err
@@ -123,12 +127,15 @@
 		if err != nil {
 			return err
 		}
-		if err := subscriber.Restore(held.Version, state, max(clock()-held.Taken, 0)); err != nil {
+		if err := subscriber.Restore(held.Version, state, max(clock()-held.TakenAt, 0)); err != nil {
 			return err
 		}
 	}
-	one.follower = transport.NewFollower(subscriber, transport.FollowerOptions{Servers: spec.Servers, DialTimeout: dialTimeout,
-		Position: spec.Number, Clock: clock})
+	one.follower = transport.NewFollower(
+		subscriber,
+		transport.FollowerOptions{Servers: spec.Servers, DialTimeout: dialTimeout,
+			Position: spec.Number, Clock: clock},
+	)
 	ctx, cancel := context.WithCancel(context.Background())
 	one.cancel = cancel
 	one.running.Go(func() { one.follower.Run(ctx) })
--- a/internal/lab/distbench/process.go
+++ b/internal/lab/distbench/process.go
@@ -23,7 +23,14 @@
 
 // Build builds the programs into a directory. Errors: *StartError.
 func Build(dir string) (Programs, error) {
-	command := exec.Command("go", "build", "-o", dir+string(filepath.Separator), "ospreycroft/cmd/ospreycroft", "ospreycroft/cmd/configdist")
+	command := exec.Command(
+		"go",
+		"build",
+		"-o",
+		dir+string(filepath.Separator),
+		"ospreycroft/cmd/ospreycroft",
+		"ospreycroft/cmd/configdist",
+	)
 	if text, err := command.CombinedOutput(); err != nil {
 		return Programs{}, &StartError{What: "go build", Log: string(text), Cause: err}
 	}
@@ -158,7 +165,9 @@
 
 // StartRelay starts a relay, and gives its address. Errors: *StartError.
 func (programs Programs) StartRelay(source, zone, name, listen string) (*Process, string, error) {
-	return programs.startListening([]string{"relay", "--listen", listen, "--source", source, "--zone", zone, "--name", name})
+	return programs.startListening(
+		[]string{"relay", "--listen", listen, "--source", source, "--zone", zone, "--name", name},
+	)
 }
 
 func (programs Programs) startListening(arguments []string) (*Process, string, error) {
--- a/internal/lab/distbench/real.go
+++ b/internal/lab/distbench/real.go
@@ -80,8 +80,10 @@
 // move is the mutation that moves the limiter to its other place.
 func (l *realLimiter) move() distribution.Mutation {
 	l.at = 1 - l.at
-	return distribution.Mutation{Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindEndpoints, Scope: l.scope(),
-		Name: distribution.EndpointDiscovery}, Value: l.places[l.at].address()}}
+	return distribution.Mutation{
+		Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindEndpoints, Scope: l.scope(),
+			Name: distribution.EndpointDiscovery}, Value: l.places[l.at].address()},
+	}
 }
 
 // startReal starts a real limiter that follows two relays. Errors: *StartError, *ports.KeepError.
@@ -130,8 +132,13 @@
 		"family-info":{"has-counter":false,"units-top":16},"contract":{"cold-from":0.3,"warm-within":10},
 		"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15,"retry-after":true,"max-retry-after":2},
 		"granularity":0.004}}`, name, l.port.Address(), l.places[0].address())
-	stated := fmt.Sprintf("installation = 'distlab'\n[distribution]\nrelays = [%q, %q]\nscope = 'endpoints@%s'\nstate_path = %q\noldest_s = 3600\n",
-		servers[0], servers[1], l.scope(), state)
+	stated := fmt.Sprintf(
+		"installation = 'distlab'\n[distribution]\nrelays = [%q, %q]\nscope = 'endpoints@%s'\nstate_path = %q\noldest_s = 3600\n",
+		servers[0],
+		servers[1],
+		l.scope(),
+		state,
+	)
 	paths := [2]string{filepath.Join(state, "config.json"), filepath.Join(state, "operator.toml")}
 	for i, text := range []string{config, stated} {
 		if err := os.WriteFile(paths[i], []byte(text), 0o644); err != nil {
--- a/internal/lab/distbench/run.go
+++ b/internal/lab/distbench/run.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"io"
 	"os"
-	"ospreycroft/internal/lab/procfs"
 	"path/filepath"
 	"time"
+
+	"ospreycroft/internal/lab/procfs"
 )
 
 // Loads are what the parts of the fleet used over a time.
@@ -46,8 +47,18 @@
 	if isShort {
 		l = short
 	}
-	report := &Report{Date: time.Now().UTC().Format(time.DateTime), Hollow: options.Hollow, Hosts: options.Hosts, Real: options.Real,
-		Relays: options.RelaysInZone * len(zones), Entries: options.Entries, LoadBefore: procfs.LoadAverage(), NotRun: names}
+	report := &Report{
+		Date:   time.Now().UTC().Format(time.DateTime),
+		Hollow: options.Hollow,
+		Hosts:  options.Hosts,
+		Real:   options.Real,
+		Relays: options.RelaysInZone * len(
+			zones,
+		),
+		Entries:    options.Entries,
+		LoadBefore: procfs.LoadAverage(),
+		NotRun:     names,
+	}
 	defer func() { report.LoadBehind = procfs.LoadAverage() }()
 	begun := time.Now()
 	f, err := StartFleet(options)
@@ -128,7 +139,11 @@
 
 func (f *Fleet) between(during string, before, behind usages) Loads {
 	return Loads{During: during, Limiter: loadBetween(before.hosts, behind.hosts, len(f.hollow)),
-		Real: loadBetween(before.real, behind.real, max(len(f.real), 1)), Relay: loadBetween(before.relays, behind.relays, len(f.relays)),
+		Real: loadBetween(
+			before.real,
+			behind.real,
+			max(len(f.real), 1),
+		), Relay: loadBetween(before.relays, behind.relays, len(f.relays)),
 		Source: loadBetween(before.source, behind.source, 1)}
 }
 
@@ -170,8 +185,18 @@
 
 // WriteTable writes the report as tables for a page.
 func (r *Report) WriteTable(out io.Writer) error {
-	text := fmt.Sprintf("`%s` on %s: %d hollow limiters in %d processes, %d real ones, %d relays, %d entries; load of the machine %s before, %s behind.\n\n",
-		r.Command, r.Date, r.Hollow, r.Hosts, r.Real, r.Relays, r.Entries, r.LoadBefore, r.LoadBehind)
+	text := fmt.Sprintf(
+		"`%s` on %s: %d hollow limiters in %d processes, %d real ones, %d relays, %d entries; load of the machine %s before, %s behind.\n\n",
+		r.Command,
+		r.Date,
+		r.Hollow,
+		r.Hosts,
+		r.Real,
+		r.Relays,
+		r.Entries,
+		r.LoadBefore,
+		r.LoadBehind,
+	)
 	text += "| case | times measured | p50 s | p99 s | max s | late at 18 s | never | real: p50 s | real: max s | real: late |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 	for _, c := range append([]Case{{Name: "the run's own start, processes and first reads", Hollow: r.StartedCold}}, r.Cases...) {
@@ -180,7 +205,17 @@
 			real = fmt.Sprintf("%.3f | %.3f | %d", c.Real.P50, c.Real.Max, c.Real.Late)
 		}
 		h := c.Hollow
-		text += fmt.Sprintf("| %s | %d | %.3f | %.3f | %.3f | %d | %d | %s |\n", c.Name, h.Limiters, h.P50, h.P99, h.Max, h.Late, h.Never, real)
+		text += fmt.Sprintf(
+			"| %s | %d | %.3f | %.3f | %.3f | %d | %d | %s |\n",
+			c.Name,
+			h.Limiters,
+			h.P50,
+			h.P99,
+			h.Max,
+			h.Late,
+			h.Never,
+			real,
+		)
 	}
 	text += "\n| during | part | bytes/s | % of a core |\n| --- | --- | --- | --- |\n"
 	for _, l := range r.Loads {
@@ -188,7 +223,13 @@
 			name string
 			Load
 		}{{"a hollow limiter", l.Limiter}, {"a real limiter, its discovery's calls in it", l.Real}, {"a relay", l.Relay}, {"the source", l.Source}} {
-			text += fmt.Sprintf("| %s | %s | %.0f | %.3f |\n", l.During, part.name, part.BytesPerSecond, part.CorePercent)
+			text += fmt.Sprintf(
+				"| %s | %s | %.0f | %.3f |\n",
+				l.During,
+				part.name,
+				part.BytesPerSecond,
+				part.CorePercent,
+			)
 		}
 	}
 	for _, name := range r.NotRun {
--- a/internal/lab/distbench/usage.go
+++ b/internal/lab/distbench/usage.go
@@ -10,7 +10,8 @@
 type usage struct {
 	at        time.Time
 	processor time.Duration
-	bytes     int64 // read and written by system calls, those of its connections among them, without the heads of TCP and IP
+	// read and written by system calls, those of its connections among them, without the heads of TCP and IP
+	bytes int64
 }
 
 // usageOf reads a process's usage. Errors: *procfs.Error.
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -33,10 +33,10 @@
 	Instances  []Instance `json:"instances"`
 }
 
-// Discovery is discovery's stand-in: `GET /discovery/hosts` for the whole list and `?from=G&hold_ms=H` to watch.
-// A watch is answered with the whole list as soon as the generation passes G, as the protocol allows, or with the changed
-// entries alone after TellChanges. It listens on one port for each limiter, so that each call is written down with who made
-// it, and each limiter can be given addresses of its own.
+// Discovery is discovery's stand-in: `GET /discovery/hosts` for the whole list and `?from=G&hold_ms=H` to watch. A
+// watch is answered with the whole list as soon as the generation passes G, as the protocol allows, or with the
+// changed entries alone after TellChanges. It listens on one port for each limiter, so that each call is written down
+// with who made it, and each limiter can be given addresses of its own.
 type Discovery struct {
 	Traffic Traffic // of all limiters
 
@@ -93,9 +93,13 @@
 	for i, p := range d.ports {
 		numbers[p.Address()] = i
 	}
-	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, BaseContext: func(l net.Listener) context.Context {
-		return context.WithValue(context.Background(), caller{}, numbers[l.Addr().String()])
-	}}
+	d.server = &http.Server{
+		Handler:           mux,
+		ReadHeaderTimeout: 5 * time.Second,
+		BaseContext: func(l net.Listener) context.Context {
+			return context.WithValue(context.Background(), caller{}, numbers[l.Addr().String()])
+		},
+	}
 	for _, p := range d.ports {
 		l, err := p.Listen()
 		if err != nil {
@@ -195,8 +199,8 @@
 	return l
 }
 
-// answer is the text for a call and the generation that it tells of: the whole list or, for a watch where changes are told
-// alone, what is newer than from. Limiters that reach all instances at the same addresses share the texts.
+// answer is the text for a call and the generation that it tells of: the whole list or, for a watch where changes are
+// told alone, what is newer than from. Limiters that reach all instances at the same addresses share the texts.
 func (d *Discovery) answer(limiter int, watching bool, from int64) (text []byte, generation int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -227,7 +231,12 @@
 func (d *Discovery) hosts(w http.ResponseWriter, r *http.Request) {
 	d.Traffic.Calls.Add(1)
 	limiter, _ := r.Context().Value(caller{}).(int)
-	call := history.Call{Limiter: limiter, At: d.clock.Now(), Whole: !r.URL.Query().Has("hold_ms"), End: history.CallerGone}
+	call := history.Call{
+		Limiter: limiter,
+		At:      d.clock.Now(),
+		Whole:   !r.URL.Query().Has("hold_ms"),
+		End:     history.CallerGone,
+	}
 	defer func() { call.EndedAt = d.clock.Now(); d.book.AddCall(call) }()
 	if d.turnsAway() {
 		call.End = history.Throttled
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -108,7 +108,15 @@
 	r := NewDeduplication(int64(time.Second))
 	s, book := start(t, ServerSpec{Name: "s1", Work: time.Millisecond}, r)
 	for range 2 {
-		if got, _ := exchange(t, s.Address(), command("k1", "c=keyed,k=f00d"), time.Second); !strings.HasPrefix(got, "*3") {
+		if got, _ := exchange(
+			t,
+			s.Address(),
+			command("k1", "c=keyed,k=f00d"),
+			time.Second,
+		); !strings.HasPrefix(
+			got,
+			"*3",
+		) {
 			t.Fatalf("%q", got)
 		}
 	}
@@ -200,7 +208,14 @@
 		}
 		return l
 	}
-	if a, b := call(0, ""), call(2, "?from=1&hold_ms=5000"); a.Instances[0].HostPort != "0" || b.Instances[0].HostPort != "2" {
+	if a, b := call(
+		0,
+		"",
+	), call(
+		2,
+		"?from=1&hold_ms=5000",
+	); a.Instances[0].HostPort != "0" ||
+		b.Instances[0].HostPort != "2" {
 		t.Errorf("each limiter has addresses of its own: %+v %+v", a, b)
 	}
 	call(1, "?from=2&hold_ms=5000")   // nothing comes, and the caller goes
@@ -212,19 +227,29 @@
 	call(0, "")
 	time.Sleep(50 * time.Millisecond)
 	calls, _, _ := book.DiscoveryAndServers()
-	want := []history.Call{{Limiter: 0, Whole: true, End: history.Answered, Generation: 2}, {Limiter: 2, End: history.Answered, Generation: 2},
-		{Limiter: 1, End: history.CallerGone}, {Limiter: 1, End: history.NoResponse}, {Limiter: 0, Whole: true, End: history.Throttled}}
+	want := []history.Call{
+		{Limiter: 0, Whole: true, End: history.Answered, Generation: 2},
+		{Limiter: 2, End: history.Answered, Generation: 2},
+		{
+			Limiter: 1,
+			End:     history.CallerGone,
+		},
+		{Limiter: 1, End: history.NoResponse},
+		{Limiter: 0, Whole: true, End: history.Throttled},
+	}
 	require.True(t, len(calls) == len(want), "%+v", calls)
 	for i, c := range calls {
 		w := want[i]
-		if c.Limiter != w.Limiter || c.Whole != w.Whole || c.End != w.End || c.Generation != w.Generation || c.EndedAt < c.At ||
+		if c.Limiter != w.Limiter || c.Whole != w.Whole || c.End != w.End || c.Generation != w.Generation ||
+			c.EndedAt < c.At ||
 			(c.Until > c.At) == c.Whole {
 			t.Errorf("call %d: %+v, want %+v", i, c, w)
 		}
 	}
 }
 
-// A cold server that bears 2 requests of 100 ms at once bears 20 in a second, and falls by the 37th: past 20 + 3 root(20) + 3.
+// A cold server that bears 2 requests of 100 ms at once bears 20 in a second, and falls by the 37th: past 20 + 3
+// root(20) + 3.
 func TestColdServerFallsOnce(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		s, book := start(t, ServerSpec{Name: "s1", Work: 100 * time.Millisecond, Capacity: 8, ColdFrom: 0.25,
@@ -250,7 +275,12 @@
 
 func TestCounterSplitShowsLimitersDifferentStores(t *testing.T) {
 	clock := history.NewClock()
-	k := NewCounter(clock, &history.Recorder{}, []Fault{{Kind: "split", From: 0, Until: int64(time.Hour), Factor: 2}}, 2)
+	k := NewCounter(
+		clock,
+		&history.Recorder{},
+		[]Fault{{Kind: "split", From: 0, Until: int64(time.Hour), Factor: 2}},
+		2,
+	)
 	if err := k.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/emulator/observe_test.go
+++ b/internal/lab/emulator/observe_test.go
@@ -30,7 +30,13 @@
 	d, err := NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
-	d.SetAll([]Instance{{ID: "a", Lifecycle: "in_service"}, {ID: "b", Lifecycle: "in_service"}, {ID: "c", Lifecycle: "in_service"}})
+	d.SetAll(
+		[]Instance{
+			{ID: "a", Lifecycle: "in_service"},
+			{ID: "b", Lifecycle: "in_service"},
+			{ID: "c", Lifecycle: "in_service"},
+		},
+	)
 	return d
 }
 
@@ -52,7 +58,8 @@
 	return out
 }
 
-// TestDiscoveryTellsChanges: many instances change in one generation; a watch brings those alone, with what was taken out.
+// TestDiscoveryTellsChanges: many instances change in one generation; a watch brings those alone, with what was taken
+// out.
 func TestDiscoveryTellsChanges(t *testing.T) {
 	d := discovery(t)
 	d.TellChanges()
@@ -134,7 +141,8 @@
 	require.EqualValues(t, 1, k.Traffic.Calls.Load())
 }
 
-// TestServerObserved tells each command that was served with the time that it took, and whether it was its connection's first.
+// TestServerObserved tells each command that was served with the time that it took, and whether it was its
+// connection's first.
 func TestServerObserved(t *testing.T) {
 	clock, seen := history.NewClock(), make(chan Handled, 4)
 	s := NewServer(ServerSpec{Name: "s1", Work: 5 * time.Millisecond, Warm: true}, clock, &history.Recorder{}, nil)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -16,7 +16,8 @@
 	"ospreycroft/internal/resp"
 )
 
-// Deduplication is a group's table of fingerprints seen, shared by the servers that drop repeated fingerprinted requests.
+// Deduplication is a group's table of fingerprints seen, shared by the servers that drop repeated fingerprinted
+// requests.
 type Deduplication struct {
 	mu     sync.Mutex
 	window int64
@@ -148,7 +149,12 @@
 	}
 	n := bear * float64(s.spec.Fall) / float64(s.spec.Work)
 	s.fallen = float64(len(s.window)) > n+3*math.Sqrt(n)+3
-	return history.OverloadCrash{Server: s.spec.Name, At: now, Requests: slices.Clone(s.windowIDs), Capacity: n}, s.fallen
+	return history.OverloadCrash{
+		Server:   s.spec.Name,
+		At:       now,
+		Requests: slices.Clone(s.windowIDs),
+		Capacity: n,
+	}, s.fallen
 }
 
 // serve reads commands and begins each at once; answers go back in the order of the commands.
--- a/internal/lab/emulator/traffic.go
+++ b/internal/lab/emulator/traffic.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// Traffic counts what crosses a stand-in's connections: bytes of payload, without the headers of TCP and IP, and calls. The zero
-// value has counted nothing. It is safe for concurrent use.
+// Traffic counts what crosses a stand-in's connections: bytes of payload, without the headers of TCP and IP, and
+// calls. The zero value has counted nothing. It is safe for concurrent use.
 type Traffic struct {
 	Received atomic.Int64 // bytes that callers sent
 	Sent     atomic.Int64 // bytes that were written to callers
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -28,15 +28,16 @@
 	Grace  float64 `toml:"grace"`  // seconds after a drain notice within which an attempt may still begin
 	Slack  float64 `toml:"slack"`  // seconds of a ceiling's rate allowed beyond it (rule 5)
 	// SlackShare and SlackUnits widen the ceiling by a share of it, or by so many units at once if more.
-	SlackShare         float64  `toml:"slack_share"`
-	SlackUnits         float64  `toml:"slack_units"`
-	Limiters           Limiters `toml:"limiters"`
-	Servers            []Pool   `toml:"servers"`
-	Counter            Counter  `toml:"counter"`
-	Load               Load     `toml:"load"`
-	Faults             []Fault  `toml:"faults"`
-	Raw                any      `toml:"settings"`
-	AddressesAfterMove any      `toml:"moved"` // the settings that limiters moved to another shape have in place of those
+	SlackShare float64  `toml:"slack_share"`
+	SlackUnits float64  `toml:"slack_units"`
+	Limiters   Limiters `toml:"limiters"`
+	Servers    []Pool   `toml:"servers"`
+	Counter    Counter  `toml:"counter"`
+	Load       Load     `toml:"load"`
+	Faults     []Fault  `toml:"faults"`
+	Raw        any      `toml:"settings"`
+	// the settings that limiters moved to another shape have in place of those
+	AddressesAfterMove any `toml:"moved"`
 	Settings           *settings.Settings
 	Text               json.RawMessage // the settings as the limiter's configuration holds them
 	MovedText          json.RawMessage // and those of the limiters that have moved
@@ -68,8 +69,9 @@
 	Report     bool    `toml:"report"`      // answers bring a load report: backlog, throughput and recent_ms
 	Conns      int     `toml:"connections"` // that a server serves, others are told that it is busy; 0 for any number
 	Cold       bool    `toml:"cold"`        // its servers start with the run, cold; else they were started long ago
-	Fall       float64 `toml:"fall"`        // seconds: a cold server falls by what it is sent within so long; 0 for never
-	Slots      int     `toml:"slots"`       // requests that a server does at a time; 0 for any number
+	// seconds: a cold server falls by what it is sent within so long; 0 for never
+	Fall  float64 `toml:"fall"`
+	Slots int     `toml:"slots"` // requests that a server does at a time; 0 for any number
 }
 
 // Counter is whether there is a counter.
@@ -104,9 +106,9 @@
 }
 
 // Fault is one entry of the timeline. Target names a server ("server:NAME"), a pool ("pool:NAME"), "counter",
-// "discovery", "load", limiters ("limiter:3", "limiter:0..9", "limiter:*") or links ("link:limiter:0..4-pool:hall1", see
-// Ends). Kinds beside the emulator's: drain, gone,
-// replace (servers), kill, stop and term (limiters; see Steps), burst (load, Factor times the rate).
+// "discovery", "load", limiters ("limiter:3", "limiter:0..9", "limiter:*") or links ("link:limiter:0..4-pool:hall1",
+// see Ends). Kinds beside the emulator's: drain, gone, replace (servers), kill, stop and term (limiters; see Steps),
+// burst (load, Factor times the rate).
 type Fault struct {
 	Kind   string  `toml:"kind"`
 	Target string  `toml:"target"`
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -27,11 +27,20 @@
 }
 
 // fileKeys are the file's names of a link fault's keys.
-var fileKeys = map[string]string{"kind": "kind", "from": "from", "until": "until", "share": "connections", "delay": "factor"}
+var fileKeys = map[string]string{
+	"kind":  "kind",
+	"from":  "from",
+	"until": "until",
+	"share": "connections",
+	"delay": "factor",
+}
 
 func (e *Experiment) checkLink(f *Fault, text string, pools map[string]bool) (err error) {
-	bad := &emulator.FaultError{Key: "target", Why: fmt.Sprintf("%q is no link: limiter:WHICH-discovery, -counter, -pool:NAME or "+
-		"-server:NAME, or client-limiter:WHICH", text)}
+	bad := &emulator.FaultError{
+		Key: "target",
+		Why: fmt.Sprintf("%q is no link: limiter:WHICH-discovery, -counter, -pool:NAME or "+
+			"-server:NAME, or client-limiter:WHICH", text),
+	}
 	near, far, _ := strings.Cut(text, "-")
 	which, of := strings.CutPrefix(near, "limiter:")
 	if near == Clients {
@@ -66,7 +75,13 @@
 
 // link is a link fault in the link's own form: the factor is the delay in milliseconds.
 func (f *Fault) link() faultproxy.Fault {
-	return faultproxy.Fault{Kind: f.Kind, From: Nanos(f.From), Until: Nanos(f.Until), Share: f.Connections, Delay: int64(f.Factor * 1e6)}
+	return faultproxy.Fault{
+		Kind:  f.Kind,
+		From:  Nanos(f.From),
+		Until: Nanos(f.Until),
+		Share: f.Connections,
+		Delay: int64(f.Factor * 1e6),
+	}
 }
 
 // Script is the script of the link between a limiter and a party: for Servers, name is a server's and pool its pool's.
@@ -77,7 +92,8 @@
 		if f.Link == nil {
 			continue
 		}
-		same := f.Link.Party == party && f.Link.Name == name || party == Servers && f.Link.Party == Pools && f.Link.Name == pool
+		same := f.Link.Party == party && f.Link.Name == name ||
+			party == Servers && f.Link.Party == Pools && f.Link.Name == pool
 		if order, size := e.drawn(i); same && slices.Contains(order[:size], limiter) {
 			out = append(out, f.link())
 		}
--- a/internal/lab/experiment/steps_test.go
+++ b/internal/lab/experiment/steps_test.go
@@ -12,7 +12,9 @@
 // with is the default experiment with so many limiters and one more fault.
 func with(t *testing.T, count, fault string) (*Experiment, error) {
 	t.Helper()
-	return Parse(strings.Replace(base(t), "[limiters]\ncount = 3", "[limiters]\ncount = "+count, 1) + "\n[[faults]]\n" + fault)
+	return Parse(
+		strings.Replace(base(t), "[limiters]\ncount = 3", "[limiters]\ncount = "+count, 1) + "\n[[faults]]\n" + fault,
+	)
 }
 
 func TestStepsTakeATenthAtATime(t *testing.T) {
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -1,5 +1,5 @@
-// Package faultproxy is the lab's stand-in for the network: a loopback TCP forwarder for each pair of parties, with a port of
-// its own, so that each pair can be cut, held, slowed or reset alone. What a link does at a time is decided by
+// Package faultproxy is the lab's stand-in for the network: a loopback TCP forwarder for each pair of parties, with a
+// port of its own, so that each pair can be cut, held, slowed or reset alone. What a link does at a time is decided by
 // conditionOf, which does no I/O; Step applies it to the listener and to every connection.
 package faultproxy
 
@@ -28,8 +28,8 @@
 	HalfOpen: "when one side ends, the other is never told; it is reset when this is over",
 }
 
-// Fault is one entry of a link's script: from From until Until (nanoseconds on the caller's clock; Until 0 is for good).
-// Share is the share of connections that it hits, drawn by the seed for each; 0 for all.
+// Fault is one entry of a link's script: from From until Until (nanoseconds on the caller's clock; Until 0 is for
+// good). Share is the share of connections that it hits, drawn by the seed for each; 0 for all.
 type Fault struct {
 	Kind        string
 	From, Until int64
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -52,7 +52,15 @@
 	if err != nil {
 		return nil, &ListenError{near, far, err}
 	}
-	l := &Proxy{near: near, far: far, address: address, script: script, seed: seed, port: port, conns: map[*conn]struct{}{}}
+	l := &Proxy{
+		near:    near,
+		far:     far,
+		address: address,
+		script:  script,
+		seed:    seed,
+		port:    port,
+		conns:   map[*conn]struct{}{},
+	}
 	if err := l.SetRefusing(false); err != nil {
 		port.Close()
 		return nil, err
@@ -63,7 +71,8 @@
 // Address is where the near side calls.
 func (l *Proxy) Address() string { return l.port.Address() }
 
-// SetRefusing makes it refuse new connections, as the far side's machine does while nobody listens there, or take them again.
+// SetRefusing makes it refuse new connections, as the far side's machine does while nobody listens there, or take them
+// again.
 func (l *Proxy) SetRefusing(on bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,5 +1,5 @@
-// Package history holds what a lab run writes down: every request as its client saw it, every attempt as a server saw it,
-// every fault as the run played it, and the clock they are all timed by. The rules are judged from these alone.
+// Package history holds what a lab run writes down: every request as its client saw it, every attempt as a server saw
+// it, every fault as the run played it, and the clock they are all timed by. The rules are judged from these alone.
 package history
 
 import (
@@ -120,8 +120,8 @@
 }
 
 // Silence is a time in which a limiter's link to discovery, or discovery itself, let nothing new through. Lost says
-// that what discovery wrote in it did not arrive, or with Held only at its end; else answers still came and only the calls
-// were lost.
+// that what discovery wrote in it did not arrive, or with Held only at its end; else answers still came and only the
+// calls were lost.
 type Silence struct {
 	Limiter int   `json:"limiter"`
 	From    int64 `json:"from"`
@@ -130,7 +130,8 @@
 	Held    bool  `json:"held,omitempty"`
 }
 
-// LinkFault is a time in which the link from the clients to a limiter had a fault: what clients see then is not the limiter's doing.
+// LinkFault is a time in which the link from the clients to a limiter had a fault: what clients see then is not the
+// limiter's doing.
 type LinkFault struct {
 	Limiter int    `json:"limiter"`
 	Kind    string `json:"kind"`
@@ -138,7 +139,8 @@
 	Until   int64  `json:"until"` // 0 for good
 }
 
-// OverloadCrash is a cold server pushed over: the requests that it was sent within the window before At, and what it bears in it then.
+// OverloadCrash is a cold server pushed over: the requests that it was sent within the window before At, and what it
+// bears in it then.
 type OverloadCrash struct {
 	Server   string   `json:"server"`
 	At       int64    `json:"at"`
@@ -207,8 +209,8 @@
 	return out
 }
 
-// DiscoveryAndServers copies what the list service and the servers wrote down beside attempts: calls in the order of their times,
-// falls, and each server's handshakes second by second.
+// DiscoveryAndServers copies what the list service and the servers wrote down beside attempts: calls in the order of
+// their times, falls, and each server's handshakes second by second.
 func (b *Recorder) DiscoveryAndServers() (calls []Call, falls []OverloadCrash, handshakes map[string][]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -237,7 +239,13 @@
 func (b *Recorder) Copy() (jobs []Request, shots []Attempt, events []Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]Request(nil), b.Requests...), append([]Attempt(nil), b.Attempts...), append([]Event(nil), b.Events...)
+	return append(
+			[]Request(nil),
+			b.Requests...), append(
+			[]Attempt(nil),
+			b.Attempts...), append(
+			[]Event(nil),
+			b.Events...)
 }
 
 // Run is the whole record of one run as written to JSON.
@@ -256,9 +264,11 @@
 	LinkFaults      []LinkFault      `json:"cuts,omitempty"`       // between clients and limiters
 	OverloadCrashes []OverloadCrash  `json:"falls,omitempty"`      // of cold servers
 	Handshakes      map[string][]int `json:"handshakes,omitempty"` // by server, connections accepted in each second
-	Counts          map[int][]int    `json:"counts,omitempty"`     // by limiter, calls that the counter added in each second
-	Verdict         json.RawMessage  `json:"verdict,omitempty"`
-	Latency         json.RawMessage  `json:"latency,omitempty"` // percentiles of done requests by class, from HDR histograms
+	// by limiter, calls that the counter added in each second
+	Counts  map[int][]int   `json:"counts,omitempty"`
+	Verdict json.RawMessage `json:"verdict,omitempty"`
+	// percentiles of done requests by class, from HDR histograms
+	Latency json.RawMessage `json:"latency,omitempty"`
 }
 
 // Write writes a run's record to a file as JSON.
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -33,13 +33,16 @@
 	Pass     bool                    `json:"pass"`
 	Requests int                     `json:"jobs"`
 	Outcomes map[history.Outcome]int `json:"outcomes"`
-	Killed   int                     `json:"killed"`  // unanswered requests that were on a limiter when it was killed
-	CutOff   int                     `json:"cut_off"` // requests without an answer in time while the clients' link had a fault
-	Stopped  int                     `json:"stopped"` // requests without an answer in time that were on a limiter while SIGSTOP held it
-	Attempts int                     `json:"shots"`
-	Breaches []Breach                `json:"breaches"`
-	Counts   [6]int                  `json:"counts"` // breaches by rule, 1 to 5; at 0, limiters that failed by themselves
-	Service  Service                 `json:"service"`
+	Killed   int                     `json:"killed"` // unanswered requests that were on a limiter when it was killed
+	// requests without an answer in time while the clients' link had a fault
+	CutOff int `json:"cut_off"`
+	// requests without an answer in time that were on a limiter while SIGSTOP held it
+	Stopped  int      `json:"stopped"`
+	Attempts int      `json:"shots"`
+	Breaches []Breach `json:"breaches"`
+	// breaches by rule, 1 to 5; at 0, limiters that failed by themselves
+	Counts  [6]int  `json:"counts"`
+	Service Service `json:"service"`
 }
 
 // Line is the verdict in one line, as the tool prints it.
@@ -48,10 +51,25 @@
 	if !v.Pass {
 		word = "FAIL"
 	}
-	return fmt.Sprintf("verdict=%s jobs=%d done=%d rejected=%d written-off=%d killed=%d cut-off=%d stopped=%d shots=%d "+
-		"rule1=%d rule2=%d rule3=%d rule4=%d rule5=%d failed-limiters=%d", word, v.Requests, v.Outcomes[history.Succeeded],
-		v.Outcomes[history.Rejected], v.Outcomes[history.Failed], v.Killed, v.CutOff, v.Stopped, v.Attempts,
-		v.Counts[1], v.Counts[2], v.Counts[3], v.Counts[4], v.Counts[5], v.Counts[0])
+	return fmt.Sprintf(
+		"verdict=%s jobs=%d done=%d rejected=%d written-off=%d killed=%d cut-off=%d stopped=%d shots=%d "+
+			"rule1=%d rule2=%d rule3=%d rule4=%d rule5=%d failed-limiters=%d",
+		word,
+		v.Requests,
+		v.Outcomes[history.Succeeded],
+		v.Outcomes[history.Rejected],
+		v.Outcomes[history.Failed],
+		v.Killed,
+		v.CutOff,
+		v.Stopped,
+		v.Attempts,
+		v.Counts[1],
+		v.Counts[2],
+		v.Counts[3],
+		v.Counts[4],
+		v.Counts[5],
+		v.Counts[0],
+	)
 }
 
 // mostKept is how many breaches of each rule the verdict lists; the counts hold all.
@@ -64,9 +82,15 @@
 	}
 }
 
-// Judge applies the five rules to the records of clients, servers and the timeline alone: a change of the list counts as
-// told to all limiters when the timeline made it.
-func Judge(jobs []history.Request, shots []history.Attempt, events []history.Event, set *settings.Settings, t Terms) *Verdict {
+// Judge applies the five rules to the records of clients, servers and the timeline alone: a change of the list counts
+// as told to all limiters when the timeline made it.
+func Judge(
+	jobs []history.Request,
+	shots []history.Attempt,
+	events []history.Event,
+	set *settings.Settings,
+	t Terms,
+) *Verdict {
 	return JudgeRun(&history.Run{Requests: jobs, Attempts: shots, Events: events}, set, t)
 }
 
@@ -125,14 +149,16 @@
 // failures are the events by which a limiter fails a run, whatever it did with requests.
 var failures = map[string]bool{"never-started": true, "never-ready": true, "crash": true, "not-together": true}
 
-// crossed is the part of rule 1 that a client cannot see. A request whose connection ended at once was sent again, as if no
-// limiter had read it; an attempt of it that began before shows that one had, and let it go without an answer.
+// crossed is the part of rule 1 that a client cannot see. A request whose connection ended at once was sent again, as
+// if no limiter had read it; an attempt of it that began before shows that one had, and let it go without an answer.
 func crossed(v *Verdict, shots []history.Attempt, byID map[string]*history.Request) {
 	seen := map[string]bool{}
 	for _, s := range shots {
 		if j := byID[s.ID]; j != nil && j.Resent && s.At < j.Sent && !seen[s.ID] {
 			seen[s.ID] = true
-			v.breach(Breach{Rule: 1, At: s.At, What: s.ID, Detail: "sent on, then its connection was ended with no answer"})
+			v.breach(
+				Breach{Rule: 1, At: s.At, What: s.ID, Detail: "sent on, then its connection was ended with no answer"},
+			)
 		}
 	}
 }
@@ -154,8 +180,8 @@
 	return out
 }
 
-// stoppedOn tells whether a request was under way while its limiter was stopped: a stopped process cannot answer. What it
-// sends on once it goes on is judged as ever.
+// stoppedOn tells whether a request was under way while its limiter was stopped: a stopped process cannot answer. What
+// it sends on once it goes on is judged as ever.
 func stoppedOn(j history.Request, stops map[string][]down) bool {
 	for _, d := range stops[limiterTarget(j.Limiter)] {
 		if d.from <= j.Answered && d.until >= j.Sent {
@@ -166,11 +192,16 @@
 }
 
 // clean are the outcomes that break nothing by themselves.
-var clean = map[history.Outcome]bool{history.NotAccepted: true, history.Succeeded: true, history.Rejected: true, history.Failed: true,
-	history.GaveUp: true}
+var clean = map[history.Outcome]bool{
+	history.NotAccepted: true,
+	history.Succeeded:   true,
+	history.Rejected:    true,
+	history.Failed:      true,
+	history.GaveUp:      true,
+}
 
-// cutOff tells whether a request was under way while the clients' link to its limiter had a fault: what came of it at the
-// client, and when it came to the limiter, is not the limiter's doing then.
+// cutOff tells whether a request was under way while the clients' link to its limiter had a fault: what came of it at
+// the client, and when it came to the limiter, is not the limiter's doing then.
 func cutOff(j history.Request, cuts []history.LinkFault, t Terms) bool {
 	for _, c := range cuts {
 		if c.From <= j.Answered && (c.Until == 0 || c.Until+t.Late >= j.Sent) {
@@ -201,7 +232,14 @@
 }
 
 // once is rule 2 from the servers' side, and the half of rule 1 that says nothing is sent after the deadline.
-func once(v *Verdict, shots []history.Attempt, byID map[string]*history.Request, excused map[string]bool, set *settings.Settings, t Terms) {
+func once(
+	v *Verdict,
+	shots []history.Attempt,
+	byID map[string]*history.Request,
+	excused map[string]bool,
+	set *settings.Settings,
+	t Terms,
+) {
 	ran := map[string]history.Attempt{} // a request's first attempt that may have had its effect
 	for _, s := range shots {
 		j := byID[s.ID]
--- a/internal/lab/invariants/outages.go
+++ b/internal/lab/invariants/outages.go
@@ -142,7 +142,8 @@
 	}
 	for _, s := range r.Attempts {
 		j := byID[s.ID]
-		if j == nil || s.At < j.Sent { // one sent before belongs to the limiter that a crossed request was sent to first
+		// one sent before belongs to the limiter that a crossed request was sent to first
+		if j == nil || s.At < j.Sent {
 			continue
 		}
 		if p := all.at(j.Limiter, j.Sent); p != nil {
--- a/internal/lab/invariants/outages_test.go
+++ b/internal/lab/invariants/outages_test.go
@@ -32,7 +32,10 @@
 }
 
 // lives are limiter 3's: from 0 until 10 s, and from 11 s on.
-var lives = []history.Process{{Limiter: 3, Started: 0, Ready: 1, Ended: 10000 * ms}, {Limiter: 3, Started: 11000 * ms, Ready: 11300 * ms}}
+var lives = []history.Process{
+	{Limiter: 3, Started: 0, Ready: 1, Ended: 10000 * ms},
+	{Limiter: 3, Started: 11000 * ms, Ready: 11300 * ms},
+}
 
 // TestProcessThatTurnsAllAway: 4 s and 15 requests make an outage, each alone does not, and neither an attempt nor a
 // value lies in one.
--- a/internal/lab/invariants/told.go
+++ b/internal/lab/invariants/told.go
@@ -65,8 +65,15 @@
 			}
 		}
 		if 3*told > 2*len(f.Requests) {
-			v.breach(Breach{Rule: 4, At: f.At, What: f.Server, Detail: fmt.Sprintf("cold, it fell: sent %d, bears %.1f; %d by "+
-				"limiters that had been told of its start", len(f.Requests), f.Capacity, told)})
+			v.breach(
+				Breach{
+					Rule: 4,
+					At:   f.At,
+					What: f.Server,
+					Detail: fmt.Sprintf("cold, it fell: sent %d, bears %.1f; %d by "+
+						"limiters that had been told of its start", len(f.Requests), f.Capacity, told),
+				},
+			)
 		}
 	}
 }
@@ -80,8 +87,12 @@
 }
 
 func newListClock(r *history.Run) *listClock {
-	c := &listClock{lives: map[int][]history.Process{}, calls: map[int][]history.Call{}, silences: map[int][]history.Silence{},
-		stops: downs(r.Events, "stop", "continue")}
+	c := &listClock{
+		lives:    map[int][]history.Process{},
+		calls:    map[int][]history.Call{},
+		silences: map[int][]history.Silence{},
+		stops:    downs(r.Events, "stop", "continue"),
+	}
 	for _, l := range r.Processes {
 		c.lives[l.Limiter] = append(c.lives[l.Limiter], l)
 	}
--- a/internal/lab/invariants/told_test.go
+++ b/internal/lab/invariants/told_test.go
@@ -12,11 +12,18 @@
 
 const sec = int64(1e9)
 
-// Each case is one limiter with a change of the list at 10 s, generation 5: when it counts as told, in tenths of seconds.
+// Each case is one limiter with a change of the list at 10 s, generation 5: when it counts as told, in tenths of
+// seconds.
 func TestWhenAChangeCountsAsTold(t *testing.T) {
 	change := history.Event{At: 10 * sec, Kind: "drain", Target: "s1", Generation: 5}
 	wrote := func(at, done, generation int64) history.Call {
-		return history.Call{At: at * sec / 10, Until: at*sec/10 + sec, EndedAt: done * sec / 10, End: history.Answered, Generation: generation}
+		return history.Call{
+			At:         at * sec / 10,
+			Until:      at*sec/10 + sec,
+			EndedAt:    done * sec / 10,
+			End:        history.Answered,
+			Generation: generation,
+		}
 	}
 	for _, c := range []struct {
 		name string
@@ -57,11 +64,20 @@
 	a, b := job("a", "fetch", 1, 11*sec), job("b", "fetch", 1, 11*sec)
 	late := job("c", "fetch", 1, 21*sec)
 	b.Limiter = 1
-	run := &history.Run{Requests: []history.Request{a, b, late}, Processes: []history.Process{{Limiter: 0}, {Limiter: 1}},
-		Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", 11*sec, true), shot("b", "s1", "a", "fetch", 11*sec, true),
-			shot("c", "s1", "a", "fetch", 21*sec, true)},
-		Events: []history.Event{{At: 10 * sec, Kind: "drain", Target: "s1", Generation: 5}, {At: 20 * sec, Kind: "back", Target: "s1"}},
-		Calls:  []history.Call{{Limiter: 0, At: 9 * sec, EndedAt: 10 * sec, End: history.Answered, Generation: 5}}}
+	run := &history.Run{
+		Requests:  []history.Request{a, b, late},
+		Processes: []history.Process{{Limiter: 0}, {Limiter: 1}},
+		Attempts: []history.Attempt{
+			shot("a", "s1", "a", "fetch", 11*sec, true),
+			shot("b", "s1", "a", "fetch", 11*sec, true),
+			shot("c", "s1", "a", "fetch", 21*sec, true),
+		},
+		Events: []history.Event{
+			{At: 10 * sec, Kind: "drain", Target: "s1", Generation: 5},
+			{At: 20 * sec, Kind: "back", Target: "s1"},
+		},
+		Calls: []history.Call{{Limiter: 0, At: 9 * sec, EndedAt: 10 * sec, End: history.Answered, Generation: 5}},
+	}
 	v := judgeRun(t, run)
 	require.True(t, v.Counts[3] == 1 && v.Breaches[0].At == 11*sec, "%s %+v", v.Line(), v.Breaches)
 }
@@ -70,8 +86,17 @@
 func TestWhatFailsARunBesideJobs(t *testing.T) {
 	let := job("a", "fetch", 1, sec)
 	let.Resent = true
-	v := judgeRun(t, &history.Run{Requests: []history.Request{let}, Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", sec-1e6, true)},
-		Events: []history.Event{{Kind: "crash", Target: "limiter:1"}}, OverloadCrashes: []history.OverloadCrash{{Server: "s2", Requests: []string{"a"}}}})
+	v := judgeRun(
+		t,
+		&history.Run{
+			Requests: []history.Request{let},
+			Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", sec-1e6, true)},
+			Events: []history.Event{
+				{Kind: "crash", Target: "limiter:1"},
+			},
+			OverloadCrashes: []history.OverloadCrash{{Server: "s2", Requests: []string{"a"}}},
+		},
+	)
 	require.True(t, !v.Pass && v.Counts == [6]int{1, 1, 0, 0, 1, 0}, "%s %+v", v.Line(), v.Breaches)
 }
 
@@ -80,17 +105,35 @@
 	lost, other, after := job("a", "fetch", 1, sec), job("b", "fetch", 1, sec), job("c", "fetch", 1, 9*sec)
 	lost.Outcome, other.Outcome, after.Outcome = history.Unanswered, history.Unanswered, history.Unanswered
 	other.Limiter = 1
-	v := judgeRun(t, &history.Run{Requests: []history.Request{lost, other, after}, LinkFaults: []history.LinkFault{{From: sec / 2, Until: 2 * sec}},
-		Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", 4*sec, true)}})
+	v := judgeRun(
+		t,
+		&history.Run{
+			Requests:   []history.Request{lost, other, after},
+			LinkFaults: []history.LinkFault{{From: sec / 2, Until: 2 * sec}},
+			Attempts:   []history.Attempt{shot("a", "s1", "a", "fetch", 4*sec, true)},
+		},
+	)
 	require.True(t, v.Counts[1] == 2 && v.CutOff == 1, "%s %+v", v.Line(), v.Breaches)
 }
 
-// A stopped limiter cannot answer; an attempt that it begins after a client's deadline once it goes on still breaks rule 1.
+// A stopped limiter cannot answer; an attempt that it begins after a client's deadline once it goes on still breaks
+// rule 1.
 func TestAStoppedLimiterIsExcusedForAnswersOnly(t *testing.T) {
 	lost, late := job("a", "fetch", 1, sec), job("b", "fetch", 1, 20*sec)
 	lost.Outcome, late.Outcome = history.Unanswered, history.Unanswered
-	v := judgeRun(t, &history.Run{Requests: []history.Request{lost, late}, Events: []history.Event{{At: sec / 2, Kind: "stop", Target: "limiter:0"},
-		{At: 5 * sec, Kind: "continue", Target: "limiter:0"}}, Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", 5*sec, true)}})
+	v := judgeRun(
+		t,
+		&history.Run{
+			Requests: []history.Request{lost, late},
+			Events: []history.Event{{At: sec / 2, Kind: "stop", Target: "limiter:0"},
+				{
+					At:     5 * sec,
+					Kind:   "continue",
+					Target: "limiter:0",
+				}},
+			Attempts: []history.Attempt{shot("a", "s1", "a", "fetch", 5*sec, true)},
+		},
+	)
 	require.True(t, v.Counts[1] == 2 && v.Stopped == 1, "%s %+v", v.Line(), v.Breaches)
 }
 
--- a/internal/lab/invariants/unanswered.go
+++ b/internal/lab/invariants/unanswered.go
@@ -68,7 +68,12 @@
 }
 
 func newCauses(r *history.Run, t Terms) *causes {
-	c := &causes{cuts: map[int][]history.LinkFault{}, deaths: deaths(r.Events), stops: downs(r.Events, "stop", "continue"), terms: t}
+	c := &causes{
+		cuts:   map[int][]history.LinkFault{},
+		deaths: deaths(r.Events),
+		stops:  downs(r.Events, "stop", "continue"),
+		terms:  t,
+	}
 	for _, cut := range r.LinkFaults {
 		c.cuts[cut.Limiter] = append(c.cuts[cut.Limiter], cut)
 	}
--- a/internal/lab/invariants/unanswered_test.go
+++ b/internal/lab/invariants/unanswered_test.go
@@ -61,9 +61,20 @@
 }
 
 func TestUnansweredAddedUp(t *testing.T) {
-	run := &history.Run{Requests: []history.Request{missed("a", 7, 0, 22e8, history.Unanswered), missed("b", 7, 0, 21e8, history.Late),
-		missed("c", 2, 0, 5e8, history.ConnectionBroken), missed("d", 2, 1e9, 32e8, history.Unanswered), job("e", "fetch", 1, 0)},
-		Events: []history.Event{{At: 5e8, Kind: "kill", Target: "limiter:2"}, {At: 8e8, Kind: "restart", Target: "limiter:2"}}}
+	run := &history.Run{
+		Requests: []history.Request{missed("a", 7, 0, 22e8, history.Unanswered), missed("b", 7, 0, 21e8, history.Late),
+			missed(
+				"c",
+				2,
+				0,
+				5e8,
+				history.ConnectionBroken,
+			), missed("d", 2, 1e9, 32e8, history.Unanswered), job("e", "fetch", 1, 0)},
+		Events: []history.Event{
+			{At: 5e8, Kind: "kill", Target: "limiter:2"},
+			{At: 8e8, Kind: "restart", Target: "limiter:2"},
+		},
+	}
 	s := judgeRun(t, run).Service
 	want := []Unanswered{{2, LimiterAlive, 0, 1}, {2, LimiterKilled, 0, 1}, {7, LimiterAlive, 1, 1}}
 	if !reflect.DeepEqual(s.Unanswered, want) {
--- a/internal/lab/loadgen/holder.go
+++ b/internal/lab/loadgen/holder.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Holder is a client that never lets go: it keeps two requests open on its one connection for as long as that stays open, and
-// so finds what a limiter that ends, or parts with its clients, does to those that go on.
+// Holder is a client that never lets go: it keeps two requests open on its one connection for as long as that stays
+// open, and so finds what a limiter that ends, or parts with its clients, does to those that go on.
 type Holder struct {
 	Name    string        // its requests' ids are Name-1 and so on
 	First   time.Duration // it sends so long after its connection is up,
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -1,5 +1,5 @@
-// Package loadgen drives the lab's clients: open-loop Poisson arrivals over customers and classes, each request sent over
-// RESP2 to a limiter of the customer's set, as the platform's front does, and written down with its one answer.
+// Package loadgen drives the lab's clients: open-loop Poisson arrivals over customers and classes, each request sent
+// over RESP2 to a limiter of the customer's set, as the platform's front does, and written down with its one answer.
 package loadgen
 
 import (
@@ -18,7 +18,8 @@
 	"ospreycroft/internal/resp"
 )
 
-// lateAnswerWait is how long past a request's deadline its client waits: an answer up to half a second late counts as late, not lost.
+// lateAnswerWait is how long past a request's deadline its client waits: an answer up to half a second late counts as
+// late, not lost.
 const lateAnswerWait = 600 * time.Millisecond
 
 // Driver sends the load of one experiment to the limiters at the addresses it is given.
@@ -40,8 +41,8 @@
 	// Open tells whether it is given new connections. Where it is not, clients go on using those that they have for as
 	// long as these stay open.
 	Open(limiter int) bool
-	// Dead tells whether its process was killed or crashed or its link has a fault, so that a broken connection is no sign
-	// of a crossing.
+	// Dead tells whether its process was killed or crashed or its link has a fault, so that a broken connection is no
+	// sign of a crossing.
 	Dead(limiter int) bool
 }
 
@@ -161,8 +162,8 @@
 // nobody is the number of a request's limiter where the customer's set had none that could be reached.
 const nobody = -1
 
-// deal draws a limiter of the customer's set: one to which a connection is idle, if that is asked for, or that the front
-// gives new connections (conn is nil then). Where there is none it is nobody.
+// deal draws a limiter of the customer's set: one to which a connection is idle, if that is asked for, or that the
+// front gives new connections (conn is nil then). Where there is none it is nobody.
 func (d *Driver) deal(c experiment.Customer, idle bool) (limiter int, conn net.Conn) {
 	at := d.rng.IntN(c.Spread)
 	for try := range c.Spread {
@@ -208,8 +209,8 @@
 	return stands
 }
 
-// send writes one request and reads its one answer, on the open connection it is given or on a new one. Where the limiter's
-// closing an idle connection crosses it, it is sent once more, on a new connection.
+// send writes one request and reads its one answer, on the open connection it is given or on a new one. Where the
+// limiter's closing an idle connection crosses it, it is sent once more, on a new connection.
 func (d *Driver) send(job *history.Request, c experiment.Customer, conn net.Conn, cutOff time.Duration, giveUp bool) {
 	if d.once(job, c, conn, cutOff, giveUp) {
 		job.Resent = true
@@ -221,7 +222,13 @@
 }
 
 // once sends a request and tells whether it crossed with the end of its connection.
-func (d *Driver) once(job *history.Request, c experiment.Customer, conn net.Conn, cutOff time.Duration, giveUp bool) bool {
+func (d *Driver) once(
+	job *history.Request,
+	c experiment.Customer,
+	conn net.Conn,
+	cutOff time.Duration,
+	giveUp bool,
+) bool {
 	reused := conn != nil
 	if !reused {
 		err := error(net.ErrClosed)
--- a/internal/lab/logsummary/logsummary.go
+++ b/internal/lab/logsummary/logsummary.go
@@ -94,13 +94,25 @@
 		}
 		rows = append(rows, r)
 	}
-	slices.SortFunc(rows, func(a, b Row) int { return cmp.Or(cmp.Compare(b.Total, a.Total), strings.Compare(a.Name, b.Name)) })
+	slices.SortFunc(
+		rows,
+		func(a, b Row) int { return cmp.Or(cmp.Compare(b.Total, a.Total), strings.Compare(a.Name, b.Name)) },
+	)
 	return rows
 }
 
 // Write prints the rows as a table.
 func (c *Census) Write(to io.Writer) error {
-	_, err := fmt.Fprintf(to, "%d limiters\n%-32s %10s %9s %9s  %s\n", len(c.names), "what", "total", "limiters", "most", "at")
+	_, err := fmt.Fprintf(
+		to,
+		"%d limiters\n%-32s %10s %9s %9s  %s\n",
+		len(c.names),
+		"what",
+		"total",
+		"limiters",
+		"most",
+		"at",
+	)
 	for _, r := range c.Rows() {
 		if err == nil {
 			_, err = fmt.Fprintf(to, "%-32s %10d %9d %9d  %s\n", r.Name, r.Total, r.Limiters, r.Most, r.Where)
--- a/internal/lab/logsummary/logsummary_test.go
+++ b/internal/lab/logsummary/logsummary_test.go
@@ -27,7 +27,8 @@
 			t.Errorf("no %+v in %+v", want, rows)
 		}
 	}
-	if rows := c.Rows(); rows[0].Name != "requests taken" || slices.ContainsFunc(rows, func(r Row) bool { return r.Name == "requests quota" }) {
+	if rows := c.Rows(); rows[0].Name != "requests taken" ||
+		slices.ContainsFunc(rows, func(r Row) bool { return r.Name == "requests quota" }) {
 		t.Errorf("%+v", rows)
 	}
 	if err := New().Read("n2", strings.NewReader(strings.Repeat("x", 2<<20))); err == nil {
--- a/internal/lab/memfs/memfs.go
+++ b/internal/lab/memfs/memfs.go
@@ -1,4 +1,4 @@
-// Package memfs is a disk in memory on which each step may fail, for what keeps files: see snapshot.Files.
+// Package memfs is a disk in memory on which each step may fail, for what keeps files: see atomicfile.Files.
 package memfs
 
 import (
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -22,7 +22,8 @@
 
 // The modes. Each also does what all do: it asks neither the counter nor discovery, and keeps to no quota or ceiling.
 const (
-	Again = "again" // no answer within a short wait: the request goes to the next server, non-idempotent or not (rule 2)
+	// no answer within a short wait: the request goes to the next server, non-idempotent or not (rule 2)
+	Again = "again"
 	Drop  = "drop"  // it ends at SIGTERM at once, with all that it holds (rule 1)
 	Deaf  = "deaf"  // it has the list's changes told to it and takes none in (rule 3)
 	Cold  = "cold"  // it prefers servers that have just been started (rule 4)
--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -27,8 +27,8 @@
 	return "see in the run's folder why the process has ended; /proc is needed"
 }
 
-// ProcessorTime is the time that all threads of a process have run for. Threads that have ended are not counted: the Go runtime
-// keeps its threads. Errors: *Error.
+// ProcessorTime is the time that all threads of a process have run for. Threads that have ended are not counted: the
+// Go runtime keeps its threads. Errors: *Error.
 func ProcessorTime(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err == nil && len(files) == 0 {
@@ -70,8 +70,8 @@
 	return float64(pages) * float64(os.Getpagesize()), nil
 }
 
-// SystemCallBytes are the bytes that a process has read and written by system calls, those of its connections among them, without
-// the heads of TCP and IP. Errors: *Error.
+// SystemCallBytes are the bytes that a process has read and written by system calls, those of its connections among
+// them, without the heads of TCP and IP. Errors: *Error.
 func SystemCallBytes(pid int) (sum int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -28,8 +28,12 @@
 		r.Requests = append(r.Requests, history.Request{ID: id, Customer: "c1", Plan: "house", Class: "fetch", Units: 2,
 			Sent: at, Answered: at + 2e7*int64(1+i%2), Deadline: at + 1e9, Outcome: outcome})
 		if outcome == history.Succeeded {
-			r.Attempts = append(r.Attempts, history.Attempt{ID: id, Server: "s1", At: at + 1e6, MayHaveRun: true, Answer: "done"},
-				history.Attempt{ID: id, Server: "s2", At: at + 2e6, MayHaveRun: true, Answer: "done"}) // a second attempt counts no units
+			r.Attempts = append(
+				r.Attempts,
+				history.Attempt{ID: id, Server: "s1", At: at + 1e6, MayHaveRun: true, Answer: "done"},
+				// a second attempt counts no units
+				history.Attempt{ID: id, Server: "s2", At: at + 2e6, MayHaveRun: true, Answer: "done"},
+			)
 		}
 	}
 	r.Events = []history.Event{{At: 15e8, Kind: "drain", Target: "s1"}}
@@ -77,11 +81,17 @@
 	out.Limiters = 4
 	for i := range 20 {
 		at := int64(i) * 300e6
-		out.Requests = append(out.Requests, history.Request{ID: fmt.Sprint("away", i), Customer: "c1", Plan: "house", Class: "fetch", Limiter: 2,
-			Sent: at, Answered: at + 1e6, Deadline: at + 1e9, Outcome: history.Rejected})
+		out.Requests = append(
+			out.Requests,
+			history.Request{ID: fmt.Sprint("away", i), Customer: "c1", Plan: "house", Class: "fetch", Limiter: 2,
+				Sent: at, Answered: at + 1e6, Deadline: at + 1e9, Outcome: history.Rejected},
+		)
 	}
-	out.Requests = append(out.Requests, history.Request{ID: "lost", Customer: "c1", Plan: "house", Class: "fetch", Limiter: 3, Sent: 1,
-		Answered: 12e8, Deadline: 1e9, Outcome: history.Unanswered})
+	out.Requests = append(
+		out.Requests,
+		history.Request{ID: "lost", Customer: "c1", Plan: "house", Class: "fetch", Limiter: 3, Sent: 1,
+			Answered: 12e8, Deadline: 1e9, Outcome: history.Unanswered},
+	)
 	for _, c := range []struct {
 		run  *history.Run
 		want []string
--- a/internal/lab/runner/fleet_test.go
+++ b/internal/lab/runner/fleet_test.go
@@ -13,12 +13,25 @@
 const sec = int64(1e9)
 
 func TestFleetAddsUpARecord(t *testing.T) {
-	run := &history.Run{Limiters: 4, Processes: []history.Process{{Limiter: 0, Started: sec, Ready: 2 * sec}, {Limiter: 1, Started: 2 * sec},
-		{Limiter: 0, Started: 9 * sec, Ready: 12 * sec}},
-		Calls: []history.Call{{Limiter: 2, At: sec, EndedAt: 3 * sec, End: history.Answered}, {Limiter: 2, At: sec, EndedAt: 2 * sec, End: history.Throttled},
-			{Limiter: 3, At: 6 * sec, EndedAt: 7 * sec, End: history.Answered}, {Limiter: 3, At: 8 * sec, EndedAt: 9 * sec, End: history.Answered},
-			{Limiter: 1, At: 6 * sec, EndedAt: 7 * sec, End: history.NoResponse}},
-		Handshakes: map[string][]int{"a": {1, 4}, "b": {2, 3}}, OverloadCrashes: make([]history.OverloadCrash, 2)}
+	run := &history.Run{
+		Limiters: 4,
+		Processes: []history.Process{{Limiter: 0, Started: sec, Ready: 2 * sec}, {Limiter: 1, Started: 2 * sec},
+			{Limiter: 0, Started: 9 * sec, Ready: 12 * sec}},
+		Calls: []history.Call{
+			{Limiter: 2, At: sec, EndedAt: 3 * sec, End: history.Answered},
+			{Limiter: 2, At: sec, EndedAt: 2 * sec, End: history.Throttled},
+			{
+				Limiter: 3,
+				At:      6 * sec,
+				EndedAt: 7 * sec,
+				End:     history.Answered,
+			},
+			{Limiter: 3, At: 8 * sec, EndedAt: 9 * sec, End: history.Answered},
+			{Limiter: 1, At: 6 * sec, EndedAt: 7 * sec, End: history.NoResponse},
+		},
+		Handshakes:      map[string][]int{"a": {1, 4}, "b": {2, 3}},
+		OverloadCrashes: make([]history.OverloadCrash, 2),
+	}
 	want := Fleet{StartTook: sec, ReadyMost: 3 * sec, NotReady: 1, Calls: 5, TurnedAway: 1, Silent: 1, CallsPeak: 2,
 		Listed: [3]int64{6 * sec, -1, -1}, Handshakes: 10, HandshakesPeak: 7, HandshakesServer: 4, Falls: 2}
 	if got := FleetOf(run); got != want {
--- a/internal/lab/runner/process.go
+++ b/internal/lab/runner/process.go
@@ -337,7 +337,10 @@
 			return err
 		}
 		lim := &limiter{n: n, name: fmt.Sprintf("n%d", n), port: port,
-			config: filepath.Join(l.dir, fmt.Sprintf("n%d.json", n)), logPath: filepath.Join(l.dir, fmt.Sprintf("n%d.log", n))}
+			config: filepath.Join(
+				l.dir,
+				fmt.Sprintf("n%d.json", n),
+			), logPath: filepath.Join(l.dir, fmt.Sprintf("n%d.log", n))}
 		l.limiters = append(l.limiters, lim)
 		if err := l.join(n); err != nil {
 			return err
--- a/internal/lab/runner/processes_test.go
+++ b/internal/lab/runner/processes_test.go
@@ -29,7 +29,9 @@
 			t.Fatalf("%s holds no %q", name, replace[i])
 		}
 	}
-	e, err := experiment.Parse(strings.NewReplacer(append(replace, "bin/ospreycroft", program)...).Replace(string(text)))
+	e, err := experiment.Parse(
+		strings.NewReplacer(append(replace, "bin/ospreycroft", program)...).Replace(string(text)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,15 +119,26 @@
 		}
 	}
 	if old == 0 || slow == 0 || cut > 0 || r.Verdict.Stopped == 0 || r.Verdict.CutOff == 0 || len(r.Failures) > 0 {
-		t.Errorf("the faults were not there: %d shots by old lists, %d over the slow link, %d over the cut one, %d jobs stopped, "+
-			"%d cut off; failures %v", old, slow, cut, r.Verdict.Stopped, r.Verdict.CutOff, r.Failures)
+		t.Errorf(
+			"the faults were not there: %d shots by old lists, %d over the slow link, %d over the cut one, %d jobs stopped, "+
+				"%d cut off; failures %v",
+			old,
+			slow,
+			cut,
+			r.Verdict.Stopped,
+			r.Verdict.CutOff,
+			r.Failures,
+		)
 	}
 }
 
 func TestLimiterDeafToTheListIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, smaller(t, example(t, "links", broken(t, mutants.Deaf), "from = 3.5\nuntil = 7.5", "from = 1.0\nuntil = 1.2",
-		"from = 4.0", "from = 1.5"), 12, 4))
+	r, _ := played(
+		t,
+		smaller(t, example(t, "links", broken(t, mutants.Deaf), "from = 3.5\nuntil = 7.5", "from = 1.0\nuntil = 1.2",
+			"from = 4.0", "from = 1.5"), 12, 4),
+	)
 	wants(t, r, 3)
 }
 
@@ -150,9 +163,9 @@
 	return smaller(t, e, 30, length)
 }
 
-// TestColdStartWithKills starts 30 limiters within a second before a list service that bears 20 calls a second, half of
-// the servers cold, and kills seven in ten of them, which come back late and with a list from before a drain: no cold server
-// is sent more than it bears, and the drain is kept from when each has been told of it.
+// TestColdStartWithKills starts 30 limiters within a second before a list service that bears 20 calls a second, half
+// of the servers cold, and kills seven in ten of them, which come back late and with a list from before a drain: no
+// cold server is sent more than it bears, and the drain is kept from when each has been told of it.
 func TestColdStartWithKills(t *testing.T) {
 	t.Parallel()
 	r, _ := play(t, coldstart(t, build(t), 8))
@@ -172,9 +185,9 @@
 	}
 }
 
-// TestColdStartInTurn starts 30 limiters at once before a list service that has to be asked and bears 8 calls a second, and
-// kills seven in ten of them. With that stated in their operator's file they ask in turn, killed or not; without it many
-// are turned away. A call may reach the service in the second next to its own.
+// TestColdStartInTurn starts 30 limiters at once before a list service that has to be asked and bears 8 calls a
+// second, and kills seven in ten of them. With that stated in their operator's file they ask in turn, killed or not;
+// without it many are turned away. A call may reach the service in the second next to its own.
 func TestColdStartInTurn(t *testing.T) {
 	t.Parallel()
 	for _, stated := range []float64{0, 7} {
@@ -185,7 +198,13 @@
 		f := FleetOf(r.Run)
 		t.Logf("stated %v: %+v", stated, f)
 		if stated > 0 && (f.CallsPeak > 10 || f.TurnedAway > 2 || f.Calls < 30) || stated == 0 && f.TurnedAway < 10 {
-			t.Errorf("stated %v: %d calls, %d in the worst second, %d turned away", stated, f.Calls, f.CallsPeak, f.TurnedAway)
+			t.Errorf(
+				"stated %v: %d calls, %d in the worst second, %d turned away",
+				stated,
+				f.Calls,
+				f.CallsPeak,
+				f.TurnedAway,
+			)
 		}
 	}
 }
@@ -208,7 +227,14 @@
 		spreads[c.ID] = c.Spread
 	}
 	for _, u := range invariants.Quotas(r.Run.Requests, r.Run.Attempts, e.Settings) {
-		b, err := counterloss.BoundOf(u.Plan, e.Settings.Plans[u.Plan], e.Settings.MaxRequestUnits, spreads[u.Customer], counterloss.Lost, 1)
+		b, err := counterloss.BoundOf(
+			u.Plan,
+			e.Settings.Plans[u.Plan],
+			e.Settings.MaxRequestUnits,
+			spreads[u.Customer],
+			counterloss.Lost,
+			1,
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -255,8 +281,11 @@
 // A limiter that does not end at SIGTERM is killed once all clients' time is over, and restarted only then.
 func TestLimiterThatStaysIsKilled(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, smaller(t, example(t, "rolling", broken(t, mutants.Stay), "from = 2.0\nuntil = 3.0", "from = 0.5\nuntil = 1.0",
-		"every = 1.2", "every = 9.0", "cut_off = 2.5", "cut_off = 1.5"), 2, 4))
+	r, _ := played(
+		t,
+		smaller(t, example(t, "rolling", broken(t, mutants.Stay), "from = 2.0\nuntil = 3.0", "from = 0.5\nuntil = 1.0",
+			"every = 1.2", "every = 9.0", "cut_off = 2.5", "cut_off = 1.5"), 2, 4),
+	)
 	var term, kill, restart int64
 	for _, e := range r.Run.Events {
 		switch e.Kind {
@@ -278,7 +307,8 @@
 	t.Parallel()
 	r, _ := played(t, smaller(t, example(t, "countcut", broken(t, mutants.Crash)), 2, 3))
 	var crashed *CrashError
-	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &crashed) || !strings.HasSuffix(crashed.Log, ".log") {
+	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &crashed) ||
+		!strings.HasSuffix(crashed.Log, ".log") {
 		t.Errorf("%s %v", r.Verdict.Line(), r.Failures)
 	}
 	r, _ = played(t, smaller(t, example(t, "countcut", "no/such/program"), 2, 3))
--- a/internal/lab/runner/restart_test.go
+++ b/internal/lab/runner/restart_test.go
@@ -41,17 +41,20 @@
 			t.Fatalf("restart holds no %q", replace[i])
 		}
 	}
-	e, err := experiment.Parse(strings.NewReplacer(append(replace, "bin/ospreycroft", program)...).Replace(string(text)))
+	e, err := experiment.Parse(
+		strings.NewReplacer(append(replace, "bin/ospreycroft", program)...).Replace(string(text)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-// TestRestartedLimitersAreReady ends all of 20 limiters by SIGTERM, a tenth at a time, and starts them again with the list of
-// their first start, while discovery's answers come 3 s late or do not come at all: nine in ten are ready within 10 s of
-// their exec and none takes over 30 s, the rules hold, and at most one limiter in ten serves nobody for a while. The third case
-// has a plan whose ceiling fills for longer than that. With -short six limiters are restarted, half of them at a time.
+// TestRestartedLimitersAreReady ends all of 20 limiters by SIGTERM, a tenth at a time, and starts them again with the
+// list of their first start, while discovery's answers come 3 s late or do not come at all: nine in ten are ready
+// within 10 s of their exec and none takes over 30 s, the rules hold, and at most one limiter in ten serves nobody for
+// a while. The third case has a plan whose ceiling fills for longer than that. With -short six limiters are restarted,
+// half of them at a time.
 func TestRestartedLimitersAreReady(t *testing.T) {
 	t.Parallel()
 	program := build(t)
@@ -81,9 +84,18 @@
 				t.Errorf("%+v\n%v", r.Verdict.Breaches, r.Failures)
 			}
 			restarts := RestartsOf(r.Run)
-			t.Logf("%s: %d of %d restarted processes ready, %d within 10 s; ready p50 %s, p90 %s, max %s", c.name, restarts.Ready,
-				restarts.Count, restarts.Soon, seconds(restarts.P50), seconds(restarts.P90), seconds(restarts.Max))
-			if restarts.Count != limiters || !restarts.NineInTen() || restarts.Ready < limiters || restarts.Max > int64(readyWithin) {
+			t.Logf(
+				"%s: %d of %d restarted processes ready, %d within 10 s; ready p50 %s, p90 %s, max %s",
+				c.name,
+				restarts.Ready,
+				restarts.Count,
+				restarts.Soon,
+				seconds(restarts.P50),
+				seconds(restarts.P90),
+				seconds(restarts.Max),
+			)
+			if restarts.Count != limiters || !restarts.NineInTen() || restarts.Ready < limiters ||
+				restarts.Max > int64(readyWithin) {
 				t.Errorf("%+v of %d limiters", restarts, limiters)
 			}
 			s := &r.Verdict.Service
@@ -101,18 +113,32 @@
 		t.Skip("6 s of load")
 	}
 	t.Parallel()
-	r, _ := played(t, smaller(t, restart(t, broken(t, mutants.Await), discoverySlow, discoveryDown, "share = 0.1", "share = 1.0"), 2, 6))
-	if restarts := RestartsOf(r.Run); restarts.Count != 2 || restarts.Ready > 0 || restarts.NineInTen() || restarts.P50 != -1 {
+	r, _ := played(
+		t,
+		smaller(
+			t,
+			restart(t, broken(t, mutants.Await), discoverySlow, discoveryDown, "share = 0.1", "share = 1.0"),
+			2,
+			6,
+		),
+	)
+	if restarts := RestartsOf(
+		r.Run,
+	); restarts.Count != 2 || restarts.Ready > 0 || restarts.NineInTen() ||
+		restarts.P50 != -1 {
 		t.Errorf("%+v", restarts)
 	}
 	wantLines(t, r, "restarts count=2 ready=0 within_10s=0 ready50=never ready90=never ready100=never")
 }
 
-// TestRestartsOf reckons from records: first processes and those that were ended before they were ready do not count, and
-// those that were not ready at the run's end do.
+// TestRestartsOf reckons from records: first processes and those that were ended before they were ready do not count,
+// and those that were not ready at the run's end do.
 func TestRestartsOf(t *testing.T) {
 	const second = int64(1e9)
-	lives := []history.Process{{Limiter: 0, Started: 1, Ready: 25 * second}, {Limiter: 1, Started: 2, Ready: 25 * second}}
+	lives := []history.Process{
+		{Limiter: 0, Started: 1, Ready: 25 * second},
+		{Limiter: 1, Started: 2, Ready: 25 * second},
+	}
 	for i := range int64(10) {
 		lives = append(lives, history.Process{Limiter: int(i % 2), Started: 30 * second, Ready: (31 + i) * second})
 	}
--- a/internal/lab/runner/restarts.go
+++ b/internal/lab/runner/restarts.go
@@ -66,6 +66,14 @@
 	if r.Count == 0 {
 		return
 	}
-	_, _ = fmt.Fprintf(w, "  restarts count=%d ready=%d within_10s=%d ready50=%s ready90=%s ready100=%s\n", r.Count, r.Ready,
-		r.Soon, seconds(r.P50), seconds(r.P90), seconds(r.Max))
+	_, _ = fmt.Fprintf(
+		w,
+		"  restarts count=%d ready=%d within_10s=%d ready50=%s ready90=%s ready100=%s\n",
+		r.Count,
+		r.Ready,
+		r.Soon,
+		seconds(r.P50),
+		seconds(r.P90),
+		seconds(r.Max),
+	)
 }
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -53,8 +53,8 @@
 	Failures []error
 }
 
-// Run plays e with its files (configurations, limiters' logs) in dir. An error says that there was no run; a limiter that
-// fails is no error but fails the verdict. Where the fleet does not get up, no load is played.
+// Run plays e with its files (configurations, limiters' logs) in dir. An error says that there was no run; a limiter
+// that fails is no error but fails the verdict. Where the fleet does not get up, no load is played.
 func Run(e *experiment.Experiment, dir string, log *slog.Logger, progress func(float64)) (*Result, error) {
 	lab := &Lab{e: e, dir: dir, log: log, clock: history.NewClock(), book: &history.Recorder{},
 		front: make([]atomic.Bool, e.Limiters.Count), net: faultproxy.NewNetwork(e.Seed), within: readyWithin}
@@ -169,16 +169,31 @@
 
 // join puts the links of limiter n that the experiment has faults for, but for those to servers.
 func (l *Lab) join(n int) error {
-	if err := l.net.Join(party(n), experiment.Discovery, l.discovery.Address(n), l.e.Script(n, experiment.Discovery, "", "")); err != nil {
+	if err := l.net.Join(
+		party(n),
+		experiment.Discovery,
+		l.discovery.Address(n),
+		l.e.Script(n, experiment.Discovery, "", ""),
+	); err != nil {
 		return err
 	}
 	if l.counter != nil {
-		err := l.net.Join(party(n), experiment.Counting, l.counter.Address(n), l.e.Script(n, experiment.Counting, "", ""))
+		err := l.net.Join(
+			party(n),
+			experiment.Counting,
+			l.counter.Address(n),
+			l.e.Script(n, experiment.Counting, "", ""),
+		)
 		if err != nil {
 			return err
 		}
 	}
-	return l.net.Join(experiment.Clients, party(n), l.limiters[n].port.Address(), l.e.Script(n, experiment.Clients, "", ""))
+	return l.net.Join(
+		experiment.Clients,
+		party(n),
+		l.limiters[n].port.Address(),
+		l.e.Script(n, experiment.Clients, "", ""),
+	)
 }
 
 // cutsAndSilences are what the clients' links and those to discovery, or discovery itself, kept from limiters.
@@ -220,7 +235,9 @@
 func (l *Lab) addServer(p experiment.Pool, name string, repeats *emulator.Deduplication, warm bool) error {
 	spec := emulator.ServerSpec{Name: name, Zone: p.Zone, Work: time.Duration(p.Work * float64(time.Second)),
 		Capacity: p.Capacity, Report: p.Report, Slots: p.Slots, Conns: p.Conns, ColdFrom: p.ColdFrom,
-		WarmWithin: time.Duration(experiment.Nanos(p.WarmWithin)), Warm: warm, Fall: time.Duration(experiment.Nanos(p.Fall)),
+		WarmWithin: time.Duration(
+			experiment.Nanos(p.WarmWithin),
+		), Warm: warm, Fall: time.Duration(experiment.Nanos(p.Fall)),
 		Script: l.scriptOf("server:"+name, "pool:"+p.Name), Seed: l.e.Seed ^ uint64(len(l.servers)+1)<<8}
 	s := emulator.NewServer(spec, l.clock, l.book, repeats)
 	if err := s.Start(); err != nil {
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestBrokenLimiterIsCaught plays a short run against a limiter that sends non-idempotent requests again after a silence:
-// the lab must find the second attempts in the servers' records.
+// TestBrokenLimiterIsCaught plays a short run against a limiter that sends non-idempotent requests again after a
+// silence: the lab must find the second attempts in the servers' records.
 func TestBrokenLimiterIsCaught(t *testing.T) {
 	t.Parallel()
 	e := experimentFile(t, broken(t, mutants.Again), func(s string) string {
--- a/internal/lab/runner/service_test.go
+++ b/internal/lab/runner/service_test.go
@@ -54,8 +54,8 @@
 		"outage limiter=0 life=1 kind=rejecting", "outage limiter=1 life=1 kind=rejecting")
 }
 
-// TestLimiterThatAnswersNothingIsTold kills one of two such limiters in the middle of the run: what it had then was lost with it,
-// and the rest was lost by limiters that lived.
+// TestLimiterThatAnswersNothingIsTold kills one of two such limiters in the middle of the run: what it had then was
+// lost with it, and the rest was lost by limiters that lived.
 func TestLimiterThatAnswersNothingIsTold(t *testing.T) {
 	t.Parallel()
 	e := pair(t, broken(t, mutants.Mute), 4, experiment.Fault{Kind: "kill", Target: "limiter:1", From: 3})
--- a/internal/lab/runner/summary.go
+++ b/internal/lab/runner/summary.go
@@ -68,8 +68,16 @@
 	if err == nil {
 		uses := invariants.Quotas(r.Run.Requests, r.Run.Attempts, set)
 		for _, u := range uses {
-			_, _ = fmt.Fprintf(w, "  use customer=%s plan=%s sent=%.0f excess=%.1f rejected=%d wrongly=%d\n", u.Customer,
-				u.Plan, u.Sent, u.Excess, u.Rejected, u.Wrongly)
+			_, _ = fmt.Fprintf(
+				w,
+				"  use customer=%s plan=%s sent=%.0f excess=%.1f rejected=%d wrongly=%d\n",
+				u.Customer,
+				u.Plan,
+				u.Sent,
+				u.Excess,
+				u.Rejected,
+				u.Wrongly,
+			)
 		}
 		if first, last, seen := counterFaults(r.Run.Events); seen {
 			if took := invariants.Recovery(uses, first, last, r.Run.Length); took < 0 {
@@ -91,14 +99,36 @@
 	late, lost := s.Missed()
 	_, _ = fmt.Fprintf(w, "  unanswered late=%d lost=%d\n", late, lost)
 	for _, u := range s.Unanswered {
-		_, _ = fmt.Fprintf(w, "    unanswered limiter=%d cause=%s late=%d lost=%d\n", u.Limiter, u.Cause, u.Late, u.Lost)
+		_, _ = fmt.Fprintf(
+			w,
+			"    unanswered limiter=%d cause=%s late=%d lost=%d\n",
+			u.Limiter,
+			u.Cause,
+			u.Late,
+			u.Lost,
+		)
 	}
 	share := s.OutageShare()
-	_, _ = fmt.Fprintf(w, "  outages limiters=%d of=%d share=%.3f gate=%.3f held=%v\n", s.LimitersOut(), s.Limiters, share,
-		invariants.OutageGate, share <= invariants.OutageGate)
+	_, _ = fmt.Fprintf(
+		w,
+		"  outages limiters=%d of=%d share=%.3f gate=%.3f held=%v\n",
+		s.LimitersOut(),
+		s.Limiters,
+		share,
+		invariants.OutageGate,
+		share <= invariants.OutageGate,
+	)
 	for _, o := range s.Outages {
-		_, _ = fmt.Fprintf(w, "    outage limiter=%d life=%d kind=%s from=%.3fs until=%.3fs requests=%d\n", o.Limiter, o.Life, o.Kind,
-			float64(o.From)/1e9, float64(o.Until)/1e9, o.Requests)
+		_, _ = fmt.Fprintf(
+			w,
+			"    outage limiter=%d life=%d kind=%s from=%.3fs until=%.3fs requests=%d\n",
+			o.Limiter,
+			o.Life,
+			o.Kind,
+			float64(o.From)/1e9,
+			float64(o.Until)/1e9,
+			o.Requests,
+		)
 	}
 }
 
--- a/internal/lab/runner/sweep.go
+++ b/internal/lab/runner/sweep.go
@@ -17,13 +17,14 @@
 
 // Point is one size of a sweep: what was offered, held and added, and what the lab itself spent.
 type Point struct {
-	Limiters  int     `json:"limiters"`
-	Offered   float64 `json:"offered"`   // requests a second sent
-	Held      float64 `json:"held"`      // requests a second done
-	Rejected  float64 `json:"rejected"`  // share of requests rejected
-	AddedP50  float64 `json:"added_p50"` // ms a done request waited beyond its server's own work
-	AddedP99  float64 `json:"added_p99"`
-	LabCPU    float64 `json:"lab_cpu"`     // CPU seconds of the lab's own process (emulator and clients) per 1k requests
+	Limiters int     `json:"limiters"`
+	Offered  float64 `json:"offered"`   // requests a second sent
+	Held     float64 `json:"held"`      // requests a second done
+	Rejected float64 `json:"rejected"`  // share of requests rejected
+	AddedP50 float64 `json:"added_p50"` // ms a done request waited beyond its server's own work
+	AddedP99 float64 `json:"added_p99"`
+	// CPU seconds of the lab's own process (emulator and clients) per 1k requests
+	LabCPU    float64 `json:"lab_cpu"`
 	LimiterCP float64 `json:"limiter_cpu"` // CPU seconds of all limiters per 1k requests
 	Pass      bool    `json:"pass"`
 	Fleet     Fleet   `json:"fleet"`
@@ -84,10 +85,21 @@
 		_ = history.Write(filepath.Join(sub, "record.json"), r.Run)
 		h := Added(r.Run.Requests, r.Run.Attempts)
 		jobs := float64(len(r.Run.Requests))
-		p := Point{Limiters: n, Offered: jobs / one.Length, Held: float64(r.Verdict.Outcomes[history.Succeeded]) / one.Length,
+		p := Point{
+			Limiters: n,
+			Offered:  jobs / one.Length,
+			Held:     float64(r.Verdict.Outcomes[history.Succeeded]) / one.Length,
 			Rejected: float64(r.Verdict.Outcomes[history.Rejected]) / max(jobs, 1),
-			AddedP50: float64(h.ValueAtQuantile(50)) / 1e3, AddedP99: float64(h.ValueAtQuantile(99)) / 1e3,
-			LabCPU: self / max(jobs, 1) * 1000, LimiterCP: children / max(jobs, 1) * 1000, Pass: r.Verdict.Pass, Fleet: FleetOf(r.Run)}
+			AddedP50: float64(h.ValueAtQuantile(50)) / 1e3,
+			AddedP99: float64(h.ValueAtQuantile(99)) / 1e3,
+			LabCPU: self / max(
+				jobs,
+				1,
+			) * 1000,
+			LimiterCP: children / max(jobs, 1) * 1000,
+			Pass:      r.Verdict.Pass,
+			Fleet:     FleetOf(r.Run),
+		}
 		out = append(out, p)
 		_, _ = fmt.Fprintf(w, "limiters=%d offered=%.0f/s held=%.0f/s rejected=%.3f added_p50=%.2fms added_p99=%.2fms "+
 			"lab_cpu=%.3fs/1k limiters_cpu=%.3fs/1k pass=%v\n", n, p.Offered, p.Held, p.Rejected, p.AddedP50,
--- a/internal/lab/scale/alike.go
+++ b/internal/lab/scale/alike.go
@@ -2,14 +2,16 @@
 
 import (
 	"fmt"
-	"ospreycroft/internal/lab/procfs"
 	"time"
+
+	"ospreycroft/internal/lab/procfs"
 )
 
 // alikeServers are the list's entries while real and hollow limiters are compared.
 const alikeServers = 1000
 
-// alike compares hollow limiters with real processes, as many of each: what one of them sends, is sent, holds and spends.
+// alike compares hollow limiters with real processes, as many of each: what one of them sends, is sent, holds and
+// spends.
 func (h *Harness) alike() error {
 	var real, hollow idleSeries
 	for _, limiters := range h.sizes([]int{1, 5}, []int{1, 10, 50}) {
@@ -51,8 +53,11 @@
 		if a == 0 {
 			continue // a window of the short form saw none
 		}
-		h.figure(Series{Experiment: "alike", Quantity: fmt.Sprintf("%s, hollow less real, %d of each", one.name, limiters),
-			Unit: "% of the real one's"}, (b-a)/a*100)
+		h.figure(
+			Series{Experiment: "alike", Quantity: fmt.Sprintf("%s, hollow less real, %d of each", one.name, limiters),
+				Unit: "% of the real one's"},
+			(b-a)/a*100,
+		)
 	}
 	h.figure(Series{Experiment: "alike", Quantity: fmt.Sprintf("heap, %d of each: real, hollow", limiters), Unit: "MB",
 		Note: "the real one's behind its latest collection, in whole MB; the hollow one's behind a forced one"},
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -60,7 +60,14 @@
 
 // command is a request's command.
 func command(id string, customer uint64) []byte {
-	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d,spread=%d,first=0", className, planName, requestBudget, requestUnits, requestSpread)
+	list := fmt.Sprintf(
+		"c=%s,t=%s,d=%d,units=%d,spread=%d,first=0",
+		className,
+		planName,
+		requestBudget,
+		requestUnits,
+		requestSpread,
+	)
 	return resp.AppendCommand(nil, []byte("SVC.QUERY"), fmt.Appendf(nil, "%016x", customer), []byte(id), []byte(list))
 }
 
@@ -139,8 +146,8 @@
 	return err
 }
 
-// open sends requests at random times, so many a second on average, of so many customers in turn, whatever the answers do, and
-// gives what became of them.
+// open sends requests at random times, so many a second on average, of so many customers in turn, whatever the answers
+// do, and gives what became of them.
 func (c *clients) open(rate float64, customers int, length time.Duration, seed uint64) []sent {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	var mutex sync.Mutex
@@ -168,8 +175,8 @@
 	return out
 }
 
-// each sends one request of each of so many customers, several at a time, and tells how many were answered: a limiter knows the
-// customer of one that it rejects for want of room as well.
+// each sends one request of each of so many customers, several at a time, and tells how many were answered: a limiter
+// knows the customer of one that it rejects for want of room as well.
 func (c *clients) each(customers, together int) (answered int) {
 	var wait sync.WaitGroup
 	var count atomic.Int64
--- a/internal/lab/scale/clients_test.go
+++ b/internal/lab/scale/clients_test.go
@@ -4,13 +4,14 @@
 	"bufio"
 	"net"
 	"os"
-	"ospreycroft/internal/lab/procfs"
 	"runtime"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/lab/procfs"
 )
 
 // TestAnswers: one answer is read whole, whoever gives it, and no byte behind it.
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -10,7 +10,8 @@
 // zoneNames are the zones of the size, two in each region.
 var zoneNames = [Zones]string{"east-1", "east-2", "west-1", "west-2"}
 
-// The request that all runs send: its class, its plan, the units that it takes and the limiters that share its customer.
+// The request that all runs send: its class, its plan, the units that it takes and the limiters that share its
+// customer.
 const (
 	className     = "fetch"
 	planName      = "plain"
@@ -19,8 +20,8 @@
 	requestBudget = 2500 // milliseconds
 )
 
-// settingsText are the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's store lets all
-// requests of a run through, and keeps a customer known for 30 s after its last request.
+// settingsText are the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's store
+// lets all requests of a run through, and keeps a customer known for 30 s after its last request.
 func settingsText(position int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"balancers":%d,"position":%d,
 "classes":[{"name":"fetch","aim":0.8,"deadline":2.5,"effect":"free","group":"all"},
@@ -51,7 +52,8 @@
 	Sockets int     `json:"sockets"`
 }
 
-// configOf is the configuration of limiter n, which calls discovery and the counter at these addresses; known may be nil.
+// configOf is the configuration of limiter n, which calls discovery and the counter at these addresses; known may be
+// nil.
 func configOf(n int, listen, discovery, counter string, sockets int, known []byte) limiterConfig {
 	return limiterConfig{Name: fmt.Sprintf("n%d", n), Listen: listen, Discovery: discovery, Counter: counter,
 		Seed: fmt.Sprintf("%016x", 0x51ca1e+uint64(n)*0x9e3779b97f4a7c15), Known: known, Settings: settingsText(n),
@@ -61,13 +63,20 @@
 // configText is a configuration as its file holds it.
 func configText(config limiterConfig) ([]byte, error) { return json.Marshal(config) }
 
-// instances is a list of so many servers over the four zones; they stand at the addresses in turn, so that a few listeners do
-// for thousands of servers.
+// instances is a list of so many servers over the four zones; they stand at the addresses in turn, so that a few
+// listeners do for thousands of servers.
 func instances(n int, addresses []string) []emulator.Instance {
 	list := make([]emulator.Instance, n)
 	for i := range list {
-		list[i] = emulator.Instance{ID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), HostPort: addresses[i%len(addresses)],
-			Zone: zoneNames[i%Zones], Machine: "m2", Cell: i % 32, Lifecycle: "in_service", Weight: 1}
+		list[i] = emulator.Instance{
+			ID:        fmt.Sprintf("s-%08x", uint32(i)*2654435761),
+			HostPort:  addresses[i%len(addresses)],
+			Zone:      zoneNames[i%Zones],
+			Machine:   "m2",
+			Cell:      i % 32,
+			Lifecycle: "in_service",
+			Weight:    1,
+		}
 	}
 	return list
 }
--- a/internal/lab/scale/counter.go
+++ b/internal/lab/scale/counter.go
@@ -13,7 +13,8 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// counter measures how often limiters call the counter, what a call costs at its stand-in, and how many stand-ins the peak takes.
+// counter measures how often limiters call the counter, what a call costs at its stand-in, and how many stand-ins the
+// peak takes.
 func (h *Harness) counter() error {
 	var calls, bytes []Point
 	for _, rate := range h.sizes([]int{40, 80}, []int{62, 124, 250, 500}) {
@@ -27,15 +28,25 @@
 	mechanism := "choice.go reserve, release, settle; counter.go Count"
 	h.add(Series{Experiment: "counter", Quantity: "calls of one limiter", Unit: "/s", Over: "requests/s", Points: calls,
 		Mechanism: mechanism, Note: "no true units, no rejections: the least there is"})
-	h.add(Series{Experiment: "counter", Quantity: "bytes to and from the counter, one limiter", Unit: "B/s", Over: "requests/s",
-		Points: bytes, Mechanism: "counterwire.go AppendCall"})
+	h.add(
+		Series{
+			Experiment: "counter",
+			Quantity:   "bytes to and from the counter, one limiter",
+			Unit:       "B/s",
+			Over:       "requests/s",
+			Points:     bytes,
+			Mechanism:  "counterwire.go AppendCall",
+		},
+	)
 	for _, fault := range []emulator.Fault{{Kind: "busy"}, {Kind: "slow", Factor: 200}} {
 		use, err := h.counterUse(h.sizes([]int{80}, []int{124})[0], []emulator.Fault{fault})
 		if err != nil {
 			return err
 		}
-		h.figure(Series{Experiment: "counter", Quantity: "calls for a request while the counter is " + fault.Kind, Unit: "1",
-			Mechanism: "choice.go asked, Counted (asks thinned out)"}, use.ofRequest...)
+		h.figure(
+			Series{Experiment: "counter", Quantity: "calls for a request while the counter is " + fault.Kind, Unit: "1",
+				Mechanism: "choice.go asked, Counted (asks thinned out)"},
+			use.ofRequest...)
 	}
 	return h.counterStandIn()
 }
@@ -70,7 +81,8 @@
 	callsOfPeak = 1.0 // for a request, at least
 )
 
-// counterStandIn measures one stand-in in a process of its own, on one core, and reckons how many of them the peak takes.
+// counterStandIn measures one stand-in in a process of its own, on one core, and reckons how many of them the peak
+// takes.
 func (h *Harness) counterStandIn() error {
 	one, err := h.startCounterHost()
 	if err != nil {
@@ -103,19 +115,50 @@
 	}
 	h.figure(Series{Experiment: "counter", Quantity: "processor time of a call at one stand-in", Unit: "us",
 		Mechanism: "emulator counter.go serve: a read and a write a call"}, cost.Samples...)
-	h.figure(Series{Experiment: "counter", Quantity: "calls that one stand-in answers on the share of a core that it gets", Unit: "/s",
-		Note: fmt.Sprintf("%d connections, one call out on each", callers)}, capacity.Samples...)
-	h.figure(Series{Experiment: "counter", Quantity: fmt.Sprintf("resident memory of one stand-in, %d names", Tenants), Unit: "MB"}, held/1e6)
+	h.figure(
+		Series{
+			Experiment: "counter",
+			Quantity:   "calls that one stand-in answers on the share of a core that it gets",
+			Unit:       "/s",
+			Note:       fmt.Sprintf("%d connections, one call out on each", callers),
+		},
+		capacity.Samples...)
+	h.figure(
+		Series{
+			Experiment: "counter",
+			Quantity:   fmt.Sprintf("resident memory of one stand-in, %d names", Tenants),
+			Unit:       "MB",
+		},
+		held/1e6,
+	)
 	of := 1e6 / cost.Middle() // calls a second on a whole core
 	instances := Instances(PeakRequests*callsOfPeak, of, halfUsed)
-	h.figure(Series{Experiment: "counter", Quantity: "instances for 68,000 requests/s, each half used", Unit: "1", Reckoned: true},
-		float64(instances))
+	h.figure(
+		Series{
+			Experiment: "counter",
+			Quantity:   "instances for 68,000 requests/s, each half used",
+			Unit:       "1",
+			Reckoned:   true,
+		},
+		float64(instances),
+	)
 	for _, n := range []int{instances, 2 * instances} {
 		for _, skew := range []float64{0, 1} {
 			share := LargestShare(Tenants, n, skew)
-			h.figure(Series{Experiment: "counter", Quantity: fmt.Sprintf("load of the fullest of %d instances over an even share", n),
-				Unit: "1", Reckoned: true, Note: fmt.Sprintf("%d customers by the hash of their name; the k-th sends as 1/k^%g", Tenants, skew)},
-				share*float64(n))
+			h.figure(
+				Series{
+					Experiment: "counter",
+					Quantity:   fmt.Sprintf("load of the fullest of %d instances over an even share", n),
+					Unit:       "1",
+					Reckoned:   true,
+					Note: fmt.Sprintf(
+						"%d customers by the hash of their name; the k-th sends as 1/k^%g",
+						Tenants,
+						skew,
+					),
+				},
+				share*float64(n),
+			)
 		}
 	}
 	return nil
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -132,7 +132,10 @@
 	for _, oneIn := range []int{4, 2} {
 		for _, lifecycle := range []string{"terminated", "in_service"} {
 			what := map[string]string{"terminated": " go", "in_service": " come back"}[lifecycle]
-			err := f.play(shareName(oneIn)+what, func() { f.s.discovery.SetAll(f.s.zone(oneIn, lifecycle, time.Now())) })
+			err := f.play(
+				shareName(oneIn)+what,
+				func() { f.s.discovery.SetAll(f.s.zone(oneIn, lifecycle, time.Now())) },
+			)
 			if err != nil {
 				return err
 			}
@@ -157,7 +160,10 @@
 	time.Sleep(f.h.window(4 * time.Second))
 	silent := f.s.traffic().since(crossed)
 	f.figure("discovery silent: calls", "/s", silent.discoveryCalls/f.h.window(4*time.Second).Seconds())
-	return f.play(fmt.Sprintf("a region heals with %d changed servers", restarted), func() { f.s.discovery.Down(false) })
+	return f.play(
+		fmt.Sprintf("a region heals with %d changed servers", restarted),
+		func() { f.s.discovery.Down(false) },
+	)
 }
 
 // play does something that changes the list and states what it costs until all limiters go by it.
@@ -200,8 +206,8 @@
 // generation is discovery's present one.
 func (s *stands) generation() int64 { return s.discovery.Whole(0).Generation }
 
-// applied waits until all limiters go by a generation of the list and tells how long that took from at on, seconds: each calls again
-// once it has applied the answer that told it.
+// applied waits until all limiters go by a generation of the list and tells how long that took from at on, seconds:
+// each calls again once it has applied the answer that told it.
 func (f *worstRun) applied(at, generation int64, within time.Duration) (float64, error) {
 	end := time.Now().Add(within)
 	for {
@@ -217,8 +223,8 @@
 	}
 }
 
-// appliedTimes are when limiters first called after an answer of a generation, from at on, one for each limiter that has. Calls
-// are in the order of their times.
+// appliedTimes are when limiters first called after an answer of a generation, from at on, one for each limiter that
+// has. Calls are in the order of their times.
 func appliedTimes(calls []history.Call, at, generation int64) []int64 {
 	told := map[int]int64{}
 	var times []int64
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,8 +18,8 @@
 	"ospreycroft/internal/sockets"
 )
 
-// A hollow limiter is the limiter's own reducer, module and control clients over real connections, with no clients: many in
-// one process. HostMain is that process; it is told what to do in lines of JSON.
+// A hollow limiter is the limiter's own reducer, module and control clients over real connections, with no clients:
+// many in one process. HostMain is that process; it is told what to do in lines of JSON.
 
 // hostSpec is the first line that a host reads.
 type hostSpec struct {
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -14,7 +14,9 @@
 func (h *Harness) latency() error {
 	var all []leg
 	for _, rate := range h.sizes([]int{60, 120}, []int{62, 124, 250, 500}) {
-		one, err := h.legs(legSize{servers: h.sizes([]int{200}, []int{Servers})[0], rate: rate, customers: requestCustomers})
+		one, err := h.legs(
+			legSize{servers: h.sizes([]int{200}, []int{Servers})[0], rate: rate, customers: requestCustomers},
+		)
 		if err != nil {
 			return err
 		}
@@ -98,7 +100,13 @@
 // legs measures the parts at one size.
 func (h *Harness) legs(size legSize) (windows []window, err error) {
 	marks := newMarks()
-	spec := standsSpec{limiters: 1, servers: size.servers, work: 2 * time.Millisecond, tallied: marks.tallied, handled: marks.handled}
+	spec := standsSpec{
+		limiters: 1,
+		servers:  size.servers,
+		work:     2 * time.Millisecond,
+		tallied:  marks.tallied,
+		handled:  marks.handled,
+	}
 	err = h.withReal(spec, func(s *stands, l *realLimiter) error {
 		c := newClients(s.clock, l.address)
 		defer c.close()
@@ -176,7 +184,8 @@
 	return w
 }
 
-// call finds the call to the counter that was made for a request: on a name of its customer, between its begin and its server's.
+// call finds the call to the counter that was made for a request: on a name of its customer, between its begin and its
+// server's.
 func (m *marks) call(one sent, offset, before int64) (emulator.Tally, bool) {
 	for _, at := range []int64{one.began, before} {
 		for _, t := range m.counts[countName(one.customer, at+offset, countSpan)] {
@@ -223,8 +232,10 @@
 			Mechanism: "the sum of the parts", Note: lostNote(all)})
 		for i, name := range partNames {
 			points := pointsOf(all, func(w window) []float64 { return w.parts[i] }, part.of)
-			h.add(Series{Experiment: "latency", Quantity: name + ", " + part.name, Unit: "ms", Over: over, Points: points,
-				Mechanism: partMechanisms[i]})
+			h.add(
+				Series{Experiment: "latency", Quantity: name + ", " + part.name, Unit: "ms", Over: over, Points: points,
+					Mechanism: partMechanisms[i]},
+			)
 		}
 	}
 }
@@ -257,7 +268,12 @@
 			connected += w.connected
 		}
 	}
-	return fmt.Sprintf("%d requests, %d left out (not served or no call found), %d on a new connection", requests, lost, connected)
+	return fmt.Sprintf(
+		"%d requests, %d left out (not served or no call found), %d on a new connection",
+		requests,
+		lost,
+		connected,
+	)
 }
 
 // latencyFloor measures the lab itself: clients that send to a server with nothing between.
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -16,8 +16,14 @@
 			spec := standsSpec{limiters: 1, servers: servers, whole: whole}
 			err := h.withReal(spec, func(s *stands, l *realLimiter) error {
 				cost, err := h.changeCost(s, l)
-				bytes = append(bytes, Point{float64(servers), samples(cost, func(o spent) float64 { return o.traffic.discoveryBytes })})
-				processor = append(processor, Point{float64(servers), samples(cost, func(o spent) float64 { return o.core * 1e3 })})
+				bytes = append(
+					bytes,
+					Point{float64(servers), samples(cost, func(o spent) float64 { return o.traffic.discoveryBytes })},
+				)
+				processor = append(
+					processor,
+					Point{float64(servers), samples(cost, func(o spent) float64 { return o.core * 1e3 })},
+				)
 				return err
 			})
 			if err != nil {
@@ -30,10 +36,26 @@
 			told = "the whole list"
 			mechanism = "discovery.go Decode, watch.go apply and missing, choice.go Members and turnRing"
 		}
-		h.add(Series{Experiment: "list", Quantity: "bytes of one change, told by " + told, Unit: "B", Over: "servers", Points: bytes,
-			Mechanism: "the list service's answer; discovery.go"})
-		h.add(Series{Experiment: "list", Quantity: "processor time of one change, told by " + told, Unit: "ms", Over: "servers",
-			Points: processor, Mechanism: mechanism})
+		h.add(
+			Series{
+				Experiment: "list",
+				Quantity:   "bytes of one change, told by " + told,
+				Unit:       "B",
+				Over:       "servers",
+				Points:     bytes,
+				Mechanism:  "the list service's answer; discovery.go",
+			},
+		)
+		h.add(
+			Series{
+				Experiment: "list",
+				Quantity:   "processor time of one change, told by " + told,
+				Unit:       "ms",
+				Over:       "servers",
+				Points:     processor,
+				Mechanism:  mechanism,
+			},
+		)
 	}
 	return h.startCost()
 }
@@ -43,8 +65,8 @@
 	changeEvery     = 150 * time.Millisecond
 )
 
-// changeCost is what one change of one server costs, in several samples: the processor time (s) stands in core, and the bytes of
-// watches that bring nothing are taken off.
+// changeCost is what one change of one server costs, in several samples: the processor time (s) stands in core, and
+// the bytes of watches that bring nothing are taken off.
 func (h *Harness) changeCost(s *stands, l *realLimiter) (all []spent, err error) {
 	time.Sleep(h.window(2 * time.Second))
 	idle, err := watchProcess(l.process, s, h.window(2*time.Second), 1)
@@ -95,8 +117,16 @@
 		}
 		points = append(points, point)
 	}
-	h.add(Series{Experiment: "list", Quantity: "processor time of a start until ready", Unit: "ms", Over: "servers", Points: points,
-		Mechanism: "config.go ReadConfig, discovery.go Decode, watch.go apply"})
+	h.add(
+		Series{
+			Experiment: "list",
+			Quantity:   "processor time of a start until ready",
+			Unit:       "ms",
+			Over:       "servers",
+			Points:     points,
+			Mechanism:  "config.go ReadConfig, discovery.go Decode, watch.go apply",
+		},
+	)
 	return nil
 }
 
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -1,8 +1,9 @@
 package scale
 
 import (
-	"ospreycroft/internal/lab/procfs"
 	"time"
+
+	"ospreycroft/internal/lab/procfs"
 )
 
 // spent is what one process, and all control connections, took in a time.
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -111,8 +111,8 @@
 	address string
 }
 
-// startReal starts limiter n of the stand-ins and waits until it answers PING with +PONG. The runtime logs each collection, which
-// tells its heap.
+// startReal starts limiter n of the stand-ins and waits until it answers PING with +PONG. The runtime logs each
+// collection, which tells its heap.
 func (h *Harness) startReal(s *stands, n, sockets int, known []byte) (*realLimiter, error) {
 	port, err := ports.Keep()
 	if err != nil {
@@ -193,8 +193,8 @@
 	began float64
 }
 
-// startHollow starts hollow limiters from number first on, in as many processes as are needed, and waits until all run. Each begins
-// with the known list.
+// startHollow starts hollow limiters from number first on, in as many processes as are needed, and waits until all
+// run. Each begins with the known list.
 func (h *Harness) startHollow(s *stands, first, count int, known []byte) ([]*host, error) {
 	hosts := (count + mostInHost - 1) / mostInHost
 	if hosts > mostHosts {
@@ -243,7 +243,10 @@
 			return nil, err
 		}
 		kept = append(kept, port)
-		spec.Limiters = append(spec.Limiters, configOf(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), 1024, nil))
+		spec.Limiters = append(
+			spec.Limiters,
+			configOf(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), 1024, nil),
+		)
 	}
 	one, err := h.startHostOf(spec)
 	if err != nil {
--- a/internal/lab/scale/reckon.go
+++ b/internal/lab/scale/reckon.go
@@ -4,8 +4,8 @@
 
 // This file reckons sizes from slopes. It does no I/O.
 
-// Instances is how many instances bear so many calls a second, each of which bears capacity of them and is to be used to a part
-// of that at most.
+// Instances is how many instances bear so many calls a second, each of which bears capacity of them and is to be used
+// to a part of that at most.
 func Instances(calls, capacity, used float64) int {
 	if capacity <= 0 || used <= 0 {
 		return 0
@@ -13,8 +13,8 @@
 	return int(math.Ceil(calls / (capacity * used)))
 }
 
-// LargestShare is the share of all load that the fullest of so many instances gets where customers are divided by the hash of their
-// number, and the k-th customer sends as 1/k^skew.
+// LargestShare is the share of all load that the fullest of so many instances gets where customers are divided by the
+// hash of their number, and the k-th customer sends as 1/k^skew.
 func LargestShare(customers, instances int, skew float64) float64 {
 	loads := make([]float64, instances)
 	total := 0.0
@@ -38,8 +38,8 @@
 	return x ^ x>>31
 }
 
-// countName is the name on which a customer's use is counted in the window that holds now, as choice.go names it: windows are span
-// long and begin at a time of the customer's own. Times are nanoseconds of the limiters' clock.
+// countName is the name on which a customer's use is counted in the window that holds now, as choice.go names it:
+// windows are span long and begin at a time of the customer's own. Times are nanoseconds of the limiters' clock.
 func countName(customer uint64, now, span int64) uint64 {
 	phase := int64(mix(customer) >> 1)
 	window := (now + phase%span) / span
--- a/internal/lab/scale/reckon_test.go
+++ b/internal/lab/scale/reckon_test.go
@@ -67,7 +67,13 @@
 	}
 	require.Equal(t, []int64{25, 39}, appliedTimes(calls, 10, 7))
 	overlaps := []history.Call{ // of a life that has ended, and of the next one
-		{Limiter: 0, At: 11, EndedAt: 60, End: history.Answered, Generation: 7}, {Limiter: 0, At: 45, EndedAt: 50, End: history.CallerGone}}
+		{
+			Limiter:    0,
+			At:         11,
+			EndedAt:    60,
+			End:        history.Answered,
+			Generation: 7,
+		}, {Limiter: 0, At: 45, EndedAt: 50, End: history.CallerGone}}
 	require.Empty(t, appliedTimes(overlaps, 10, 7))
 	require.Empty(t, appliedTimes(calls[:3], 10, 7), "told, and not called since")
 	require.Empty(t, appliedTimes(calls, 10, 9))
--- a/internal/lab/scale/renew.go
+++ b/internal/lab/scale/renew.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"os"
-	"ospreycroft/internal/lab/procfs"
 	"strings"
 	"syscall"
 	"time"
+
+	"ospreycroft/internal/lab/procfs"
 )
 
 // renew measures what a change of the configuration costs a limiter today: a new file and SIGHUP.
@@ -25,13 +26,32 @@
 		}
 	}
 	mechanism := "settings ReadFile and Fixed, limiter.go renew; the known list is in the file"
-	h.add(Series{Experiment: "renew", Quantity: "processor time of a renewed configuration", Unit: "ms", Over: "servers",
-		Points: processor, Mechanism: mechanism})
-	h.add(Series{Experiment: "renew", Quantity: "from SIGHUP until the limiter says that it has read it", Unit: "ms", Over: "servers",
-		Points: took, Mechanism: mechanism, Note: "looked for every 2 ms"})
+	h.add(
+		Series{Experiment: "renew", Quantity: "processor time of a renewed configuration", Unit: "ms", Over: "servers",
+			Points: processor, Mechanism: mechanism},
+	)
+	h.add(
+		Series{
+			Experiment: "renew",
+			Quantity:   "from SIGHUP until the limiter says that it has read it",
+			Unit:       "ms",
+			Over:       "servers",
+			Points:     took,
+			Mechanism:  mechanism,
+			Note:       "looked for every 2 ms",
+		},
+	)
 	last := took[len(took)-1].Middle()
-	h.figure(Series{Experiment: "renew", Quantity: fmt.Sprintf("one by one through %d limiters, the signal alone", Limiters), Unit: "s",
-		Reckoned: true, Note: "without the copying of the file to each machine"}, last*Limiters/1e3)
+	h.figure(
+		Series{
+			Experiment: "renew",
+			Quantity:   fmt.Sprintf("one by one through %d limiters, the signal alone", Limiters),
+			Unit:       "s",
+			Reckoned:   true,
+			Note:       "without the copying of the file to each machine",
+		},
+		last*Limiters/1e3,
+	)
 	return nil
 }
 
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,16 +1,18 @@
-// Package scale measures how what a limiter spends grows with the size of the fleet around it: servers, customers, limiters and
-// load. Real limiter processes and hollow ones, hundreds in a process, run against the stand-ins of package emulator; each
-// experiment stands in a file of its own, and its figures are fitted to straight lines from which a size is reckoned.
+// Package scale measures how what a limiter spends grows with the size of the fleet around it: servers, customers,
+// limiters and load. Real limiter processes and hollow ones, hundreds in a process, run against the stand-ins of
+// package emulator; each experiment stands in a file of its own, and its figures are fitted to straight lines from
+// which a size is reckoned.
 package scale
 
 import (
 	"fmt"
 	"io"
 	"os"
-	"ospreycroft/internal/lab/procfs"
 	"slices"
 	"strings"
 	"time"
+
+	"ospreycroft/internal/lab/procfs"
 )
 
 // Options say what to run.
@@ -67,8 +69,8 @@
 	runs    int // processes started so far, for their files' names
 }
 
-// Run runs the named experiments, all where there is no name, and gives their figures; what was measured before an error is
-// given with it.
+// Run runs the named experiments, all where there is no name, and gives their figures; what was measured before an
+// error is given with it.
 func Run(names []string, options Options) (*Report, error) {
 	h := &Harness{options: options}
 	if err := os.MkdirAll(options.Out, 0o755); err != nil {
@@ -79,7 +81,12 @@
 			return nil, &UnknownError{name}
 		}
 	}
-	h.report = Report{Command: options.Command, Began: time.Now().UTC().Format(time.RFC3339), LoadBefore: procfs.LoadAverage(), Short: options.Short}
+	h.report = Report{
+		Command:    options.Command,
+		Began:      time.Now().UTC().Format(time.RFC3339),
+		LoadBefore: procfs.LoadAverage(),
+		Short:      options.Short,
+	}
 	for _, one := range Experiments() {
 		if len(names) > 0 && !slices.Contains(names, one.Name) {
 			continue
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -48,11 +48,17 @@
 	found := shortRun(t, "idle")
 	for _, over := range []string{"servers", "customers seen"} {
 		require.Greater(t, middle(t, found, "processor time "+over, 0), 0.0)
-		require.Greater(t, middle(t, found, "resident memory "+over, 1), middle(t, found, "resident memory "+over, 0), over)
+		require.Greater(
+			t,
+			middle(t, found, "resident memory "+over, 1),
+			middle(t, found, "resident memory "+over, 0),
+			over,
+		)
 	}
 }
 
-// TestHollowIsReal: a hollow limiter calls discovery and the counter as often as a real one, as far as short windows tell.
+// TestHollowIsReal: a hollow limiter calls discovery and the counter as often as a real one, as far as short windows
+// tell.
 func TestHollowIsReal(t *testing.T) {
 	found := map[string]Point{} // the figures of five limiters
 	for _, s := range shortReport(t, "alike").Series {
@@ -97,7 +103,12 @@
 	half := middle(t, found, shareName(2)+" come back: bytes for one limiter", 0)
 	require.InDelta(t, 2, half/quarter, 0.3)
 	from := middle(t, found, "all limiters restarted from no list: bytes to and from discovery", 0)
-	known := middle(t, found, "all limiters restarted from the list of their configurations: bytes to and from discovery", 0)
+	known := middle(
+		t,
+		found,
+		"all limiters restarted from the list of their configurations: bytes to and from discovery",
+		0,
+	)
 	require.Greater(t, from, 10*known)
 }
 
@@ -138,7 +149,10 @@
 		t.Skip("processes")
 	}
 	out := t.TempDir()
-	_, err := Run([]string{"profile"}, Options{Short: true, Out: out, Program: program, Host: []string{os.Args[0]}, Log: io.Discard})
+	_, err := Run(
+		[]string{"profile"},
+		Options{Short: true, Out: out, Program: program, Host: []string{os.Args[0]}, Log: io.Discard},
+	)
 	require.NoError(t, err)
 	for _, part := range []string{"idle", "changes"} {
 		info, err := os.Stat(filepath.Join(out, "profile-"+part+".pprof"))
--- a/internal/lab/scale/stands.go
+++ b/internal/lab/scale/stands.go
@@ -43,8 +43,13 @@
 	}()
 	var addresses []string
 	for i := range min(listeners, spec.servers) {
-		server := emulator.NewServer(emulator.ServerSpec{Name: fmt.Sprint("listener", i), Zone: zoneNames[0], Work: spec.work,
-			Warm: true, Seed: uint64(i)}, s.clock, s.book, nil)
+		server := emulator.NewServer(
+			emulator.ServerSpec{Name: fmt.Sprint("listener", i), Zone: zoneNames[0], Work: spec.work,
+				Warm: true, Seed: uint64(i)},
+			s.clock,
+			s.book,
+			nil,
+		)
 		if spec.handled != nil {
 			server.Observe(spec.handled)
 		}
--- a/internal/lab/scale/testmain_test.go
+++ b/internal/lab/scale/testmain_test.go
@@ -11,7 +11,8 @@
 // program is the limiter that the tests run.
 var program string
 
-// TestMain makes this binary a host of hollow limiters where the harness starts it as one, and builds the limiter for the tests.
+// TestMain makes this binary a host of hollow limiters where the harness starts it as one, and builds the limiter for
+// the tests.
 func TestMain(m *testing.M) {
 	if os.Getenv(HostVariable) != "" {
 		if err := HostMain(os.Stdin, os.Stdout); err != nil {
--- a/internal/lab/scenarios/distribution.go
+++ b/internal/lab/scenarios/distribution.go
@@ -74,7 +74,13 @@
 
 // newNetwork starts a source, relays and the subscribers of all limiters. Subscribers begin with the source's first
 // state, as if a life before had kept it, unless they start cold. Their relays are empty at the start.
-func newNetwork(fleet *simfleet.Fleet, options simfleet.Options, shape topology, cold bool, broken subscriberFault) (*network, error) {
+func newNetwork(
+	fleet *simfleet.Fleet,
+	options simfleet.Options,
+	shape topology,
+	cold bool,
+	broken subscriberFault,
+) (*network, error) {
 	n := &network{fleet: fleet, topology: shape, rng: rand.New(rand.NewPCG(options.Seed, 0xd1)), broken: broken,
 		source: distribution.NewSource(distribution.NewLog(distribution.Retention{}), distribution.Budget{}),
 		record: newDistributionRecord(options.Limiters), transcript: options.Transcript}
@@ -164,14 +170,16 @@
 func (n *network) startLimiter(p *peer, kept *distribution.Snapshot) error {
 	p.life++
 	p.down = false
-	p.applier = &distribution.LimiterApplier{Move: func(to distribution.Addresses) error { return n.move(p.limiter, to) }}
+	p.applier = &distribution.LimiterApplier{
+		Move: func(to distribution.Addresses) error { return n.move(p.limiter, to) },
+	}
 	subscriber := n.newSubscriber(p)
 	if kept != nil {
 		state, err := distribution.NewStateOf(kept.Entries)
 		if err != nil {
 			return err
 		}
-		if err := subscriber.Restore(kept.Version, state, n.now()-kept.Taken); err != nil {
+		if err := subscriber.Restore(kept.Version, state, n.now()-kept.TakenAt); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scenarios/distributionbroken.go
+++ b/internal/lab/scenarios/distributionbroken.go
@@ -28,8 +28,8 @@
 	return soundSubscriber, fmt.Errorf("no subscriber %q: one of %q", words, subscriberFaults)
 }
 
-// takesOlder makes a subscriber that takes older states begin anew with the state of its relay where that is behind it, and
-// tells whether it did.
+// takesOlder makes a subscriber that takes older states begin anew with the state of its relay where that is behind
+// it, and tells whether it did.
 func (n *network) takesOlder(p, server *peer, err error) bool {
 	var behind *distribution.BehindError
 	if n.broken != takesOlderState || p.relay != nil || !errors.As(err, &behind) {
--- a/internal/lab/scenarios/distributionrecord.go
+++ b/internal/lab/scenarios/distributionrecord.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// deadline is until when a change has to be in force at a limiter: so long after its publication, or after the limiter can be
-// reached again where it cannot meanwhile. due is false where the limiter stays out of reach.
+// deadline is until when a change has to be in force at a limiter: so long after its publication, or after the limiter
+// can be reached again where it cannot meanwhile. due is false where the limiter stays out of reach.
 func (r *distributionRecord) deadline(limiter int, published, within int64) (at int64, due bool) {
 	at = published + within
 	for _, s := range r.unreached[limiter] {
@@ -169,7 +169,13 @@
 	newest := make([]int, len(r.newest))
 	for _, m := range moves {
 		if m.list < newest[m.limiter] {
-			return fmt.Errorf("%.3f s: limiter %d went from list service %d to %d", float64(m.at)/1e9, m.limiter, newest[m.limiter], m.list)
+			return fmt.Errorf(
+				"%.3f s: limiter %d went from list service %d to %d",
+				float64(m.at)/1e9,
+				m.limiter,
+				newest[m.limiter],
+				m.list,
+			)
 		}
 		newest[m.limiter] = m.list
 	}
--- a/internal/lab/scenarios/distributionsteps.go
+++ b/internal/lab/scenarios/distributionsteps.go
@@ -18,7 +18,8 @@
 	deadlineSeconds = 18
 	// afterDeadlineSeconds is how much longer a story runs.
 	afterDeadlineSeconds = 0.5
-	// noPort is above any port. The fleet would move to it, so that nothing but the applier's check keeps limiters from it.
+	// noPort is above any port. The fleet would move to it, so that nothing but the applier's check keeps limiters
+	// from it.
 	noPort = 70000
 )
 
@@ -87,9 +88,16 @@
 				return a.limiter >= 0 && a.zone == zone || b.limiter >= 0 && b.zone == zone
 			})
 		})
-	s.When(`^region (\d+) is cut off from second ([\d.]+) to second ([\d.]+)$`, func(region int, from, until float64) error {
-		return d.cut(from, until, func(_ *network, a, b *peer) bool { return (a.region == region) != (b.region == region) })
-	})
+	s.When(
+		`^region (\d+) is cut off from second ([\d.]+) to second ([\d.]+)$`,
+		func(region int, from, until float64) error {
+			return d.cut(
+				from,
+				until,
+				func(_ *network, a, b *peer) bool { return (a.region == region) != (b.region == region) },
+			)
+		},
+	)
 	s.When(`^relay (\d+) is cut off from the source from second ([\d.]+) to second ([\d.]+)$`,
 		func(relay int, from, until float64) error {
 			return d.cut(from, until, func(n *network, a, b *peer) bool {
--- a/internal/lab/scenarios/scenarios_test.go
+++ b/internal/lab/scenarios/scenarios_test.go
@@ -26,8 +26,8 @@
 	return "~@open"
 }
 
-// STORIES_BREAK names a way (simfleet.Ways) in which the limiters of all scenarios are broken, to see which stories fail;
-// STORIES_SHIFT is added to the seed of each, to look for days on which one fails.
+// STORIES_BREAK names a way (simfleet.Ways) in which the limiters of all scenarios are broken, to see which stories
+// fail; STORIES_SHIFT is added to the seed of each, to look for days on which one fails.
 
 // TestMain makes the random walks the same ones every time, and few; -rapid.checks and -rapid.seed ask for others.
 func TestMain(m *testing.M) {
@@ -41,8 +41,8 @@
 	os.Exit(m.Run())
 }
 
-// compareTranscript holds what crossed a scenario's wires against the sum that is committed: a difference is a change of
-// what the program, or the laboratory, does.
+// compareTranscript holds what crossed a scenario's wires against the sum that is committed: a difference is a change
+// of what the program, or the laboratory, does.
 func compareTranscript(scenario, sum string) error {
 	sums, err := transcript.ReadSums("testdata/transcripts.txt")
 	if err != nil {
@@ -70,7 +70,14 @@
 				return ctx, err
 			})
 		},
-		Options: &godog.Options{Format: "pretty", Paths: []string{"features"}, Tags: tags(), Strict: true, TestingT: t, NoColors: true},
+		Options: &godog.Options{
+			Format:   "pretty",
+			Paths:    []string{"features"},
+			Tags:     tags(),
+			Strict:   true,
+			TestingT: t,
+			NoColors: true,
+		},
 	}
 	require.True(t, suite.Run() == 0, "a story did not go as told")
 }
--- a/internal/lab/scenarios/steps.go
+++ b/internal/lab/scenarios/steps.go
@@ -37,10 +37,19 @@
 		w.Options.OverloadWindow = 1500e6
 		return nil
 	})
-	s.Given(`^clients send (\d+) jobs a second from second ([\d.]+) to second ([\d.]+)$`, func(rate int, from, until float64) error {
-		w.Options.Load.Rate, w.Options.Load.From, w.Options.Load.Until = float64(rate), seconds(from), seconds(until)
-		return nil
-	})
+	s.Given(
+		`^clients send (\d+) jobs a second from second ([\d.]+) to second ([\d.]+)$`,
+		func(rate int, from, until float64) error {
+			w.Options.Load.Rate, w.Options.Load.From, w.Options.Load.Until = float64(
+				rate,
+			), seconds(
+				from,
+			), seconds(
+				until,
+			)
+			return nil
+		},
+	)
 	s.Given(`^clients send from second ([\d.]+) to second ([\d.]+)$`, func(from, until float64) error {
 		w.Options.Load.From, w.Options.Load.Until = seconds(from), seconds(until)
 		return nil
@@ -97,9 +106,14 @@
 		}
 		return w.Plan(seconds(from), func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) })
 	})
-	s.When(`^the list service is down from second ([\d.]+) on$`, at(func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) }))
-	s.When(`^(.+) of the limiters are killed at second ([\d.]+) and start again ([\d.]+) seconds? later with their old list$`,
-		w.killed)
+	s.When(
+		`^the list service is down from second ([\d.]+) on$`,
+		at(func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) }),
+	)
+	s.When(
+		`^(.+) of the limiters are killed at second ([\d.]+) and start again ([\d.]+) seconds? later with their old list$`,
+		w.killed,
+	)
 	s.When(`^all open watches fall silent at second ([\d.]+)$`,
 		at(func(f *simfleet.Fleet) { f.SilenceWatches(func(int) bool { return true }) }))
 	s.When(`^server "([^"]+)" drains at second ([\d.]+)$`, func(name string, at float64) error {
@@ -112,13 +126,19 @@
 			}
 			return w.Plan(seconds(at+later), func(f *simfleet.Fleet) { f.RestartServer(name) })
 		})
-	s.When(`^the limiters are restarted from second ([\d.]+) on, a tenth at a time, every ([\d.]+) seconds?$`, w.restarted)
-	s.When(`^limiter (\d+) is stopped from second ([\d.]+) to second ([\d.]+)$`, func(n int, from, until float64) error {
-		if err := w.Plan(seconds(from), func(f *simfleet.Fleet) { f.PauseLimiter(n) }); err != nil {
-			return err
-		}
-		return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.ResumeLimiter(n) })
-	})
+	s.When(
+		`^the limiters are restarted from second ([\d.]+) on, a tenth at a time, every ([\d.]+) seconds?$`,
+		w.restarted,
+	)
+	s.When(
+		`^limiter (\d+) is stopped from second ([\d.]+) to second ([\d.]+)$`,
+		func(n int, from, until float64) error {
+			if err := w.Plan(seconds(from), func(f *simfleet.Fleet) { f.PauseLimiter(n) }); err != nil {
+				return err
+			}
+			return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.ResumeLimiter(n) })
+		},
+	)
 	s.When(`^what (.+) of the limiters send to the counter is lost from second ([\d.]+) to second ([\d.]+)$`,
 		func(part string, from, until float64) error {
 			return w.cut(part, "limiter", "counter", from, until)
@@ -229,7 +249,10 @@
 		}
 		return nil
 	}))
-	s.Then(`^no server takes more than (\d+) new connections in any second from second (\d+) to second (\d+)$`, w.handshakes)
+	s.Then(
+		`^no server takes more than (\d+) new connections in any second from second (\d+) to second (\d+)$`,
+		w.handshakes,
+	)
 	s.Then(`^the list service gets at most (\d+) calls in any second$`, func(most int) error {
 		r, err := w.Result()
 		if err == nil && slices.Max(append([]int{0}, r.DiscoveryCalls...)) > most {
@@ -251,16 +274,23 @@
 		}
 		return err
 	})
-	s.Then(`^at least (\d+) in 100 of the jobs sent from second ([\d.]+) to second ([\d.]+) are done in their agreed time$`,
-		w.served)
+	s.Then(
+		`^at least (\d+) in 100 of the jobs sent from second ([\d.]+) to second ([\d.]+) are done in their agreed time$`,
+		w.served,
+	)
 	s.Then(`^each limiter has the drain before it counts as told$`, check(func(r *simfleet.Result) error {
 		if len(r.Missed) == 0 {
 			return fmt.Errorf("no watch had fallen silent")
 		}
 		for _, m := range r.Missed {
 			if m.Delivered >= m.Notified {
-				return fmt.Errorf("limiter %d: the drain of %s counted as told at %.3f s, and was handed over at %.3f s",
-					m.Limiter, m.Server, float64(m.Notified)/1e9, float64(m.Delivered)/1e9)
+				return fmt.Errorf(
+					"limiter %d: the drain of %s counted as told at %.3f s, and was handed over at %.3f s",
+					m.Limiter,
+					m.Server,
+					float64(m.Notified)/1e9,
+					float64(m.Delivered)/1e9,
+				)
 			}
 		}
 		return nil
--- a/internal/lab/scenarios/walk.go
+++ b/internal/lab/scenarios/walk.go
@@ -8,15 +8,19 @@
 	"ospreycroft/internal/lab/simfleet"
 )
 
-// Walk draws a small fleet and a random schedule of faults, from 2.5 s to 14.5 s, and tells in words what it drew. What a
-// test plans beside it is played with it. The fleet is played by World.Result, and the rules are what must hold of it.
-// Clients stay on their connections through SIGTERM in half of them. The limiters are broken in the ways given.
+// Walk draws a small fleet and a random schedule of faults, from 2.5 s to 14.5 s, and tells in words what it drew.
+// What a test plans beside it is played with it. The fleet is played by World.Result, and the rules are what must hold
+// of it. Clients stay on their connections through SIGTERM in half of them. The limiters are broken in the ways given.
 func Walk(t *rapid.T, broken ...simfleet.Broken) (w *World, told []string) {
 	const limiters, servers, end = 5, 6, 11.0
 	o := simfleet.Plain(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), limiters, servers)
 	o.Mode = rapid.SampledFrom([]simfleet.Mode{simfleet.Pushed, simfleet.Polled}).Draw(t, "mode")
 	rate := rapid.SampledFrom([]float64{150, 500}).Draw(t, "rate") // of 900 that the servers can do
-	o.Load.Rate, o.Load.Until, o.Load.KeepConnections, o.Broken = rate, seconds(end), rapid.Bool().Draw(t, "stay"), broken
+	o.Load.Rate, o.Load.Until, o.Load.KeepConnections, o.Broken = rate, seconds(
+		end,
+	), rapid.Bool().
+		Draw(t, "stay"),
+		broken
 	for i := range o.Load.Customers {
 		o.Load.Customers[i].Limiters = 2
 		o.Load.Customers[i].First = i % limiters
@@ -30,8 +34,25 @@
 		n, s := rapid.IntRange(0, limiters-1).Draw(t, "limiter"), rapid.IntRange(0, servers-1).Draw(t, "server")
 		server := fmt.Sprintf("s%d", s)
 		among := func(m int) bool { return m == n }
-		kinds := []string{"drain", "replace", "crash", "vanish", "silent", "slow", "kill", "term", "stop", "quiet", "list", "hup",
-			"half-open", "link", "link", "link", "burst"}
+		kinds := []string{
+			"drain",
+			"replace",
+			"crash",
+			"vanish",
+			"silent",
+			"slow",
+			"kill",
+			"term",
+			"stop",
+			"quiet",
+			"list",
+			"hup",
+			"half-open",
+			"link",
+			"link",
+			"link",
+			"burst",
+		}
 		kind := rapid.SampledFrom(kinds).Draw(t, "kind")
 		told = append(told, fmt.Sprintf("%.1f s to %.2f s: %s, limiter %d, %s", at, until, kind, n, server))
 		begin := func(*simfleet.Fleet) {}
--- a/internal/lab/scenarios/walk_test.go
+++ b/internal/lab/scenarios/walk_test.go
@@ -21,7 +21,12 @@
 
 // TestWalkFails sees the walks find each of these faults within a few schedules.
 func TestWalkFails(t *testing.T) {
-	ways := []simfleet.Broken{simfleet.IgnoresDrains, simfleet.DropsRenewals, simfleet.LosesAnswers, simfleet.SendsTwice}
+	ways := []simfleet.Broken{
+		simfleet.IgnoresDrains,
+		simfleet.DropsRenewals,
+		simfleet.LosesAnswers,
+		simfleet.SendsTwice,
+	}
 	for _, way := range ways {
 		t.Run(string(way), func(t *testing.T) {
 			walks := rapid.Custom(func(t *rapid.T) bool {
--- a/internal/lab/scenarios/world.go
+++ b/internal/lab/scenarios/world.go
@@ -1,8 +1,9 @@
 // Package scenarios tells what operators do and what may happen to them, given, when, then, and plays it on a fleet in
 // memory (package simfleet). The feature files are in features; docs/scenarios.md holds their words.
 //
-// A step of "given" says what the fleet is, one of "when" plans what happens at which second, and the first "then" plays
-// the whole story. So later tasks add steps of their own beside these: they take the World from their constructor.
+// A step of "given" says what the fleet is, one of "when" plans what happens at which second, and the first "then"
+// plays the whole story. So later tasks add steps of their own beside these: they take the World from their
+// constructor.
 package scenarios
 
 import (
@@ -95,7 +96,10 @@
 	if s, known := shares[words]; known {
 		return s, nil
 	}
-	return 0, fmt.Errorf("%q is no share: one of all, nine in ten, seven in ten, half, a third, a quarter, a fifth, a tenth", words)
+	return 0, fmt.Errorf(
+		"%q is no share: one of all, nine in ten, seven in ten, half, a third, a quarter, a fifth, a tenth",
+		words,
+	)
 }
 
 // broken lists the rules that a run broke, in words.
--- a/internal/lab/simdistribution/fleet.go
+++ b/internal/lab/simdistribution/fleet.go
@@ -1,7 +1,7 @@
-// Package simdistribution plays the distribution of configuration to a whole fleet in one process: the source, relays and
-// subscribers of package distribution on a virtual clock, over a network of zones and regions that can be cut, with relays
-// that can be killed or stalled. There is no goroutine and no wall clock, and chance comes from a seed: the same options give
-// the same figures.
+// Package simdistribution plays the distribution of configuration to a whole fleet in one process: the source, relays
+// and subscribers of package distribution on a virtual clock, over a network of zones and regions that can be cut,
+// with relays that can be killed or stalled. There is no goroutine and no wall clock, and chance comes from a seed:
+// the same options give the same figures.
 package simdistribution
 
 import (
@@ -113,8 +113,14 @@
 		return nil, err
 	}
 	for zone := range options.Regions * options.ZonesPerRegion {
-		f.relays = append(f.relays, &node{name: fmt.Sprint("relay-", zone), zone: zone, region: zone / options.ZonesPerRegion})
-		f.addresses = append(f.addresses, distribution.RelayAddress{Name: fmt.Sprint("relay-", zone), Zone: fmt.Sprint(zone), Address: "-"})
+		f.relays = append(
+			f.relays,
+			&node{name: fmt.Sprint("relay-", zone), zone: zone, region: zone / options.ZonesPerRegion},
+		)
+		f.addresses = append(
+			f.addresses,
+			distribution.RelayAddress{Name: fmt.Sprint("relay-", zone), Zone: fmt.Sprint(zone), Address: "-"},
+		)
 	}
 	for i := range options.Limiters {
 		zone := i % len(f.relays)
@@ -225,7 +231,10 @@
 	n.acknowledged = distribution.Acknowledgement{}
 	n.saidAt = 0
 	n.seenInForce = map[distribution.Version]int64{}
-	subscriber := distribution.NewSubscriber(f.queue.now, distribution.SubscriberOptions{Name: n.name, Scope: f.scopeOf(n), Applier: n.applier})
+	subscriber := distribution.NewSubscriber(
+		f.queue.now,
+		distribution.SubscriberOptions{Name: n.name, Scope: f.scopeOf(n), Applier: n.applier},
+	)
 	if from != nil {
 		if err := subscriber.Restore(from.version, from.state.Clone(), f.queue.now-from.taken); err != nil {
 			return err
@@ -455,7 +464,12 @@
 
 // Publish puts a new value to some entry and returns its version.
 func (f *Fleet) Publish() (distribution.Version, error) {
-	change, err := f.source.Publish(f.queue.now, 1, nil, []distribution.Mutation{f.entry(f.rng.IntN(f.options.Entries))})
+	change, err := f.source.Publish(
+		f.queue.now,
+		1,
+		nil,
+		[]distribution.Mutation{f.entry(f.rng.IntN(f.options.Entries))},
+	)
 	if err != nil {
 		return distribution.Version{}, err
 	}
--- a/internal/lab/simdistribution/scenarios.go
+++ b/internal/lab/simdistribution/scenarios.go
@@ -7,8 +7,8 @@
 	"ospreycroft/internal/distribution"
 )
 
-// Report is what a scenario came to. Times are in nanoseconds, from publication (or from the heal or the start, where the
-// scenario says so) until a version was in force at a limiter.
+// Report is what a scenario came to. Times are in nanoseconds, from publication (or from the heal or the start, where
+// the scenario says so) until a version was in force at a limiter.
 type Report struct {
 	Scenario string
 	Changes  int // that were published and are counted here
@@ -16,7 +16,8 @@
 	P50      int64
 	P99      int64
 	Max      int64
-	// Late is how many pairs of limiter and change were not in force after Deadline, Never how many at the end of the run.
+	// Late is how many pairs of limiter and change were not in force after Deadline, Never how many at the end of the
+	// run.
 	Late, Never int
 	// BytesPerSecond is what a limiter took and sent on average over the run, heads and acknowledgements with it.
 	BytesPerSecond float64
@@ -28,9 +29,21 @@
 const Deadline = 18 * second
 
 func (r Report) String() string {
-	return fmt.Sprintf("%-38s changes %2d limiters %3d  p50 %7.3f s  p99 %7.3f s  max %7.3f s  late at 18 s %3d  never %3d  %6.0f B/s a limiter  "+
-		"%5.1f calls/s  %4.1f summaries/s", r.Scenario, r.Changes, r.Limiters, seconds(r.P50), seconds(r.P99), seconds(r.Max), r.Late, r.Never,
-		r.BytesPerSecond, r.CallsPerSecond, r.SummariesPerSecond)
+	return fmt.Sprintf(
+		"%-38s changes %2d limiters %3d  p50 %7.3f s  p99 %7.3f s  max %7.3f s  late at 18 s %3d  never %3d  %6.0f B/s a limiter  "+
+			"%5.1f calls/s  %4.1f summaries/s",
+		r.Scenario,
+		r.Changes,
+		r.Limiters,
+		seconds(r.P50),
+		seconds(r.P99),
+		seconds(r.Max),
+		r.Late,
+		r.Never,
+		r.BytesPerSecond,
+		r.CallsPerSecond,
+		r.SummariesPerSecond,
+	)
 }
 
 func seconds(nanoseconds int64) float64 { return float64(nanoseconds) / float64(second) }
@@ -85,8 +98,14 @@
 		{Name: "zone cut (those outside it)", Play: zoneCut(false)},
 		{Name: "zone cut (those inside it)", Play: zoneCut(true)},
 		{Name: "region cut 60 s, from the heal", Play: regionCut},
-		{Name: "tenth restarting from disk", Play: disturbed(func(f *Fleet) error { return f.RestartLimiters(10, true) }, 0)},
-		{Name: "tenth restarting without disk", Play: disturbed(func(f *Fleet) error { return f.RestartLimiters(10, false) }, 0)},
+		{
+			Name: "tenth restarting from disk",
+			Play: disturbed(func(f *Fleet) error { return f.RestartLimiters(10, true) }, 0),
+		},
+		{
+			Name: "tenth restarting without disk",
+			Play: disturbed(func(f *Fleet) error { return f.RestartLimiters(10, false) }, 0),
+		},
 		{Name: "all and relays started cold", Cold: true, Play: coldStart},
 		{Name: "40 changes in a minute", Play: fortyChanges},
 	}
--- a/internal/lab/simdistribution/simdistribution_test.go
+++ b/internal/lab/simdistribution/simdistribution_test.go
@@ -18,7 +18,8 @@
 	return 1
 }
 
-// TestScenarios plays what can happen to 550 limiters and holds the time until a change is in force against the deadline.
+// TestScenarios plays what can happen to 550 limiters and holds the time until a change is in force against the
+// deadline.
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestOverviewOfAFleet: the source reads one message a relay and second, and tells from them where a version is in force.
+// TestOverviewOfAFleet: the source reads one message a relay and second, and tells from them where a version is in
+// force.
 func TestOverviewOfAFleet(t *testing.T) {
 	f, err := New(DefaultOptions())
 	require.NoError(t, err)
--- a/internal/lab/simdistribution/transcript_test.go
+++ b/internal/lab/simdistribution/transcript_test.go
@@ -8,8 +8,8 @@
 	"ospreycroft/internal/lab/transcript"
 )
 
-// TestTranscripts holds every message of each scenario against the sum that is committed: a difference is a change of what
-// the distribution does.
+// TestTranscripts holds every message of each scenario against the sum that is committed: a difference is a change of
+// what the distribution does.
 func TestTranscripts(t *testing.T) {
 	sums, err := transcript.ReadSums("testdata/transcripts.txt")
 	require.NoError(t, err)
--- a/internal/lab/simfleet/clients.go
+++ b/internal/lab/simfleet/clients.go
@@ -145,8 +145,16 @@
 	k.next++
 	effect := k.f.set.Classes[m.Class].Idempotency
 	v := &visit{cutOff: m.Deadline, giveUp: k.rng.Float64() < k.f.o.Load.GiveUp}
-	v.job = history.Request{ID: fmt.Sprintf("%016x", k.next), Customer: c.ID, Plan: c.Plan, Class: m.Class, Units: m.Units,
-		Limiter: n, Retry: retry, NonIdempotent: effect == choice.NonIdempotent}
+	v.job = history.Request{
+		ID:            fmt.Sprintf("%016x", k.next),
+		Customer:      c.ID,
+		Plan:          c.Plan,
+		Class:         m.Class,
+		Units:         m.Units,
+		Limiter:       n,
+		Retry:         retry,
+		NonIdempotent: effect == choice.NonIdempotent,
+	}
 	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", m.Class, c.Plan, m.Deadline/1e6,
 		strconv.FormatFloat(m.Units, 'g', -1, 64), c.Limiters, c.First)
 	if retry {
--- a/internal/lab/simfleet/coldload.go
+++ b/internal/lab/simfleet/coldload.go
@@ -100,8 +100,8 @@
 	return f.lists.changes[i].version
 }
 
-// notifiedAt is when a version counts as notified to the process that a limiter had at a moment, never where it had none
-// or the version is 0.
+// notifiedAt is when a version counts as notified to the process that a limiter had at a moment, never where it had
+// none or the version is 0.
 func (f *Fleet) notifiedAt(limiter int, at, version int64) int64 {
 	if version == 0 {
 		return never
--- a/internal/lab/simfleet/coldload_test.go
+++ b/internal/lab/simfleet/coldload_test.go
@@ -21,7 +21,8 @@
 // coldSlots is how many requests at a time a server of the measurement does.
 const coldSlots = 2
 
-// burstOver is the load during the burst over what all servers do once they are warm. Before it the load is 0.5 of that.
+// burstOver is the load during the burst over what all servers do once they are warm. Before it the load is 0.5 of
+// that.
 const burstOver = 1.5
 
 // The times of the experiment: two servers are away, two new ones join as these return, and a burst covers the starts.
@@ -85,8 +86,14 @@
 }
 
 func (s *summary) cells() string {
-	return fmt.Sprintf("%d of %.1f | %.1f | %.2f | %.2f", s.worst.Count, s.worst.Bound, s.worst.Margin(), s.worst.Ratio(),
-		s.sum/float64(s.seeds))
+	return fmt.Sprintf(
+		"%d of %.1f | %.1f | %.2f | %.2f",
+		s.worst.Count,
+		s.worst.Bound,
+		s.worst.Margin(),
+		s.worst.Ratio(),
+		s.sum/float64(s.seeds),
+	)
 }
 
 // TestColdMargin measures how near cold servers come to the bound of rule 4 under a burst, by the sum of all limiters.
@@ -108,22 +115,43 @@
 				allPeak, notifiedPeak := c.play(t, uint64(seed))
 				all.add(allPeak)
 				notified.add(notifiedPeak)
-				assert.Positive(t, notifiedPeak.Margin(), "seed %d: %d requests of %.1f came from notified limiters", seed,
-					notifiedPeak.Count, notifiedPeak.Bound)
+				assert.Positive(
+					t,
+					notifiedPeak.Margin(),
+					"seed %d: %d requests of %.1f came from notified limiters",
+					seed,
+					notifiedPeak.Count,
+					notifiedPeak.Bound,
+				)
 			}
-			t.Logf("| %d | %d | %.0f | %d | %s | %s |", c.limiters, c.servers, c.pace, seeds, all.cells(), notified.cells())
+			t.Logf(
+				"| %d | %d | %.0f | %d | %s | %s |",
+				c.limiters,
+				c.servers,
+				c.pace,
+				seeds,
+				all.cells(),
+				notified.cells(),
+			)
 		})
 	}
 }
 
-// TestColdMarginBroken: limiters that overfeed new servers pass the bound. Twenty of them before servers of 20 requests a
-// second do not (docs/cold-margin.md).
+// TestColdMarginBroken: limiters that overfeed new servers pass the bound. Twenty of them before servers of 20
+// requests a second do not (docs/cold-margin.md).
 func TestColdMarginBroken(t *testing.T) {
 	for _, c := range []coldFleet{{limiters: 30, servers: 10, pace: 5}, {limiters: 300, servers: 40, pace: 5},
 		{limiters: 300, servers: 20, pace: 20}} {
 		c.broken = []Broken{OverloadsNewServers}
 		_, notified := c.play(t, 1)
-		assert.Negative(t, notified.Margin(), "%d limiters: %d requests of %.1f", c.limiters, notified.Count, notified.Bound)
+		assert.Negative(
+			t,
+			notified.Margin(),
+			"%d limiters: %d requests of %.1f",
+			c.limiters,
+			notified.Count,
+			notified.Bound,
+		)
 	}
 }
 
--- a/internal/lab/simfleet/faults.go
+++ b/internal/lab/simfleet/faults.go
@@ -66,7 +66,8 @@
 	f.RestartServer(name)
 }
 
-// SilenceServer lets a server take commands and answer nothing; Slow makes its work take longer. Both until they are undone.
+// SilenceServer lets a server take commands and answer nothing; Slow makes its work take longer. Both until they are
+// undone.
 func (f *Fleet) SilenceServer(name string, on bool) {
 	f.serverNamed(name).silent = on
 	f.event("silence", name, fmt.Sprint(on))
@@ -108,8 +109,8 @@
 	return hit
 }
 
-// hostsOf names machines for links: "limiter", "server", "counter", "list" or "clients" for all such, or a server's name.
-// Where among is not nil it chooses among limiters by their number.
+// hostsOf names machines for links: "limiter", "server", "counter", "list" or "clients" for all such, or a server's
+// name. Where among is not nil it chooses among limiters by their number.
 func (f *Fleet) hostsOf(what string, among func(int) bool) map[*host]bool {
 	out := map[*host]bool{}
 	switch what {
@@ -142,10 +143,16 @@
 	return out
 }
 
-// AddLinkFault puts a fault on the links from some machines to others, in that direction alone: what is "limiter", "server",
-// "counter", "list", "clients" or the name of a server, and among chooses among limiters. extra is for Delay and Late,
-// share for Tear. Heal undoes it.
-func (f *Fleet) AddLinkFault(way LinkFault, from, to string, among func(int) bool, extra int64, share float64) *LinkRule {
+// AddLinkFault puts a fault on the links from some machines to others, in that direction alone: what is "limiter",
+// "server", "counter", "list", "clients" or the name of a server, and among chooses among limiters. extra is for Delay
+// and Late, share for Tear. Heal undoes it.
+func (f *Fleet) AddLinkFault(
+	way LinkFault,
+	from, to string,
+	among func(int) bool,
+	extra int64,
+	share float64,
+) *LinkRule {
 	r := &LinkRule{way: way, from: f.hostsOf(from, among), to: f.hostsOf(to, among), extra: extra, share: share}
 	f.net.add(r)
 	if f.o.Mode == Polled && way <= LinkStalled && from == "list" { // open watches fall silent
--- a/internal/lab/simfleet/fleet.go
+++ b/internal/lab/simfleet/fleet.go
@@ -120,10 +120,21 @@
 		f.desk("list:1", -1, 0)
 	}
 	known, _ := json.Marshal(map[string]any{"generation": firstVersion, "reset": true, "instances": f.lists.first})
-	f.clients = &clients{f: f, host: f.net.host("clients"), rng: rand.New(rand.NewPCG(o.Seed, 0xc11)), rate: o.Load.Rate}
+	f.clients = &clients{
+		f:    f,
+		host: f.net.host("clients"),
+		rng:  rand.New(rand.NewPCG(o.Seed, 0xc11)),
+		rate: o.Load.Rate,
+	}
 	f.clients.host.party = f.clients
 	for n := range o.Limiters {
-		m := &member{n: n, host: f.net.host(fmt.Sprintf("limiter:%d", n)), known: known, list: "list:1", counter: "counter:1"}
+		m := &member{
+			n:       n,
+			host:    f.net.host(fmt.Sprintf("limiter:%d", n)),
+			known:   known,
+			list:    "list:1",
+			counter: "counter:1",
+		}
 		f.limiters = append(f.limiters, m)
 		f.byHost[m.host] = n
 		f.clients.gates = append(f.clients.gates, &gate{})
--- a/internal/lab/simfleet/judge.go
+++ b/internal/lab/simfleet/judge.go
@@ -11,9 +11,9 @@
 // toldAt is when a version of the list counts as told to one process of a limiter; never where it does not.
 //
 // Where lists are pushed, what the agent has counts from the moment it has it, or from the start of the process. Where
-// they are asked for, what the service has written counts. In both a watch that has fallen silent is one clock: what it
-// misses counts as told 6 s after that, for a call that may wait 2 s after the wait is over if that is later, whether or
-// not it arrived. A process that is stopped is told when it goes on.
+// they are asked for, what the service has written counts. In both a watch that has fallen silent is one clock: what
+// it misses counts as told 6 s after that, for a call that may wait 2 s after the wait is over if that is later,
+// whether or not it arrived. A process that is stopped is told when it goes on.
 func (f *Fleet) toldAt(n int, l *life, version int64) int64 {
 	told := min(firstAt(l.handed, version), f.counted(n, l, version))
 	return after(told, l.stops)
@@ -109,12 +109,28 @@
 	verdict := invariants.Judge(f.requests, shots, f.judged(), f.set, terms)
 	f.judgeDrains(verdict, terms)
 	verdict.Pass = verdict.Pass && verdict.Counts[3] == 0
-	r := &Result{Verdict: verdict, Faults: f.faults, DiscoveryCalls: f.lists.calls, ThrottledCalls: f.lists.turned, OverloadCrashes: f.falls,
-		Unserved: f.clients.unserved, Steps: f.q.steps, Missed: f.missed(), Handshakes: map[string][]int{}}
+	r := &Result{
+		Verdict:         verdict,
+		Faults:          f.faults,
+		DiscoveryCalls:  f.lists.calls,
+		ThrottledCalls:  f.lists.turned,
+		OverloadCrashes: f.falls,
+		Unserved:        f.clients.unserved,
+		Steps:           f.q.steps,
+		Missed:          f.missed(),
+		Handshakes:      map[string][]int{},
+	}
 	for _, s := range f.servers {
 		r.Handshakes[s.spec.Name] = s.dialled
 	}
-	r.Run = &history.Run{Name: "simfleet", Seed: f.o.Seed, Length: f.q.now, Limiters: f.o.Limiters, Requests: f.requests, Events: f.events}
+	r.Run = &history.Run{
+		Name:     "simfleet",
+		Seed:     f.o.Seed,
+		Length:   f.q.now,
+		Limiters: f.o.Limiters,
+		Requests: f.requests,
+		Events:   f.events,
+	}
 	for _, s := range f.attempts {
 		r.Run.Attempts = append(r.Run.Attempts, s.Attempt)
 	}
@@ -123,8 +139,8 @@
 	return r
 }
 
-// judged are the events that the judge of the rules takes: what a process that is dead or stopped does not answer is not
-// its fault.
+// judged are the events that the judge of the rules takes: what a process that is dead or stopped does not answer is
+// not its fault.
 func (f *Fleet) judged() []history.Event {
 	var out []history.Event
 	down := map[string]bool{}
--- a/internal/lab/simfleet/lists.go
+++ b/internal/lab/simfleet/lists.go
@@ -43,7 +43,12 @@
 	if indented {
 		text, _ = json.MarshalIndent(a, "", "  ")
 	}
-	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	return fmt.Appendf(
+		nil,
+		"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
+		len(text),
+		text,
+	)
 }
 
 // change is one step of the list.
@@ -269,7 +274,9 @@
 	}
 	for n := range s.f.limiters {
 		version := s.version()
-		at := s.f.q.now + s.f.o.NotificationDelay[0] + s.f.rng.Int64N(s.f.o.NotificationDelay[1]-s.f.o.NotificationDelay[0]+1)
+		at := s.f.q.now + s.f.o.NotificationDelay[0] + s.f.rng.Int64N(
+			s.f.o.NotificationDelay[1]-s.f.o.NotificationDelay[0]+1,
+		)
 		s.f.q.at(at, func() { s.bring(n, version) })
 	}
 }
@@ -316,7 +323,8 @@
 	}
 }
 
-// quiet lets the watches that are open fall silent once: nothing comes on their connections any more, whatever is asked.
+// quiet lets the watches that are open fall silent once: nothing comes on their connections any more, whatever is
+// asked.
 func (s *lists) quiet(of func(limiter int) bool) (hit int) {
 	for _, d := range s.desks {
 		s.watches(d, func(p *process, ln *line) {
--- a/internal/lab/simfleet/lives.go
+++ b/internal/lab/simfleet/lives.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// TerminateLimiter is SIGTERM, and SIGKILL after the longest deadline and 0.7 s where the limiter has not ended by then. It starts
-// again once it has ended, if again is set, with the list of its configuration.
+// TerminateLimiter is SIGTERM, and SIGKILL after the longest deadline and 0.7 s where the limiter has not ended by
+// then. It starts again once it has ended, if again is set, with the list of its configuration.
 func (f *Fleet) TerminateLimiter(n int, again bool) {
 	p := f.limiters[n].p
 	if p == nil || p.stopped {
@@ -153,8 +153,8 @@
 	})
 }
 
-// ReloadLimiter is SIGHUP with a configuration that names other addresses of the list service and the counter; those are numbered
-// from 1. The new list service counts its versions otherwise, the old one falls silent.
+// ReloadLimiter is SIGHUP with a configuration that names other addresses of the list service and the counter; those
+// are numbered from 1. The new list service counts its versions otherwise, the old one falls silent.
 func (f *Fleet) ReloadLimiter(n, list, counter int) {
 	m := f.limiters[n]
 	old := f.deskAt(m.list)
--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -65,11 +65,12 @@
 type LinkFault uint8
 
 const (
-	LinkCut     LinkFault = iota // nothing passes: a dial never comes up, other packets are sent again once it is healed
-	LinkStalled                  // everything waits, dials as well, and passes once it is healed
-	LinkDelayed                  // everything takes longer
-	LinkReset                    // the connection is reset in the middle of a message
-	DialDelayed                  // only a new connection takes longer to come up
+	// nothing passes: a dial never comes up, other packets are sent again once it is healed
+	LinkCut     LinkFault = iota
+	LinkStalled           // everything waits, dials as well, and passes once it is healed
+	LinkDelayed           // everything takes longer
+	LinkReset             // the connection is reset in the middle of a message
+	DialDelayed           // only a new connection takes longer to come up
 )
 
 // LinkRule is a fault of links from some hosts to some others, in that direction alone.
--- a/internal/lab/simfleet/options.go
+++ b/internal/lab/simfleet/options.go
@@ -31,11 +31,12 @@
 
 // The ways. Some are a wrapper between the reducer and its wires, some are false settings.
 const (
-	IgnoresDrains          Broken = "ignores drains"             // it takes servers that drain or are gone for ready
-	DropsRenewals          Broken = "drops renewals"             // it does not send the second call on a watch
-	LosesAnswers           Broken = "loses answers"              // one answer in twenty does not go out
-	SendsTwice             Broken = "sends twice"                // commands go out twice
-	OverloadsNewServers    Broken = "overfeeds new servers"      // it takes one that has just started for a large warm one
+	IgnoresDrains Broken = "ignores drains" // it takes servers that drain or are gone for ready
+	DropsRenewals Broken = "drops renewals" // it does not send the second call on a watch
+	LosesAnswers  Broken = "loses answers"  // one answer in twenty does not go out
+	SendsTwice    Broken = "sends twice"    // commands go out twice
+	// it takes one that has just started for a large warm one
+	OverloadsNewServers    Broken = "overfeeds new servers"
 	NoCeiling              Broken = "knows no ceiling"           // it takes plans to have none
 	PollsInStep            Broken = "does not know its place"    // all limiters ask the list service in step
 	NeedsDiscovery         Broken = "has no list of its own"     // it needs the list service to begin
@@ -46,8 +47,20 @@
 )
 
 // AllBroken are all of them.
-var AllBroken = []Broken{IgnoresDrains, DropsRenewals, LosesAnswers, SendsTwice, OverloadsNewServers, NoCeiling, PollsInStep, NeedsDiscovery,
-	EndsAtOnce, IgnoresReload, NeverReusesConnections, KeepsSilentWatch}
+var AllBroken = []Broken{
+	IgnoresDrains,
+	DropsRenewals,
+	LosesAnswers,
+	SendsTwice,
+	OverloadsNewServers,
+	NoCeiling,
+	PollsInStep,
+	NeedsDiscovery,
+	EndsAtOnce,
+	IgnoresReload,
+	NeverReusesConnections,
+	KeepsSilentWatch,
+}
 
 // DefaultSettings are a plain deployment's: two zones, three classes of each effect and a counter.
 func DefaultSettings() map[string]any {
@@ -59,9 +72,22 @@
 			map[string]any{"name": "order", "aim": 2.0, "effect": "single_shot", "group": "all"},
 		},
 		"tariffs": []any{
-			map[string]any{"name": "house", "rate": 60.0, "most-at-once": 120.0, "value-factor": 1.5, "beyond-costs": 0.5,
-				"hard-rate": 90.0, "never-over-depth": 150.0},
-			map[string]any{"name": "team", "rate": 40.0, "most-at-once": 80.0, "value-factor": 1.0, "beyond-costs": 0.5},
+			map[string]any{
+				"name":             "house",
+				"rate":             60.0,
+				"most-at-once":     120.0,
+				"value-factor":     1.5,
+				"beyond-costs":     0.5,
+				"hard-rate":        90.0,
+				"never-over-depth": 150.0,
+			},
+			map[string]any{
+				"name":         "team",
+				"rate":         40.0,
+				"most-at-once": 80.0,
+				"value-factor": 1.0,
+				"beyond-costs": 0.5,
+			},
 		},
 		"family-info": map[string]any{"has-counter": true, "count-wait": 0.05, "units-top": 6},
 		"contract":    map[string]any{"cold-from": 0.25, "warm-within": 15.0, "ask-every": 10.0},
--- a/internal/lab/simfleet/plain.go
+++ b/internal/lab/simfleet/plain.go
@@ -2,13 +2,22 @@
 
 import "fmt"
 
-// Plain is a fleet as most stories begin: servers in two zones, which do 150 requests a second each once they are warm, and
-// clients that ask for half of what all of them can do, from 3 s on. Each customer's requests come through ten limiters.
+// Plain is a fleet as most stories begin: servers in two zones, which do 150 requests a second each once they are
+// warm, and clients that ask for half of what all of them can do, from 3 s on. Each customer's requests come through
+// ten limiters.
 func Plain(seed uint64, limiters, servers int) Options {
-	o := Options{Seed: seed, Limiters: limiters, NotificationDelay: [2]int64{50e6, 300e6}, DiscoveryCallRate: float64(limiters)}
+	o := Options{
+		Seed:              seed,
+		Limiters:          limiters,
+		NotificationDelay: [2]int64{50e6, 300e6},
+		DiscoveryCallRate: float64(limiters),
+	}
 	for i := range servers {
-		o.Servers = append(o.Servers, ServerSpec{Name: fmt.Sprintf("s%d", i), Zone: [...]string{"east", "west"}[i%2], ServiceTime: 40e6,
-			Slots: 6, Queue: 64, Report: true, DeduplicationWindow: 10e9})
+		o.Servers = append(
+			o.Servers,
+			ServerSpec{Name: fmt.Sprintf("s%d", i), Zone: [...]string{"east", "west"}[i%2], ServiceTime: 40e6,
+				Slots: 6, Queue: 64, Report: true, DeduplicationWindow: 10e9},
+		)
 	}
 	o.Load = Load{Rate: 75 * float64(servers), From: 3e9, Until: 20e9, GiveUp: 0.01, Retry: 0.5,
 		Classes: []ClassShare{{"fetch", 0.7, 1, 2500e6}, {"stamp", 0.1, 1, 3e9}, {"order", 0.2, 2, 4e9}}}
--- a/internal/lab/simfleet/server.go
+++ b/internal/lab/simfleet/server.go
@@ -268,7 +268,10 @@
 		return append(out, "$-1\r\n"...)
 	}
 	pace := float64(s.done) / max(0.1, float64(s.f.q.now-max(s.started, 0))/1e9)
-	return resp.AppendBulk(out, fmt.Appendf(nil, "backlog=%d,throughput=%.4f,recent_ms=%.4f", len(s.queue), pace, s.work*1e3))
+	return resp.AppendBulk(
+		out,
+		fmt.Appendf(nil, "backlog=%d,throughput=%.4f,recent_ms=%.4f", len(s.queue), pace, s.work*1e3),
+	)
 }
 
 // reborn drops what a process held once it has ended.
--- a/internal/lab/simfleet/simfleet_test.go
+++ b/internal/lab/simfleet/simfleet_test.go
@@ -55,7 +55,14 @@
 		var runs [3][]byte
 		for i, seed := range []uint64{5, 5, 6} {
 			r := small(t, seed, mode)
-			require.True(t, r.Verdict.Pass && len(r.Faults) == 0, "%s %v %v", r.Verdict.Line(), r.Verdict.Breaches, r.Faults)
+			require.True(
+				t,
+				r.Verdict.Pass && len(r.Faults) == 0,
+				"%s %v %v",
+				r.Verdict.Line(),
+				r.Verdict.Breaches,
+				r.Faults,
+			)
 			runs[i], _ = json.Marshal(r.Run)
 		}
 		require.True(t, bytes.Equal(runs[0], runs[1]), "mode %d: same seed, another record", mode)
@@ -70,7 +77,10 @@
 		o := Plain(3, 60, 4)
 		o.Load.Rate, o.Load.Until, o.Broken, o.OverloadMultiple, o.OverloadWindow = 520, 14*second, broken, 1, 1500e6
 		for i := range 16 { // with few customers their quotas would bound it
-			o.Load.Customers = append(o.Load.Customers, Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1, Limiters: 10})
+			o.Load.Customers = append(
+				o.Load.Customers,
+				Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1, Limiters: 10},
+			)
 		}
 		f, err := New(o)
 		require.NoError(t, err)
@@ -92,7 +102,12 @@
 	f.StartAll(0)
 	f.Run(20 * second)
 	r := f.Finish()
-	t.Logf("20 s of 300 limiters and 20 servers in %v: %d jobs, %d events", time.Since(began), r.Verdict.Requests, r.Steps)
+	t.Logf(
+		"20 s of 300 limiters and 20 servers in %v: %d jobs, %d events",
+		time.Since(began),
+		r.Verdict.Requests,
+		r.Steps,
+	)
 	require.True(t, r.Verdict.Pass && r.Verdict.Requests >= 20000, "%v %v", r.Verdict.Line(), r.Verdict.Breaches)
 }
 
@@ -119,7 +134,13 @@
 		link *side
 	}
 	rule := func(p pair, way LinkFault, from, to *host, extra int64, share float64) *LinkRule {
-		r := &LinkRule{way: way, from: map[*host]bool{from: true}, to: map[*host]bool{to: true}, extra: extra, share: share}
+		r := &LinkRule{
+			way:   way,
+			from:  map[*host]bool{from: true},
+			to:    map[*host]bool{to: true},
+			extra: extra,
+			share: share,
+		}
 		p.n.add(r)
 		return r
 	}
--- a/internal/lab/simfleet/transcript_test.go
+++ b/internal/lab/simfleet/transcript_test.go
@@ -23,8 +23,8 @@
 	transcriptUntil    = 16 * second
 )
 
-// transcriptOptions are a fleet's by its seed: with and without a counter, with lists pushed and polled, with and without
-// what operators state, with health checks and without.
+// transcriptOptions are a fleet's by its seed: with and without a counter, with lists pushed and polled, with and
+// without what operators state, with health checks and without.
 func transcriptOptions(seed uint64) Options {
 	options := Plain(seed, transcriptLimiters, transcriptServers)
 	options.Mode = []Mode{Pushed, Polled}[seed%2]
@@ -68,11 +68,20 @@
 	at(func() { f.HalfOpen("s7", 4) })
 	between(func() { f.SetRequestRate(1500) }, func() { f.SetRequestRate(300) })
 	for way := LinkCut; way <= DialDelayed; way++ {
-		ends := [][2]string{{"limiter", "counter"}, {"server", "limiter"}, {"limiter", "list"}, {"list", "limiter"}, {"limiter", "s0"}}
+		ends := [][2]string{
+			{"limiter", "counter"},
+			{"server", "limiter"},
+			{"limiter", "list"},
+			{"list", "limiter"},
+			{"limiter", "s0"},
+		}
 		chosen := ends[(int(way)+int(seed))%len(ends)]
 		among := func(n int) bool { return n%2 == int(seed)%2 }
 		var rule *LinkRule
-		between(func() { rule = f.AddLinkFault(way, chosen[0], chosen[1], among, 100e6, 0.1) }, func() { f.HealLink(rule) })
+		between(
+			func() { rule = f.AddLinkFault(way, chosen[0], chosen[1], among, 100e6, 0.1) },
+			func() { f.HealLink(rule) },
+		)
 	}
 }
 
@@ -92,7 +101,7 @@
 				options.Operator.SaveSnapshot = func(saved *snapshot.Snapshot) {
 					text, err := json.Marshal(saved)
 					require.NoError(t, err)
-					options.Transcript.Add(text, saved.Taken)
+					options.Transcript.Add(text, saved.TakenAt)
 				}
 			}
 			f, err := New(options)
--- a/internal/lab/testbed/answers_test.go
+++ b/internal/lab/testbed/answers_test.go
@@ -15,8 +15,8 @@
 	"ospreycroft/internal/resp"
 )
 
-// narrow makes a socket so small that the other side's kernel takes but a part of 64 KiB before this one reads: small segments keep
-// its send buffer small, and our receive buffer is smaller still.
+// narrow makes a socket so small that the other side's kernel takes but a part of 64 KiB before this one reads: small
+// segments keep its send buffer small, and our receive buffer is smaller still.
 func narrow(_, _ string, c syscall.RawConn) error {
 	var err error
 	_ = c.Control(func(fd uintptr) {
@@ -38,7 +38,12 @@
 
 // long is a request with the longest body.
 func long(id, class string, left int) string {
-	return strings.Replace(Request(id, class, left), "$4\r\nBODY\r\n", string(resp.AppendBulk(nil, []byte(strings.Repeat("x", resp.MaxValueBytes)))), 1)
+	return strings.Replace(
+		Request(id, class, left),
+		"$4\r\nBODY\r\n",
+		string(resp.AppendBulk(nil, []byte(strings.Repeat("x", resp.MaxValueBytes)))),
+		1,
+	)
 }
 
 // either is the limiter's next connection to one of two peers, and the other peer.
@@ -57,8 +62,9 @@
 	return nil, nil
 }
 
-// TestEarlyAnswer: a server answers a request of which it has but a part, as one with too many connections does. It gets no more of
-// it: the rest would follow from our queue, and the request would run there as well as at the other server.
+// TestEarlyAnswer: a server answers a request of which it has but a part, as one with too many connections does. It
+// gets no more of it: the rest would follow from our queue, and the request would run there as well as at the other
+// server.
 func TestEarlyAnswer(t *testing.T) {
 	for _, early := range []string{"-BUSY\r\n", "-ERR failed\r\n", Served("early")} {
 		t.Run(early[:4], func(t *testing.T) {
@@ -79,8 +85,9 @@
 	}
 }
 
-// TestBreaks plays each way in which an attempt can end against each class: what may have run goes on only where a repeat harms
-// nothing, what cannot have run goes on in any case, and a whole answer is passed on whatever comes behind it.
+// TestBreaks plays each way in which an attempt can end against each class: what may have run goes on only where a
+// repeat harms nothing, what cannot have run goes on in any case, and a whole answer is passed on whatever comes
+// behind it.
 func TestBreaks(t *testing.T) {
 	const (
 		never = iota // it has not run
@@ -191,8 +198,8 @@
 	}
 }
 
-// TestLongAnswers: a client whose machine takes but a part gets all of its answers, whole and in order, though the limiter is told to
-// stop meanwhile, and then the end.
+// TestLongAnswers: a client whose machine takes but a part gets all of its answers, whole and in order, though the
+// limiter is told to stop meanwhile, and then the end.
 func TestLongAnswers(t *testing.T) {
 	server := Listen(t)
 	r := Start(t, Config(server))
@@ -253,8 +260,8 @@
 	}
 }
 
-// TestNeverUp: no connection to the one server comes up, so nothing has run: each class is rejected, none fails. Refused, or
-// silent as a machine whose queue of connections is full.
+// TestNeverUp: no connection to the one server comes up, so nothing has run: each class is rejected, none fails.
+// Refused, or silent as a machine whose queue of connections is full.
 func TestNeverUp(t *testing.T) {
 	for _, name := range []string{"refused", "silent"} {
 		t.Run(name, func(t *testing.T) {
@@ -294,8 +301,9 @@
 	}
 }
 
-// TestCounterBreaks: a total of the counter's counts once its line is whole, whatever ends the connection behind it, and not before: a
-// customer whose total passes the quota is rejected, and one of whom only half a line came is served by its slice.
+// TestCounterBreaks: a total of the counter's counts once its line is whole, whatever ends the connection behind it,
+// and not before: a customer whose total passes the quota is rejected, and one of whom only half a line came is served
+// by its slice.
 func TestCounterBreaks(t *testing.T) {
 	silence := func(*Conn) {}
 	ends := func(c *Conn) { _ = c.TCP.CloseWrite() }
--- a/internal/lab/testbed/clients_test.go
+++ b/internal/lab/testbed/clients_test.go
@@ -83,7 +83,14 @@
 // comesTo fails the test unless all adds come to that many units, and stay there.
 func (k *counter) comesTo(t *testing.T, units float64) {
 	t.Helper()
-	require.Eventually(t, func() bool { return math.Abs(k.total()-units) < 1e-6 }, Patience, time.Millisecond, "want %v", units)
+	require.Eventually(
+		t,
+		func() bool { return math.Abs(k.total()-units) < 1e-6 },
+		Patience,
+		time.Millisecond,
+		"want %v",
+		units,
+	)
 	time.Sleep(50 * time.Millisecond)
 	require.InDelta(t, units, k.total(), 1e-6)
 }
@@ -91,15 +98,16 @@
 // soon is when none of the requests that waited as their client closed may be sent on any more, by the standing test.
 const soon = 300 * time.Millisecond
 
-// TestClientGone: requests that wait for their first attempt when their client closes are never sent, and their units are given
-// back once. One that was sent is settled at what it took, and its answer is for nobody.
+// TestClientGone: requests that wait for their first attempt when their client closes are never sent, and their units
+// are given back once. One that was sent is settled at what it took, and its answer is for nobody.
 func TestClientGone(t *testing.T) {
 	for name, play := range map[string]func(t *testing.T, config *settings.Config, server *Peer, k *counter){
 		"its connection is being dialled": func(t *testing.T, config *settings.Config, server *Peer, k *counter) {
 			config.Settings.DialTimeout = 3e9
 			raw, err := server.ln.(*net.TCPListener).SyscallConn()
 			require.NoError(t, err)
-			require.NoError(t, raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) })) // takes in one, and no more
+			// takes in one, and no more
+			require.NoError(t, raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }))
 			first, err := net.Dial("tcp", server.Address)
 			require.NoError(t, err)
 			defer func() { _ = first.Close() }()
@@ -183,8 +191,9 @@
 	return len(list)
 }
 
-// TestBadClients: beside floods, and after hundreds of clients that send nonsense, half a value or much at once and go, or never
-// read, others are served, and nothing of it stays: no descriptor, no goroutine, no place at the gate, no memory.
+// TestBadClients: beside floods, and after hundreds of clients that send nonsense, half a value or much at once and
+// go, or never read, others are served, and nothing of it stays: no descriptor, no goroutine, no place at the gate, no
+// memory.
 func TestBadClients(t *testing.T) {
 	server := Listen(t)
 	go serves(server)
@@ -208,7 +217,8 @@
 	flooders := make([]*Conn, 5) // the last of them never reads
 	for i := range flooders {
 		c := r.Dial(t)
-		c.Say(t, Request(fmt.Sprint("flood", i), "read", 2000)) // one that has brought a request is not closed as a stranger
+		// one that has brought a request is not closed as a stranger
+		c.Say(t, Request(fmt.Sprint("flood", i), "read", 2000))
 		require.Equal(t, "$value", c.Answer(t))
 		if flooders[i] = c; i < len(flooders)-1 {
 			go func() { _, _ = io.Copy(io.Discard, c.TCP) }()
@@ -224,8 +234,14 @@
 	for _, c := range flooders {
 		_ = c.TCP.Close()
 	}
-	bad := []string{strings.Repeat("x", 1<<20), "*5\r\n$10\r\nSVC.SUBMIT\r\n$65536\r\n" + strings.Repeat("y", 60000), pings,
-		Request("half", "write", 2000)[:40], "*1\r\n$99999\r\n", ""}
+	bad := []string{
+		strings.Repeat("x", 1<<20),
+		"*5\r\n$10\r\nSVC.SUBMIT\r\n$65536\r\n" + strings.Repeat("y", 60000),
+		pings,
+		Request("half", "write", 2000)[:40],
+		"*1\r\n$99999\r\n",
+		"",
+	}
 	for i := range 500 {
 		c, err := net.DialTimeout("tcp", r.Address, Patience)
 		require.NoError(t, err)
@@ -237,9 +253,22 @@
 		_ = c.Close()
 	}
 	served("last")
-	require.Eventually(t, func() bool { return descriptors(t) <= held+2 && runtime.NumGoroutine() <= goroutines+2 }, 2*Patience, 10*time.Millisecond)
+	require.Eventually(
+		t,
+		func() bool { return descriptors(t) <= held+2 && runtime.NumGoroutine() <= goroutines+2 },
+		2*Patience,
+		10*time.Millisecond,
+	)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("descriptors %d, %d; goroutines %d, %d; heap %d, %d KB", held, descriptors(t), goroutines, runtime.NumGoroutine(), before.HeapAlloc>>10, after.HeapAlloc>>10)
+	t.Logf(
+		"descriptors %d, %d; goroutines %d, %d; heap %d, %d KB",
+		held,
+		descriptors(t),
+		goroutines,
+		runtime.NumGoroutine(),
+		before.HeapAlloc>>10,
+		after.HeapAlloc>>10,
+	)
 	require.Less(t, int64(after.HeapAlloc), int64(before.HeapAlloc)+8<<20)
 }
--- a/internal/lab/testbed/deadlines_test.go
+++ b/internal/lab/testbed/deadlines_test.go
@@ -30,7 +30,9 @@
 
 // slow is a server whose machine takes few bytes that it does not read.
 func slow(t testing.TB) *Peer {
-	return Listen(t).option(t, func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
+	return Listen(
+		t,
+	).option(t, func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
 }
 
 // squeeze has the limiter's kernel take few bytes at a time on a connection: the limiter's end is in this process, too.
@@ -67,8 +69,9 @@
 	return nil
 }
 
-// late is a server to which connections come up only once next was called: its queue of connections is full, and the kernel drops what
-// asks for one more, which asks again a second later. next gives the limiter's, nil if none comes up within a time.
+// late is a server to which connections come up only once next was called: its queue of connections is full, and the
+// kernel drops what asks for one more, which asks again a second later. next gives the limiter's, nil if none comes up
+// within a time.
 func late(t testing.TB) (p *Peer, next func(within time.Duration) *Conn) {
 	p = Listen(t).option(t, func(fd int) error { return syscall.Listen(fd, 0) })
 	fillers := map[string]bool{}
@@ -101,7 +104,8 @@
 	synSent = "02"
 )
 
-// state waits until the kernel's table has a connection to a port, from another one where that is given, in a state; or none in any.
+// state waits until the kernel's table has a connection to a port, from another one where that is given, in a state;
+// or none in any.
 func state(t testing.TB, from, to, want string) {
 	t.Helper()
 	port := func(address string) string {
@@ -150,7 +154,8 @@
 	for {
 		_ = l.c.TCP.SetReadDeadline(time.Now().Add(Patience))
 		line, err := l.c.in.ReadString('\n')
-		if err != nil { // on a machine with much to do the limiter may have given its connection up, and asks on another one
+		// on a machine with much to do the limiter may have given its connection up, and asks on another one
+		if err != nil {
 			l.c = l.service.Accept(t)
 			continue
 		}
@@ -172,8 +177,8 @@
 	l.watch(t)
 }
 
-// story is a limiter that knows the server s0 in zone a, and more as the test tells it. Requests of the class near are keyed, and the
-// servers of one zone drop their repeats.
+// story is a limiter that knows the server s0 in zone a, and more as the test tells it. Requests of the class near are
+// keyed, and the servers of one zone drop their repeats.
 type story struct {
 	*Rig
 	lists  *lists
@@ -189,7 +194,13 @@
 	config.Discovery, config.Known = service.Address, []byte(listing(1, s.known()))
 	config.Settings.DialTimeout = 8e9
 	for name, group := range map[string]choice.DeduplicationScope{"keyed": choice.ScopeAll, "near": choice.ScopeZone} {
-		config.Settings.Classes[name] = &choice.Class{LatencyObjective: 60e9, Idempotency: choice.IdempotentWithKey, DeduplicationScope: group, DeduplicationWindow: int64(window), PriorityWeight: 1}
+		config.Settings.Classes[name] = &choice.Class{
+			LatencyObjective:    60e9,
+			Idempotency:         choice.IdempotentWithKey,
+			DeduplicationScope:  group,
+			DeduplicationWindow: int64(window),
+			PriorityWeight:      1,
+		}
 	}
 	if change != nil {
 		change(config)
@@ -230,8 +241,8 @@
 	require.Less(t, len(text), 60000, "the command has become whole")
 }
 
-// TestLate: a connection comes up a second after it was asked for, and what has happened meanwhile counts for the attempt that waits
-// for it: it is judged when it is written.
+// TestLate: a connection comes up a second after it was asked for, and what has happened meanwhile counts for the
+// attempt that waits for it: it is judged when it is written.
 func TestLate(t *testing.T) {
 	again := func(class string, left int) func(*testing.T, *story, listed) { // the first attempt, at s0, may have run
 		return func(t *testing.T, s *story, last listed) { s.run(t, Request("id", class, left), last).Reset() }
@@ -307,7 +318,8 @@
 	}
 }
 
-// TestGivenUp: a command that the kernel took whole and the server's machine did not is not completed once its request has ended.
+// TestGivenUp: a command that the kernel took whole and the server's machine did not is not completed once its request
+// has ended.
 func TestGivenUp(t *testing.T) {
 	server := slow(t)
 	s := begin(t, time.Second, func(c *settings.Config) { c.Known = []byte(listing(1, at("s0", server, "a"))) })
@@ -318,7 +330,8 @@
 	part(t, c)
 }
 
-// TestWindowInTheMiddle: a keyed repeat of which the kernel has only a part is not completed past the window, though its request lives.
+// TestWindowInTheMiddle: a keyed repeat of which the kernel has only a part is not completed past the window, though
+// its request lives.
 func TestWindowInTheMiddle(t *testing.T) {
 	servers := []*Peer{slow(t), slow(t)}
 	s := begin(t, 2*time.Second, func(c *settings.Config) {
--- a/internal/lab/testbed/departed_test.go
+++ b/internal/lab/testbed/departed_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDepartedAsServerComesUp: a request waits for a connection to a server whose machine takes none in for a second. Before the
-// connection comes up the client goes, by an end, by a reset, or by the end of its sending alone, which counts as gone: it finds its
-// connection ended. Nothing is written to the server.
+// TestDepartedAsServerComesUp: a request waits for a connection to a server whose machine takes none in for a second.
+// Before the connection comes up the client goes, by an end, by a reset, or by the end of its sending alone, which
+// counts as gone: it finds its connection ended. Nothing is written to the server.
 func TestDepartedAsServerComesUp(t *testing.T) {
 	for name, goes := range map[string]func(c *Conn){
 		"close":      func(c *Conn) { _ = c.TCP.Close() },
@@ -24,7 +24,8 @@
 				config.Settings.DialTimeout = int64(3 * time.Second)
 				client := Start(t, config).Dial(t)
 				client.Say(t, Request("id", class, 4000))
-				time.Sleep(300 * time.Millisecond) // by now it is dialled, and the kernel asks again a second after that
+				// by now it is dialled, and the kernel asks again a second after that
+				time.Sleep(300 * time.Millisecond)
 				goes(client)
 				conn := next(Patience) // the queue has room now, and the next try gets in
 				require.NotNil(t, conn)
--- a/internal/lab/testbed/evict_test.go
+++ b/internal/lab/testbed/evict_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEvictInUse: clients with open requests hold a quarter of the descriptors, and the server connections that serve them
-// another. Room is made by closing clients that owe and are owed nothing, and only these; one request more is rejected at once and
-// never sent. Each open request is answered.
+// TestEvictInUse: clients with open requests hold a quarter of the descriptors, and the server connections that serve
+// them another. Room is made by closing clients that owe and are owed nothing, and only these; one request more is
+// rejected at once and never sent. Each open request is answered.
 func TestEvictInUse(t *testing.T) {
 	server := Listen(t)
 	config := Config(server)
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestEvictGone: the list calls a server gone that has an attempt out. Its answer reaches the client; the connection is closed and
-// the server let go of only then.
+// TestEvictGone: the list calls a server gone that has an attempt out. Its answer reaches the client; the connection
+// is closed and the server let go of only then.
 func TestEvictGone(t *testing.T) {
 	for _, class := range []string{"read", "write", "keyed"} {
 		t.Run(class, func(t *testing.T) {
