--- a/internal/lab/testbed/notification_test.go
+++ b/internal/lab/testbed/notification_test.go
@@ -35,7 +35,8 @@
 )
 
 const (
-	listDial     = 500 * time.Millisecond // the longest dial time-out of a call for a list, which makes the longest sum of pauses
+	// the longest dial time-out of a call for a list, which makes the longest sum of pauses
+	listDial     = 500 * time.Millisecond
 	listPlace    = 19                     // a limiter whose pauses are among the longest, by its place
 	notified     = 6 * time.Second        // when what the list service has counts as told, from when it can be reached
 	movedWithin  = 4 * time.Second        // the same from a move by SIGHUP to where it can be reached
@@ -47,8 +48,9 @@
 	mostOutage   = 15 * time.Second
 )
 
-// outage is a list service that fails until shift before or behind the time at which the limiter is due to try again for the retry-th time.
-// From then on it answers calls with news that it has had all the time. A call that it has not answered by then is never answered.
+// outage is a list service that fails until shift before or behind the time at which the limiter is due to try again
+// for the retry-th time. From then on it answers calls with news that it has had all the time. A call that it has not
+// answered by then is never answered.
 type outage struct {
 	failure failure
 	retry   int
@@ -295,7 +297,8 @@
 	begun  time.Time
 }
 
-// start starts a limiter that has its list service at an address, for requests and a list that says that s0 drains or is gone.
+// start starts a limiter that has its list service at an address, for requests and a list that says that s0 drains or
+// is gone.
 func (o *outage) start(t *testing.T, at string, gone bool) *bed {
 	t.Helper()
 	b := &bed{s0: serving(t), s1: serving(t)}
@@ -324,8 +327,8 @@
 	time.Sleep(betweenCalls)
 }
 
-// acted has requests come until one has gone to s1 and for a while behind that. None may reach s0 later than the deadline, once that is
-// known.
+// acted has requests come until one has gone to s1 and for a while behind that. None may reach s0 later than the
+// deadline, once that is known.
 func (b *bed) acted(t *testing.T, deadline func() (at time.Time, known bool)) {
 	t.Helper()
 	ends := time.Now().Add(mostOutage)
@@ -346,9 +349,10 @@
 	t.Logf("the last request to s0 came %v before the deadline", at.Sub(last).Round(time.Millisecond))
 }
 
-// TestNotificationDeadline has the list service fail in each way and come back 0.1 s before or behind a retry, with word that s0 drains
-// or is gone. Requests come all the time. Where lists are asked for none reaches s0 later than 6 s after the return and the grace;
-// where they are pushed none later than the grace, or than 6 s and the grace where the agent has fallen silent.
+// TestNotificationDeadline has the list service fail in each way and come back 0.1 s before or behind a retry, with
+// word that s0 drains or is gone. Requests come all the time. Where lists are asked for none reaches s0 later than 6 s
+// after the return and the grace; where they are pushed none later than the grace, or than 6 s and the grace where the
+// agent has fallen silent.
 func TestNotificationDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -392,33 +396,49 @@
 	}
 }
 
-// TestNotificationMoved moves the list service by SIGHUP in the middle of an outage: to where it can be reached, whose news has to be
-// acted on 4 s after the move, or to where it fails in the same way, from whose return on the ordinary deadline holds.
+// TestNotificationMoved moves the list service by SIGHUP in the middle of an outage: to where it can be reached, whose
+// news has to be acted on 4 s after the move, or to where it fails in the same way, from whose return on the ordinary
+// deadline holds.
 func TestNotificationMoved(t *testing.T) {
 	for _, every := range []time.Duration{2 * time.Second, 0} {
 		for f := refuses; f <= saysNone; f++ {
 			for _, shift := range []time.Duration{0, -aroundRetry, aroundRetry} {
-				t.Run(fmt.Sprintf("asked every %v, failure %d, back %v from a retry", every, f, shift), func(t *testing.T) {
-					t.Parallel()
-					first, next := newOutage(t, int64(every), f, math.MaxInt, 0), newOutage(t, int64(every), f, 1, shift)
-					b := next.start(t, first.address, shift < 0)
-					if first.news = next.news; f != refuses {
-						first.listen(t)
-						next.listen(t)
-					}
-					for moves := b.begun.Add(moveAfter); time.Now().Before(moves); {
-						b.request(t)
-					}
-					b.moveTo(t, next)
-					deadline := func() (time.Time, bool) {
-						back, is := next.isBack()
-						return back.Add(notified + drainGrace), is
-					}
-					if moved := time.Now(); shift == 0 {
-						deadline = func() (time.Time, bool) { return moved.Add(movedWithin + drainGrace), true }
-					}
-					b.acted(t, deadline)
-				})
+				t.Run(
+					fmt.Sprintf("asked every %v, failure %d, back %v from a retry", every, f, shift),
+					func(t *testing.T) {
+						t.Parallel()
+						first, next := newOutage(
+							t,
+							int64(every),
+							f,
+							math.MaxInt,
+							0,
+						), newOutage(
+							t,
+							int64(every),
+							f,
+							1,
+							shift,
+						)
+						b := next.start(t, first.address, shift < 0)
+						if first.news = next.news; f != refuses {
+							first.listen(t)
+							next.listen(t)
+						}
+						for moves := b.begun.Add(moveAfter); time.Now().Before(moves); {
+							b.request(t)
+						}
+						b.moveTo(t, next)
+						deadline := func() (time.Time, bool) {
+							back, is := next.isBack()
+							return back.Add(notified + drainGrace), is
+						}
+						if moved := time.Now(); shift == 0 {
+							deadline = func() (time.Time, bool) { return moved.Add(movedWithin + drainGrace), true }
+						}
+						b.acted(t, deadline)
+					},
+				)
 			}
 		}
 	}
--- a/internal/lab/testbed/owed_test.go
+++ b/internal/lab/testbed/owed_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOwedAtTheEnd: the counter turns a reservation away, the slice lets the request through, and the process is told to end before
-// another call could bring the units to the counter: they are added before it goes, once, and it waits for the answer.
+// TestOwedAtTheEnd: the counter turns a reservation away, the slice lets the request through, and the process is told
+// to end before another call could bring the units to the counter: they are added before it goes, once, and it waits
+// for the answer.
 func TestOwedAtTheEnd(t *testing.T) {
 	server, counter := Listen(t), Listen(t)
 	r := Start(t, counted(counter, server))
--- a/internal/lab/testbed/renew_test.go
+++ b/internal/lab/testbed/renew_test.go
@@ -56,15 +56,19 @@
 	return l
 }
 
-// TestRenewCounterGone brings a configuration without the counter and with another class, plan and limits: the settings that
-// hold have a counter, so it is asked as before, on the line that it has, and each key that is not taken is in the log.
+// TestRenewCounterGone brings a configuration without the counter and with another class, plan and limits: the
+// settings that hold have a counter, so it is asked as before, on the line that it has, and each key that is not taken
+// is in the log.
 func TestRenewCounterGone(t *testing.T) {
 	said := hear(t)
 	server, counter := Listen(t), Listen(t)
 	config := Config(server)
 	set := *config.Settings.Settings
 	set.CounterTimeout = int64(2 * time.Second)
-	config.Counter, config.Settings = counter.Address, &settings.Settings{Settings: &set, IdleClose: config.Settings.IdleClose}
+	config.Counter, config.Settings = counter.Address, &settings.Settings{
+		Settings:  &set,
+		IdleClose: config.Settings.IdleClose,
+	}
 	r := Start(t, config)
 	line, client := counter.Accept(t), r.Dial(t)
 	serve := func(id string, c *Conn) *Conn {
@@ -84,13 +88,29 @@
 	r.Renew(func(next *settings.Config) {
 		other := set
 		other.CounterTimeout, other.MaxAttempts = 0, 9
-		other.Classes = map[string]*choice.Class{"read": set.Classes["read"], "new": set.Classes["read"], "keyed": {LatencyObjective: 1, PriorityWeight: 1}}
+		other.Classes = map[string]*choice.Class{
+			"read":  set.Classes["read"],
+			"new":   set.Classes["read"],
+			"keyed": {LatencyObjective: 1, PriorityWeight: 1},
+		}
 		other.Plans = map[string]*choice.Plan{"plain": {}}
 		next.Counter, next.Sockets = "", 64
 		next.Settings = &settings.Settings{Settings: &other, IdleClose: next.Settings.IdleClose}
 	})
-	require.Equal(t, []string{"counter", "limits: sockets", "settings: family-info: count-wait", "settings: permissions: attempts-cap",
-		"settings: classes: keyed", "settings: classes: new", "settings: classes: write", "settings: tariffs: plain"}, said.kept(t))
+	require.Equal(
+		t,
+		[]string{
+			"counter",
+			"limits: sockets",
+			"settings: family-info: count-wait",
+			"settings: permissions: attempts-cap",
+			"settings: classes: keyed",
+			"settings: classes: new",
+			"settings: classes: write",
+			"settings: tariffs: plain",
+		},
+		said.kept(t),
+	)
 	serve("second", c)
 	counter.None(t, 20*time.Millisecond)
 	client.Say(t, Request("unknown", "new", 2000))
@@ -112,9 +132,9 @@
 	return len(b), nil
 }
 
-// TestStoodStill holds the reducer for longer than the grace, though not for two dial time-outs. Meanwhile a request comes, and
-// behind it the word that the only server drains. On waking the request is read first: the list has to be known before it is
-// sent on.
+// TestStoodStill holds the reducer for longer than the grace, though not for two dial time-outs. Meanwhile a request
+// comes, and behind it the word that the only server drains. On waking the request is read first: the list has to be
+// known before it is sent on.
 func TestStoodStill(t *testing.T) {
 	for _, c := range []struct{ dial, grace, still time.Duration }{
 		{250 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond},
@@ -125,7 +145,11 @@
 		set := *config.Settings.Settings
 		set.DialTimeout = int64(c.dial)
 		config.Discovery = disco.Address
-		config.Settings = &settings.Settings{Settings: &set, IdleClose: config.Settings.IdleClose, DrainGrace: int64(c.grace)}
+		config.Settings = &settings.Settings{
+			Settings:   &set,
+			IdleClose:  config.Settings.IdleClose,
+			DrainGrace: int64(c.grace),
+		}
 		r := Start(t, config)
 		watch, client := disco.Accept(t), r.Dial(t)
 		watch.call(t)
@@ -168,8 +192,8 @@
 	"contract":{"cold-from":0.5,"warm-within":10,"stop-sending-within":0.25},
 	"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15,"cancelling":true},"granularity":0.004}}`
 
-// TestOddSettings starts a whole limiter with each setting that is odd and accepted. It answers a request of each class: served,
-// but where that setting leaves no time or no quota rejected.
+// TestOddSettings starts a whole limiter with each setting that is odd and accepted. It answers a request of each
+// class: served, but where that setting leaves no time or no quota rejected.
 func TestOddSettings(t *testing.T) {
 	const served, rejected, either = `^\$value$`, `^-BUSY`, `^(\$value$|-BUSY)`
 	for _, c := range []struct{ old, new, answer string }{
--- a/internal/lab/testbed/stop_test.go
+++ b/internal/lab/testbed/stop_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestOwedToTheCounter: what a request has reserved is settled, or given back, before the process ends, in each state in which SIGTERM
-// may find the request, whether its client has gone or not.
+// TestOwedToTheCounter: what a request has reserved is settled, or given back, before the process ends, in each state
+// in which SIGTERM may find the request, whether its client has gone or not.
 func TestOwedToTheCounter(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		for _, state := range []string{"reserving", "dialling", "sent"} {
@@ -105,12 +105,15 @@
 	}
 }
 
-// TestEndsInTime: SIGKILL may come 3.7 s after SIGTERM. By then the process has ended, whatever clients do that owe it nothing.
+// TestEndsInTime: SIGKILL may come 3.7 s after SIGTERM. By then the process has ended, whatever clients do that owe it
+// nothing.
 func TestEndsInTime(t *testing.T) {
 	// deaf is a client whose machine takes few bytes, with so many answers of 23 bytes that it does not read.
 	deaf := func(t *testing.T, r *Rig, answers int) {
 		small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-			return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
+			return raw.Control(
+				func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) },
+			)
 		}}
 		c, err := small.Dial("tcp", r.Address)
 		require.NoError(t, err)
@@ -173,8 +176,8 @@
 	}
 }
 
-// TestClientsAsItEnds: a client that rests reads an end in order, and nothing that it sends behind that is sent on; one that sends
-// again at once has each answer and then the end.
+// TestClientsAsItEnds: a client that rests reads an end in order, and nothing that it sends behind that is sent on;
+// one that sends again at once has each answer and then the end.
 func TestClientsAsItEnds(t *testing.T) {
 	server := Listen(t)
 	r := Start(t, Config(server))
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,5 +1,6 @@
-// Package testbed runs one whole limiter in the test's own process, on real loopback sockets, before peers that the test holds in
-// its hand: each read, write, half-close and reset of a peer is a line of the test, so that the order of events is the test's.
+// Package testbed runs one whole limiter in the test's own process, on real loopback sockets, before peers that the
+// test holds in its hand: each read, write, half-close and reset of a peer is a line of the test, so that the order of
+// events is the test's.
 package testbed
 
 import (
@@ -42,8 +43,9 @@
 	config  settings.Config
 }
 
-// Config is a configuration for these servers, named s0, s1 and so on: classes read (idempotent), write (non-idempotent) and
-// keyed (all servers drop its repeats), one plan, no counter, and a list service at a port where nobody is.
+// Config is a configuration for these servers, named s0, s1 and so on: classes read (idempotent), write
+// (non-idempotent) and keyed (all servers drop its repeats), one plan, no counter, and a list service at a port where
+// nobody is.
 func Config(servers ...*Peer) *settings.Config {
 	type entry struct {
 		ID        string `json:"instanceId"`
@@ -61,7 +63,13 @@
 			Classes: map[string]*choice.Class{
 				"read":  {LatencyObjective: second, PriorityWeight: 1},
 				"write": {LatencyObjective: second, Idempotency: choice.NonIdempotent, PriorityWeight: 1},
-				"keyed": {LatencyObjective: second, Idempotency: choice.IdempotentWithKey, DeduplicationScope: choice.ScopeAll, DeduplicationWindow: 2 * second, PriorityWeight: 1},
+				"keyed": {
+					LatencyObjective:    second,
+					Idempotency:         choice.IdempotentWithKey,
+					DeduplicationScope:  choice.ScopeAll,
+					DeduplicationWindow: 2 * second,
+					PriorityWeight:      1,
+				},
 			},
 			Plans:           map[string]*choice.Plan{"plain": {Rate: 50, Burst: 1000, PriorityWeight: 1}},
 			MaxRequestUnits: 64, MaxLease: 60 * second, Limiters: 1, ColdCapacity: 0.5, SlowStartWindow: 10 * second,
@@ -139,7 +147,8 @@
 	return &Peer{Address: ln.Addr().String(), ln: ln}
 }
 
-// Full is a peer to which no connection comes up: its queue is full. Accept takes one out of it, and the next try gets in.
+// Full is a peer to which no connection comes up: its queue is full. Accept takes one out of it, and the next try gets
+// in.
 func Full(t testing.TB) *Peer {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
--- a/internal/lab/testbed/watch_test.go
+++ b/internal/lab/testbed/watch_test.go
@@ -18,9 +18,16 @@
 	"ospreycroft/internal/settings"
 )
 
-// entry is a server of a list: its name, its address, and in service, terminating or started so many milliseconds after 1970.
+// entry is a server of a list: its name, its address, and in service, terminating or started so many milliseconds
+// after 1970.
 func entry(id string, p *Peer, lifecycle string, started int64) string {
-	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"lifecycle":%q,"startedAtMs":%d}`, id, p.Address, lifecycle, started)
+	return fmt.Sprintf(
+		`{"instanceId":%q,"hostPort":%q,"lifecycle":%q,"startedAtMs":%d}`,
+		id,
+		p.Address,
+		lifecycle,
+		started,
+	)
 }
 
 func list(generation int, whole bool, entries ...string) string {
@@ -46,7 +53,8 @@
 	return generation
 }
 
-// watched is a limiter that knows s0, with its first watch at the list service. s1 is another server, for its lists to tell of.
+// watched is a limiter that knows s0, with its first watch at the list service. s1 is another server, for its lists to
+// tell of.
 type watched struct {
 	*Rig
 	s0, s1, lists *Peer
@@ -96,8 +104,9 @@
 
 func (d *watched) move(to *Peer) { d.Renew(func(c *settings.Config) { c.Discovery = to.Address }) }
 
-// TestWatchEnds ends a watch in each way, and has the first answer behind that tell of a drain. The old watch speaks last then: it
-// says that the server is in service, and the one that is, gone. Nothing new goes to the one that drains.
+// TestWatchEnds ends a watch in each way, and has the first answer behind that tell of a drain. The old watch speaks
+// last then: it says that the server is in service, and the one that is, gone. Nothing new goes to the one that
+// drains.
 func TestWatchEnds(t *testing.T) {
 	half := func(d *watched) string { return sized(d.drains(2))[:90] }
 	for _, c := range []struct {
@@ -149,7 +158,12 @@
 			begun := time.Now()
 			next := c.ends(t, d).Accept(t)
 			require.Equal(t, c.asks, next.call(t))
-			require.True(t, c.name == "silent" || time.Since(begun) < promptly, "asked again after %v", time.Since(begun))
+			require.True(
+				t,
+				c.name == "silent" || time.Since(begun) < promptly,
+				"asked again after %v",
+				time.Since(begun),
+			)
 			var indented bytes.Buffer
 			require.NoError(t, json.Indent(&indented, []byte(d.drains(3)), "", "\t"))
 			next.Say(t, sized(indented.String()))
@@ -163,7 +177,8 @@
 	}
 }
 
-// TestListWithoutLength: the end of the connection ends an answer without a length, and a reset, silence or our own close do not.
+// TestListWithoutLength: the end of the connection ends an answer without a length, and a reset, silence or our own
+// close do not.
 func TestListWithoutLength(t *testing.T) {
 	ends := func(c *Conn) { _ = c.TCP.CloseWrite() }
 	for _, c := range []struct {
@@ -175,7 +190,8 @@
 		{"ended in order", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 0, ends, "2"},
 		{"no word of the end ahead", "HTTP/1.1 200 OK\r\n\r\n", 0, ends, "2"},
 		{"older", "HTTP/1.0 200 OK\r\n\r\n", 0, ends, "2"},
-		{"cut, and ended in order", "HTTP/1.1 200 OK\r\n\r\n", 1, ends, "whole"}, // no list: what is held may be of another count
+		// no list: what is held may be of another count
+		{"cut, and ended in order", "HTTP/1.1 200 OK\r\n\r\n", 1, ends, "whole"},
 		{"reset right behind it", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 0, (*Conn).Reset, "1"},
 		{"reset later", "HTTP/1.0 200 OK\r\n\r\n", 0, func(c *Conn) { time.Sleep(20 * time.Millisecond); c.Reset() }, "1"},
 		{"never ended", "HTTP/1.1 200 OK\r\n\r\n", 0, func(*Conn) {}, "1"},
@@ -220,8 +236,8 @@
 	}
 }
 
-// TestDrainInOutage: discovery comes back and says that s0 drains, while a request waits for a connection to it. The request is
-// taken back and goes elsewhere at once; s0 gets nothing, not even the connection.
+// TestDrainInOutage: discovery comes back and says that s0 drains, while a request waits for a connection to it. The
+// request is taken back and goes elsewhere at once; s0 gets nothing, not even the connection.
 func TestDrainInOutage(t *testing.T) {
 	for _, class := range []string{"read", "write", "keyed"} {
 		t.Run(class, func(t *testing.T) {
@@ -246,8 +262,8 @@
 	}
 }
 
-// TestListCounts: a list that counts lower than what is held is of a discovery that has begun anew: what it says counts, and where
-// it is changes the whole of it is asked for.
+// TestListCounts: a list that counts lower than what is held is of a discovery that has begun anew: what it says
+// counts, and where it is changes the whole of it is asked for.
 func TestListCounts(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		d := watch(t)
@@ -258,8 +274,8 @@
 	}
 }
 
-// TestServerAnew: a list names a server at another address, or started anew at the same one. What rests to the old process takes
-// no new request: it may be gone without a word.
+// TestServerAnew: a list names a server at another address, or started anew at the same one. What rests to the old
+// process takes no new request: it may be gone without a word.
 func TestServerAnew(t *testing.T) {
 	for _, moves := range []bool{true, false} {
 		t.Run(fmt.Sprintf("moves=%v", moves), func(t *testing.T) {
--- a/internal/limiter/arrival.go
+++ b/internal/limiter/arrival.go
@@ -61,8 +61,9 @@
 	firstLimiter             float64 // the first of the customer's limiters, negative where it is not told
 }
 
-// parseRequest reads a request's command. It is as strict as the protocol: what a server turns away costs that server's connection
-// and its standing, and what is wrong may spoil the record of a customer that other limiters share.
+// parseRequest reads a request's command. It is as strict as the protocol: what a server turns away costs that
+// server's connection and its standing, and what is wrong may spoil the record of a customer that other limiters
+// share.
 func parseRequest(words [][]byte, set *settings.Settings) (parsedRequest, error) {
 	p := parsedRequest{firstLimiter: -1}
 	if len(words) <= wordFields || len(words) > wordBody+1 {
--- a/internal/limiter/attempts.go
+++ b/internal/limiter/attempts.go
@@ -26,7 +26,8 @@
 
 // sharesScope tells whether two places are in one group.
 func (p location) sharesScope(group choice.DeduplicationScope, o location) bool {
-	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == o.zone || group == choice.ScopeCell && p.cell == o.cell
+	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == o.zone ||
+		group == choice.ScopeCell && p.cell == o.cell
 }
 
 // Send is an effect of the module. An attempt that cannot be sent any more was never sent.
@@ -71,7 +72,8 @@
 	l.timers.cancel(att.deadlineTimer)
 	att.open = false
 	att.conn = nil
-	att.neverRan = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed || reply.Outcome == choice.NotAttempted
+	att.neverRan = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed ||
+		reply.Outcome == choice.NotAttempted
 	q.openAttempts--
 	reply.Request = q.id
 	reply.Attempt = att.number
@@ -81,15 +83,17 @@
 	l.forgetIfDone(q)
 }
 
-// outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which servers
-// know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
+// outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which
+// servers know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
 func (att *attempt) outdated() bool {
 	now := att.conn.pool.limiter.now
-	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.limiter.settings.DialTimeout || now >= att.deduplicatedUntil()
+	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.limiter.settings.DialTimeout ||
+		now >= att.deduplicatedUntil()
 }
 
-// deduplicatedUntil is until when the server would know the request again by each earlier attempt that may have run: 0 if it does not by one,
-// and without end where none has. What counts is where an earlier attempt was written, wherever a list has its server now.
+// deduplicatedUntil is until when the server would know the request again by each earlier attempt that may have run: 0
+// if it does not by one, and without end where none has. What counts is where an earlier attempt was written, wherever
+// a list has its server now.
 func (att *attempt) deduplicatedUntil() int64 {
 	q := att.request
 	until := int64(math.MaxInt64)
--- a/internal/limiter/client.go
+++ b/internal/limiter/client.go
@@ -126,7 +126,8 @@
 	delay := l.readDelay()
 	timeout := parsed.arrival.Timeout
 	if cl.closing || l.outlivesShutdown(timeout) || timeout <= delay {
-		// A connection that is never without an open request would never end, nor would the process; or the client's time is over.
+		// A connection that is never without an open request would never end, nor would the process; or the client's
+		// time is over.
 		cl.answerBusy()
 		return
 	}
@@ -175,8 +176,8 @@
 	cl.answerDirectly("-ERR " + err.Error())
 }
 
-// rejectInput tells a client why it is closed, behind the answers to what it sent before. Where these take too long they
-// fail: it is owed an error or a close soon.
+// rejectInput tells a client why it is closed, behind the answers to what it sent before. Where these take too long
+// they fail: it is owed an error or a close soon.
 func (cl *client) rejectInput(why string) {
 	l := cl.limiter
 	cl.inputDiscarded = true
@@ -238,8 +239,9 @@
 	return true
 }
 
-// closeWhenAnswered ends the connection as soon as all is answered: our sending first, behind the last answer, so that it arrives,
-// and nothing is read from then on. Its client may send on until it finds the end; what was never read it sends again elsewhere.
+// closeWhenAnswered ends the connection as soon as all is answered: our sending first, behind the last answer, so that
+// it arrives, and nothing is read from then on. Its client may send on until it finds the end; what was never read it
+// sends again elsewhere.
 func (cl *client) closeWhenAnswered() {
 	l := cl.limiter
 	cl.closing = true
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -27,8 +27,8 @@
 type clientTable struct {
 	limiter *Limiter
 	count   int
-	// withoutRequest are those that have brought no request yet, the oldest first; withRequest the others, the one used last at the
-	// end.
+	// withoutRequest are those that have brought no request yet, the oldest first; withRequest the others, the one
+	// used last at the end.
 	withoutRequest, withRequest list.List
 }
 
@@ -44,8 +44,8 @@
 // MaxClients is how many connections clients may hold together.
 func MaxClients(config *settings.Config) int { return config.Sockets / clientDescriptorShare }
 
-// nearLimit: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and where
-// each keeps its connection after one request, only as many requests come as connections are closed.
+// nearLimit: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and
+// where each keeps its connection after one request, only as many requests come as connections are closed.
 func (t *clientTable) nearLimit() bool { return t.count >= t.limiter.config.Sockets/clientLimitShare }
 
 // makeRoom closes clients' connections without an open request, so that others can come: first those that never brought
--- a/internal/limiter/close_reason.go
+++ b/internal/limiter/close_reason.go
@@ -19,8 +19,8 @@
 	SlowReader                          // we ended it: the client does not read its answers
 )
 
-// outcome is the one place where the end of a connection becomes the outcome of an attempt that was out on it. An attempt
-// is whole once the kernel has taken its last byte: it may have run then. One that is not whole never ran.
+// outcome is the one place where the end of a connection becomes the outcome of an attempt that was out on it. An
+// attempt is whole once the kernel has taken its last byte: it may have run then. One that is not whole never ran.
 func (e CloseReason) outcome(whole bool) choice.Outcome {
 	switch {
 	case whole && e == AttemptCancelled:
--- a/internal/limiter/cold_start.go
+++ b/internal/limiter/cold_start.go
@@ -19,28 +19,42 @@
 	readinessDeadline    = 30e9 // and a limiter has to be ready within this time
 )
 
-// OperatorOptions is what operators state beside the configuration; the zero value leaves a start to the settings and pollpacer alone.
+// OperatorOptions is what operators state beside the configuration; the zero value leaves a start to the settings and
+// pollpacer alone.
 type OperatorOptions struct {
 	DiscoveryCallRate float64 // calls a second that discovery bears from all limiters, 0 for what the settings imply
 	ConnectionRate    float64 // new connections a second that a server bears from all limiters, 0 for no bound
-	// Snapshot is what an earlier life of this limiter knew, nil for nothing; Save takes what this one knows, after each list
-	// that brings changes and, while that stays true, each SaveEvery nanoseconds; nil for no disk.
+	// Snapshot is what an earlier life of this limiter knew, nil for nothing; Save takes what this one knows, after
+	// each list that brings changes and, while that stays true, each SaveEvery nanoseconds; nil for no disk.
 	Snapshot     *snapshot.Snapshot
 	SaveSnapshot func(*snapshot.Snapshot)
 	SaveEvery    int64
 }
 
-// ColdStartSettings are what the start of a limiter with this configuration is computed from; none that could start before
-// these were is refused for them.
+// ColdStartSettings are what the start of a limiter with this configuration is computed from; none that could start
+// before these were is refused for them.
 func ColdStartSettings(config *settings.Config, stated OperatorOptions) coldstart.Settings {
 	set := config.Settings
-	return coldstart.Settings{Limiters: set.Limiters, Position: set.Position, Jitter: float64(uint64(config.Seed)>>11) / (1 << 53),
-		DialTimeout: set.DialTimeout, PollInterval: set.PollInterval, ColdCapacity: min(max(set.ColdCapacity, 0), 1), SlowStartWindow: set.SlowStartWindow,
-		NotificationDeadline: max(notificationDeadline, 4*set.DialTimeout), ReadinessDeadline: readinessDeadline, CallRate: stated.DiscoveryCallRate, ConnectionRate: stated.ConnectionRate}
+	return coldstart.Settings{
+		Limiters:        set.Limiters,
+		Position:        set.Position,
+		Jitter:          float64(uint64(config.Seed)>>11) / (1 << 53),
+		DialTimeout:     set.DialTimeout,
+		PollInterval:    set.PollInterval,
+		ColdCapacity:    min(max(set.ColdCapacity, 0), 1),
+		SlowStartWindow: set.SlowStartWindow,
+		NotificationDeadline: max(
+			notificationDeadline,
+			4*set.DialTimeout,
+		),
+		ReadinessDeadline: readinessDeadline,
+		CallRate:          stated.DiscoveryCallRate,
+		ConnectionRate:    stated.ConnectionRate,
+	}
 }
 
-// coldStart is how this limiter comes up where operators state something; package coldstart decides. Its methods up to bucket
-// take a nil one: nothing is stated.
+// coldStart is how this limiter comes up where operators state something; package coldstart decides. Its methods up to
+// bucket take a nil one: nothing is stated.
 type coldStart struct {
 	limiter   *Limiter
 	options   OperatorOptions
@@ -53,14 +67,21 @@
 }
 
 func (l *Limiter) startCold(stated OperatorOptions) error {
-	if stated.DiscoveryCallRate == 0 && stated.ConnectionRate == 0 && stated.Snapshot == nil && stated.SaveSnapshot == nil {
+	if stated.DiscoveryCallRate == 0 && stated.ConnectionRate == 0 && stated.Snapshot == nil &&
+		stated.SaveSnapshot == nil {
 		return nil
 	}
 	set := ColdStartSettings(l.config, stated)
 	set.CeilingLeadTime = min(l.controller.ReadyAt(), l.readiness.deadline) - l.now
 	rules, err := coldstart.New(l.now, set)
 	if err == nil {
-		l.coldStart = &coldStart{limiter: l, options: stated, settings: set, start: rules, endpoints: map[string]discovery.Endpoint{}}
+		l.coldStart = &coldStart{
+			limiter:   l,
+			options:   stated,
+			settings:  set,
+			start:     rules,
+			endpoints: map[string]discovery.Endpoint{},
+		}
 	}
 	return err
 }
@@ -97,9 +118,9 @@
 	return b
 }
 
-// chooseList takes the list of the configuration, nil for none, and gives the one to begin with: the snapshot's where the same
-// discovery has counted it further, or where there is no other. A start that the snapshot knows is not forgotten. The
-// version of the list is discovery's own if counted.
+// chooseList takes the list of the configuration, nil for none, and gives the one to begin with: the snapshot's where
+// the same discovery has counted it further, or where there is no other. A start that the snapshot knows is not
+// forgotten. The version of the list is discovery's own if counted.
 func (s *coldStart) chooseList(known *discovery.List) (list *discovery.List, counted bool) {
 	old := s.options.Snapshot
 	if old == nil {
@@ -115,7 +136,7 @@
 		if v.Draining {
 			entry.State = choice.EndpointDraining
 		}
-		kept.Entries = append(kept.Entries, entry)
+		kept.Endpoints = append(kept.Endpoints, entry)
 	}
 	list = known
 	counted = true
@@ -123,20 +144,20 @@
 		list = kept
 		counted = same
 	}
-	for i := range list.Entries {
-		list.Entries[i].StartedAt = max(list.Entries[i].StartedAt, ramps[list.Entries[i].ID])
+	for i := range list.Endpoints {
+		list.Endpoints[i].StartedAt = max(list.Endpoints[i].StartedAt, ramps[list.Endpoints[i].ID])
 	}
 	log.Printf("event=snapshot-read generation=%d servers=%d age=%.0f used=%v", old.Generation, len(old.Servers),
-		float64(s.limiter.now-old.Taken)/1e9, list == kept)
+		float64(s.limiter.now-old.TakenAt)/1e9, list == kept)
 	return list, counted
 }
 
 // saveList takes a list into what is held, and has that saved where a call has brought or confirmed it.
 func (s *coldStart) saveList(list *discovery.List, kind coldstart.Kind) {
-	if list.Whole {
+	if list.Complete {
 		clear(s.endpoints)
 	}
-	for _, e := range list.Entries {
+	for _, e := range list.Endpoints {
 		was := s.endpoints[e.ID]
 		e.StartedAt = max(e.StartedAt, was.StartedAt)
 		if e.Address == "" {
@@ -148,15 +169,19 @@
 		}
 	}
 	l := s.limiter
-	if kind == coldstart.ListRestored || len(list.Entries) == 0 && !list.Whole && l.now-s.savedAt < s.options.SaveEvery {
+	if kind == coldstart.ListRestored ||
+		len(list.Endpoints) == 0 && !list.Complete && l.now-s.savedAt < s.options.SaveEvery {
 		return
 	}
 	s.savedAt = l.now
-	out := &snapshot.Snapshot{Taken: l.now, Discovery: l.config.Discovery, Generation: list.Version}
+	out := &snapshot.Snapshot{TakenAt: l.now, Discovery: l.config.Discovery, Generation: list.Version}
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		e := s.endpoints[id]
-		out.Servers = append(out.Servers, snapshot.Server{ID: id, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
-			StartedAt: e.StartedAt, Draining: e.State == choice.EndpointDraining})
+		out.Servers = append(
+			out.Servers,
+			snapshot.Server{ID: id, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
+				StartedAt: e.StartedAt, Draining: e.State == choice.EndpointDraining},
+		)
 	}
 	s.options.SaveSnapshot(out)
 }
@@ -183,9 +208,13 @@
 
 // listApplied tells the rules of a listApplied that was applied.
 func (s *coldStart) listApplied(kind coldstart.Kind, list *discovery.List) {
-	e := coldstart.Event{Kind: kind, Whole: list.Whole, Servers: make([]coldstart.Server, len(list.Entries))}
-	for i, entry := range list.Entries {
-		e.Servers[i] = coldstart.Server{ID: entry.ID, StartedAt: entry.StartedAt, Leaving: entry.State != choice.EndpointReady}
+	e := coldstart.Event{Kind: kind, Whole: list.Complete, Servers: make([]coldstart.Server, len(list.Endpoints))}
+	for i, entry := range list.Endpoints {
+		e.Servers[i] = coldstart.Server{
+			ID:        entry.ID,
+			StartedAt: entry.StartedAt,
+			Leaving:   entry.State != choice.EndpointReady,
+		}
 	}
 	s.step(e)
 	if s.options.SaveSnapshot != nil {
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -51,7 +51,8 @@
 	return ln
 }
 
-// AddToCounter is an effect of the module. Calls on one name that are out go on one line, so that they are answered in their order.
+// AddToCounter is an effect of the module. Calls on one name that are out go on one line, so that they are answered in
+// their order.
 func (l *Limiter) AddToCounter(name uint64, amount float64, lifetime int64) {
 	k := &l.counter
 	c := &counterCall{name: name, amount: amount, lifetime: lifetime, madeAt: l.now}
@@ -92,8 +93,8 @@
 	return best
 }
 
-// followMove goes to the counter's new address. What was written is answered on its old line, or ends with it; what was not
-// is written on a new one, once.
+// followMove goes to the counter's new address. What was written is answered on its old line, or ends with it; what
+// was not is written on a new one, once.
 func (k *counterClient) followMove() {
 	var waiting []*counterCall
 	for _, ln := range slices.Clone(k.conns) {
@@ -145,7 +146,10 @@
 	}
 	c.answered = true
 	k.limiter.timers.cancel(c.timeout)
-	k.limiter.results = append(k.limiter.results, pendingResult{counterReply: true, name: c.name, outcome: outcome, total: total})
+	k.limiter.results = append(
+		k.limiter.results,
+		pendingResult{counterReply: true, name: c.name, outcome: outcome, total: total},
+	)
 	if down := k.limiter.now-k.lastReply > silentTimeouts*k.limiter.settings.CounterTimeout; down && !k.loggedDown {
 		k.loggedDown = true
 		log.Printf("event=counter answers=false")
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -10,8 +10,8 @@
 	"ospreycroft/choice"
 )
 
-// TestOneInstant: the answer of a server and the end of its request come in one instant, in either order. The client gets one answer,
-// whichever was first; the module's end is two ticks before the limiter's.
+// TestOneInstant: the answer of a server and the end of its request come in one instant, in either order. The client
+// gets one answer, whichever was first; the module's end is two ticks before the limiter's.
 func TestOneInstant(t *testing.T) {
 	const served, value = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "$1\r\nv\r\n"
 	for _, class := range []string{"read", "write"} {
@@ -71,24 +71,46 @@
 func (d *lives) SetTimer(int64, int64)                        {}
 func (d *lives) Log(string)                                   {}
 
-// restarted is what a limiter sends for one customer that starts again and again within a second while the counter is down.
+// restarted is what a limiter sends for one customer that starts again and again within a second while the counter is
+// down.
 func restarted(rate, burst, spread int, ceiling float64, starts int64) (total int) {
 	for k := range starts {
 		born, d := k*second/starts, &lives{}
-		logic := choice.New(born, &choice.Settings{Classes: map[string]*choice.Class{"read": {LatencyObjective: second, PriorityWeight: 1}},
-			Plans:          map[string]*choice.Plan{"p": {Rate: float64(rate), Burst: float64(burst), CeilingRate: ceiling, CeilingBurst: 2 * ceiling}},
-			CounterTimeout: second / 20, MaxRequestUnits: 1, MaxLease: 60 * second, Limiters: spread, ColdCapacity: 1, SlowStartWindow: 1,
-			DialTimeout: second / 4, MaxAttempts: 1, TimerResolution: 4e6}, 1, d)
+		logic := choice.New(
+			born,
+			&choice.Settings{Classes: map[string]*choice.Class{"read": {LatencyObjective: second, PriorityWeight: 1}},
+				Plans: map[string]*choice.Plan{
+					"p": {Rate: float64(rate), Burst: float64(burst), CeilingRate: ceiling, CeilingBurst: 2 * ceiling},
+				},
+				CounterTimeout: second / 20, MaxRequestUnits: 1, MaxLease: 60 * second, Limiters: spread, ColdCapacity: 1, SlowStartWindow: 1,
+				DialTimeout: second / 4, MaxAttempts: 1, TimerResolution: 4e6},
+			1,
+			d,
+		)
 		logic.UpdateEndpoints(born, true, []choice.Endpoint{{ID: "s"}})
 		now := born + second/starts - 1
 		for i := range 4 * burst {
 			id := strconv.Itoa(i)
-			logic.RequestArrived(now, choice.Arrival{ID: id, Timeout: second, Customer: 5, Plan: "p", Class: "read", Units: 1, Limiters: spread})
+			logic.RequestArrived(
+				now,
+				choice.Arrival{
+					ID:       id,
+					Timeout:  second,
+					Customer: 5,
+					Plan:     "p",
+					Class:    "read",
+					Units:    1,
+					Limiters: spread,
+				},
+			)
 			for ; len(d.names) > 0; d.names = d.names[1:] {
 				logic.CounterReplied(now, d.names[0], choice.ConnectFailed, 0)
 			}
 			if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
-				logic.AttemptDone(now, choice.AttemptResult{Request: id, Outcome: choice.Succeeded, Duration: 1e7, Final: true})
+				logic.AttemptDone(
+					now,
+					choice.AttemptResult{Request: id, Outcome: choice.Succeeded, Duration: 1e7, Final: true},
+				)
 			}
 		}
 		total += len(d.sent)
@@ -96,8 +118,9 @@
 	return total
 }
 
-// TestRestartedAgain: under a ceiling a limiter that starts again and again sends what a single life sends at most; without one each
-// life sends the largest request and what it has filled by since it began, at two parts of the rate, in whole units and no more.
+// TestRestartedAgain: under a ceiling a limiter that starts again and again sends what a single life sends at most;
+// without one each life sends the largest request and what it has filled by since it began, at two parts of the rate,
+// in whole units and no more.
 func TestRestartedAgain(t *testing.T) {
 	const rate, burst, spread, ceiling, largest = 10, 40, 4, 20, 1
 	for _, starts := range []int64{1, 2, 10} {
--- a/internal/limiter/departed_test.go
+++ b/internal/limiter/departed_test.go
@@ -8,8 +8,8 @@
 
 func (w *wire) PeerGone(id ConnID) bool { return w.gone[id] }
 
-// TestDeparted: as a connection to a server comes up, the client has gone and no event has told. Its attempt is not written, its
-// connection ends there and then, and the connection to the server serves the next client.
+// TestDeparted: as a connection to a server comes up, the client has gone and no event has told. Its attempt is not
+// written, its connection ends there and then, and the connection to the server serves the next client.
 func TestDeparted(t *testing.T) {
 	for _, class := range []string{"read", "write"} {
 		t.Run(class, func(t *testing.T) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestDepartedAsItIsRead: a client is found gone at the first of its commands. Those behind it are not taken: none would be owed an
-// answer, and nothing would end them.
+// TestDepartedAsItIsRead: a client is found gone at the first of its commands. Those behind it are not taken: none
+// would be owed an answer, and nothing would end them.
 func TestDepartedAsItIsRead(t *testing.T) {
 	l, w := made(t)
 	l.settings.CounterTimeout = 0 // each is sent as it is read
--- a/internal/limiter/discovery.go
+++ b/internal/limiter/discovery.go
@@ -32,7 +32,8 @@
 	revalidating     bool              // the process stood still: what there is has to be told at once
 	partialResponse  bool              // an answer has begun
 	failureLoggedAt  int64             // when a failure was last logged
-	awaitingSlot     bool              // no call is out on the connection: with a stated budget the next one goes out at its time
+	// no call is out on the connection: with a stated budget the next one goes out at its time
+	awaitingSlot bool
 }
 
 // newDiscoveryClient makes the client, which makes its first call in start.
@@ -79,7 +80,7 @@
 		list, counted = w.limiter.coldStart.chooseList(list)
 	}
 	if list != nil {
-		list.Whole = true
+		list.Complete = true
 		w.versionKnown = counted // what is newer is enough: a whole list costs discovery as much as several watches
 		w.applyList(list, coldstart.ListRestored)
 	}
@@ -220,7 +221,7 @@
 	}
 	w.pacer.ResponseReceived(w.limiter.now)
 	// One that counts from anew behind the same address may hold what was never told here.
-	w.versionKnown = list.Whole || list.Version >= w.version
+	w.versionKnown = list.Complete || list.Version >= w.version
 	w.applyList(list, coldstart.ListReceived)
 	if w.revalidating {
 		w.revalidating = false
@@ -275,8 +276,8 @@
 	w.connect()
 }
 
-// followMove goes to discovery's new address, which may count its lists otherwise: the whole of it is asked for there, and
-// the last good one holds meanwhile.
+// followMove goes to discovery's new address, which may count its lists otherwise: the whole of it is asked for there,
+// and the last good one holds meanwhile.
 func (w *discoveryClient) followMove() {
 	w.versionKnown = false
 	w.pacer.ServiceMoved(w.limiter.now)
--- a/internal/limiter/endpoints.go
+++ b/internal/limiter/endpoints.go
@@ -12,28 +12,28 @@
 func (w *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
 	l := w.limiter
 	w.version = list.Version
-	if list.Whole {
+	if list.Complete {
 		w.completeLists++
 	}
-	endpoints := make([]choice.Endpoint, len(list.Entries))
+	endpoints := make([]choice.Endpoint, len(list.Endpoints))
 	var unused []*serverPool
-	for i, entry := range list.Entries {
+	for i, entry := range list.Endpoints {
 		endpoints[i] = entry.Endpoint
 		pool := l.servers.pools[entry.ID]
 		if pool == nil {
-			pool = l.servers.addPool(entry.ID, max(len(list.Entries), len(l.servers.pools)+1))
+			pool = l.servers.addPool(entry.ID, max(len(list.Endpoints), len(l.servers.pools)+1))
 		}
 		pool.listedIn = w.completeLists
 		if pool.update(&entry) {
 			unused = append(unused, pool)
 		}
 	}
-	if list.Whole {
+	if list.Complete {
 		unused = append(l.servers.markMissing(w.completeLists), unused...)
 	}
-	if len(endpoints) > 0 || list.Whole {
-		log.Printf("event=list generation=%d whole=%v entries=%d", list.Version, list.Whole, len(endpoints))
-		l.controller.UpdateEndpoints(l.now, list.Whole, endpoints)
+	if len(endpoints) > 0 || list.Complete {
+		log.Printf("event=list generation=%d whole=%v entries=%d", list.Version, list.Complete, len(endpoints))
+		l.controller.UpdateEndpoints(l.now, list.Complete, endpoints)
 	}
 	// Only now, or the controller would send what is taken back to the same server again.
 	for _, pool := range unused {
@@ -45,8 +45,8 @@
 	}
 }
 
-// update takes in an entry of the list, and tells whether connections of the pool that are not in use are to be closed: its server
-// leaves, or has moved.
+// update takes in an entry of the list, and tells whether connections of the pool that are not in use are to be
+// closed: its server leaves, or has moved.
 func (p *serverPool) update(entry *discovery.Endpoint) (closeUnused bool) {
 	p.draining = entry.State != choice.EndpointReady
 	p.removed = entry.State == choice.EndpointGone
--- a/internal/limiter/events.go
+++ b/internal/limiter/events.go
@@ -5,8 +5,8 @@
 // ConnID names a connection.
 type ConnID uint64
 
-// Event is something that happened on the sockets or to the process: one of the types below. Step does not keep it, so that a
-// caller's event costs no allocation.
+// Event is something that happened on the sockets or to the process: one of the types below. Step does not keep it, so
+// that a caller's event costs no allocation.
 type Event interface{ isEvent() }
 
 type (
@@ -53,8 +53,8 @@
 	// Read copies the bytes that the present event told of.
 	Read(into []byte)
 	Write(id ConnID, bytes []byte)
-	// Alive tells whether a connection that is up has not ended, as far as the sockets know; of one that was dialled, also whether
-	// all that has come on it was told.
+	// Alive tells whether a connection that is up has not ended, as far as the sockets know; of one that was dialled,
+	// also whether all that has come on it was told.
 	Alive(id ConnID) bool
 	// PeerGone tells whether a client has ended its connection, also where no event has told of that yet.
 	PeerGone(id ConnID) bool
@@ -63,9 +63,9 @@
 	// Close ends the connection, if it has not ended yet; no event follows. It tells how many bytes the
 	// kernel had taken, which will not become more.
 	Close(id ConnID) int64
-	// CloseGracefully ends a client's connection unless bytes have come on it that no event has told of yet, and tells whether it did.
-	// What was written arrives; what comes from then on is never read. It is broken off so long after, if the client does not end
-	// it, but not while its machine lacks bytes, which may last up to the longest time.
+	// CloseGracefully ends a client's connection unless bytes have come on it that no event has told of yet, and tells
+	// whether it did. What was written arrives; what comes from then on is never read. It is broken off so long after,
+	// if the client does not end it, but not while its machine lacks bytes, which may last up to the longest time.
 	CloseGracefully(id ConnID, after, most int64) bool
 	// HasBacklog tells whether some clients wait in the kernel to be let in.
 	HasBacklog() bool
--- a/internal/limiter/late_test.go
+++ b/internal/limiter/late_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that stands still behind SIGTERM, until long after it should have ended, reads what has come meanwhile before it ends.
+// A process that stands still behind SIGTERM, until long after it should have ended, reads what has come meanwhile
+// before it ends.
 func TestLateWoken(t *testing.T) {
 	l, w := made(t)
 	l.Step(0, ShutdownRequested{})
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -7,8 +7,8 @@
 	"ospreycroft/internal/settings"
 )
 
-// Limiter is one real limiter. Each part of its state has an owner of its own; the parts call each other, and the controller,
-// through their methods. It is not safe for concurrent use.
+// Limiter is one real limiter. Each part of its state has an owner of its own; the parts call each other, and the
+// controller, through their methods. It is not safe for concurrent use.
 type Limiter struct {
 	config     *settings.Config
 	settings   *settings.Settings
@@ -52,9 +52,11 @@
 }
 
 const (
-	// memoryShare: one byte of memory in so many may hold commands of requests, as many input buffers, as many answers that wait.
+	// memoryShare: one byte of memory in so many may hold commands of requests, as many input buffers, as many answers
+	// that wait.
 	memoryShare = 8
-	// maintenancesPerIdleClose is how often idle connections are looked at in the time after which a server closes them.
+	// maintenancesPerIdleClose is how often idle connections are looked at in the time after which a server closes
+	// them.
 	maintenancesPerIdleClose = 32
 )
 
@@ -68,7 +70,11 @@
 	l := &Limiter{config: config, settings: config.Settings, effects: effects, now: now, conns: map[ConnID]*conn{}}
 	l.clients.limiter = l
 	l.requests.byID = map[string]*request{}
-	l.servers = serverPools{limiter: l, pools: map[string]*serverPool{}, keepIdle: l.settings.IdleClose / idleCloseShare}
+	l.servers = serverPools{
+		limiter:  l,
+		pools:    map[string]*serverPool{},
+		keepIdle: l.settings.IdleClose / idleCloseShare,
+	}
 	l.counter = counterClient{limiter: l, lastReply: now}
 	l.discovery = newDiscoveryClient(l)
 	l.controller = choice.New(now, l.settings.Settings, config.Seed, l)
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -77,14 +77,21 @@
 func madeTo(t *testing.T, every int64, position int) (*Limiter, *wire) {
 	t.Helper()
 	w := &wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
-	l, err := New(0, &settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 64, Known: []byte(known),
-		Settings: &settings.Settings{IdleClose: 15 * second, PollInterval: every, Settings: &choice.Settings{
-			Classes: map[string]*choice.Class{"read": {LatencyObjective: second}, "write": {LatencyObjective: second, Idempotency: choice.NonIdempotent}},
-			Plans:   map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
-			// With one limiter and large requests the first room holds several of them.
-			CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 1, Position: position, ColdCapacity: 0.25,
-			SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
-		}}}, w)
+	l, err := New(
+		0,
+		&settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 64, Known: []byte(known),
+			Settings: &settings.Settings{IdleClose: 15 * second, PollInterval: every, Settings: &choice.Settings{
+				Classes: map[string]*choice.Class{
+					"read":  {LatencyObjective: second},
+					"write": {LatencyObjective: second, Idempotency: choice.NonIdempotent},
+				},
+				Plans: map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
+				// With one limiter and large requests the first room holds several of them.
+				CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 1, Position: position, ColdCapacity: 0.25,
+				SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
+			}}},
+		w,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,7 +219,8 @@
 			}
 			w.pass(l, second/100)
 			expect(t, w.wrote[visitor], c.out)
-			if slices.Contains(w.closed, visitor) != c.closed || w.wrote[counting] != counted || len(l.requests.byID) > 0 {
+			if slices.Contains(w.closed, visitor) != c.closed || w.wrote[counting] != counted ||
+				len(l.requests.byID) > 0 {
 				t.Fatalf("closed %v, counted %q, requests %d", w.closed, w.wrote[counting], len(l.requests.byID))
 			}
 		})
@@ -297,7 +305,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := sent(t, "write")
 			c.end(l, w, id)
-			if got := w.wrote[visitor]; !strings.HasPrefix(got, c.out) || strings.Count(got, "\r\n") != strings.Count(c.out+"\r\n", "\r\n")-strings.Count(c.out, "v\r\n") {
+			if got := w.wrote[visitor]; !strings.HasPrefix(got, c.out) ||
+				strings.Count(got, "\r\n") != strings.Count(c.out+"\r\n", "\r\n")-strings.Count(c.out, "v\r\n") {
 				t.Fatalf("client got %q, want %q", got, c.out)
 			}
 			if len(l.requests.byID) > 0 || l.requests.heldBytes != 0 {
@@ -551,7 +560,12 @@
 	})
 	t.Run("what comes ahead of an answer is passed over", func(t *testing.T) {
 		l, w := made(t)
-		w.say(l, 0, watching, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+httpAnswer(strings.Replace(known, "7", "8", 1)))
+		w.say(
+			l,
+			0,
+			watching,
+			"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+httpAnswer(strings.Replace(known, "7", "8", 1)),
+		)
 		if l.discovery.version != 8 || slices.Contains(w.closed, watching) {
 			t.Fatalf("version %d, closed %v", l.discovery.version, w.closed)
 		}
@@ -559,7 +573,12 @@
 	t.Run("a bad list is refused and asked for again", func(t *testing.T) {
 		l, w := made(t)
 		w.say(l, 0, watching, httpAnswer(known))
-		w.say(l, 0, watching, httpAnswer(`{"generation":8,"reset":true,"instances":[{"instanceId":"s","lifecycle":"odd"}]}`))
+		w.say(
+			l,
+			0,
+			watching,
+			httpAnswer(`{"generation":8,"reset":true,"instances":[{"instanceId":"s","lifecycle":"odd"}]}`),
+		)
 		if l.discovery.version != 7 || len(l.servers.pools) != 1 || !slices.Contains(w.closed, watching) {
 			t.Fatalf("version %d, closed %v", l.discovery.version, w.closed)
 		}
@@ -592,7 +611,12 @@
 	dialled := len(w.dialed)
 	w.pass(l, second/2)
 	if len(w.dialed) != dialled || !slices.Contains(w.closed, watching) || len(l.servers.pools) != 1 {
-		t.Fatalf("it is asked again at once: dialled %v, closed %v, %d servers", w.dialed, w.closed, len(l.servers.pools))
+		t.Fatalf(
+			"it is asked again at once: dialled %v, closed %v, %d servers",
+			w.dialed,
+			w.closed,
+			len(l.servers.pools),
+		)
 	}
 	t.Run("but at once where it has moved", func(t *testing.T) {
 		l, w := madeTo(t, 10*second, 0)
@@ -743,7 +767,16 @@
 	})
 	t.Run("a list that does not name it", func(t *testing.T) {
 		l, w := made(t)
-		if w.say(l, 0, watching, httpAnswer(`{"generation":8,"reset":true,"instances":[]}`)); len(l.servers.pools)+len(l.servers.pools) > 0 {
+		if w.say(
+			l,
+			0,
+			watching,
+			httpAnswer(`{"generation":8,"reset":true,"instances":[]}`),
+		); len(
+			l.servers.pools,
+		)+len(
+			l.servers.pools,
+		) > 0 {
 			t.Fatalf("%d servers", len(l.servers.pools))
 		}
 	})
@@ -758,7 +791,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := dialling(t, "write")
 			w.say(l, 0, watching, httpAnswer(c.list))
-			if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
+			if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 ||
+				!strings.HasPrefix(w.wrote[visitor], "-BUSY") {
 				t.Fatalf("closed %v, %d requests, client got %q", w.closed, len(l.requests.byID), w.wrote[visitor])
 			}
 		})
@@ -850,7 +884,8 @@
 	})
 	t.Run("an idle connection makes room", func(t *testing.T) {
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorShare-1 || !slices.Contains(w.closed, id) {
+		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorShare-1 ||
+			!slices.Contains(w.closed, id) {
 			t.Fatalf("closed %v, %d connections", w.closed, l.servers.connCount)
 		}
 	})
@@ -873,7 +908,8 @@
 			expect(t, w.wrote[w.last], "*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n")
 			b := l.conns[w.last].handler.(*serverConn)
 			c.end(l, b)
-			if b.healthCheckTimer != nil || len(l.results) != 1 || l.results[0].healthChecked != "s" || l.results[0].outcome != c.want {
+			if b.healthCheckTimer != nil || len(l.results) != 1 || l.results[0].healthChecked != "s" ||
+				l.results[0].outcome != c.want {
 				t.Fatalf("the module is owed %+v", l.results)
 			}
 		})
@@ -901,7 +937,11 @@
 	} {
 		t.Run(strconv.Quote(c.in), func(t *testing.T) {
 			v, _, err := resp.ReadAnswer([]byte(c.in))
-			if r, _ := decodeAnswer(v, 8); err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.held || r.Load.Throughput != c.pace ||
+			if r, _ := decodeAnswer(
+				v,
+				8,
+			); err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.held ||
+				r.Load.Throughput != c.pace ||
 				strings.Contains(c.in, "backlog") && (r.Load.Queued != 3 || r.Load.ServiceTime != 135500000) {
 				t.Fatalf("%+v, error %v", r, err)
 			}
@@ -915,7 +955,8 @@
 	w.dead = map[ConnID]bool{id: true}
 	l.now = restTicks * l.settings.TimerResolution
 	p := l.servers.pools["s"]
-	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.servers.connCount != 1 || !slices.Contains(w.closed, id) {
+	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.servers.connCount != 1 ||
+		!slices.Contains(w.closed, id) {
 		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.servers.connCount)
 	}
 }
@@ -1073,7 +1114,8 @@
 		w.pass(l, shutdownLinger+second/10)
 		require.False(t, slices.Contains(w.closed, visitor), "it would be lost")
 		delete(w.unread, visitor)
-		w.say(l, shutdownLinger+second/10, visitor, command("k", "read", "480")) // what is read is taken, and has its answer
+		// what is read is taken, and has its answer
+		w.say(l, shutdownLinger+second/10, visitor, command("k", "read", "480"))
 		expect(t, w.wrote[visitor], "$1\r\nv\r\n"+busy)
 		require.True(t, slices.Contains(w.closed, visitor), "it has the answer")
 	})
@@ -1129,7 +1171,12 @@
 	})
 	t.Run("nor at all where its server drains", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		if hear(l, w, drains); servers(w) != 0 || len(l.requests.byID) != 0 || !strings.HasPrefix(w.wrote[visitor], "-BUSY") {
+		if hear(
+			l,
+			w,
+			drains,
+		); servers(w) != 0 || len(l.requests.byID) != 0 ||
+			!strings.HasPrefix(w.wrote[visitor], "-BUSY") {
 			t.Fatalf("%d dials, %d requests, client got %q", servers(w), len(l.requests.byID), w.wrote[visitor])
 		}
 	})
@@ -1175,6 +1222,11 @@
 		l, w := asked(t, "10480")
 		l.Cancel("k", 0)
 		hear(l, w, nothing)
-		require.True(t, servers(w) <= 1 && (l.requests.byID["k"] == nil || !l.requests.byID["k"].attempts[0].open), "%d dials", servers(w))
+		require.True(
+			t,
+			servers(w) <= 1 && (l.requests.byID["k"] == nil || !l.requests.byID["k"].attempts[0].open),
+			"%d dials",
+			servers(w),
+		)
 	})
 }
--- a/internal/limiter/lives_test.go
+++ b/internal/limiter/lives_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLivesWithoutTheCounter: each life that the counter has not answered in sends one largest request, here a unit, and
-// what its slice has filled by since it began, here 5 units a second: whole units alone are sent.
+// TestLivesWithoutTheCounter: each life that the counter has not answered in sends one largest request, here a unit,
+// and what its slice has filled by since it began, here 5 units a second: whole units alone are sent.
 func TestLivesWithoutTheCounter(t *testing.T) {
 	const rate, burst, spread = 10, 40, 4
 	for _, c := range []struct {
--- a/internal/limiter/notification_test.go
+++ b/internal/limiter/notification_test.go
@@ -38,13 +38,14 @@
 	outageGrace = second / 4 // what the agent on the own machine has is acted on within this
 )
 
-// outage is a stand-in for discovery on a virtual clock. It fails from downFrom until some time near a retry of the limiter, and
-// has its one server drain from then on. Calls from before that are never answered.
+// outage is a stand-in for discovery on a virtual clock. It fails from downFrom until some time near a retry of the
+// limiter, and has its one server drain from then on. Calls from before that are never answered.
 type outage struct {
-	l      *Limiter
-	w      *wire
-	fault  fault
-	retry  int   // the retry, counted from 1, near which discovery comes back; 0 is soon after the outage began, below 0 none
+	l     *Limiter
+	w     *wire
+	fault fault
+	// the retry, counted from 1, near which discovery comes back; 0 is soon after the outage began, below 0 none
+	retry  int
 	shift  int64 // so long after that retry is due it does, where above 0, or before it
 	moves  int   // the retry before which discovery moves by SIGHUP, 0 for never
 	movers bool  // and the new address is not down
@@ -213,9 +214,10 @@
 	o.moved = never
 }
 
-// TestNotification: discovery fails in each way and comes back just before or just after each of the limiter's first retries, with
-// news that it has had for long. The news is acted on within 6 s of the return, at each place; where lists are pushed, within the
-// grace from the agent's return, or when the call that the agent has left unanswered is given up.
+// TestNotification: discovery fails in each way and comes back just before or just after each of the limiter's first
+// retries, with news that it has had for long. The news is acted on within 6 s of the return, at each place; where
+// lists are pushed, within the grace from the agent's return, or when the call that the agent has left unanswered is
+// given up.
 func TestNotification(t *testing.T) {
 	const places, retries = 24, 6
 	log.SetOutput(io.Discard)
@@ -233,11 +235,22 @@
 						if every > 0 || f == unanswering || f >= stopping {
 							by = told // the agent is silent
 						}
-						if retry == 0 && f == ignoring && every > 0 { // the first watch fell silent, and no call has failed
+						// the first watch fell silent, and no call has failed
+						if retry == 0 && f == ignoring && every > 0 {
 							by = downFrom + 12*second
 						}
-						require.LessOrEqual(t, at, by, "%s, asked every %d s, limiter %d, back %d ns from retry %d, at %d",
-							f, every/second, position, shift, retry, o.back)
+						require.LessOrEqual(
+							t,
+							at,
+							by,
+							"%s, asked every %d s, limiter %d, back %d ns from retry %d, at %d",
+							f,
+							every/second,
+							position,
+							shift,
+							retry,
+							o.back,
+						)
 						slowest = max(slowest, at-o.back)
 					}
 				}
@@ -247,8 +260,8 @@
 	}
 }
 
-// TestNotificationMoved: the same with a move by SIGHUP in the middle of the outage. Where the new address is not down its news is
-// acted on within 4 s of the move; where it is, within 6 s of the return.
+// TestNotificationMoved: the same with a move by SIGHUP in the middle of the outage. Where the new address is not down
+// its news is acted on within 4 s of the move; where it is, within 6 s of the return.
 func TestNotificationMoved(t *testing.T) {
 	const places, retries = 24, 4
 	log.SetOutput(io.Discard)
@@ -260,15 +273,33 @@
 					o := outageOf(t, every, position)
 					o.fault, o.retry, o.moves, o.movers = f, -1, moves, true
 					at := o.play()
-					require.LessOrEqual(t, at, o.back+4*second, "%s, asked every %d s, limiter %d, moved before retry %d at %d",
-						f, every/second, position, moves, o.back)
+					require.LessOrEqual(
+						t,
+						at,
+						o.back+4*second,
+						"%s, asked every %d s, limiter %d, moved before retry %d at %d",
+						f,
+						every/second,
+						position,
+						moves,
+						o.back,
+					)
 					for retry := moves + 1; retry <= retries; retry++ {
 						for _, shift := range []int64{-offset, offset} {
 							o := outageOf(t, every, position)
 							o.fault, o.retry, o.shift, o.moves = f, retry, shift, moves
 							at := o.play()
-							require.LessOrEqual(t, at, o.back+6*second, "%s, asked every %d s, limiter %d, moved before retry %d, back at %d",
-								f, every/second, position, moves, o.back)
+							require.LessOrEqual(
+								t,
+								at,
+								o.back+6*second,
+								"%s, asked every %d s, limiter %d, moved before retry %d, back at %d",
+								f,
+								every/second,
+								position,
+								moves,
+								o.back,
+							)
 						}
 					}
 				}
@@ -285,19 +316,25 @@
 	return &outage{l: l, w: w, open: map[ConnID]*held{watching: {}}, last: counting}
 }
 
-// budgeted is an outage before a limiter whose operator states what the list service bears: one of so many places in a round.
+// budgeted is an outage before a limiter whose operator states what the list service bears: one of so many places in a
+// round.
 func budgeted(t *testing.T, limiters, position int, round int64) *outage {
 	t.Helper()
 	made, w := madeTo(t, 10*second, position)
 	made.settings.Limiters = limiters
 	*w = wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
-	l, err := NewWithOptions(0, made.config, OperatorOptions{DiscoveryCallRate: float64(limiters) * 1e9 / float64(round)}, w)
+	l, err := NewWithOptions(
+		0,
+		made.config,
+		OperatorOptions{DiscoveryCallRate: float64(limiters) * 1e9 / float64(round)},
+		w,
+	)
 	require.NoError(t, err)
 	return &outage{l: l, w: w, open: map[ConnID]*held{}}
 }
 
-// TestNotificationBudget: the same where the operator states a budget that is enough: a limiter that calls at its own instants only
-// acts on the news within 6 s of the return, whatever failed before.
+// TestNotificationBudget: the same where the operator states a budget that is enough: a limiter that calls at its own
+// instants only acts on the news within 6 s of the return, whatever failed before.
 func TestNotificationBudget(t *testing.T) {
 	const places, retries = 24, 5
 	log.SetOutput(io.Discard)
@@ -312,11 +349,22 @@
 						o.fault, o.retry, o.shift = f, retry, shift
 						at := o.play()
 						by := o.back + 6*second
-						if retry == 0 && f >= ignoring && !o.ended { // the first watch may have fallen silent, and no call has failed
+						// the first watch may have fallen silent, and no call has failed
+						if retry == 0 && f >= ignoring && !o.ended {
 							by = o.back + 12*second
 						}
-						require.LessOrEqual(t, at, by, "%s, a round of %d s, limiter %d, back %d ns from retry %d, at %d",
-							f, round/second, position, shift, retry, o.back)
+						require.LessOrEqual(
+							t,
+							at,
+							by,
+							"%s, a round of %d s, limiter %d, back %d ns from retry %d, at %d",
+							f,
+							round/second,
+							position,
+							shift,
+							retry,
+							o.back,
+						)
 						slowest = max(slowest, at-o.back)
 					}
 				}
--- a/internal/limiter/readiness.go
+++ b/internal/limiter/readiness.go
@@ -11,9 +11,9 @@
 	deadline int64 // when the limiter is ready at the latest, whatever the controller wants
 }
 
-// checkReady makes the limiter ready once discovery has told its list, or is down, so that the list of the configuration must do.
-// The controller may want more time, up to the deadline: what the parts of ceilings do not hold by then is rejected, and they are
-// not passed.
+// checkReady makes the limiter ready once discovery has told its list, or is down, so that the list of the
+// configuration must do. The controller may want more time, up to the deadline: what the parts of ceilings do not hold
+// by then is rejected, and they are not passed.
 func (l *Limiter) checkReady() {
 	at := min(l.controller.ReadyAt(), l.readiness.deadline)
 	if l.now < at {
--- a/internal/limiter/reload.go
+++ b/internal/limiter/reload.go
@@ -7,8 +7,8 @@
 )
 
 // reload goes on by a configuration that has replaced the present one under load. Discovery and the counter may move;
-// what else differs holds from the next start on, each key with a line. A counter that the settings still have stays where
-// it is when none is named any more.
+// what else differs holds from the next start on, each key with a line. A counter that the settings still have stays
+// where it is when none is named any more.
 func (l *Limiter) reload(config *settings.Config) {
 	for _, key := range l.config.NeedRestart(config) {
 		log.Printf("event=config-kept key=%q", key)
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -86,8 +86,8 @@
 		l.stats.outcomes.succeeded++
 	}
 	for _, att := range q.attempts {
-		// A command of which the kernel has only a part must not become whole after the request's end: this comes before the
-		// answer.
+		// A command of which the kernel has only a part must not become whole after the request's end: this comes
+		// before the answer.
 		if att.open && att.lastByte > 0 && l.effects.Written(att.conn.conn.id) < att.lastByte {
 			l.closeConn(att.conn.conn, AttemptCancelled)
 		}
--- a/internal/limiter/scale_bench_test.go
+++ b/internal/limiter/scale_bench_test.go
@@ -41,12 +41,18 @@
 	log.SetOutput(io.Discard)
 	b.Cleanup(func() { log.SetOutput(os.Stderr) })
 	w := &wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
-	l, err := New(0, &settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 1024, Known: []byte("null"),
-		Settings: &settings.Settings{IdleClose: 15 * second, Settings: &choice.Settings{
-			Classes: map[string]*choice.Class{"read": {LatencyObjective: second}}, Plans: map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
-			CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 550, Position: 3, ColdCapacity: 0.25,
-			SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
-		}}}, w)
+	l, err := New(
+		0,
+		&settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 1024, Known: []byte("null"),
+			Settings: &settings.Settings{IdleClose: 15 * second, Settings: &choice.Settings{
+				Classes: map[string]*choice.Class{
+					"read": {LatencyObjective: second},
+				}, Plans: map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
+				CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 550, Position: 3, ColdCapacity: 0.25,
+				SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
+			}}},
+		w,
+	)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/limiter/server_answer.go
+++ b/internal/limiter/server_answer.go
@@ -11,8 +11,8 @@
 // maxReportFigure is the largest figure of a load report that is believed, the protocol's largest amount.
 const maxReportFigure = 1e9
 
-// decodeAnswer tells what a server's answer means and its value: the true units, so many at most, and the load report where
-// it gives them.
+// decodeAnswer tells what a server's answer means and its value: the true units, so many at most, and the load report
+// where it gives them.
 func decodeAnswer(v resp.Value, most float64) (reply choice.AttemptResult, value []byte) {
 	switch {
 	case v.Kind == '*':
--- a/internal/limiter/server_conn.go
+++ b/internal/limiter/server_conn.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// dropEndedAttempt ends the connection's attempt if its request has ended while the connection came up, so that nothing may be
-// sent for it any more, or if it is too late for the attempt: it was decided on before the process stood still.
+// dropEndedAttempt ends the connection's attempt if its request has ended while the connection came up, so that
+// nothing may be sent for it any more, or if it is too late for the attempt: it was decided on before the process
+// stood still.
 func (b *serverConn) dropEndedAttempt() {
 	l := b.pool.limiter
 	att := b.attempt
@@ -76,8 +77,8 @@
 	}
 }
 
-// guardPartialRepeat closes the connection in time where the kernel has only a part of a repeat: it must not become whole once
-// servers do not know the request again.
+// guardPartialRepeat closes the connection in time where the kernel has only a part of a repeat: it must not become
+// whole once servers do not know the request again.
 func (b *serverConn) guardPartialRepeat(att *attempt) {
 	l := b.pool.limiter
 	partial := func() bool { return l.effects.Written(b.conn.id) < att.lastByte }
@@ -159,8 +160,8 @@
 	return n, nil
 }
 
-// awaitRest bounds how long the rest of an answer may take. The rest of a good answer is right behind; a malformed one would hold
-// its request until the deadline.
+// awaitRest bounds how long the rest of an answer may take. The rest of a good answer is right behind; a malformed one
+// would hold its request until the deadline.
 func (b *serverConn) awaitRest() {
 	l := b.pool.limiter
 	if b.responseTimer == nil {
@@ -168,8 +169,8 @@
 	}
 }
 
-// takeAnswer ends the attempt by its answer. early says that the kernel has only a part of the command, so that a server can only
-// have rejected it.
+// takeAnswer ends the attempt by its answer. early says that the kernel has only a part of the command, so that a
+// server can only have rejected it.
 func (b *serverConn) takeAnswer(value resp.Value, early bool) error {
 	l := b.pool.limiter
 	att := b.attempt
@@ -203,8 +204,9 @@
 	b.takeFromIdle()
 	inUse := att != nil || b.healthCheckTimer != nil
 	if inUse && end != ConnRefused && end != ProtocolError {
-		// What is still idle may be as dead, where a machine has vanished and says nothing: a command on it might have run for all
-		// we know, while one for which no connection comes up has not. A server that writes nonsense is not dead.
+		// What is still idle may be as dead, where a machine has vanished and says nothing: a command on it might have
+		// run for all we know, while one for which no connection comes up has not. A server that writes nonsense is
+		// not dead.
 		b.pool.closeIdle()
 	}
 	if end == ProtocolError {
--- a/internal/limiter/server_pools.go
+++ b/internal/limiter/server_pools.go
@@ -13,10 +13,11 @@
 const (
 	// serverDescriptorShare: one descriptor in so many is for connections to servers.
 	serverDescriptorShare = 4
-	// keepIdleDecrease: the time for which an idle connection is trusted is shortened by this part when one turns out to have ended
-	// without notice.
+	// keepIdleDecrease: the time for which an idle connection is trusted is shortened by this part when one turns out
+	// to have ended without notice.
 	keepIdleDecrease = 4
-	// keepIdleIncrease: it is lengthened by this part when a connection still serves near its end, and at regular times.
+	// keepIdleIncrease: it is lengthened by this part when a connection still serves near its end, and at regular
+	// times.
 	keepIdleIncrease = 16
 	// restTicks is for how many ticks of the clock a connection has to be idle before its next command.
 	restTicks = 8
@@ -60,7 +61,12 @@
 // addPool makes the pool of a server that was not listed yet, one of so many.
 func (s *serverPools) addPool(id string, servers int) *serverPool {
 	s.poolsSeen++
-	p := &serverPool{limiter: s.limiter, id: id, order: s.poolsSeen, newConns: s.limiter.coldStart.connectionBucket(servers)}
+	p := &serverPool{
+		limiter:  s.limiter,
+		id:       id,
+		order:    s.poolsSeen,
+		newConns: s.limiter.coldStart.connectionBucket(servers),
+	}
 	s.pools[id] = p
 	return p
 }
@@ -88,18 +94,17 @@
 	return true
 }
 
-// closeExpiredIdle closes the connections to servers that have been idle for long: a command that crosses with the server's closing
-// counts as sent.
+// closeExpiredIdle closes the connections to servers that have been idle for long: a command that crosses with the
+// server's closing counts as sent.
 func (s *serverPools) closeExpiredIdle() {
 	for e := s.idle.Front(); e != nil && e.Value.(*serverConn).conn.lastUsed < s.limiter.now-s.keepIdle; e = s.idle.Front() {
 		s.limiter.closeConn(e.Value.(*serverConn).conn, IdleClosed)
 	}
 }
 
-// acquire takes the connection that was used last or opens one; nil if there is no descriptor for it
-// or no more may be opened. One that has
-// just brought an answer rests first: what a server sends too much comes some milliseconds behind, and would be taken for the
-// answer to the next command.
+// acquire takes the connection that was used last or opens one; nil if there is no descriptor for it or no more may be
+// opened. One that has just brought an answer rests first: what a server sends too much comes some milliseconds
+// behind, and would be taken for the answer to the next command.
 func (p *serverPool) acquire() *serverConn {
 	l := p.limiter
 	rest := max(l.settings.TimerResolution, min(restTicks*l.settings.TimerResolution, l.servers.keepIdle/2))
@@ -113,7 +118,8 @@
 			return b
 		}
 	}
-	if !p.newConns.Take(l.now) || l.servers.connCount >= l.config.Sockets/serverDescriptorShare && !l.servers.closeOldestIdle() {
+	if !p.newConns.Take(l.now) ||
+		l.servers.connCount >= l.config.Sockets/serverDescriptorShare && !l.servers.closeOldestIdle() {
 		return nil
 	}
 	l.servers.connCount++
@@ -167,16 +173,16 @@
 	}
 }
 
-// forgetIfEmpty lets go of a server that is gone once nothing is open to it: on a day on which all servers are replaced,
-// again and again, they would fill the memory.
+// forgetIfEmpty lets go of a server that is gone once nothing is open to it: on a day on which all servers are
+// replaced, again and again, they would fill the memory.
 func (p *serverPool) forgetIfEmpty() {
 	if l := p.limiter; p.removed && len(p.conns) == 0 && l.servers.pools[p.id] == p {
 		delete(l.servers.pools, p.id)
 	}
 }
 
-// closeUnused ends what is not in use of the connections to a server that drains or is gone. An attempt whose connection is
-// not up yet is taken back: by the time it is up the grace may be over.
+// closeUnused ends what is not in use of the connections to a server that drains or is gone. An attempt whose
+// connection is not up yet is taken back: by the time it is up the grace may be over.
 func (p *serverPool) closeUnused() {
 	p.closeIdle()
 	for _, b := range slices.Clone(p.conns) {
--- a/internal/limiter/shutdown.go
+++ b/internal/limiter/shutdown.go
@@ -7,7 +7,8 @@
 	shutdownLinger = 500e6
 	// finalReadDelay: so long after that no byte of a client is on its way to us.
 	finalReadDelay = 200e6
-	// lateRequestFrom: a request that comes later than this after the end was asked for is lost where SIGKILL finds it unanswered.
+	// lateRequestFrom: a request that comes later than this after the end was asked for is lost where SIGKILL finds it
+	// unanswered.
 	lateRequestFrom = 700e6
 	// killAfterLate is how long after that SIGKILL may come.
 	killAfterLate = 3e9
@@ -44,17 +45,19 @@
 	l.schedule(l.shutdown.lingerUntil+clientHoldTime+1, func() {})
 }
 
-// outlivesShutdown: what the process takes now it may not be able to answer. A request that came late is lost if the process is
-// killed first.
+// outlivesShutdown: what the process takes now it may not be able to answer. A request that came late is lost if the
+// process is killed first.
 func (l *Limiter) outlivesShutdown(budget int64) bool {
 	since := l.now - (l.shutdown.lingerUntil - shutdownLinger)
-	return l.shutdown.lingerUntil != 0 && since > lateRequestFrom && since+budget > lateRequestFrom+killAfterLate-killMargin
+	return l.shutdown.lingerUntil != 0 && since > lateRequestFrom &&
+		since+budget > lateRequestFrom+killAfterLate-killMargin
 }
 
-// flushIfDone lets the module add what it owes to the counter, once the process is to end and nothing is out; again if a request came
-// after all.
+// flushIfDone lets the module add what it owes to the counter, once the process is to end and nothing is out; again if
+// a request came after all.
 func (l *Limiter) flushIfDone() {
-	if l.shutdown.lingerUntil != 0 && l.now >= l.shutdown.lingerUntil && len(l.requests.byID) == 0 && !l.shutdown.flushed {
+	if l.shutdown.lingerUntil != 0 && l.now >= l.shutdown.lingerUntil && len(l.requests.byID) == 0 &&
+		!l.shutdown.flushed {
 		l.shutdown.flushed = true
 		l.controller.ShutDown(l.now)
 		l.deliverResults()
@@ -64,14 +67,21 @@
 // Finished tells whether nothing is left to do after Stopping.
 func (l *Limiter) Finished() bool {
 	// An attempt that is out may still tell the true units, if its client has gone as well; it ends by its deadline.
-	if l.shutdown.lingerUntil == 0 || l.now < l.shutdown.lingerUntil+finalReadDelay || !l.shutdown.flushed || l.counter.hasPendingCalls() {
+	if l.shutdown.lingerUntil == 0 || l.now < l.shutdown.lingerUntil+finalReadDelay || !l.shutdown.flushed ||
+		l.counter.hasPendingCalls() {
 		return false
 	}
 	return l.Overdue() || l.clients.count == 0 && !l.effects.HasBacklog()
 }
 
-// Overdue tells whether SIGKILL may come soon: no client can hold the process any longer. All that was taken is answered by then, and
-// who has an answer to read has had time to. A process that stood still first reads what has come meanwhile.
+// Overdue tells whether SIGKILL may come soon: no client can hold the process any longer. All that was taken is
+// answered by then, and who has an answer to read has had time to. A process that stood still first reads what has
+// come meanwhile.
 func (l *Limiter) Overdue() bool {
-	return l.shutdown.lingerUntil != 0 && l.now > max(l.shutdown.lingerUntil+clientHoldTime, l.requests.lastEnd+killMargin, l.suspension.timersBlockedUntil)
+	return l.shutdown.lingerUntil != 0 &&
+		l.now > max(
+			l.shutdown.lingerUntil+clientHoldTime,
+			l.requests.lastEnd+killMargin,
+			l.suspension.timersBlockedUntil,
+		)
 }
--- a/internal/limiter/silence_test.go
+++ b/internal/limiter/silence_test.go
@@ -106,9 +106,10 @@
 	}
 }
 
-// TestSilence has a server drain while discovery misbehaves. Whatever the fault, the word is acted on before it counts as
-// told: asked every 10 s, 12 s after a call that waits fell silent and 6 s after any other; pushed, 6 s after a
-// watch fell silent, and otherwise within the grace of a server's drain from when the agent on the own machine answers.
+// TestSilence has a server drain while discovery misbehaves. Whatever the fault, the word is acted on before it counts
+// as told: asked every 10 s, 12 s after a call that waits fell silent and 6 s after any other; pushed, 6 s after a
+// watch fell silent, and otherwise within the grace of a server's drain from when the agent on the own machine
+// answers.
 func TestSilence(t *testing.T) {
 	const never = 60 * second
 	silent := func(int) string { return "" }
@@ -150,7 +151,15 @@
 				l.discovery.pacer = pollpacer.New(0, l.settings.DialTimeout, position, mode.every)
 				d := c.d
 				d.change = max(d.change, 1)
-				require.LessOrEqual(t, d.play(l, w, never), mode.by, "%s: asked every %d s, limiter %d", c.name, mode.every/second, position)
+				require.LessOrEqual(
+					t,
+					d.play(l, w, never),
+					mode.by,
+					"%s: asked every %d s, limiter %d",
+					c.name,
+					mode.every/second,
+					position,
+				)
 			}
 		}
 	}
@@ -176,8 +185,16 @@
 					d.noDial = func(dial int) bool { return dial == moves+1 }
 				}
 				at := d.play(l, w, 9*second)
-				require.True(t, at <= 4*second && l.discovery.version == 8, "%d moves, %q, asked every %d s: acted on after %d ns, version %d",
-					moves, fault, every/second, at, l.discovery.version)
+				require.True(
+					t,
+					at <= 4*second && l.discovery.version == 8,
+					"%d moves, %q, asked every %d s: acted on after %d ns, version %d",
+					moves,
+					fault,
+					every/second,
+					at,
+					l.discovery.version,
+				)
 			}
 		}
 	}
--- a/internal/limiter/start_test.go
+++ b/internal/limiter/start_test.go
@@ -86,7 +86,13 @@
 			require.Equal(t, 1, through(l, w, at+6*second-second/20), "calls before its second instant")
 			require.InDelta(t, 2, through(l, w, at+6*second), float64(c.late), "calls at its second instant")
 			l.Step(l.now, ConnClosed{Conn: w.last, Reason: PeerReset})
-			require.InDelta(t, 2, through(l, w, at+12*second-second/20), float64(c.late), "calls before its third instant")
+			require.InDelta(
+				t,
+				2,
+				through(l, w, at+12*second-second/20),
+				float64(c.late),
+				"calls before its third instant",
+			)
 			require.InDelta(t, 3, through(l, w, at+12*second), float64(c.late), "calls at its third instant")
 		})
 	}
@@ -106,7 +112,12 @@
 		l.Step(l.now+second/10, TimersDue{})
 	}
 	l.Step(l.now, Connected{Conn: l.discovery.conn.id})
-	w.say(l, l.now, l.discovery.conn.id, httpAnswer(strings.Replace(known, `"weight"`, `"startedAtMs":16000,"weight"`, 1)))
+	w.say(
+		l,
+		l.now,
+		l.discovery.conn.id,
+		httpAnswer(strings.Replace(known, `"weight"`, `"startedAtMs":16000,"weight"`, 1)),
+	)
 	require.True(t, l.coldStart.phase == coldstart.Warming, "%v", l.coldStart.phase)
 	for now := l.now; now < 27*second; now += second / 10 {
 		l.Step(now, TimersDue{})
@@ -123,8 +134,13 @@
 	life := func(old *snapshot.Snapshot, known string) *Limiter {
 		t.Helper()
 		config.Known, w.last = []byte(known), 0
-		l, err := NewWithOptions(second, &config, OperatorOptions{Snapshot: old, SaveSnapshot: func(s *snapshot.Snapshot) { saved = append(saved, s) },
-			SaveEvery: 10 * second}, w)
+		l, err := NewWithOptions(
+			second,
+			&config,
+			OperatorOptions{Snapshot: old, SaveSnapshot: func(s *snapshot.Snapshot) { saved = append(saved, s) },
+				SaveEvery: 10 * second},
+			w,
+		)
 		require.NoError(t, err)
 		l.Step(second, Connected{Conn: watching})
 		return l
@@ -140,7 +156,7 @@
 	tell(l, 14*second, `{"generation":9,"instances":[]}`)
 	last := saved[len(saved)-1]
 	want := snapshot.Server{ID: "t", Address: "127.0.0.1:8", StartedAt: second * 9 / 10, Draining: true}
-	if len(saved) != 3 || last.Taken != 13*second || last.Generation != 9 || last.Discovery != "disco" ||
+	if len(saved) != 3 || last.TakenAt != 13*second || last.Generation != 9 || last.Discovery != "disco" ||
 		len(last.Servers) != 2 || last.Servers[1] != want {
 		t.Fatalf("saved %d times, at last %+v", len(saved), last)
 	}
@@ -192,18 +208,31 @@
 
 func TestStartSettings(t *testing.T) {
 	l, _ := made(t)
-	set := ColdStartSettings(&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.settings.Settings}}, OperatorOptions{})
+	set := ColdStartSettings(
+		&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.settings.Settings}},
+		OperatorOptions{},
+	)
 	require.True(t, set.Check() == nil && set.Jitter >= 0.99, "%+v: %v", set, set.Check())
 }
 
-// TestNothingStated: without an operator's file a limiter has no start of its own: pollpacer's pace calls, at its own hold, an
-// answer is followed by the next call at once, and it is ready with discovery's first answer.
+// TestNothingStated: without an operator's file a limiter has no start of its own: pollpacer's pace calls, at its own
+// hold, an answer is followed by the next call at once, and it is ready with discovery's first answer.
 func TestNothingStated(t *testing.T) {
 	for _, every := range []int64{0, 10 * second} {
 		l, w := madeTo(t, every, 0)
-		require.True(t, l.coldStart == nil && l.servers.pools["s"].newConns == (coldstart.Bucket{}), "a start, or a bound of connections")
+		require.True(
+			t,
+			l.coldStart == nil && l.servers.pools["s"].newConns == (coldstart.Bucket{}),
+			"a start, or a bound of connections",
+		)
 		hold, limit := l.discovery.pacer.NextPoll(0, false)
-		if w.say(l, 0, watching, httpAnswer(known)); asks(w) != 2 || !l.readiness.ready || l.discovery.responseTimer.at != limit {
+		if w.say(
+			l,
+			0,
+			watching,
+			httpAnswer(known),
+		); asks(w) != 2 || !l.readiness.ready ||
+			l.discovery.responseTimer.at != limit {
 			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.readiness.ready, l.discovery.responseTimer.at)
 		}
 		expect(t, w.wrote[watching], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
@@ -227,7 +256,14 @@
 				w.say(l, now, c.id, httpAnswer(known))
 			}
 		}
-		require.True(t, asks(w) == asks(v), "%d calls after %d ns, %d where connections are stated", asks(w), now, asks(v))
+		require.True(
+			t,
+			asks(w) == asks(v),
+			"%d calls after %d ns, %d where connections are stated",
+			asks(w),
+			now,
+			asks(v),
+		)
 	}
 	require.True(t, asks(w) >= 5, "%d calls", asks(w))
 }
@@ -238,8 +274,20 @@
 	id := l.discovery.conn.id
 	l.Step(0, Connected{Conn: id})
 	w.pass(l, second)
-	require.True(t, asks(w) == 1 && l.discovery.responseTimer.at >= 29*second, "%d calls, given up at %d", asks(w), l.discovery.responseTimer.at)
+	require.True(
+		t,
+		asks(w) == 1 && l.discovery.responseTimer.at >= 29*second,
+		"%d calls, given up at %d",
+		asks(w),
+		l.discovery.responseTimer.at,
+	)
 	l.Step(9*second, TimersDue{})
 	w.pass(l, 10*second)
-	require.True(t, asks(w) == 1 && !l.suspension.listInDoubt && l.conns[id] != nil, "%d calls, in doubt %v", asks(w), l.suspension.listInDoubt)
+	require.True(
+		t,
+		asks(w) == 1 && !l.suspension.listInDoubt && l.conns[id] != nil,
+		"%d calls, in doubt %v",
+		asks(w),
+		l.suspension.listInDoubt,
+	)
 }
--- a/internal/limiter/stored_test.go
+++ b/internal/limiter/stored_test.go
@@ -6,19 +6,25 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/settings"
 	"ospreycroft/internal/snapshot"
 )
 
-// TestStartsFromFilesOfAnEarlierVersion: a limiter of this version begins with the configuration and the snapshot that one of
-// version f99e54e had, and knows its servers.
+// TestStartsFromFilesOfAnEarlierVersion: a limiter of this version begins with the configuration and the snapshot that
+// one of version f99e54e had, and knows its servers.
 func TestStartsFromFilesOfAnEarlierVersion(t *testing.T) {
 	config, err := settings.ReadFile("../settings/testdata/config.json")
 	require.NoError(t, err)
 	config.Name, config.Discovery = "limiter-a", "127.0.0.1:18500"
-	place := snapshot.Place{Dir: "../snapshot/testdata", Installation: "east", Limiter: config.Name, MaxAge: int64(time.Hour)}
+	place := snapshot.Place{
+		Dir:          "../snapshot/testdata",
+		Installation: "east",
+		Limiter:      config.Name,
+		MaxAge:       int64(time.Hour),
+	}
 	const storedAt = int64(1796224004196034612)
-	stored, err := place.Load(snapshot.Disk{}, storedAt+int64(time.Minute))
+	stored, err := place.Load(atomicfile.Disk{}, storedAt+int64(time.Minute))
 	require.NoError(t, err)
 	_, wires := made(t)
 	l, err := NewWithOptions(storedAt+int64(time.Minute), config, OperatorOptions{Snapshot: stored}, wires)
--- a/internal/limiter/suspension.go
+++ b/internal/limiter/suspension.go
@@ -2,15 +2,19 @@
 
 import "log"
 
-// The process may stand still for long, stopped or without a processor, and finds on waking that all its timers are due,
-// that clients' requests have waited unread, and that the list may have changed. What it was told meanwhile counts.
+// The process may stand still for long, stopped or without a processor, and finds on waking that all its timers are
+// due, that clients' requests have waited unread, and that the list may have changed. What it was told meanwhile
+// counts.
 
 const (
 	maxQuietDialTimeouts = 2     // so many dial time-outs without an event are none that the timers allow
 	minQuietTime         = 250e6 // nor are so many nanoseconds,
-	graceMargin          = 50e6  // but so many beyond the grace in which news has to be acted on are, where the settings tell it
-	settleShare          = 8     // for this part of the time between visits what has come meanwhile is read, and no timer runs
-	minMissedNews        = 2e9   // where discovery is asked, what it had to tell in less than this is in the kernel, or not told
+	// but so many beyond the grace in which news has to be acted on are, where the settings tell it
+	graceMargin = 50e6
+	// for this part of the time between visits what has come meanwhile is read, and no timer runs
+	settleShare = 8
+	// where discovery is asked, what it had to tell in less than this is in the kernel, or not told
+	minMissedNews = 2e9
 )
 
 // suspension is what the limiter knows of the latest time for which it stood still.
@@ -24,7 +28,8 @@
 	trustTimer         *timer
 }
 
-// reapInterval is how often clients are visited, so that something happens: in a dial time-out or in the grace, if that is shorter.
+// reapInterval is how often clients are visited, so that something happens: in a dial time-out or in the grace, if
+// that is shorter.
 func (l *Limiter) reapInterval() int64 {
 	if l.settings.DrainGrace > 0 {
 		return min(l.settings.DialTimeout, max(l.settings.DrainGrace, graceMargin))
@@ -32,8 +37,8 @@
 	return l.settings.DialTimeout
 }
 
-// maxQuietTime is the longest time without an event that is no standing maxQuietTime. What the process was told in it may be read behind
-// a request, so it must not be longer than the grace.
+// maxQuietTime is the longest time without an event that is no standing maxQuietTime. What the process was told in it
+// may be read behind a request, so it must not be longer than the grace.
 func (l *Limiter) maxQuietTime() int64 {
 	still := max(maxQuietDialTimeouts*l.settings.DialTimeout, minQuietTime)
 	if l.settings.DrainGrace > 0 {
@@ -55,7 +60,8 @@
 	w.wokeAt, w.duration, w.timersBlockedUntil, w.listInDoubt = now, gap, now+l.reapInterval()/settleShare, true
 	log.Printf("event=woken still_ms=%d", gap/1e6)
 	l.timers.cancel(w.trustTimer)
-	w.trustTimer = l.schedule(now+l.discovery.pacer.DialTimeout(), l.trustList) // what is held then must do: a list service that is down stops nothing
+	// what is held then must do: a list service that is down stops nothing
+	w.trustTimer = l.schedule(now+l.discovery.pacer.DialTimeout(), l.trustList)
 	if (l.settings.PollInterval == 0 || gap >= minMissedNews) && !l.coldStart.hasCallRate() {
 		l.discovery.revalidate()
 	} else { // the answer of the call that is out is in the kernel, if there is one
--- a/internal/limiter/timers.go
+++ b/internal/limiter/timers.go
@@ -15,7 +15,8 @@
 	made int64 // timers that were ever made; of two at one time the one made first runs first
 }
 
-// cancel takes a timer back that nothing waits for any more: each that runs wakes the process. nil and one that has run are fine.
+// cancel takes a timer back that nothing waits for any more: each that runs wakes the process. nil and one that has
+// run are fine.
 func (q *timerQueue) cancel(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&q.heap, t.index)
@@ -81,7 +82,8 @@
 	l.effects.SetTimer(max(l.timers.heap[0].at, l.suspension.timersBlockedUntil))
 }
 
-// runTimers runs the timers that are due, unless the process has just stood still: what has come meanwhile is read first.
+// runTimers runs the timers that are due, unless the process has just stood still: what has come meanwhile is read
+// first.
 func (l *Limiter) runTimers() {
 	if l.now < l.suspension.timersBlockedUntil {
 		return
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
 // Package operator reads the operator's file: what an installation states beside the configuration that the platform
-// writes. The variable GW_OPERATOR names it; without it all that it switches on is off. deploy/operator.toml is an example.
+// writes. The variable GW_OPERATOR names it; without it all that it switches on is off. deploy/operator.toml is an
+// example.
 package operator
 
 import (
@@ -23,19 +24,21 @@
 // Options is what the file states; the zero value states nothing.
 type Options struct {
 	DiscoveryCallRate float64 // list_calls_per_s: calls a second that the list service bears from all limiters
-	ConnectionRate    float64 // start.connections_per_s: new connections a second that one server bears from all limiters
-	Installation      string  // installation: tells this fleet's snapshots from another's
-	SnapshotPath      string  // snapshot.path: the directory of the limiters' snapshots, empty for none
-	SnapshotMaxAge    int64   // snapshot.oldest_s, in nanoseconds here
-	Distribution      Distribution
+	// start.connections_per_s: new connections a second that one server bears from all limiters
+	ConnectionRate float64
+	Installation   string // installation: tells this fleet's snapshots from another's
+	SnapshotPath   string // snapshot.path: the directory of the limiters' snapshots, empty for none
+	SnapshotMaxAge int64  // snapshot.oldest_s, in nanoseconds here
+	Distribution   Distribution
 }
 
 // Distribution is how the limiter follows the configuration distribution; the zero value is not at all.
 type Distribution struct {
-	Relays      [2]string // distribution.relays: host and port of the limiter's two relays, the one of its own zone first
-	Scope       string    // distribution.scope, as distribution.ParseScope reads it; empty for everything
-	StatePath   string    // distribution.state_path: the directory of the limiters' states, empty for none
-	StateMaxAge int64     // distribution.oldest_s, in nanoseconds here
+	// distribution.relays: host and port of the limiter's two relays, the one of its own zone first
+	Relays      [2]string
+	Scope       string // distribution.scope, as distribution.ParseScope reads it; empty for everything
+	StatePath   string // distribution.state_path: the directory of the limiters' states, empty for none
+	StateMaxAge int64  // distribution.oldest_s, in nanoseconds here
 }
 
 // UnreadableError is a file that GW_OPERATOR names and that cannot be read, or is no TOML.
@@ -94,8 +97,12 @@
 	o := &Options{}
 	oldest := 0.0
 	oldestState := 0.0
-	numbers := map[string]*float64{"list_calls_per_s": &o.DiscoveryCallRate, "start.connections_per_s": &o.ConnectionRate, "snapshot.oldest_s": &oldest,
-		"distribution.oldest_s": &oldestState}
+	numbers := map[string]*float64{
+		"list_calls_per_s":        &o.DiscoveryCallRate,
+		"start.connections_per_s": &o.ConnectionRate,
+		"snapshot.oldest_s":       &oldest,
+		"distribution.oldest_s":   &oldestState,
+	}
 	words := map[string]*string{"installation": &o.Installation, "snapshot.path": &o.SnapshotPath,
 		"distribution.scope": &o.Distribution.Scope, "distribution.state_path": &o.Distribution.StatePath}
 	keys := k.Keys()
@@ -175,7 +182,12 @@
 	case d.StatePath != "" && o.Installation == "":
 		return &KeyError{path, "installation", "missing", "a name, as distribution.state_path is set"}
 	case d.StatePath != "" && d.StateMaxAge == 0:
-		return &KeyError{path, "distribution.oldest_s", "missing", "a number of seconds, as distribution.state_path is set"}
+		return &KeyError{
+			path,
+			"distribution.oldest_s",
+			"missing",
+			"a number of seconds, as distribution.state_path is set",
+		}
 	}
 	return nil
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,9 +16,19 @@
 	require.NoError(t, err)
 	require.Zero(t, *o, "with nothing set")
 	t.Setenv(Variable, "../../deploy/operator.toml")
-	want := Options{DiscoveryCallRate: 20, ConnectionRate: 40, Installation: "east", SnapshotPath: "/var/lib/ospreycroft", SnapshotMaxAge: 3600e9,
-		Distribution: Distribution{Relays: [2]string{"relay-a.internal:7400", "relay-b.internal:7400"}, Scope: "endpoints@east",
-			StatePath: "/var/lib/ospreycroft", StateMaxAge: 86400e9}}
+	want := Options{
+		DiscoveryCallRate: 20,
+		ConnectionRate:    40,
+		Installation:      "east",
+		SnapshotPath:      "/var/lib/ospreycroft",
+		SnapshotMaxAge:    3600e9,
+		Distribution: Distribution{
+			Relays:      [2]string{"relay-a.internal:7400", "relay-b.internal:7400"},
+			Scope:       "endpoints@east",
+			StatePath:   "/var/lib/ospreycroft",
+			StateMaxAge: 86400e9,
+		},
+	}
 	o, err = Read()
 	require.NoError(t, err)
 	require.Equal(t, want, *o, "the example")
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -13,7 +13,21 @@
 	require.NoError(t, err)
 	o, err := Parse("operator.toml", text)
 	require.NoError(t, err)
-	require.Equal(t, Options{DiscoveryCallRate: 20, ConnectionRate: 40, Installation: "east", SnapshotPath: "/var/lib/ospreycroft", SnapshotMaxAge: 3600e9,
-		Distribution: Distribution{Relays: [2]string{"relay-a.internal:7400", "relay-b.internal:7400"}, Scope: "endpoints@east",
-			StatePath: "/var/lib/ospreycroft", StateMaxAge: 86400e9}}, *o)
+	require.Equal(
+		t,
+		Options{
+			DiscoveryCallRate: 20,
+			ConnectionRate:    40,
+			Installation:      "east",
+			SnapshotPath:      "/var/lib/ospreycroft",
+			SnapshotMaxAge:    3600e9,
+			Distribution: Distribution{
+				Relays:      [2]string{"relay-a.internal:7400", "relay-b.internal:7400"},
+				Scope:       "endpoints@east",
+				StatePath:   "/var/lib/ospreycroft",
+				StateMaxAge: 86400e9,
+			},
+		},
+		*o,
+	)
 }
--- a/internal/pollpacer/deadline_test.go
+++ b/internal/pollpacer/deadline_test.go
@@ -45,8 +45,8 @@
 	return now, Failed
 }
 
-// back is the earliest time from which discovery can have been back without answering the attempt: a 503 is an answer, anything
-// else may have been lost as it began.
+// back is the earliest time from which discovery can have been back without answering the attempt: a 503 is an answer,
+// anything else may have been lost as it began.
 func (a attempt) back(begins, ends int64) int64 {
 	if a == turnedAway || a == turnedSlow {
 		return ends
@@ -54,8 +54,8 @@
 	return begins
 }
 
-// TestNotificationDeadline: whatever attempts fail in whatever order, at each place, the next attempt behind each of them, its dial
-// and its answer are over 6 s after discovery can have come back.
+// TestNotificationDeadline: whatever attempts fail in whatever order, at each place, the next attempt behind each of
+// them, its dial and its answer are over 6 s after discovery can have come back.
 func TestNotificationDeadline(t *testing.T) {
 	const places, failures = 24, 5
 	begins := map[string]func(p *Pacer){
@@ -91,8 +91,9 @@
 	return n
 }
 
-// slowest plays the order of failures with number n and gives the longest time from when discovery can have come back to the end of
-// the next attempt. A watch that falls silent before any failure may be held for its whole wait: only what follows is measured.
+// slowest plays the order of failures with number n and gives the longest time from when discovery can have come back
+// to the end of the next attempt. A watch that falls silent before any failure may be held for its whole wait: only
+// what follows is measured.
 func slowest(t *testing.T, p *Pacer, n, failures int, retried bool) (longest int64) {
 	now := int64(0)
 	for i := range failures {
@@ -100,10 +101,18 @@
 		n /= int(attempts)
 		ends, end := a.fail(p, now)
 		pause := p.RetryDelay(ends, end)
-		told := ends + pause + 2*p.DialTimeout() + margin - a.back(now, ends)
+		told := ends + pause + 2*p.DialTimeout() + processingMargin - a.back(now, ends)
 		if i > 0 || retried || a != silentWatch {
-			if told > toldAfter {
-				t.Fatalf("failure %d, way %d: begun at %d, over at %d, a pause of %d: told after %d", i, a, now, ends, pause, told)
+			if told > notifiedAfterSilence {
+				t.Fatalf(
+					"failure %d, way %d: begun at %d, over at %d, a pause of %d: told after %d",
+					i,
+					a,
+					now,
+					ends,
+					pause,
+					told,
+				)
 			}
 			longest = max(longest, told)
 		}
@@ -112,8 +121,9 @@
 	return longest
 }
 
-// TestRetryWaits: a call behind a failed one waits for 4 s at most, so that it is over in time if it falls silent, and an answer
-// ends that. What ends within a dial time-out of its answer is closed behind each answer, and waits for as long as before.
+// TestRetryWaits: a call behind a failed one waits for 4 s at most, so that it is over in time if it falls silent, and
+// an answer ends that. What ends within a dial time-out of its answer is closed behind each answer, and waits for as
+// long as before.
 func TestRetryWaits(t *testing.T) {
 	held := func(prepare func(p *Pacer)) int64 {
 		p := New(0, unit, 3, every)
@@ -123,7 +133,7 @@
 		hold, _ := p.NextPoll(late, false)
 		return hold
 	}
-	const retry = toldAfter - toldWait
+	const retry = notifiedAfterSilence - notifiedAfterHold
 	require.Equal(t, every, held(func(*Pacer) {}), "no failure")
 	require.Equal(t, int64(retry), held(func(p *Pacer) { p.RetryDelay(late, Failed) }), "no answer")
 	require.Equal(t, int64(retry), held(func(p *Pacer) { p.RetryDelay(late, Throttled) }), "turned away")
@@ -136,8 +146,9 @@
 	require.Equal(t, second, hold, "asked more often than that")
 }
 
-// TestTurnedAwayRate: what a fleet of 300 asks of a discovery that turns all calls away, second by second, once the pauses have
-// grown to their longest. The pauses are as long as the notification deadline allows, and no fleet asks in step.
+// TestTurnedAwayRate: what a fleet of 300 asks of a discovery that turns all calls away, second by second, once the
+// pauses have grown to their longest. The pauses are as long as the notification deadline allows, and no fleet asks in
+// step.
 func TestTurnedAwayRate(t *testing.T) {
 	const limiters, from, until = 300, 60, 120
 	for _, c := range []struct {
--- a/internal/pollpacer/pollpacer.go
+++ b/internal/pollpacer/pollpacer.go
@@ -17,26 +17,28 @@
 
 // When news counts as told to a limiter, whether it came or not; the figures are the protocol's.
 const (
-	toldAfter = 6e9 // so long after discovery fell silent,
-	toldWait  = 2e9 // where a call may wait no sooner than so long after its wait,
-	toldMoved = 4e9 // and so long after a new configuration
+	notifiedAfterSilence = 6e9 // so long after discovery fell silent,
+	notifiedAfterHold    = 2e9 // where a call may wait no sooner than so long after its wait,
+	notifiedAfterMove    = 4e9 // and so long after a new configuration
 )
 
 const (
-	brokeFirst  = 4  // after a failure it is asked again after this part of a dial time-out,
-	brokeMost   = 4  // and after further ones later and later, up to so many dial time-outs;
-	turnedFirst = 8  // after it turned a call away, after so many dial time-outs,
-	turnedMost  = 32 // and up to so many
-	pushedPart  = 5  // where changes are pushed what the own machine's agent has counts at once: after this part of the grace,
-	holds       = 4  // there a watch waits for so many dial time-outs: one that is never answered hides all news,
-	patience    = 2  // and is given up if no answer comes for so many more
-	startShare  = 2  // where it is asked the first call comes within this part of the time in which each must have asked once
-
-	mostPause  = 50e6 // and after no longer than that, as it costs nothing there,
-	leastPause = 1e6  // nor sooner than that
-
-	mostDial = 500e6 // no dial to discovery, and no answer that could come at once, is waited for longer
-	margin   = 100e6 // what all that is not waiting takes together
+	firstFailurePauseParts = 4  // after a failure it is asked again after this part of a dial time-out,
+	maxFailurePause        = 4  // and after further ones later and later, up to so many dial time-outs;
+	firstThrottledPause    = 8  // after it turned a call away, after so many dial time-outs,
+	maxThrottledPause      = 32 // and up to so many
+	// where changes are pushed what the own machine's agent has counts at once: after this part of the grace,
+	pushedGraceParts      = 5
+	pushedHold            = 4 // there a watch waits for so many dial time-outs: one that is never answered hides all news,
+	pushedResponseTimeout = 2 // and is given up if no answer comes for so many more
+	// where it is asked the first call comes within this part of the time in which each must have asked once
+	firstCallParts = 2
+
+	maxPushedPause = 50e6 // and after no longer than that, as it costs nothing there,
+	minPushedPause = 1e6  // nor sooner than that
+
+	maxDialTimeout   = 500e6 // no dial to discovery, and no answer that could come at once, is waited for longer
+	processingMargin = 100e6 // what all that is not waiting takes together
 )
 
 // noCall stands for the time of a call where none is out.
@@ -44,159 +46,171 @@
 
 // Pacer is one limiter's way of asking. The zero value is not of use; see New.
 type Pacer struct {
-	dial     int64   // a dial time-out
-	every    int64   // the longest time between calls where they are work for discovery, 0 where changes are pushed
-	pause    int64   // the longest between them where they are none
-	place    float64 // this limiter's place among all, in [0, 1)
-	failures int     // calls in a row without an answer
-	known    int64   // when the list that is held was last known to be discovery's
-	waits    int64   // until when the latest call may wait
-	told     int64   // from when on what is missed counts as told, 0 while nothing is
-	early    bool    // one call may come early for that
-	retry    bool    // the next call is a retry: no answer has come since a call failed
-	asked    int64   // when the call that is out was made, noCall while none is
-	resume   int64   // when the next call would have come without that one, 0 where there was none
+	dialTimeout      int64   // a dial time-out
+	pollInterval     int64   // the longest time between calls where they are work for discovery, 0 where changes are pushed
+	pushedPause      int64   // the longest between them where they are none
+	positionFraction float64 // this limiter's place among all, in [0, 1)
+	failures         int     // calls in a row without an answer
+	lastResponse     int64   // when the list that is held was last known to be discovery's
+	holdUntil        int64   // until when the latest call may wait
+	notifiedAt       int64   // from when on what is missed counts as told, 0 while nothing is
+	earlyCallLeft    bool    // one call may come early for that
+	retrying         bool    // the next call is a retry: no answer has come since a call failed
+	callMadeAt       int64   // when the call that is out was made, noCall while none is
+	plannedCall      int64   // when the next call would have come without that one, 0 where there was none
 }
 
 // New makes the pace of the limiter with this number among all. dialTimeout is in nanoseconds and above 0; every is the
 // settings' longest time between calls where discovery tells only those that ask, and 0 where it tells all.
 func New(now, dialTimeout int64, position int, every int64) *Pacer {
 	_, place := math.Modf(float64(position) * math.Phi)
-	return &Pacer{dial: min(dialTimeout, mostDial), place: place, every: every, pause: mostPause, known: now, asked: noCall}
+	return &Pacer{
+		dialTimeout:      min(dialTimeout, maxDialTimeout),
+		positionFraction: place,
+		pollInterval:     every,
+		pushedPause:      maxPushedPause,
+		lastResponse:     now,
+		callMadeAt:       noCall,
+	}
 }
 
 // SetNotificationBound takes the settings' grace: how late what is told may be acted on, 0 where they do not say.
 func (p *Pacer) SetNotificationBound(grace int64) {
 	if grace > 0 {
-		p.pause = max(min(mostPause, grace/pushedPart), leastPause)
+		p.pushedPause = max(min(maxPushedPause, grace/pushedGraceParts), minPushedPause)
 	}
 }
 
-// FirstDelay is how long to wait before the first call. Limiters that start together would overbook a discovery that takes their
-// calls in turn, and what it cannot answer in time is work in vain: by their places they come evenly. The list of the
-// configuration holds until then, but not for longer than its news takes to count as told.
+// FirstDelay is how long to wait before the first call. Limiters that start together would overbook a discovery that
+// takes their calls in turn, and what it cannot answer in time is work in vain: by their places they come evenly. The
+// list of the configuration holds until then, but not for longer than its news takes to count as told.
 func (p *Pacer) FirstDelay() int64 {
-	return int64(p.place * float64(min(p.every/startShare, toldAfter-p.room())))
+	return int64(p.positionFraction * float64(min(p.pollInterval/firstCallParts, notifiedAfterSilence-p.retryAllowance())))
 }
 
 // DialTimeout is how long a connection to discovery may take to come up.
-func (p *Pacer) DialTimeout() int64 { return p.dial }
+func (p *Pacer) DialTimeout() int64 { return p.dialTimeout }
 
 // PartialResponseTimeout is how long the rest of an answer that has begun may take.
-func (p *Pacer) PartialResponseTimeout() int64 { return 2 * p.dial }
+func (p *Pacer) PartialResponseTimeout() int64 { return 2 * p.dialTimeout }
 
-// room is what has to be left when a call is given up: a dial that is never answered, the pause after it, a dial and an
+// retryAllowance is what has to be left when a call is given up: a dial that is never answered, the pause after it, a dial and an
 // answer.
-func (p *Pacer) room() int64 { return 3*p.dial + p.dial/brokeFirst*3/2 + margin }
+func (p *Pacer) retryAllowance() int64 {
+	return 3*p.dialTimeout + p.dialTimeout/firstFailurePauseParts*3/2 + processingMargin
+}
 
-// MaxBackoff is the longest pause behind a failed call that keeps the notification deadline. Discovery may come back just after
-// a dial that it will never answer: that dial's time-out, the pause, and the dial and the answer of the next call come before
-// what discovery has counts as told.
-func (p *Pacer) MaxBackoff() int64 { return toldAfter - 3*p.dial - margin }
+// MaxBackoff is the longest pause behind a failed call that keeps the notification deadline. Discovery may come back
+// just after a dial that it will never answer: that dial's time-out, the pause, and the dial and the answer of the
+// next call come before what discovery has counts as told.
+func (p *Pacer) MaxBackoff() int64 { return notifiedAfterSilence - 3*p.dialTimeout - processingMargin }
 
-// NextPoll tells how long a call that is made now is to wait for news, and after how long it is given up if it is still
-// unanswered. A call for the whole list does not wait. To give one up that stands in discovery's queue and ask again
-// adds to the queue, so where it is asked it is held for as long as leaves room before news counts as told. A retry waits for
-// less, so that it is over within the deadline for what discovery has when it can be reached again.
+// NextPoll tells how long a call that is made now is to wait for news, and after how long it is given up if it is
+// still unanswered. A call for the whole list does not wait. To give one up that stands in discovery's queue and ask
+// again adds to the queue, so where it is asked it is held for as long as leaves room before news counts as told. A
+// retry waits for less, so that it is over within the deadline for what discovery has when it can be reached again.
 func (p *Pacer) NextPoll(now int64, whole bool) (hold, limit int64) {
 	switch {
 	case whole:
-	case p.every > 0 && p.retry:
-		hold = min(p.every, toldAfter-toldWait)
-	case p.every > 0:
-		hold = p.every
+	case p.pollInterval > 0 && p.retrying:
+		hold = min(p.pollInterval, notifiedAfterSilence-notifiedAfterHold)
+	case p.pollInterval > 0:
+		hold = p.pollInterval
 	default:
-		hold = holds * p.dial
+		hold = pushedHold * p.dialTimeout
 	}
-	return hold, p.limit(now, whole, hold)
+	return hold, p.responseTimeout(now, whole, hold)
 }
 
-// limit is after how long a call with this wait is given up.
-func (p *Pacer) limit(now int64, whole bool, hold int64) (limit int64) {
-	told := now + toldAfter
-	if whole && p.told-p.room()-now >= p.dial {
-		told = min(told, p.told)
+// responseTimeout is after how long a call with this wait is given up.
+func (p *Pacer) responseTimeout(now int64, whole bool, hold int64) (limit int64) {
+	told := now + notifiedAfterSilence
+	if whole && p.notifiedAt-p.retryAllowance()-now >= p.dialTimeout {
+		told = min(told, p.notifiedAt)
 	}
-	p.waits = now + hold
-	p.asked = now
-	limit = max(told, p.waits+toldWait) - now - p.room()
+	p.holdUntil = now + hold
+	p.callMadeAt = now
+	limit = max(told, p.holdUntil+notifiedAfterHold) - now - p.retryAllowance()
 	if whole {
-		limit = told - now - p.room()
+		limit = told - now - p.retryAllowance()
 	}
-	if p.every == 0 {
-		limit = min(limit, hold+patience*p.dial)
+	if p.pollInterval == 0 {
+		limit = min(limit, hold+pushedResponseTimeout*p.dialTimeout)
 	}
-	return max(limit, hold+p.dial)
+	return max(limit, hold+p.dialTimeout)
 }
 
 // ResponseReceived notes a list: nothing is missed.
 func (p *Pacer) ResponseReceived(now int64) {
 	p.failures = 0
-	p.known = now
-	p.told = 0
-	p.early = true
-	p.resume = 0
-	p.retry = false
-	p.asked = noCall
+	p.lastResponse = now
+	p.notifiedAt = 0
+	p.earlyCallLeft = true
+	p.plannedCall = 0
+	p.retrying = false
+	p.callMadeAt = noCall
 }
 
-// ConnectionLost notes that a connection that has served ended from the other side with a call out. The call is made again at once, as a
-// retry. A connection that ends within a dial time-out of its latest answer is one that discovery closes behind each answer.
+// ConnectionLost notes that a connection that has served ended from the other side with a call out. The call is made
+// again at once, as a retry. A connection that ends within a dial time-out of its latest answer is one that discovery
+// closes behind each answer.
 func (p *Pacer) ConnectionLost(now int64) {
-	if p.asked != noCall && now-p.asked >= p.dial {
-		p.retry = true
+	if p.callMadeAt != noCall && now-p.callMadeAt >= p.dialTimeout {
+		p.retrying = true
 	}
 }
 
-// ServiceMoved notes that discovery is at a new address, from which nothing has come yet. As at the start, all limiters ask it
-// together, so no call comes early.
+// ServiceMoved notes that discovery is at a new address, from which nothing has come yet. As at the start, all
+// limiters ask it together, so no call comes early.
 func (p *Pacer) ServiceMoved(now int64) {
 	p.failures = 0
-	p.told = now + toldMoved
-	p.early = false
-	p.resume = 0
+	p.notifiedAt = now + notifiedAfterMove
+	p.earlyCallLeft = false
+	p.plannedCall = 0
 }
 
-// RetryDelay takes the end of a call that brought no list and tells how long to wait before the next one: longer with each in a
-// row. Limiters that failed together come again apart: the wait is between half and one and a half of its span, by the
-// limiter's place, which steps on with each failure. Where the next call would come after what is missed counts as told, one
-// comes before that, apart again: one more a limiter and outage, and the others stay where they were.
+// RetryDelay takes the end of a call that brought no list and tells how long to wait before the next one: longer with
+// each in a row. Limiters that failed together come again apart: the wait is between half and one and a half of its
+// span, by the limiter's place, which steps on with each failure. Where the next call would come after what is missed
+// counts as told, one comes before that, apart again: one more a limiter and outage, and the others stay where they
+// were.
 func (p *Pacer) RetryDelay(now int64, end Failure) int64 {
-	if p.told == 0 {
-		p.told = p.known + toldAfter
+	if p.notifiedAt == 0 {
+		p.notifiedAt = p.lastResponse + notifiedAfterSilence
 		if end == Failed {
-			p.told = max(p.told, min(now, p.waits)+toldWait)
+			p.notifiedAt = max(p.notifiedAt, min(now, p.holdUntil)+notifiedAfterHold)
 		}
 	}
-	asked := p.asked
-	p.retry = true
-	p.asked = noCall
-	if left := p.resume - now; left > 0 {
-		p.resume = 0
+	asked := p.callMadeAt
+	p.retrying = true
+	p.callMadeAt = noCall
+	if left := p.plannedCall - now; left > 0 {
+		p.plannedCall = 0
 		return left
 	}
-	span := p.span(end)
+	span := p.meanBackoff(end)
 	p.failures++
-	_, part := math.Modf(p.place + float64(p.failures)*math.Phi)
-	pause := p.apart(span, p.longest(now, asked, end), part)
-	if left := p.told - now - 2*p.dial - margin; p.early && pause > left && left > 0 {
-		p.early = false
-		p.resume = now + pause
+	_, part := math.Modf(p.positionFraction + float64(p.failures)*math.Phi)
+	pause := p.jittered(span, p.maxPause(now, asked, end), part)
+	if left := p.notifiedAt - now - 2*p.dialTimeout - processingMargin; p.earlyCallLeft && pause > left && left > 0 {
+		p.earlyCallLeft = false
+		p.plannedCall = now + pause
 		return left/4 + int64(part*float64(left*3/4))
 	}
 	return pause
 }
 
-// span is the mean pause behind a failed call where the notification deadline leaves it, longer with each failure in a row.
-func (p *Pacer) span(end Failure) int64 {
-	span := p.dial / brokeFirst
-	most := brokeMost * p.dial
+// meanBackoff is the mean pause behind a failed call where the notification deadline leaves it, longer with each failure in a
+// row.
+func (p *Pacer) meanBackoff(end Failure) int64 {
+	span := p.dialTimeout / firstFailurePauseParts
+	most := maxFailurePause * p.dialTimeout
 	switch {
-	case p.every == 0:
-		return min(span, p.pause)
+	case p.pollInterval == 0:
+		return min(span, p.pushedPause)
 	case end == Throttled:
-		span = turnedFirst * p.dial
-		most = turnedMost * p.dial
+		span = firstThrottledPause * p.dialTimeout
+		most = maxThrottledPause * p.dialTimeout
 	}
 	for range p.failures {
 		span = min(2*span, most)
@@ -207,25 +221,26 @@
 	return span
 }
 
-// longest is the longest pause behind a call that was made at asked and ends now. A call without an answer may have been lost as
-// discovery came back, so the next one is over within the deadline from when that one was made; it is never sooner than
-// the first pause of all. A call that was turned away has had an answer: discovery was not back before that.
-func (p *Pacer) longest(now, asked int64, end Failure) int64 {
+// maxPause is the maxPause pause behind a call that was made at asked and ends now. A call without an answer may have
+// been lost as discovery came back, so the next one is over within the deadline from when that one was made; it is
+// never sooner than the first pause of all. A call that was turned away has had an answer: discovery was not back
+// before that.
+func (p *Pacer) maxPause(now, asked int64, end Failure) int64 {
 	longest := p.MaxBackoff()
 	if end == Failed && asked != noCall {
-		longest = min(longest, asked+toldAfter-2*p.dial-margin-now)
+		longest = min(longest, asked+notifiedAfterSilence-2*p.dialTimeout-processingMargin-now)
 	}
-	return max(longest, p.dial/brokeFirst*3/2)
+	return max(longest, p.dialTimeout/firstFailurePauseParts*3/2)
 }
 
-// apart draws a pause from between half and one and a half of a span, or from the upper half of what is allowed where that
-// would be longer. Half of the draw is the limiter's place then: pauses of one mean would keep a fleet in step for good. part is
-// in [0, 1).
-func (p *Pacer) apart(span, longest int64, part float64) int64 {
+// jittered draws a pause from between half and one and a half of a span, or from the upper half of what is allowed where
+// that would be longer. Half of the draw is the limiter's place then: pauses of one mean would keep a fleet in step
+// for good. part is in [0, 1).
+func (p *Pacer) jittered(span, longest int64, part float64) int64 {
 	least := span / 2
 	most := span/2 + span
 	if most > longest {
-		least, most, part = longest/2, longest, (part+p.place)/2
+		least, most, part = longest/2, longest, (part+p.positionFraction)/2
 	}
 	return least + int64(part*float64(most-least))
 }
--- a/internal/pollpacer/pollpacer_test.go
+++ b/internal/pollpacer/pollpacer_test.go
@@ -19,7 +19,7 @@
 			t.Fatal(first)
 		}
 		for range 20 {
-			if wait := p.RetryDelay(late, Failed); wait > 2*brokeMost*unit {
+			if wait := p.RetryDelay(late, Failed); wait > 2*maxFailurePause*unit {
 				t.Fatal(wait)
 			}
 		}
@@ -27,7 +27,7 @@
 	t.Run("limiters that failed together come again apart", func(t *testing.T) {
 		tenths := [10]int{}
 		for i := range 80 {
-			tenths[10*(New(0, unit, i, every).RetryDelay(late, Throttled)-turnedFirst*unit/2)/(turnedFirst*unit)]++
+			tenths[10*(New(0, unit, i, every).RetryDelay(late, Throttled)-firstThrottledPause*unit/2)/(firstThrottledPause*unit)]++
 		}
 		for _, n := range tenths {
 			if n < 6 || n > 10 {
@@ -41,7 +41,7 @@
 			p.RetryDelay(late, Throttled)
 			p.RetryDelay(late, Failed)
 		}
-		if wait := p.RetryDelay(late, Throttled); wait < turnedMost*unit/2 {
+		if wait := p.RetryDelay(late, Throttled); wait < maxThrottledPause*unit/2 {
 			t.Fatal(wait)
 		}
 	})
@@ -51,7 +51,7 @@
 			p.RetryDelay(late, Throttled)
 		}
 		p.ResponseReceived(late)
-		if wait := p.RetryDelay(late, Throttled); wait > 2*turnedFirst*unit {
+		if wait := p.RetryDelay(late, Throttled); wait > 2*firstThrottledPause*unit {
 			t.Fatal(wait, "after an answer")
 		}
 	})
@@ -107,7 +107,7 @@
 				if now <= 6e9-2*unit {
 					last = now
 				}
-				if p.every > 0 {
+				if p.pollInterval > 0 {
 					inSecond[min(now/1e9, 60)]++
 				}
 				now += p.RetryDelay(now, end)
@@ -178,7 +178,8 @@
 	}
 }
 
-// TestGrace: the pause before the agent is asked again is a part of the grace that the settings tell, not of one site's.
+// TestGrace: the pause before the agent is asked again is a part of the grace that the settings tell, not of one
+// site's.
 func TestGrace(t *testing.T) {
 	for _, c := range []struct{ grace, least, most int64 }{{0, 25e6, 75e6}, {500e6, 25e6, 75e6}, {100e6, 10e6, 30e6}, {1, 5e5, 15e5}} {
 		p := New(0, unit, 3, 0)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -104,7 +104,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v, used, err := ReadValue([]byte(c.in))
-			if !errors.Is(err, c.err) || err == nil && (used != len(c.in) || len(v.List) != c.list || v.Null != c.null) {
+			if !errors.Is(err, c.err) ||
+				err == nil && (used != len(c.in) || len(v.List) != c.list || v.Null != c.null) {
 				t.Fatalf("value %+v, used %d, error %v", v, used, err)
 			}
 		})
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -28,8 +28,8 @@
 	old, new any
 }
 
-// NeedRestart names every key that differs in another configuration and cannot change before the next start, a class or a plan by
-// its name. Discovery and the counter may move, but a counter is neither added nor taken away.
+// NeedRestart names every key that differs in another configuration and cannot change before the next start, a class
+// or a plan by its name. Discovery and the counter may move, but a counter is neither added nor taken away.
 func (c *Config) NeedRestart(other *Config) (keys []string) {
 	a := c.Settings
 	b := other.Settings
@@ -47,7 +47,9 @@
 		{"granularity", a.TimerResolution, b.TimerResolution}} {
 		all = append(all, kept{"settings: " + s.key, s.old, s.new})
 	}
-	all = append(append(all, named("settings: classes: ", a.Classes, b.Classes)...), named("settings: tariffs: ", a.Plans, b.Plans)...)
+	all = append(
+		append(all, named("settings: classes: ", a.Classes, b.Classes)...),
+		named("settings: tariffs: ", a.Plans, b.Plans)...)
 	for _, k := range all {
 		if k.old != k.new {
 			keys = append(keys, k.key)
@@ -118,7 +120,12 @@
 			continue
 		}
 		host, port, err := net.SplitHostPort(a.address)
-		if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || n == 0 || host == "" && a.key != "listen" {
+		if n, bad := strconv.ParseUint(
+			port,
+			10,
+			16,
+		); err != nil || bad != nil || n == 0 ||
+			host == "" && a.key != "listen" {
 			return nil, &KeyError{Key: a.key, Why: fmt.Sprintf("%q is no address", a.address), Cause: err}
 		}
 	}
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -14,14 +14,22 @@
 
 func TestReadConfig(t *testing.T) {
 	c, err := DecodeConfig([]byte(good))
-	if err != nil || c.Seed != 255 || c.Memory != 192<<20 || c.Settings.IdleClose != 15e9 || c.Settings.CounterTimeout != 5e7 {
+	if err != nil || c.Seed != 255 || c.Memory != 192<<20 || c.Settings.IdleClose != 15e9 ||
+		c.Settings.CounterTimeout != 5e7 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
 	if p, class := c.Settings.Plans["p"], c.Settings.Classes["c"]; p.MaxInFlight != 0 || class.PriorityWeight != 1 {
-		t.Fatalf("a configuration that does not speak of them has a cap of %v and a worth of %v", p.MaxInFlight, class.PriorityWeight)
+		t.Fatalf(
+			"a configuration that does not speak of them has a cap of %v and a worth of %v",
+			p.MaxInFlight,
+			class.PriorityWeight,
+		)
 	}
 	moved := strings.Replace(strings.Replace(good, `"rate":5`, `"parallel":3`, 1), `"aim":1`, `"aim":1,"worth":5`, 1)
-	if c, err = DecodeConfig([]byte(moved)); err != nil || c.Settings.Plans["p"].MaxInFlight != 3 || c.Settings.Classes["c"].PriorityWeight != 5 {
+	if c, err = DecodeConfig(
+		[]byte(moved),
+	); err != nil || c.Settings.Plans["p"].MaxInFlight != 3 ||
+		c.Settings.Classes["c"].PriorityWeight != 5 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
@@ -45,7 +53,10 @@
 		{"too few sockets", `1024`, `8`, "limits: sockets"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := DecodeConfig([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err := DecodeConfig(
+				[]byte(strings.Replace(good, c.old, c.new, 1)),
+			); err == nil ||
+				!strings.Contains(err.Error(), c.want) {
 				t.Fatalf("error %v, want %s", err, c.want)
 			}
 		})
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -51,7 +51,10 @@
 }
 func (e *KeyError) Unwrap() error { return e.Cause }
 func (e *KeyError) Hint() string {
-	return fmt.Sprintf("mend the key %q of the configuration; `ospreycroft check` reads it again without starting", e.Key)
+	return fmt.Sprintf(
+		"mend the key %q of the configuration; `ospreycroft check` reads it again without starting",
+		e.Key,
+	)
 }
 
 // wrong is the error of a key whose value cannot work.
--- a/internal/settings/other_test.go
+++ b/internal/settings/other_test.go
@@ -11,9 +11,11 @@
 	"ospreycroft/choice"
 )
 
-// TestFixedWhole changes each field that a configuration holds, one at a time: none may differ without its key being named.
+// TestFixedWhole changes each field that a configuration holds, one at a time: none may differ without its key being
+// named.
 func TestFixedWhole(t *testing.T) {
-	free := map[string]bool{"Discovery": true, "Known": true, "MaxLease": true} // they move, are asked for anew, or are the wire's
+	// they move, are asked for anew, or are the wire's
+	free := map[string]bool{"Discovery": true, "Known": true, "MaxLease": true}
 	read := func() *Config {
 		c, err := DecodeConfig([]byte(good))
 		require.NoError(t, err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -68,8 +68,8 @@
 	Granularity float64 `json:"granularity"`
 }
 
-// Bounds of figures. Nobody means one beyond them, and the arithmetic in nanoseconds holds within them: what is shorter would
-// round to no time at all, and what is longer would overflow.
+// Bounds of figures. Nobody means one beyond them, and the arithmetic in nanoseconds holds within them: what is
+// shorter would round to no time at all, and what is longer would overflow.
 const (
 	leastTime = 1e-4 // seconds
 	mostTime  = 1e8
@@ -111,10 +111,11 @@
 // Settings are the module's settings and, beside them, what only sockets read.
 type Settings struct {
 	*choice.Settings
-	IdleClose      int64   // a server closes a connection that has been idle for so long
-	PollInterval   int64   // the longest time between calls to discovery where it tells only those that ask, else 0
-	DrainGrace     int64   // how long after word that it drains a server may still be sent to; 0 where it is not told
-	MaxActualUnits float64 // the most units that an answer can say a request has taken; 0 where a request's own figure is no guess
+	IdleClose    int64 // a server closes a connection that has been idle for so long
+	PollInterval int64 // the longest time between calls to discovery where it tells only those that ask, else 0
+	DrainGrace   int64 // how long after word that it drains a server may still be sent to; 0 where it is not told
+	// the most units that an answer can say a request has taken; 0 where a request's own figure is no guess
+	MaxActualUnits float64
 }
 
 // Decode reads the settings and refuses what cannot work.
@@ -149,15 +150,24 @@
 		if err := once("classes", c.Name, s.Classes[c.Name] != nil); err != nil {
 			return nil, err
 		}
-		if err := within(part, figure{": aim", c.Aim, leastTime, mostTime, false}, figure{": worth", c.Worth, 0, mostRate, false},
-			figure{": dedup-window", c.Window, leastTime, mostTime, true}); err != nil {
+		if err := within(
+			part,
+			figure{": aim", c.Aim, leastTime, mostTime, false},
+			figure{": worth", c.Worth, 0, mostRate, false},
+			figure{": dedup-window", c.Window, leastTime, mostTime, true},
+		); err != nil {
 			return nil, err
 		}
 		if c.Deadline != nil && *c.Deadline <= 0 { // it comes with each request, but a class without time is no class
 			return nil, wrong(part+": deadline", "is %v", *c.Deadline)
 		}
-		s.Classes[c.Name] = &choice.Class{LatencyObjective: nanos(c.Aim), Idempotency: effect, DeduplicationScope: group,
-			DeduplicationWindow: nanos(c.Window), PriorityWeight: c.Worth}
+		s.Classes[c.Name] = &choice.Class{
+			LatencyObjective:    nanos(c.Aim),
+			Idempotency:         effect,
+			DeduplicationScope:  group,
+			DeduplicationWindow: nanos(c.Window),
+			PriorityWeight:      c.Worth,
+		}
 		if c.Worth == 0 { // not told: as good as any
 			s.Classes[c.Name].PriorityWeight = 1
 		}
@@ -174,11 +184,29 @@
 		if t.ValueFactor != nil {
 			worth = *t.ValueFactor
 		}
-		if err := within(part, figure{": rate", t.Rate, 0, mostRate, false}, figure{": hard-rate", t.HardRate, 0, mostRate, false},
+		if err := within(
+			part,
+			figure{": rate", t.Rate, 0, mostRate, false},
+			figure{": hard-rate", t.HardRate, 0, mostRate, false},
 			figure{": most-at-once", t.MostAtOnce, 0, mostRate, false},
-			figure{": never-over-depth", t.HardDepth, 0, mostRate, false}, figure{": parallel", t.Parallel, 0, mostRate, false},
-			figure{": extra-worth", t.ExtraWorth, 0, mostRate, false}, figure{": beyond-costs", t.BeyondCosts, 0, mostRate, false},
-			figure{": value-factor", worth, 0, mostRate, false}); err != nil {
+			figure{
+				": never-over-depth",
+				t.HardDepth,
+				0,
+				mostRate,
+				false,
+			},
+			figure{": parallel", t.Parallel, 0, mostRate, false},
+			figure{
+				": extra-worth",
+				t.ExtraWorth,
+				0,
+				mostRate,
+				false,
+			},
+			figure{": beyond-costs", t.BeyondCosts, 0, mostRate, false},
+			figure{": value-factor", worth, 0, mostRate, false},
+		); err != nil {
 			return nil, err
 		}
 		if t.Parallel != math.Trunc(t.Parallel) {
@@ -200,7 +228,9 @@
 	if len(s.Plans) == 0 {
 		return nil, wrong("tariffs", "none")
 	}
-	if err := within("", figure{"family-info: units-top", s.MaxRequestUnits, math.SmallestNonzeroFloat64, mostUnits, false},
+	if err := within(
+		"",
+		figure{"family-info: units-top", s.MaxRequestUnits, math.SmallestNonzeroFloat64, mostUnits, false},
 		figure{"granularity", f.Granularity, leastTime, mostTime, false},
 		figure{"permissions: attempts-cap", float64(s.MaxAttempts), 1, mostRate, false},
 		figure{"permissions: dial-timeout", f.Permissions.DialTimeout, leastTime, mostTime, true},
@@ -211,7 +241,8 @@
 		figure{"contract: cold-from", f.Contract.ColdFrom, 0, 1, false},
 		figure{"contract: stop-sending-within", f.Contract.Grace, leastTime, mostTime, true},
 		figure{"contract: ask-every", f.Contract.AskEvery, leastTime, mostTime, f.Mode != "on_request"},
-		figure{"contract: warm-within", f.Contract.WarmWithin, leastTime, mostTime, false}); err != nil {
+		figure{"contract: warm-within", f.Contract.WarmWithin, leastTime, mostTime, false},
+	); err != nil {
 		return nil, err
 	}
 	if f.Position != nil {
--- a/internal/simwire/transcript_test.go
+++ b/internal/simwire/transcript_test.go
@@ -41,8 +41,22 @@
 		"balancers": 1 + int(seed%3)*6,
 		"classes": []any{
 			map[string]any{"name": "read", "aim": 0.5, "effect": "free", "group": "all", "worth": 1},
-			map[string]any{"name": "mark", "aim": 0.8, "effect": "guarded", "group": "zone", "dedup-window": 3, "worth": 2},
-			map[string]any{"name": "cell", "aim": 0.8, "effect": "guarded", "group": "cell", "dedup-window": 3, "worth": 2},
+			map[string]any{
+				"name":         "mark",
+				"aim":          0.8,
+				"effect":       "guarded",
+				"group":        "zone",
+				"dedup-window": 3,
+				"worth":        2,
+			},
+			map[string]any{
+				"name":         "cell",
+				"aim":          0.8,
+				"effect":       "guarded",
+				"group":        "cell",
+				"dedup-window": 3,
+				"worth":        2,
+			},
 			map[string]any{"name": "write", "aim": 1.5, "effect": "single_shot", "group": "all", "worth": 0.5},
 		},
 		"tariffs": []any{
@@ -245,9 +259,11 @@
 	customer := d.rng.IntN(transcriptCustomers)
 	plans := []string{"plain", "dear", "hard", "capped", "both", "free", "plain", "nobody's"}
 	classes := []string{"read", "read", "mark", "cell", "write"}
-	d.tell(map[string]any{"type": "inbound", "handle": handle, "budget": 0.3 + 3*d.rng.Float64(), "api-key": 1 + customer,
-		"tier": plans[customer%len(plans)], "cls": classes[d.rng.IntN(len(classes))],
-		"price-units": 1 + d.rng.IntN(6), "n-entries": 1 + customer%4})
+	d.tell(
+		map[string]any{"type": "inbound", "handle": handle, "budget": 0.3 + 3*d.rng.Float64(), "api-key": 1 + customer,
+			"tier": plans[customer%len(plans)], "cls": classes[d.rng.IntN(len(classes))],
+			"price-units": 1 + d.rng.IntN(6), "n-entries": 1 + customer%4},
+	)
 	if d.rng.IntN(50) == 0 {
 		d.after(0.1*d.rng.Float64(), func() {
 			if !d.ended[handle] {
@@ -274,7 +290,14 @@
 	case 1:
 		d.tell(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listing(i, "D", 0)}})
 	case 2:
-		d.tell(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listing(i, "U", d.now-0.2)}})
+		d.tell(
+			map[string]any{
+				"type":  "membership",
+				"how":   "Partial",
+				"gen":   2,
+				"items": []any{listing(i, "U", d.now-0.2)},
+			},
+		)
 	case 3:
 		var all []any
 		for j := range transcriptServers {
@@ -299,8 +322,15 @@
 	finished := make(chan error, 1)
 	go func() { finished <- Run(input, output) }()
 	lines := bufio.NewReader(answers)
-	d := &driver{rng: rand.New(rand.NewPCG(seed, 0x51)), copies: map[string]int{}, open: map[string]bool{}, ended: map[string]bool{},
-		totals: map[uint64]float64{}, trouble: map[string]float64{}, record: transcript.New()}
+	d := &driver{
+		rng:     rand.New(rand.NewPCG(seed, 0x51)),
+		copies:  map[string]int{},
+		open:    map[string]bool{},
+		ended:   map[string]bool{},
+		totals:  map[uint64]float64{},
+		trouble: map[string]float64{},
+		record:  transcript.New(),
+	}
 	d.write = func(batch string) []byte {
 		_, err := io.WriteString(feed, batch)
 		require.NoError(t, err)
@@ -329,8 +359,8 @@
 	return d.record
 }
 
-// TestTranscripts holds the module's answers to random events against the sums that are committed: a difference is a change of
-// what the module decides.
+// TestTranscripts holds the module's answers to random events against the sums that are committed: a difference is a
+// change of what the module decides.
 func TestTranscripts(t *testing.T) {
 	sums, err := transcript.ReadSums("testdata/transcripts.txt")
 	require.NoError(t, err)
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -15,7 +15,11 @@
 	"ospreycroft/internal/settings"
 )
 
-var listings = map[string]choice.EndpointState{"U": choice.EndpointReady, "L": choice.EndpointDraining, "D": choice.EndpointGone}
+var listings = map[string]choice.EndpointState{
+	"U": choice.EndpointReady,
+	"L": choice.EndpointDraining,
+	"D": choice.EndpointGone,
+}
 
 type batch struct {
 	Wall  *float64          `json:"wall"`
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -88,10 +88,20 @@
 	}{{`{"outstanding":7,"throughput":12.5,"other":1}`, 7, 12.5, 0, 0}, {"null", 0, 0, 0, 0},
 		{`{"backlog":3,"throughput":2.5,"recent_ms":135.5}`, 0, 2.5, 3, 135500000}} {
 		var it item
-		err := json.Unmarshal([]byte(`{"handle":"j","copy":1,"rc":0,"took":0.5,"final":true,"true-units":3,"feedback":`+c.load+`}`), &it)
+		err := json.Unmarshal(
+			[]byte(`{"handle":"j","copy":1,"rc":0,"took":0.5,"final":true,"true-units":3,"feedback":`+c.load+`}`),
+			&it,
+		)
 		r := &reading{}
-		want := choice.AttemptResult{Request: "j", Attempt: 1, Duration: 5e8, Final: true, ActualUnits: 3, Load: choice.LoadReport{InFlight: c.held, Throughput: c.pace,
-			Queued: c.queue, ServiceTime: c.work}}
+		want := choice.AttemptResult{
+			Request:     "j",
+			Attempt:     1,
+			Duration:    5e8,
+			Final:       true,
+			ActualUnits: 3,
+			Load: choice.LoadReport{InFlight: c.held, Throughput: c.pace,
+				Queued: c.queue, ServiceTime: c.work},
+		}
 		if got := it.reply(r); err != nil || r.missing != "" || got != want {
 			t.Fatalf("%+v, want %+v, error %v", got, want, err)
 		}
--- a/internal/snapshot/errors.go
+++ b/internal/snapshot/errors.go
@@ -61,7 +61,7 @@
 }
 
 func (o *FormatError) Error() string {
-	return fmt.Sprintf("snapshot %s is of version %d, not %d", o.Path, o.Version, version)
+	return fmt.Sprintf("snapshot %s is of version %d, not %d", o.Path, o.Version, fileFormat.Version)
 }
 
 // Hint is what to do.
@@ -90,7 +90,12 @@
 }
 
 func (o *StaleError) Error() string {
-	return fmt.Sprintf("snapshot %s was taken %v ago, no more than %v is believed", o.Path, time.Duration(o.Age), time.Duration(o.MaxAge))
+	return fmt.Sprintf(
+		"snapshot %s was taken %v ago, no more than %v is believed",
+		o.Path,
+		time.Duration(o.Age),
+		time.Duration(o.MaxAge),
+	)
 }
 
 // Hint is what to do.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -11,14 +11,20 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ospreycroft/internal/atomicfile"
 	"ospreycroft/internal/lab/memfs"
 )
 
 var place = Place{Dir: "/d", Installation: "east", Limiter: "n/1", MaxAge: 3600e9}
 
 func list(generation int64) *Snapshot {
-	return &Snapshot{Taken: 1e18, Discovery: "127.0.0.1:1", Generation: generation, Servers: []Server{{ID: "s", Address: "127.0.0.1:2",
-		Zone: "a", Cell: 3, Weight: 1.5, StartedAt: 1e18 - 5}, {ID: "t", Address: "127.0.0.1:3", Draining: true}}}
+	return &Snapshot{
+		TakenAt:    1e18,
+		Discovery:  "127.0.0.1:1",
+		Generation: generation,
+		Servers: []Server{{ID: "s", Address: "127.0.0.1:2",
+			Zone: "a", Cell: 3, Weight: 1.5, StartedAt: 1e18 - 5}, {ID: "t", Address: "127.0.0.1:3", Draining: true}},
+	}
 }
 
 func TestFile(t *testing.T) {
@@ -26,7 +32,11 @@
 	if s, err := place.Load(d, 1e18); s != nil || err != nil {
 		t.Fatalf("with no file: %v, %v", s, err)
 	}
-	if err := place.Save(d, list(7)); err != nil || strings.Join(d.Log, " ") != "read write rename sync" || len(d.Held) != 1 {
+	if err := place.Save(
+		d,
+		list(7),
+	); err != nil || strings.Join(d.Log, " ") != "read write rename sync" ||
+		len(d.Held) != 1 {
 		t.Fatalf("%v, %v, %v", err, d.Log, d.Held)
 	}
 	whole := string(d.Held[place.Path()])
@@ -36,11 +46,16 @@
 			d.Held[place.Path()] = []byte(text)
 		}
 		s, err := p.Load(d, now)
-		if s != nil || reflect.TypeOf(err) != reflect.TypeOf(want) || err.(interface{ Hint() string }).Hint() == "" || err.Error() == "" {
+		if s != nil || reflect.TypeOf(err) != reflect.TypeOf(want) || err.(interface{ Hint() string }).Hint() == "" ||
+			err.Error() == "" {
 			t.Fatalf("%q: %v, %T (%v), want %T", text, s, err, err, want)
 		}
 	}
-	if s, err := place.Load(d, 1e18+3600e9); err != nil || s.Generation != 7 || !reflect.DeepEqual(s.Servers, list(7).Servers) {
+	if s, err := place.Load(
+		d,
+		1e18+3600e9,
+	); err != nil || s.Generation != 7 ||
+		!reflect.DeepEqual(s.Servers, list(7).Servers) {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for i := range len(whole) {
@@ -93,10 +108,10 @@
 	here := place
 	here.Dir = t.TempDir()
 	holds := func(generation int64) {
-		s, err := here.Load(Disk{}, 1e18)
+		s, err := here.Load(atomicfile.Disk{}, 1e18)
 		require.True(t, err == nil && s.Generation == generation, "%+v, %v", s, err)
 	}
-	w := NewWriter(Disk{}, here, func(err error) { t.Error(err) })
+	w := NewWriter(atomicfile.Disk{}, here, func(err error) { t.Error(err) })
 	for i := range 50 {
 		w.Save(list(int64(i)))
 	}
@@ -106,7 +121,7 @@
 	require.Len(t, files, 1)
 	here.Dir += "/none"
 	reports := make(chan error)
-	w = NewWriter(Disk{}, here, func(err error) { reports <- err })
+	w = NewWriter(atomicfile.Disk{}, here, func(err error) { reports <- err })
 	w.Save(list(1))
 	require.ErrorIs(t, <-reports, fs.ErrNotExist)
 	_ = os.Mkdir(here.Dir, 0o755)
--- a/internal/sockets/bounds_test.go
+++ b/internal/sockets/bounds_test.go
@@ -68,7 +68,13 @@
 // fills waits until more waits for the reducer than may.
 func (d *pressed) fills() {
 	d.t.Helper()
-	require.Eventually(d.t, func() bool { return d.size(0) > mostWaiting }, patience, time.Millisecond, "it does not fill")
+	require.Eventually(
+		d.t,
+		func() bool { return d.size(0) > mostWaiting },
+		patience,
+		time.Millisecond,
+		"it does not fill",
+	)
 }
 
 // enters connects a client and gives its link.
@@ -101,9 +107,10 @@
 	return !free
 }
 
-// TestBackpressure: so many clients' bytes wait for the reducer that all who have to tell it something wait as well: the poller,
-// the one that lets clients in, those that dial, the one that tells of ends and those that read on for clients that had sent too
-// much. The reducer waits for none of them; once it takes what waits, all comes, in order, and every place is given back.
+// TestBackpressure: so many clients' bytes wait for the reducer that all who have to tell it something wait as well:
+// the poller, the one that lets clients in, those that dial, the one that tells of ends and those that read on for
+// clients that had sent too much. The reducer waits for none of them; once it takes what waits, all comes, in order,
+// and every place is given back.
 func TestBackpressure(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -165,7 +172,13 @@
 	require.NoError(t, reset.(*net.TCPConn).SetLinger(0))
 	require.NoError(t, reset.Close())
 	_ = breaks.conn.Load().Close() // as the poller does, in whose stead nbio's own goroutine tells of it
-	require.Eventually(t, func() bool { return len(d.s.gate.free) == accepted-1 }, patience, time.Millisecond, "its place is kept")
+	require.Eventually(
+		t,
+		func() bool { return len(d.s.gate.free) == accepted-1 },
+		patience,
+		time.Millisecond,
+		"its place is kept",
+	)
 	var up, refused limiter.ConnID
 	var taken, parted, queued bool
 	d.prompt("effects", func() {
@@ -195,7 +208,8 @@
 				return false
 			}
 		}
-		return d.ending(closes.id) && d.ending(resets.id) && d.ending(breaks.id) && d.ending(refused) && d.told[up] != nil
+		return d.ending(closes.id) && d.ending(resets.id) && d.ending(breaks.id) && d.ending(refused) &&
+			d.told[up] != nil
 	})
 	for i, l := range links[1:] {
 		require.True(t, d.told[l.id].text.String() == texts[i+1], "out of order")
--- a/internal/sockets/close.go
+++ b/internal/sockets/close.go
@@ -36,10 +36,11 @@
 	return l.written.Load()
 }
 
-// CloseGracefully is an effect. What lies unread in the kernel is read first: the process may have had no processor for a while. From the
-// look at what has come until the sending has ended the poller reads nothing: it holds the lock as long as bytes are out of the
-// kernel and not posted. Both directions end when the client has ended its own, or after a time
-// unless its machine still lacks bytes: to close over what was not read breaks the connection off, and takes these along.
+// CloseGracefully is an effect. What lies unread in the kernel is read first: the process may have had no processor
+// for a while. From the look at what has come until the sending has ended the poller reads nothing: it holds the lock
+// as long as bytes are out of the kernel and not posted. Both directions end when the client has ended its own, or
+// after a time unless its machine still lacks bytes: to close over what was not read breaks the connection off, and
+// takes these along.
 func (s *Sockets) CloseGracefully(id limiter.ConnID, after, most int64) bool {
 	l := s.links[id]
 	if l == nil {
@@ -78,8 +79,8 @@
 	return closed
 }
 
-// owes tells whether the end of the process could break off a connection that was left: its client's machine lacks bytes, or has
-// sent some that were not read.
+// owes tells whether the end of the process could break off a connection that was left: its client's machine lacks
+// bytes, or has sent some that were not read.
 func (s *Sockets) owes() bool {
 	s.left = slices.DeleteFunc(s.left, func(l *link) bool {
 		c := l.conn.Load()
@@ -88,8 +89,9 @@
 	return len(s.left) > 0
 }
 
-// breakOff has the closing of the descriptor, which follows, take along what the other machine lacks: a command that was given up
-// and that the kernel has whole would else become whole there later, when it takes bytes again, and run for nobody.
+// breakOff has the closing of the descriptor, which follows, take along what the other machine lacks: a command that
+// was given up and that the kernel has whole would else become whole there later, when it takes bytes again, and run
+// for nobody.
 func breakOff(c *nbio.Conn) {
 	c.Lock()
 	defer c.Unlock()
@@ -99,8 +101,8 @@
 }
 
 // shut ends one or both directions and leaves closing the descriptor to the poller, which sees the end next. Were it
-// closed here, what the poller still has to tell of it could hit a new connection with the same number. It tells whether there
-// was something to end.
+// closed here, what the poller still has to tell of it could hit a new connection with the same number. It tells
+// whether there was something to end.
 func shut(c *nbio.Conn, how int) bool {
 	c.Lock()
 	defer c.Unlock()
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -63,8 +63,9 @@
 	return l.posted > l.told.Load()
 }
 
-// TestSecondAnswer: what a server sends behind its answer has come, the reducer was not told, and it has the next request for that
-// server. Written to the same connection, it would be served with what was never made for it, or run and be lost with the connection.
+// TestSecondAnswer: what a server sends behind its answer has come, the reducer was not told, and it has the next
+// request for that server. Written to the same connection, it would be served with what was never made for it, or run
+// and be lost with the connection.
 func TestSecondAnswer(t *testing.T) {
 	const one, two = "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n", "*3\r\n$3\r\ntwo\r\n$-1\r\n$-1\r\n"
 	for name, c := range map[string]struct {
@@ -100,7 +101,12 @@
 				require.Eventually(t, func() bool { return !still(held.conn.Load()) }, patience, time.Millisecond)
 			}
 			c.sends(far)
-			require.Eventually(t, func() bool { return back.has() || c.stands && !still(back.conn.Load()) }, patience, time.Millisecond)
+			require.Eventually(
+				t,
+				func() bool { return back.has() || c.stands && !still(back.conn.Load()) },
+				patience,
+				time.Millisecond,
+			)
 			d.now += 4e7 // the connection has rested for more than eight ticks
 			d.turn(0)
 			if c.stands {
@@ -109,14 +115,17 @@
 			again := d.arrive(accepted)
 			answer(t, again, request("r2"))
 			ask(t, again, strings.Replace(two, "two", "own", 1))
-			d.until("it is answered", func() bool { return d.s.Written(d.find(client)) == 2*int64(len("$3\r\none\r\n")) })
+			d.until(
+				"it is answered",
+				func() bool { return d.s.Written(d.find(client)) == 2*int64(len("$3\r\none\r\n")) },
+			)
 			answer(t, client, "$3\r\nown\r\n")
 		})
 	}
 }
 
-// TestLateSecondAnswer: a server's second answer may come some milliseconds late, and would be taken for the answer to the next request
-// on its connection. So none is used again that has rested for so short a time.
+// TestLateSecondAnswer: a server's second answer may come some milliseconds late, and would be taken for the answer to
+// the next request on its connection. So none is used again that has rested for so short a time.
 func TestLateSecondAnswer(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -144,14 +153,18 @@
 	client := d.dial()
 	ask(t, client, request("r1"))
 	for _, far := range []net.Conn{d.arrive(accepted), client} {
-		on, err := syscall.GetsockoptInt(d.s.links[d.find(far)].conn.Load().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+		on, err := syscall.GetsockoptInt(
+			d.s.links[d.find(far)].conn.Load().Hash(),
+			syscall.IPPROTO_TCP,
+			syscall.TCP_NODELAY,
+		)
 		require.NoError(t, err)
 		require.Equal(t, 1, on)
 	}
 }
 
-// TestCloseCounts: what the poller gets into the kernel in the moment of closing is counted, for nothing can follow it. The test holds
-// the connection's lock as the poller's flush does, and writes a piece under it while Close waits.
+// TestCloseCounts: what the poller gets into the kernel in the moment of closing is counted, for nothing can follow
+// it. The test holds the connection's lock as the poller's flush does, and writes a piece under it while Close waits.
 func TestCloseCounts(t *testing.T) {
 	s, _ := listening(t, 1)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
@@ -180,8 +193,9 @@
 	require.Equal(t, "abcdefg", string(text))
 }
 
-// TestWriteBehindEnd: what a peer sent before it ended the connection is told, though something is written in the moment of its end,
-// and of that the kernel takes nothing: it would be lost, or count as sent. A poller that stands keeps both in the kernel.
+// TestWriteBehindEnd: what a peer sent before it ended the connection is told, though something is written in the
+// moment of its end, and of that the kernel takes nothing: it would be lost, or count as sent. A poller that stands
+// keeps both in the kernel.
 func TestWriteBehindEnd(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn){
 		"end": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -222,8 +236,8 @@
 	}
 }
 
-// TestPartAtEnd: when a request ends of which its server has but a part, the rest is held back before the client is answered. The
-// test stops the limiter in the moment in which it answers, and then reads at the server all that comes.
+// TestPartAtEnd: when a request ends of which its server has but a part, the rest is held back before the client is
+// answered. The test stops the limiter in the moment in which it answers, and then reads at the server all that comes.
 func TestPartAtEnd(t *testing.T) {
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { // small segments keep the other side's send buffer small
--- a/internal/sockets/departed_load_test.go
+++ b/internal/sockets/departed_load_test.go
@@ -90,8 +90,8 @@
 	return o.attempts[d.name], o.noted[d.address]
 }
 
-// loaded is a limiter that runs, before servers that answer each request two milliseconds later. Its reducer may stand still for
-// some time, again and again.
+// loaded is a limiter that runs, before servers that answer each request two milliseconds later. Its reducer may stand
+// still for some time, again and again.
 func loaded(t *testing.T, still time.Duration) (o *observed, address string) {
 	t.Helper()
 	servers := make([]net.Listener, 8)
@@ -107,7 +107,13 @@
 	address = "127.0.0.2:" + port
 	s, err := Listen(address, limiter.MaxClients(config), config.Sockets)
 	require.NoError(t, err)
-	o = &observed{Sockets: s, still: still, attempts: map[string]time.Time{}, noted: map[string]time.Time{}, ends: map[string]*nbio.Conn{}}
+	o = &observed{
+		Sockets:  s,
+		still:    still,
+		attempts: map[string]time.Time{},
+		noted:    map[string]time.Time{},
+		ends:     map[string]*nbio.Conn{},
+	}
 	start := time.Now()
 	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 	l, err := limiter.New(clock(), config, o)
@@ -130,7 +136,10 @@
 			b := make([]byte, 1<<16)
 			for n, err := c.Read(b); err == nil; n, err = c.Read(b) {
 				time.Sleep(2 * time.Millisecond)
-				_, _ = io.WriteString(c, strings.Repeat("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", bytes.Count(b[:n], []byte("SVC."))))
+				_, _ = io.WriteString(
+					c,
+					strings.Repeat("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", bytes.Count(b[:n], []byte("SVC."))),
+				)
 			}
 		}()
 	}
@@ -229,8 +238,8 @@
 	return d
 }
 
-// TestDepartedNoticed measures how long after a client's close the reducer ends its connection, and how long after it the last
-// attempt for it begins, beside clients that pipeline requests and clients that send without a pause.
+// TestDepartedNoticed measures how long after a client's close the reducer ends its connection, and how long after it
+// the last attempt for it begins, beside clients that pipeline requests and clients that send without a pause.
 func TestDepartedNoticed(t *testing.T) {
 	for _, c := range []struct {
 		name                string
@@ -283,7 +292,19 @@
 			time.Sleep(500 * time.Millisecond)
 			close(ends)
 			running.Wait()
-			known, told, attempts := hdrhistogram.New(1, 60e6, 3), hdrhistogram.New(1, 60e6, 3), hdrhistogram.New(1, 60e6, 3)
+			known, told, attempts := hdrhistogram.New(
+				1,
+				60e6,
+				3,
+			), hdrhistogram.New(
+				1,
+				60e6,
+				3,
+			), hdrhistogram.New(
+				1,
+				60e6,
+				3,
+			)
 			for _, d := range all {
 				attempt, noted := o.at(d)
 				require.False(t, noted.IsZero(), "%s is never noticed", d.address)
@@ -294,11 +315,23 @@
 				}
 			}
 			figures := func(h *hdrhistogram.Histogram) string {
-				return fmt.Sprintf("p50 %d, p99 %d, max %d us", h.ValueAtPercentile(50), h.ValueAtPercentile(99), h.Max())
+				return fmt.Sprintf(
+					"p50 %d, p99 %d, max %d us",
+					h.ValueAtPercentile(50),
+					h.ValueAtPercentile(99),
+					h.Max(),
+				)
 			}
 			require.False(t, t.Failed())
-			t.Logf("from the close of %d clients until no attempt begins: %s; until the reducer has ended the connection: %s; "+
-				"%d last attempts after the close: %s", c.clients, figures(known), figures(told), attempts.TotalCount(), figures(attempts))
+			t.Logf(
+				"from the close of %d clients until no attempt begins: %s; until the reducer has ended the connection: %s; "+
+					"%d last attempts after the close: %s",
+				c.clients,
+				figures(known),
+				figures(told),
+				attempts.TotalCount(),
+				figures(attempts),
+			)
 			require.LessOrEqual(t, time.Duration(known.Max())*time.Microsecond, mostAfterClose)
 			require.LessOrEqual(t, time.Duration(attempts.Max())*time.Microsecond, mostAfterClose)
 		})
--- a/internal/sockets/departed_test.go
+++ b/internal/sockets/departed_test.go
@@ -90,7 +90,8 @@
 	return far
 }
 
-// silent fails the test if anything comes on a connection to a server, or another is opened, while the reducer goes on for a while.
+// silent fails the test if anything comes on a connection to a server, or another is opened, while the reducer goes on
+// for a while.
 func (d *departing) silent(far *net.TCPConn, accepted <-chan *net.TCPConn) {
 	d.t.Helper()
 	defer func() { require.Empty(d.t, accepted, "another connection was opened") }()
@@ -133,8 +134,9 @@
 	return ln
 }
 
-// TestDepartedUnread: a client's end is in the kernel, and the poller has yet to come to it. Whatever the reducer is told meanwhile,
-// no attempt for that client is written, first or further, though its connection is open, or comes up, just then. Another client's is.
+// TestDepartedUnread: a client's end is in the kernel, and the poller has yet to come to it. Whatever the reducer is
+// told meanwhile, no attempt for that client is written, first or further, though its connection is open, or comes up,
+// just then. Another client's is.
 func TestDepartedUnread(t *testing.T) {
 	for name, play := range map[string]func(t *testing.T, goes func(c *net.TCPConn)) (d *departing, far *net.TCPConn, accepted <-chan *net.TCPConn){
 		"its request was read and not told, and a connection rests": func(t *testing.T, goes func(c *net.TCPConn)) (*departing, *net.TCPConn, <-chan *net.TCPConn) {
@@ -270,8 +272,9 @@
 	return false
 }
 
-// TestDepartedBehindQueue: the word of a client's end waits for the reducer behind ten thousand events and nearly all the bytes that
-// may wait. What the reducer is told before it, that the client's request has come or that its connection is up, sends nothing.
+// TestDepartedBehindQueue: the word of a client's end waits for the reducer behind ten thousand events and nearly all
+// the bytes that may wait. What the reducer is told before it, that the client's request has come or that its
+// connection is up, sends nothing.
 func TestDepartedBehindQueue(t *testing.T) {
 	for _, departure := range departures {
 		t.Run("its request comes first, "+departure.name, func(t *testing.T) {
@@ -339,8 +342,8 @@
 	}
 }
 
-// TestManyDepart: five hundred clients go in one instant, by an end and by a reset, and the poller has yet to come to it. The reducer
-// is told of all their requests, and sends none.
+// TestManyDepart: five hundred clients go in one instant, by an end and by a reset, and the poller has yet to come to
+// it. The reducer is told of all their requests, and sends none.
 func TestManyDepart(t *testing.T) {
 	server := local(t)
 	accepted := accepts(t, server)
--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -28,8 +28,9 @@
 	return size
 }
 
-// TestFlood: of a client that sends more than may wait for the reducer the poller reads a part, and goes on to others. The rest is
-// read once the reducer was told of that part, and none of it is lost. Its end is seen over what was not read.
+// TestFlood: of a client that sends more than may wait for the reducer the poller reads a part, and goes on to others.
+// The rest is read once the reducer was told of that part, and none of it is lost. Its end is seen over what was not
+// read.
 func TestFlood(t *testing.T) {
 	d := driven(t, 64, nil)
 	t.Cleanup(func() { // a poller that waits for the reducer would not stop
@@ -82,8 +83,9 @@
 	require.Len(t, d.s.gate.free, 2) // the other's, and the next one's
 }
 
-// TestNoDescriptor: a client for whose connection no descriptor is left gives its place back. The library needs two for a moment.
-// It runs in a process of its own: what other tests have left closes when it likes, and would leave descriptors.
+// TestNoDescriptor: a client for whose connection no descriptor is left gives its place back. The library needs two
+// for a moment. It runs in a process of its own: what other tests have left closes when it likes, and would leave
+// descriptors.
 func TestNoDescriptor(t *testing.T) {
 	const alone = "SOCKETS_TEST_ALONE"
 	if os.Getenv(alone) == "" {
--- a/internal/sockets/gate.go
+++ b/internal/sockets/gate.go
@@ -10,8 +10,8 @@
 
 // This file bounds how many clients' connections are open.
 
-// clientPlaces is how many connections of clients, of so many, there are places for: as many less as the process may hold fewer
-// descriptors than it should.
+// clientPlaces is how many connections of clients, of so many, there are places for: as many less as the process may
+// hold fewer descriptors than it should.
 func clientPlaces(clients, descriptors int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(descriptors) {
@@ -46,6 +46,6 @@
 
 func (g *gate) leave() { <-g.free }
 
-// HasBacklog is an effect. The listener stays open until the process ends: on the fleet's bench the goroutine that closed it stood still for a
-// second and more, and with it the reducer.
+// HasBacklog is an effect. The listener stays open until the process ends: on the fleet's bench the goroutine that
+// closed it stood still for a second and more, and with it the reducer.
 func (s *Sockets) HasBacklog() bool { return s.gate.full.Load() }
--- a/internal/sockets/gone_test.go
+++ b/internal/sockets/gone_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGoneInDoubt: the process has stood still, and no attempt goes out until the list is sure. Of the requests that wait for
-// that, the one whose client closes meanwhile is never sent.
+// TestGoneInDoubt: the process has stood still, and no attempt goes out until the list is sure. Of the requests that
+// wait for that, the one whose client closes meanwhile is never sent.
 func TestGoneInDoubt(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -19,7 +19,11 @@
 	gone, stays := d.dial(), d.dial()
 	d.turn(2e9) // two seconds without an event
 	for c, id := range map[net.Conn]string{gone: "g1", stays: "st"} {
-		ask(t, c, "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n000000000000000f\r\n$2\r\n"+id+"\r\n$39\r\nc=c,t=p,d=4000,units=1,spread=1,first=0\r\n")
+		ask(
+			t,
+			c,
+			"*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n000000000000000f\r\n$2\r\n"+id+"\r\n$39\r\nc=c,t=p,d=4000,units=1,spread=1,first=0\r\n",
+		)
 	}
 	clients := func() (read int) {
 		for _, l := range d.s.links {
--- a/internal/sockets/leave_test.go
+++ b/internal/sockets/leave_test.go
@@ -15,8 +15,8 @@
 	"ospreycroft/internal/settings"
 )
 
-// drive steps a whole limiter on real sockets by a clock of the test's: the poller reads as ever, and the reducer learns of it
-// when the test says so.
+// drive steps a whole limiter on real sockets by a clock of the test's: the poller reads as ever, and the reducer
+// learns of it when the test says so.
 type drive struct {
 	t       *testing.T
 	s       *Sockets
@@ -42,7 +42,9 @@
 	return &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: descriptors,
 		Known: []byte(`{"generation":1,"instances":[` + strings.Join(entries, ",") + `]}`),
 		Settings: &settings.Settings{IdleClose: 15e9, Settings: &choice.Settings{
-			Classes: map[string]*choice.Class{"c": {LatencyObjective: 1e9, PriorityWeight: 1}}, Plans: map[string]*choice.Plan{"p": {}},
+			Classes: map[string]*choice.Class{
+				"c": {LatencyObjective: 1e9, PriorityWeight: 1},
+			}, Plans: map[string]*choice.Plan{"p": {}},
 			MaxRequestUnits: 64, Limiters: 1, MaxAttempts: 1, SlowStartWindow: 1, DialTimeout: 25e7, TimerResolution: 4e6}}}
 }
 
@@ -109,8 +111,9 @@
 
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// TestCommandAsItCloses: a command that the poller has read when the limiter closes its resting connection is answered. It would
-// be lost: the client cannot know that it was not taken. Each case closes for another reason, with the command read and not told.
+// TestCommandAsItCloses: a command that the poller has read when the limiter closes its resting connection is
+// answered. It would be lost: the client cannot know that it was not taken. Each case closes for another reason, with
+// the command read and not told.
 func TestCommandAsItCloses(t *testing.T) {
 	for name, closes := range map[string]func(d *drive){
 		"idle for long": func(d *drive) {
@@ -137,7 +140,10 @@
 			d := driven(t, 32, nil)
 			client := d.dial()
 			ask(t, client, ping)
-			d.until("its first command is answered", func() bool { return d.s.links[1] != nil && d.s.Written(1) > 0 || answered(d, 2) })
+			d.until(
+				"its first command is answered",
+				func() bool { return d.s.links[1] != nil && d.s.Written(1) > 0 || answered(d, 2) },
+			)
 			answer(t, client, "-LOADING not ready yet\r\n")
 			ask(t, client, ping)
 			require.Eventually(t, d.read, patience, time.Millisecond, "the poller has read it")
@@ -147,7 +153,12 @@
 			line := make([]byte, 64)
 			n, err := client.Read(line)
 			require.NoError(t, err, "the command was dropped")
-			require.True(t, strings.HasPrefix(string(line[:n]), "-LOADING") || strings.HasPrefix(string(line[:n]), "+PONG"), "%q", line[:n])
+			require.True(
+				t,
+				strings.HasPrefix(string(line[:n]), "-LOADING") || strings.HasPrefix(string(line[:n]), "+PONG"),
+				"%q",
+				line[:n],
+			)
 		})
 	}
 }
@@ -162,7 +173,8 @@
 	return false
 }
 
-// TestCommandsOfTheGone: of a client that has sent many commands and closed before the reducer came to them none is taken.
+// TestCommandsOfTheGone: of a client that has sent many commands and closed before the reducer came to them none is
+// taken.
 func TestCommandsOfTheGone(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -209,8 +221,8 @@
 	require.Empty(t, accepted)
 }
 
-// TestCommandAsItFinishes: the limiter has nothing left to do, and in that moment a client comes in and its command is read. The
-// clock that Run asks is the test's: it brings the client before it tells the time at which all is over.
+// TestCommandAsItFinishes: the limiter has nothing left to do, and in that moment a client comes in and its command is
+// read. The clock that Run asks is the test's: it brings the client before it tells the time at which all is over.
 func TestCommandAsItFinishes(t *testing.T) {
 	d := driven(t, 64, nil)
 	base := time.Now()
--- a/internal/sockets/poller.go
+++ b/internal/sockets/poller.go
@@ -18,11 +18,12 @@
 // mostWaiting is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
 const mostWaiting = 4 << 20
 
-// errInOrder ends a connection whose other side has ended it, behind all that it sent. The poller's own io.EOF may as well stand
-// for a reset.
+// errInOrder ends a connection whose other side has ended it, behind all that it sent. The poller's own io.EOF may as
+// well stand for a reset.
 var errInOrder = errors.New("the other side has ended the connection")
 
-// mostOfOne is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all others.
+// mostOfOne is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all
+// others.
 const mostOfOne = 64 << 10
 
 // batch is what waits for the reducer: events, and the bytes that they tell of, in order.
@@ -42,7 +43,8 @@
 	connClosed
 )
 
-// queuedEvent is an event of one connection that waits for the reducer. It becomes one of the limiter's events as it is delivered.
+// queuedEvent is an event of one connection that waits for the reducer. It becomes one of the limiter's events as it
+// is delivered.
 type queuedEvent struct {
 	kind   eventKind
 	conn   limiter.ConnID
@@ -64,9 +66,10 @@
 	}
 }
 
-// pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of its
-// leaving together. What comes on a connection that was left is never read: the client may send it again elsewhere. Nor is what
-// a client that has gone sent past mostOfOne: the poller closes a connection on the word that it ends, whatever is unread.
+// pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of
+// its leaving together. What comes on a connection that was left is never read: the client may send it again
+// elsewhere. Nor is what a client that has gone sent past mostOfOne: the poller closes a connection on the word that
+// it ends, whatever is unread.
 func (s *Sockets) pull(l *link, c *nbio.Conn, into []byte) {
 	end := s.drain(l, c, into, s.client(l))
 	if end != nil {
@@ -99,8 +102,8 @@
 	}
 }
 
-// full tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been told of
-// some since, or the reducer finds it stopped.
+// full tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been
+// told of some since, or the reducer finds it stopped.
 func (l *link) full() bool {
 	if l.posted-l.told.Load() < mostOfOne {
 		return false
@@ -109,8 +112,8 @@
 	return l.posted-l.told.Load() >= mostOfOne
 }
 
-// telling notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of its own,
-// which closes nothing: the poller sees the end as well.
+// telling notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of
+// its own, which closes nothing: the poller sees the end as well.
 func (s *Sockets) telling(e queuedEvent) {
 	l := s.links[e.conn]
 	if l == nil || e.size == 0 {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -50,8 +50,8 @@
 	left  []*link // connections that were left and may not be closed yet
 }
 
-// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the process may
-// hold fewer descriptors than it should: the connections to discovery and to servers need theirs.
+// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the
+// process may hold fewer descriptors than it should: the connections to discovery and to servers need theirs.
 func Listen(address string, clients, descriptors int) (*Sockets, error) {
 	logging.SetLevel(logging.LevelError)
 	// nbio keeps a table of all descriptors there could be.
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -156,8 +156,8 @@
 	expect(t, s, connClosed, e.conn) // the poller has closed the descriptor
 }
 
-// Connections past the limit wait in the kernel: taken in and closed, their requests would be lost. A process does not end
-// while some wait: ended with it, they would be broken off.
+// Connections past the limit wait in the kernel: taken in and closed, their requests would be lost. A process does not
+// end while some wait: ended with it, they would be broken off.
 func TestAccept(t *testing.T) {
 	s, address := listening(t, 1)
 	first, err := net.Dial("tcp", address)
@@ -207,10 +207,19 @@
 	}
 	class := &choice.Class{LatencyObjective: int64(patience), Idempotency: choice.NonIdempotent}
 	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // nobody is there
-		Known: fmt.Appendf(nil, `{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service"}]}`, server.Addr()),
-		Settings: &settings.Settings{IdleClose: int64(patience), Settings: &choice.Settings{Classes: map[string]*choice.Class{"c": class},
-			Plans: map[string]*choice.Plan{"p": {}}, MaxRequestUnits: 8, Limiters: 1, MaxAttempts: 1, SlowStartWindow: 1,
-			DialTimeout: int64(patience), TimerResolution: 1e6}}}
+		Known: fmt.Appendf(
+			nil,
+			`{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service"}]}`,
+			server.Addr(),
+		),
+		Settings: &settings.Settings{
+			IdleClose: int64(patience),
+			Settings: &choice.Settings{Classes: map[string]*choice.Class{"c": class},
+				Plans: map[string]*choice.Plan{
+					"p": {},
+				}, MaxRequestUnits: 8, Limiters: 1, MaxAttempts: 1, SlowStartWindow: 1,
+				DialTimeout: int64(patience), TimerResolution: 1e6},
+		}}
 	clock := func() int64 { return time.Now().UnixNano() }
 	l, err := limiter.New(clock(), config, s)
 	if err != nil {
@@ -225,8 +234,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	command := string(resp.AppendCommand(nil, []byte("SVC.SUBMIT"), []byte("000000000000000f"), []byte("id"), []byte("c=c,t=p,d=4000,units=1,spread=1,first=0"),
-		[]byte(strings.Repeat("x", resp.MaxValueBytes))))
+	command := string(
+		resp.AppendCommand(
+			nil,
+			[]byte("SVC.SUBMIT"),
+			[]byte("000000000000000f"),
+			[]byte("id"),
+			[]byte("c=c,t=p,d=4000,units=1,spread=1,first=0"),
+			[]byte(strings.Repeat("x", resp.MaxValueBytes)),
+		),
+	)
 	if _, err := io.WriteString(client, command); err != nil {
 		t.Fatal(err)
 	}
@@ -235,7 +252,11 @@
 		t.Fatal(err)
 	}
 	got := make([]byte, len(command))
-	if _, err := io.ReadFull(far, got); err != nil || !strings.HasSuffix(string(got), command[len(command)-resp.MaxValueBytes:]) {
+	if _, err := io.ReadFull(
+		far,
+		got,
+	); err != nil ||
+		!strings.HasSuffix(string(got), command[len(command)-resp.MaxValueBytes:]) {
 		t.Fatalf("the server read %d bytes, error %v", len(got), err)
 	}
 	close(stop)
@@ -257,8 +278,9 @@
 	}
 }
 
-// TestLeave: a client that is left gets all that was written, however slowly it reads and whatever it goes on to send: nothing of
-// that is read, and no reset takes its answers along. One that never ends its own side is closed after the time.
+// TestLeave: a client that is left gets all that was written, however slowly it reads and whatever it goes on to send:
+// nothing of that is read, and no reset takes its answers along. One that never ends its own side is closed after the
+// time.
 func TestLeave(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		t.Run(fmt.Sprintf("it ends its side: %v", ends), func(t *testing.T) {
@@ -283,7 +305,13 @@
 				require.Equal(t, io.EOF, err, "%q", got[:n])
 				_ = far.Close()
 			}
-			require.Eventually(t, func() bool { return s.left == nil || s.left[0].closed() }, patience, time.Millisecond, "it is closed")
+			require.Eventually(
+				t,
+				func() bool { return s.left == nil || s.left[0].closed() },
+				patience,
+				time.Millisecond,
+				"it is closed",
+			)
 			if e := expect(t, s, connClosed, e.conn); e.size > 0 {
 				t.Fatal("it was read")
 			}
--- a/internal/sockets/stale_test.go
+++ b/internal/sockets/stale_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWriteToTheBroken: a write that finds its connection broken off leaves the descriptor to the poller, which may already have
-// fetched the word of that end from the kernel and stand before it. Closed by the reducer, the number would go to the next client,
-// and the poller would close that one.
+// TestWriteToTheBroken: a write that finds its connection broken off leaves the descriptor to the poller, which may
+// already have fetched the word of that end from the kernel and stand before it. Closed by the reducer, the number
+// would go to the next client, and the poller would close that one.
 func TestWriteToTheBroken(t *testing.T) {
 	hole, err := os.Open(os.DevNull)
 	require.NoError(t, err)
--- a/internal/sockets/watch_test.go
+++ b/internal/sockets/watch_test.go
@@ -14,8 +14,8 @@
 	"ospreycroft/internal/settings"
 )
 
-// TestOldWatchReadAsItMoves: the poller has read an answer of the old list service, and with it a client's command, when the
-// limiter learns that discovery has moved. The answer, told last, changes nothing; the command is answered.
+// TestOldWatchReadAsItMoves: the poller has read an answer of the old list service, and with it a client's command,
+// when the limiter learns that discovery has moved. The answer, told last, changes nothing; the command is answered.
 func TestOldWatchReadAsItMoves(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -18,8 +18,9 @@
 	closeWait = 8
 )
 
-// Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be closed here,
-// before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind that.
+// Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be
+// closed here, before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind
+// that.
 func (s *Sockets) Write(id limiter.ConnID, bytes []byte) {
 	l := s.links[id]
 	if l == nil {
@@ -77,8 +78,9 @@
 	return err == nil && (state == brokenOff || state == closeWait)
 }
 
-// Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on it would be
-// taken for what a server sent behind the last one, and what is written to one that the server has ended counts as sent.
+// Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on
+// it would be taken for what a server sent behind the last one, and what is written to one that the server has ended
+// counts as sent.
 func (s *Sockets) Alive(id limiter.ConnID) bool {
 	l := s.links[id]
 	if l == nil {
@@ -106,7 +108,8 @@
 	return err == syscall.EAGAIN
 }
 
-// PeerGone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is told.
+// PeerGone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is
+// told.
 func (s *Sockets) PeerGone(id limiter.ConnID) bool {
 	l := s.links[id]
 	return l == nil || ended(l.conn.Load())
@@ -128,7 +131,12 @@
 	if closed, _ := c.IsClosed(); closed {
 		return 0
 	}
-	if _, _, failed := syscall.Syscall(syscall.SYS_IOCTL, uintptr(c.Hash()), which, uintptr(unsafe.Pointer(&waiting))); failed != 0 {
+	if _, _, failed := syscall.Syscall(
+		syscall.SYS_IOCTL,
+		uintptr(c.Hash()),
+		which,
+		uintptr(unsafe.Pointer(&waiting)),
+	); failed != 0 {
 		return 0
 	}
 	return int(waiting)
