--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -84,65 +84,85 @@
 }
 
 const (
-	leastSockets = 32      // a connection for each party beside what the runtime and the poller hold themselves
-	mostSockets  = 1 << 20 // a table of all descriptors is held
-	leastMemory  = 1       // MB: a part of it has to hold the largest command
-	mostMemory   = 1 << 30
+	minSockets = 32      // a connection for each party beside what the runtime and the poller hold themselves
+	maxSockets = 1 << 20 // a table of all descriptors is held
+	minMemory  = 1       // MB: a part of it has to hold the largest command
+	maxMemory  = 1 << 30
 )
 
-// DecodeConfig decodes a configuration and refuses one that cannot work, naming the key.
+// wireConfig is the configuration by the keys of its file.
+type wireConfig struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Counter   string `json:"counter"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// DecodeConfig decodes a configuration and refuses one that cannot work. Errors: *MalformedError, *KeyError, which names the key.
 func DecodeConfig(text []byte) (*Config, error) {
-	var f struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Counter   string `json:"counter"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, broken(err)
-	}
-	set, err := Decode(f.Settings)
-	if err != nil {
-		return nil, below("settings", err)
+	var w wireConfig
+	if err := json.Unmarshal(text, &w); err != nil {
+		return nil, decodeError(err)
 	}
-	if f.Counter == "" && set.CounterTimeout > 0 {
-		return nil, wrong("counter", "missing, but the settings have one")
+	decoded, err := Decode(w.Settings)
+	if err != nil {
+		return nil, nestedError("settings", err)
 	}
-	for _, a := range []struct{ key, address string }{{"listen", f.Listen}, {"discovery", f.Discovery}, {"counter", f.Counter}} {
-		if a.key == "counter" && a.address == "" {
-			continue
-		}
-		host, port, err := net.SplitHostPort(a.address)
-		if n, bad := strconv.ParseUint(
-			port,
-			10,
-			16,
-		); err != nil || bad != nil || n == 0 ||
-			host == "" && a.key != "listen" {
-			return nil, &KeyError{Key: a.key, Why: fmt.Sprintf("%q is no address", a.address), Cause: err}
-		}
+	if err := w.checkAddresses(decoded.CounterTimeout > 0); err != nil {
+		return nil, err
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	seed, err := strconv.ParseUint(w.Seed, 16, 64)
 	if err != nil {
 		return nil, &KeyError{Key: "seed", Cause: err}
 	}
-	if err := within("limits: ", figure{"memory_mb", f.Limits.MemoryMB, leastMemory, mostMemory, false},
-		figure{"sockets", float64(f.Limits.Sockets), leastSockets, mostSockets, false}); err != nil {
+	if err := checkFigures("limits: ",
+		figure{"memory_mb", w.Limits.MemoryMB, minMemory, maxMemory, false},
+		figure{"sockets", float64(w.Limits.Sockets), minSockets, maxSockets, false},
+	); err != nil {
 		return nil, err
 	}
-	if set.IdleClose <= 0 {
-		return nil, wrong("settings: permissions: idle-close", "missing")
+	if decoded.IdleClose <= 0 {
+		return nil, keyError("settings: permissions: idle-close", "missing")
+	}
+	if decoded.DialTimeout <= 0 {
+		return nil, keyError("settings: permissions: dial-timeout", "missing")
 	}
-	if set.DialTimeout <= 0 {
-		return nil, wrong("settings: permissions: dial-timeout", "missing")
+	return &Config{
+		Name: w.Name, Listen: w.Listen, Discovery: w.Discovery, Counter: w.Counter, Seed: int64(seed),
+		Memory: int64(w.Limits.MemoryMB * (1 << 20)), Sockets: w.Limits.Sockets, Known: w.Known, Settings: decoded,
+	}, nil
+}
+
+// checkAddresses refuses an address that cannot be. The counter's may be empty where the settings have no counter.
+func (w *wireConfig) checkAddresses(hasCounter bool) error {
+	if w.Counter == "" && hasCounter {
+		return keyError("counter", "missing, but the settings have one")
+	}
+	if err := checkAddress("listen", w.Listen, true); err != nil {
+		return err
+	}
+	if err := checkAddress("discovery", w.Discovery, false); err != nil {
+		return err
+	}
+	if w.Counter == "" {
+		return nil
+	}
+	return checkAddress("counter", w.Counter, false)
+}
+
+// checkAddress refuses an address without a port, or without a host where it needs one.
+func checkAddress(key, address string, anyHost bool) error {
+	host, port, err := net.SplitHostPort(address)
+	number, portErr := strconv.ParseUint(port, 10, 16)
+	if err != nil || portErr != nil || number == 0 || host == "" && !anyHost {
+		return &KeyError{Key: key, Why: fmt.Sprintf("%q is no address", address), Cause: err}
 	}
-	return &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Seed: int64(seed),
-		Memory: int64(f.Limits.MemoryMB * (1 << 20)), Sockets: f.Limits.Sockets, Known: f.Known, Settings: set}, nil
+	return nil
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -57,13 +57,13 @@
 	)
 }
 
-// wrong is the error of a key whose value cannot work.
-func wrong(key, why string, values ...any) error {
+// keyError is the error of a key whose value cannot work.
+func keyError(key, why string, values ...any) error {
 	return &KeyError{Key: key, Why: fmt.Sprintf(why, values...)}
 }
 
-// broken makes an error of what encoding/json says: of one key where only that has a value of a wrong kind.
-func broken(err error) error {
+// decodeError makes an error of what encoding/json says: of one key where only that has a value of a wrong kind.
+func decodeError(err error) error {
 	var kind *json.UnmarshalTypeError
 	if errors.As(err, &kind) && kind.Field != "" {
 		return &KeyError{Key: strings.ReplaceAll(kind.Field, ".", ": "), Cause: err}
@@ -71,8 +71,8 @@
 	return &MalformedError{Cause: err}
 }
 
-// below puts the key of an error of a part under the part's own.
-func below(part string, err error) error {
+// nestedError puts the key of an error of a part under the part's own.
+func nestedError(part string, err error) error {
 	var key *KeyError
 	if errors.As(err, &key) && key.Key == "" {
 		return &KeyError{Key: part, Why: key.Why, Cause: key.Cause}
