--- a/cmd/configdist/errors.go
+++ b/cmd/configdist/errors.go
@@ -13,6 +13,7 @@
 	Want  string
 }
 
+// Error says what happened.
 func (e *FlagError) Error() string { return fmt.Sprintf("%s is %v, not %s", e.Name, e.Value, e.Want) }
 
 // Hint is what to do.
@@ -24,9 +25,12 @@
 	Cause   error
 }
 
+// Error says what happened.
 func (e *ListenError) Error() string {
 	return fmt.Sprintf("cannot listen on %s: %v", e.Address, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -41,9 +45,12 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *SourceStateError) Error() string {
 	return fmt.Sprintf("the source's state %s cannot be used: %v", e.Path, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *SourceStateError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -58,6 +65,7 @@
 	Unconfirmed, Silent int
 }
 
+// Error says what happened.
 func (e *NotInForceError) Error() string {
 	return fmt.Sprintf(
 		"version %v is in force at %d of %d limiters, %d unconfirmed, %d relays silent",
--- a/cmd/configdist/journal.go
+++ b/cmd/configdist/journal.go
@@ -99,6 +99,7 @@
 	body   bytes.Buffer
 }
 
+// Header is a method of http.ResponseWriter, as are WriteHeader and Write.
 func (r *recorded) Header() http.Header            { return r.header }
 func (r *recorded) WriteHeader(status int)         { r.status = status }
 func (r *recorded) Write(text []byte) (int, error) { return r.body.Write(text) }
--- a/internal/coldstart/advice.go
+++ b/internal/coldstart/advice.go
@@ -9,6 +9,7 @@
 	Want  string
 }
 
+// Error says what happened.
 func (b *SettingError) Error() string { return fmt.Sprintf("%s is %v", b.Key, b.Value) }
 
 // Hint is what to do.
@@ -59,6 +60,7 @@
 // told.
 type LateNotificationError struct{ Advice }
 
+// Error says what happened.
 func (l *LateNotificationError) Error() string {
 	return fmt.Sprintf(
 		"with %.4g calls a second all limiters have asked the list service after %.3g s, and news can come %.3g s "+
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -64,6 +64,7 @@
 	Steady                // the list is confirmed, and its servers can do what they are there for
 )
 
+// String gives the word for log lines.
 func (p Phase) String() string { return [...]string{"starting", "syncing", "warming", "steady"}[p] }
 
 // edges are the only ways from phase to phase. Nothing leads back to starting: a limiter that has said that it is ready
--- a/internal/counterloss/counterloss.go
+++ b/internal/counterloss/counterloss.go
@@ -28,6 +28,7 @@
 	Split                 // parts that each see only some of the limiters' adds
 )
 
+// String gives the word for log lines.
 func (c Scenario) String() string { return [...]string{"lost", "reset", "split"}[c] }
 
 // Bound is the most by which what reaches servers for one customer, counted as inside its quota, can pass the
--- a/internal/counterwire/errors.go
+++ b/internal/counterwire/errors.go
@@ -7,9 +7,12 @@
 	Line string // the first bytes of it
 }
 
+// Error says what happened.
 func (e *MalformedError) Error() string {
 	return fmt.Sprintf("the counter wrote %q, which is no answer", e.Line)
 }
+
+// Hint says what an operator can do.
 func (e *MalformedError) Hint() string {
 	return "many of them: check that the counter, and nothing else, listens at the configuration's counter address"
 }
@@ -24,12 +27,15 @@
 	Ping bool // a ping was out
 }
 
+// Error says what happened.
 func (e *MismatchError) Error() string {
 	if e.Ping {
 		return "the counter answered a ping with a call's answer"
 	}
 	return "the counter answered a call with a ping's answer"
 }
+
+// Hint says what an operator can do.
 func (e *MismatchError) Hint() string {
 	return "check what listens at the configuration's counter address; it must answer in the order of the calls"
 }
@@ -40,9 +46,12 @@
 	Amount float64
 }
 
+// Error says what happened.
 func (e *RejectedError) Error() string {
 	return fmt.Sprintf("the counter knows no such call: name %d, amount %v", e.Name, e.Amount)
 }
+
+// Hint says what an operator can do.
 func (e *RejectedError) Hint() string {
 	return "report it, with this line; if each call is refused, check that the counter has this protocol"
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -11,10 +11,15 @@
 	Cause error  // what net/http says, or nil
 }
 
+// Error says what happened.
 func (e *MalformedError) Error() string {
 	return "discovery's answer is malformed" + detail(e.Why, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *MalformedError) Hint() string {
 	return "check that the list service, and nothing else, answers at the configuration's discovery address"
 }
@@ -25,9 +30,12 @@
 	Max  int    // bytes
 }
 
+// Error says what happened.
 func (e *TooLongError) Error() string {
 	return fmt.Sprintf("discovery's answer is too long: its %s passes %d bytes", e.Part, e.Max)
 }
+
+// Hint says what an operator can do.
 func (e *TooLongError) Hint() string {
 	return "check what the list service sends; a fleet whose list is really so long needs smaller tiers"
 }
@@ -35,9 +43,12 @@
 // ThrottledError is for a call that discovery has no time for now.
 type ThrottledError struct{ Status int }
 
+// Error says what happened.
 func (e *ThrottledError) Error() string {
 	return fmt.Sprintf("discovery turned the call away with status %d", e.Status)
 }
+
+// Hint says what an operator can do.
 func (e *ThrottledError) Hint() string {
 	return "nothing if it is rare, the call comes again later and later; at many limiters, give discovery more room"
 }
@@ -45,9 +56,12 @@
 // StatusError is for an answer with any other status that brings no list.
 type StatusError struct{ Status int }
 
+// Error says what happened.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("discovery answered with status %d %s", e.Status, http.StatusText(e.Status))
 }
+
+// Hint says what an operator can do.
 func (e *StatusError) Hint() string {
 	return "look at the list service, and check that it has this protocol"
 }
@@ -55,8 +69,13 @@
 // ListMalformedError is for a list that is no JSON of the right shape.
 type ListMalformedError struct{ Cause error }
 
+// Error says what happened.
 func (e *ListMalformedError) Error() string { return "the list is malformed" + detail("", e.Cause) }
+
+// Unwrap gives the cause.
 func (e *ListMalformedError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *ListMalformedError) Hint() string {
 	return "look at who writes the list: its JSON does not have the form of discovery's lists"
 }
@@ -69,6 +88,7 @@
 	Cause  error  // or nil
 }
 
+// Error says what happened.
 func (e *ListRefusedError) Error() string {
 	where := e.Key
 	if e.Server != "" {
@@ -76,7 +96,11 @@
 	}
 	return "the list cannot be used: " + where + detail(e.Why, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *ListRefusedError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *ListRefusedError) Hint() string {
 	if e.Server == "" {
 		return fmt.Sprintf("have the list say %s", e.Key)
--- a/internal/distribution/digest.go
+++ b/internal/distribution/digest.go
@@ -57,6 +57,7 @@
 	return b
 }
 
+// String gives the word for log lines.
 func (d Digest) String() string { return hex.EncodeToString(d.bytes()) }
 
 // MarshalText writes 64 hexadecimal digits.
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -49,6 +49,7 @@
 	Name  string `json:"name"`
 }
 
+// String gives the word for log lines.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Scope + "/" + k.Name }
 
 // compare orders keys by kind, scope and name.
--- a/internal/distribution/errors.go
+++ b/internal/distribution/errors.go
@@ -8,6 +8,7 @@
 // KindError is for an entry of a kind that this program does not know.
 type KindError struct{ Kind string }
 
+// Error says what happened.
 func (e *KindError) Error() string { return fmt.Sprintf("the kind %q is not known", e.Kind) }
 
 // Hint is what to do.
@@ -21,6 +22,7 @@
 	Why string
 }
 
+// Error says what happened.
 func (e *KeyError) Error() string { return fmt.Sprintf("the entry %s %s", e.Key, e.Why) }
 
 // Hint is what to do.
@@ -32,6 +34,7 @@
 	Bytes, Max int // or a number, where What says so
 }
 
+// Error says what happened.
 func (e *TooLargeError) Error() string {
 	return fmt.Sprintf("%s is too large: %d, at most %d", e.What, e.Bytes, e.Max)
 }
@@ -42,6 +45,7 @@
 // EmptyChangeError is for a change that changes nothing.
 type EmptyChangeError struct{}
 
+// Error says what happened.
 func (e *EmptyChangeError) Error() string { return "the change has no mutations" }
 
 // Hint is what to do.
@@ -50,6 +54,7 @@
 // FencedError is for a writer whose epoch is not the open one.
 type FencedError struct{ Open, Given uint64 }
 
+// Error says what happened.
 func (e *FencedError) Error() string {
 	return fmt.Sprintf("the writer's epoch %d is not the open one, which is %d", e.Given, e.Open)
 }
@@ -62,6 +67,7 @@
 // EpochStepError is for an epoch that is too far above the open one.
 type EpochStepError struct{ Open, Given uint64 }
 
+// Error says what happened.
 func (e *EpochStepError) Error() string {
 	return fmt.Sprintf("the epoch %d is more than %d above the open one, which is %d", e.Given, MaxEpochStep, e.Open)
 }
@@ -72,6 +78,7 @@
 // ConflictError is for a change that was made for another version than the log's head.
 type ConflictError struct{ Expected, Head Version }
 
+// Error says what happened.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("the change expects version %v, the head is %v", e.Expected, e.Head)
 }
@@ -84,6 +91,7 @@
 // SkipError is for a version that does not follow the one before it.
 type SkipError struct{ Held, Given Version }
 
+// Error says what happened.
 func (e *SkipError) Error() string {
 	return fmt.Sprintf("version %v does not follow %v", e.Given, e.Held)
 }
@@ -96,6 +104,7 @@
 // StaleAnswerError is for an answer with an older version than the one in force.
 type StaleAnswerError struct{ Held, Given Version }
 
+// Error says what happened.
 func (e *StaleAnswerError) Error() string {
 	return fmt.Sprintf("the answer's version %v is older than %v, which is in force", e.Given, e.Held)
 }
@@ -111,6 +120,7 @@
 	Want, Got Digest
 }
 
+// Error says what happened.
 func (e *DigestError) Error() string {
 	return fmt.Sprintf("at version %v the digest is %.16v, not %.16v", e.Version, e.Got, e.Want)
 }
@@ -124,6 +134,7 @@
 // it.
 type CompactedError struct{ From, Oldest Version }
 
+// Error says what happened.
 func (e *CompactedError) Error() string {
 	return fmt.Sprintf("version %v is not in the log, which begins at %v", e.From, e.Oldest)
 }
@@ -136,6 +147,7 @@
 // BehindError is for a server that is older than the subscriber that asks it.
 type BehindError struct{ From, Head Version }
 
+// Error says what happened.
 func (e *BehindError) Error() string {
 	return fmt.Sprintf("version %v is asked from, but the server has only %v", e.From, e.Head)
 }
@@ -148,6 +160,7 @@
 // NotReadyError is for a server that has no version yet.
 type NotReadyError struct{}
 
+// Error says what happened.
 func (e *NotReadyError) Error() string { return "the server has no version yet" }
 
 // Hint is what to do.
@@ -158,6 +171,7 @@
 // ThrottledError is for a piece that passes the server's byte budget now.
 type ThrottledError struct{ RetryAfter int64 } // nanoseconds
 
+// Error says what happened.
 func (e *ThrottledError) Error() string {
 	return fmt.Sprintf("the byte budget is spent for %v", time.Duration(e.RetryAfter))
 }
@@ -170,6 +184,7 @@
 // ScopeError is for a scope that cannot be.
 type ScopeError struct{ Why string }
 
+// Error says what happened.
 func (e *ScopeError) Error() string { return "the scope cannot be used: " + e.Why }
 
 // Hint is what to do.
@@ -180,6 +195,7 @@
 // ReadOnlyError is for a write to a server that only serves.
 type ReadOnlyError struct{}
 
+// Error says what happened.
 func (e *ReadOnlyError) Error() string { return "a relay takes no writes" }
 
 // Hint is what to do.
@@ -190,6 +206,7 @@
 // FixedKeyError is for a key that a limiter cannot change while it runs.
 type FixedKeyError struct{ Key Key }
 
+// Error says what happened.
 func (e *FixedKeyError) Error() string {
 	return fmt.Sprintf("the entry %s cannot change while the limiter runs", e.Key)
 }
@@ -205,9 +222,12 @@
 	Cause   error
 }
 
+// Error says what happened.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("version %v is refused: %v", e.Version, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -221,7 +241,10 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *MalformedError) Error() string { return fmt.Sprintf("%s is malformed: %v", e.What, e.Cause) }
+
+// Unwrap gives the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -232,6 +255,7 @@
 // NoRelayError is for a list of relays of which none can be chosen.
 type NoRelayError struct{ Why string }
 
+// Error says what happened.
 func (e *NoRelayError) Error() string { return "no relay can be chosen: " + e.Why }
 
 // Hint is what to do.
--- a/internal/distribution/statefile/errors.go
+++ b/internal/distribution/statefile/errors.go
@@ -16,9 +16,12 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *UnreadableError) Error() string {
 	return fmt.Sprintf("the state file %s cannot be read: %v", e.Path, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -32,6 +35,7 @@
 	Bytes int
 }
 
+// Error says what happened.
 func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("the state file %s is cut short at %d bytes", e.Path, e.Bytes)
 }
@@ -47,9 +51,12 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *ChecksumError) Error() string {
 	return fmt.Sprintf("the state file %s does not hold what was written: %v", e.Path, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *ChecksumError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -63,6 +70,7 @@
 	Version int
 }
 
+// Error says what happened.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("the state file %s is of format version %d, not %d", e.Path, e.Version, fileFormat.Version)
 }
@@ -73,6 +81,7 @@
 // OwnerError is for the file of another subscriber, of another installation, or of another scope.
 type OwnerError struct{ Path, Installation, Subscriber, Scope string }
 
+// Error says what happened.
 func (e *OwnerError) Error() string {
 	return fmt.Sprintf(
 		"the state file %s is of %q of installation %q with scope %q",
@@ -94,6 +103,7 @@
 	Age, MaxAge int64 // nanoseconds
 }
 
+// Error says what happened.
 func (e *StaleError) Error() string {
 	return fmt.Sprintf(
 		"the state file %s was confirmed %v ago, no more than %v is believed",
@@ -114,6 +124,7 @@
 	Held, Given distribution.Version
 }
 
+// Error says what happened.
 func (e *OlderError) Error() string {
 	return fmt.Sprintf("the state file %s holds version %v, and %v is older", e.Path, e.Held, e.Given)
 }
@@ -129,9 +140,12 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *WriteError) Error() string {
 	return fmt.Sprintf("the state file %s is not written: %v", e.Path, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *WriteError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
--- a/internal/distribution/transport/errors.go
+++ b/internal/distribution/transport/errors.go
@@ -12,9 +12,12 @@
 	Cause   error
 }
 
+// Error says what happened.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("%s cannot be reached: %v", e.Address, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -28,6 +31,7 @@
 	After   int64 // nanoseconds
 }
 
+// Error says what happened.
 func (e *UnansweredError) Error() string {
 	return fmt.Sprintf("%s has not answered within %v", e.Address, time.Duration(e.After))
 }
@@ -43,9 +47,12 @@
 	Cause   error
 }
 
+// Error says what happened.
 func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("the answer of %s is cut short: %v", e.Address, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *TruncatedError) Unwrap() error { return e.Cause }
 
 // Hint is what to do.
@@ -59,6 +66,7 @@
 	Max     int64 // bytes
 }
 
+// Error says what happened.
 func (e *TooLongError) Error() string {
 	return fmt.Sprintf("the answer of %s passes %d bytes", e.Address, e.Max)
 }
@@ -74,6 +82,7 @@
 	Status  int
 }
 
+// Error says what happened.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s answered with status %d %s", e.Address, e.Status, http.StatusText(e.Status))
 }
--- a/internal/distribution/version.go
+++ b/internal/distribution/version.go
@@ -26,4 +26,5 @@
 	return v.Number == previous.Number+1 && v.Epoch >= previous.Epoch
 }
 
+// String gives the word for log lines.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch, v.Number) }
--- a/internal/lab/distbench/cases.go
+++ b/internal/lab/distbench/cases.go
@@ -62,6 +62,7 @@
 // UnknownCaseError is for a case that there is not.
 type UnknownCaseError struct{ Name string }
 
+// Error says what happened.
 func (e *UnknownCaseError) Error() string { return fmt.Sprintf("there is no case %q", e.Name) }
 
 // Hint says what to do about it.
--- a/internal/lab/distbench/process.go
+++ b/internal/lab/distbench/process.go
@@ -43,6 +43,7 @@
 	Cause     error
 }
 
+// Error says what happened.
 func (e *StartError) Error() string {
 	return fmt.Sprintf("%s did not start: %v: %s", e.What, e.Cause, e.Log)
 }
--- a/internal/lab/emulator/fault.go
+++ b/internal/lab/emulator/fault.go
@@ -50,6 +50,7 @@
 	Why string
 }
 
+// Error says what happened.
 func (e *FaultError) Error() string { return e.Key + ": " + e.Why }
 
 // Hint says what to do about it.
--- a/internal/lab/experiment/steps.go
+++ b/internal/lab/experiment/steps.go
@@ -14,6 +14,7 @@
 // EntryError is an experiment that cannot be played; Key names what is at fault in it, as faults[2].target.
 type EntryError struct{ Key, Why string }
 
+// Error says what happened.
 func (e *EntryError) Error() string { return e.Key + ": " + e.Why }
 
 // Hint says what to do about it.
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -18,6 +18,7 @@
 	Cause     error
 }
 
+// Error says what happened.
 func (e *ListenError) Error() string {
 	return fmt.Sprintf("the link from %s to %s: %v", e.Near, e.Far, e.Cause)
 }
@@ -27,6 +28,7 @@
 	return "let the lab open more files (ulimit -n); a link needs plain TCP on Linux, which lets a socket filter drop what comes"
 }
 
+// Unwrap gives the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
 // Proxy is the network from one party to another.
--- a/internal/lab/ports/ports.go
+++ b/internal/lab/ports/ports.go
@@ -27,6 +27,7 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *KeepError) Error() string {
 	return fmt.Sprintf("no loopback port could be kept: %s: %v", e.Step, e.Cause)
 }
@@ -36,6 +37,7 @@
 	return "let the lab open more files (ulimit -n), or free ports of net.ipv4.ip_local_port_range"
 }
 
+// Unwrap gives the cause.
 func (e *KeepError) Unwrap() error { return e.Cause }
 
 // Keep holds a free port of 127.0.0.1; the error is a *KeepError.
--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -17,6 +17,7 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *Error) Error() string { return fmt.Sprintf("process %d: %v", e.PID, e.Cause) }
 
 // Unwrap is what the kernel said.
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -22,6 +22,7 @@
 // FitError is for points through which no line goes.
 type FitError struct{ Why string }
 
+// Error says what happened.
 func (e *FitError) Error() string { return "no line: " + e.Why }
 
 // Hint says what to do about it.
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -250,6 +250,7 @@
 	Within     time.Duration
 }
 
+// Error says what happened.
 func (e *NotAppliedError) Error() string {
 	return fmt.Sprintf("%d of %d limiters go by the change after %v", e.Have, e.Want, e.Within)
 }
--- a/internal/lab/scale/idle.go
+++ b/internal/lab/scale/idle.go
@@ -101,6 +101,7 @@
 // LoadError is a load of which too little was served for its figures to mean anything.
 type LoadError struct{ Sent, Served int }
 
+// Error says what happened.
 func (e *LoadError) Error() string {
 	return fmt.Sprintf("%d of %d requests were served", e.Served, e.Sent)
 }
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -34,6 +34,7 @@
 	Cause     error
 }
 
+// Error says what happened.
 func (e *StartError) Error() string { return fmt.Sprintf("%s did not start: %v", e.What, e.Cause) }
 
 // Unwrap is why.
@@ -47,6 +48,7 @@
 // MemoryError is a fleet of hollow limiters for which the machine has too little memory.
 type MemoryError struct{ Need, Have float64 }
 
+// Error says what happened.
 func (e *MemoryError) Error() string {
 	return fmt.Sprintf("hollow limiters may take %.1f GB, and %.1f GB can be had", e.Need/1e9, e.Have/1e9)
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -90,6 +90,7 @@
 	return fmt.Sprintf("%.4g", x)
 }
 
+// String gives the word for log lines.
 func (p Point) String() string {
 	text := short(p.Middle())
 	if len(p.Samples) > 1 {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -51,6 +51,7 @@
 // UnknownError is for an experiment that there is not.
 type UnknownError struct{ Name string }
 
+// Error says what happened.
 func (e *UnknownError) Error() string { return fmt.Sprintf("no experiment is called %q", e.Name) }
 
 // Hint names those that there are.
--- a/internal/lab/simdistribution/scenarios.go
+++ b/internal/lab/simdistribution/scenarios.go
@@ -28,6 +28,7 @@
 // Deadline is what Report.Late counts from.
 const Deadline = 18 * second
 
+// String gives the word for log lines.
 func (r Report) String() string {
 	return fmt.Sprintf(
 		"%-38s changes %2d limiters %3d  p50 %7.3f s  p99 %7.3f s  max %7.3f s  late at 18 s %3d  never %3d  %6.0f B/s a limiter  "+
--- a/internal/lab/testbed/evict_test.go
+++ b/internal/lab/testbed/evict_test.go
@@ -87,7 +87,7 @@
 			d.s0.None(t, time.Millisecond)
 			d.Sockets.Halt()
 			d.Finish(t, Patience)
-			pools := reflect.ValueOf(d.Limiter).Elem().FieldByName("pools")
+			pools := reflect.ValueOf(d.Limiter).Elem().FieldByName("servers").FieldByName("pools")
 			require.Equal(t, 1, pools.Len(), "%v", pools.MapKeys())
 		})
 	}
--- a/internal/limiter/close_reason.go
+++ b/internal/limiter/close_reason.go
@@ -48,6 +48,7 @@
 	return choice.ConnectFailed
 }
 
+// String gives the word for log lines.
 func (e CloseReason) String() string {
 	return [...]string{"refused", "dial-over", "peer-closed", "peer-reset", "garbled", "called-off", "time-over",
 		"silent", "unused", "no-room", "overrun"}[e]
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -47,6 +47,7 @@
 	Cause error
 }
 
+// Error says what happened.
 func (u *UnreadableError) Error() string {
 	return fmt.Sprintf("operator's file %s: %v", u.Path, u.Cause)
 }
@@ -56,6 +57,7 @@
 	return "mend " + u.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
 }
 
+// Unwrap gives the cause.
 func (u *UnreadableError) Unwrap() error { return u.Cause }
 
 // KeyError is a key that is not known, or whose value cannot work.
@@ -66,6 +68,7 @@
 	Want  string
 }
 
+// Error says what happened.
 func (b *KeyError) Error() string {
 	return fmt.Sprintf("operator's file %s: %s is %v, not %s", b.Path, b.Key, b.Value, b.Want)
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -15,10 +15,15 @@
 	Cause error
 }
 
+// Error says what happened.
 func (e *UnreadableError) Error() string {
 	return "the configuration cannot be read: " + e.Cause.Error()
 }
+
+// Unwrap gives the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *UnreadableError) Hint() string {
 	if e.Path == "" {
 		return "set GW_CONFIG to the path of the configuration"
@@ -29,8 +34,13 @@
 // MalformedError is for a text that is no JSON object at all.
 type MalformedError struct{ Cause error }
 
+// Error says what happened.
 func (e *MalformedError) Error() string { return "the configuration is malformed: " + e.Cause.Error() }
+
+// Unwrap gives the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *MalformedError) Hint() string {
 	return "mend the JSON; `ospreycroft check` reads it again without starting"
 }
@@ -42,6 +52,7 @@
 	Cause error  // or nil
 }
 
+// Error says what happened.
 func (e *KeyError) Error() string {
 	parts := []string{e.Key, e.Why}
 	if e.Cause != nil {
@@ -49,7 +60,11 @@
 	}
 	return strings.Join(slices.DeleteFunc(parts, func(p string) bool { return p == "" }), ": ")
 }
+
+// Unwrap gives the cause.
 func (e *KeyError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *KeyError) Hint() string {
 	return fmt.Sprintf(
 		"mend the key %q of the configuration; `ospreycroft check` reads it again without starting",
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -27,35 +27,43 @@
 	in.host.output = append(in.host.output, a)
 }
 
+// Send writes relay.
 func (in *instance) Send(request, server string) {
 	in.write(action{Type: "relay", Handle: request, Server: server})
 }
 
+// Cancel writes undo-send.
 func (in *instance) Cancel(request string, attempt int) {
 	in.write(action{Type: "undo-send", Handle: request, Copy: &attempt})
 }
 
+// Reject writes shed.
 func (in *instance) Reject(request string, retryAfter int64, _ choice.RejectReason) {
 	in.write(action{Type: "shed", Handle: request, HoldOff: seconds(retryAfter)})
 }
 
+// Fail writes respond-error.
 func (in *instance) Fail(request string) {
 	in.write(action{Type: "respond-error", Handle: request})
 }
 
+// AddToCounter writes charge-counter.
 func (in *instance) AddToCounter(name uint64, amount float64, lifetime int64) {
 	in.write(action{Type: "charge-counter", Name: &name, Amount: &amount, Lifetime: seconds(lifetime)})
 }
 
+// HealthCheck writes poll.
 func (in *instance) HealthCheck(server string) {
 	in.write(action{Type: "poll", Server: server})
 }
 
+// SetTimer writes set-timer.
 func (in *instance) SetTimer(at, token int64) {
 	due := seconds(at)
 	in.write(action{Type: "set-timer", DueAt: &due, Ctx: &token})
 }
 
+// Log writes note-down.
 func (in *instance) Log(text string) {
 	in.write(action{Type: "note-down", Text: text})
 }
--- a/internal/snapshot/errors.go
+++ b/internal/snapshot/errors.go
@@ -11,6 +11,7 @@
 	Cause error
 }
 
+// Error says what happened.
 func (u *UnreadableError) Error() string {
 	return fmt.Sprintf("snapshot %s cannot be read: %v", u.Path, u.Cause)
 }
@@ -20,6 +21,7 @@
 	return "let the limiter's user read " + u.Path + ", and look at the disk"
 }
 
+// Unwrap gives the cause.
 func (u *UnreadableError) Unwrap() error { return u.Cause }
 
 // TruncatedError is a file that ends too early.
@@ -28,6 +30,7 @@
 	Bytes int
 }
 
+// Error says what happened.
 func (c *TruncatedError) Error() string {
 	return fmt.Sprintf("snapshot %s is cut short at %d bytes", c.Path, c.Bytes)
 }
@@ -43,6 +46,7 @@
 	Cause error
 }
 
+// Error says what happened.
 func (s *ChecksumError) Error() string {
 	return fmt.Sprintf("snapshot %s is spoilt: %v", s.Path, s.Cause)
 }
@@ -52,6 +56,7 @@
 	return "nothing: the next list replaces it; if it comes again, look at the disk and at who else writes to " + s.Path
 }
 
+// Unwrap gives the cause.
 func (s *ChecksumError) Unwrap() error { return s.Cause }
 
 // FormatError is a file of another version of the format.
@@ -60,6 +65,7 @@
 	Version int
 }
 
+// Error says what happened.
 func (o *FormatError) Error() string {
 	return fmt.Sprintf("snapshot %s is of version %d, not %d", o.Path, o.Version, fileFormat.Version)
 }
@@ -74,6 +80,7 @@
 	Path, Installation, Limiter string
 }
 
+// Error says what happened.
 func (f *OwnerError) Error() string {
 	return fmt.Sprintf("snapshot %s is of limiter %q of installation %q", f.Path, f.Limiter, f.Installation)
 }
@@ -89,6 +96,7 @@
 	Age, MaxAge int64 // nanoseconds
 }
 
+// Error says what happened.
 func (o *StaleError) Error() string {
 	return fmt.Sprintf(
 		"snapshot %s was taken %v ago, no more than %v is believed",
@@ -110,6 +118,7 @@
 	Cause error
 }
 
+// Error says what happened.
 func (u *WriteError) Error() string {
 	return fmt.Sprintf("snapshot %s is not written: %v", u.Path, u.Cause)
 }
@@ -119,4 +128,5 @@
 	return "make room on the disk and let the limiter's user write there; until then a restart begins with an older list"
 }
 
+// Unwrap gives the cause.
 func (u *WriteError) Unwrap() error { return u.Cause }
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -12,10 +12,15 @@
 	Cause   error
 }
 
+// Error says what happened.
 func (e *AddressInUseError) Error() string {
 	return fmt.Sprintf("%s is in use by another process: %v", e.Address, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *AddressInUseError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *AddressInUseError) Hint() string {
 	return "end the process that listens there, perhaps this limiter's last one, or change the configuration's listen address"
 }
@@ -26,10 +31,15 @@
 	Cause   error
 }
 
+// Error says what happened.
 func (e *AddressError) Error() string {
 	return fmt.Sprintf("cannot listen on %s: %v", e.Address, e.Cause)
 }
+
+// Unwrap gives the cause.
 func (e *AddressError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *AddressError) Hint() string {
 	return "set the configuration's listen to an address of this machine and a port that this user may listen on"
 }
@@ -40,13 +50,18 @@
 	Cause      error  // what the kernel said, or nil
 }
 
+// Error says what happened.
 func (e *DescriptorsError) Error() string {
 	if e.Cause != nil {
 		return "no descriptor is left: " + e.Cause.Error()
 	}
 	return fmt.Sprintf("the process may hold %d descriptors, the configuration's limits say %d", e.Have, e.Need)
 }
+
+// Unwrap gives the cause.
 func (e *DescriptorsError) Unwrap() error { return e.Cause }
+
+// Hint says what an operator can do.
 func (e *DescriptorsError) Hint() string {
 	return "raise the process's limit on open files (ulimit -n), or lower limits.sockets of the configuration to it"
 }
--- a/internal/sockets/gate.go
+++ b/internal/sockets/gate.go
@@ -27,6 +27,7 @@
 	full atomic.Bool // one more waits for a place, perhaps
 }
 
+// Accept lets the next connection in once there is a place for it.
 func (g *gate) Accept() (net.Conn, error) {
 	g.full.Store(true)
 	g.free <- struct{}{}
