--- /dev/null
+++ b/cmd/ospreycroft/check.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"maps"
+	"os"
+	"slices"
+
+	"github.com/spf13/cobra"
+
+	"ospreycroft/internal/coldstart"
+	"ospreycroft/internal/counterloss"
+	"ospreycroft/internal/discovery"
+	"ospreycroft/internal/limiter"
+	"ospreycroft/internal/logging"
+	"ospreycroft/internal/operator"
+	"ospreycroft/internal/settings"
+)
+
+func checkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "check [CONFIG.json]", Short: "read a configuration and state its bounds", Args: cobra.MaximumNArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			path := os.Getenv(configVariable)
+			if len(args) == 1 {
+				path = args[0]
+			}
+			return check(path)
+		},
+	}
+}
+
+// check reads a configuration as a limiter would and prints what it states.
+func check(path string) error {
+	config, err := settings.ReadFile(path)
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	plans, classes := config.Settings.Plans, config.Settings.Classes
+	fmt.Printf("ok name=%s limiters=%d plans=%d classes=%d\n", config.Name, config.Settings.Limiters, len(plans), len(classes))
+	for _, name := range slices.Sorted(maps.Keys(plans)) {
+		if limit := plans[name].MaxInFlight; limit > 0 {
+			fmt.Printf("cap plan=%s attempts_out=%v\n", name, limit)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(classes)) {
+		fmt.Printf("class name=%s worth=%v\n", name, classes[name].PriorityWeight)
+	}
+	options, err := operator.Read()
+	if err != nil {
+		return err
+	}
+	if err := reportStartBounds(config, options, printEvent); err != nil {
+		return err
+	}
+	return reportCounterLoss(config, printEvent)
+}
+
+// printEvent prints an event for `check`.
+func printEvent(e logging.Event) { fmt.Println(e) }
+
+// reportCounterLoss states, plan by plan, how far use can pass a quota when the counter is lost, emptied or split.
+func reportCounterLoss(config *settings.Config, report func(logging.Event)) error {
+	rows, err := counterloss.Table(config.Settings.Settings)
+	if err != nil {
+		return err
+	}
+	for _, b := range rows {
+		report(logging.Event{Name: "counter-loss-bound", Attrs: b.Attrs(config.Settings.Plans[b.Plan])})
+	}
+	return nil
+}
+
+// reportStartBounds states what a start of all limiters costs the list service, and how late news can come. A budget that is
+// too small for the list's clock is said, and is no error.
+func reportStartBounds(config *settings.Config, o *operator.Options, report func(logging.Event)) error {
+	set := limiter.ColdStartSettings(
+		config,
+		limiter.OperatorOptions{DiscoveryCallRate: o.DiscoveryCallRate, ConnectionRate: o.ConnectionRate},
+	)
+	servers := 0
+	if list, err := discovery.DecodeList(config.Known); err == nil {
+		servers = len(list.Endpoints)
+	}
+	a, err := set.Advise(servers)
+	var late *coldstart.LateNotificationError
+	if err != nil && !errors.As(err, &late) {
+		return err
+	}
+	if set.PollInterval > 0 {
+		report(logging.Event{Name: "start-bound", Attrs: []slog.Attr{
+			roundedAttr("list_calls_per_s", a.CallRate), slog.Bool("stated", a.StatedRate), slog.Bool("even", a.EvenRate),
+			roundedAttr("all_asked_s", float64(a.AllPolledWithin)/1e9),
+		}})
+	}
+	if a.ConnectionRate > 0 {
+		report(logging.Event{Name: "start-bound", Attrs: []slog.Attr{
+			roundedAttr("connections_per_s", set.ConnectionRate), roundedAttr("one_limiter", a.ConnectionRate),
+		}})
+	}
+	if late != nil {
+		report(logging.Event{Name: "list-late", Attrs: []slog.Attr{
+			slog.String("error", late.Error()), slog.String("hint", late.Hint()),
+		}})
+	}
+	return nil
+}
+
+// roundedAttr is a figure with four digits, enough for an operator.
+func roundedAttr(key string, value float64) slog.Attr {
+	return slog.String(key, fmt.Sprintf("%.4g", value))
+}
--- /dev/null
+++ b/cmd/ospreycroft/run.go
@@ -0,0 +1,122 @@
+package main
+
+import (
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+	"time"
+
+	"ospreycroft/internal/hint"
+	"ospreycroft/internal/limiter"
+	"ospreycroft/internal/logging"
+	"ospreycroft/internal/operator"
+	"ospreycroft/internal/settings"
+	"ospreycroft/internal/sockets"
+)
+
+// configVariable names the configuration's file.
+const configVariable = "GW_CONFIG"
+
+// memoryLimitParts: the runtime keeps to three of so many parts of the memory, the rest is left for what it does not count.
+const memoryLimitParts = 4
+
+// run serves until SIGTERM, and ends once all that was accepted is answered.
+func run() error {
+	reloads := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
+	signal.Notify(reloads, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // who reads the log may end first: it ends no limiter that owes answers
+	config, err := readConfig()
+	if err != nil {
+		return err
+	}
+	options, err := operator.Read()
+	if err != nil {
+		return err
+	}
+	limitRuntime(config)
+	stop := stopSignal()
+	clock := newClock()
+	renewals := newRenewals(config)
+	follower := newFollower(config, options, renewals, clock)
+	config = renewals.start()
+	go rereadOn(reloads, renewals)
+	if err := sockets.Descriptors(config.Sockets); err != nil { // it serves as far as they go
+		slog.Warn("descriptors-short", hint.Attrs(err)...)
+	}
+	listening, err := sockets.Listen(config.Listen, limiter.MaxClients(config), config.Sockets)
+	if err != nil {
+		return err
+	}
+	stated := limiter.OperatorOptions{DiscoveryCallRate: options.DiscoveryCallRate, ConnectionRate: options.ConnectionRate}
+	defer startSnapshots(config, options, &stated)()
+	l, err := limiter.NewWithOptions(clock(), config, stated, listening)
+	if err != nil {
+		return err
+	}
+	if err := logStart(config, options); err != nil {
+		return err
+	}
+	if follower != nil {
+		defer follower.start()()
+	}
+	listening.Run(clock, l, stop, renewals.next)
+	l.LogOutcomes()
+	slog.Info("stopped", "name", config.Name)
+	return nil
+}
+
+// readConfig reads the configuration, at the start and again when SIGHUP says that it was replaced.
+func readConfig() (*settings.Config, error) { return settings.ReadFile(os.Getenv(configVariable)) }
+
+// limitRuntime keeps the Go runtime to one thread that runs Go code at a time, as there is one core (with more, each wake costs a
+// search for idle ones), and to a part of the memory.
+func limitRuntime(config *settings.Config) {
+	runtime.GOMAXPROCS(1)
+	debug.SetMemoryLimit(config.Memory * (memoryLimitParts - 1) / memoryLimitParts)
+}
+
+// stopSignal gives a channel that is closed at SIGTERM or SIGINT. Its goroutine lasts until then.
+func stopSignal() <-chan struct{} {
+	stop := make(chan struct{})
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	go func() {
+		<-signals
+		close(stop)
+	}()
+	return stop
+}
+
+// newClock gives the process's clock, in nanoseconds. All limiters name their counts by one clock, so it begins as the system's;
+// from then on it only goes forward.
+func newClock() func() int64 {
+	start := time.Now()
+	return func() int64 { return start.UnixNano() + int64(time.Since(start)) }
+}
+
+// rereadOn reads the configuration again at each signal, until the process ends. One that cannot be used changes nothing.
+func rereadOn(signals <-chan os.Signal, renewals *renewals) {
+	for range signals {
+		config, err := readConfig()
+		if err != nil {
+			slog.Warn("config-refused", hint.Attrs(err)...)
+			continue
+		}
+		renewals.reread(config)
+	}
+}
+
+// logStart logs that the limiter listens, and what its configuration means.
+func logStart(config *settings.Config, options *operator.Options) error {
+	slog.Info("started", "name", config.Name, "listen", config.Listen)
+	if err := reportCounterLoss(config, logging.Event.Log); err != nil {
+		return err
+	}
+	if *options == (operator.Options{}) {
+		return nil
+	}
+	return reportStartBounds(config, options, logging.Event.Log)
+}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -51,62 +51,72 @@
 	)
 }
 
-// DecodeList reads a list and refuses one that cannot be used, whole.
+// wireList is a list by the keys of the wire.
+type wireList struct {
+	Version   *int64         `json:"generation"`
+	Complete  bool           `json:"reset"`
+	Endpoints []wireEndpoint `json:"instances"`
+}
+
+// wireEndpoint is one entry of a list by the keys of the wire.
+type wireEndpoint struct {
+	ID        string  `json:"instanceId"`
+	Address   string  `json:"hostPort"`
+	Zone      string  `json:"zone"`
+	Cell      int64   `json:"cell"`
+	State     string  `json:"lifecycle"`
+	Weight    float64 `json:"weight"`
+	StartedMs float64 `json:"startedAtMs"`
+}
+
+// DecodeList reads a list and refuses one that cannot be used, whole. Errors: *ListMalformedError, *ListRefusedError.
 func DecodeList(text []byte) (*List, error) {
-	var f struct {
-		Version *int64 `json:"generation"`
-		Whole   bool   `json:"reset"`
-		Entries []struct {
-			ID      string  `json:"instanceId"`
-			Address string  `json:"hostPort"`
-			Zone    string  `json:"zone"`
-			Cell    int64   `json:"cell"`
-			State   string  `json:"lifecycle"`
-			Weight  float64 `json:"weight"`
-			Started float64 `json:"startedAtMs"`
-		} `json:"instances"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	var w wireList
+	if err := json.Unmarshal(text, &w); err != nil {
 		return nil, &ListMalformedError{Cause: err}
 	}
-	if f.Version == nil {
+	if w.Version == nil {
 		return nil, &ListRefusedError{Key: "generation", Why: "missing"}
 	}
-	if f.Whole && f.Entries == nil {
-		// Taken at its word it would end all servers. A whole list of none is written [].
+	if w.Complete && w.Endpoints == nil {
+		// Taken at its word it would end all servers. A complete list of none is written [].
 		return nil, &ListRefusedError{Key: "instances", Why: "missing in a whole list"}
 	}
-	list := &List{Version: *f.Version, Complete: f.Whole}
-	for i, e := range f.Entries {
-		listing, known := endpointStates[e.State]
-		if !known {
-			return nil, &ListRefusedError{
-				Server: entryName(i, e.ID),
-				Key:    "lifecycle",
-				Why:    strconv.Quote(e.State) + " is not known",
-			}
-		}
-		if e.ID == "" {
-			return nil, &ListRefusedError{Server: entryName(i, ""), Key: "instanceId", Why: "missing"}
-		}
-		if _, _, err := net.SplitHostPort(e.Address); err != nil && listing == choice.EndpointReady {
-			return nil, &ListRefusedError{Server: e.ID, Key: "hostPort", Cause: err}
-		}
-		if e.Weight < 0 {
-			return nil, &ListRefusedError{Server: e.ID, Key: "weight", Why: fmt.Sprintf("is %v", e.Weight)}
+	list := &List{Version: *w.Version, Complete: w.Complete}
+	for i := range w.Endpoints {
+		endpoint, err := w.Endpoints[i].decode(i)
+		if err != nil {
+			return nil, err
 		}
-		if e.Started < 0 || e.Started > maxStartMilliseconds {
-			return nil, &ListRefusedError{Server: e.ID, Key: "startedAtMs", Why: fmt.Sprintf("is %v", e.Started)}
-		}
-		list.Endpoints = append(
-			list.Endpoints,
-			Endpoint{Address: e.Address, Endpoint: choice.Endpoint{ID: e.ID, Zone: e.Zone,
-				Cell: e.Cell, State: listing, Weight: e.Weight, StartedAt: int64(e.Started * 1e6)}},
-		)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list, nil
 }
 
+// decode checks an entry, which stands at a place in the list.
+func (w *wireEndpoint) decode(place int) (Endpoint, error) {
+	state, known := endpointStates[w.State]
+	if !known {
+		name := entryName(place, w.ID)
+		return Endpoint{}, &ListRefusedError{Server: name, Key: "lifecycle", Why: strconv.Quote(w.State) + " is not known"}
+	}
+	if w.ID == "" {
+		return Endpoint{}, &ListRefusedError{Server: entryName(place, ""), Key: "instanceId", Why: "missing"}
+	}
+	if _, _, err := net.SplitHostPort(w.Address); err != nil && state == choice.EndpointReady {
+		return Endpoint{}, &ListRefusedError{Server: w.ID, Key: "hostPort", Cause: err}
+	}
+	if w.Weight < 0 {
+		return Endpoint{}, &ListRefusedError{Server: w.ID, Key: "weight", Why: fmt.Sprintf("is %v", w.Weight)}
+	}
+	if w.StartedMs < 0 || w.StartedMs > maxStartMilliseconds {
+		return Endpoint{}, &ListRefusedError{Server: w.ID, Key: "startedAtMs", Why: fmt.Sprintf("is %v", w.StartedMs)}
+	}
+	return Endpoint{Address: w.Address, Endpoint: choice.Endpoint{
+		ID: w.ID, Zone: w.Zone, Cell: w.Cell, State: state, Weight: w.Weight, StartedAt: int64(w.StartedMs * 1e6),
+	}}, nil
+}
+
 // entryName is how an error names an entry: by its id, or by its place in the list, from 0, where it has none.
 func entryName(i int, id string) string {
 	if id == "" {
--- a/internal/discovery/answer.go
+++ b/internal/discovery/response.go
@@ -31,38 +31,20 @@
 func ReadClosedResponse(b []byte) (a Response, n int, err error) { return parseResponse(b, true) }
 
 func parseResponse(b []byte, ended bool) (a Response, n int, err error) {
-	if k := min(len(b), len(httpVersion)); !bytes.Equal(b[:k], httpVersion[:k]) {
-		return a, 0, &MalformedError{Why: "it is no HTTP/1"}
-	}
-	end := bytes.Index(b[:min(len(b), maxHeadBytes)], headEnd)
-	if end < 0 {
-		if len(b) >= maxHeadBytes {
-			err = &TooLongError{Part: "head", Max: maxHeadBytes}
-		}
+	r, head, err := parseHead(b)
+	if err != nil || r == nil {
 		return a, 0, err
 	}
-	head := b[:end+len(headEnd)]
-	rest := b[end+len(headEnd):]
-	// Only the head is given to it: it is short, so to read it again with each piece of a long body costs little.
-	from := bufio.NewReaderSize(bytes.NewReader(head), len(head))
-	r, err := http.ReadResponse(from, nil)
-	switch {
-	case err != nil:
-		return a, 0, &MalformedError{Cause: err}
-	case from.Buffered() > 0: // lines that end without a return: where the body begins is not sure
-		return a, 0, &MalformedError{Why: "its head ends twice"}
-	case r.StatusCode < 100:
-		return a, 0, &MalformedError{Why: "its status is " + r.Status}
-	}
 	a.Status = r.StatusCode
 	a.CloseAfter = r.Close || r.ProtoMinor == 0
+	rest := b[head:]
 	switch {
 	case r.Body == http.NoBody: // by its status, whatever its fields say, or by a length of 0
-		return a, len(head), nil
+		return a, head, nil
 	case len(r.TransferEncoding) > 0: // net/http knows no other than chunked
 		a.Body, n, err = joinChunks(rest)
 		if n > 0 {
-			n += len(head)
+			n += head
 		}
 		return a, n, err
 	case r.ContentLength > maxBodyBytes, r.ContentLength < 0 && len(rest) > maxBodyBytes:
@@ -71,13 +53,38 @@
 		a.Body = rest
 		a.CloseAfter = true
 		return a, len(b), nil
-	case r.ContentLength < 0:
-		return a, 0, nil
-	case int64(len(rest)) < r.ContentLength:
+	case r.ContentLength < 0, int64(len(rest)) < r.ContentLength:
 		return a, 0, nil
 	}
 	a.Body = rest[:r.ContentLength]
-	return a, len(head) + len(a.Body), nil
+	return a, head + len(a.Body), nil
+}
+
+// parseHead reads the head of an answer and tells how many bytes it took; nil while it is not whole.
+func parseHead(b []byte) (r *http.Response, n int, err error) {
+	if k := min(len(b), len(httpVersion)); !bytes.Equal(b[:k], httpVersion[:k]) {
+		return nil, 0, &MalformedError{Why: "it is no HTTP/1"}
+	}
+	end := bytes.Index(b[:min(len(b), maxHeadBytes)], headEnd)
+	if end < 0 {
+		if len(b) >= maxHeadBytes {
+			err = &TooLongError{Part: "head", Max: maxHeadBytes}
+		}
+		return nil, 0, err
+	}
+	n = end + len(headEnd)
+	// Only the head is given to it: it is short, so to read it again with each piece of a long body costs little.
+	from := bufio.NewReaderSize(bytes.NewReader(b[:n]), n)
+	r, err = http.ReadResponse(from, nil)
+	switch {
+	case err != nil:
+		return nil, 0, &MalformedError{Cause: err}
+	case from.Buffered() > 0: // lines that end without a return: where the body begins is not sure
+		return nil, 0, &MalformedError{Why: "its head ends twice"}
+	case r.StatusCode < 100:
+		return nil, 0, &MalformedError{Why: "its status is " + r.Status}
+	}
+	return r, n, nil
 }
 
 // joinChunks puts the chunks of a body together; it takes 0 bytes while the body is not whole.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("set %s to %s in %s, or leave it out", b.Key, b.Want, b.Path)
 }
 
-// Read reads the file that GW_OPERATOR names; nothing is stated where it is not set. Errors: *Unreadable, *BadKey.
+// Read reads the file that GW_OPERATOR names; nothing is stated where it is not set. Errors: *UnreadableError, *KeyError.
 func Read() (*Options, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
@@ -91,61 +91,52 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of the file at path. Errors: *Unreadable, *BadKey.
+// maxNumber bounds the numbers of the file: nobody means a larger one.
+const maxNumber = 1e6
+
+// Parse checks the text of the file at path. Errors: *UnreadableError, *KeyError.
 func Parse(path string, text []byte) (*Options, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
 		return nil, &UnreadableError{path, err}
 	}
 	o := &Options{}
-	oldest := 0.0
-	oldestState := 0.0
+	var snapshotAge, stateAge float64 // seconds
 	numbers := map[string]*float64{
 		"list_calls_per_s":        &o.DiscoveryCallRate,
 		"start.connections_per_s": &o.ConnectionRate,
-		"snapshot.oldest_s":       &oldest,
-		"distribution.oldest_s":   &oldestState,
+		"snapshot.oldest_s":       &snapshotAge,
+		"distribution.oldest_s":   &stateAge,
+	}
+	words := map[string]*string{
+		"installation":            &o.Installation,
+		"snapshot.path":           &o.SnapshotPath,
+		"distribution.scope":      &o.Distribution.Scope,
+		"distribution.state_path": &o.Distribution.StatePath,
 	}
-	words := map[string]*string{"installation": &o.Installation, "snapshot.path": &o.SnapshotPath,
-		"distribution.scope": &o.Distribution.Scope, "distribution.state_path": &o.Distribution.StatePath}
 	keys := k.Keys()
 	slices.Sort(keys)
 	for _, key := range keys {
 		value := k.Get(key)
-		number := numbers[key]
-		word := words[key]
-		text, is := value.(string)
+		var want string
 		switch {
-		case word != nil && is && strings.TrimSpace(text) != "":
-			*word = text
-		case word != nil:
-			return nil, &KeyError{path, key, value, "a text"}
+		case words[key] != nil:
+			want = readWord(value, words[key])
+		case numbers[key] != nil:
+			want = readNumber(value, numbers[key])
 		case key == relaysKey:
-			o.Distribution.Relays, is = relays(value)
-			if !is {
-				return nil, &KeyError{path, key, value, "a list of two addresses, host:port"}
-			}
-		case number == nil:
-			return nil, &KeyError{path, key, value, "a key of this file"}
+			want = o.Distribution.readRelays(value)
 		default:
-			switch x := value.(type) {
-			case float64:
-				*number = x
-			case int64:
-				*number = float64(x)
-			}
-			if !(*number > 0 && *number <= 1e6) {
-				return nil, &KeyError{path, key, value, "a number above 0 and up to a million"}
-			}
+			want = "a key of this file"
+		}
+		if want != "" {
+			return nil, &KeyError{path, key, value, want}
 		}
 	}
-	o.SnapshotMaxAge = int64(oldest * 1e9)
-	o.Distribution.StateMaxAge = int64(oldestState * 1e9)
-	switch {
-	case o.SnapshotPath != "" && o.Installation == "":
-		return nil, &KeyError{path, "installation", "missing", "a name, as snapshot.path is set"}
-	case o.SnapshotPath != "" && o.SnapshotMaxAge == 0:
-		return nil, &KeyError{path, "snapshot.oldest_s", "missing", "a number of seconds, as snapshot.path is set"}
+	o.SnapshotMaxAge = int64(snapshotAge * 1e9)
+	o.Distribution.StateMaxAge = int64(stateAge * 1e9)
+	if err := checkSnapshot(path, o); err != nil {
+		return nil, err
 	}
 	if err := checkDistribution(path, o); err != nil {
 		return nil, err
@@ -153,6 +144,51 @@
 	return o, nil
 }
 
+// readWord reads a text. It tells what the value should be where it is none.
+func readWord(value any, to *string) (want string) {
+	text, is := value.(string)
+	if !is || strings.TrimSpace(text) == "" {
+		return "a text"
+	}
+	*to = text
+	return ""
+}
+
+// readNumber reads a number, whole or not, as readWord does a text.
+func readNumber(value any, to *float64) (want string) {
+	switch number := value.(type) {
+	case float64:
+		*to = number
+	case int64:
+		*to = float64(number)
+	}
+	if !(*to > 0 && *to <= maxNumber) {
+		return "a number above 0 and up to a million"
+	}
+	return ""
+}
+
+// readRelays reads the relays, as readWord does a text.
+func (d *Distribution) readRelays(value any) (want string) {
+	var is bool
+	d.Relays, is = relays(value)
+	if !is {
+		return "a list of two addresses, host:port"
+	}
+	return ""
+}
+
+// checkSnapshot refuses keys of the snapshot that do not go together. Errors: *KeyError.
+func checkSnapshot(path string, o *Options) error {
+	switch {
+	case o.SnapshotPath != "" && o.Installation == "":
+		return &KeyError{path, "installation", "missing", "a name, as snapshot.path is set"}
+	case o.SnapshotPath != "" && o.SnapshotMaxAge == 0:
+		return &KeyError{path, "snapshot.oldest_s", "missing", "a number of seconds, as snapshot.path is set"}
+	}
+	return nil
+}
+
 const relaysKey = "distribution.relays"
 
 // relays reads a list of two addresses. Both may be the same where there is one relay.
@@ -173,7 +209,7 @@
 	return addresses, true
 }
 
-// checkDistribution refuses keys of the distribution that do not go together. Errors: *BadKey.
+// checkDistribution refuses keys of the distribution that do not go together. Errors: *KeyError.
 func checkDistribution(path string, o *Options) error {
 	d := o.Distribution
 	if _, err := distribution.ParseScope(d.Scope); err != nil {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -12,9 +12,10 @@
 	MaxValueBytes = 64 << 10
 	// MaxMessageBytes is the longest command or answer that is read.
 	MaxMessageBytes = MaxValueBytes + 16<<10
-	mostWords       = 64
-	mostLine        = 1 << 10
-	mostDepth       = 4
+	// maxWords is the longest list, maxLine the longest line in bytes, maxDepth how deep lists may stand in lists.
+	maxWords = 64
+	maxLine  = 1 << 10
+	maxDepth = 4
 )
 
 var (
@@ -34,10 +35,10 @@
 
 // line gives the text up to the first line end and what comes behind it; rest is nil while there is no line end.
 func line(b []byte) (text, rest []byte, err error) {
-	head := b[:min(len(b), mostLine)]
+	head := b[:min(len(b), maxLine)]
 	i := bytes.IndexByte(head, '\n')
 	switch {
-	case i < 0 && len(b) >= mostLine:
+	case i < 0 && len(b) >= maxLine:
 		return nil, nil, ErrTooLong
 	case i < 0:
 		return nil, nil, nil
@@ -59,7 +60,7 @@
 }
 
 // ReadValue reads one value and tells how many bytes it took: 0 while it is not whole.
-func ReadValue(b []byte) (Value, int, error) { return readWhole(b, mostDepth) }
+func ReadValue(b []byte) (Value, int, error) { return readWhole(b, maxDepth) }
 
 func readWhole(b []byte, depth int) (Value, int, error) {
 	v, rest, err := read(b, depth)
@@ -72,7 +73,7 @@
 	return v, len(b) - len(rest), nil
 }
 
-// read gives a nil rest while the value is not whole.
+// read reads one value from the front of the bytes; it gives a nil rest while the value is not whole.
 func read(b []byte, depth int) (v Value, rest []byte, err error) {
 	if len(b) == 0 {
 		return v, nil, nil
@@ -89,45 +90,61 @@
 	}
 	switch v.Kind {
 	case ':':
-		_, err = strconv.ParseInt(string(text), 10, 64)
-		v.Text = text
-		if err != nil {
-			err = ErrMalformed
-		}
+		return v.readInteger(text, rest)
 	case '$':
-		n, err := size(text, MaxValueBytes)
-		if err != nil || n < 0 {
-			v.Null = true
-			return v, rest, err
-		}
-		if len(rest) < n+2 {
-			return v, nil, nil
-		}
-		if rest[n] != '\r' || rest[n+1] != '\n' {
-			return v, nil, ErrMalformed
-		}
-		v.Text, rest = rest[:n], rest[n+2:]
+		return v.readBulk(text, rest)
 	case '*':
-		n, err := size(text, mostWords)
-		if err != nil || n < 0 {
-			v.Null = true
-			return v, rest, err
-		}
-		if depth == 0 {
-			return v, nil, ErrMalformed
-		}
-		for range n {
-			var item Value
-			item, rest, err = read(rest, depth-1)
-			if err != nil || rest == nil {
-				return v, nil, err
-			}
-			v.List = append(v.List, item)
+		return v.readList(text, rest, depth)
+	}
+	v.Text = text
+	return v, rest, nil
+}
+
+// readInteger finishes an integer, whose digits are the text.
+func (v Value) readInteger(text, rest []byte) (Value, []byte, error) {
+	v.Text = text
+	if _, err := strconv.ParseInt(string(text), 10, 64); err != nil {
+		return v, rest, ErrMalformed
+	}
+	return v, rest, nil
+}
+
+// readBulk finishes a bulk string, whose length is the text.
+func (v Value) readBulk(text, rest []byte) (Value, []byte, error) {
+	n, err := size(text, MaxValueBytes)
+	if err != nil || n < 0 {
+		v.Null = true
+		return v, rest, err
+	}
+	if len(rest) < n+2 {
+		return v, nil, nil
+	}
+	if rest[n] != '\r' || rest[n+1] != '\n' {
+		return v, nil, ErrMalformed
+	}
+	v.Text = rest[:n]
+	return v, rest[n+2:], nil
+}
+
+// readList finishes a list, whose length is the text.
+func (v Value) readList(text, rest []byte, depth int) (Value, []byte, error) {
+	n, err := size(text, maxWords)
+	if err != nil || n < 0 {
+		v.Null = true
+		return v, rest, err
+	}
+	if depth == 0 {
+		return v, nil, ErrMalformed
+	}
+	for range n {
+		var item Value
+		item, rest, err = read(rest, depth-1)
+		if err != nil || rest == nil {
+			return v, nil, err
 		}
-	default:
-		v.Text = text
+		v.List = append(v.List, item)
 	}
-	return v, rest, err
+	return v, rest, nil
 }
 
 // ReadAnswer reads a server's answer: an error line, or three bulk strings, of which the first, the value, is never
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -29,7 +29,7 @@
 		{"a line that ends without a return", "*1\n", 0, ErrMalformed},
 		{"too many words", "*65\r\n", 0, ErrTooLong},
 		{"too long a word", "*1\r\n$65537\r\n", 0, ErrTooLong},
-		{"a line without an end", "*" + strings.Repeat("1", mostLine), 0, ErrTooLong},
+		{"a line without an end", "*" + strings.Repeat("1", maxLine), 0, ErrTooLong},
 		{"too much without an end", "*64\r\n" + strings.Repeat("$32768\r\n"+strings.Repeat("x", 32768)+"\r\n", 3), 0, ErrTooLong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -15,7 +15,8 @@
 	"ospreycroft/internal/settings"
 )
 
-var listings = map[string]choice.EndpointState{
+// endpointStates are the words of the wire for the states of endpoints.
+var endpointStates = map[string]choice.EndpointState{
 	"U": choice.EndpointReady,
 	"L": choice.EndpointDraining,
 	"D": choice.EndpointGone,
@@ -86,16 +87,21 @@
 	return *value
 }
 
+// err is the error of an item that lacks a field.
+func (r *reading) err(kind string) error {
+	return fmt.Errorf("%s: field %q is missing", kind, r.missing)
+}
+
 type host struct {
 	instances map[int64]*instance
 	output    []action
 }
 
 type instance struct {
-	host  *host
-	id    int64
-	wall  int64
-	logic *choice.Controller
+	host       *host
+	id         int64
+	wall       int64
+	controller *choice.Controller
 }
 
 // Run answers batches until the input ends.
@@ -153,81 +159,110 @@
 	return number, nil
 }
 
-// item turns one event into one call on its instance.
+// item acts on one event.
 func (h *host) item(wall int64, it *item) error {
 	r := &reading{}
-	kind, id := take(r, "type", it.Type), take(r, "limiter", it.Limiter)
-	in := h.instances[id]
-	var do func(*choice.Controller)
+	kind := take(r, "type", it.Type)
+	id := take(r, "limiter", it.Limiter)
 	switch kind {
 	case "begin":
-		seed := take(r, "seed", it.Seed)
-		if r.missing != "" {
-			break
-		}
-		set, err := settings.Decode(it.Facts)
-		if err != nil {
-			return fmt.Errorf("%s: facts: %w", kind, err)
-		}
-		in = &instance{host: h, id: id, wall: wall}
-		h.instances[id] = in
-		do = func(*choice.Controller) { in.logic = choice.New(wall, set.Settings, seed, in) }
+		return h.begin(wall, id, it, r)
 	case "retire":
 		delete(h.instances, id)
 		return nil
+	}
+	call, err := it.call(kind, wall, r)
+	if err != nil {
+		return fmt.Errorf("%s: %w", kind, err)
+	}
+	if r.missing != "" {
+		return r.err(kind)
+	}
+	if in := h.instances[id]; in != nil && call != nil {
+		in.call(wall, call)
+	}
+	return nil
+}
+
+// begin makes an instance, in the place of the one that had the number.
+func (h *host) begin(wall, id int64, it *item, r *reading) error {
+	seed := take(r, "seed", it.Seed)
+	if r.missing != "" {
+		return r.err("begin")
+	}
+	decoded, err := settings.Decode(it.Facts)
+	if err != nil {
+		return fmt.Errorf("begin: facts: %w", err)
+	}
+	in := &instance{host: h, id: id, wall: wall}
+	h.instances[id] = in
+	in.call(wall, func(*choice.Controller) { in.controller = choice.New(wall, decoded.Settings, seed, in) })
+	return nil
+}
+
+// call turns an event of an instance into a call on its controller, nil for an event that is not known.
+func (it *item) call(kind string, wall int64, r *reading) (func(*choice.Controller), error) {
+	switch kind {
 	case "membership":
-		how := take(r, "how", it.How)
-		entries := make([]choice.Endpoint, len(it.Items))
-		for i, e := range it.Items {
-			listing, known := listings[take(r, "availability", e.Availability)]
-			if !known && r.missing == "" {
-				return fmt.Errorf("%s: availability %q is not known", kind, *e.Availability)
-			}
-			entries[i] = choice.Endpoint{ID: take(r, "server", e.Server), Zone: e.RackZone, Cell: e.Pod,
-				State: listing, Weight: e.PowerHint}
-			if e.OnlineSince != nil {
-				entries[i].StartedAt = nanos(*e.OnlineSince)
-			}
-		}
-		if how != "Error" {
-			do = func(l *choice.Controller) { l.UpdateEndpoints(wall, how != "Partial", entries) }
-		}
+		return it.membership(wall, r)
 	case "inbound":
-		a := choice.Arrival{ID: take(r, "handle", it.Handle), Timeout: nanos(take(r, "budget", it.Budget)),
-			Customer: take(r, "api-key", it.Key), Plan: take(r, "tier", it.Tier),
-			Class: take(r, "cls", it.Class),
-			Units: take(r, "price-units", it.Units), Limiters: take(r, "n-entries", it.Entries)}
-		do = func(l *choice.Controller) { l.RequestArrived(wall, a) }
+		arrival := it.arrival(r)
+		return func(c *choice.Controller) { c.RequestArrived(wall, arrival) }, nil
 	case "reply":
-		a := it.reply(r)
-		do = func(l *choice.Controller) { l.AttemptDone(wall, a) }
+		result := it.attemptResult(r)
+		return func(c *choice.Controller) { c.AttemptDone(wall, result) }, nil
 	case "tallied":
-		name, code, total := take(r, "name", it.Name), take(r, "rc", it.Code), 0.0
+		name, outcome, total := take(r, "name", it.Name), choice.Outcome(take(r, "rc", it.Code)), 0.0
 		if it.Level != nil {
 			total = *it.Level
 		}
-		do = func(l *choice.Controller) { l.CounterReplied(wall, name, choice.Outcome(code), total) }
+		return func(c *choice.Controller) { c.CounterReplied(wall, name, outcome, total) }, nil
 	case "probed":
-		server, code := take(r, "server", it.Server), take(r, "rc", it.Code)
-		do = func(l *choice.Controller) { l.HealthCheckDone(wall, server, choice.Outcome(code)) }
+		server, outcome := take(r, "server", it.Server), choice.Outcome(take(r, "rc", it.Code))
+		return func(c *choice.Controller) { c.HealthCheckDone(wall, server, outcome) }, nil
 	case "vanished":
 		request := take(r, "handle", it.Handle)
-		do = func(l *choice.Controller) { l.ClientDisconnected(wall, request) }
+		return func(c *choice.Controller) { c.ClientDisconnected(wall, request) }, nil
 	case "timer":
 		token := take(r, "ctx", it.Ctx)
-		do = func(l *choice.Controller) { l.TimerFired(wall, token) }
+		return func(c *choice.Controller) { c.TimerFired(wall, token) }, nil
 	}
-	if r.missing != "" {
-		return fmt.Errorf("%s: field %q is missing", kind, r.missing)
+	return nil, nil
+}
+
+// membership takes in the endpoint list, unless the event says that there is none.
+func (it *item) membership(wall int64, r *reading) (func(*choice.Controller), error) {
+	how := take(r, "how", it.How)
+	endpoints := make([]choice.Endpoint, len(it.Items))
+	for i, entry := range it.Items {
+		state, known := endpointStates[take(r, "availability", entry.Availability)]
+		if !known && r.missing == "" {
+			return nil, fmt.Errorf("availability %q is not known", *entry.Availability)
+		}
+		endpoints[i] = choice.Endpoint{
+			ID: take(r, "server", entry.Server), Zone: entry.RackZone, Cell: entry.Pod, State: state, Weight: entry.PowerHint,
+		}
+		if entry.OnlineSince != nil {
+			endpoints[i].StartedAt = nanos(*entry.OnlineSince)
+		}
 	}
-	if in != nil && do != nil {
-		in.call(wall, do)
+	if how == "Error" {
+		return nil, nil
+	}
+	return func(c *choice.Controller) { c.UpdateEndpoints(wall, how != "Partial", endpoints) }, nil
+}
+
+// arrival is the request that an event brings.
+func (it *item) arrival(r *reading) choice.Arrival {
+	return choice.Arrival{
+		ID: take(r, "handle", it.Handle), Timeout: nanos(take(r, "budget", it.Budget)),
+		Customer: take(r, "api-key", it.Key), Plan: take(r, "tier", it.Tier), Class: take(r, "cls", it.Class),
+		Units: take(r, "price-units", it.Units), Limiters: take(r, "n-entries", it.Entries),
 	}
-	return nil
 }
 
-// reply is how an attempt ended, as the event tells it.
-func (it *item) reply(r *reading) choice.AttemptResult {
+// attemptResult is how an attempt ended, as the event tells it.
+func (it *item) attemptResult(r *reading) choice.AttemptResult {
 	a := choice.AttemptResult{Request: take(r, "handle", it.Handle), Attempt: take(r, "copy", it.Copy),
 		Outcome: choice.Outcome(take(r, "rc", it.Code)), Duration: nanos(take(r, "took", it.Took)),
 		Final: take(r, "final", it.Final), Load: choice.LoadReport{InFlight: it.Load.Held, Throughput: it.Load.Pace,
@@ -246,5 +281,5 @@
 		}
 	}()
 	in.wall = wall
-	do(in.logic)
+	do(in.controller)
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestReply(t *testing.T) {
+func TestAttemptResult(t *testing.T) {
 	for _, c := range []struct {
 		load       string
 		held, pace float64
@@ -102,7 +102,7 @@
 			Load: choice.LoadReport{InFlight: c.held, Throughput: c.pace,
 				Queued: c.queue, ServiceTime: c.work},
 		}
-		if got := it.reply(r); err != nil || r.missing != "" || got != want {
+		if got := it.attemptResult(r); err != nil || r.missing != "" || got != want {
 			t.Fatalf("%+v, want %+v, error %v", got, want, err)
 		}
 	}
--- a/internal/sockets/gate.go
+++ b/internal/sockets/gate.go
@@ -27,6 +27,13 @@
 	full atomic.Bool // one more waits for a place, perhaps
 }
 
+// listen opens the address; the gate is its listener from then on.
+func (g *gate) listen(network, address string) (net.Listener, error) {
+	inner, err := net.Listen(network, address)
+	g.Listener = inner
+	return g, err
+}
+
 // Accept lets the next connection in once there is a place for it.
 func (g *gate) Accept() (net.Conn, error) {
 	g.full.Store(true)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -50,36 +49,34 @@
 	left  []*link // connections that were left and may not be closed yet
 }
 
-// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the
-// process may hold fewer descriptors than it should: the connections to discovery and to servers need theirs.
+// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the process may hold
+// fewer descriptors than it should: the connections to discovery and to servers need theirs. Errors: *AddressInUseError,
+// *AddressError, *DescriptorsError.
 func Listen(address string, clients, descriptors int) (*Sockets, error) {
 	logging.SetLevel(logging.LevelError)
-	// nbio keeps a table of all descriptors there could be.
-	nbio.MaxOpenFiles = 2 * descriptors
-	s := &Sockets{waking: make(chan struct{}, 1), links: map[limiter.ConnID]*link{}}
+	nbio.MaxOpenFiles = 2 * descriptors // nbio keeps a table of all descriptors there could be
+	s := &Sockets{
+		waking: make(chan struct{}, 1), links: map[limiter.ConnID]*link{},
+		gate: &gate{free: make(chan struct{}, clientPlaces(clients, descriptors))},
+	}
 	s.drained.L = &s.mutex
-	gate := &gate{free: make(chan struct{}, clientPlaces(clients, descriptors))}
-	s.gate = gate
 	s.engine = nbio.NewEngine(nbio.Config{
 		Name: "ospreycroft", Network: "tcp", Addrs: []string{address}, NPoller: 1,
-		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection
-		// has just come up and is written to.
+		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection has just come up
+		// and is written to.
 		EpollMod: nbio.EPOLLET,
-		Listen: func(network, address string) (net.Listener, error) {
-			inner, err := net.Listen(network, address)
-			gate.Listener = inner
-			return gate, err
-		},
-	})
-	s.engine.OnOpen(func(c *nbio.Conn) {
-		if c.Session() != nil {
-			return // we have dialled it
-		}
-		l := s.link(nil, gate)
-		l.conn.Store(c)
-		c.SetSession(l)
-		s.post(l, queuedEvent{kind: clientAccepted}, nil)
+		Listen:   s.gate.listen,
 	})
+	s.handleEvents()
+	if err := s.engine.Start(); err != nil {
+		return nil, refused(address, err)
+	}
+	return s, nil
+}
+
+// handleEvents has the poller's events queued for the reducer.
+func (s *Sockets) handleEvents() {
+	s.engine.OnOpen(s.opened)
 	into := make([]byte, pieces) // there is one poller
 	s.engine.OnRead(func(c *nbio.Conn) {
 		if l, is := c.Session().(*link); is {
@@ -91,24 +88,34 @@
 			l.written.Add(int64(n))
 		}
 	})
-	s.engine.OnClose(func(c *nbio.Conn, err error) {
-		l, is := c.Session().(*link)
-		if !is {
-			return
-		}
-		end := limiter.PeerReset
-		if errors.Is(err, errInOrder) {
-			end = limiter.PeerClosed
-		}
-		if s.client(l) {
-			s.gate.leave()
-		}
-		s.post(l, queuedEvent{kind: connClosed, reason: end}, nil)
-	})
-	if err := s.engine.Start(); err != nil {
-		return nil, refused(address, err)
+	s.engine.OnClose(s.closed)
+}
+
+// opened takes a client's connection in. Those that were dialled have their record already.
+func (s *Sockets) opened(c *nbio.Conn) {
+	if c.Session() != nil {
+		return
 	}
-	return s, nil
+	l := s.link(nil, s.gate)
+	l.conn.Store(c)
+	c.SetSession(l)
+	s.post(l, queuedEvent{kind: clientAccepted}, nil)
+}
+
+// closed takes the end of a connection.
+func (s *Sockets) closed(c *nbio.Conn, err error) {
+	l, is := c.Session().(*link)
+	if !is {
+		return
+	}
+	reason := limiter.PeerReset
+	if errors.Is(err, errInOrder) {
+		reason = limiter.PeerClosed
+	}
+	if s.client(l) {
+		s.gate.leave()
+	}
+	s.post(l, queuedEvent{kind: connClosed, reason: reason}, nil)
 }
 
 // link makes the record of a new connection.
