--- a/cmd/ospreycroft/distribution.go
+++ b/cmd/ospreycroft/distribution.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"log/slog"
@@ -25,31 +26,31 @@
 	savesInOldest = 8
 )
 
-// renewals gives the reducer the configurations that come while it runs: that of the file, with the addresses that the
+// configUpdates gives the reducer the configurations that come while it runs: that of the file, with the addresses that the
 // distribution has put in force in place of the file's.
-type renewals struct {
+type configUpdates struct {
 	mutex     sync.Mutex
 	file      *settings.Config       // that of the start, with the addresses that were read last
 	addresses distribution.Addresses // the distribution's; empty where the file's hold
 	running   bool                   // the reducer runs, or will soon
-	next      chan *settings.Config  // unbuffered: the reducer takes one between two requests
+	updates   chan *settings.Config  // unbuffered: the reducer takes one between two requests
 	done      chan struct{}          // closed once the reducer takes no more
 }
 
-func newRenewals(file *settings.Config) *renewals {
-	return &renewals{file: file, next: make(chan *settings.Config), done: make(chan struct{})}
+func newConfigUpdates(file *settings.Config) *configUpdates {
+	return &configUpdates{file: file, updates: make(chan *settings.Config), done: make(chan struct{})}
 }
 
 // start gives the configuration to start with; what comes from now on is sent to the reducer.
-func (r *renewals) start() *settings.Config {
+func (r *configUpdates) start() *settings.Config {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.running = true
-	return r.over(r.file, r.addresses)
+	return r.withAddresses(r.file, r.addresses)
 }
 
-// over puts addresses in the place of a file's. A counter is not added.
-func (r *renewals) over(file *settings.Config, addresses distribution.Addresses) *settings.Config {
+// withAddresses puts addresses in the place of a file's. A counter is not added.
+func (r *configUpdates) withAddresses(file *settings.Config, addresses distribution.Addresses) *settings.Config {
 	config := *file
 	if addresses.Discovery != "" {
 		config.Discovery = addresses.Discovery
@@ -60,14 +61,14 @@
 	return &config
 }
 
-func (r *renewals) hasCounter() bool { return r.file.Settings.CounterTimeout > 0 }
+func (r *configUpdates) hasCounter() bool { return r.file.Settings.CounterTimeout > 0 }
 
-// reread takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs
+// fileReread takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs
 // the reducer says that it holds from the next start on, so only the addresses are noted.
-func (r *renewals) reread(file *settings.Config) {
+func (r *configUpdates) fileReread(file *settings.Config) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	config := r.over(file, r.addresses)
+	config := r.withAddresses(file, r.addresses)
 	if config.Discovery != file.Discovery || config.Counter != file.Counter {
 		slog.Info("config-addresses-kept", "discovery", config.Discovery, "counter", config.Counter)
 	}
@@ -82,7 +83,7 @@
 
 // move puts the distribution's addresses in force, both or neither. Errors: *distribution.FixedKeyError for the
 // counter of a limiter that has none.
-func (r *renewals) move(addresses distribution.Addresses) error {
+func (r *configUpdates) move(addresses distribution.Addresses) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if addresses.Counter != "" && !r.hasCounter() {
@@ -92,14 +93,14 @@
 	}
 	r.addresses = addresses
 	if r.running {
-		r.send(r.over(r.file, addresses))
+		r.send(r.withAddresses(r.file, addresses))
 	}
 	return nil
 }
 
-func (r *renewals) send(config *settings.Config) {
+func (r *configUpdates) send(config *settings.Config) {
 	select {
-	case r.next <- config:
+	case r.updates <- config:
 	case <-r.done:
 	}
 }
@@ -108,7 +109,7 @@
 type follower struct {
 	*transport.Follower
 	subscriber *distribution.Subscriber
-	renewals   *renewals
+	renewals   *configUpdates
 	place      *statefile.Place                          // nil where no state is kept
 	writer     *atomicfile.Writer[distribution.Snapshot] // nil where no state is kept
 	restored   bool                                      // it began with a state from the disk,
@@ -121,7 +122,7 @@
 
 // newFollower makes the follower of a limiter and puts the state on the disk in force; nil where the operator names no
 // relays.
-func newFollower(config *settings.Config, o *operator.Options, renewals *renewals, clock func() int64) *follower {
+func newFollower(config *settings.Config, o *operator.Options, renewals *configUpdates, clock func() int64) *follower {
 	if o.Distribution.Relays == [2]string{} {
 		return nil
 	}
@@ -214,7 +215,8 @@
 
 // report logs an error: each refusal, and of failed calls the first of a type for a time.
 func (f *follower) report(err error) {
-	if refused, is := err.(*distribution.RefusedError); is {
+	var refused *distribution.RefusedError
+	if errors.As(err, &refused) {
 		slog.Warn("config-refused", hint.Attrs(refused)...)
 		return
 	}
--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -506,13 +506,13 @@
 
 // TestRenewals puts the distribution's addresses over the file's, before the reducer runs and while it does.
 func TestRenewals(t *testing.T) {
-	r := newRenewals(withCounter(t, "a:1", "a:2"))
+	r := newConfigUpdates(withCounter(t, "a:1", "a:2"))
 	require.NoError(t, r.move(distribution.Addresses{Counter: "b:2"}))
 	config := r.start()
 	require.Equal(t, []string{"a:1", "b:2"}, []string{config.Discovery, config.Counter}, "at the start")
 	taken := func(send func()) []string {
 		go send()
-		config := <-r.next
+		config := <-r.updates
 		return []string{config.Discovery, config.Counter}
 	}
 	require.Equal(
@@ -520,7 +520,7 @@
 		[]string{"b:1", "b:2"},
 		taken(func() { _ = r.move(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}) }),
 	)
-	require.Equal(t, []string{"b:1", "b:2"}, taken(func() { r.reread(withCounter(t, "c:1", "c:2")) }), "SIGHUP")
+	require.Equal(t, []string{"b:1", "b:2"}, taken(func() { r.fileReread(withCounter(t, "c:1", "c:2")) }), "SIGHUP")
 	require.Equal(
 		t,
 		[]string{"c:1", "d:2"},
@@ -535,7 +535,7 @@
 func TestNoCounter(t *testing.T) {
 	config := withCounter(t, "a:1", "a:2")
 	config.Settings.CounterTimeout = 0
-	r := newRenewals(config)
+	r := newConfigUpdates(config)
 	var fixed *distribution.FixedKeyError
 	require.ErrorAs(t, r.move(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}), &fixed)
 	require.Equal(t, "a:1", r.start().Discovery, "both or neither")
@@ -544,7 +544,7 @@
 // TestSwitchedOff reads an operator's file without relays: nothing follows.
 func TestSwitchedOff(t *testing.T) {
 	config := withCounter(t, "a:1", "a:2")
-	r := newRenewals(config)
+	r := newConfigUpdates(config)
 	require.Nil(t, newFollower(config, &operator.Options{Installation: "i"}, r, func() int64 { return 0 }))
 	require.Equal(t, config, r.start())
 }
@@ -554,7 +554,7 @@
 func TestFollowerEnds(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	config := withCounter(t, "a:1", "a:2")
-	r := newRenewals(config)
+	r := newConfigUpdates(config)
 	start := time.Now()
 	f := newFollower(config, &operator.Options{Installation: "i", Distribution: operator.Distribution{
 		Relays: [2]string{"127.0.0.1:1", "127.0.0.1:1"}, StatePath: t.TempDir(), StateMaxAge: 600e9}}, r,
@@ -576,7 +576,7 @@
 	t.Parallel()
 	n := startNetwork(t)
 	config := withCounter(t, "a:1", "a:2")
-	r := newRenewals(config)
+	r := newConfigUpdates(config)
 	start := time.Now()
 	f := newFollower(config, &operator.Options{Installation: "i", Distribution: operator.Distribution{
 		Relays: n.servers, StatePath: n.state, StateMaxAge: int64(8 * time.Second)}}, r,
--- a/cmd/ospreycroft/run.go
+++ b/cmd/ospreycroft/run.go
@@ -39,7 +39,7 @@
 	limitRuntime(config)
 	stop := stopSignal()
 	clock := newClock()
-	renewals := newRenewals(config)
+	renewals := newConfigUpdates(config)
 	follower := newFollower(config, options, renewals, clock)
 	config = renewals.start()
 	go rereadOn(reloads, renewals)
@@ -62,7 +62,7 @@
 	if follower != nil {
 		defer follower.start()()
 	}
-	listening.Run(clock, l, stop, renewals.next)
+	listening.Run(clock, l, stop, renewals.updates)
 	l.LogOutcomes()
 	slog.Info("stopped", "name", config.Name)
 	return nil
@@ -98,14 +98,14 @@
 }
 
 // rereadOn reads the configuration again at each signal, until the process ends. One that cannot be used changes nothing.
-func rereadOn(signals <-chan os.Signal, renewals *renewals) {
+func rereadOn(signals <-chan os.Signal, renewals *configUpdates) {
 	for range signals {
 		config, err := readConfig()
 		if err != nil {
 			slog.Warn("config-refused", hint.Attrs(err)...)
 			continue
 		}
-		renewals.reread(config)
+		renewals.fileReread(config)
 	}
 }
 
--- a/cmd/testlab/distribution.go
+++ b/cmd/testlab/distribution.go
@@ -38,7 +38,7 @@
 			if saved != nil {
 				return saved
 			}
-			fmt.Fprintf(c.OutOrStdout(), "\nrecord=%s\n", path)
+			_, _ = fmt.Fprintf(c.OutOrStdout(), "\nrecord=%s\n", path)
 			return err
 		},
 	}
--- a/cmd/testlab/main.go
+++ b/cmd/testlab/main.go
@@ -194,7 +194,7 @@
 					return err
 				}
 				err = all.Read(strings.TrimSuffix(filepath.Base(path), ".log"), f)
-				f.Close()
+				_ = f.Close()
 				if err != nil {
 					return err
 				}
--- a/cmd/testlab/scale.go
+++ b/cmd/testlab/scale.go
@@ -40,7 +40,7 @@
 			if saved := report.Save(path); saved != nil {
 				return saved
 			}
-			fmt.Fprintf(c.OutOrStdout(), "record=%s\n", path)
+			_, _ = fmt.Fprintf(c.OutOrStdout(), "record=%s\n", path)
 			return err
 		},
 	}
--- a/internal/ci/knownred/main/main.go
+++ b/internal/ci/knownred/main/main.go
@@ -50,7 +50,7 @@
 		}
 		tests := map[string][]string{}
 		for _, e := range entries {
-			fmt.Fprintln(out, "known red, passed over:", e.Line)
+			_, _ = fmt.Fprintln(out, "known red, passed over:", e.Line)
 			if tests[e.Package] != nil || !slices.Contains(packages, e.Package) {
 				continue
 			}
@@ -66,7 +66,7 @@
 	}
 	var wrong []error
 	for _, words := range knownred.Commands(flags, packages, entries) {
-		fmt.Fprintln(out, strings.Join(words, " "))
+		_, _ = fmt.Fprintln(out, strings.Join(words, " "))
 		if err := command(root, out, errs, words...).Run(); err != nil {
 			wrong = append(wrong, err)
 		}
@@ -75,7 +75,7 @@
 		var events bytes.Buffer
 		_ = command(root, &events, errs, knownred.Alone(flags, e)...).Run() // the events tell
 		verdict, stays := knownred.Judge(e, parse(&events))
-		fmt.Fprintf(out, "%s: %s\n", verdict, e.Line)
+		_, _ = fmt.Fprintf(out, "%s: %s\n", verdict, e.Line)
 		if !stays {
 			wrong = append(wrong, fmt.Errorf("KNOWN-RED.txt: %s %s %s", e.Package, e.Test, verdict))
 		}
@@ -95,7 +95,7 @@
 	var out bytes.Buffer
 	err := command(root, &out, errs, words...).Run()
 	if err != nil {
-		fmt.Fprint(errs, out.String())
+		_, _ = fmt.Fprint(errs, out.String())
 	}
 	return strings.Split(strings.TrimSpace(out.String()), "\n"), err
 }
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -57,6 +57,7 @@
 // Phase is how far a start has come.
 type Phase uint8
 
+// The phases of a start.
 const (
 	Starting Phase = iota // not ready
 	Syncing               // ready with a list that nobody has confirmed, or whose service has gone silent
@@ -79,6 +80,7 @@
 // Kind says what happened.
 type Kind uint8
 
+// The kinds of events.
 const (
 	TimePassed     Kind = iota // time has passed
 	ListRestored               // a list from the configuration or the disk, which may be old
--- a/internal/counterwire/counterwire.go
+++ b/internal/counterwire/counterwire.go
@@ -12,6 +12,7 @@
 // ReplyKind is what the counter said.
 type ReplyKind uint8
 
+// The kinds of replies.
 const (
 	Added      ReplyKind = iota // and what the total is now
 	Overloaded                  // nothing was added
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	if len(e.Value) > MaxValueBytes {
-		return &TooLargeError{What: "the value of " + e.Key.String(), Bytes: len(e.Value), Max: MaxValueBytes}
+		return &TooLargeError{What: "the value of " + e.String(), Bytes: len(e.Value), Max: MaxValueBytes}
 	}
 	if !utf8.ValidString(e.Value) {
 		return &KeyError{Key: e.Key, Why: "has a value that is not UTF-8"}
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -22,7 +22,7 @@
 // NewRelay makes a relay that has no version.
 func NewRelay(now int64, options RelayOptions) *Relay {
 	r := &Relay{feed: newFeed(NewLog(options.Retention), options.Budget), tally: newTally(), name: options.Name}
-	r.Subscriber = NewSubscriber(now, SubscriberOptions{Name: options.Name, Applier: follower{r.feed.log},
+	r.Subscriber = NewSubscriber(now, SubscriberOptions{Name: options.Name, Applier: follower{r.log},
 		UnconfirmedAfter: options.UnconfirmedAfter, PieceBytes: MaxPieceBytes})
 	return r
 }
@@ -37,12 +37,12 @@
 
 // Changes is a method of Server.
 func (r *Relay) Changes(now int64, request ChangesRequest) (*Delta, error) {
-	return r.feed.changes(r.age(now), request)
+	return r.changes(r.age(now), request)
 }
 
 // Piece is a method of Server.
 func (r *Relay) Piece(now int64, request PieceRequest) (*Piece, error) {
-	return r.feed.piece(now, r.age(now), request)
+	return r.piece(now, r.age(now), request)
 }
 
 // Acknowledge is a method of Server.
--- a/internal/distribution/resync.go
+++ b/internal/distribution/resync.go
@@ -37,7 +37,7 @@
 		if !scope.Contains(e.Key) {
 			return &KeyError{Key: e.Key, Why: "is outside the subscriber's scope"}
 		}
-		if r.after != nil && e.Key.compare(*r.after) <= 0 {
+		if r.after != nil && e.compare(*r.after) <= 0 {
 			return &KeyError{Key: e.Key, Why: "stands out of order in a piece of the state"}
 		}
 		key := e.Key
--- a/internal/distribution/resync_test.go
+++ b/internal/distribution/resync_test.go
@@ -79,7 +79,7 @@
 	r := NewRelay(1, RelayOptions{Name: "r"})
 	ask(t, r.Subscriber, s, 1)
 	ask(t, r.Subscriber, s, 1)
-	require.NotSame(t, r.log.State(), r.Subscriber.State())
+	require.NotSame(t, r.log.State(), r.State())
 	_, err := s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", "a", "1")})
 	require.NoError(t, err)
 	f := &inForce{}
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -49,12 +49,12 @@
 	if heard := request.From.Epoch; heard > s.fenced && heard-s.fenced <= MaxEpochStep {
 		s.fenced = heard
 	}
-	return s.feed.changes(0, request)
+	return s.changes(0, request)
 }
 
 // Piece is a method of Server.
 func (s *Source) Piece(now int64, request PieceRequest) (*Piece, error) {
-	return s.feed.piece(now, 0, request)
+	return s.piece(now, 0, request)
 }
 
 // Acknowledge is a method of Server, for limiters that ask the source itself.
--- a/internal/distribution/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -108,7 +108,7 @@
 	}
 	for i, scope := range walkScopes {
 		w.limiters = append(w.limiters, &member{scope: scope})
-		w.startLimiter(i, nil)
+		_ = w.startLimiter(i, nil) // with no kept state nothing can fail
 	}
 	return w
 }
--- a/internal/hint/hint_test.go
+++ b/internal/hint/hint_test.go
@@ -109,7 +109,7 @@
 func TestErrors(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer held.Close()
+	defer func() { _ = held.Close() }()
 	_, missing := settings.ReadFile(filepath.Join(t.TempDir(), "none.json"))
 	_, _, _, spoilt := counterwire.ReadReply([]byte("what\r\n"))
 	provoked := map[string]bool{}
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -212,7 +212,7 @@
 	if text != nil && d.reach == nil {
 		return text, d.generation
 	}
-	list := List{}
+	var list List
 	if key < 0 {
 		list = d.whole(limiter)
 	} else {
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -133,7 +133,9 @@
 }
 
 // Stop ends the process as a crash would: the port refuses and every connection is reset. Close ends it for good.
-func (s *Server) Stop()  { s.shut() }
+func (s *Server) Stop() { s.shut() }
+
+// Close ends the server and gives its port up.
 func (s *Server) Close() { s.release() }
 
 // falls notes a command at now and tells whether a cold server falls by it, the first time since its start: within
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -161,15 +161,17 @@
 	counts     map[int][]int    // by limiter, calls that the counter added in each second
 }
 
-// AddCall writes down a call to discovery, once it has ended; AddFall a cold server's fall.
+// AddCall writes down a call to discovery, once it has ended.
 func (b *Recorder) AddCall(c Call) { b.mu.Lock(); b.calls = append(b.calls, c); b.mu.Unlock() }
+
+// AddOverloadCrash writes down that a cold server was overloaded and crashed.
 func (b *Recorder) AddOverloadCrash(f OverloadCrash) {
 	b.mu.Lock()
 	b.falls = append(b.falls, f)
 	b.mu.Unlock()
 }
 
-// AddHandshake counts a connection that a server accepted at now; AddCount a call of a limiter that the counter added.
+// AddHandshake counts a connection that a server accepted at now.
 func (b *Recorder) AddHandshake(server string, now int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,6 +181,7 @@
 	b.handshakes[server] = another(b.handshakes[server], now)
 }
 
+// AddCount counts a call of a limiter that the counter added at now.
 func (b *Recorder) AddCount(limiter int, now int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -222,17 +225,21 @@
 	return calls, falls, handshakes
 }
 
-// AddRequest, AddShot and AddEvent may be called from any goroutine.
+// AddRequest writes down a request, once its client has done with it.
 func (b *Recorder) AddRequest(j Request) {
 	b.mu.Lock()
 	b.Requests = append(b.Requests, j)
 	b.mu.Unlock()
 }
+
+// AddAttempt writes down an attempt that a server read whole.
 func (b *Recorder) AddAttempt(s Attempt) {
 	b.mu.Lock()
 	b.Attempts = append(b.Attempts, s)
 	b.mu.Unlock()
 }
+
+// AddEvent writes down what the run played or saw.
 func (b *Recorder) AddEvent(e Event) { b.mu.Lock(); b.Events = append(b.Events, e); b.mu.Unlock() }
 
 // Copy returns what is held now, safe to read while the run goes on.
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -134,7 +134,7 @@
 	}
 	limiter, conn := d.deal(c, true)
 	d.next++
-	job := history.Request{ID: fmt.Sprintf("%016x", uint64(d.e.Seed)<<32^uint64(d.next)), Customer: c.ID, Plan: c.Plan,
+	job := history.Request{ID: fmt.Sprintf("%016x", d.e.Seed<<32^uint64(d.next)), Customer: c.ID, Plan: c.Plan,
 		Class: track.Name, Units: track.Units, Limiter: limiter, Retry: retry,
 		NonIdempotent: d.e.Settings.Classes[track.Name].Idempotency == choice.NonIdempotent}
 	giveUp := d.rng.Float64() < d.e.Load.GiveUp
@@ -231,7 +231,7 @@
 ) bool {
 	reused := conn != nil
 	if !reused {
-		err := error(net.ErrClosed)
+		err := net.ErrClosed
 		if job.Limiter != nobody {
 			conn, err = net.DialTimeout("tcp", d.front.Address(job.Limiter), time.Second)
 		}
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -89,11 +89,15 @@
 	return &Result{Run: run, Verdict: verdict, Failures: failures}, nil
 }
 
-// Address, Open and Dead are what clients know of limiter n.
+// Address is where clients reach limiter n.
 func (l *Lab) Address(n int) string {
 	return l.net.Address(experiment.Clients, party(n), l.limiters[n].port.Address())
 }
+
+// Open tells whether clients send to limiter n.
 func (l *Lab) Open(n int) bool { return l.front[n].Load() }
+
+// Dead tells whether limiter n has no process.
 func (l *Lab) Dead(n int) bool {
 	lim := l.limiters[n]
 	lim.mu.Lock()
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -16,9 +16,13 @@
 	Samples []float64 `json:"samples"`
 }
 
-// Low, Middle and High are the least, the median and the largest sample.
-func (p Point) Low() float64    { return slices.Min(p.Samples) }
-func (p Point) High() float64   { return slices.Max(p.Samples) }
+// Low is the least sample.
+func (p Point) Low() float64 { return slices.Min(p.Samples) }
+
+// High is the largest sample.
+func (p Point) High() float64 { return slices.Max(p.Samples) }
+
+// Middle is the median sample.
 func (p Point) Middle() float64 { return quantile(slices.Sorted(slices.Values(p.Samples)), 0.5) }
 
 // quantile is the value below which a part of the sorted values lies, by the nearest rank.
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -108,7 +108,7 @@
 }
 
 func (h *Harness) logf(form string, args ...any) {
-	fmt.Fprintf(h.options.Log, time.Now().UTC().Format("15:04:05 ")+form+"\n", args...)
+	_, _ = fmt.Fprintf(h.options.Log, time.Now().UTC().Format("15:04:05 ")+form+"\n", args...)
 }
 
 // sizes are the short form's or the whole ones.
--- a/internal/lab/scenarios/distribution.go
+++ b/internal/lab/scenarios/distribution.go
@@ -240,7 +240,7 @@
 // ask makes a subscriber's next call.
 func (n *network) ask(p *peer) {
 	c := &pollCall{Call: p.poller.Call(n.now()), from: p, fromLife: p.life}
-	n.transcript.Add([]byte(p.name), n.now(), int64(c.Server), c.Call.Hold, c.Timeout, c.Dial)
+	n.transcript.Add([]byte(p.name), n.now(), int64(c.Server), c.Hold, c.Timeout, c.Dial)
 	c.to = p.relays[c.Server]
 	if n.broken == keepsToFirstRelay {
 		c.to = p.relays[0]
@@ -268,9 +268,9 @@
 	if !c.serves() || n.isCut(c.from, c.to) {
 		return
 	}
-	if c.Call.Hold > 0 && !c.to.server.Newer(*c.Changes) {
+	if c.Hold > 0 && !c.to.server.Newer(*c.Changes) {
 		c.to.held = append(c.to.held, c)
-		n.after(c.Call.Hold, func() { n.answer(c) })
+		n.after(c.Hold, func() { n.answer(c) })
 		return
 	}
 	n.answer(c)
--- a/internal/lab/scenarios/distributionsteps.go
+++ b/internal/lab/scenarios/distributionsteps.go
@@ -227,7 +227,7 @@
 	s.Then(`^the first writer is turned away$`, check(func(_ *simfleet.Result, record *distributionRecord) error {
 		var fenced *distribution.FencedError
 		if !errors.As(record.fenced, &fenced) {
-			return fmt.Errorf("it was told: %v", record.fenced)
+			return fmt.Errorf("it was told: %w", record.fenced)
 		}
 		return nil
 	}))
--- a/internal/lab/simdistribution/fleet.go
+++ b/internal/lab/simdistribution/fleet.go
@@ -300,9 +300,9 @@
 		if c.done || f.cut(n, c.to) || c.to.down || c.to.stalled || c.to.life != c.toLife {
 			return
 		}
-		if c.Call.Hold > 0 && !c.to.server.Newer(*c.Changes) {
+		if c.Hold > 0 && !c.to.server.Newer(*c.Changes) {
 			c.to.held = append(c.to.held, c)
-			f.queue.after(c.Call.Hold, func() { f.answer(c) })
+			f.queue.after(c.Hold, func() { f.answer(c) })
 			return
 		}
 		f.answer(c)
--- a/internal/lab/simfleet/lists.go
+++ b/internal/lab/simfleet/lists.go
@@ -14,6 +14,7 @@
 // Mode is how limiters learn of the list.
 type Mode uint8
 
+// The modes.
 const (
 	Pushed Mode = iota // an agent beside each limiter is sent the list, whether or not a watch is open
 	Polled             // one service answers those that ask, so many calls a second
--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -64,6 +64,7 @@
 // LinkFault says what a link does to what is sent along it in one direction.
 type LinkFault uint8
 
+// The faults of links.
 const (
 	// nothing passes: a dial never comes up, other packets are sent again once it is healed
 	LinkCut     LinkFault = iota
--- a/internal/limiter/close_reason.go
+++ b/internal/limiter/close_reason.go
@@ -5,6 +5,7 @@
 // CloseReason is a way in which a connection can end, whoever ends it.
 type CloseReason uint8
 
+// The reasons.
 const (
 	ConnRefused      CloseReason = iota // it never came up
 	DialTimedOut                        // it did not come up in time
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -75,7 +75,7 @@
 	lines := 0
 	for _, ln := range k.conns {
 		for _, c := range ln.calls {
-			if !c.ping && c.name == name && !(c.answered && ln.draining) {
+			if !c.ping && c.name == name && (!c.answered || !ln.draining) {
 				return ln
 			}
 		}
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -127,7 +127,7 @@
 		total := restarted(rate, burst, spread, ceiling, starts)
 		require.LessOrEqual(t, total, ceiling/spread)
 		require.True(t, starts > 2 || total > 0)
-		each := int((largest*starts*spread*int64(second) + 2*rate*(second-starts)) / (starts * spread * second))
+		each := int((largest*starts*spread*second + 2*rate*(second-starts)) / (starts * spread * second))
 		require.Equal(t, int(starts)*each, restarted(rate, burst, spread, 0, starts))
 	}
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,3 +1,11 @@
+// Package limiter is one limiter without its sockets: it holds all state of the process and is the one reducer that changes it.
+//
+// Step takes an Event (events.go), one at a time and always on the same goroutine. It turns events into calls on the admission
+// controller (package choice), does what the controller asks for, and asks for effects on the sockets (Effects). It decides nothing
+// about requests. Package sockets calls it in the process, the lab's simfleet in memory.
+//
+// The state is divided among parts: clients (clients.go, client.go), requests and attempts, server pools, the counter client, the
+// discovery client with the endpoint list, the cold start, timers, and what a suspension of the process and its shutdown need.
 package limiter
 
 import (
--- a/internal/limiter/notification_test.go
+++ b/internal/limiter/notification_test.go
@@ -91,7 +91,7 @@
 
 // next is when the stand-in has something to do.
 func (o *outage) next(now int64) int64 {
-	at := int64(never)
+	at := never
 	for _, t := range []int64{downFrom, o.back, o.moved} {
 		if t > now {
 			at = min(at, t)
--- a/internal/limiter/silence_test.go
+++ b/internal/limiter/silence_test.go
@@ -179,9 +179,10 @@
 				}
 				l.Step(second/10, TimersDue{})
 				d := listService{change: 1, until: second / 2, calls: 1}
-				if fault == "silent" {
+				switch fault {
+				case "silent":
 					d.fault = func(int) string { return "" }
-				} else if fault == "no dial" {
+				case "no dial":
 					d.noDial = func(dial int) bool { return dial == moves+1 }
 				}
 				at := d.play(l, w, 9*second)
--- a/internal/pollpacer/pollpacer.go
+++ b/internal/pollpacer/pollpacer.go
@@ -10,6 +10,7 @@
 // Failure is how a call to discovery ended that brought no list.
 type Failure uint8
 
+// The failures.
 const (
 	Throttled Failure = iota // turned away: discovery has too much to do
 	Failed                   // no answer, or one that cannot be read
--- a/internal/sockets/gate.go
+++ b/internal/sockets/accept_limiter.go
@@ -20,25 +20,25 @@
 	return max(clients*int(limit.Cur)/descriptors, 1)
 }
 
-// gate lets only so many connections in; the rest wait in the kernel, where they are not lost.
-type gate struct {
+// acceptLimiter lets only so many connections in; the rest wait in the kernel, where they are not lost.
+type acceptLimiter struct {
 	net.Listener
-	free chan struct{}
-	full atomic.Bool // one more waits for a place, perhaps
+	places  chan struct{}
+	waiting atomic.Bool // one more waits for a place, perhaps
 }
 
 // listen opens the address; the gate is its listener from then on.
-func (g *gate) listen(network, address string) (net.Listener, error) {
+func (g *acceptLimiter) listen(network, address string) (net.Listener, error) {
 	inner, err := net.Listen(network, address)
 	g.Listener = inner
 	return g, err
 }
 
 // Accept lets the next connection in once there is a place for it.
-func (g *gate) Accept() (net.Conn, error) {
-	g.full.Store(true)
-	g.free <- struct{}{}
-	g.full.Store(false)
+func (g *acceptLimiter) Accept() (net.Conn, error) {
+	g.waiting.Store(true)
+	g.places <- struct{}{}
+	g.waiting.Store(false)
 	c, err := g.Listener.Accept()
 	if err == nil {
 		var taken *nbio.Conn // nbio would keep the place of one that it cannot take over for want of a descriptor
@@ -48,12 +48,12 @@
 		}
 		_ = c.Close()
 	}
-	g.leave()
+	g.release()
 	return nil, err
 }
 
-func (g *gate) leave() { <-g.free }
+func (g *acceptLimiter) release() { <-g.places }
 
 // HasBacklog is an effect. The listener stays open until the process ends: on the fleet's bench the goroutine that
 // closed it stood still for a second and more, and with it the reducer.
-func (s *Sockets) HasBacklog() bool { return s.gate.full.Load() }
+func (s *Sockets) HasBacklog() bool { return s.accepting.waiting.Load() }
--- a/internal/sockets/bounds_test.go
+++ b/internal/sockets/bounds_test.go
@@ -42,16 +42,16 @@
 func (d *pressed) take() {
 	d.t.Helper()
 	d.prompt("a batch", func() { d.turn(0) })
-	require.LessOrEqual(d.t, len(d.s.now.bytes), mostWaiting+pieces, "more waited than may")
+	require.LessOrEqual(d.t, len(d.s.current.bytes), maxQueuedBytes+readSize, "more waited than may")
 	from := 0
-	for _, e := range d.s.now.events {
+	for _, e := range d.s.current.events {
 		s := d.told[e.conn]
 		if s == nil {
 			s = &story{}
 			d.told[e.conn] = s
 		}
 		s.kinds, s.last = append(s.kinds, e.kind), e
-		s.text.Write(d.s.now.bytes[from : from+e.size])
+		s.text.Write(d.s.current.bytes[from : from+e.size])
 		from += e.size
 	}
 }
@@ -70,7 +70,7 @@
 	d.t.Helper()
 	require.Eventually(
 		d.t,
-		func() bool { return d.size(0) > mostWaiting },
+		func() bool { return d.size(0) > maxQueuedBytes },
 		patience,
 		time.Millisecond,
 		"it does not fill",
@@ -78,11 +78,11 @@
 }
 
 // enters connects a client and gives its link.
-func (d *pressed) enters() (net.Conn, *link) {
+func (d *pressed) enters() (net.Conn, *connection) {
 	d.t.Helper()
-	c, l := d.dial(), (*link)(nil)
+	c, l := d.dial(), (*connection)(nil)
 	d.comes("it is let in", func() bool {
-		for _, o := range d.s.links {
+		for _, o := range d.s.connections {
 			if at := o.conn.Load(); at != nil && at.RemoteAddr().String() == c.LocalAddr().String() {
 				l = o
 			}
@@ -99,10 +99,10 @@
 }
 
 // busy tells whether bytes are read from a connection and not posted.
-func (l *link) busy() bool {
-	free := l.reading.TryLock()
+func (l *connection) busy() bool {
+	free := l.readMutex.TryLock()
 	if free {
-		l.reading.Unlock()
+		l.readMutex.Unlock()
 	}
 	return !free
 }
@@ -118,14 +118,14 @@
 	d := &pressed{driven(t, 512, nil), map[limiter.ConnID]*story{}}
 	t.Cleanup(func() { // a poller that waits for the reducer would not stop
 		for range 50 {
-			d.s.take()
+			d.s.nextBatch()
 			d.s.drained.Broadcast()
 			time.Sleep(time.Millisecond)
 		}
 	})
 	const many, commands = 80, 40
 	var ends [many]net.Conn
-	var links [many]*link
+	var links [many]*connection
 	var texts [many]string
 	for i := range many {
 		ends[i], links[i] = d.enters()
@@ -146,7 +146,7 @@
 	d.take() // each that was told of reads on
 	d.fills()
 	ask(t, quiet, ping)
-	var held *link
+	var held *connection
 	require.Eventually(t, func() bool { // bytes are out of the kernel, and whoever has read them cannot tell of them
 		for _, l := range links[1:] {
 			if l.busy() {
@@ -160,7 +160,7 @@
 	require.Zero(t, d.size(quietly.id), "the poller does not wait")
 
 	// Now all that can happen to connections happens.
-	accepted, last := len(d.s.gate.free), d.lastID()
+	accepted, last := len(d.s.accepting.places), d.lastID()
 	stays, goes, gone := d.dial(), d.dial(), d.dial()
 	ask(t, stays, ping+ping)
 	ask(t, goes, ping+ping+ping)
@@ -174,7 +174,7 @@
 	_ = breaks.conn.Load().Close() // as the poller does, in whose stead nbio's own goroutine tells of it
 	require.Eventually(
 		t,
-		func() bool { return len(d.s.gate.free) == accepted-1 },
+		func() bool { return len(d.s.accepting.places) == accepted-1 },
 		patience,
 		time.Millisecond,
 		"its place is kept",
@@ -200,7 +200,7 @@
 	answer(t, written, "text")
 	_, err = left.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	require.Greater(t, d.size(0), mostWaiting, "it has been taken")
+	require.Greater(t, d.size(0), maxQueuedBytes, "it has been taken")
 
 	d.comes("all that was sent is told", func() bool {
 		for i, l := range links[1:] {
@@ -233,7 +233,7 @@
 		return maps.Equal(came, map[string]int{ping: 1, ping + ping: 1, ping + ping + ping: 1})
 	})
 	require.NoError(t, stays.Close())
-	d.comes("every place is free", func() bool { return len(d.s.gate.free) == 1 })
+	d.comes("every place is free", func() bool { return len(d.s.accepting.places) == 1 })
 }
 
 // lastID is that of the connection that came last.
--- a/internal/sockets/close.go
+++ b/internal/sockets/close.go
@@ -13,25 +13,25 @@
 
 // This file ends connections.
 
-// looks is how often connections that were left are looked at, nanoseconds.
-const looks = 5e6
+// lingerCheckInterval is how often connections that were left are looked at, nanoseconds.
+const lingerCheckInterval = 5e6
 
 // Close is an effect.
 func (s *Sockets) Close(id limiter.ConnID) int64 {
-	l := s.links[id]
+	l := s.connections[id]
 	if l == nil {
 		return 0
 	}
-	delete(s.links, id)
-	l.unasked.Store(true)
+	delete(s.connections, id)
+	l.locallyClosed.Store(true)
 	if l.cancel != nil {
 		l.cancel()
 	}
 	if c := l.conn.Load(); c != nil {
-		if l.gate == nil && l.written.Load() == l.handed && asks(c, syscall.TIOCOUTQ) > 0 {
-			breakOff(c)
+		if l.accepting == nil && l.written.Load() == l.bytesHanded && waitingBytes(c, syscall.TIOCOUTQ) > 0 {
+			resetOnClose(c)
 		}
-		shut(c, syscall.SHUT_RDWR)
+		shutdown(c, syscall.SHUT_RDWR)
 	}
 	return l.written.Load()
 }
@@ -42,57 +42,57 @@
 // after a time unless its machine still lacks bytes: to close over what was not read breaks the connection off, and
 // takes these along.
 func (s *Sockets) CloseGracefully(id limiter.ConnID, after, most int64) bool {
-	l := s.links[id]
+	l := s.connections[id]
 	if l == nil {
 		return true
 	}
-	if !l.reading.TryLock() {
+	if !l.readMutex.TryLock() {
 		return false
 	}
-	defer l.reading.Unlock()
+	defer l.readMutex.Unlock()
 	c := l.conn.Load()
-	if l.posted > l.told.Load() || asks(c, syscall.TIOCINQ) > 0 {
+	if l.bytesPosted > l.bytesDelivered.Load() || waitingBytes(c, syscall.TIOCINQ) > 0 {
 		return false
 	}
-	delete(s.links, id)
-	l.unasked.Store(true)
-	if !shut(c, syscall.SHUT_WR) {
+	delete(s.connections, id)
+	l.locallyClosed.Store(true)
+	if !shutdown(c, syscall.SHUT_WR) {
 		return true
 	}
-	s.left = append(slices.DeleteFunc(s.left, (*link).closed), l)
+	s.lingering = append(slices.DeleteFunc(s.lingering, (*connection).isClosed), l)
 	var wait func(so int64)
 	wait = func(so int64) {
 		time.AfterFunc(time.Duration(after), func() {
-			if so < most && asks(c, syscall.TIOCOUTQ) > 0 {
+			if so < most && waitingBytes(c, syscall.TIOCOUTQ) > 0 {
 				wait(so + after)
 				return
 			}
-			shut(c, syscall.SHUT_RDWR)
+			shutdown(c, syscall.SHUT_RDWR)
 		})
 	}
 	wait(after)
 	return true
 }
 
-func (l *link) closed() bool {
+func (l *connection) isClosed() bool {
 	closed, _ := l.conn.Load().IsClosed()
 	return closed
 }
 
-// owes tells whether the end of the process could break off a connection that was left: its client's machine lacks
+// hasUnsent tells whether the end of the process could break off a connection that was left: its client's machine lacks
 // bytes, or has sent some that were not read.
-func (s *Sockets) owes() bool {
-	s.left = slices.DeleteFunc(s.left, func(l *link) bool {
+func (s *Sockets) hasUnsent() bool {
+	s.lingering = slices.DeleteFunc(s.lingering, func(l *connection) bool {
 		c := l.conn.Load()
-		return asks(c, syscall.TIOCOUTQ) <= 0 && asks(c, syscall.TIOCINQ) <= 0
+		return waitingBytes(c, syscall.TIOCOUTQ) <= 0 && waitingBytes(c, syscall.TIOCINQ) <= 0
 	})
-	return len(s.left) > 0
+	return len(s.lingering) > 0
 }
 
-// breakOff has the closing of the descriptor, which follows, take along what the other machine lacks: a command that
+// resetOnClose has the closing of the descriptor, which follows, take along what the other machine lacks: a command that
 // was given up and that the kernel has whole would else become whole there later, when it takes bytes again, and run
 // for nobody.
-func breakOff(c *nbio.Conn) {
+func resetOnClose(c *nbio.Conn) {
 	c.Lock()
 	defer c.Unlock()
 	if closed, _ := c.IsClosed(); !closed {
@@ -100,10 +100,10 @@
 	}
 }
 
-// shut ends one or both directions and leaves closing the descriptor to the poller, which sees the end next. Were it
+// shutdown ends one or both directions and leaves closing the descriptor to the poller, which sees the end next. Were it
 // closed here, what the poller still has to tell of it could hit a new connection with the same number. It tells
 // whether there was something to end.
-func shut(c *nbio.Conn, how int) bool {
+func shutdown(c *nbio.Conn, how int) bool {
 	c.Lock()
 	defer c.Unlock()
 	if closed, _ := c.IsClosed(); closed {
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -47,7 +47,7 @@
 
 // find finds our end of a connection, 0 where there is none.
 func (d *drive) find(far net.Conn) limiter.ConnID {
-	for id, l := range d.s.links {
+	for id, l := range d.s.connections {
 		if c := l.conn.Load(); c != nil && c.RemoteAddr().String() == far.LocalAddr().String() &&
 			c.LocalAddr().String() == far.RemoteAddr().String() {
 			return id
@@ -57,10 +57,10 @@
 }
 
 // has tells whether something was read that the reducer was not told of.
-func (l *link) has() bool {
-	l.reading.Lock()
-	defer l.reading.Unlock()
-	return l.posted > l.told.Load()
+func (l *connection) has() bool {
+	l.readMutex.Lock()
+	defer l.readMutex.Unlock()
+	return l.bytesPosted > l.bytesDelivered.Load()
 }
 
 // TestSecondAnswer: what a server sends behind its answer has come, the reducer was not told, and it has the next
@@ -90,27 +90,27 @@
 			far := d.arrive(accepted)
 			answer(t, far, request("r1"))
 			ask(t, far, one)
-			back, held := d.s.links[d.find(far)], d.s.links[d.find(other)]
-			d.until("it is answered", func() bool { return back.told.Load() == int64(len(one)) })
+			back, held := d.s.connections[d.find(far)], d.s.connections[d.find(other)]
+			d.until("it is answered", func() bool { return back.bytesDelivered.Load() == int64(len(one)) })
 			answer(t, client, "$3\r\none\r\n")
 			ask(t, client, request("r2"))
 			require.Eventually(t, d.read, patience, time.Millisecond)
 			if c.stands {
-				held.reading.Lock()
+				held.readMutex.Lock()
 				ask(t, other, "*")
-				require.Eventually(t, func() bool { return !still(held.conn.Load()) }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return !isQuiet(held.conn.Load()) }, patience, time.Millisecond)
 			}
 			c.sends(far)
 			require.Eventually(
 				t,
-				func() bool { return back.has() || c.stands && !still(back.conn.Load()) },
+				func() bool { return back.has() || c.stands && !isQuiet(back.conn.Load()) },
 				patience,
 				time.Millisecond,
 			)
 			d.now += 4e7 // the connection has rested for more than eight ticks
 			d.turn(0)
 			if c.stands {
-				held.reading.Unlock()
+				held.readMutex.Unlock()
 			}
 			again := d.arrive(accepted)
 			answer(t, again, request("r2"))
@@ -137,7 +137,7 @@
 		far := d.arrive(accepted) // no connection that has rested for ten milliseconds is used again
 		answer(t, far, request(id))
 		ask(t, far, "*3\r\n$2\r\n"+id+"\r\n$-1\r\n$-1\r\n")
-		own := d.s.links[d.find(client)]
+		own := d.s.connections[d.find(client)]
 		d.until("it is answered", func() bool { return own.written.Load() > 0 })
 		answer(t, client, "$2\r\n"+id+"\r\n")
 		d.turn(1e7)
@@ -154,7 +154,7 @@
 	ask(t, client, request("r1"))
 	for _, far := range []net.Conn{d.arrive(accepted), client} {
 		on, err := syscall.GetsockoptInt(
-			d.s.links[d.find(far)].conn.Load().Hash(),
+			d.s.connections[d.find(far)].conn.Load().Hash(),
 			syscall.IPPROTO_TCP,
 			syscall.TCP_NODELAY,
 		)
@@ -176,12 +176,12 @@
 	require.NoError(t, err)
 	defer func() { _ = far.Close() }()
 	s.Write(id, []byte("abc"))
-	l := s.links[id]
+	l := s.connections[id]
 	c := l.conn.Load()
 	c.Lock()
 	closed := make(chan int64)
 	go func() { closed <- s.Close(id) }()
-	require.Eventually(t, l.unasked.Load, patience, time.Millisecond)
+	require.Eventually(t, l.locallyClosed.Load, patience, time.Millisecond)
 	time.Sleep(5 * time.Millisecond)
 	n, err := syscall.Write(c.Hash(), []byte("defg"))
 	require.NoError(t, err)
@@ -215,16 +215,16 @@
 			id := s.Dial(other.Addr().String(), int64(patience))
 			expect(t, s, connected, id)
 			far := <-accepts(t, other)
-			held, l := s.links[e.conn], s.links[id]
-			held.reading.Lock()
+			held, l := s.connections[e.conn], s.connections[id]
+			held.readMutex.Lock()
 			ask(t, client, "*")
-			require.Eventually(t, func() bool { return !still(held.conn.Load()) }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return !isQuiet(held.conn.Load()) }, patience, time.Millisecond)
 			time.Sleep(5 * time.Millisecond) // the poller is at it
 			ask(t, far, "last")
 			end(far)
-			require.Eventually(t, func() bool { return ended(l.conn.Load()) }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return peerEnded(l.conn.Load()) }, patience, time.Millisecond)
 			s.Write(id, []byte("abc"))
-			held.reading.Unlock()
+			held.readMutex.Unlock()
 			e, text := next(t, s)
 			for e.conn != id {
 				e, text = next(t, s)
@@ -254,14 +254,14 @@
 		[]byte("c=c,t=p,d=200,units=1,spread=1,first=0,pad="+strings.Repeat("x", 60<<10)))))
 	far := d.arrive(accepted)
 	require.Less(t, d.s.Written(d.find(far)), int64(60<<10))
-	back, held := d.s.links[d.find(far)], d.s.links[d.find(client)].conn.Load()
+	back, held := d.s.connections[d.find(far)], d.s.connections[d.find(client)].conn.Load()
 	held.Lock()
 	ended := make(chan struct{})
 	go func() {
 		d.turn(2e8)
 		close(ended)
 	}()
-	for end := time.Now().Add(patience / 5); !back.unasked.Load() && time.Now().Before(end); {
+	for end := time.Now().Add(patience / 5); !back.locallyClosed.Load() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	_ = far.SetReadDeadline(time.Now().Add(patience / 5))
--- a/internal/sockets/departed_load_test.go
+++ b/internal/sockets/departed_load_test.go
@@ -49,7 +49,7 @@
 
 // Alive is asked of each client from which something has come.
 func (o *observed) Alive(id limiter.ConnID) bool {
-	if l := o.links[id]; l != nil && l.gate != nil {
+	if l := o.connections[id]; l != nil && l.accepting != nil {
 		c := l.conn.Load()
 		o.mutex.Lock()
 		o.ends[c.RemoteAddr().String()] = c
@@ -75,7 +75,7 @@
 }
 
 func (o *observed) Close(id limiter.ConnID) int64 {
-	if l := o.links[id]; l != nil && l.gate != nil {
+	if l := o.connections[id]; l != nil && l.accepting != nil {
 		o.mutex.Lock()
 		o.noted[l.conn.Load().RemoteAddr().String()] = time.Now()
 		o.mutex.Unlock()
@@ -231,7 +231,7 @@
 	}
 	d.closed = time.Now()
 	departures[client%2].goes(c)
-	for !ended(end) && time.Since(d.closed) < patience {
+	for !peerEnded(end) && time.Since(d.closed) < patience {
 		time.Sleep(20 * time.Microsecond)
 	}
 	d.known = time.Since(d.closed)
--- a/internal/sockets/departed_test.go
+++ b/internal/sockets/departed_test.go
@@ -36,15 +36,15 @@
 type departing struct {
 	*drive
 	client, holder *net.TCPConn
-	near, held     *link  // their ends here
-	goOn           func() // lets the poller go on
+	near, held     *connection // their ends here
+	goOn           func()      // lets the poller go on
 }
 
 // letIn waits until a client is let in and gives its link.
-func (d *drive) letIn(c net.Conn) (l *link) {
+func (d *drive) letIn(c net.Conn) (l *connection) {
 	d.t.Helper()
 	d.until("it is let in", func() bool {
-		l = d.s.links[d.find(c)]
+		l = d.s.connections[d.find(c)]
 		return l != nil
 	})
 	return l
@@ -60,11 +60,11 @@
 // stand holds up the poller: what comes from now on stays in the kernel.
 func (d *departing) stand() {
 	d.t.Helper()
-	d.held.reading.Lock()
-	d.goOn = sync.OnceFunc(d.held.reading.Unlock)
+	d.held.readMutex.Lock()
+	d.goOn = sync.OnceFunc(d.held.readMutex.Unlock)
 	d.t.Cleanup(d.goOn)
 	ask(d.t, d.holder, "*")
-	require.Eventually(d.t, func() bool { return !still(d.held.conn.Load()) }, patience, time.Millisecond)
+	require.Eventually(d.t, func() bool { return !isQuiet(d.held.conn.Load()) }, patience, time.Millisecond)
 	time.Sleep(5 * time.Millisecond) // the poller is at it
 }
 
@@ -73,7 +73,7 @@
 	d.t.Helper()
 	d.stand()
 	goes(d.client)
-	require.Eventually(d.t, func() bool { return ended(d.near.conn.Load()) }, patience, time.Millisecond)
+	require.Eventually(d.t, func() bool { return peerEnded(d.near.conn.Load()) }, patience, time.Millisecond)
 }
 
 // served has a request of another client served by whichever connection brings it, and lets that one rest.
@@ -180,11 +180,11 @@
 			d := departs(t, driven(t, 64, server))
 			far := d.served("r0", accepted)
 			var text strings.Builder
-			for i := 0; text.Len() < mostOfOne+pieces; i++ {
+			for i := 0; text.Len() < maxClientBytes+readSize; i++ {
 				text.WriteString(request(fmt.Sprintf("r%05d", i)))
 			}
 			ask(t, d.client, text.String())
-			require.Eventually(t, func() bool { return d.near.stuffed.Load() }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return d.near.backpressured.Load() }, patience, time.Millisecond)
 			require.Less(t, d.size(d.near.id), text.Len())
 			d.unseen(goes)
 			return d, far, accepted
@@ -207,7 +207,7 @@
 			first := d.arrive(accepted)
 			answer(t, first, request("r1"))
 			_ = first.SetLinger(0)
-			back := d.s.links[d.find(first)]
+			back := d.s.connections[d.find(first)]
 			_ = first.Close()
 			require.Eventually(t, func() bool { return d.ends(back.id) }, patience, time.Millisecond)
 			d.unseen(goes)
@@ -221,7 +221,7 @@
 			t.Run(name+", "+departure.name, func(t *testing.T) {
 				d, far, accepted := play(t, departure.goes)
 				d.silent(far, accepted)
-				require.Nil(t, d.s.links[d.near.id], "its connection is held")
+				require.Nil(t, d.s.connections[d.near.id], "its connection is held")
 				stays := d.dial()
 				ask(t, stays, request("st"))
 				d.goOn()
@@ -264,7 +264,7 @@
 func (d *drive) waiting(is func(e queuedEvent) bool) bool {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
-	for _, e := range d.s.next.events {
+	for _, e := range d.s.queued.events {
 		if is(e) {
 			return true
 		}
@@ -318,8 +318,8 @@
 func (d *departing) goesBehind(others [64]net.Conn, goes func(c *net.TCPConn)) {
 	d.t.Helper()
 	const rounds, size = 160, 405
-	require.Less(d.t, rounds*size, mostOfOne)
-	require.Less(d.t, len(others)*rounds*size, mostWaiting)
+	require.Less(d.t, rounds*size, maxClientBytes)
+	require.Less(d.t, len(others)*rounds*size, maxQueuedBytes)
 	text := "*2\r\n$1\r\nX\r\n$" + fmt.Sprint(size-20) + "\r\n"
 	text += strings.Repeat("x", size-len(text)-2) + "\r\n"
 	before := d.size(0)
@@ -333,10 +333,10 @@
 	goes(d.client)
 	require.Eventually(d.t, func() bool { return d.ends(d.near.id) }, patience, time.Millisecond)
 	d.s.mutex.Lock()
-	events, bytes := len(d.s.next.events), len(d.s.next.bytes)
+	events, bytes := len(d.s.queued.events), len(d.s.queued.bytes)
 	d.s.mutex.Unlock()
 	require.Greater(d.t, events, 10000)
-	require.Greater(d.t, bytes, mostWaiting*9/10)
+	require.Greater(d.t, bytes, maxQueuedBytes*9/10)
 	for _, c := range others {
 		go func() { _, _ = io.Copy(io.Discard, c) }()
 	}
@@ -350,7 +350,7 @@
 	d := departs(t, driven(t, 2048, server))
 	far := d.served("r0", accepted)
 	var clients [500]*net.TCPConn
-	var nears [500]*link
+	var nears [500]*connection
 	for i := range clients {
 		clients[i] = d.dial().(*net.TCPConn)
 		nears[i] = d.letIn(clients[i])
@@ -366,9 +366,9 @@
 		departures[i%2].goes(c)
 	}
 	for _, l := range nears {
-		require.Eventually(t, func() bool { return ended(l.conn.Load()) }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return peerEnded(l.conn.Load()) }, patience, time.Millisecond)
 	}
 	d.silent(far, accepted)
 	d.goOn()
-	d.until("the places of all are free", func() bool { return len(d.s.gate.free) <= 3 })
+	d.until("the places of all are free", func() bool { return len(d.s.accepting.places) <= 3 })
 }
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -18,8 +18,8 @@
 // 0.0.0.0, and it takes a refused connection for one that is up.
 func (s *Sockets) Dial(address string, timeout int64) limiter.ConnID {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(timeout))
-	l := s.link(cancel, nil)
-	s.links[l.id] = l
+	l := s.newConnection(cancel, nil)
+	s.connections[l.id] = l
 	go func() {
 		defer cancel()
 		if err := s.dial(ctx, l, address); err != nil {
@@ -27,15 +27,15 @@
 			if ctx.Err() != nil {
 				end = limiter.DialTimedOut
 			}
-			s.post(l, queuedEvent{kind: connClosed, reason: end}, nil)
+			s.enqueue(l, queuedEvent{kind: connClosed, reason: end}, nil)
 			return
 		}
-		s.post(l, queuedEvent{kind: connected}, nil)
+		s.enqueue(l, queuedEvent{kind: connected}, nil)
 	}()
 	return l.id
 }
 
-func (s *Sockets) dial(ctx context.Context, l *link, address string) error {
+func (s *Sockets) dial(ctx context.Context, l *connection, address string) error {
 	var dialer net.Dialer
 	plain, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -49,8 +49,8 @@
 	c.SetSession(l)
 	l.conn.Store(c)
 	_, err = s.engine.AddConn(c)
-	if err == nil && l.unasked.Load() {
-		shut(c, syscall.SHUT_RDWR)
+	if err == nil && l.locallyClosed.Load() {
+		shutdown(c, syscall.SHUT_RDWR)
 	}
 	return err
 }
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -75,8 +75,8 @@
 	return &DescriptorsError{Have: limit.Cur, Need: uint64(need)}
 }
 
-// refused makes an error that an operator can act on of a failure to listen.
-func refused(address string, err error) error {
+// listenError makes an error that an operator can act on of a failure to listen.
+func listenError(address string, err error) error {
 	switch {
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
 		return &DescriptorsError{Cause: err}
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -24,7 +24,7 @@
 		{syscall.EMFILE, new(*DescriptorsError)},
 		{syscall.ENFILE, new(*DescriptorsError)},
 	} {
-		err := refused("127.0.0.1:1", kernel(c.no))
+		err := listenError("127.0.0.1:1", kernel(c.no))
 		require.ErrorAs(t, err, c.want)
 		require.ErrorIs(t, err, c.no)
 	}
@@ -36,7 +36,7 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer held.Close()
+	defer func() { _ = held.Close() }()
 	_, err = Listen(held.Addr().String(), 1, 64)
 	require.Error(t, err)
 }
--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -20,7 +20,7 @@
 func (d *drive) size(id limiter.ConnID) (size int) {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
-	for _, e := range d.s.next.events {
+	for _, e := range d.s.queued.events {
 		if id == 0 || e.conn == id {
 			size += e.size
 		}
@@ -35,14 +35,14 @@
 	d := driven(t, 64, nil)
 	t.Cleanup(func() { // a poller that waits for the reducer would not stop
 		for range 20 {
-			d.s.take()
+			d.s.nextBatch()
 			time.Sleep(time.Millisecond)
 		}
 	})
 	flooder, flood := d.dial(), limiter.ConnID(0)
 	d.until("it is let in", func() bool {
-		for id, l := range d.s.links {
-			if l.gate != nil {
+		for id, l := range d.s.connections {
+			if l.accepting != nil {
 				flood = id
 			}
 		}
@@ -50,18 +50,18 @@
 	})
 	const commands = 100
 	command := "*2\r\n$1\r\nX\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n"
-	require.Greater(t, commands*len(command), mostWaiting+1<<20)
+	require.Greater(t, commands*len(command), maxQueuedBytes+1<<20)
 	wrote := make(chan error, 1)
 	go func() {
 		_, err := io.WriteString(flooder, strings.Repeat(command, commands))
 		wrote <- err
 	}()
-	require.Eventually(t, func() bool { return d.size(flood) >= mostOfOne }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return d.size(flood) >= maxClientBytes }, patience, time.Millisecond)
 	other := d.dial()
 	ask(t, other, ping)
 	require.Eventually(t, func() bool { return d.size(0)-d.size(flood) == len(ping) }, patience, time.Millisecond,
 		"the poller reads one client alone")
-	require.Less(t, d.size(flood), mostOfOne+pieces)
+	require.Less(t, d.size(flood), maxClientBytes+readSize)
 	answered := make(chan string, 1)
 	text := strings.Repeat("-ERR unknown command\r\n", commands)
 	go func() {
@@ -79,8 +79,8 @@
 		wrote <- err
 	}()
 	require.NoError(t, <-wrote)
-	d.until("its end is told", func() bool { return d.s.links[flood] == nil })
-	require.Len(t, d.s.gate.free, 2) // the other's, and the next one's
+	d.until("its end is told", func() bool { return d.s.connections[flood] == nil })
+	require.Len(t, d.s.accepting.places, 2) // the other's, and the next one's
 }
 
 // TestNoDescriptor: a client for whose connection no descriptor is left gives its place back. The library needs two
@@ -100,7 +100,7 @@
 	s, address := listening(t, 1)
 	t.Cleanup(func() {
 		if t.Failed() { // the place that was kept
-			<-s.gate.free
+			<-s.accepting.places
 		}
 	})
 	var limit syscall.Rlimit
--- a/internal/sockets/gone_test.go
+++ b/internal/sockets/gone_test.go
@@ -26,8 +26,8 @@
 		)
 	}
 	clients := func() (read int) {
-		for _, l := range d.s.links {
-			if l.gate != nil && l.told.Load() > 0 {
+		for _, l := range d.s.connections {
+			if l.accepting != nil && l.bytesDelivered.Load() > 0 {
 				read++
 			}
 		}
--- a/internal/sockets/leave_test.go
+++ b/internal/sockets/leave_test.go
@@ -63,12 +63,12 @@
 // turn tells the reducer all that the poller has read, so much time later.
 func (d *drive) turn(later int64) {
 	d.now += later
-	d.s.take()
-	for _, e := range d.s.now.events {
-		end := d.s.read + e.size
-		d.s.telling(e)
+	d.s.nextBatch()
+	for _, e := range d.s.current.events {
+		end := d.s.currentRead + e.size
+		d.s.delivering(e)
 		e.deliver(d.now, d.l)
-		d.s.read = end
+		d.s.currentRead = end
 	}
 	d.l.Step(d.now, limiter.TimersDue{})
 }
@@ -83,7 +83,7 @@
 func (d *drive) read() bool {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
-	return len(d.s.next.bytes) > 0
+	return len(d.s.queued.bytes) > 0
 }
 
 func (d *drive) dial() net.Conn {
@@ -142,7 +142,7 @@
 			ask(t, client, ping)
 			d.until(
 				"its first command is answered",
-				func() bool { return d.s.links[1] != nil && d.s.Written(1) > 0 || answered(d, 2) },
+				func() bool { return d.s.connections[1] != nil && d.s.Written(1) > 0 || answered(d, 2) },
 			)
 			answer(t, client, "-LOADING not ready yet\r\n")
 			ask(t, client, ping)
@@ -165,7 +165,7 @@
 
 // answered tells whether any client's connection was written to.
 func answered(d *drive, least limiter.ConnID) bool {
-	for id := range d.s.links {
+	for id := range d.s.connections {
 		if id >= least && d.s.Written(id) > 0 {
 			return true
 		}
@@ -191,7 +191,7 @@
 		d.s.mutex.Lock()
 		defer d.s.mutex.Unlock()
 		size, ended := 0, false
-		for _, e := range d.s.next.events {
+		for _, e := range d.s.queued.events {
 			size, ended = size+e.size, ended || e.kind == connClosed && size > 0
 		}
 		return ended
--- a/internal/sockets/poller.go
+++ b/internal/sockets/poller.go
@@ -12,25 +12,25 @@
 
 // This file is the poller's side: what nbio's goroutines read and how it is queued for the reducer.
 
-// pieces is how many bytes the poller takes at a time.
-const pieces = 32 << 10
+// readSize is how many bytes the poller takes at a time.
+const readSize = 32 << 10
 
-// mostWaiting is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
-const mostWaiting = 4 << 20
+// maxQueuedBytes is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
+const maxQueuedBytes = 4 << 20
 
-// errInOrder ends a connection whose other side has ended it, behind all that it sent. The poller's own io.EOF may as
+// errPeerClosed ends a connection whose other side has ended it, behind all that it sent. The poller's own io.EOF may as
 // well stand for a reset.
-var errInOrder = errors.New("the other side has ended the connection")
+var errPeerClosed = errors.New("the other side has ended the connection")
 
-// mostOfOne is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all
+// maxClientBytes is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all
 // others.
-const mostOfOne = 64 << 10
+const maxClientBytes = 64 << 10
 
-// batch is what waits for the reducer: events, and the bytes that they tell of, in order.
-type batch struct {
+// eventBatch is what waits for the reducer: events, and the bytes that they tell of, in order.
+type eventBatch struct {
 	events   []queuedEvent
 	bytes    []byte
-	accepted []*link
+	accepted []*connection
 }
 
 // eventKind tells which of the limiter's events a queuedEvent becomes.
@@ -66,12 +66,12 @@
 	}
 }
 
-// pull reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of
+// readLoop reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of
 // its leaving together. What comes on a connection that was left is never read: the client may send it again
 // elsewhere. Nor is what a client that has gone sent past mostOfOne: the poller closes a connection on the word that
 // it ends, whatever is unread.
-func (s *Sockets) pull(l *link, c *nbio.Conn, into []byte) {
-	end := s.drain(l, c, into, s.client(l))
+func (s *Sockets) readLoop(l *connection, c *nbio.Conn, into []byte) {
+	end := s.readAvailable(l, c, into, s.isClient(l))
 	if end != nil {
 		_ = c.CloseWithError(end)
 	}
@@ -80,20 +80,20 @@
 	runtime.Gosched()
 }
 
-func (s *Sockets) drain(l *link, c *nbio.Conn, into []byte, client bool) (end error) {
-	l.reading.Lock()
-	defer l.reading.Unlock()
+func (s *Sockets) readAvailable(l *connection, c *nbio.Conn, into []byte, client bool) (end error) {
+	l.readMutex.Lock()
+	defer l.readMutex.Unlock()
 	for {
-		if client && (l.unasked.Load() || l.full()) {
+		if client && (l.locallyClosed.Load() || l.isBackpressured()) {
 			return nil // its end is seen apart from what was not read
 		}
 		n, err := c.Read(into)
 		switch {
 		case n > 0:
-			l.posted += int64(n)
-			s.post(l, queuedEvent{kind: dataReceived, size: n}, into[:n])
+			l.bytesPosted += int64(n)
+			s.enqueue(l, queuedEvent{kind: dataReceived, size: n}, into[:n])
 		case err == nil:
-			return errInOrder
+			return errPeerClosed
 		case errors.Is(err, syscall.EAGAIN):
 			return nil
 		case !errors.Is(err, syscall.EINTR):
@@ -102,69 +102,69 @@
 	}
 }
 
-// full tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been
+// isBackpressured tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been
 // told of some since, or the reducer finds it stopped.
-func (l *link) full() bool {
-	if l.posted-l.told.Load() < mostOfOne {
+func (l *connection) isBackpressured() bool {
+	if l.bytesPosted-l.bytesDelivered.Load() < maxClientBytes {
 		return false
 	}
-	l.stuffed.Store(true)
-	return l.posted-l.told.Load() >= mostOfOne
+	l.backpressured.Store(true)
+	return l.bytesPosted-l.bytesDelivered.Load() >= maxClientBytes
 }
 
-// telling notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of
+// delivering notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of
 // its own, which closes nothing: the poller sees the end as well.
-func (s *Sockets) telling(e queuedEvent) {
-	l := s.links[e.conn]
+func (s *Sockets) delivering(e queuedEvent) {
+	l := s.connections[e.conn]
 	if l == nil || e.size == 0 {
 		return
 	}
-	l.told.Add(int64(e.size))
-	if l.stuffed.CompareAndSwap(true, false) {
-		go func() { _ = s.drain(l, l.conn.Load(), make([]byte, pieces), true) }()
+	l.bytesDelivered.Add(int64(e.size))
+	if l.backpressured.CompareAndSwap(true, false) {
+		go func() { _ = s.readAvailable(l, l.conn.Load(), make([]byte, readSize), true) }()
 	}
 }
 
-// post hands an event on a connection to the reducer.
-func (s *Sockets) post(l *link, e queuedEvent, data []byte) {
+// enqueue hands an event on a connection to the reducer.
+func (s *Sockets) enqueue(l *connection, e queuedEvent, data []byte) {
 	s.mutex.Lock()
 	e.conn = l.id
-	for len(s.next.bytes) > mostWaiting {
+	for len(s.queued.bytes) > maxQueuedBytes {
 		s.drained.Wait()
 	}
 	if e.kind == clientAccepted {
-		s.next.accepted = append(s.next.accepted, l)
+		s.queued.accepted = append(s.queued.accepted, l)
 	}
-	s.next.events = append(s.next.events, e)
-	s.next.bytes = append(s.next.bytes, data...)
-	first := len(s.next.events) == 1
+	s.queued.events = append(s.queued.events, e)
+	s.queued.bytes = append(s.queued.bytes, data...)
+	first := len(s.queued.events) == 1
 	s.mutex.Unlock()
 	if first {
 		select {
-		case s.waking <- struct{}{}:
+		case s.wakeups <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// take gets what waits.
-func (s *Sockets) take() {
-	s.now.events, s.now.bytes, s.now.accepted, s.read = s.now.events[:0], s.now.bytes[:0], s.now.accepted[:0], 0
-	if cap(s.now.bytes) > mostWaiting {
-		s.now.bytes = nil
+// nextBatch gets what waits.
+func (s *Sockets) nextBatch() {
+	s.current.events, s.current.bytes, s.current.accepted, s.currentRead = s.current.events[:0], s.current.bytes[:0], s.current.accepted[:0], 0
+	if cap(s.current.bytes) > maxQueuedBytes {
+		s.current.bytes = nil
 	}
 	s.mutex.Lock()
-	s.now, s.next = s.next, s.now
+	s.current, s.queued = s.queued, s.current
 	s.mutex.Unlock()
 	s.drained.Broadcast()
-	for _, l := range s.now.accepted {
-		s.links[l.id] = l
+	for _, l := range s.current.accepted {
+		s.connections[l.id] = l
 	}
 }
 
-// waits tells whether something has happened that the reducer has not been told.
-func (s *Sockets) waits() bool {
+// hasQueued tells whether something has happened that the reducer has not been told.
+func (s *Sockets) hasQueued() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.next.events) > 0
+	return len(s.queued.events) > 0
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -16,37 +16,37 @@
 	"ospreycroft/internal/settings"
 )
 
-// link is one connection. The poller, nbio's own goroutines and the reducer all use it.
-type link struct {
-	id      limiter.ConnID
-	conn    atomic.Pointer[nbio.Conn] // nil until it is up
-	cancel  context.CancelFunc        // ends the dialling; nil for a client's connection
-	unasked atomic.Bool               // the reducer has closed it
-	written atomic.Int64
-	handed  int64        // bytes to write; the reducer's own
-	gate    *gate        // of a client's connection
-	reading sync.Mutex   // held from before bytes leave the kernel until they are posted
-	posted  int64        // bytes, under reading
-	told    atomic.Int64 // bytes of them that the reducer was told of
-	stuffed atomic.Bool  // mostOfOne wait, and what else has come is read once the reducer was told of some
+// connection is one connection. The poller, nbio's own goroutines and the reducer all use it.
+type connection struct {
+	id             limiter.ConnID
+	conn           atomic.Pointer[nbio.Conn] // nil until it is up
+	cancel         context.CancelFunc        // ends the dialling; nil for a client's connection
+	locallyClosed  atomic.Bool               // the reducer has closed it
+	written        atomic.Int64
+	bytesHanded    int64          // bytes to write; the reducer's own
+	accepting      *acceptLimiter // of a client's connection
+	readMutex      sync.Mutex     // held from before bytes leave the kernel until they are posted
+	bytesPosted    int64          // bytes, under reading
+	bytesDelivered atomic.Int64   // bytes of them that the reducer was told of
+	backpressured  atomic.Bool    // mostOfOne wait, and what else has come is read once the reducer was told of some
 }
 
 // Sockets is safe for use by nbio's goroutines and the one that calls Run; Effects are for the latter alone.
 type Sockets struct {
-	engine  *nbio.Engine
-	gate    *gate
-	waking  chan struct{}
-	mutex   sync.Mutex
-	lastID  limiter.ConnID
-	drained sync.Cond // the reducer has taken the batch
-	next    batch
+	engine    *nbio.Engine
+	accepting *acceptLimiter
+	wakeups   chan struct{}
+	mutex     sync.Mutex
+	lastID    limiter.ConnID
+	drained   sync.Cond // the reducer has taken the batch
+	queued    eventBatch
 	// The rest belongs to the reducer's goroutine.
-	links map[limiter.ConnID]*link
-	now   batch
-	read  int // of the present batch's bytes
-	wake  int64
-	halt  atomic.Bool
-	left  []*link // connections that were left and may not be closed yet
+	connections map[limiter.ConnID]*connection
+	current     eventBatch
+	currentRead int // of the present batch's bytes
+	timerAt     int64
+	halted      atomic.Bool
+	lingering   []*connection // connections that were left and may not be closed yet
 }
 
 // Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the process may hold
@@ -56,8 +56,8 @@
 	logging.SetLevel(logging.LevelError)
 	nbio.MaxOpenFiles = 2 * descriptors // nbio keeps a table of all descriptors there could be
 	s := &Sockets{
-		waking: make(chan struct{}, 1), links: map[limiter.ConnID]*link{},
-		gate: &gate{free: make(chan struct{}, clientPlaces(clients, descriptors))},
+		wakeups: make(chan struct{}, 1), connections: map[limiter.ConnID]*connection{},
+		accepting: &acceptLimiter{places: make(chan struct{}, clientPlaces(clients, descriptors))},
 	}
 	s.drained.L = &s.mutex
 	s.engine = nbio.NewEngine(nbio.Config{
@@ -65,11 +65,11 @@
 		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection has just come up
 		// and is written to.
 		EpollMod: nbio.EPOLLET,
-		Listen:   s.gate.listen,
+		Listen:   s.accepting.listen,
 	})
 	s.handleEvents()
 	if err := s.engine.Start(); err != nil {
-		return nil, refused(address, err)
+		return nil, listenError(address, err)
 	}
 	return s, nil
 }
@@ -77,14 +77,14 @@
 // handleEvents has the poller's events queued for the reducer.
 func (s *Sockets) handleEvents() {
 	s.engine.OnOpen(s.opened)
-	into := make([]byte, pieces) // there is one poller
+	into := make([]byte, readSize) // there is one poller
 	s.engine.OnRead(func(c *nbio.Conn) {
-		if l, is := c.Session().(*link); is {
-			s.pull(l, c, into)
+		if l, is := c.Session().(*connection); is {
+			s.readLoop(l, c, into)
 		}
 	})
 	s.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
-		if l, is := c.Session().(*link); is {
+		if l, is := c.Session().(*connection); is {
 			l.written.Add(int64(n))
 		}
 	})
@@ -96,53 +96,53 @@
 	if c.Session() != nil {
 		return
 	}
-	l := s.link(nil, s.gate)
+	l := s.newConnection(nil, s.accepting)
 	l.conn.Store(c)
 	c.SetSession(l)
-	s.post(l, queuedEvent{kind: clientAccepted}, nil)
+	s.enqueue(l, queuedEvent{kind: clientAccepted}, nil)
 }
 
 // closed takes the end of a connection.
 func (s *Sockets) closed(c *nbio.Conn, err error) {
-	l, is := c.Session().(*link)
+	l, is := c.Session().(*connection)
 	if !is {
 		return
 	}
 	reason := limiter.PeerReset
-	if errors.Is(err, errInOrder) {
+	if errors.Is(err, errPeerClosed) {
 		reason = limiter.PeerClosed
 	}
-	if s.client(l) {
-		s.gate.leave()
+	if s.isClient(l) {
+		s.accepting.release()
 	}
-	s.post(l, queuedEvent{kind: connClosed, reason: reason}, nil)
+	s.enqueue(l, queuedEvent{kind: connClosed, reason: reason}, nil)
 }
 
-// link makes the record of a new connection.
-func (s *Sockets) link(cancel context.CancelFunc, gate *gate) *link {
+// newConnection makes the record of a new connection.
+func (s *Sockets) newConnection(cancel context.CancelFunc, gate *acceptLimiter) *connection {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lastID++
-	return &link{id: s.lastID, cancel: cancel, gate: gate}
+	return &connection{id: s.lastID, cancel: cancel, accepting: gate}
 }
 
-// client tells whether a connection is a client's. Its record was made under the lock, on another goroutine.
-func (s *Sockets) client(l *link) bool {
+// isClient tells whether a connection is a isClient's. Its record was made under the lock, on another goroutine.
+func (s *Sockets) isClient(l *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return l.gate != nil
+	return l.accepting != nil
 }
 
 // Run tells the limiter what happens until it has finished.
 func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
 	timer := time.NewTimer(0)
-	for !l.Finished() || !l.Overdue() && (s.waits() || s.owes()) {
-		if s.halt.Load() {
+	for !l.Finished() || !l.Overdue() && (s.hasQueued() || s.hasUnsent()) {
+		if s.halted.Load() {
 			s.engine.Stop()
 			return
 		}
 		select {
-		case <-s.waking:
+		case <-s.wakeups:
 		case <-timer.C:
 		case <-stop:
 			stop = nil
@@ -150,19 +150,19 @@
 		case config := <-renewed:
 			l.Step(clock(), limiter.ConfigReloaded{Config: config})
 		}
-		s.take()
-		for _, e := range s.now.events {
-			end := s.read + e.size
-			s.telling(e)
+		s.nextBatch()
+		for _, e := range s.current.events {
+			end := s.currentRead + e.size
+			s.delivering(e)
 			e.deliver(clock(), l)
-			s.read = end // whether the reducer has read them or not
+			s.currentRead = end // whether the reducer has read them or not
 		}
-		if now := clock(); s.wake <= now {
+		if now := clock(); s.timerAt <= now {
 			l.Step(now, limiter.TimersDue{})
 		}
-		wait := max(0, s.wake-clock())
-		if len(s.left) > 0 && l.Finished() { // nothing tells that a client's machine has all
-			wait = min(wait, looks)
+		wait := max(0, s.timerAt-clock())
+		if len(s.lingering) > 0 && l.Finished() { // nothing tells that a client's machine has all
+			wait = min(wait, lingerCheckInterval)
 		}
 		timer.Reset(time.Duration(wait))
 	}
@@ -170,15 +170,15 @@
 
 // Halt ends Run whatever is owed, as the end of its process would.
 func (s *Sockets) Halt() {
-	s.halt.Store(true)
+	s.halted.Store(true)
 	select {
-	case s.waking <- struct{}{}:
+	case s.wakeups <- struct{}{}:
 	default:
 	}
 }
 
 // SetTimer is an effect.
-func (s *Sockets) SetTimer(at int64) { s.wake = at }
+func (s *Sockets) SetTimer(at int64) { s.timerAt = at }
 
 // Read is an effect.
-func (s *Sockets) Read(into []byte) { copy(into, s.now.bytes[s.read:]) }
+func (s *Sockets) Read(into []byte) { copy(into, s.current.bytes[s.currentRead:]) }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -42,19 +42,19 @@
 // next waits for the next event and reads what it tells of.
 func next(t *testing.T, s *Sockets) (queuedEvent, string) {
 	t.Helper()
-	for len(s.now.events) == 0 {
+	for len(s.current.events) == 0 {
 		select {
-		case <-s.waking:
-			s.take()
+		case <-s.wakeups:
+			s.nextBatch()
 		case <-time.After(patience):
 			t.Fatal("nothing happened")
 		}
 	}
-	e := s.now.events[0]
-	s.now.events = s.now.events[1:]
+	e := s.current.events[0]
+	s.current.events = s.current.events[1:]
 	into := make([]byte, e.size)
 	s.Read(into)
-	s.read += e.size
+	s.currentRead += e.size
 	return e, string(into)
 }
 
@@ -174,9 +174,9 @@
 	}
 	require.Eventually(t, s.HasBacklog, patience, time.Millisecond, "nobody waits")
 	time.Sleep(50 * time.Millisecond)
-	s.take()
-	if len(s.now.events) > 0 {
-		t.Fatalf("event %+v, want none", s.now.events[0])
+	s.nextBatch()
+	if len(s.current.events) > 0 {
+		t.Fatalf("event %+v, want none", s.current.events[0])
 	}
 	_ = first.Close()
 	var let []queuedEvent // the place is free before the first one's end is told
@@ -294,7 +294,7 @@
 			require.True(t, s.Written(e.conn) >= 1<<16, "written %d", s.Written(e.conn))
 			const after = int64(50 * time.Millisecond)
 			require.True(t, s.CloseGracefully(e.conn, after, int64(patience)))
-			require.True(t, s.owes())
+			require.True(t, s.hasUnsent())
 			_, err = io.WriteString(far, "late")
 			require.NoError(t, err)
 			time.Sleep(3 * time.Duration(after)) // it is not broken off while its machine lacks bytes
@@ -307,7 +307,7 @@
 			}
 			require.Eventually(
 				t,
-				func() bool { return s.left == nil || s.left[0].closed() },
+				func() bool { return s.lingering == nil || s.lingering[0].isClosed() },
 				patience,
 				time.Millisecond,
 				"it is closed",
--- a/internal/sockets/stale_test.go
+++ b/internal/sockets/stale_test.go
@@ -19,14 +19,14 @@
 	require.NoError(t, err)
 	s, address := listening(t, 3)
 	var far [4]*net.TCPConn
-	var near [3]*link
+	var near [3]*connection
 	for i := range far {
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
 		if far[i] = c.(*net.TCPConn); i < len(near) {
 			e, _ := next(t, s)
-			near[i] = s.links[e.conn]
+			near[i] = s.connections[e.conn]
 		}
 	}
 	stands := func() bool { // the poller waits for the lock of a connection
@@ -38,14 +38,14 @@
 		}
 		return false
 	}
-	near[0].reading.Lock()
-	near[1].reading.Lock()
+	near[0].readMutex.Lock()
+	near[1].readMutex.Lock()
 	ask(t, far[0], ping)
 	require.Eventually(t, stands, patience, time.Millisecond)
 	ask(t, far[1], ping) // what comes now the poller fetches together
 	_ = far[2].SetLinger(0)
 	_ = far[2].Close()
-	near[0].reading.Unlock()
+	near[0].readMutex.Unlock()
 	e, _ := next(t, s)
 	require.Equal(t, near[0].id, e.conn)
 	require.Eventually(t, stands, patience, time.Millisecond)
@@ -59,7 +59,7 @@
 	_ = hole.Close()
 	s.Write(near[2].id, []byte("answer"))
 	time.Sleep(50 * time.Millisecond) // were there a place now, the next client would be let in
-	near[1].reading.Unlock()
+	near[1].readMutex.Unlock()
 	ask(t, far[3], ping)
 	for heard := false; !heard; heard = e.conn > near[2].id && e.kind == dataReceived {
 		e, _ = next(t, s)
--- a/internal/sockets/watch_test.go
+++ b/internal/sockets/watch_test.go
@@ -57,7 +57,7 @@
 	require.Eventually(t, func() bool {
 		d.s.mutex.Lock()
 		defer d.s.mutex.Unlock()
-		return len(d.s.next.bytes) == len(says)+len(asks)
+		return len(d.s.queued.bytes) == len(says)+len(asks)
 	}, patience, time.Millisecond, "and the command behind it")
 	_, call := watch()
 	require.Contains(t, call, "GET /discovery/hosts HTTP/1.1")
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -14,28 +14,28 @@
 
 // The kernel's numbers, in the first byte of TCP_INFO, for a connection that the other side has broken off or ended.
 const (
-	brokenOff = 7
-	closeWait = 8
+	tcpStateClose     = 7
+	tcpStateCloseWait = 8
 )
 
 // Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be
 // closed here, before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind
 // that.
 func (s *Sockets) Write(id limiter.ConnID, bytes []byte) {
-	l := s.links[id]
+	l := s.connections[id]
 	if l == nil {
 		return
 	}
-	c, waits := l.conn.Load(), l.handed > l.written.Load()
+	c, waits := l.conn.Load(), l.bytesHanded > l.written.Load()
 	// What was sent to us before its end waits in the kernel still; what we write behind it would count as sent.
-	if l.gate == nil && ended(c) {
+	if l.accepting == nil && peerEnded(c) {
 		return
 	}
-	l.handed += int64(len(bytes))
+	l.bytesHanded += int64(len(bytes))
 	if !waits {
-		n, err := put(c, bytes)
+		n, err := writeNow(c, bytes)
 		if err != nil {
-			shut(c, syscall.SHUT_RDWR)
+			shutdown(c, syscall.SHUT_RDWR)
 			return
 		}
 		l.written.Add(int64(n))
@@ -46,8 +46,8 @@
 	}
 }
 
-// put writes what the kernel takes at once.
-func put(c *nbio.Conn, bytes []byte) (int, error) {
+// writeNow writes what the kernel takes at once.
+func writeNow(c *nbio.Conn, bytes []byte) (int, error) {
 	c.Lock()
 	defer c.Unlock()
 	for {
@@ -66,8 +66,8 @@
 	}
 }
 
-// ended tells whether the other side has ended the connection, as far as the kernel knows.
-func ended(c *nbio.Conn) bool {
+// peerEnded tells whether the other side has peerEnded the connection, as far as the kernel knows.
+func peerEnded(c *nbio.Conn) bool {
 	c.Lock()
 	defer c.Unlock()
 	if closed, _ := c.IsClosed(); closed {
@@ -75,30 +75,30 @@
 	}
 	info, err := syscall.GetsockoptInt(c.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	state := info & 0xff
-	return err == nil && (state == brokenOff || state == closeWait)
+	return err == nil && (state == tcpStateClose || state == tcpStateCloseWait)
 }
 
 // Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on
 // it would be taken for what a server sent behind the last one, and what is written to one that the server has ended
 // counts as sent.
 func (s *Sockets) Alive(id limiter.ConnID) bool {
-	l := s.links[id]
+	l := s.connections[id]
 	if l == nil {
 		return false
 	}
 	c := l.conn.Load()
-	if closed, _ := c.IsClosed(); closed || l.gate != nil {
+	if closed, _ := c.IsClosed(); closed || l.accepting != nil {
 		return !closed
 	}
-	if !l.reading.TryLock() {
+	if !l.readMutex.TryLock() {
 		return false
 	}
-	defer l.reading.Unlock()
-	return l.posted == l.told.Load() && still(c)
+	defer l.readMutex.Unlock()
+	return l.bytesPosted == l.bytesDelivered.Load() && isQuiet(c)
 }
 
-// still tells whether neither bytes nor an end wait in the kernel.
-func still(c *nbio.Conn) bool {
+// isQuiet tells whether neither bytes nor an end wait in the kernel.
+func isQuiet(c *nbio.Conn) bool {
 	c.Lock()
 	defer c.Unlock()
 	if closed, _ := c.IsClosed(); closed {
@@ -111,20 +111,20 @@
 // PeerGone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is
 // told.
 func (s *Sockets) PeerGone(id limiter.ConnID) bool {
-	l := s.links[id]
-	return l == nil || ended(l.conn.Load())
+	l := s.connections[id]
+	return l == nil || peerEnded(l.conn.Load())
 }
 
 // Written is an effect.
 func (s *Sockets) Written(id limiter.ConnID) int64 {
-	if l := s.links[id]; l != nil {
+	if l := s.connections[id]; l != nil {
 		return l.written.Load()
 	}
 	return 0
 }
 
-// asks asks the kernel how many bytes wait on a connection; 0 where that cannot be known.
-func asks(c *nbio.Conn, which uintptr) int {
+// waitingBytes waitingBytes the kernel how many bytes wait on a connection; 0 where that cannot be known.
+func waitingBytes(c *nbio.Conn, which uintptr) int {
 	c.Lock()
 	defer c.Unlock()
 	waiting := int32(0)
