--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -13,7 +13,6 @@
 	"strings"
 	"sync"
 	"syscall"
-	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
@@ -25,6 +24,14 @@
 	"ospreycroft/internal/sockets"
 )
 
+// T is what this package wants of a test; *testing.T has it.
+type T interface {
+	require.TestingT
+	Helper()
+	Cleanup(func())
+	Fatal(args ...any)
+}
+
 // Patience is how long a test waits for what must happen.
 const Patience = 5 * time.Second
 
@@ -79,7 +86,7 @@
 var starting sync.Mutex
 
 // Start starts a limiter and ends it with the test, whether all was answered or not.
-func Start(t testing.TB, config *settings.Config) *Rig {
+func Start(t T, config *settings.Config) *Rig {
 	t.Helper()
 	starting.Lock() // nbio is set up by a variable of its package
 	defer starting.Unlock()
@@ -123,7 +130,7 @@
 func (r *Rig) Ended() <-chan struct{} { return r.ended }
 
 // Finish waits until the limiter has finished.
-func (r *Rig) Finish(t testing.TB, within time.Duration) {
+func (r *Rig) Finish(t T, within time.Duration) {
 	t.Helper()
 	select {
 	case <-r.ended:
@@ -139,7 +146,7 @@
 }
 
 // Listen opens one on loopback.
-func Listen(t testing.TB) *Peer {
+func Listen(t T) *Peer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -149,7 +156,7 @@
 
 // Full is a peer to which no connection comes up: its queue is full. Accept takes one out of it, and the next try gets
 // in.
-func Full(t testing.TB) *Peer {
+func Full(t T) *Peer {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -170,7 +177,7 @@
 }
 
 // Accept is the limiter's next connection to the peer.
-func (p *Peer) Accept(t testing.TB) *Conn {
+func (p *Peer) Accept(t T) *Conn {
 	t.Helper()
 	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patience))
 	c, err := p.ln.Accept()
@@ -180,7 +187,7 @@
 }
 
 // None fails the test if the limiter opens a connection to the peer within a time.
-func (p *Peer) None(t testing.TB, within time.Duration) {
+func (p *Peer) None(t T, within time.Duration) {
 	t.Helper()
 	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(within))
 	if c, err := p.ln.Accept(); err == nil {
@@ -199,7 +206,7 @@
 }
 
 // Dial connects a client.
-func (r *Rig) Dial(t testing.TB) *Conn {
+func (r *Rig) Dial(t T) *Conn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", r.Address, Patience)
 	require.NoError(t, err)
@@ -219,7 +226,7 @@
 }
 
 // Say writes.
-func (c *Conn) Say(t testing.TB, text string) {
+func (c *Conn) Say(t T, text string) {
 	t.Helper()
 	_ = c.TCP.SetWriteDeadline(time.Now().Add(Patience))
 	_, err := io.WriteString(c.TCP, text)
@@ -227,7 +234,7 @@
 }
 
 // Serve answers a command with a value.
-func (c *Conn) Serve(t testing.TB, value string) {
+func (c *Conn) Serve(t T, value string) {
 	t.Helper()
 	c.Say(t, Served(value))
 }
@@ -238,7 +245,7 @@
 }
 
 // Line reads one line, without its end.
-func (c *Conn) Line(t testing.TB) string {
+func (c *Conn) Line(t T) string {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
 	line, err := c.in.ReadString('\n')
@@ -247,7 +254,7 @@
 }
 
 // Command reads one command whole and gives its words.
-func (c *Conn) Command(t testing.TB) []string {
+func (c *Conn) Command(t T) []string {
 	t.Helper()
 	var n int
 	_, err := fmt.Sscanf(c.Line(t), "*%d", &n)
@@ -259,7 +266,7 @@
 	return words
 }
 
-func (c *Conn) bulk(t testing.TB) string {
+func (c *Conn) bulk(t T) string {
 	t.Helper()
 	var n int
 	_, err := fmt.Sscanf(c.Line(t), "$%d", &n)
@@ -271,7 +278,7 @@
 }
 
 // Answer reads one answer to a client: the value behind "$", or the line of an error, "-" and all.
-func (c *Conn) Answer(t testing.TB) string {
+func (c *Conn) Answer(t T) string {
 	t.Helper()
 	line := c.Line(t)
 	if !strings.HasPrefix(line, "$") {
@@ -287,7 +294,7 @@
 }
 
 // Rest reads all that comes until the connection ends, and how it ended: nil for an end in order.
-func (c *Conn) Rest(t testing.TB) (string, error) {
+func (c *Conn) Rest(t T) (string, error) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
 	text, err := io.ReadAll(c.in)
@@ -295,7 +302,7 @@
 }
 
 // Quiet fails the test if anything comes, an end as well, within a time.
-func (c *Conn) Quiet(t testing.TB, within time.Duration) {
+func (c *Conn) Quiet(t T, within time.Duration) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(within))
 	_, err := c.in.Peek(1)
