--- /dev/null
+++ b/internal/limiter/attempts_test.go
@@ -0,0 +1,50 @@
+package limiter
+
+import (
+	"strings"
+	"testing"
+)
+
+func TestAttemptEnds(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		end  func(l *Limiter, w *fakeSockets, id ConnID)
+		out  string
+	}{
+		{"before its last byte is written: it never ran", func(l *Limiter, w *fakeSockets, id ConnID) {
+			w.kernel[id] = int64(len(w.wrote[id])) - 1
+			l.Step(0, ConnClosed{Conn: id, Reason: PeerReset})
+		}, "-BUSY 2"},
+		{"after it: it may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
+			l.Step(0, ConnClosed{Conn: id, Reason: PeerClosed})
+		}, "-ERR written off"},
+		{"turned away: the module words the answer", func(l *Limiter, w *fakeSockets, id ConnID) {
+			w.say(l, 0, id, "-BUSY 7777\r\n")
+		}, "-BUSY 2"},
+		{"an error: it may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
+			w.say(l, 0, id, "-ERR failed\r\n")
+		}, "-ERR written off"},
+		{"a null is no answer", func(l *Limiter, w *fakeSockets, id ConnID) {
+			w.say(l, 0, id, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+		}, "-ERR written off"},
+		{"not understood", func(l *Limiter, w *fakeSockets, id ConnID) {
+			w.say(l, 0, id, "what\r\n")
+		}, "-ERR written off"},
+		{"served", func(l *Limiter, w *fakeSockets, id ConnID) {
+			w.say(l, 0, id, "*3\r\n$1\r\n")
+			w.say(l, 0, id, "v\r\n$6\r\ncost=9\r\n$-1\r\n")
+		}, "$1\r\nv\r\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, w, id := requestSent(t, "write")
+			c.end(l, w, id)
+			if got := w.wrote[clientConn]; !strings.HasPrefix(got, c.out) ||
+				strings.Count(got, "\r\n") != strings.Count(c.out+"\r\n", "\r\n")-strings.Count(c.out, "v\r\n") {
+				t.Fatalf("client got %q, want %q", got, c.out)
+			}
+			if len(l.requests.byID) > 0 || l.requests.heldBytes != 0 {
+				t.Fatalf("%d requests and %d bytes are held", len(l.requests.byID), l.requests.heldBytes)
+			}
+		})
+	}
+}
--- a/internal/limiter/scale_bench_test.go
+++ b/internal/limiter/bench_test.go
@@ -40,7 +40,7 @@
 func benchLimiter(b *testing.B, servers int) *Limiter {
 	log.SetOutput(io.Discard)
 	b.Cleanup(func() { log.SetOutput(os.Stderr) })
-	w := &wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
+	w := &fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := New(
 		0,
 		&settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 1024, Known: []byte("null"),
--- /dev/null
+++ b/internal/limiter/close_reason_test.go
@@ -0,0 +1,32 @@
+package limiter
+
+import (
+	"testing"
+
+	"ospreycroft/choice"
+)
+
+func TestCloseReasonOutcomes(t *testing.T) {
+	for _, c := range []struct {
+		end         CloseReason
+		part, whole choice.Outcome
+	}{
+		{ConnRefused, choice.ConnectFailed, choice.ConnectionLost}, {DialTimedOut, choice.ConnectFailed, choice.ConnectionLost},
+		{PeerClosed, choice.ConnectFailed, choice.ConnectionLost}, {PeerReset, choice.ConnectFailed, choice.ConnectionLost},
+		{ProtocolError, choice.ConnectFailed, choice.ConnectionLost}, {AttemptCancelled, choice.NotAttempted, choice.Cancelled},
+		{DeadlineExceeded, choice.NotAttempted, choice.TimedOut}, {NoConnection, choice.NotAttempted, choice.ConnectionLost},
+	} {
+		t.Run(c.end.String(), func(t *testing.T) {
+			if part, whole := c.end.outcome(false), c.end.outcome(true); part != c.part || whole != c.whole {
+				t.Fatalf("outcome %d, of a whole attempt %d", part, whole)
+			}
+			want := choice.TimedOut
+			if c.end == PeerClosed || c.end == PeerReset || c.end == ProtocolError {
+				want = choice.ServerError
+			}
+			if c.end.counted(false) != choice.ConnectFailed || c.end.counted(true) != want {
+				t.Fatal("a whole call may have been added, one that is not was not")
+			}
+		})
+	}
+}
--- a/internal/limiter/start_test.go
+++ b/internal/limiter/cold_start_test.go
@@ -13,7 +13,7 @@
 )
 
 // asks are the calls that were written to discovery, on whatever connection.
-func asks(w *wire) (n int) {
+func asks(w *fakeSockets) (n int) {
 	for id, text := range w.wrote {
 		if strings.HasPrefix(w.dialed[id], "disco") {
 			n += strings.Count(text, "GET ")
@@ -23,11 +23,11 @@
 }
 
 // stated is a limiter with what an operator states, the last by place of so many that discovery tells when they ask.
-func stated(t *testing.T, limiters int, s OperatorOptions) (*Limiter, *wire) {
+func stated(t *testing.T, limiters int, s OperatorOptions) (*Limiter, *fakeSockets) {
 	t.Helper()
-	made, w := madeTo(t, 10*second, limiters-1)
+	made, w := newPollingLimiter(t, 10*second, limiters-1)
 	made.settings.Limiters = limiters
-	*w = wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
+	*w = fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := NewWithOptions(0, made.config, s, w)
 	require.NoError(t, err)
 	return l, w
@@ -37,7 +37,7 @@
 func TestAsked(t *testing.T) {
 	const at = 9 * second / 2 // the fourth of four limiters by place, in rounds of 6 s
 	// through takes it to a time, with each call to discovery coming up at once, and tells how many were made.
-	through := func(l *Limiter, w *wire, until int64) int {
+	through := func(l *Limiter, w *fakeSockets, until int64) int {
 		for now := l.now; now <= until; now += second / 20 {
 			l.Step(now, TimersDue{})
 			if w.dialed[w.last] != "127.0.0.1:9" && l.conns[w.last] != nil && !l.conns[w.last].open {
@@ -51,12 +51,12 @@
 	l.Step(at+second*2, TimersDue{})
 	require.Equal(t, 0, through(l, w, at+6*second-second/20), "calls behind an instant that was slept through")
 	require.Equal(t, 1, through(l, w, at+6*second), "calls at the next one")
-	type act = func(l *Limiter, w *wire, id ConnID)
+	type act = func(l *Limiter, w *fakeSockets, id ConnID)
 	says := func(text string) act {
-		return func(l *Limiter, w *wire, id ConnID) { w.say(l, l.now, id, text) }
+		return func(l *Limiter, w *fakeSockets, id ConnID) { w.say(l, l.now, id, text) }
 	}
-	ends := func(l *Limiter, _ *wire, id ConnID) { l.Step(l.now, ConnClosed{Conn: id, Reason: PeerReset}) }
-	moves := func(l *Limiter, _ *wire, _ ConnID) {
+	ends := func(l *Limiter, _ *fakeSockets, id ConnID) { l.Step(l.now, ConnClosed{Conn: id, Reason: PeerReset}) }
+	moves := func(l *Limiter, _ *fakeSockets, _ ConnID) {
 		config := *l.config
 		config.Discovery = "disco 2"
 		l.Step(l.now, ConfigReloaded{Config: &config})
@@ -66,9 +66,9 @@
 		then []act
 		late int // calls that may come at a later one of its instants
 	}{
-		{"an answer", []act{says(httpAnswer(known))}, 0},
-		{"an answer behind which the connection ends", []act{says(httpAnswer(known)), ends}, 0},
-		{"an answer and another that nobody asked for", []act{says(httpAnswer(known) + httpAnswer(known))}, 0},
+		{"an answer", []act{says(httpAnswer(knownList))}, 0},
+		{"an answer behind which the connection ends", []act{says(httpAnswer(knownList)), ends}, 0},
+		{"an answer and another that nobody asked for", []act{says(httpAnswer(knownList) + httpAnswer(knownList))}, 0},
 		{"a call that is turned away", []act{says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")}, 1},
 		{"a reset", []act{ends}, 0},
 		{"a move", []act{moves}, 0},
@@ -100,7 +100,7 @@
 
 // TestPhase: time alone makes a limiter ready that has no list, and ends its warming.
 func TestPhase(t *testing.T) {
-	made, w := made(t)
+	made, w := newTestLimiter(t)
 	config, set := *made.config, *made.config.Settings
 	config.Known, config.Settings, set.PollInterval, w.last = nil, &set, 10*second, 0
 	l, _ := NewWithOptions(0, &config, OperatorOptions{DiscoveryCallRate: 1}, w)
@@ -116,7 +116,7 @@
 		l,
 		l.now,
 		l.discovery.conn.id,
-		httpAnswer(strings.Replace(known, `"weight"`, `"startedAtMs":16000,"weight"`, 1)),
+		httpAnswer(strings.Replace(knownList, `"weight"`, `"startedAtMs":16000,"weight"`, 1)),
 	)
 	require.True(t, l.coldStart.phase == coldstart.Warming, "%v", l.coldStart.phase)
 	for now := l.now; now < 27*second; now += second / 10 {
@@ -127,7 +127,7 @@
 
 // TestSnapshot: what one life has saved the next one begins with, where it is newer than the configuration's list.
 func TestSnapshot(t *testing.T) {
-	made, w := made(t)
+	made, w := newTestLimiter(t)
 	config := *made.config
 	made.settings.DialTimeout = 6 * second // nothing told for 10 s is no standing still
 	var saved []*snapshot.Snapshot
@@ -142,11 +142,11 @@
 			w,
 		)
 		require.NoError(t, err)
-		l.Step(second, Connected{Conn: watching})
+		l.Step(second, Connected{Conn: discoveryConn})
 		return l
 	}
-	tell := func(l *Limiter, now int64, text string) { w.say(l, now, watching, httpAnswer(text)) }
-	l := life(nil, known)
+	tell := func(l *Limiter, now int64, text string) { w.say(l, now, discoveryConn, httpAnswer(text)) }
+	l := life(nil, knownList)
 	tell(l, second, `{"generation":8,"instances":[{"instanceId":"t","hostPort":"127.0.0.1:8","zone":"b","cell":3,`+
 		`"lifecycle":"in_service","weight":2,"startedAtMs":900}]}`)
 	tell(l, 2*second, `{"generation":9,"instances":[{"instanceId":"t","lifecycle":"terminating","startedAtMs":0}]}`)
@@ -163,16 +163,16 @@
 	tell(l, 14*second, `{"generation":10,"instances":[{"instanceId":"t","lifecycle":"terminated"}]}`)
 	n := len(saved[len(saved)-1].Servers)
 	require.True(t, n == 1, "%d servers after one has gone", n)
-	tell(l, 15*second, strings.Replace(known, `"s"`, `"u"`, 1))
+	tell(l, 15*second, strings.Replace(knownList, `"s"`, `"u"`, 1))
 	servers := saved[len(saved)-1].Servers
 	require.True(t, len(servers) == 1 && servers[0].ID == "u", "%v in place of a whole list", servers)
 	for _, c := range []struct {
 		name, known, disco, from string
 		servers                  int
 	}{
-		{"newer than the configuration's list", known, "disco", "from=9&", 2},
-		{"older", strings.Replace(known, "7", "10", 1), "disco", "from=10&", 1},
-		{"of another discovery", known, "disco 2", "from=7&", 1},
+		{"newer than the configuration's list", knownList, "disco", "from=9&", 2},
+		{"older", strings.Replace(knownList, "7", "10", 1), "disco", "from=10&", 1},
+		{"of another discovery", knownList, "disco 2", "from=7&", 1},
 		{"the only one there is", "null", "disco", "from=9&", 2},
 		{"the only one, of another discovery", "", "disco 2", "hosts HTTP", 2},
 	} {
@@ -180,11 +180,11 @@
 		old.Discovery = c.disco
 		w.wrote = map[ConnID]string{}
 		require.Len(t, life(&old, c.known).servers.pools, c.servers, c.name)
-		require.Contains(t, w.wrote[watching], c.from, c.name)
+		require.Contains(t, w.wrote[discoveryConn], c.from, c.name)
 	}
 	old := *last
 	old.Generation, old.Servers = 1, []snapshot.Server{{ID: "s", StartedAt: second / 2}}
-	l = life(&old, known)
+	l = life(&old, knownList)
 	require.True(t, l.coldStart.start.Share() == 1, "a share before it is ready")
 	l.Step(7*second, TimersDue{})
 	require.True(t, l.coldStart.start.Share() != 1, "a start that was known is forgotten")
@@ -207,7 +207,7 @@
 }
 
 func TestStartSettings(t *testing.T) {
-	l, _ := made(t)
+	l, _ := newTestLimiter(t)
 	set := ColdStartSettings(
 		&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.settings.Settings}},
 		OperatorOptions{},
@@ -219,7 +219,7 @@
 // hold, an answer is followed by the next call at once, and it is ready with discovery's first answer.
 func TestNothingStated(t *testing.T) {
 	for _, every := range []int64{0, 10 * second} {
-		l, w := madeTo(t, every, 0)
+		l, w := newPollingLimiter(t, every, 0)
 		require.True(
 			t,
 			l.coldStart == nil && l.servers.pools["s"].newConns == (coldstart.Bucket{}),
@@ -229,22 +229,22 @@
 		if w.say(
 			l,
 			0,
-			watching,
-			httpAnswer(known),
+			discoveryConn,
+			httpAnswer(knownList),
 		); asks(w) != 2 || !l.readiness.ready ||
 			l.discovery.responseTimer.at != limit {
 			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.readiness.ready, l.discovery.responseTimer.at)
 		}
-		expect(t, w.wrote[watching], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
+		requireText(t, w.wrote[discoveryConn], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
 	}
 }
 
 // TestStatedUnbudgeted: an operator's file that states no budget leaves the calls to pollpacer's pace.
 func TestStatedUnbudgeted(t *testing.T) {
-	plain, w := madeTo(t, 10*second, 0)
+	plain, w := newPollingLimiter(t, 10*second, 0)
 	stated, v := stated(t, 1, OperatorOptions{ConnectionRate: 2})
 	for now := int64(0); now < 30*second; now += second / 20 {
-		for l, w := range map[*Limiter]*wire{plain: w, stated: v} {
+		for l, w := range map[*Limiter]*fakeSockets{plain: w, stated: v} {
 			l.Step(now, TimersDue{})
 			switch c := l.discovery.conn; {
 			case c == nil || l.conns[c.id] != c:
@@ -253,7 +253,7 @@
 			case now/second%7 == 3:
 				l.Step(now, ConnClosed{Conn: c.id, Reason: PeerReset})
 			case now/second%7 == 5:
-				w.say(l, now, c.id, httpAnswer(known))
+				w.say(l, now, c.id, httpAnswer(knownList))
 			}
 		}
 		require.True(
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -17,7 +17,7 @@
 	for _, class := range []string{"read", "write"} {
 		for _, end := range []int64{472e6, 480e6} {
 			for _, first := range []bool{true, false} {
-				l, w, id := sent(t, class)
+				l, w, id := requestSent(t, class)
 				l.Step(end-1, TimersDue{})
 				if first {
 					w.say(l, end, id, served)
@@ -27,7 +27,7 @@
 					w.say(l, end, id, served)
 				}
 				w.pass(l, second)
-				got := w.wrote[visitor]
+				got := w.wrote[clientConn]
 				switch {
 				case first && end == 472e6:
 					require.Equal(t, value, got)
@@ -44,12 +44,12 @@
 
 // TestReadyInTime: clients come in time, though a ceiling's parts fill slowly and servers warm up for long.
 func TestReadyInTime(t *testing.T) {
-	l, w := made(t)
+	l, w := newTestLimiter(t)
 	l.settings.Plans["plain"].CeilingRate, l.settings.Plans["plain"].CeilingBurst, l.settings.SlowStartWindow = 0.01, 8, 60*second
-	w.say(l, 0, watching, httpAnswer(strings.Replace(known, "7", "8", 1)))
+	w.say(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, "7", "8", 1)))
 	ping := func(at int64) string {
 		w.pass(l, at)
-		id := visitor + ConnID(at)
+		id := clientConn + ConnID(at)
 		l.Step(at, ClientAccepted{Conn: id})
 		w.say(l, at, id, "*1\r\n$4\r\nPING\r\n")
 		return w.wrote[id]
--- a/internal/limiter/hints_test.go
+++ b/internal/limiter/log_hints_test.go
@@ -29,18 +29,18 @@
 		from              ConnID
 		err               hint.Error
 	}{
-		{"a list too many", "event=list-throttled status=503 ", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", watching,
+		{"a list too many", "event=list-throttled status=503 ", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", discoveryConn,
 			&discovery.ThrottledError{Status: 503}},
-		{"no list", "event=list-refused ", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", watching,
+		{"no list", "event=list-refused ", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", discoveryConn,
 			&discovery.StatusError{Status: 404}},
-		{"a list without a version", "event=list-refused ", httpAnswer("{}"), watching,
+		{"a list without a version", "event=list-refused ", httpAnswer("{}"), discoveryConn,
 			&discovery.ListRefusedError{Key: "generation", Why: "missing"}},
-		{"no HTTP", "event=list-refused ", "ok 5\r\n", watching, &discovery.MalformedError{Why: "it is no HTTP/1"}},
-		{"a call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counting, &counterwire.RejectedError{Name: 5, Amount: 1}},
-		{"a ping's answer to a call", "event=counter-line ", "pong\r\n", counting, &counterwire.MismatchError{}},
+		{"no HTTP", "event=list-refused ", "ok 5\r\n", discoveryConn, &discovery.MalformedError{Why: "it is no HTTP/1"}},
+		{"a call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counterConnID, &counterwire.RejectedError{Name: 5, Amount: 1}},
+		{"a ping's answer to a call", "event=counter-line ", "pong\r\n", counterConnID, &counterwire.MismatchError{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, w := made(t)
+			l, w := newTestLimiter(t)
 			l.AddToCounter(5, 1, second)
 			var out bytes.Buffer
 			captureLog(t, &out)
@@ -53,7 +53,7 @@
 
 // A configuration that knows of no server yet ends no start, and the whole list is asked for.
 func TestKnowsNone(t *testing.T) {
-	l, _ := made(t)
+	l, _ := newTestLimiter(t)
 	l.discovery.versionKnown = false
 	require.NoError(t, l.discovery.restore([]byte(`{"generation":0,"reset":true,"instances":null}`)))
 	require.False(t, l.discovery.versionKnown)
--- a/internal/limiter/notification_test.go
+++ b/internal/limiter/notification_test.go
@@ -42,7 +42,7 @@
 // limiter, and has its one server drain from then on. Calls from before that are never answered.
 type outage struct {
 	l     *Limiter
-	w     *wire
+	w     *fakeSockets
 	fault fault
 	// the retry, counted from 1, near which discovery comes back; 0 is soon after the outage began, below 0 none
 	retry  int
@@ -311,18 +311,18 @@
 // outageOf is an outage before one of 24 limiters.
 func outageOf(t *testing.T, every int64, position int) *outage {
 	t.Helper()
-	l, w := madeTo(t, every, 0)
+	l, w := newPollingLimiter(t, every, 0)
 	l.discovery.pacer = pollpacer.New(0, l.settings.DialTimeout, position, every)
-	return &outage{l: l, w: w, open: map[ConnID]*held{watching: {}}, last: counting}
+	return &outage{l: l, w: w, open: map[ConnID]*held{discoveryConn: {}}, last: counterConnID}
 }
 
 // budgeted is an outage before a limiter whose operator states what the list service bears: one of so many places in a
 // round.
 func budgeted(t *testing.T, limiters, position int, round int64) *outage {
 	t.Helper()
-	made, w := madeTo(t, 10*second, position)
+	made, w := newPollingLimiter(t, 10*second, position)
 	made.settings.Limiters = limiters
-	*w = wire{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
+	*w = fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := NewWithOptions(
 		0,
 		made.config,
--- /dev/null
+++ b/internal/limiter/server_conn_test.go
@@ -0,0 +1,46 @@
+package limiter
+
+import (
+	"testing"
+)
+
+// A request may end while its attempt waits for the connection. Sent then, it would run for nobody, or twice.
+func TestConnected(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		end  func(l *Limiter)
+		now  int64
+	}{
+		{"the client has left", func(l *Limiter) { l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed}) }, 0},
+		{"its time is over", func(l *Limiter) {}, second / 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, w, id := requestDialling(t, "write")
+			c.end(l)
+			l.Step(c.now, Connected{Conn: id})
+			requireText(t, w.wrote[id], "")
+			if b := l.servers.pools["s"]; len(b.idle) != 1 || len(l.requests.byID) > 1 {
+				t.Fatalf("%d idle connections, %d requests", len(b.idle), len(l.requests.byID))
+			}
+		})
+	}
+}
+
+// A machine that has vanished says nothing, so what was idle then may be dead too.
+func TestServerConnClosed(t *testing.T) {
+	for _, c := range []struct {
+		end  CloseReason
+		idle int
+	}{{DeadlineExceeded, 0}, {AttemptCancelled, 0}, {PeerReset, 0}, {ConnRefused, 1}, {ProtocolError, 1}} {
+		t.Run(c.end.String(), func(t *testing.T) {
+			l, w, id := requestSent(t, "read")
+			p := l.servers.pools["s"]
+			p.idle = append(p.idle, &serverConn{pool: p, conn: l.dial(nil, "", second)})
+			p.idle[0].conn.handler = p.idle[0]
+			l.closeConn(l.conns[id], c.end)
+			if len(p.idle) != c.idle {
+				t.Fatalf("%d idle connections, closed %v", len(p.idle), w.closed)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/limiter/server_pools_test.go
@@ -0,0 +1,160 @@
+package limiter
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"ospreycroft/choice"
+)
+
+// On a day on which all servers are replaced, again and again, those that are gone must not be kept.
+func TestForgetIfEmpty(t *testing.T) {
+	gone := httpAnswer(`{"generation":8,"instances":[{"instanceId":"s","lifecycle":"terminated"}]}`)
+	t.Run("idle connections go at once, one in use once it is answered", func(t *testing.T) {
+		l, w, id := requestSent(t, "read")
+		w.say(l, 0, discoveryConn, gone)
+		if len(l.servers.pools) != 1 || slices.Contains(w.closed, id) {
+			t.Fatalf("%d servers, closed %v", len(l.servers.pools), w.closed)
+		}
+		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		requireText(t, w.wrote[clientConn], "$1\r\nv\r\n")
+		if len(l.servers.pools) != 0 || !slices.Contains(w.closed, id) || l.servers.connCount != 0 {
+			t.Fatalf("%d servers, closed %v, %d connections", len(l.servers.pools), w.closed, l.servers.connCount)
+		}
+	})
+	t.Run("at another address the same server gets connections of its own", func(t *testing.T) {
+		l, w, id := requestSent(t, "read")
+		w.say(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, ":9", ":10", 1)))
+		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		if !slices.Contains(w.closed, id) || len(l.servers.pools["s"].idle) != 0 {
+			t.Fatalf("closed %v", w.closed)
+		}
+	})
+	t.Run("a list that does not name it", func(t *testing.T) {
+		l, w := newTestLimiter(t)
+		if w.say(
+			l,
+			0,
+			discoveryConn,
+			httpAnswer(`{"generation":8,"reset":true,"instances":[]}`),
+		); len(
+			l.servers.pools,
+		)+len(
+			l.servers.pools,
+		) > 0 {
+			t.Fatalf("%d servers", len(l.servers.pools))
+		}
+	})
+}
+
+// A connection may take longer to come up than the grace after word that its server drains.
+func TestCloseUnused(t *testing.T) {
+	for _, c := range []struct{ name, list string }{
+		{"it drains", strings.Replace(knownList, "in_service", "terminating", 1)},
+		{"it is not on the list", `{"generation":8,"reset":true,"instances":[]}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, w, id := requestDialling(t, "write")
+			w.say(l, 0, discoveryConn, httpAnswer(c.list))
+			if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 ||
+				!strings.HasPrefix(w.wrote[clientConn], "-BUSY") {
+				t.Fatalf("closed %v, %d requests, client got %q", w.closed, len(l.requests.byID), w.wrote[clientConn])
+			}
+		})
+	}
+}
+
+func TestCloseOldestIdle(t *testing.T) {
+	l, w, id := requestSent(t, "read")
+	l.servers.connCount = l.config.Sockets / serverDescriptorShare
+	t.Run("an attempt without a descriptor was never sent", func(t *testing.T) {
+		if l.servers.closeOldestIdle() || l.servers.pools["s"].acquire() != nil {
+			t.Fatal("a connection in use was given away")
+		}
+	})
+	t.Run("an idle connection makes room", func(t *testing.T) {
+		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorShare-1 ||
+			!slices.Contains(w.closed, id) {
+			t.Fatalf("closed %v, %d connections", w.closed, l.servers.connCount)
+		}
+	})
+}
+
+func TestHealthCheck(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		end  func(l *Limiter, b *serverConn)
+		want choice.Outcome
+	}{
+		{"answered", func(l *Limiter, b *serverConn) { _, _ = b.onData([]byte("+OK\r\n")) }, choice.Succeeded},
+		{"not in time", func(l *Limiter, b *serverConn) { b.healthCheckTimer.run() }, choice.TimedOut},
+		{"broken", func(l *Limiter, b *serverConn) { l.closeConn(b.conn, PeerReset) }, choice.ConnectionLost},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, w := newTestLimiter(t)
+			l.HealthCheck("s")
+			l.Step(0, Connected{Conn: w.last})
+			requireText(t, w.wrote[w.last], "*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n")
+			b := l.conns[w.last].handler.(*serverConn)
+			c.end(l, b)
+			if b.healthCheckTimer != nil || len(l.results) != 1 || l.results[0].healthChecked != "s" ||
+				l.results[0].outcome != c.want {
+				t.Fatalf("the module is owed %+v", l.results)
+			}
+		})
+	}
+}
+
+func TestWithConn(t *testing.T) {
+	l, w, id := requestSent(t, "write")
+	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	w.dead = map[ConnID]bool{id: true}
+	l.now = restTicks * l.settings.TimerResolution
+	p := l.servers.pools["s"]
+	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.servers.connCount != 1 ||
+		!slices.Contains(w.closed, id) {
+		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.servers.connCount)
+	}
+}
+
+// A machine may close an idle connection long before its time and say nothing: the next command on it is lost.
+func TestKeepIdle(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		idle, after int64 // before the command, and from it to the end
+		shorter     bool
+	}{
+		{"an end at once, on one that was kept", second, 0, true},
+		{"a late one: the server had begun", second, second / 8, false},
+		{"an end at once, on a new one", 0, 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, w, id := requestSent(t, "read")
+			if c.idle > 0 {
+				w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+				w.pass(l, c.idle)
+				w.say(l, c.idle, clientConn, command("k", "write", "480"))
+				w.say(l, c.idle, counterConnID, "ok 4\r\n")
+			}
+			before := l.servers.keepIdle
+			l.Step(c.idle+c.after, ConnClosed{Conn: id, Reason: PeerReset})
+			if l.servers.keepIdle > before || (l.servers.keepIdle < before) != c.shorter {
+				t.Fatalf("kept for %d before and %d now", before, l.servers.keepIdle)
+			}
+			short := l.servers.keepIdle
+			if l.maintain(); c.shorter && l.servers.keepIdle <= short {
+				t.Fatal("it does not come back")
+			}
+		})
+	}
+	t.Run("one that was idle for longer is not used again", func(t *testing.T) {
+		l, w, id := requestSent(t, "read")
+		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		l.servers.keepIdle, l.now = second, second+1
+		if b := l.servers.pools["s"].acquire(); b.conn != nil {
+			t.Fatal("it was")
+		}
+	})
+}
--- a/internal/limiter/silence_test.go
+++ b/internal/limiter/silent_discovery_test.go
@@ -37,9 +37,9 @@
 var asksFor = regexp.MustCompile(`from=(\d+)&hold_ms=(\d+)`)
 
 // play runs the limiter until it has acted on the change, and tells when that was.
-func (d *listService) play(l *Limiter, w *wire, end int64) int64 {
-	d.open = map[ConnID]*held{watching: {}}
-	seen := watching
+func (d *listService) play(l *Limiter, w *fakeSockets, end int64) int64 {
+	d.open = map[ConnID]*held{discoveryConn: {}}
+	seen := discoveryConn
 	for now := int64(0); now < end; now += second / 200 {
 		for w.wake <= now {
 			l.Step(now, TimersDue{})
@@ -67,7 +67,7 @@
 	return end
 }
 
-func (d *listService) serve(l *Limiter, w *wire, now int64, id ConnID, h *held) {
+func (d *listService) serve(l *Limiter, w *fakeSockets, now int64, id ConnID, h *held) {
 	if asked := w.wrote[id][h.wrote:]; asked != "" {
 		h.wrote = len(w.wrote[id])
 		d.calls++
@@ -147,7 +147,7 @@
 				if mode.by == 0 {
 					continue
 				}
-				l, w := madeTo(t, mode.every, 0)
+				l, w := newPollingLimiter(t, mode.every, 0)
 				l.discovery.pacer = pollpacer.New(0, l.settings.DialTimeout, position, mode.every)
 				d := c.d
 				d.change = max(d.change, 1)
@@ -170,8 +170,8 @@
 	for _, every := range []int64{0, 10 * second} {
 		for _, moves := range []int{1, 2} {
 			for _, fault := range []string{"", "silent", "no dial"} {
-				l, w := madeTo(t, every, 0)
-				w.say(l, 0, watching, httpAnswer(strings.Replace(known, "7", "41", 1)))
+				l, w := newPollingLimiter(t, every, 0)
+				w.say(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, "7", "41", 1)))
 				for i := range moves {
 					config := *l.config
 					config.Discovery = fmt.Sprint("disco ", i+2)
@@ -203,7 +203,7 @@
 
 // An answer of changes that counts lower than what is held is of a discovery that has begun anew.
 func TestCountsAnew(t *testing.T) {
-	l, w := made(t)
-	w.say(l, 0, watching, httpAnswer(`{"generation":3,"reset":false,"instances":[]}`))
-	require.Regexp(t, "GET /discovery/hosts HTTP/1.1\r\nHost: disco\r\n\r\n$", w.wrote[watching])
+	l, w := newTestLimiter(t)
+	w.say(l, 0, discoveryConn, httpAnswer(`{"generation":3,"reset":false,"instances":[]}`))
+	require.Regexp(t, "GET /discovery/hosts HTTP/1.1\r\nHost: disco\r\n\r\n$", w.wrote[discoveryConn])
 }
--- a/internal/limiter/stored_test.go
+++ b/internal/limiter/stored_test.go
@@ -26,7 +26,7 @@
 	const storedAt = int64(1796224004196034612)
 	stored, err := place.Load(atomicfile.Disk{}, storedAt+int64(time.Minute))
 	require.NoError(t, err)
-	_, wires := made(t)
+	_, wires := newTestLimiter(t)
 	l, err := NewWithOptions(storedAt+int64(time.Minute), config, OperatorOptions{Snapshot: stored}, wires)
 	require.NoError(t, err)
 	require.Len(t, l.servers.pools, 2)
