--- a/internal/sockets/stale_test.go
+++ b/internal/sockets/stale_test.go
@@ -32,7 +32,7 @@
 	stands := func() bool { // the poller waits for the lock of a connection
 		stacks := make([]byte, 1<<20)
 		for _, one := range strings.Split(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
-			if strings.Contains(one, "[sync.Mutex.Lock") && strings.Contains(one, ").drain(") {
+			if strings.Contains(one, "[sync.Mutex.Lock") && strings.Contains(one, ").readAvailable(") {
 				return true
 			}
 		}
