--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -36,22 +36,36 @@
 }
 
 const (
-	answerDialTimeouts    = 2      // dial time-outs from a call's instant until its answer has come, where all is well
-	minPeriodDialTimeouts = 1      // a round is so many dial time-outs at least: however much is borne, more brings no news
-	initialSpread         = 1. / 2 // one call that is turned away changes nothing,
-	maxSpread             = 4      // after further ones in a row the next instant is drawn from so many rounds at most,
-	spreadDecay           = 7. / 8 // and from so much less with each call that is answered
-	// what a call that may wait missed counts as told this part of told after its wait, if that is later
+	// answerDialTimeouts is how many dial time-outs after a call's slot its answer has come, where all is well.
+	answerDialTimeouts = 2
+	// minPeriodDialTimeouts: a period is so many dial time-outs at least. However much is borne, more brings no news.
+	minPeriodDialTimeouts = 1
+	// initialSpread is the number of periods from which the next slot is drawn: less than one, so that a single call that is
+	// throttled changes nothing.
+	initialSpread = 1. / 2
+	// maxSpread bounds that number, which doubles with each throttled call in a row.
+	maxSpread = 4
+	// spreadDecay is the factor on that number for each call that is answered.
+	spreadDecay = 7. / 8
+	// holdDeadlineParts: what a call that may be held missed counts as notified this part of the notification deadline after its
+	// hold, if that is later.
 	holdDeadlineParts = 3
-	// a call is given up this part of what a held one comes back before an instant before that instant
-	earlyParts        = 8
-	maxMissedSlots    = 4      // after so many instants slept through a limiter calls however late it is
-	resumeDialParts   = 1      // a held call comes back this part of a dial time-out before the next instant, or a quarter
-	resumePeriodParts = 4      // of a round if that is less, so that the next call goes on with the watch
-	maxHold           = 60e9   // the protocol holds no call for longer
-	queueDialTimeouts = 8      // dial time-outs for which a call is waited for beyond its hold: it stands in a queue
-	maxReadyWaitShare = 2. / 3 // of the time in which it has to be ready it waits no longer than this part
-	setbackShare      = 7. / 8 // with less than this share of what its servers can do for sure a limiter is thrown back
+	// earlyParts: a call is given up this part of the resume lead before a slot.
+	earlyParts = 8
+	// maxMissedSlots: after so many missed slots in a row a limiter calls however late it is.
+	maxMissedSlots = 4
+	// resumeDialParts: a held call comes back this part of a dial time-out before the next slot,
+	resumeDialParts = 1
+	// resumePeriodParts: or this part of a period if that is less, so that the next call goes on with the watch.
+	resumePeriodParts = 4
+	// maxHold is the longest time that the protocol holds a call, nanoseconds.
+	maxHold = 60e9
+	// queueDialTimeouts is how many dial time-outs a call is waited for beyond its hold, where it stands in a queue.
+	queueDialTimeouts = 8
+	// maxReadyWaitShare is the part of the readiness deadline after which a limiter waits for no list any more.
+	maxReadyWaitShare = 2. / 3
+	// setbackShare: with less than this share of what its servers can do for sure a limiter goes back to warming.
+	setbackShare = 7. / 8
 )
 
 // Phase is how far a start has come.
@@ -59,10 +73,14 @@
 
 // The phases of a start.
 const (
-	Starting Phase = iota // not ready
-	Syncing               // ready with a list that nobody has confirmed, or whose service has gone silent
-	Warming               // the list is confirmed, and many of its servers are cold
-	Steady                // the list is confirmed, and its servers can do what they are there for
+	// Starting is not ready.
+	Starting Phase = iota
+	// Syncing is ready with a list that nobody has confirmed, or whose service has gone silent.
+	Syncing
+	// Warming has a confirmed list, of which many servers are warming up.
+	Warming
+	// Steady has a confirmed list, whose servers have their whole capacity.
+	Steady
 )
 
 // String gives the word for log lines.
--- a/internal/pollpacer/pollpacer.go
+++ b/internal/pollpacer/pollpacer.go
@@ -16,30 +16,44 @@
 	Failed                   // no answer, or one that cannot be read
 )
 
-// When news counts as told to a limiter, whether it came or not; the figures are the protocol's.
+// When news counts as notified to a limiter, whether it came or not; the figures are the protocol's, in nanoseconds.
 const (
-	notifiedAfterSilence = 6e9 // so long after discovery fell silent,
-	notifiedAfterHold    = 2e9 // where a call may wait no sooner than so long after its wait,
-	notifiedAfterMove    = 4e9 // and so long after a new configuration
+	// notifiedAfterSilence is how long after discovery fell silent.
+	notifiedAfterSilence = 6e9
+	// notifiedAfterHold: where a call may be held, no sooner than so long after its hold.
+	notifiedAfterHold = 2e9
+	// notifiedAfterMove is how long after a new configuration.
+	notifiedAfterMove = 4e9
 )
 
 const (
-	firstFailurePauseParts = 4  // after a failure it is asked again after this part of a dial time-out,
-	maxFailurePause        = 4  // and after further ones later and later, up to so many dial time-outs;
-	firstThrottledPause    = 8  // after it turned a call away, after so many dial time-outs,
-	maxThrottledPause      = 32 // and up to so many
-	// where changes are pushed what the own machine's agent has counts at once: after this part of the grace,
-	pushedGraceParts      = 5
-	pushedHold            = 4 // there a watch waits for so many dial time-outs: one that is never answered hides all news,
-	pushedResponseTimeout = 2 // and is given up if no answer comes for so many more
-	// where it is asked the first call comes within this part of the time in which each must have asked once
+	// firstFailurePauseParts: after a failure the next call comes after this part of a dial time-out,
+	firstFailurePauseParts = 4
+	// maxFailurePause: and after further failures later and later, up to so many dial time-outs.
+	maxFailurePause = 4
+	// firstThrottledPause: after discovery throttled a call the next one comes after so many dial time-outs,
+	firstThrottledPause = 8
+	// maxThrottledPause: and after further ones later and later, up to so many.
+	maxThrottledPause = 32
+	// firstCallParts: where discovery is polled the first call comes within this part of the poll interval.
 	firstCallParts = 2
 
-	maxPushedPause = 50e6 // and after no longer than that, as it costs nothing there,
-	minPushedPause = 1e6  // nor sooner than that
+	// pushedGraceParts: where changes are pushed, what the own machine's agent has counts at once, so the next call comes within
+	// this part of the grace,
+	pushedGraceParts = 5
+	// maxPushedPause: and after no longer than that, nanoseconds, as it costs nothing there,
+	maxPushedPause = 50e6
+	// minPushedPause: nor sooner than that.
+	minPushedPause = 1e6
+	// pushedHold: there a watch is held for so many dial time-outs, since one that is never answered hides all news,
+	pushedHold = 4
+	// pushedResponseTimeout: and is given up if no answer comes for so many more.
+	pushedResponseTimeout = 2
 
-	maxDialTimeout   = 500e6 // no dial to discovery, and no answer that could come at once, is waited for longer
-	processingMargin = 100e6 // what all that is not waiting takes together
+	// maxDialTimeout: no dial to discovery, and no answer that could come at once, is waited for longer, nanoseconds.
+	maxDialTimeout = 500e6
+	// processingMargin is what all that is not waiting takes together, nanoseconds.
+	processingMargin = 100e6
 )
 
 // noCall stands for the time of a call where none is out.
