--- a/choice/choice.go
+++ b/choice/choice.go
@@ -98,38 +98,6 @@
 	}
 }
 
-// updateEndpoint takes in one entry of the endpoint list.
-func (c *Controller) updateEndpoint(now int64, endpoint *Endpoint) {
-	// The record of a new process is made for each entry, whether it is needed or not: it draws chance, and a
-	// controller that is told the same must decide the same.
-	fresh := c.newServer(now, endpoint)
-	s := c.servers.byID[endpoint.ID]
-	switch {
-	case s == nil:
-		s = &fresh
-		// Limiters that start together, all knowing nothing, must not all begin at the same server.
-		s.turns.current = c.random.Float64()
-		c.servers.add(s)
-	case endpoint.StartedAt > s.startedAt:
-		s.replaceBy(fresh) // nothing that is known of the old process holds for the new one
-	}
-	s.zone = endpoint.Zone
-	s.cell = endpoint.Cell
-	s.state = endpoint.State
-	s.nominalWeight = endpoint.Weight
-	c.servers.reindex(now, s)
-}
-
-func (c *Controller) newServer(now int64, endpoint *Endpoint) server {
-	hash := hashString(endpoint.ID)
-	return server{
-		id: endpoint.ID, ringHash: hash, startedAt: endpoint.StartedAt,
-		limit:  c.concurrency.initialServerLimit(),
-		health: serverHealth{lastSign: now},
-		turns:  rotationTurns{slowStart: c.slowStart.firstTurns(hash, c.servers.count(), c.servers.subsetSize())},
-	}
-}
-
 // RequestArrived takes a request from a client: it reserves the request's units on the counter, or decides by the
 // local quota where it cannot.
 func (c *Controller) RequestArrived(now int64, arrival Arrival) {
@@ -229,36 +197,6 @@
 	c.effects.Send(q.id, s.id)
 }
 
-// eligibleServers lists the servers that have capacity for the request, if there is capacity in all: among many
-// limiters one request at each server is too much already. The list holds until the next call.
-func (c *Controller) eligibleServers(now int64, q *request) []*server {
-	inFlight, capacity := c.servers.available(now, q)
-	if !c.concurrency.admits(now, q, inFlight, capacity) {
-		return nil
-	}
-	eligible := c.candidates[:0]
-	seen, subsetSize := 0, c.servers.subsetSize()
-	for _, s := range c.servers.ring {
-		if !c.servers.mayReceive(now, q, s) {
-			continue
-		}
-		seen++
-		if seen > subsetSize && len(eligible) > 0 {
-			break // servers beyond the subset come in one by one, where no other has capacity
-		}
-		if c.concurrency.serverHasCapacity(now, s, q.units, c.slowStart.weight(now, s)) {
-			eligible = append(eligible, s)
-		}
-	}
-	c.candidates = eligible
-	return eligible
-}
-
-// pickServer is the server that gets the request's next attempt, nil for none.
-func (c *Controller) pickServer(now int64, q *request) *server {
-	return c.rotation.next(now, c.eligibleServers(now, q), q.units)
-}
-
 // CounterReplied takes the counter's answer to the oldest call on a name. total is the name's total after the add,
 // where the call succeeded.
 func (c *Controller) CounterReplied(now int64, name uint64, outcome Outcome, total float64) {
--- a/choice/server.go
+++ b/choice/server.go
@@ -57,3 +57,35 @@
 	fresh.indexEntry = s.indexEntry
 	*s = fresh
 }
+
+// updateEndpoint takes in one entry of the endpoint list.
+func (c *Controller) updateEndpoint(now int64, endpoint *Endpoint) {
+	// The record of a new process is made for each entry, whether it is needed or not: it draws chance, and a
+	// controller that is told the same must decide the same.
+	fresh := c.newServer(now, endpoint)
+	s := c.servers.byID[endpoint.ID]
+	switch {
+	case s == nil:
+		s = &fresh
+		// Limiters that start together, all knowing nothing, must not all begin at the same server.
+		s.turns.current = c.random.Float64()
+		c.servers.add(s)
+	case endpoint.StartedAt > s.startedAt:
+		s.replaceBy(fresh) // nothing that is known of the old process holds for the new one
+	}
+	s.zone = endpoint.Zone
+	s.cell = endpoint.Cell
+	s.state = endpoint.State
+	s.nominalWeight = endpoint.Weight
+	c.servers.reindex(now, s)
+}
+
+func (c *Controller) newServer(now int64, endpoint *Endpoint) server {
+	hash := hashString(endpoint.ID)
+	return server{
+		id: endpoint.ID, ringHash: hash, startedAt: endpoint.StartedAt,
+		limit:  c.concurrency.initialServerLimit(),
+		health: serverHealth{lastSign: now},
+		turns:  rotationTurns{slowStart: c.slowStart.firstTurns(hash, c.servers.count(), c.servers.subsetSize())},
+	}
+}
--- a/choice/subset.go
+++ b/choice/subset.go
@@ -161,3 +161,33 @@
 	x.ringOutdated = true
 	x.number()
 }
+
+// eligibleServers lists the servers that have capacity for the request, if there is capacity in all: among many
+// limiters one request at each server is too much already. The list holds until the next call.
+func (c *Controller) eligibleServers(now int64, q *request) []*server {
+	inFlight, capacity := c.servers.available(now, q)
+	if !c.concurrency.admits(now, q, inFlight, capacity) {
+		return nil
+	}
+	eligible := c.candidates[:0]
+	seen, subsetSize := 0, c.servers.subsetSize()
+	for _, s := range c.servers.ring {
+		if !c.servers.mayReceive(now, q, s) {
+			continue
+		}
+		seen++
+		if seen > subsetSize && len(eligible) > 0 {
+			break // servers beyond the subset come in one by one, where no other has capacity
+		}
+		if c.concurrency.serverHasCapacity(now, s, q.units, c.slowStart.weight(now, s)) {
+			eligible = append(eligible, s)
+		}
+	}
+	c.candidates = eligible
+	return eligible
+}
+
+// pickServer is the server that gets the request's next attempt, nil for none.
+func (c *Controller) pickServer(now int64, q *request) *server {
+	return c.rotation.next(now, c.eligibleServers(now, q), q.units)
+}
