--- a/choice/account_test.go
+++ b/choice/account_test.go
@@ -21,13 +21,8 @@
 		if len(controller.accounts.byCustomer) > 0 {
 			t.Fatal(len(controller.accounts.byCustomer), "kept")
 		}
-		if a := controller.useAccount(
-			101*second,
-			arrival("", "read", "hard"),
-			controller.settings.Plans["hard"],
-		); a.ceiling.refill(
-			101*second,
-		) != 8 {
+		a := controller.useAccount(101*second, arrival("", "read", "hard"), controller.settings.Plans["hard"])
+		if a.ceiling.refill(101*second) != 8 {
 			t.Fatal("a new one holds", a.ceiling.tokens)
 		}
 	})
--- a/choice/concurrency_test.go
+++ b/choice/concurrency_test.go
@@ -13,25 +13,22 @@
 		least             float64
 	}{{300, 180, 14}, {3, 9, 36}} {
 		controller, _ := newTestController()
-		controller.settings.Limiters, controller.concurrency.minServerLimit, controller.concurrency.inFlightLimit, controller.servers.byID, controller.servers.ring = c.limiters, controller.settings.MaxRequestUnits/float64(
-			c.limiters,
-		), 0, map[string]*server{}, nil
+		controller.settings.Limiters = c.limiters
+		controller.concurrency.minServerLimit = controller.settings.MaxRequestUnits / float64(c.limiters)
+		controller.concurrency.inFlightLimit = 0
+		controller.servers.byID = map[string]*server{}
+		controller.servers.ring = nil
 		controller.servers.index = serverIndex{}
 		var entries []Endpoint
 		for i := range c.servers {
 			entries = append(entries, Endpoint{ID: fmt.Sprint(i), Weight: 1})
 		}
 		controller.UpdateEndpoints(0, true, entries)
-		if controller.concurrency.inFlightLimit < controller.concurrency.minInFlightLimit()+burstDeviations*math.Sqrt(
-			controller.concurrency.minInFlightLimit()*controller.settings.MaxRequestUnits,
-		) ||
-			controller.concurrency.inFlightLimit < c.least {
-			t.Fatalf(
-				"%d limiters begin with room for %v units at %d servers",
-				c.limiters,
-				controller.concurrency.inFlightLimit,
-				c.servers,
-			)
+		floor := controller.concurrency.minInFlightLimit()
+		burst := burstDeviations * math.Sqrt(floor*controller.settings.MaxRequestUnits)
+		got := controller.concurrency.inFlightLimit
+		if got < floor+burst || got < c.least {
+			t.Fatalf("%d limiters begin with room for %v units at %d servers", c.limiters, got, c.servers)
 		}
 	}
 }
@@ -94,12 +91,8 @@
 			controller.concurrency.inFlightLimit = 2.5
 			controller.servers.byID["a"].inFlight = 3
 			reindex(controller, c.age)
-			if able := controller.eligibleServers(
-				c.age,
-				&request{class: controller.settings.Classes["read"], units: 1},
-			); len(
-				able,
-			) > 0 != c.able {
+			able := controller.eligibleServers(c.age, &request{class: controller.settings.Classes["read"], units: 1})
+			if len(able) > 0 != c.able {
 				t.Fatalf(
 					"able %v with a room of %v eased by %v",
 					able,
--- a/choice/index_test.go
+++ b/choice/index_test.go
@@ -98,9 +98,7 @@
 			"open": {MaxInFlight: 4, PriorityWeight: 1}, "free": {PriorityWeight: 1},
 		},
 		CounterTimeout: second / 20, MaxRequestUnits: 4, MaxLease: 20 * second, Limiters: 1 + w.rng.Intn(60), Position: w.rng.Intn(60),
-		ColdCapacity: 0.25 * float64(
-			w.rng.Intn(3),
-		), SlowStartWindow: 4 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second,
+		ColdCapacity: 0.25 * float64(w.rng.Intn(3)), SlowStartWindow: 4 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second,
 		HealthChecks: w.rng.Intn(2) == 0, CanCancel: true, TimerResolution: second / 500,
 	}
 	controller := New(0, set, seed, w)
@@ -290,12 +288,8 @@
 			want += controller.slowStart.weight(now, s)
 		}
 	}
-	if _, got := controller.servers.available(
-		now,
-		&request{units: 1, class: controller.settings.Classes["read"]},
-	); math.Abs(
-		got-want,
-	) > 1e-6 {
+	_, got := controller.servers.available(now, &request{units: 1, class: controller.settings.Classes["read"]})
+	if math.Abs(got-want) > 1e-6 {
 		t.Fatalf("the sum is %v, %v by a walk", got, want)
 	}
 }
--- a/choice/rotation_test.go
+++ b/choice/rotation_test.go
@@ -13,13 +13,9 @@
 	t.Run("gives a server that fails fewer turns", func(t *testing.T) {
 		controller, _ := newTestController()
 		controller.servers.byID["a"].health.failureRatio = 0.5
-		if a, b := controller.rotation.weight(
-			0,
-			controller.servers.byID["a"],
-		), controller.rotation.weight(
-			0,
-			controller.servers.byID["b"],
-		); a != b/2 {
+		a := controller.rotation.weight(0, controller.servers.byID["a"])
+		b := controller.rotation.weight(0, controller.servers.byID["b"])
+		if a != b/2 {
 			t.Fatal("weights", a, b)
 		}
 	})
--- a/choice/subset_test.go
+++ b/choice/subset_test.go
@@ -133,12 +133,8 @@
 			controller.UpdateEndpoints(1, false, []Endpoint{{ID: "s33", State: EndpointGone}})
 			controller.TimerFired(1, 0)
 			controller.UpdateEndpoints(1, false, nil)
-			if kept := both(
-				ids(controller.servers.ring[:controller.servers.subsetSize()]),
-				circles[i],
-			); kept < len(
-				circles[i],
-			)-3 {
+			kept := both(ids(controller.servers.ring[:controller.servers.subsetSize()]), circles[i])
+			if kept < len(circles[i])-3 {
 				t.Fatalf("limiter %d kept %d of %d", i, kept, len(circles[i]))
 			}
 		}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -108,15 +108,8 @@
 	r := NewDeduplication(int64(time.Second))
 	s, book := start(t, ServerSpec{Name: "s1", Work: time.Millisecond}, r)
 	for range 2 {
-		if got, _ := exchange(
-			t,
-			s.Address(),
-			command("k1", "c=keyed,k=f00d"),
-			time.Second,
-		); !strings.HasPrefix(
-			got,
-			"*3",
-		) {
+		got, _ := exchange(t, s.Address(), command("k1", "c=keyed,k=f00d"), time.Second)
+		if !strings.HasPrefix(got, "*3") {
 			t.Fatalf("%q", got)
 		}
 	}
@@ -208,14 +201,9 @@
 		}
 		return l
 	}
-	if a, b := call(
-		0,
-		"",
-	), call(
-		2,
-		"?from=1&hold_ms=5000",
-	); a.Instances[0].HostPort != "0" ||
-		b.Instances[0].HostPort != "2" {
+	a := call(0, "")
+	b := call(2, "?from=1&hold_ms=5000")
+	if a.Instances[0].HostPort != "0" || b.Instances[0].HostPort != "2" {
 		t.Errorf("each limiter has addresses of its own: %+v %+v", a, b)
 	}
 	call(1, "?from=2&hold_ms=5000")   // nothing comes, and the caller goes
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -260,6 +260,13 @@
 	read  int64  // when its command had been read
 }
 
+// coldWorkFactor is how much longer a request takes at a cold server that has more in work than it bears.
+const coldWorkFactor = 4
+
+// recentRequests is how many requests the load report's recent_ms reaches back, about.
+const recentRequests = 16
+
+// command answers one command into its slot. A command that the server takes runs here until it is done.
 func (s *Server) command(words [][]byte, slots chan reply, full bool) {
 	verb := string(words[0])
 	if full {
@@ -279,9 +286,14 @@
 		slots <- reply{text: []byte("-SYNTAX " + err.Error() + "\r\n")}
 		return
 	}
+	s.handleRequest(j, slots)
+}
+
+// handleRequest takes a request, turns it away or drops it as a repeat.
+func (s *Server) handleRequest(j job, slots chan reply) {
 	now := s.clock.Now()
 	s.mu.Lock()
-	fault, faulty := active(s.spec.Script, now, s.rng.Float64())
+	fault, _ := active(s.spec.Script, now, s.rng.Float64())
 	work := time.Duration(s.rng.ExpFloat64() * float64(s.spec.Work))
 	bear, cold := s.bearable(now)
 	overrun := cold && float64(s.inflight+1) > bear
@@ -290,72 +302,98 @@
 	if falls {
 		s.book.AddOverloadCrash(fall)
 	}
-	shot := history.Attempt{Server: s.spec.Name, Group: s.spec.Zone, ID: j.id, Customer: j.customer, Class: j.track,
+	attempt := history.Attempt{Server: s.spec.Name, Group: s.spec.Zone, ID: j.id, Customer: j.customer, Class: j.track,
 		Key: j.key, Units: j.units, At: now, MayHaveRun: true, Overloaded: overrun}
-	if faulty && fault.Kind == "busy" {
-		shot.MayHaveRun = false
-		shot.Answer = "busy"
-		s.book.AddAttempt(shot)
+	if fault.Kind == "busy" {
+		attempt.MayHaveRun = false
+		attempt.Answer = "busy"
+		s.book.AddAttempt(attempt)
 		slots <- reply{text: []byte("-BUSY\r\n")}
 		return
 	}
 	if j.key != "" && s.repeats != nil && s.repeats.seenBefore(j.key, now) {
-		shot.MayHaveRun = false
-		shot.Answer = "repeat"
-		s.book.AddAttempt(shot)
+		attempt.MayHaveRun = false
+		attempt.Answer = "repeat"
+		s.book.AddAttempt(attempt)
 		slots <- reply{text: s.value(j)}
 		return
 	}
-	s.mu.Lock()
-	s.inflight++
-	s.mu.Unlock()
-	defer func() { s.mu.Lock(); s.inflight--; s.mu.Unlock() }()
-	if overrun { // overdriven while cold, it falls behind
-		work *= 4
+	if overrun {
+		work *= coldWorkFactor
 	}
-	switch {
-	case faulty && fault.Kind == "slow":
+	s.run(j, attempt, work, fault, slots)
+}
+
+// run does a request's work under a fault, or under none, and answers as the fault says.
+func (s *Server) run(j job, attempt history.Attempt, work time.Duration, fault Fault, slots chan reply) {
+	s.addInFlight(1)
+	defer s.addInFlight(-1)
+	switch fault.Kind {
+	case "slow":
 		work = time.Duration(float64(work) * fault.Factor)
-	case faulty && fault.Kind == "silent":
-		shot.Answer = "silent"
-		s.book.AddAttempt(shot)
+	case "silent":
+		attempt.Answer = "silent"
+		s.book.AddAttempt(attempt)
 		return // the slot is never filled: the connection's answers stop here
-	case faulty && fault.Kind == "reset":
-		shot.Answer = "reset"
-		s.book.AddAttempt(shot)
+	case "reset":
+		attempt.Answer = "reset"
+		s.book.AddAttempt(attempt)
 		slots <- reply{reset: true}
 		return
 	}
-	shot.Answer = "done"
-	if faulty && (fault.Kind == "spoil" || fault.Kind == "error" || fault.Kind == "cut") {
-		shot.Answer = map[string]string{"spoil": "spoilt", "error": "error", "cut": "cut"}[fault.Kind]
-	}
-	shot.ServiceTime = int64(work)
-	s.book.AddAttempt(shot) // written as it begins, so that a stop in the middle still shows that it may have run
-	if s.slots != nil {
-		s.wait(1)
-		s.slots <- struct{}{}
-		s.wait(-1)
-		defer func() { <-s.slots }()
+	attempt.Answer = "done"
+	if spoils := map[string]string{"spoil": "spoilt", "error": "error", "cut": "cut"}[fault.Kind]; spoils != "" {
+		attempt.Answer = spoils
 	}
+	attempt.ServiceTime = int64(work)
+	s.book.AddAttempt(attempt) // written as it begins, so that a stop in the middle still shows that it may have run
+	s.acquireSlot()
+	defer s.releaseSlot()
 	time.Sleep(work)
-	s.mu.Lock()
-	s.done++
-	s.recent += (work.Seconds() - s.recent) / 16
-	s.mu.Unlock()
-	switch shot.Answer {
+	s.recordDone(work)
+	switch attempt.Answer {
 	case "spoilt":
-		slots <- reply{text: []byte(":" + strconv.Itoa(int(math.Mod(float64(now), 1000))) + "\r\n")}
+		slots <- reply{text: []byte(":" + strconv.Itoa(int(math.Mod(float64(attempt.At), 1000))) + "\r\n")}
 	case "error":
 		slots <- reply{text: []byte("-ERR failed\r\n")}
 	case "cut":
 		whole := s.value(j)
 		slots <- reply{text: whole[:len(whole)/2], reset: true}
 	default:
-		slots <- reply{text: s.value(j), id: j.id, read: now}
+		slots <- reply{text: s.value(j), id: j.id, read: attempt.At}
+	}
+}
+
+// acquireSlot waits until the server does fewer requests than it has slots, where it has a number of them.
+func (s *Server) acquireSlot() {
+	if s.slots == nil {
+		return
+	}
+	s.wait(1)
+	s.slots <- struct{}{}
+	s.wait(-1)
+}
+
+func (s *Server) releaseSlot() {
+	if s.slots != nil {
+		<-s.slots
 	}
 }
 
+// recordDone counts a request for the load report.
+func (s *Server) recordDone(took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.done++
+	s.recent += (took.Seconds() - s.recent) / recentRequests
+}
+
+func (s *Server) addInFlight(more int) {
+	s.mu.Lock()
+	s.inflight += more
+	s.mu.Unlock()
+}
+
 func (s *Server) wait(more int) {
 	s.mu.Lock()
 	s.waiting += more
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -165,7 +165,29 @@
 	return e, nil
 }
 
+// check fills in what the file leaves to be derived and says what is wrong with the file, the first thing in this order.
 func (e *Experiment) check() error {
+	if err := e.checkTotals(); err != nil {
+		return err
+	}
+	if err := e.decodeSettings(); err != nil {
+		return err
+	}
+	pools, err := e.checkServers()
+	if err != nil {
+		return err
+	}
+	if err := e.checkLoad(); err != nil {
+		return err
+	}
+	if s := e.Limiters.Start; s != "" && s != "together" {
+		return &EntryError{"limiters.start", fmt.Sprintf("%q is neither together nor left out", s)}
+	}
+	return e.checkFaults(pools)
+}
+
+// checkTotals checks the keys that stand for themselves.
+func (e *Experiment) checkTotals() error {
 	switch {
 	case e.Name == "":
 		return fmt.Errorf("name: missing")
@@ -185,6 +207,11 @@
 	case len(e.Load.Customers) == 0 || len(e.Load.Tracks) == 0:
 		return fmt.Errorf("load: customers and tracks are both needed")
 	}
+	return nil
+}
+
+// decodeSettings decodes the settings of the limiters, and of those that have moved.
+func (e *Experiment) decodeSettings() error {
 	raw, ok := e.Raw.(map[string]any)
 	if !ok {
 		return fmt.Errorf("settings: missing")
@@ -205,24 +232,34 @@
 	if set.CounterTimeout > 0 != e.Counter.On {
 		return fmt.Errorf("counter.on: %v, but settings.family-info.has-counter says otherwise", e.Counter.On)
 	}
+	return nil
+}
+
+// checkServers checks the pools of servers and returns their names.
+func (e *Experiment) checkServers() (map[string]bool, error) {
 	names := map[string]bool{}
 	for i, p := range e.Servers {
 		if p.Name == "" || p.Count < 1 || p.Work <= 0 || names[p.Name] {
-			return fmt.Errorf("servers[%d]: name %q, count %d, work %v", i, p.Name, p.Count, p.Work)
+			return nil, fmt.Errorf("servers[%d]: name %q, count %d, work %v", i, p.Name, p.Count, p.Work)
 		}
 		if p.Fall < 0 {
-			return &EntryError{fmt.Sprintf("servers[%d].fall", i), fmt.Sprintf("%v seconds", p.Fall)}
+			return nil, &EntryError{fmt.Sprintf("servers[%d].fall", i), fmt.Sprintf("%v seconds", p.Fall)}
 		}
 		if p.ColdFrom < 0 || p.ColdFrom > 1 || p.WarmWithin < 0 {
-			return fmt.Errorf("servers[%d].cold_from: %v, warm_within %v", i, p.ColdFrom, p.WarmWithin)
+			return nil, fmt.Errorf("servers[%d].cold_from: %v, warm_within %v", i, p.ColdFrom, p.WarmWithin)
 		}
 		names[p.Name] = true
 	}
+	return names, nil
+}
+
+// checkLoad checks customers and classes against the settings.
+func (e *Experiment) checkLoad() error {
 	for i, c := range e.Load.Customers {
 		if len(c.ID) != 16 || strings.Trim(c.ID, "0123456789abcdef") != "" {
 			return fmt.Errorf("load.customers[%d].id: %q is not 16 hex digits", i, c.ID)
 		}
-		if set.Plans[c.Plan] == nil {
+		if e.Settings.Plans[c.Plan] == nil {
 			return fmt.Errorf("load.customers[%d].plan: %q is not in settings.tariffs", i, c.Plan)
 		}
 		if c.Share <= 0 || c.Spread < 1 || c.Spread > e.Limiters.Count || c.First < 0 {
@@ -230,26 +267,30 @@
 		}
 	}
 	for i, t := range e.Load.Tracks {
-		if set.Classes[t.Name] == nil {
+		if e.Settings.Classes[t.Name] == nil {
 			return fmt.Errorf("load.tracks[%d].name: %q is not in settings.classes", i, t.Name)
 		}
 		if t.Share <= 0 || t.Units <= 0 || t.CutOff <= 0 {
 			return fmt.Errorf("load.tracks[%d]: share %v, units %v, cut_off %v", i, t.Share, t.Units, t.CutOff)
 		}
 	}
-	if s := e.Limiters.Start; s != "" && s != "together" {
-		return &EntryError{"limiters.start", fmt.Sprintf("%q is neither together nor left out", s)}
-	}
+	return nil
+}
+
+// checkFaults checks the timeline; an error of the emulator or of the fault proxy names the file's key.
+func (e *Experiment) checkFaults(pools map[string]bool) error {
 	for i := range e.Faults {
-		if err := e.checkFault(&e.Faults[i], names); err != nil {
-			if bad := (*emulator.FaultError)(nil); errors.As(err, &bad) {
-				return &EntryError{fmt.Sprintf("faults[%d].%s", i, bad.Key), bad.Why}
-			}
-			if bad := (*faultproxy.FaultError)(nil); errors.As(err, &bad) {
-				return &EntryError{fmt.Sprintf("faults[%d].%s", i, fileKeys[bad.Key]), bad.Why}
-			}
-			return fmt.Errorf("faults[%d]: %w", i, err)
+		err := e.checkFault(&e.Faults[i], pools)
+		if err == nil {
+			continue
+		}
+		if bad := (*emulator.FaultError)(nil); errors.As(err, &bad) {
+			return &EntryError{fmt.Sprintf("faults[%d].%s", i, bad.Key), bad.Why}
+		}
+		if bad := (*faultproxy.FaultError)(nil); errors.As(err, &bad) {
+			return &EntryError{fmt.Sprintf("faults[%d].%s", i, fileKeys[bad.Key]), bad.Why}
 		}
+		return fmt.Errorf("faults[%d]: %w", i, err)
 	}
 	return nil
 }
--- a/internal/lab/runner/fleet.go
+++ b/internal/lab/runner/fleet.go
@@ -31,16 +31,23 @@
 // FleetOf adds up a run's record.
 func FleetOf(r *history.Run) Fleet {
 	f := Fleet{Calls: len(r.Calls), Falls: len(r.OverloadCrashes), Listed: [3]int64{-1, -1, -1}}
-	first := int64(-1)
+	first := f.addProcesses(r.Processes)
+	f.addCalls(r, first)
+	f.addHandshakes(r.Handshakes)
+	return f
+}
+
+// addProcesses adds up the starts and returns when the first process started, 0 for a run without any.
+func (f *Fleet) addProcesses(processes []history.Process) (first int64) {
 	last := int64(0)
 	began := map[int]bool{}
-	for _, l := range r.Processes {
+	for _, l := range processes {
 		if !began[l.Limiter] {
-			began[l.Limiter] = true
-			last = max(last, l.Started)
-			if first < 0 || l.Started < first {
+			if len(began) == 0 || l.Started < first {
 				first = l.Started
 			}
+			began[l.Limiter] = true
+			last = max(last, l.Started)
 		}
 		if l.Ready > 0 {
 			f.ReadyMost = max(f.ReadyMost, l.Ready-l.Started)
@@ -49,6 +56,11 @@
 		}
 	}
 	f.StartTook = last - max(first, 0)
+	return max(first, 0)
+}
+
+// addCalls adds up the calls to discovery and finds when the shares of limiters had had an answer, counted from first.
+func (f *Fleet) addCalls(r *history.Run, first int64) {
 	seconds := map[int64]int{}
 	listed := map[int]int64{}
 	for _, c := range r.Calls {
@@ -69,7 +81,7 @@
 	}
 	var times []int64
 	for _, at := range listed {
-		times = append(times, at-max(first, 0))
+		times = append(times, at-first)
 	}
 	slices.Sort(times)
 	for i, share := range shares {
@@ -77,8 +89,12 @@
 			f.Listed[i] = times[need-1]
 		}
 	}
+}
+
+// addHandshakes adds up the connections that servers accepted, for each server by the second.
+func (f *Fleet) addHandshakes(servers map[string][]int) {
 	var all []int
-	for _, of := range r.Handshakes {
+	for _, of := range servers {
 		for second, n := range of {
 			for len(all) <= second {
 				all = append(all, 0)
@@ -91,7 +107,6 @@
 	for _, n := range all {
 		f.HandshakesPeak = max(f.HandshakesPeak, n)
 	}
-	return f
 }
 
 func seconds(ns int64) string {
--- a/internal/lab/runner/restart_test.go
+++ b/internal/lab/runner/restart_test.go
@@ -122,10 +122,8 @@
 			6,
 		),
 	)
-	if restarts := RestartsOf(
-		r.Run,
-	); restarts.Count != 2 || restarts.Ready > 0 || restarts.NineInTen() ||
-		restarts.P50 != -1 {
+	restarts := RestartsOf(r.Run)
+	if restarts.Count != 2 || restarts.Ready > 0 || restarts.NineInTen() || restarts.P50 != -1 {
 		t.Errorf("%+v", restarts)
 	}
 	wantLines(t, r, "restarts count=2 ready=0 within_10s=0 ready50=never ready90=never ready100=never")
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -173,12 +173,8 @@
 
 // join puts the links of limiter n that the experiment has faults for, but for those to servers.
 func (l *Lab) join(n int) error {
-	if err := l.net.Join(
-		party(n),
-		experiment.Discovery,
-		l.discovery.Address(n),
-		l.e.Script(n, experiment.Discovery, "", ""),
-	); err != nil {
+	script := l.e.Script(n, experiment.Discovery, "", "")
+	if err := l.net.Join(party(n), experiment.Discovery, l.discovery.Address(n), script); err != nil {
 		return err
 	}
 	if l.counter != nil {
@@ -239,9 +235,8 @@
 func (l *Lab) addServer(p experiment.Pool, name string, repeats *emulator.Deduplication, warm bool) error {
 	spec := emulator.ServerSpec{Name: name, Zone: p.Zone, Work: time.Duration(p.Work * float64(time.Second)),
 		Capacity: p.Capacity, Report: p.Report, Slots: p.Slots, Conns: p.Conns, ColdFrom: p.ColdFrom,
-		WarmWithin: time.Duration(
-			experiment.Nanos(p.WarmWithin),
-		), Warm: warm, Fall: time.Duration(experiment.Nanos(p.Fall)),
+		WarmWithin: time.Duration(experiment.Nanos(p.WarmWithin)), Warm: warm,
+		Fall:   time.Duration(experiment.Nanos(p.Fall)),
 		Script: l.scriptOf("server:"+name, "pool:"+p.Name), Seed: l.e.Seed ^ uint64(len(l.servers)+1)<<8}
 	s := emulator.NewServer(spec, l.clock, l.book, repeats)
 	if err := s.Start(); err != nil {
--- a/internal/lab/scale/counter.go
+++ b/internal/lab/scale/counter.go
@@ -89,79 +89,65 @@
 		return err
 	}
 	defer one.stop()
-	capacity := Point{}
-	cost := Point{}
+	capacity, cost, err := h.measureCounter(one)
+	if err != nil {
+		return err
+	}
+	held, err := procfs.Resident(one.pid())
+	if err != nil {
+		return err
+	}
+	h.figure(Series{Experiment: "counter", Quantity: "processor time of a call at one stand-in", Unit: "us",
+		Mechanism: "emulator counter.go serve: a read and a write a call"}, cost.Samples...)
+	h.figure(Series{Experiment: "counter",
+		Quantity: "calls that one stand-in answers on the share of a core that it gets", Unit: "/s",
+		Note: fmt.Sprintf("%d connections, one call out on each", callers)}, capacity.Samples...)
+	h.figure(Series{Experiment: "counter",
+		Quantity: fmt.Sprintf("resident memory of one stand-in, %d names", Tenants), Unit: "MB"}, held/1e6)
+	h.counterInstances(1e6 / cost.Middle())
+	return nil
+}
+
+// measureCounter calls a stand-in for a window a sample: capacity in calls a second, cost in microseconds of its
+// processor time a call.
+func (h *Harness) measureCounter(one *counterHost) (capacity, cost Point, err error) {
 	for range h.samples() {
 		before, err := procfs.ProcessorTime(one.pid())
 		if err != nil {
-			return err
+			return capacity, cost, err
 		}
 		began := time.Now()
 		calls, err := callCounter(one.address, h.window(3*time.Second))
 		if err != nil {
-			return err
+			return capacity, cost, err
 		}
 		after, err := procfs.ProcessorTime(one.pid())
 		if err != nil {
-			return err
+			return capacity, cost, err
 		}
 		spent := (after - before).Seconds()
 		capacity.Samples = append(capacity.Samples, float64(calls)/time.Since(began).Seconds())
 		cost.Samples = append(cost.Samples, spent*1e6/float64(calls))
 	}
-	held, err := procfs.Resident(one.pid())
-	if err != nil {
-		return err
-	}
-	h.figure(Series{Experiment: "counter", Quantity: "processor time of a call at one stand-in", Unit: "us",
-		Mechanism: "emulator counter.go serve: a read and a write a call"}, cost.Samples...)
-	h.figure(
-		Series{
-			Experiment: "counter",
-			Quantity:   "calls that one stand-in answers on the share of a core that it gets",
-			Unit:       "/s",
-			Note:       fmt.Sprintf("%d connections, one call out on each", callers),
-		},
-		capacity.Samples...)
-	h.figure(
-		Series{
-			Experiment: "counter",
-			Quantity:   fmt.Sprintf("resident memory of one stand-in, %d names", Tenants),
-			Unit:       "MB",
-		},
-		held/1e6,
-	)
-	of := 1e6 / cost.Middle() // calls a second on a whole core
-	instances := Instances(PeakRequests*callsOfPeak, of, halfUsed)
-	h.figure(
-		Series{
-			Experiment: "counter",
-			Quantity:   "instances for 68,000 requests/s, each half used",
-			Unit:       "1",
-			Reckoned:   true,
-		},
-		float64(instances),
-	)
+	return capacity, cost, nil
+}
+
+// counterInstances reckons the instances that the peak takes where one answers callsPerSecond on a whole core, and how
+// evenly customers load them.
+func (h *Harness) counterInstances(callsPerSecond float64) {
+	instances := Instances(PeakRequests*callsOfPeak, callsPerSecond, halfUsed)
+	h.figure(Series{Experiment: "counter", Quantity: "instances for 68,000 requests/s, each half used", Unit: "1",
+		Reckoned: true}, float64(instances))
 	for _, n := range []int{instances, 2 * instances} {
 		for _, skew := range []float64{0, 1} {
 			share := LargestShare(Tenants, n, skew)
-			h.figure(
-				Series{
-					Experiment: "counter",
-					Quantity:   fmt.Sprintf("load of the fullest of %d instances over an even share", n),
-					Unit:       "1",
-					Reckoned:   true,
-					Note: fmt.Sprintf(
-						"%d customers by the hash of their name; the k-th sends as 1/k^%g",
-						Tenants,
-						skew,
-					),
-				},
-				share*float64(n),
-			)
+			h.figure(Series{Experiment: "counter",
+				Quantity: fmt.Sprintf("load of the fullest of %d instances over an even share", n), Unit: "1",
+				Reckoned: true,
+				Note:     fmt.Sprintf("%d customers by the hash of their name; the k-th sends as 1/k^%g", Tenants, skew),
+			}, share*float64(n))
 		}
 	}
-	return nil
 }
 
 // counterHost is a process that runs one counter.
--- a/internal/lab/scenarios/steps.go
+++ b/internal/lab/scenarios/steps.go
@@ -40,13 +40,9 @@
 	s.Given(
 		`^clients send (\d+) jobs a second from second ([\d.]+) to second ([\d.]+)$`,
 		func(rate int, from, until float64) error {
-			w.Options.Load.Rate, w.Options.Load.From, w.Options.Load.Until = float64(
-				rate,
-			), seconds(
-				from,
-			), seconds(
-				until,
-			)
+			w.Options.Load.Rate = float64(rate)
+			w.Options.Load.From = seconds(from)
+			w.Options.Load.Until = seconds(until)
 			return nil
 		},
 	)
--- a/internal/lab/simfleet/fleet.go
+++ b/internal/lab/simfleet/fleet.go
@@ -64,8 +64,8 @@
 	life    int
 }
 
-// New makes a fleet in which no limiter has started yet; the servers, the counter and the list service run.
-func New(o Options) (*Fleet, error) {
+// withDefaults fills in what a fleet's options leave open; the caller's settings are not written to.
+func (o Options) withDefaults() Options {
 	if o.Settings == nil {
 		o.Settings = DefaultSettings()
 	}
@@ -80,27 +80,20 @@
 	if o.DiscoveryCallRate == 0 {
 		o.DiscoveryCallRate = 1e9
 	}
-	f := &Fleet{o: o, rng: rand.New(rand.NewPCG(o.Seed, 0xf1)), byHost: map[*host]int{}}
 	o.Settings["balancers"] = o.Limiters
 	o.Settings["registry-mode"] = map[Mode]string{Pushed: "pushed", Polled: "on_request"}[o.Mode]
-	text, err := json.Marshal(o.Settings)
-	if err != nil {
+	return o
+}
+
+// New makes a fleet in which no limiter has started yet; the servers, the counter and the list service run.
+func New(o Options) (*Fleet, error) {
+	o = o.withDefaults()
+	f := &Fleet{o: o, rng: rand.New(rand.NewPCG(o.Seed, 0xf1)), byHost: map[*host]int{}}
+	if err := f.decodeSettings(); err != nil {
 		return nil, err
 	}
-	f.set, err = settings.Decode(text)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	for _, m := range o.Load.Classes {
-		if f.set.Classes[m.Class] == nil {
-			return nil, fmt.Errorf("load: no track %q", m.Class)
-		}
-		f.longest = max(f.longest, m.Deadline)
-	}
-	for _, c := range o.Load.Customers {
-		if f.set.Plans[c.Plan] == nil || c.Limiters < 1 || c.Limiters > o.Limiters {
-			return nil, fmt.Errorf("load: customer %s: plan %q, spread %d", c.ID, c.Plan, c.Limiters)
-		}
+	if err := f.checkLoad(); err != nil {
+		return nil, err
 	}
 	f.net = newNetwork(&f.q, o.Seed)
 	f.net.transcript = o.Transcript
@@ -108,18 +101,10 @@
 	f.net.host("counter:1").party = f.counter
 	f.lists = &lists{f: f, tokens: o.DiscoveryCallRate}
 	f.net.host("list")
-	zones := map[string]map[string]int64{}
-	for i, spec := range o.Servers {
-		if zones[spec.Zone] == nil {
-			zones[spec.Zone] = map[string]int64{}
-		}
-		f.addServer(spec, zones[spec.Zone], uint64(i)).start(longAgo)
-		f.lists.first = append(f.lists.first, f.servers[i].entry("in_service"))
-	}
+	f.addServers()
 	if o.Mode == Polled {
 		f.desk("list:1", -1, 0)
 	}
-	known, _ := json.Marshal(map[string]any{"generation": firstVersion, "reset": true, "instances": f.lists.first})
 	f.clients = &clients{
 		f:    f,
 		host: f.net.host("clients"),
@@ -127,7 +112,57 @@
 		rate: o.Load.Rate,
 	}
 	f.clients.host.party = f.clients
-	for n := range o.Limiters {
+	f.addLimiters()
+	if o.Load.Rate > 0 {
+		f.q.at(o.Load.From, f.clients.arrive)
+	}
+	return f, nil
+}
+
+func (f *Fleet) decodeSettings() error {
+	text, err := json.Marshal(f.o.Settings)
+	if err != nil {
+		return err
+	}
+	f.set, err = settings.Decode(text)
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	return nil
+}
+
+// checkLoad checks the load against the settings and finds the longest deadline.
+func (f *Fleet) checkLoad() error {
+	for _, m := range f.o.Load.Classes {
+		if f.set.Classes[m.Class] == nil {
+			return fmt.Errorf("load: no track %q", m.Class)
+		}
+		f.longest = max(f.longest, m.Deadline)
+	}
+	for _, c := range f.o.Load.Customers {
+		if f.set.Plans[c.Plan] == nil || c.Limiters < 1 || c.Limiters > f.o.Limiters {
+			return fmt.Errorf("load: customer %s: plan %q, spread %d", c.ID, c.Plan, c.Limiters)
+		}
+	}
+	return nil
+}
+
+// addServers adds the servers of the options, warm since long ago; those of a zone drop each other's repeats.
+func (f *Fleet) addServers() {
+	zones := map[string]map[string]int64{}
+	for i, spec := range f.o.Servers {
+		if zones[spec.Zone] == nil {
+			zones[spec.Zone] = map[string]int64{}
+		}
+		f.addServer(spec, zones[spec.Zone], uint64(i)).start(longAgo)
+		f.lists.first = append(f.lists.first, f.servers[i].entry("in_service"))
+	}
+}
+
+// addLimiters adds the limiters, which know the first list; where lists are pushed, each has a list service beside it.
+func (f *Fleet) addLimiters() {
+	known, _ := json.Marshal(map[string]any{"generation": firstVersion, "reset": true, "instances": f.lists.first})
+	for n := range f.o.Limiters {
 		m := &member{
 			n:       n,
 			host:    f.net.host(fmt.Sprintf("limiter:%d", n)),
@@ -138,16 +173,12 @@
 		f.limiters = append(f.limiters, m)
 		f.byHost[m.host] = n
 		f.clients.gates = append(f.clients.gates, &gate{})
-		if o.Mode == Pushed {
+		if f.o.Mode == Pushed {
 			m.list = fmt.Sprintf("agent-%d:1", n)
 			f.net.near[m.host] = f.desk(m.list, n, 0).host
 			f.arrived(n, firstVersion)
 		}
 	}
-	if o.Load.Rate > 0 {
-		f.q.at(o.Load.From, f.clients.arrive)
-	}
-	return f, nil
 }
 
 func (f *Fleet) desk(address string, of int, counts int64) *desk {
--- a/internal/lab/testbed/deadlines_test.go
+++ b/internal/lab/testbed/deadlines_test.go
@@ -30,9 +30,8 @@
 
 // slow is a server whose machine takes few bytes that it does not read.
 func slow(t testing.TB) *Peer {
-	return Listen(
-		t,
-	).option(t, func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
+	few := func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) }
+	return Listen(t).option(t, few)
 }
 
 // squeeze has the limiter's kernel take few bytes at a time on a connection: the limiter's end is in this process, too.
--- a/internal/limiter/cold_start_test.go
+++ b/internal/limiter/cold_start_test.go
@@ -226,13 +226,8 @@
 			"a start, or a bound of connections",
 		)
 		hold, limit := l.discovery.pacer.NextPoll(0, false)
-		if w.say(
-			l,
-			0,
-			discoveryConn,
-			httpAnswer(knownList),
-		); asks(w) != 2 || !l.readiness.ready ||
-			l.discovery.responseTimer.at != limit {
+		w.say(l, 0, discoveryConn, httpAnswer(knownList))
+		if asks(w) != 2 || !l.readiness.ready || l.discovery.responseTimer.at != limit {
 			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.readiness.ready, l.discovery.responseTimer.at)
 		}
 		requireText(t, w.wrote[discoveryConn], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
--- a/internal/limiter/server_answer_test.go
+++ b/internal/limiter/server_answer_test.go
@@ -30,10 +30,8 @@
 	} {
 		t.Run(strconv.Quote(c.in), func(t *testing.T) {
 			v, _, err := resp.ReadAnswer([]byte(c.in))
-			if r, _ := decodeAnswer(
-				v,
-				8,
-			); err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.held ||
+			r, _ := decodeAnswer(v, 8)
+			if err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.held ||
 				r.Load.Throughput != c.pace ||
 				strings.Contains(c.in, "backlog") && (r.Load.Queued != 3 || r.Load.ServiceTime != 135500000) {
 				t.Fatalf("%+v, error %v", r, err)
--- a/internal/limiter/server_pools_test.go
+++ b/internal/limiter/server_pools_test.go
@@ -33,16 +33,8 @@
 	})
 	t.Run("a list that does not name it", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		if w.say(
-			l,
-			0,
-			discoveryConn,
-			httpAnswer(`{"generation":8,"reset":true,"instances":[]}`),
-		); len(
-			l.servers.pools,
-		)+len(
-			l.servers.pools,
-		) > 0 {
+		w.say(l, 0, discoveryConn, httpAnswer(`{"generation":8,"reset":true,"instances":[]}`))
+		if len(l.servers.pools)+len(l.servers.pools) > 0 {
 			t.Fatalf("%d servers", len(l.servers.pools))
 		}
 	})
--- a/internal/limiter/suspension_test.go
+++ b/internal/limiter/suspension_test.go
@@ -48,12 +48,8 @@
 	})
 	t.Run("nor at all where its server drains", func(t *testing.T) {
 		l, w := asked(t, "10480")
-		if hear(
-			l,
-			w,
-			drains,
-		); servers(w) != 0 || len(l.requests.byID) != 0 ||
-			!strings.HasPrefix(w.wrote[clientConn], "-BUSY") {
+		hear(l, w, drains)
+		if servers(w) != 0 || len(l.requests.byID) != 0 || !strings.HasPrefix(w.wrote[clientConn], "-BUSY") {
 			t.Fatalf("%d dials, %d requests, client got %q", servers(w), len(l.requests.byID), w.wrote[clientConn])
 		}
 	})
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -26,10 +26,8 @@
 		)
 	}
 	moved := strings.Replace(strings.Replace(good, `"rate":5`, `"parallel":3`, 1), `"aim":1`, `"aim":1,"worth":5`, 1)
-	if c, err = DecodeConfig(
-		[]byte(moved),
-	); err != nil || c.Settings.Plans["p"].MaxInFlight != 3 ||
-		c.Settings.Classes["c"].PriorityWeight != 5 {
+	c, err = DecodeConfig([]byte(moved))
+	if err != nil || c.Settings.Plans["p"].MaxInFlight != 3 || c.Settings.Classes["c"].PriorityWeight != 5 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
@@ -53,10 +51,8 @@
 		{"too few sockets", `1024`, `8`, "limits: sockets"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := DecodeConfig(
-				[]byte(strings.Replace(good, c.old, c.new, 1)),
-			); err == nil ||
-				!strings.Contains(err.Error(), c.want) {
+			_, err := DecodeConfig([]byte(strings.Replace(good, c.old, c.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("error %v, want %s", err, c.want)
 			}
 		})
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -32,11 +32,8 @@
 	if s, err := place.Load(d, 1e18); s != nil || err != nil {
 		t.Fatalf("with no file: %v, %v", s, err)
 	}
-	if err := place.Save(
-		d,
-		list(7),
-	); err != nil || strings.Join(d.Log, " ") != "read write rename sync" ||
-		len(d.Held) != 1 {
+	err := place.Save(d, list(7))
+	if err != nil || strings.Join(d.Log, " ") != "read write rename sync" || len(d.Held) != 1 {
 		t.Fatalf("%v, %v, %v", err, d.Log, d.Held)
 	}
 	whole := string(d.Held[place.Path()])
@@ -51,11 +48,8 @@
 			t.Fatalf("%q: %v, %T (%v), want %T", text, s, err, err, want)
 		}
 	}
-	if s, err := place.Load(
-		d,
-		1e18+3600e9,
-	); err != nil || s.Generation != 7 ||
-		!reflect.DeepEqual(s.Servers, list(7).Servers) {
+	s, err := place.Load(d, 1e18+3600e9)
+	if err != nil || s.Generation != 7 || !reflect.DeepEqual(s.Servers, list(7).Servers) {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for i := range len(whole) {
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -252,11 +252,8 @@
 		t.Fatal(err)
 	}
 	got := make([]byte, len(command))
-	if _, err := io.ReadFull(
-		far,
-		got,
-	); err != nil ||
-		!strings.HasSuffix(string(got), command[len(command)-resp.MaxValueBytes:]) {
+	_, err = io.ReadFull(far, got)
+	if err != nil || !strings.HasSuffix(string(got), command[len(command)-resp.MaxValueBytes:]) {
 		t.Fatalf("the server read %d bytes, error %v", len(got), err)
 	}
 	close(stop)
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -131,12 +131,8 @@
 	if closed, _ := c.IsClosed(); closed {
 		return 0
 	}
-	if _, _, failed := syscall.Syscall(
-		syscall.SYS_IOCTL,
-		uintptr(c.Hash()),
-		which,
-		uintptr(unsafe.Pointer(&waiting)),
-	); failed != 0 {
+	_, _, failed := syscall.Syscall(syscall.SYS_IOCTL, uintptr(c.Hash()), which, uintptr(unsafe.Pointer(&waiting)))
+	if failed != 0 {
 		return 0
 	}
 	return int(waiting)
