--- a/internal/limiter/bench_test.go
+++ b/internal/limiter/bench_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"fmt"
-	"io"
-	"log"
-	"os"
+	"log/slog"
 	"strings"
 	"testing"
 
@@ -38,8 +36,9 @@
 
 // benchLimiter is a limiter before so many servers, with idle connections to some of them.
 func benchLimiter(b *testing.B, servers int) *Limiter {
-	log.SetOutput(io.Discard)
-	b.Cleanup(func() { log.SetOutput(os.Stderr) })
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	b.Cleanup(func() { slog.SetDefault(previous) })
 	w := &fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
 	l, err := New(
 		0,
