--- a/choice/choice.go
+++ b/choice/choice.go
@@ -295,8 +295,9 @@
 		s.health.lastSign = now
 		c.concurrency.rejected(a, now+c.tickInterval)
 	case ServerError, ConnectFailed, ConnectionLost, Cancelled:
+		// Its duration is not observed: a server that fails is quick at it, and would draw all requests.
 		c.outliers.failed(now, s, result.Outcome)
-	case TimedOut, NotAttempted: // the first is seen by the silence of the server, the second says nothing of it
+	case TimedOut, NotAttempted: // checkSilent judges the first, the second says nothing of the server
 	}
 	c.concurrency.raiseToMinimum(s)
 	c.servers.reindex(now, s)
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -223,3 +223,24 @@
 		}
 	})
 }
+
+func TestAttemptDoneOfAnUnknownRequestDoesNothing(t *testing.T) {
+	controller, done := newTestController()
+	controller.AttemptDone(0, AttemptResult{Request: "unknown", Outcome: Succeeded})
+	q := sendRequest(controller, "read")
+	did := len(done.did)
+	controller.AttemptDone(0, AttemptResult{Request: q.id, Attempt: 1, Outcome: Succeeded})
+	if len(done.did) != did || q.ended() {
+		t.Fatalf("did %q", done.did)
+	}
+}
+
+func TestFinalFailureIsTheClients(t *testing.T) {
+	controller, done := newTestController()
+	q := sendRequest(controller, "read")
+	did := len(done.did)
+	controller.AttemptDone(1, AttemptResult{Request: q.id, Outcome: ConnectionLost, Duration: 1, Final: true})
+	if q.state != stateClientGone || len(done.did) != did || controller.requests.byID[q.id] != nil {
+		t.Fatalf("state %d, did %q", q.state, done.did)
+	}
+}
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -12,6 +12,7 @@
 	did        []string
 	retryAfter int64        // the latest retry-after
 	reason     RejectReason // and why
+	logged     []string     // apart from did: a decision is logged beside what it does
 }
 
 func (done *recordedEffects) add(form string, args ...any) {
@@ -32,7 +33,7 @@
 }
 func (done *recordedEffects) HealthCheck(server string) { done.add("health check %s", server) }
 func (done *recordedEffects) SetTimer(at, token int64)  {}
-func (done *recordedEffects) Log(text string)           {}
+func (done *recordedEffects) Log(text string)           { done.logged = append(done.logged, text) }
 
 const second = int64(1e9)
 
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -52,9 +52,8 @@
 	return false
 }
 
-// failed takes in an attempt that failed. A server that fails is quick at it: its answers say nothing of its pace, or
-// it would draw all requests. One that takes no connection is not tried three times, since each of many limiters would
-// do so.
+// failed takes in an attempt that failed. One failed dial ejects at once: three tries by each of many limiters would be
+// many requests lost to a server that is known to be away.
 func (d *outlierDetector) failed(now int64, s *server, outcome Outcome) {
 	h := &s.health
 	h.failureRatio += failureWeight * (1 - h.failureRatio)
@@ -90,7 +89,8 @@
 	s.health.nextCheck = now + max(s.health.ejectionTime, d.settings.DialTimeout)
 }
 
-// checkSilent ejects a server that has shown no life for too long while attempts are in flight there.
+// checkSilent ejects a server that has shown no life for too long while attempts are in flight there: for the latency
+// objective of the oldest, or two thirds of it where several wait, since one attempt alone may just be a long one.
 func (d *outlierDetector) checkSilent(now int64, s *server) {
 	if len(s.attempts) == 0 {
 		return
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -1,6 +1,10 @@
 package choice
 
-import "testing"
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
 
 func TestTick(t *testing.T) {
 	out := func(controller *Controller, id string, s *server) *request {
@@ -86,3 +90,177 @@
 		}
 	})
 }
+
+// newControllerOfServers makes a limiter with so many servers, named by their numbers.
+func newControllerOfServers(servers int) (*Controller, *recordedEffects) {
+	controller, done := newTestController()
+	var endpoints []Endpoint
+	for i := range servers {
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprint(i), Zone: "x", Weight: 1})
+	}
+	controller.UpdateEndpoints(0, true, endpoints)
+	return controller, done
+}
+
+// sendAt has an attempt in flight at a server since a time.
+func sendAt(controller *Controller, s *server, at int64) {
+	q := &request{id: "k", class: controller.settings.Classes["read"], state: stateInFlight, units: 1, deadline: 99 * second}
+	controller.send(at, q, s)
+}
+
+func TestThreeFailuresInARowEject(t *testing.T) {
+	controller, done := newTestController()
+	a := controller.servers.byID["a"]
+	controller.outliers.failed(0, a, ServerError)
+	if a.health.failureRatio != 0.25 {
+		t.Fatal("a failure counts for", a.health.failureRatio)
+	}
+	controller.outliers.failed(0, a, ServerError)
+	if a.health.state != healthy {
+		t.Fatal("ejected after two failures")
+	}
+	controller.outliers.failed(0, a, ServerError)
+	if a.health.state != ejected || !slices.Equal(done.logged, []string{"server a fails, ejected"}) {
+		t.Fatalf("state %v, logged %q", a.health.state, done.logged)
+	}
+}
+
+func TestEjectsThreeQuartersAtMost(t *testing.T) {
+	controller, _ := newControllerOfServers(20)
+	for _, s := range controller.servers.ring {
+		controller.outliers.eject(0, s, "")
+	}
+	if got := controller.servers.index.ejected(); got != 15 {
+		t.Fatalf("%d of 20 servers are ejected", got)
+	}
+}
+
+func TestEjectionTimeDoublesUpToTheSlowStartWindow(t *testing.T) {
+	controller, done := newControllerOfServers(20)
+	s := controller.servers.byID["3"]
+	for i, want := range []int64{1, 2, 4, 8, 10, 10} {
+		now := int64(i) * 100 * second
+		controller.outliers.eject(now, s, "fails")
+		controller.outliers.eject(now+second/2, s, "fails") // it is out already
+		if s.health.ejectionTime != want*second || s.health.nextCheck != now+want*second || len(done.logged) != i+1 {
+			t.Fatalf("ejection %d: %+v, logged %q", i, s.health, done.logged)
+		}
+		controller.outliers.reinstate(now+50*second, s)
+	}
+}
+
+func TestServerIsSilentByItsLatestSignOfLife(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		happened func(d *outlierDetector, s *server)
+		sentAt   int64
+		kept     int64
+		ejected  int64
+	}{
+		{"an answer is one", func(d *outlierDetector, s *server) { d.succeeded(9*second, s) },
+			0, 10 * second, 11 * second},
+		{"a reinstatement is one", func(d *outlierDetector, s *server) { d.reinstate(9*second, s) },
+			0, 10 * second, 11 * second},
+		{"it has the time from the sending on", func(*outlierDetector, *server) {}, 5 * second, 6 * second, 7 * second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller, done := newTestController()
+			a := controller.servers.byID["a"]
+			sendAt(controller, a, c.sentAt)
+			c.happened(&controller.outliers, a)
+			controller.outliers.checkSilent(c.kept, a)
+			if a.health.state == ejected {
+				t.Fatal("ejected within the latency objective")
+			}
+			controller.outliers.checkSilent(c.ejected, a)
+			if a.health.state != ejected || !slices.Equal(done.logged, []string{"server a is silent, ejected"}) {
+				t.Fatalf("state %v, logged %q", a.health.state, done.logged)
+			}
+		})
+	}
+}
+
+func TestHalfOpenServerRecoversBelowHalfTheEjectingRatio(t *testing.T) {
+	controller, _ := newTestController()
+	a := controller.servers.byID["a"]
+	a.health.state = halfOpen
+	a.health.failureRatio = 0.4
+	if controller.outliers.succeeded(0, a) || a.health.state != halfOpen {
+		t.Fatal("recovered at", a.health.failureRatio)
+	}
+	if !controller.outliers.succeeded(0, a) || a.health.state != healthy {
+		t.Fatal("not recovered at", a.health.failureRatio)
+	}
+}
+
+func TestAnswerOfAnEjectedServerEndsTheEjection(t *testing.T) {
+	controller, _ := newTestController()
+	a := controller.servers.byID["a"]
+	a.health.failureRatio = 1
+	controller.outliers.eject(0, a, "")
+	controller.HealthCheckDone(0, "a", Succeeded)
+	if !controller.outliers.succeeded(0, a) || a.health.state != healthy || a.health.ejectionTime != 0 {
+		t.Fatalf("%+v", a.health)
+	}
+	controller.servers.reindex(0, a)
+	controller.outliers.eject(0, a, "")
+	controller.HealthCheckDone(0, "a", Succeeded)
+	if a.health.state != ejected {
+		t.Fatal("a health check of the ejection before counts")
+	}
+}
+
+func TestEjectedServerIsCheckedOnceItsTimeIsOver(t *testing.T) {
+	controller, done := newTestController()
+	controller.settings.DialTimeout = 3 * second
+	a := controller.servers.byID["a"]
+	controller.outliers.eject(0, a, "")
+	controller.outliers.checkEjected(second-1, a)
+	if len(done.did) > 0 {
+		t.Fatalf("did %q", done.did)
+	}
+	controller.outliers.checkEjected(second, a)
+	requireEffects(t, done, "health check a")
+	if a.health.state != ejected || a.health.nextCheck != 4*second {
+		t.Fatalf("the next check comes before this one can have ended: %+v", a.health)
+	}
+}
+
+func TestWithoutHealthChecksTheTimeReinstates(t *testing.T) {
+	controller, done := newTestController()
+	controller.settings.HealthChecks = false
+	a := controller.servers.byID["a"]
+	controller.outliers.eject(0, a, "")
+	controller.outliers.checkEjected(second-1, a)
+	early := a.health.state
+	controller.outliers.checkEjected(second, a)
+	if early != ejected || a.health.state != halfOpen || len(done.did) > 0 {
+		t.Fatalf("state %v, then %v, did %q", early, a.health.state, done.did)
+	}
+}
+
+func TestServerThatOnlyWasSilentComesBackWarm(t *testing.T) {
+	controller, _ := newTestController()
+	a := controller.servers.byID["a"]
+	controller.outliers.eject(0, a, "is silent")
+	controller.outliers.reinstate(second, a)
+	if controller.slowStart.warming(second, a) {
+		t.Fatal("it warms up, though it did not fail")
+	}
+}
+
+func TestFailedHealthCheckBeginsAnew(t *testing.T) {
+	controller, _ := newTestController()
+	s := controller.servers.byID["a"]
+	controller.outliers.eject(0, s, "")
+	controller.HealthCheckDone(second, "a", Succeeded)
+	controller.HealthCheckDone(second, "a", TimedOut)
+	controller.HealthCheckDone(second, "a", Succeeded)
+	if s.health.state != ejected {
+		t.Fatal("it is reinstated by two health checks that are not in a row")
+	}
+	controller.HealthCheckDone(second, "a", Succeeded)
+	if s.health.state != halfOpen {
+		t.Fatal("it is not reinstated by two health checks in a row")
+	}
+}
--- a/choice/request_test.go
+++ b/choice/request_test.go
@@ -12,3 +12,13 @@
 		(&request{state: stateAnswered}).move(stateRejected)
 	})
 }
+
+func TestRequestTableForgetsOnlyItsOwn(t *testing.T) {
+	table := newRequestTable()
+	first, second := &request{id: "same"}, &request{id: "same"}
+	table.add(first)
+	table.add(second)
+	if table.remove(first) || !table.remove(second) || len(table.byID) != 0 {
+		t.Fatal("the first was forgotten in the second's place")
+	}
+}
--- a/choice/subset_test.go
+++ b/choice/subset_test.go
@@ -163,3 +163,11 @@
 		}
 	})
 }
+
+func TestSubsetHasEightServersAtLeast(t *testing.T) {
+	controller, _ := newControllerOfServers(100)
+	controller.settings.Limiters = 1000
+	if got := controller.servers.subsetSize(); got != 8 {
+		t.Fatalf("%d servers", got)
+	}
+}
--- a/choice/types_test.go
+++ b/choice/types_test.go
@@ -17,3 +17,25 @@
 		}
 	}
 }
+
+func TestRejectReasonWords(t *testing.T) {
+	words := map[string]bool{}
+	for reason := range RejectReasons {
+		words[reason.String()] = true
+	}
+	if len(words) != int(RejectReasons) {
+		t.Fatalf("%d reasons have the words %v", RejectReasons, words)
+	}
+}
+
+func TestRepeatableClass(t *testing.T) {
+	write := &Class{Idempotency: NonIdempotent}
+	set := &Settings{Classes: map[string]*Class{"write": write}}
+	if set.hasRepeatableClass() {
+		t.Fatal("a non-idempotent class may run again")
+	}
+	set.Classes["read"] = &Class{Idempotency: Idempotent}
+	if !set.hasRepeatableClass() {
+		t.Fatal("an idempotent class may not run again")
+	}
+}
