--- a/choice/types.go
+++ b/choice/types.go
@@ -100,7 +100,7 @@
 	Zone      string
 	Cell      int64
 	State     EndpointState
-	Weight    float64 // nominal size beside other servers, without a unit; 0 where it is not told
+	Weight    float64 // nominal size beside other servers, without a unit; 0 where it is not given
 	StartedAt int64   // latest start, in nanoseconds of the limiter's clock; 0 for long ago
 }
 
@@ -131,7 +131,7 @@
 	MaxRequestUnits float64 // units of the largest request
 	MaxLease        int64   // the counter keeps no name for longer
 	Limiters        int     // limiters in the fleet
-	Position        int     // this limiter's number among them, from 0; negative where it is not told
+	Position        int     // this limiter's number among them, from 0; negative where it is not given
 	ColdCapacity    float64 // share of its capacity that a server has at least when it starts
 	SlowStartWindow int64   // a server has its full capacity so long after its start
 	DialTimeout     int64
@@ -196,7 +196,7 @@
 	Load        LoadReport
 }
 
-// LoadReport is what a server's answer says of its load, from all limiters together. A zero field is not told.
+// LoadReport is what a server's answer says of its load, from all limiters together. A zero field is not given.
 type LoadReport struct {
 	InFlight    float64 // requests at the server
 	Throughput  float64 // requests a second
--- a/cmd/configdist/source.go
+++ b/cmd/configdist/source.go
@@ -55,7 +55,15 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("source-started", "epoch", change.Version.Epoch, "version", change.Version.Number, "entries", source.State().Len())
+	slog.Info(
+		"source-started",
+		"epoch",
+		change.Version.Epoch,
+		"version",
+		change.Version.Number,
+		"entries",
+		source.State().Len(),
+	)
 	served := transport.NewSourceServer(source, clock)
 	journal.next = served
 	server := served.HTTP()
--- a/cmd/ospreycroft/check.go
+++ b/cmd/ospreycroft/check.go
@@ -39,7 +39,13 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	plans, classes := config.Settings.Plans, config.Settings.Classes
-	fmt.Printf("ok name=%s limiters=%d plans=%d classes=%d\n", config.Name, config.Settings.Limiters, len(plans), len(classes))
+	fmt.Printf(
+		"ok name=%s limiters=%d plans=%d classes=%d\n",
+		config.Name,
+		config.Settings.Limiters,
+		len(plans),
+		len(classes),
+	)
 	for _, name := range slices.Sorted(maps.Keys(plans)) {
 		if limit := plans[name].MaxInFlight; limit > 0 {
 			fmt.Printf("cap plan=%s attempts_out=%v\n", name, limit)
@@ -91,7 +97,10 @@
 	}
 	if set.PollInterval > 0 {
 		report(logging.Event{Name: "start-bound", Attrs: []slog.Attr{
-			roundedAttr("list_calls_per_s", a.CallRate), slog.Bool("stated", a.StatedRate), slog.Bool("even", a.EvenRate),
+			roundedAttr(
+				"list_calls_per_s",
+				a.CallRate,
+			), slog.Bool("stated", a.StatedRate), slog.Bool("even", a.EvenRate),
 			roundedAttr("all_asked_s", float64(a.AllPolledWithin)/1e9),
 		}})
 	}
--- a/cmd/ospreycroft/run.go
+++ b/cmd/ospreycroft/run.go
@@ -50,7 +50,10 @@
 	if err != nil {
 		return err
 	}
-	stated := limiter.OperatorOptions{DiscoveryCallRate: options.DiscoveryCallRate, ConnectionRate: options.ConnectionRate}
+	stated := limiter.OperatorOptions{
+		DiscoveryCallRate: options.DiscoveryCallRate,
+		ConnectionRate:    options.ConnectionRate,
+	}
 	defer startSnapshots(config, options, &stated)()
 	l, err := limiter.NewWithOptions(clock(), config, stated, listening)
 	if err != nil {
--- a/internal/coldstart/advice.go
+++ b/internal/coldstart/advice.go
@@ -15,7 +15,7 @@
 // Hint is what to do.
 func (b *SettingError) Hint() string { return b.Key + " has to be " + b.Want }
 
-// Check tells whether a start can be computed from the settings. Errors: *Bad.
+// Check tells whether a start can be computed from the settings. Errors: *SettingError.
 func (s *Settings) Check() error {
 	for _, c := range []struct {
 		bad  bool
@@ -47,10 +47,11 @@
 type Advice struct {
 	CallRate   float64 // to the list service, a second, from all limiters together at most
 	StatedRate bool    // by the operator, and not implied by the settings
-	// limiters know their places; else they ask at instants drawn by chance, and Calls is a mean
+	// limiters know their places; else they ask at slots drawn by chance, and Calls is a mean
 	EvenRate        bool
 	AllPolledWithin int64 // nanoseconds until all limiters have asked, and between the calls of one after news
-	// so much later than it counts as told can news come, behind failed calls too, in nanoseconds; 0 where it cannot
+	// so much later than it counts as notified can news come, behind failed calls too, in nanoseconds; 0 where it
+	// cannot
 	Late           int64
 	Enough         float64 // calls a second with which it could not
 	ConnectionRate float64 // new connections a second that one limiter opens to one server of so many, 0 for no bound
@@ -79,8 +80,8 @@
 	)
 }
 
-// Advise states the bounds for a fleet that shares so many servers. Errors: *Bad; *Late beside the advice, with which
-// limiters start all the same.
+// Advise states the bounds for a fleet that shares so many servers. Errors: *SettingError; *LateNotificationError
+// beside the advice, with which limiters start all the same.
 func (s *Settings) Advise(servers int) (Advice, error) {
 	if err := s.Check(); err != nil {
 		return Advice{}, err
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -3,10 +3,10 @@
 // the clock in nanoseconds, and reads off when to ask the list service, whether clients may come, and what share to
 // send.
 //
-// What all limiters do together is bounded without a word between them. All read one clock, so it is cut into rounds
-// of the same length at all of them, and each limiter owns one instant of a round, by its place. It calls the list
-// service at that instant or not at all. How often limiters are killed and started again adds nothing: whoever comes
-// back finds its own instant. (docs/coldstart.md has the options weighed and the arithmetic.)
+// What all limiters do together is bounded without a word between them. All read one clock, so it is cut into periods
+// of the same length at all of them, and each limiter owns one slot of a period, by its place. It calls the list
+// service at that slot or not at all. How often limiters are killed and started again adds nothing: whoever comes
+// back finds its own slot. (docs/coldstart.md has the options weighed and the arithmetic.)
 package coldstart
 
 import (
@@ -19,13 +19,13 @@
 // Settings are what a start is computed from; times are nanoseconds. Every other figure here is a ratio to one of them.
 type Settings struct {
 	Limiters        int
-	Position        int     // this limiter's number among them, from 0; below 0 where it is not told
-	Jitter          float64 // in [0, 1), drawn at the start, in the place of a number that is not told
+	Position        int     // this limiter's number among them, from 0; below 0 where it is not given
+	Jitter          float64 // in [0, 1), drawn at the start, in the place of a number that is not given
 	DialTimeout     int64
 	PollInterval    int64 // the longest time between calls where lists are asked for, 0 where they are pushed
 	ColdCapacity    float64
 	SlowStartWindow int64
-	// what a silent list service has to tell counts as told so long after the silence began
+	// what a silent list service has to tell counts as notified so long after the silence began
 	NotificationDeadline int64
 	ReadinessDeadline    int64 // a limiter that is not ready by then after its start has failed
 	CeilingLeadTime      int64 // how long this limiter's parts of the ceilings fill before clients should come
@@ -40,15 +40,15 @@
 	answerDialTimeouts = 2
 	// minPeriodDialTimeouts: a period is so many dial time-outs at least. However much is borne, more brings no news.
 	minPeriodDialTimeouts = 1
-	// initialSpread is the number of periods from which the next slot is drawn: less than one, so that a single call that is
-	// throttled changes nothing.
+	// initialSpread is the number of periods from which the next slot is drawn: less than one, so that a single call
+	// that is throttled changes nothing.
 	initialSpread = 1. / 2
 	// maxSpread bounds that number, which doubles with each throttled call in a row.
 	maxSpread = 4
 	// spreadDecay is the factor on that number for each call that is answered.
 	spreadDecay = 7. / 8
-	// holdDeadlineParts: what a call that may be held missed counts as notified this part of the notification deadline after its
-	// hold, if that is later.
+	// holdDeadlineParts: what a call that may be held missed counts as notified this part of the notification deadline
+	// after its hold, if that is later.
 	holdDeadlineParts = 3
 	// earlyParts: a call is given up this part of the resume lead before a slot.
 	earlyParts = 8
@@ -107,7 +107,7 @@
 	CallThrottled              // turned away: the service has too much to do
 	CallFailed                 // no answer, or one that cannot be read
 	DiscoveryMoved             // the service has moved to another address
-	SlotMissed                 // the instant of a call has passed, see Overslept
+	SlotMissed                 // the slot of a call has passed, see MissedSlot
 )
 
 // Server is what a start knows of one server.
@@ -128,18 +128,18 @@
 type Start struct {
 	settings        Settings
 	period          int64
-	slotOffset      int64 // of this limiter's instant in a round
+	slotOffset      int64 // of this limiter's slot in a period
 	startedAt       int64
 	phase           Phase
 	servers         []Server // by ID
 	hasList         bool     // some list is held
 	answered        bool     // the service has answered since the start
-	nextSlot        int64    // the instant of the next call
-	lastCall        int64    // the instant of the latest call, the start before there is one
+	nextSlot        int64    // the slot of the next call
+	lastCall        int64    // the slot of the latest call, the start before there is one
 	retrying        bool     // no answer has come since a call failed
 	callsEnded      int      // that have ended
-	missedSlots     int      // instants in a row that were slept through
-	spreadPeriods   float64  // the rounds from which the next instant is drawn
+	missedSlots     int      // slots in a row that were slept through
+	spreadPeriods   float64  // the periods from which the next slot is drawn
 	unansweredSince int64    // since when the service owes an answer, 0 while it does not
 	share           float64  // while Warming, as of the latest Step
 	Setbacks        int      // how often a list has thrown the share back
@@ -150,7 +150,14 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	s := &Start{settings: set, period: set.Period(), startedAt: now, share: 1, spreadPeriods: initialSpread, lastCall: now - 1}
+	s := &Start{
+		settings:      set,
+		period:        set.Period(),
+		startedAt:     now,
+		share:         1,
+		spreadPeriods: initialSpread,
+		lastCall:      now - 1,
+	}
 	s.slotOffset = int64(set.positionFraction() * float64(s.period))
 	if set.PollInterval == 0 {
 		s.nextSlot = now // the agent is asked at no cost
@@ -160,9 +167,9 @@
 	return s, nil
 }
 
-// positionFraction is this limiter's place in a round, in [0, 1). Places go by steps of the golden section, so that limiters
-// next to each other in number, which share customers and are restarted together, ask far apart; they go by rank among
-// those of all limiters, so that they are evenly apart at every size.
+// positionFraction is this limiter's place in a period, in [0, 1). Places go by steps of the golden section, so that
+// limiters next to each other in number, which share customers and are restarted together, ask far apart; they go by
+// rank among those of all limiters, so that they are evenly apart at every size.
 func (s *Settings) positionFraction() float64 {
 	if s.Position < 0 {
 		return s.Jitter
@@ -191,7 +198,7 @@
 	return s.PollInterval / ((s.PollInterval + in - 1) / in)
 }
 
-// slotFrom is the first of this limiter's instants that is not before a time. What the caller's clock counts from must
+// slotFrom is the first of this limiter's slots that is not before a time. What the caller's clock counts from must
 // be the same at all limiters: the system's time is.
 func (s *Start) slotFrom(from int64) int64 {
 	in := (from - s.slotOffset) % s.period
@@ -218,7 +225,10 @@
 			s.unansweredSince = now + hold + more
 		}
 	case ListReceived:
-		s.answered, s.unansweredSince, s.spreadPeriods, s.retrying = true, 0, max(initialSpread, s.spreadPeriods*spreadDecay), false
+		s.answered, s.unansweredSince, s.spreadPeriods, s.retrying = true, 0, max(
+			initialSpread,
+			s.spreadPeriods*spreadDecay,
+		), false
 		s.mergeList(e)
 		s.nextSlot = s.slotAfter(now)
 	case CallThrottled:
@@ -226,7 +236,7 @@
 		s.callFailed(now)
 	case CallFailed:
 		s.callFailed(now)
-	case DiscoveryMoved: // what the new address has to tell counts as told soon; a stated budget goes before that
+	case DiscoveryMoved: // what the new address has to tell counts as notified soon; a stated budget goes before that
 		s.nextSlot = now
 		if s.settings.PollInterval > 0 && s.settings.CallRate > 0 {
 			s.nextSlot = s.slotAfter(now)
@@ -235,7 +245,8 @@
 	s.advance(now)
 }
 
-// callFailed notes a call without an answer: since its service owes one, the list may be older than it counts as told.
+// callFailed notes a call without an answer: since its service owes one, the list may be older than it counts as
+// notified.
 func (s *Start) callFailed(now int64) {
 	s.unansweredSince = min(s.unansweredSince, now)
 	if s.unansweredSince == 0 {
@@ -245,16 +256,17 @@
 	s.nextSlot = s.slotAfter(now)
 }
 
-// retryPeriods is the number of rounds within which a call behind a failed one has to go out, 1 at least: then what the
-// service has when it can be reached again is here before it counts as told, unless the settings are Late.
+// retryPeriods is the number of periods within which a call behind a failed one has to go out, 1 at least: then what
+// the service has when it can be reached again is here before it counts as notified, unless LateNotificationError says
+// otherwise.
 func (s *Settings) retryPeriods() int64 {
 	return max(1, (s.NotificationDeadline-answerDialTimeouts*s.DialTimeout)/s.Period())
 }
 
-// slotAfter is when the next call goes out behind one that has ended. Where lists are asked for that is an instant of this
-// limiter's behind that of the latest call. Calls that are turned away again and again say that the service bears less
-// than was stated or implied: then it is drawn from several rounds, by place, so that fewer limiters ask in a round,
-// and others in each. Where a budget is stated that is from no more rounds than keep the deadline of what the service
+// slotAfter is when the next call goes out behind one that has ended. Where lists are asked for that is a slot of this
+// limiter's behind that of the latest call. Calls that are throttled again and again say that the service bears less
+// than was stated or implied: then it is drawn from several periods, by place, so that fewer limiters ask in a period,
+// and others in each. Where a budget is stated that is from no more periods than keep the deadline of what the service
 // has.
 func (s *Start) slotAfter(now int64) int64 {
 	if s.settings.PollInterval == 0 {
@@ -334,8 +346,8 @@
 	s.phase = to
 }
 
-// certainShare is the share of what the listed servers can do warm that they can do for certainShare at a time. A server that is cold
-// when all limiters begin gets its part of the sum of them all: with all of them cold each limiter begins with
+// certainShare is the share of what the listed servers can do warm that they can do for sure at a time. A server that
+// is cold when all limiters begin gets its part of the sum of them all: with all of them cold each limiter begins with
 // cold-from.
 func (s *Start) certainShare(now int64) float64 {
 	sum := 0.0
@@ -363,15 +375,16 @@
 // nothing.
 func (s *Start) NextSlot() int64 { return s.nextSlot }
 
-// MissedSlot tells whether the instant of the next call has passed so long ago that a call now would be at another's.
+// MissedSlot tells whether the slot of the next call has passed so long ago that a call now would be at another's.
 // All that were stopped for a while and go on together would call at once. One that is always late calls late, once it
 // has missed a few.
 func (s *Start) MissedSlot(now int64) bool {
-	return s.settings.PollInterval > 0 && s.missedSlots < maxMissedSlots && now > s.nextSlot+s.period/int64(s.settings.Limiters)
+	return s.settings.PollInterval > 0 && s.missedSlots < maxMissedSlots &&
+		now > s.nextSlot+s.period/int64(s.settings.Limiters)
 }
 
 // HoldTime is how long a call that goes out at now lets the service hold it, and how long after that it is given up.
-// It is held up to the last instant of this limiter within ask-every, or to the next one if that is later: news comes
+// It is held up to the last slot of this limiter within ask-every, or to the next one if that is later: news comes
 // at once meanwhile, and where there is none the next call goes on with the watch. A retry is held within the deadline
 // of what the service has when it can be reached again.
 func (s *Start) HoldTime(now int64) (hold, more int64) {
@@ -386,14 +399,14 @@
 	return max(0, min(until-now-s.resumeLead(), maxHold)), queueDialTimeouts * s.settings.DialTimeout
 }
 
-// resumeLead is how long before an instant a held call comes back.
+// resumeLead is how long before a slot a held call comes back.
 func (s *Start) resumeLead() int64 {
 	return min(s.settings.DialTimeout/resumeDialParts, s.period/resumePeriodParts)
 }
 
 // ResponseTimeout is after how long a call that goes out at now and may wait for hold is given up if it is still
-// unanswered: just before the last instant from which the next call brings what this one missed before it counts as
-// told, or before the first instant behind the hold where that one is too late as well.
+// unanswered: just before the last slot from which the next call brings what this one missed before it counts as
+// told, or before the first slot behind the hold where that one is too late as well.
 func (s *Start) ResponseTimeout(now, hold int64) int64 {
 	told := now + s.settings.NotificationDeadline
 	if hold > 0 && !s.retrying {
--- a/internal/counterloss/counterloss.go
+++ b/internal/counterloss/counterloss.go
@@ -4,9 +4,10 @@
 // an operator knows the error before the counter fails.
 //
 // Source: Reserve and Reconcile (docs/design.md): without the counter each of a customer's s limiters decides by its
-// slice, which holds max(u·B/s, J) and fills at u·R/s (B the plan's burst, R its rate, J the largest request, u the
-// most equal parts that a slice can be, choice.Uneven, and no more than s); a fallen total gives no store back; a hard
-// ceiling is kept by each limiter's own part, D/s filling at H/s, with no answer of the counter at all.
+// local quota, which holds max(u·B/s, J) and fills at u·R/s (B the plan's burst, R its rate, J the largest request, u
+// the most equal parts that a local quota can be, choice.LocalQuotaParts, and no more than s); a fallen total gives no
+// bucket back; a hard ceiling is kept by each limiter's own part, D/s filling at H/s, with no answer of the counter at
+// all.
 package counterloss
 
 import (
@@ -23,8 +24,8 @@
 
 // The cases the bound is stated for.
 const (
-	Lost  Scenario = iota // down, refusing, or answering after the wait: the slices decide
-	Reset                 // emptied, or replaced by an empty store
+	Lost  Scenario = iota // down, refusing, or answering after the wait: the local quotas decide
+	Reset                 // emptied, or replaced by an empty bucket
 	Split                 // parts that each see only some of the limiters' adds
 )
 
@@ -73,19 +74,19 @@
 	n := float64(s)
 	switch c {
 	case Lost:
-		// s slices, each max(u·B/s, J) at once and u·R/s a second, against B + R·t.
+		// s local quotas, each max(u·B/s, J) at once and u·R/s a second, against B + R·t.
 		u := math.Min(n, choice.LocalQuotaParts)
 		b.BurstExcess = max(u*plan.Burst, n*mostUnits) - plan.Burst
 		b.ExcessRate = (u - 1) * plan.Rate
 	case Reset:
-		// A limiter that has not looked lately takes the burst anew from an empty total, once for the store
+		// A limiter that has not looked lately takes the burst anew from an empty total, once for the bucket
 		// that was forgotten; those that had looked keep what they knew, and a fallen total gives nothing back.
 		b.BurstExcess = plan.Burst
 	case Split:
 		if parts < 2 {
 			return Bound{}, fmt.Errorf("counterloss: a split of %d parts", parts)
 		}
-		// Each part that holds one of the customer's limiters sees a whole store and a whole rate; when it
+		// Each part that holds one of the customer's limiters sees a whole bucket and a whole rate; when it
 		// heals, the parts that lose forget what was added there, which is a reset for their limiters.
 		m := float64(min(parts, s))
 		b.Parts = parts
--- a/internal/counterwire/errors.go
+++ b/internal/counterwire/errors.go
@@ -17,7 +17,7 @@
 	return "many of them: check that the counter, and nothing else, listens at the configuration's counter address"
 }
 
-// shown is how many bytes of a spoilt line an error holds.
+// shown is how many bytes of a malformed line an error holds.
 const shown = 32
 
 func spoilt(b []byte) error { return &MalformedError{Line: string(b[:min(len(b), shown)])} }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -98,7 +98,11 @@
 	state, known := endpointStates[w.State]
 	if !known {
 		name := entryName(place, w.ID)
-		return Endpoint{}, &ListRefusedError{Server: name, Key: "lifecycle", Why: strconv.Quote(w.State) + " is not known"}
+		return Endpoint{}, &ListRefusedError{
+			Server: name,
+			Key:    "lifecycle",
+			Why:    strconv.Quote(w.State) + " is not known",
+		}
 	}
 	if w.ID == "" {
 		return Endpoint{}, &ListRefusedError{Server: entryName(place, ""), Key: "instanceId", Why: "missing"}
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -99,7 +99,7 @@
 	return whole.Bytes(), took, err
 }
 
-// readChunks writes the content of readChunks and tells its size and how many bytes they took.
+// readChunks writes the content of chunks and tells its size and how many bytes they took.
 func readChunks(b []byte, to io.Writer) (size int64, took int, err error) {
 	under := bytes.NewReader(b)
 	from := bufio.NewReader(under)
--- a/internal/limiter/arrival.go
+++ b/internal/limiter/arrival.go
@@ -58,7 +58,7 @@
 	arrival choice.Arrival
 	// timeoutStart and timeoutEnd enclose the client's time in the word of fields.
 	timeoutStart, timeoutEnd int
-	firstLimiter             float64 // the first of the customer's limiters, negative where it is not told
+	firstLimiter             float64 // the first of the customer's limiters, negative where it is not given
 }
 
 // parseRequest reads a request's command. It is as strict as the protocol: what a server turns away costs that
--- a/internal/limiter/attempts.go
+++ b/internal/limiter/attempts.go
@@ -30,7 +30,7 @@
 		group == choice.ScopeCell && p.cell == o.cell
 }
 
-// Send is an effect of the module. An attempt that cannot be sent any more was never sent.
+// Send is an effect of the controller. An attempt that cannot be sent any more was never sent.
 func (l *Limiter) Send(id, server string) {
 	q := l.requests.byID[id]
 	att := &attempt{request: q, number: len(q.attempts), decidedAt: l.now, open: true}
@@ -50,7 +50,7 @@
 	})
 }
 
-// Cancel is an effect of the module: it closes the attempt's connection.
+// Cancel is an effect of the controller: it closes the attempt's connection.
 func (l *Limiter) Cancel(id string, number int) {
 	q := l.requests.byID[id]
 	if q == nil || number >= len(q.attempts) || !q.attempts[number].open {
@@ -63,7 +63,7 @@
 	}
 }
 
-// endAttempt ends an attempt, once, and owes the module its answer.
+// endAttempt ends an attempt, once, and owes the controller its answer.
 func (l *Limiter) endAttempt(att *attempt, reply choice.AttemptResult) {
 	if !att.open {
 		return
@@ -84,7 +84,7 @@
 }
 
 // outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which
-// servers know the request again by an earlier attempt, or in no group with that one. The module is to decide anew.
+// servers know the request again by an earlier attempt, or in no group with that one. The controller is to decide anew.
 func (att *attempt) outdated() bool {
 	now := att.conn.pool.limiter.now
 	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.limiter.settings.DialTimeout ||
--- a/internal/limiter/close_reason.go
+++ b/internal/limiter/close_reason.go
@@ -12,7 +12,7 @@
 	PeerClosed                          // the other side ended it
 	PeerReset                           // the other side broke it off
 	ProtocolError                       // we ended it: what came was not understood
-	AttemptCancelled                    // we ended it: the module called the attempt off
+	AttemptCancelled                    // we ended it: the controller called the attempt off
 	DeadlineExceeded                    // we ended it: the request's time was over
 	NoResponse                          // we ended it: nothing came for too long
 	IdleClosed                          // we ended it: it was idle, or there was need of its descriptor
--- a/internal/limiter/cold_start.go
+++ b/internal/limiter/cold_start.go
@@ -16,7 +16,8 @@
 
 // What the protocol says of every deployment, in nanoseconds.
 const (
-	notificationDeadline = 6e9  // what a silent discovery has to tell counts as told so long after the silence began
+	// what a silent discovery has to tell counts as notified so long after the silence began
+	notificationDeadline = 6e9
 	readinessDeadline    = 30e9 // and a limiter has to be ready within this time
 )
 
@@ -196,7 +197,15 @@
 		l.becomeReady()
 	}
 	if phase != s.phase {
-		slog.Info("start", "phase", phase.String(), "share", fmt.Sprintf("%.2f", s.start.Share()), "setbacks", s.start.Setbacks)
+		slog.Info(
+			"start",
+			"phase",
+			phase.String(),
+			"share",
+			fmt.Sprintf("%.2f", s.start.Share()),
+			"setbacks",
+			s.start.Setbacks,
+		)
 		s.phase = phase
 	}
 	l.timers.cancel(s.timer)
@@ -207,7 +216,7 @@
 
 func (s *coldStart) timePassed() { s.step(coldstart.Event{}) }
 
-// listApplied tells the rules of a listApplied that was applied.
+// listApplied tells the cold start of a list that was applied.
 func (s *coldStart) listApplied(kind coldstart.Kind, list *discovery.List) {
 	e := coldstart.Event{Kind: kind, Whole: list.Complete, Servers: make([]coldstart.Server, len(list.Endpoints))}
 	for i, entry := range list.Endpoints {
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -15,7 +15,7 @@
 	pingTimeouts    = 40 // one that is idle for so many is pinged, before the counter closes it
 )
 
-// counterClient holds the connections to the counterClient.
+// counterClient holds the connections to the counter.
 type counterClient struct {
 	limiter    *Limiter
 	conns      []*counterConn
@@ -40,7 +40,7 @@
 	timeout  *timer
 	ping     bool
 	lastByte int64 // the place of its last byte among all that was written, 0 before
-	answered bool  // the module has had its answer; a late one belongs to nobody
+	answered bool  // the controller has had its answer; a late one belongs to nobody
 }
 
 // connect dials one more line.
@@ -51,8 +51,8 @@
 	return ln
 }
 
-// AddToCounter is an effect of the module. Calls on one name that are out go on one line, so that they are answered in
-// their order.
+// AddToCounter is an effect of the controller. Calls on one name that are out go on one line, so that they are
+// answered in their order.
 func (l *Limiter) AddToCounter(name uint64, amount float64, lifetime int64) {
 	k := &l.counter
 	c := &counterCall{name: name, amount: amount, lifetime: lifetime, madeAt: l.now}
@@ -69,7 +69,7 @@
 	}
 }
 
-// connFor chooses the connFor for a call.
+// connFor chooses the connection for a call.
 func (k *counterClient) connFor(name uint64) *counterConn {
 	var best *counterConn
 	lines := 0
@@ -139,7 +139,7 @@
 	ln.client.reply(c, DeadlineExceeded.counted(c.lastByte > 0), 0)
 }
 
-// reply owes the module the answer to a call, once.
+// reply owes the controller the answer to a call, once.
 func (k *counterClient) reply(c *counterCall, outcome choice.Outcome, total float64) {
 	if c.answered || c.ping {
 		return
@@ -228,7 +228,7 @@
 	}
 }
 
-// hasPendingCalls tells whether a call is out that the module hasPendingCalls for.
+// hasPendingCalls tells whether a call is in flight that the controller waits for.
 func (k *counterClient) hasPendingCalls() bool {
 	for _, ln := range k.conns {
 		for _, c := range ln.calls {
--- a/internal/limiter/discovery.go
+++ b/internal/limiter/discovery.go
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// scheduleSlot makes the scheduleSlot call when a stated budget allows it.
+// scheduleSlot makes the next call when a stated budget allows it.
 func (w *discoveryClient) scheduleSlot() {
 	w.limiter.timers.cancel(w.retryTimer)
 	if at := w.limiter.coldStart.start.NextSlot(); at > w.limiter.now {
@@ -261,7 +261,7 @@
 	w.connect()
 }
 
-// revalidate asks at once what has changed. Before the first call of all there is nothing to ask revalidate.
+// revalidate asks at once what has changed. Before the first call of all there is nothing to ask anew.
 func (w *discoveryClient) revalidate() {
 	if w.conn == nil {
 		return
@@ -293,7 +293,8 @@
 		w.limiter.closeConn(w.conn, IdleClosed)
 		return
 	}
-	// It waits for its turn at the old address. What the new one has to tell counts as told before that may be over.
+	// It waits for its turn at the old address. What the new one has to tell counts as notified before that may be
+	// over.
 	w.limiter.timers.cancel(w.retryTimer)
 	if w.limiter.coldStart.hasCallRate() {
 		w.scheduleSlot()
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,11 +1,13 @@
-// Package limiter is one limiter without its sockets: it holds all state of the process and is the one reducer that changes it.
+// Package limiter is one limiter without its sockets: it holds all state of the process and is the one reducer that
+// changes it.
 //
-// Step takes an Event (events.go), one at a time and always on the same goroutine. It turns events into calls on the admission
-// controller (package choice), does what the controller asks for, and asks for effects on the sockets (Effects). It decides nothing
-// about requests. Package sockets calls it in the process, the lab's simfleet in memory.
+// Step takes an Event (events.go), one at a time and always on the same goroutine. It turns events into calls on the
+// admission controller (package choice), does what the controller asks for, and asks for effects on the sockets
+// (Effects). It decides nothing about requests. Package sockets calls it in the process, the lab's simfleet in memory.
 //
-// The state is divided among parts: clients (clients.go, client.go), requests and attempts, server pools, the counter client, the
-// discovery client with the endpoint list, the cold start, timers, and what a suspension of the process and its shutdown need.
+// The state is divided among parts: clients (clients.go, client.go), requests and attempts, server pools, the counter
+// client, the discovery client with the endpoint list, the cold start, timers, and what a suspension of the process
+// and its shutdown need.
 package limiter
 
 import (
@@ -48,7 +50,7 @@
 	words [][]byte // the words of the command that is read
 }
 
-// pendingResult is what the module is told once its present call is over.
+// pendingResult is what the controller is told once its present call is over.
 type pendingResult struct {
 	attempt       choice.AttemptResult
 	counterReply  bool
@@ -132,7 +134,7 @@
 	l.armTimer()
 }
 
-// deliverResults tells the module what it is owed, in order; each call on it may bring more.
+// deliverResults tells the controller what it is owed, in order; each call on it may bring more.
 func (l *Limiter) deliverResults() {
 	for i := 0; i < len(l.results); i++ {
 		switch o := l.results[i]; {
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// appendCommand writes the request's appendCommand with the time that is left.
+// appendCommand writes the request's command with the time that is left.
 func (q *request) appendCommand(to []byte, now int64) []byte {
 	left := strconv.AppendInt(nil, max(1, (q.deadline-now)/1e6), 10)
 	list := bytes.Join([][]byte{q.beforeTimeout, left, q.afterTimeout}, nil)
@@ -114,7 +114,7 @@
 	return resp.AppendCommand(to, append(words, q.words[wordBody:]...)...)
 }
 
-// Reject is an effect of the module.
+// Reject is an effect of the controller.
 func (l *Limiter) Reject(id string, retryAfter int64, cause choice.RejectReason) {
 	l.stats.outcomes.rejected[cause]++
 	text := busyAnswer
@@ -127,7 +127,7 @@
 	}
 }
 
-// Fail is an effect of the module.
+// Fail is an effect of the controller.
 func (l *Limiter) Fail(id string) {
 	if q := l.requests.byID[id]; q != nil {
 		l.move(q, stateFailed, failedAnswer)
--- a/internal/limiter/server_pools.go
+++ b/internal/limiter/server_pools.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// HealthCheck is an effect of the module: the server answers a command that does no work.
+// HealthCheck is an effect of the controller: the server answers a command that does no work.
 func (l *Limiter) HealthCheck(server string) {
 	begin := func(b *serverConn) {
 		b.healthCheckTimer = l.schedule(l.now+l.settings.DialTimeout, func() { l.closeConn(b.conn, DeadlineExceeded) })
--- a/internal/limiter/shutdown.go
+++ b/internal/limiter/shutdown.go
@@ -53,8 +53,8 @@
 		since+budget > lateRequestFrom+killAfterLate-killMargin
 }
 
-// flushIfDone lets the module add what it owes to the counter, once the process is to end and nothing is out; again if
-// a request came after all.
+// flushIfDone lets the controller add what it owes to the counter, once the process is to end and nothing is out;
+// again if a request came after all.
 func (l *Limiter) flushIfDone() {
 	if l.shutdown.lingerUntil != 0 && l.now >= l.shutdown.lingerUntil && len(l.requests.byID) == 0 &&
 		!l.shutdown.flushed {
--- a/internal/limiter/suspension.go
+++ b/internal/limiter/suspension.go
@@ -37,7 +37,7 @@
 	return l.settings.DialTimeout
 }
 
-// maxQuietTime is the longest time without an event that is no standing maxQuietTime. What the process was told in it
+// maxQuietTime is the longest time without an event that is no suspension. What the process was told in it
 // may be read behind a request, so it must not be longer than the grace.
 func (l *Limiter) maxQuietTime() int64 {
 	still := max(maxQuietDialTimeouts*l.settings.DialTimeout, minQuietTime)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -39,12 +39,15 @@
 // String is the event's line in the log without time and level.
 func (e Event) String() string {
 	var line bytes.Buffer
-	handler := slog.NewTextHandler(&line, &slog.HandlerOptions{ReplaceAttr: func(groups []string, attr slog.Attr) slog.Attr {
-		if len(groups) == 0 && (attr.Key == slog.TimeKey || attr.Key == slog.LevelKey) {
-			return slog.Attr{}
-		}
-		return nameEvent(groups, attr)
-	}})
+	handler := slog.NewTextHandler(
+		&line,
+		&slog.HandlerOptions{ReplaceAttr: func(groups []string, attr slog.Attr) slog.Attr {
+			if len(groups) == 0 && (attr.Key == slog.TimeKey || attr.Key == slog.LevelKey) {
+				return slog.Attr{}
+			}
+			return nameEvent(groups, attr)
+		}},
+	)
 	slog.New(handler).LogAttrs(context.Background(), slog.LevelInfo, e.Name, e.Attrs...)
 	return strings.TrimSuffix(line.String(), "\n")
 }
--- a/internal/pollpacer/pollpacer.go
+++ b/internal/pollpacer/pollpacer.go
@@ -2,7 +2,7 @@
 // call ended and is told how long to wait before the next one, in nanoseconds.
 //
 // A call that is asked again at once is harmless in one limiter. In a fleet that starts together it keeps discovery
-// overbooked for good: each call that is turned away comes again before the others have had their turn.
+// overbooked for good: each call that is throttled comes again before the others have had their turn.
 package pollpacer
 
 import "math"
@@ -12,7 +12,7 @@
 
 // The failures.
 const (
-	Throttled Failure = iota // turned away: discovery has too much to do
+	Throttled Failure = iota // throttled: discovery has too much to do
 	Failed                   // no answer, or one that cannot be read
 )
 
@@ -38,8 +38,8 @@
 	// firstCallParts: where discovery is polled the first call comes within this part of the poll interval.
 	firstCallParts = 2
 
-	// pushedGraceParts: where changes are pushed, what the own machine's agent has counts at once, so the next call comes within
-	// this part of the grace,
+	// pushedGraceParts: where changes are pushed, what the own machine's agent has counts at once, so the next call
+	// comes within this part of the grace,
 	pushedGraceParts = 5
 	// maxPushedPause: and after no longer than that, nanoseconds, as it costs nothing there,
 	maxPushedPause = 50e6
@@ -61,14 +61,15 @@
 
 // Pacer is one limiter's way of asking. The zero value is not of use; see New.
 type Pacer struct {
-	dialTimeout      int64   // a dial time-out
-	pollInterval     int64   // the longest time between calls where they are work for discovery, 0 where changes are pushed
+	dialTimeout int64 // a dial time-out
+	// the longest time between calls where they are work for discovery, 0 where changes are pushed
+	pollInterval     int64
 	pushedPause      int64   // the longest between them where they are none
 	positionFraction float64 // this limiter's place among all, in [0, 1)
 	failures         int     // calls in a row without an answer
 	lastResponse     int64   // when the list that is held was last known to be discovery's
 	holdUntil        int64   // until when the latest call may wait
-	notifiedAt       int64   // from when on what is missed counts as told, 0 while nothing is
+	notifiedAt       int64   // from when on what is missed counts as notified, 0 while nothing is
 	earlyCallLeft    bool    // one call may come early for that
 	retrying         bool    // the next call is a retry: no answer has come since a call failed
 	callMadeAt       int64   // when the call that is out was made, noCall while none is
@@ -98,9 +99,11 @@
 
 // FirstDelay is how long to wait before the first call. Limiters that start together would overbook a discovery that
 // takes their calls in turn, and what it cannot answer in time is work in vain: by their places they come evenly. The
-// list of the configuration holds until then, but not for longer than its news takes to count as told.
+// list of the configuration holds until then, but not for longer than its news takes to count as notified.
 func (p *Pacer) FirstDelay() int64 {
-	return int64(p.positionFraction * float64(min(p.pollInterval/firstCallParts, notifiedAfterSilence-p.retryAllowance())))
+	return int64(
+		p.positionFraction * float64(min(p.pollInterval/firstCallParts, notifiedAfterSilence-p.retryAllowance())),
+	)
 }
 
 // DialTimeout is how long a connection to discovery may take to come up.
@@ -109,20 +112,20 @@
 // PartialResponseTimeout is how long the rest of an answer that has begun may take.
 func (p *Pacer) PartialResponseTimeout() int64 { return 2 * p.dialTimeout }
 
-// retryAllowance is what has to be left when a call is given up: a dial that is never answered, the pause after it, a dial and an
-// answer.
+// retryAllowance is what has to be left when a call is given up: a dial that is never answered, the pause after it, a
+// dial and an answer.
 func (p *Pacer) retryAllowance() int64 {
 	return 3*p.dialTimeout + p.dialTimeout/firstFailurePauseParts*3/2 + processingMargin
 }
 
 // MaxBackoff is the longest pause behind a failed call that keeps the notification deadline. Discovery may come back
 // just after a dial that it will never answer: that dial's time-out, the pause, and the dial and the answer of the
-// next call come before what discovery has counts as told.
+// next call come before what discovery has counts as notified.
 func (p *Pacer) MaxBackoff() int64 { return notifiedAfterSilence - 3*p.dialTimeout - processingMargin }
 
 // NextPoll tells how long a call that is made now is to wait for news, and after how long it is given up if it is
 // still unanswered. A call for the whole list does not wait. To give one up that stands in discovery's queue and ask
-// again adds to the queue, so where it is asked it is held for as long as leaves room before news counts as told. A
+// again adds to the queue, so where it is asked it is held for as long as leaves room before news counts as notified. A
 // retry waits for less, so that it is over within the deadline for what discovery has when it can be reached again.
 func (p *Pacer) NextPoll(now int64, whole bool) (hold, limit int64) {
 	switch {
@@ -187,7 +190,7 @@
 // RetryDelay takes the end of a call that brought no list and tells how long to wait before the next one: longer with
 // each in a row. Limiters that failed together come again apart: the wait is between half and one and a half of its
 // span, by the limiter's place, which steps on with each failure. Where the next call would come after what is missed
-// counts as told, one comes before that, apart again: one more a limiter and outage, and the others stay where they
+// counts as notified, one comes before that, apart again: one more a limiter and outage, and the others stay where they
 // were.
 func (p *Pacer) RetryDelay(now int64, end Failure) int64 {
 	if p.notifiedAt == 0 {
@@ -215,8 +218,8 @@
 	return pause
 }
 
-// meanBackoff is the mean pause behind a failed call where the notification deadline leaves it, longer with each failure in a
-// row.
+// meanBackoff is the mean pause behind a failed call where the notification deadline leaves it, longer with each
+// failure in a row.
 func (p *Pacer) meanBackoff(end Failure) int64 {
 	span := p.dialTimeout / firstFailurePauseParts
 	most := maxFailurePause * p.dialTimeout
@@ -236,9 +239,9 @@
 	return span
 }
 
-// maxPause is the maxPause pause behind a call that was made at asked and ends now. A call without an answer may have
+// maxPause is the longest pause behind a call that was made at asked and ends now. A call without an answer may have
 // been lost as discovery came back, so the next one is over within the deadline from when that one was made; it is
-// never sooner than the first pause of all. A call that was turned away has had an answer: discovery was not back
+// never sooner than the first pause of all. A call that was throttled has had an answer: discovery was not back
 // before that.
 func (p *Pacer) maxPause(now, asked int64, end Failure) int64 {
 	longest := p.MaxBackoff()
@@ -248,9 +251,9 @@
 	return max(longest, p.dialTimeout/firstFailurePauseParts*3/2)
 }
 
-// jittered draws a pause from between half and one and a half of a span, or from the upper half of what is allowed where
-// that would be longer. Half of the draw is the limiter's place then: pauses of one mean would keep a fleet in step
-// for good. part is in [0, 1).
+// jittered draws a pause from between half and one and a half of a span, or from the upper half of what is allowed
+// where that would be longer. Half of the draw is the limiter's place then: pauses of one mean would keep a fleet in
+// step for good. part is in [0, 1).
 func (p *Pacer) jittered(span, longest int64, part float64) int64 {
 	least := span / 2
 	most := span/2 + span
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -1,7 +1,7 @@
 package settings
 
-// Bounds of figures. Nobody means one beyond them, and the arithmetic in nanoseconds holds within them: what is shorter would
-// round to no time at all, and what is longer would overflow.
+// Bounds of figures. Nobody means one beyond them, and the arithmetic in nanoseconds holds within them: what is
+// shorter would round to no time at all, and what is longer would overflow.
 const (
 	minTime  = 1e-4 // seconds
 	maxTime  = 1e8  // seconds
@@ -10,7 +10,7 @@
 	maxCount = 1e6
 )
 
-// figure is a number by its key, and what it may be; 0 stands for one that is not told, where that may be.
+// figure is a number by its key, and what it may be; 0 stands for one that is not given, where that may be.
 type figure struct {
 	key        string
 	value      float64
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings decodes what a limiter is told at its start: the settings, which the simulator's first message and the
-// configuration of a real limiter hold alike (settings.go, wire.go), and that configuration (config.go). Keys keep the names of
-// the operators' pages; the Go fields have the terms of the code. Both programs use it, and the configuration is read again on
-// SIGHUP.
+// Package settings decodes what a limiter is told at its start: the settings, which the simulator's first message and
+// the configuration of a real limiter hold alike (settings.go, wire.go), and that configuration (config.go). Keys keep
+// the names of the operators' pages; the Go fields have the terms of the code. Both programs use it, and the
+// configuration is read again on SIGHUP.
 package settings
 
 import (
@@ -23,9 +23,10 @@
 // Settings are the controller's settings and, beside them, what only sockets read. Times are nanoseconds.
 type Settings struct {
 	*choice.Settings
-	IdleClose      int64   // a server closes a connection that has been idle for so long
-	PollInterval   int64   // the longest time between calls to discovery where it tells only those that ask, else 0
-	DrainGrace     int64   // how long after notice that it drains a server may still be sent to; 0 where it is not told
+	IdleClose    int64 // a server closes a connection that has been idle for so long
+	PollInterval int64 // the longest time between calls to discovery where it tells only those that ask, else 0
+	// how long after notice that it drains a server may still be sent to; 0 where it is not given
+	DrainGrace     int64
 	MaxActualUnits float64 // the most units that an answer can say a request took; 0 where requests tell their own
 }
 
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -34,7 +34,7 @@
 	Idempotency         string   `json:"effect"`
 	DeduplicationScope  string   `json:"group"`
 	DeduplicationWindow float64  `json:"dedup-window"`
-	PriorityWeight      float64  `json:"worth"` // 0 where it is not told
+	PriorityWeight      float64  `json:"worth"` // 0 where it is not given
 }
 
 type wirePlan struct {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
 // Package simwire speaks the simulator's wire, which WIRE-ospreycroft.md describes, and hosts instances
-// of the module that share nothing. It holds names, units and framing, and no decision.
+// of the controller that share nothing. It holds names, units and framing, and no decision.
 package simwire
 
 import (
@@ -240,7 +240,11 @@
 			return nil, fmt.Errorf("availability %q is not known", *entry.Availability)
 		}
 		endpoints[i] = choice.Endpoint{
-			ID: take(r, "server", entry.Server), Zone: entry.RackZone, Cell: entry.Pod, State: state, Weight: entry.PowerHint,
+			ID: take(
+				r,
+				"server",
+				entry.Server,
+			), Zone: entry.RackZone, Cell: entry.Pod, State: state, Weight: entry.PowerHint,
 		}
 		if entry.OnlineSince != nil {
 			endpoints[i].StartedAt = nanos(*entry.OnlineSince)
@@ -273,7 +277,7 @@
 	return a
 }
 
-// call runs one call on the module; a panic in it is reported on the wire as its bug.
+// call runs one call on the controller; a panic in it is reported on the wire as its bug.
 func (in *instance) call(wall int64, do func(*choice.Controller)) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -28,7 +28,8 @@
 	readMutex      sync.Mutex     // held from before bytes leave the kernel until they are posted
 	bytesPosted    int64          // bytes, under reading
 	bytesDelivered atomic.Int64   // bytes of them that the reducer was told of
-	backpressured  atomic.Bool    // mostOfOne wait, and what else has come is read once the reducer was told of some
+	// maxClientBytes wait, and what else has come is read once the reducer was told of some
+	backpressured atomic.Bool
 }
 
 // Sockets is safe for use by nbio's goroutines and the one that calls Run; Effects are for the latter alone.
@@ -49,9 +50,9 @@
 	lingering   []*connection // connections that were left and may not be closed yet
 }
 
-// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the process may hold
-// fewer descriptors than it should: the connections to discovery and to servers need theirs. Errors: *AddressInUseError,
-// *AddressError, *DescriptorsError.
+// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the
+// process may hold fewer descriptors than it should: the connections to discovery and to servers need theirs. Errors:
+// *AddressInUseError, *AddressError, *DescriptorsError.
 func Listen(address string, clients, descriptors int) (*Sockets, error) {
 	logging.SetLevel(logging.LevelError)
 	nbio.MaxOpenFiles = 2 * descriptors // nbio keeps a table of all descriptors there could be
@@ -62,8 +63,8 @@
 	s.drained.L = &s.mutex
 	s.engine = nbio.NewEngine(nbio.Config{
 		Name: "ospreycroft", Network: "tcp", Addrs: []string{address}, NPoller: 1,
-		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection has just come up
-		// and is written to.
+		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection has
+		// just come up and is written to.
 		EpollMod: nbio.EPOLLET,
 		Listen:   s.accepting.listen,
 	})
@@ -126,7 +127,7 @@
 	return &connection{id: s.lastID, cancel: cancel, accepting: gate}
 }
 
-// isClient tells whether a connection is a isClient's. Its record was made under the lock, on another goroutine.
+// isClient tells whether a connection is a client's. Its record was made under the lock, on another goroutine.
 func (s *Sockets) isClient(l *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// peerEnded tells whether the other side has peerEnded the connection, as far as the kernel knows.
+// peerEnded tells whether the other side has ended the connection, as far as the kernel knows.
 func peerEnded(c *nbio.Conn) bool {
 	c.Lock()
 	defer c.Unlock()
@@ -123,7 +123,7 @@
 	return 0
 }
 
-// waitingBytes waitingBytes the kernel how many bytes wait on a connection; 0 where that cannot be known.
+// waitingBytes asks the kernel how many bytes wait on a connection; 0 where that cannot be known.
 func waitingBytes(c *nbio.Conn, which uintptr) int {
 	c.Lock()
 	defer c.Unlock()
