--- a/internal/coldstart/advice.go
+++ b/internal/coldstart/advice.go
@@ -10,18 +10,18 @@
 }
 
 // Error says what happened.
-func (b *SettingError) Error() string { return fmt.Sprintf("%s is %v", b.Key, b.Value) }
+func (e *SettingError) Error() string { return fmt.Sprintf("%s is %v", e.Key, e.Value) }
 
 // Hint is what to do.
-func (b *SettingError) Hint() string { return b.Key + " has to be " + b.Want }
+func (e *SettingError) Hint() string { return e.Key + " has to be " + e.Want }
 
 // Check tells whether a start can be computed from the settings. Errors: *SettingError.
 func (s *Settings) Check() error {
 	for _, c := range []struct {
-		bad  bool
-		key  string
-		is   float64
-		want string
+		invalid bool
+		key     string
+		value   float64
+		want    string
 	}{
 		{s.Limiters < 1, "limiters", float64(s.Limiters), "1 or more"},
 		{s.Position >= s.Limiters, "place", float64(s.Position), "below the number of limiters"},
@@ -36,8 +36,8 @@
 		{!(s.CallRate >= 0 && s.CallRate <= 1e6), "list_calls_per_s", s.CallRate, "from 0 to a million"},
 		{!(s.ConnectionRate >= 0 && s.ConnectionRate <= 1e6), "start.connections_per_s", s.ConnectionRate, "from 0 to a million"},
 	} {
-		if c.bad {
-			return &SettingError{c.key, c.is, c.want}
+		if c.invalid {
+			return &SettingError{c.key, c.value, c.want}
 		}
 	}
 	return nil
@@ -52,9 +52,9 @@
 	AllPolledWithin int64 // nanoseconds until all limiters have asked, and between the calls of one after news
 	// so much later than it counts as notified can news come, behind failed calls too, in nanoseconds; 0 where it
 	// cannot
-	Late           int64
-	Enough         float64 // calls a second with which it could not
-	ConnectionRate float64 // new connections a second that one limiter opens to one server of so many, 0 for no bound
+	MaxLateness        int64
+	SufficientCallRate float64 // calls a second with which it could not
+	ConnectionRate     float64 // new connections a second that one limiter opens to one server of so many, 0 for no bound
 }
 
 // LateNotificationError is the advice that the stated budget cannot give all limiters their list before it counts as
@@ -62,21 +62,21 @@
 type LateNotificationError struct{ Advice }
 
 // Error says what happened.
-func (l *LateNotificationError) Error() string {
+func (e *LateNotificationError) Error() string {
 	return fmt.Sprintf(
 		"with %.4g calls a second all limiters have asked the list service after %.3g s, and news can come %.3g s "+
 			"later than it counts as told",
-		l.CallRate,
-		float64(l.AllPolledWithin)/1e9,
-		float64(l.Late)/1e9,
+		e.CallRate,
+		float64(e.AllPolledWithin)/1e9,
+		float64(e.MaxLateness)/1e9,
 	)
 }
 
 // Hint is what to do.
-func (l *LateNotificationError) Hint() string {
+func (e *LateNotificationError) Hint() string {
 	return fmt.Sprintf(
 		"let the list service bear %.4g calls a second and state that, run fewer limiters, or have lists pushed",
-		l.Enough,
+		e.SufficientCallRate,
 	)
 }
 
@@ -93,9 +93,9 @@
 	a.AllPolledWithin = s.Period()
 	a.StatedRate = s.CallRate > 0
 	a.CallRate = float64(s.Limiters) * 1e9 / float64(a.AllPolledWithin)
-	a.Late = max(0, a.AllPolledWithin+answerDialTimeouts*s.DialTimeout-s.NotificationDeadline)
-	a.Enough = float64(s.Limiters) * 1e9 / float64(s.NotificationDeadline-answerDialTimeouts*s.DialTimeout)
-	if a.Late > 0 {
+	a.MaxLateness = max(0, a.AllPolledWithin+answerDialTimeouts*s.DialTimeout-s.NotificationDeadline)
+	a.SufficientCallRate = float64(s.Limiters) * 1e9 / float64(s.NotificationDeadline-answerDialTimeouts*s.DialTimeout)
+	if a.MaxLateness > 0 {
 		return a, &LateNotificationError{a}
 	}
 	return a, nil
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -40,32 +40,32 @@
 	answerDialTimeouts = 2
 	// minPeriodDialTimeouts: a period is so many dial time-outs at least. However much is borne, more brings no news.
 	minPeriodDialTimeouts = 1
-	// initialSpread is the number of periods from which the next slot is drawn: less than one, so that a single call
+	// initialSpreadPeriods is the number of periods from which the next slot is drawn: less than one, so that a single call
 	// that is throttled changes nothing.
-	initialSpread = 1. / 2
-	// maxSpread bounds that number, which doubles with each throttled call in a row.
-	maxSpread = 4
+	initialSpreadPeriods = 1. / 2
+	// maxSpreadPeriods bounds that number, which doubles with each throttled call in a row.
+	maxSpreadPeriods = 4
 	// spreadDecay is the factor on that number for each call that is answered.
 	spreadDecay = 7. / 8
-	// holdDeadlineParts: what a call that may be held missed counts as notified this part of the notification deadline
+	// holdDeadlineDivisor: what a call that may be held missed counts as notified this part of the notification deadline
 	// after its hold, if that is later.
-	holdDeadlineParts = 3
-	// earlyParts: a call is given up this part of the resume lead before a slot.
-	earlyParts = 8
+	holdDeadlineDivisor = 3
+	// timeoutMarginDivisor: a call is given up this part of the resume lead before a slot.
+	timeoutMarginDivisor = 8
 	// maxMissedSlots: after so many missed slots in a row a limiter calls however late it is.
 	maxMissedSlots = 4
-	// resumeDialParts: a held call comes back this part of a dial time-out before the next slot,
-	resumeDialParts = 1
-	// resumePeriodParts: or this part of a period if that is less, so that the next call goes on with the watch.
-	resumePeriodParts = 4
+	// resumeDialDivisor: a held call comes back this part of a dial time-out before the next slot,
+	resumeDialDivisor = 1
+	// resumePeriodDivisor: or this part of a period if that is less, so that the next call goes on with the watch.
+	resumePeriodDivisor = 4
 	// maxHold is the longest time that the protocol holds a call, nanoseconds.
 	maxHold = 60e9
 	// queueDialTimeouts is how many dial time-outs a call is waited for beyond its hold, where it stands in a queue.
 	queueDialTimeouts = 8
-	// maxReadyWaitShare is the part of the readiness deadline after which a limiter waits for no list any more.
-	maxReadyWaitShare = 2. / 3
-	// setbackShare: with less than this share of what its servers can do for sure a limiter goes back to warming.
-	setbackShare = 7. / 8
+	// maxReadyWaitFraction is the part of the readiness deadline after which a limiter waits for no list any more.
+	maxReadyWaitFraction = 2. / 3
+	// setbackThreshold: with less than this share of what its servers can do for sure a limiter goes back to warming.
+	setbackThreshold = 7. / 8
 )
 
 // Phase is how far a start has come.
@@ -86,9 +86,9 @@
 // String gives the word for log lines.
 func (p Phase) String() string { return [...]string{"starting", "syncing", "warming", "steady"}[p] }
 
-// edges are the only ways from phase to phase. Nothing leads back to starting: a limiter that has said that it is ready
+// transitions are the only ways from phase to phase. Nothing leads back to starting: a limiter that has said that it is ready
 // stays so, and one that was killed begins a new Start.
-var edges = [...][]Phase{
+var transitions = [...][]Phase{
 	Starting: {Syncing},
 	Syncing:  {Warming},
 	Warming:  {Steady, Syncing},
@@ -137,7 +137,7 @@
 	nextSlot        int64    // the slot of the next call
 	lastCall        int64    // the slot of the latest call, the start before there is one
 	retrying        bool     // no answer has come since a call failed
-	callsEnded      int      // that have ended
+	completedCalls  int      // that have ended
 	missedSlots     int      // slots in a row that were slept through
 	spreadPeriods   float64  // the periods from which the next slot is drawn
 	unansweredSince int64    // since when the service owes an answer, 0 while it does not
@@ -155,7 +155,7 @@
 		period:        set.Period(),
 		startedAt:     now,
 		share:         1,
-		spreadPeriods: initialSpread,
+		spreadPeriods: initialSpreadPeriods,
 		lastCall:      now - 1,
 	}
 	s.slotOffset = int64(set.positionFraction() * float64(s.period))
@@ -163,7 +163,7 @@
 		s.nextSlot = now // the agent is asked at no cost
 		return s, nil
 	}
-	s.nextSlot = s.slotFrom(now)
+	s.nextSlot = s.slotAtOrAfter(now)
 	return s, nil
 }
 
@@ -174,7 +174,7 @@
 	if s.Position < 0 {
 		return s.Jitter
 	}
-	golden := func(i int) float64 { _, part := math.Modf(float64(i) * math.Phi); return part }
+	golden := func(i int) float64 { _, fraction := math.Modf(float64(i) * math.Phi); return fraction }
 	rank := 0
 	for i := range s.Limiters {
 		if golden(i) < golden(s.Position) {
@@ -194,21 +194,21 @@
 	case s.CallRate > 0:
 		return max(int64(math.Ceil(float64(s.Limiters)/s.CallRate*1e9)), minPeriodDialTimeouts*s.DialTimeout)
 	}
-	in := s.NotificationDeadline - answerDialTimeouts*s.DialTimeout
-	return s.PollInterval / ((s.PollInterval + in - 1) / in)
+	answerBudget := s.NotificationDeadline - answerDialTimeouts*s.DialTimeout
+	return s.PollInterval / ((s.PollInterval + answerBudget - 1) / answerBudget)
 }
 
-// slotFrom is the first of this limiter's slots that is not before a time. What the caller's clock counts from must
+// slotAtOrAfter is the first of this limiter's slots that is not before a time. What the caller's clock counts from must
 // be the same at all limiters: the system's time is.
-func (s *Start) slotFrom(from int64) int64 {
-	in := (from - s.slotOffset) % s.period
-	if in < 0 {
-		in += s.period
+func (s *Start) slotAtOrAfter(earliest int64) int64 {
+	elapsed := (earliest - s.slotOffset) % s.period
+	if elapsed < 0 {
+		elapsed += s.period
 	}
-	if in == 0 {
-		return from
+	if elapsed == 0 {
+		return earliest
 	}
-	return from - in + s.period
+	return earliest - elapsed + s.period
 }
 
 // Step takes one event. It is the only function that changes a Start.
@@ -217,22 +217,22 @@
 	case ListRestored:
 		s.mergeList(e)
 	case SlotMissed:
-		s.missedSlots, s.nextSlot = s.missedSlots+1, s.slotFrom(now)
+		s.missedSlots, s.nextSlot = s.missedSlots+1, s.slotAtOrAfter(now)
 	case CallMade:
 		s.lastCall = now
 		s.missedSlots = 0
-		if hold, more := s.HoldTime(now); s.unansweredSince == 0 {
-			s.unansweredSince = now + hold + more
+		if hold, grace := s.HoldTime(now); s.unansweredSince == 0 {
+			s.unansweredSince = now + hold + grace
 		}
 	case ListReceived:
 		s.answered, s.unansweredSince, s.spreadPeriods, s.retrying = true, 0, max(
-			initialSpread,
+			initialSpreadPeriods,
 			s.spreadPeriods*spreadDecay,
 		), false
 		s.mergeList(e)
 		s.nextSlot = s.slotAfter(now)
 	case CallThrottled:
-		s.spreadPeriods = min(2*s.spreadPeriods, maxSpread)
+		s.spreadPeriods = min(2*s.spreadPeriods, maxSpreadPeriods)
 		s.callFailed(now)
 	case CallFailed:
 		s.callFailed(now)
@@ -272,24 +272,24 @@
 	if s.settings.PollInterval == 0 {
 		return now
 	}
-	s.callsEnded++
-	_, part := math.Modf(s.settings.positionFraction() + float64(s.callsEnded)*math.Phi)
-	at, spread := s.slotFrom(max(now, s.lastCall+1)), s.spreadPeriods
+	s.completedCalls++
+	_, fraction := math.Modf(s.settings.positionFraction() + float64(s.completedCalls)*math.Phi)
+	slot, spread := s.slotAtOrAfter(max(now, s.lastCall+1)), s.spreadPeriods
 	if s.settings.CallRate > 0 {
-		rounds := (s.lastCall+s.settings.retryPeriods()*s.period-at)/s.period + 1
-		spread = min(spread, float64(max(1, rounds)))
+		periods := (s.lastCall+s.settings.retryPeriods()*s.period-slot)/s.period + 1
+		spread = min(spread, float64(max(1, periods)))
 	}
-	return at + int64(part*spread)*s.period
+	return slot + int64(fraction*spread)*s.period
 }
 
 // mergeList draws a list in. A server of which a later start is known than the list tells keeps that.
 func (s *Start) mergeList(e Event) {
 	if e.Whole {
-		named := map[string]bool{}
+		listed := map[string]bool{}
 		for _, v := range e.Servers {
-			named[v.ID] = true
+			listed[v.ID] = true
 		}
-		s.servers = slices.DeleteFunc(s.servers, func(v Server) bool { return !named[v.ID] })
+		s.servers = slices.DeleteFunc(s.servers, func(v Server) bool { return !listed[v.ID] })
 	}
 	for _, v := range e.Servers {
 		i, found := slices.BinarySearchFunc(
@@ -312,52 +312,52 @@
 // advance moves along the edges as far as things stand now.
 func (s *Start) advance(now int64) {
 	if s.phase == Starting && now >= s.ReadyAt() {
-		s.moveTo(Syncing)
+		s.transitionTo(Syncing)
 	}
 	if s.phase == Starting {
 		return
 	}
-	gone := !s.answered || s.unansweredSince != 0 && now > s.unansweredSince+s.settings.NotificationDeadline
-	sure := s.certainShare(now)
+	stale := !s.answered || s.unansweredSince != 0 && now > s.unansweredSince+s.settings.NotificationDeadline
+	capacity := s.capacityFraction(now)
 	switch {
-	case gone && s.phase != Syncing:
-		s.moveTo(Syncing)
-	case !gone && s.phase == Syncing:
-		s.moveTo(Warming)
-	case !gone && s.phase == Steady && sure < setbackShare:
-		s.moveTo(Warming)
+	case stale && s.phase != Syncing:
+		s.transitionTo(Syncing)
+	case !stale && s.phase == Syncing:
+		s.transitionTo(Warming)
+	case !stale && s.phase == Steady && capacity < setbackThreshold:
+		s.transitionTo(Warming)
 	}
 	if s.phase == Steady {
-		sure = 1 // a few cold servers are the rotation's matter: their turns are fewer
+		capacity = 1 // a few cold servers are the rotation's matter: their turns are fewer
 	}
-	if sure < s.share {
+	if capacity < s.share {
 		s.Setbacks++
 	}
-	s.share = sure
-	if s.phase == Warming && sure == 1 {
-		s.moveTo(Steady)
+	s.share = capacity
+	if s.phase == Warming && capacity == 1 {
+		s.transitionTo(Steady)
 	}
 }
 
-func (s *Start) moveTo(to Phase) {
-	if !slices.Contains(edges[s.phase], to) {
+func (s *Start) transitionTo(to Phase) {
+	if !slices.Contains(transitions[s.phase], to) {
 		panic(fmt.Sprintf("a start goes from %s to %s", s.phase, to))
 	}
 	s.phase = to
 }
 
-// certainShare is the share of what the listed servers can do warm that they can do for sure at a time. A server that
+// capacityFraction is the share of what the listed servers can do warm that they can do for sure at a time. A server that
 // is cold when all limiters begin gets its part of the sum of them all: with all of them cold each limiter begins with
 // cold-from.
-func (s *Start) certainShare(now int64) float64 {
+func (s *Start) capacityFraction(now int64) float64 {
 	sum := 0.0
 	for _, v := range s.servers {
 		if v.StartedAt == 0 || now >= v.StartedAt+s.settings.SlowStartWindow {
 			sum++
 			continue
 		}
-		part := float64(max(0, now-v.StartedAt)) / float64(s.settings.SlowStartWindow)
-		sum += s.settings.ColdCapacity + (1-s.settings.ColdCapacity)*part
+		fraction := float64(max(0, now-v.StartedAt)) / float64(s.settings.SlowStartWindow)
+		sum += s.settings.ColdCapacity + (1-s.settings.ColdCapacity)*fraction
 	}
 	if len(s.servers) == 0 || sum == float64(len(s.servers)) {
 		return 1
@@ -387,7 +387,7 @@
 // It is held up to the last slot of this limiter within ask-every, or to the next one if that is later: news comes
 // at once meanwhile, and where there is none the next call goes on with the watch. A retry is held within the deadline
 // of what the service has when it can be reached again.
-func (s *Start) HoldTime(now int64) (hold, more int64) {
+func (s *Start) HoldTime(now int64) (hold, grace int64) {
 	if s.settings.PollInterval == 0 || !s.hasList {
 		return 0, queueDialTimeouts * s.settings.DialTimeout
 	}
@@ -395,38 +395,38 @@
 	if s.retrying && s.settings.CallRate > 0 {
 		within = min(within, s.settings.NotificationDeadline-answerDialTimeouts*s.settings.DialTimeout)
 	}
-	until := s.slotFrom(now + 1 + max(0, within-s.period))
+	until := s.slotAtOrAfter(now + 1 + max(0, within-s.period))
 	return max(0, min(until-now-s.resumeLead(), maxHold)), queueDialTimeouts * s.settings.DialTimeout
 }
 
 // resumeLead is how long before a slot a held call comes back.
 func (s *Start) resumeLead() int64 {
-	return min(s.settings.DialTimeout/resumeDialParts, s.period/resumePeriodParts)
+	return min(s.settings.DialTimeout/resumeDialDivisor, s.period/resumePeriodDivisor)
 }
 
 // ResponseTimeout is after how long a call that goes out at now and may wait for hold is given up if it is still
 // unanswered: just before the last slot from which the next call brings what this one missed before it counts as
 // told, or before the first slot behind the hold where that one is too late as well.
 func (s *Start) ResponseTimeout(now, hold int64) int64 {
-	told := now + s.settings.NotificationDeadline
+	notifiedAt := now + s.settings.NotificationDeadline
 	if hold > 0 && !s.retrying {
-		told = max(told, now+hold+s.settings.NotificationDeadline/holdDeadlineParts)
+		notifiedAt = max(notifiedAt, now+hold+s.settings.NotificationDeadline/holdDeadlineDivisor)
 	}
-	spare := s.resumeLead() / earlyParts
-	last := s.slotFrom(told-answerDialTimeouts*s.settings.DialTimeout+1) - s.period
-	return max(last, s.slotFrom(now+hold+spare+1)) - spare - now
+	margin := s.resumeLead() / timeoutMarginDivisor
+	lastSlot := s.slotAtOrAfter(notifiedAt-answerDialTimeouts*s.settings.DialTimeout+1) - s.period
+	return max(lastSlot, s.slotAtOrAfter(now+hold+margin+1)) - margin - now
 }
 
 // ReadyAt is when the limiter says that it is ready, as things stand. With a list, however old, it waits for its parts
 // of the ceilings and for its first word from the list service, which it does not wait for longer than a connection
 // takes; with none it would only turn requests away, so it waits for one, though not for ever.
 func (s *Start) ReadyAt() int64 {
-	bound := s.startedAt + int64(maxReadyWaitShare*float64(s.settings.ReadinessDeadline))
+	deadline := s.startedAt + int64(maxReadyWaitFraction*float64(s.settings.ReadinessDeadline))
 	if s.answered {
-		return min(s.startedAt+s.settings.CeilingLeadTime, bound)
+		return min(s.startedAt+s.settings.CeilingLeadTime, deadline)
 	}
 	if s.hasList {
-		return min(s.startedAt+max(s.settings.CeilingLeadTime, s.settings.DialTimeout), bound)
+		return min(s.startedAt+max(s.settings.CeilingLeadTime, s.settings.DialTimeout), deadline)
 	}
-	return bound
+	return deadline
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -20,10 +20,10 @@
 	epoch  = int64(1e18)
 )
 
-func settings(limiters, place int, budget float64) Settings {
+func testSettings(limiters, position int, callRate float64) Settings {
 	return Settings{
 		Limiters:             limiters,
-		Position:             place,
+		Position:             position,
 		DialTimeout:          second / 4,
 		PollInterval:         10 * second,
 		ColdCapacity:         0.25,
@@ -31,68 +31,68 @@
 		NotificationDeadline: 6 * second,
 		ReadinessDeadline:    30 * second,
 		CeilingLeadTime:      second,
-		CallRate:             budget,
+		CallRate:             callRate,
 	}
 }
 
 // fleet is all limiters before one list service.
 type fleet struct {
-	t       require.TestingT
-	set     Settings
-	all     []*Start
-	back    []int64 // when the call that is out ends
-	listed  []int64 // when the list came, 0 before
-	calls   []int64
-	turned  int
-	chance  *rand.Rand
-	down    bool
-	news    bool
-	refuses float64 // the share of calls that it turns away,
-	bears   float64 // or how many it takes a second, where above 0
-	taken   float64
-	at      int64
+	t                require.TestingT
+	settings         Settings
+	starts           []*Start
+	callEndsAt       []int64 // when the call that is out ends
+	firstListAt      []int64 // when the list came, 0 before
+	calls            []int64
+	throttledCalls   int
+	rng              *rand.Rand
+	unavailable      bool
+	hasNews          bool
+	throttleFraction float64 // the share of calls that it turns away,
+	serviceRate      float64 // or how many it takes a second, where above 0
+	backlog          float64
+	backlogAt        int64
 }
 
-func made(t require.TestingT, set Settings) *fleet {
-	n := set.Limiters
-	f := &fleet{t: t, set: set, all: make([]*Start, n), back: make([]int64, n), listed: make([]int64, n),
-		chance: rand.New(rand.NewSource(7))}
+func newFleet(t require.TestingT, settings Settings) *fleet {
+	n := settings.Limiters
+	f := &fleet{t: t, settings: settings, starts: make([]*Start, n), callEndsAt: make([]int64, n), firstListAt: make([]int64, n),
+		rng: rand.New(rand.NewSource(7))}
 	for i := range n {
-		f.start(i, epoch+f.chance.Int63n(second)) // within a second
+		f.start(i, epoch+f.rng.Int63n(second)) // within a second
 	}
 	return f
 }
 
 func (f *fleet) start(i int, now int64) {
-	set := f.set
-	set.Position, set.CeilingLeadTime = i, f.chance.Int63n(40*second)
-	s, err := New(now, set)
+	settings := f.settings
+	settings.Position, settings.CeilingLeadTime = i, f.rng.Int63n(40*second)
+	s, err := New(now, settings)
 	require.NoError(f.t, err)
-	f.all[i], f.back[i], f.listed[i] = s, 0, 0
+	f.starts[i], f.callEndsAt[i], f.firstListAt[i] = s, 0, 0
 	f.step(i, now, Event{Kind: ListRestored, Whole: true, Servers: f.list(now)})
 }
 
 // list is one of servers of which some are cold, and some have gone.
 func (f *fleet) list(now int64) (out []Server) {
-	for i := range f.chance.Intn(4) {
-		out = append(out, Server{fmt.Sprint(i), now - f.chance.Int63n(60*second), f.chance.Intn(9) == 0})
+	for i := range f.rng.Intn(4) {
+		out = append(out, Server{fmt.Sprint(i), now - f.rng.Int63n(60*second), f.rng.Intn(9) == 0})
 	}
 	return out
 }
 
 // step takes one event to one limiter, and what holds of it alone is looked at.
 func (f *fleet) step(i int, now int64, e Event) {
-	s := f.all[i]
-	from, share, setbacks := s.Phase(), s.Share(), s.Setbacks
+	s := f.starts[i]
+	phaseBefore, shareBefore, setbacksBefore := s.Phase(), s.Share(), s.Setbacks
 	s.Step(now, e) // panics off the edges
 	switch age := now - s.startedAt; {
-	case s.Phase() == Starting && from != Starting, s.Phase() == Starting && age >= s.settings.ReadinessDeadline:
+	case s.Phase() == Starting && phaseBefore != Starting, s.Phase() == Starting && age >= s.settings.ReadinessDeadline:
 		require.FailNow(f.t, "not ready", "after %d ns", age)
 	case s.Phase() != Starting && age < min(s.settings.CeilingLeadTime, s.settings.ReadinessDeadline/2):
 		require.FailNow(f.t, "ready before its parts have filled", "after %d ns", age)
-	case s.Share() < share && s.Setbacks == setbacks || s.Share() <= 0 || s.Share() > 1:
-		require.FailNow(f.t, "no list has thrown it back", "share %v after %v in %v", s.Share(), share, s.Phase())
-	case s.NextSlot() > now+(maxSpread+1)*s.period:
+	case s.Share() < shareBefore && s.Setbacks == setbacksBefore || s.Share() <= 0 || s.Share() > 1:
+		require.FailNow(f.t, "no list has thrown it back", "share %v after %v in %v", s.Share(), shareBefore, s.Phase())
+	case s.NextSlot() > now+(maxSpreadPeriods+1)*s.period:
 		require.FailNow(f.t, "it asks no more", "limiter %d", i)
 	}
 	if hold, _ := s.HoldTime(now); hold > 0 && hold < maxHold && (now+hold-s.slotOffset)%s.period < s.period/2 {
@@ -103,44 +103,44 @@
 // run plays all until a time, in steps of a millisecond.
 func (f *fleet) run(now, until int64) {
 	for ; now < until; now += 1e6 {
-		for i, s := range f.all {
+		for i, s := range f.starts {
 			switch {
 			case now < s.startedAt: // not yet there
-			case f.back[i] > 0 && now >= f.back[i] && f.down:
+			case f.callEndsAt[i] > 0 && now >= f.callEndsAt[i] && f.unavailable:
 				f.step(i, now, Event{Kind: CallFailed})
-				f.back[i] = 0
-			case f.back[i] > 0 && now >= f.back[i]:
-				f.step(i, now, Event{Kind: ListReceived, Whole: f.chance.Intn(2) == 0, Servers: f.list(now)})
-				if f.back[i] = 0; f.listed[i] == 0 {
-					f.listed[i] = now
+				f.callEndsAt[i] = 0
+			case f.callEndsAt[i] > 0 && now >= f.callEndsAt[i]:
+				f.step(i, now, Event{Kind: ListReceived, Whole: f.rng.Intn(2) == 0, Servers: f.list(now)})
+				if f.callEndsAt[i] = 0; f.firstListAt[i] == 0 {
+					f.firstListAt[i] = now
 				}
-			case f.back[i] == 0 && s.MissedSlot(now):
+			case f.callEndsAt[i] == 0 && s.MissedSlot(now):
 				f.step(i, now, Event{Kind: SlotMissed})
-			case f.back[i] == 0 && now >= s.NextSlot():
+			case f.callEndsAt[i] == 0 && now >= s.NextSlot():
 				f.step(i, now, Event{Kind: CallMade})
 				f.calls = append(f.calls, now)
-				f.taken, f.at = max(0, f.taken-f.bears*float64(now-f.at)/1e9), now
-				if f.chance.Float64() < f.refuses || f.bears > 0 && f.taken > 2 {
-					f.turned++
+				f.backlog, f.backlogAt = max(0, f.backlog-f.serviceRate*float64(now-f.backlogAt)/1e9), now
+				if f.rng.Float64() < f.throttleFraction || f.serviceRate > 0 && f.backlog > 2 {
+					f.throttledCalls++
 					f.step(i, now, Event{Kind: CallThrottled})
 					continue
 				}
-				f.taken++
+				f.backlog++
 				hold, more := s.HoldTime(now)
-				if f.back[i] = now + hold; f.down {
-					f.back[i] += more
-				} else if f.listed[i] == 0 || f.news { // its list is old, or there will be news
-					f.back[i] = now + f.chance.Int63n(hold+50e6)/2
+				if f.callEndsAt[i] = now + hold; f.unavailable {
+					f.callEndsAt[i] += more
+				} else if f.firstListAt[i] == 0 || f.hasNews { // its list is old, or there will be news
+					f.callEndsAt[i] = now + f.rng.Int63n(hold+50e6)/2
 				}
-			case f.chance.Intn(500) == 0:
+			case f.rng.Intn(500) == 0:
 				f.step(i, now, Event{})
 			}
 		}
 	}
 }
 
-// worst is the most calls in any second.
-func worst(calls []int64) (most int) {
+// maxCallsPerSecond is the most calls in any second.
+func maxCallsPerSecond(calls []int64) (most int) {
 	slices.Sort(calls)
 	for i, j := 0, 0; j < len(calls); j++ {
 		for calls[j]-calls[i] >= second {
@@ -151,9 +151,9 @@
 	return most
 }
 
-// TestFleet: whatever is killed, turned away, moved and silent, all limiters together keep within the budget, at every
+// TestFleetCallRate: whatever is killed, turned away, moved and silent, all limiters together keep within the budget, at every
 // size.
-func TestFleet(t *testing.T) {
+func TestFleetCallRate(t *testing.T) {
 	// a hundred take minutes
 	for name, value := range map[string]string{"checks": "5", "seed": "7", "nofailfile": "true"} {
 		require.NoError(t, flag.Set("rapid."+name, value))
@@ -161,22 +161,22 @@
 	for _, limiters := range []int{10, 100, 300, 1000} {
 		t.Run(fmt.Sprint(limiters), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				set, now := settings(limiters, 0, rapid.SampledFrom([]float64{3, 20, 55.5}).Draw(t, "budget")), epoch
-				f := made(t, set)
-				f.news = true
+				set, now := testSettings(limiters, 0, rapid.SampledFrom([]float64{3, 20, 55.5}).Draw(t, "budget")), epoch
+				f := newFleet(t, set)
+				f.hasNews = true
 				for range min(max(12000/limiters, 30), 200) {
-					f.down, f.refuses = rapid.IntRange(0, 4).
+					f.unavailable, f.throttleFraction = rapid.IntRange(0, 4).
 						Draw(t, "down") ==
 						0, rapid.SampledFrom([]float64{0, 0, 0.5, 1}).
 						Draw(t, "503")
 					killed := rapid.SampledFrom([]float64{0, 0, 0.1, 0.7, 1}).Draw(t, "killed")
 					moved := rapid.IntRange(0, 9).Draw(t, "moved") == 0
-					for i := range f.all {
-						if f.chance.Float64() < killed {
-							f.start(i, now+f.chance.Int63n(second))
-						} else if moved && now > f.all[i].startedAt {
+					for i := range f.starts {
+						if f.rng.Float64() < killed {
+							f.start(i, now+f.rng.Int63n(second))
+						} else if moved && now > f.starts[i].startedAt {
 							f.step(i, now, Event{Kind: DiscoveryMoved})
-							f.back[i] = 0
+							f.callEndsAt[i] = 0
 						}
 					}
 					dt := second / 10 * rapid.Int64Range(1, 20).Draw(t, "dt")
@@ -184,40 +184,40 @@
 					if now += dt; rapid.IntRange(0, 9).Draw(t, "stopped") == 0 { // all of them, and go on
 						now += 3 * dt
 					}
-					require.LessOrEqual(t, worst(f.calls), int(math.Ceil(set.CallRate))+1, "calls in a second")
+					require.LessOrEqual(t, maxCallsPerSecond(f.calls), int(math.Ceil(set.CallRate))+1, "calls in a second")
 				}
 			})
 		})
 	}
 }
 
-// TestCold: limiters start together, seven in ten are killed in the middle, and the list service is silent for eight
+// TestColdFleetGetsLists: limiters start together, seven in ten are killed in the middle, and the list service is silent for eight
 // seconds meanwhile. What it bears is stated, or not: then it turns calls away, and yet all come to their lists.
-func TestCold(t *testing.T) {
+func TestColdFleetGetsLists(t *testing.T) {
 	for _, limiters := range []int{10, 100, 300} {
-		for _, c := range []struct{ stated, bears, most float64 }{{20, 20, 0}, {0, 30, 1.35}, {60, 60, 0}} {
-			f := made(t, settings(limiters, 0, c.stated))
-			f.bears = c.bears
+		for _, c := range []struct{ statedRate, serviceRate, maxThrottledPerLimiter float64 }{{20, 20, 0}, {0, 30, 1.35}, {60, 60, 0}} {
+			f := newFleet(t, testSettings(limiters, 0, c.statedRate))
+			f.serviceRate = c.serviceRate
 			f.run(epoch, epoch+2*second)
-			f.down = true
+			f.unavailable = true
 			for i := range limiters * 7 / 10 {
-				f.start(i, epoch+3*second+f.chance.Int63n(second))
+				f.start(i, epoch+3*second+f.rng.Int63n(second))
 			}
 			f.run(epoch+2*second, epoch+10*second)
-			f.down = false
+			f.unavailable = false
 			f.run(epoch+10*second, epoch+60*second)
-			assert.True(t, !slices.Contains(f.listed, 0) && float64(f.turned) <= c.most*float64(limiters),
-				"%d, %v: turned away %d times, or some have no list", limiters, c, f.turned)
+			assert.True(t, !slices.Contains(f.firstListAt, 0) && float64(f.throttledCalls) <= c.maxThrottledPerLimiter*float64(limiters),
+				"%d, %v: turned away %d times, or some have no list", limiters, c, f.throttledCalls)
 		}
 	}
 }
 
-func TestReady(t *testing.T) {
+func TestReadyAt(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		kinds      []Kind
-		servers    int
-		lead, want int64
+		name                  string
+		kinds                 []Kind
+		servers               int
+		ceilingLeadTime, want int64
 	}{
 		{"an old list: a dial time-out", []Kind{ListRestored}, 1, 0, second / 4},
 		{"the agent's first word", []Kind{ListRestored, ListReceived}, 1, 0, 0},
@@ -225,8 +225,8 @@
 		{"no list: as long as it may", []Kind{CallFailed}, 0, 0, 20 * second},
 		{"an empty list is none", []Kind{ListRestored}, 0, 0, 20 * second},
 	} {
-		set := settings(300, 4, 20)
-		set.CeilingLeadTime = c.lead
+		set := testSettings(300, 4, 20)
+		set.CeilingLeadTime = c.ceilingLeadTime
 		s, _ := New(epoch, set)
 		for _, k := range c.kinds {
 			s.Step(epoch, Event{Kind: k, Whole: true, Servers: make([]Server, c.servers)})
@@ -238,7 +238,7 @@
 // TestShare: with all servers cold it begins with what they can do for sure, and what came back cold later throws it
 // back.
 func TestShare(t *testing.T) {
-	set := settings(10, 0, 20)
+	set := testSettings(10, 0, 20)
 	set.CeilingLeadTime = 0
 	s, _ := New(epoch, set)
 	list := func(since ...int64) Event {
@@ -266,11 +266,11 @@
 	}
 }
 
-// TestBucket: the limiters that share a server open no more connections to it in a second than it bears, and one each
+// TestConnectionRate: the limiters that share a server open no more connections to it in a second than it bears, and one each
 // way.
-func TestBucket(t *testing.T) {
+func TestConnectionRate(t *testing.T) {
 	for _, c := range []struct{ limiters, servers int }{{10, 8}, {100, 40}, {300, 200}, {1000, 200}} {
-		set := settings(c.limiters, 0, 20)
+		set := testSettings(c.limiters, 0, 20)
 		set.ConnectionRate = 12
 		at := make([][]int64, c.servers)
 		for i := range c.limiters {
@@ -289,7 +289,7 @@
 		for server, calls := range at {
 			assert.LessOrEqual(
 				t,
-				worst(calls),
+				maxCallsPerSecond(calls),
 				int(set.ConnectionRate)+3,
 				"%v: connections to server %d in a second",
 				c,
@@ -300,10 +300,10 @@
 }
 
 func TestAdvise(t *testing.T) {
-	set := settings(300, 4, 20)
+	set := testSettings(300, 4, 20)
 	a, err := set.Advise(200)
 	var late *LateNotificationError
-	if !errors.As(err, &late) || a.AllPolledWithin != 15*second || a.Late != 15*second+second/2-6*second ||
+	if !errors.As(err, &late) || a.AllPolledWithin != 15*second || a.MaxLateness != 15*second+second/2-6*second ||
 		!strings.Contains(late.Hint(), "54.55") {
 		t.Fatalf("%+v, %v", a, err)
 	}
@@ -314,7 +314,7 @@
 	a, err = set.Advise(200)
 	require.True(t, err == nil && a.ConnectionRate == 0.5 && !a.EvenRate, "%+v, %v", a, err)
 	set.SlowStartWindow = 0
-	var bad *SettingError
+	var settingErr *SettingError
 	_, err = set.Advise(200)
-	require.True(t, errors.As(err, &bad) && bad.Key == "warm-within" && bad.Hint() != "", "%v", err)
+	require.True(t, errors.As(err, &settingErr) && settingErr.Key == "warm-within" && settingErr.Hint() != "", "%v", err)
 }
--- a/internal/coldstart/connections.go
+++ b/internal/coldstart/connections.go
@@ -37,8 +37,8 @@
 // begin apart.
 func NewBucket(now int64, set *Settings, servers int) Bucket {
 	servers = max(servers, 1)
-	_, level := math.Modf(set.positionFraction() * float64(servers) / float64(subsetSize(set.Limiters, servers)))
-	return Bucket{rate: set.ConnectionRate / float64(set.LimitersPerServer(servers)), tokens: level, updatedAt: now}
+	_, initialTokens := math.Modf(set.positionFraction() * float64(servers) / float64(subsetSize(set.Limiters, servers)))
+	return Bucket{rate: set.ConnectionRate / float64(set.LimitersPerServer(servers)), tokens: initialTokens, updatedAt: now}
 }
 
 // Take tells whether a connection may be opened at now and counts it.
--- a/internal/counterloss/counterloss.go
+++ b/internal/counterloss/counterloss.go
@@ -30,7 +30,7 @@
 )
 
 // String gives the word for log lines.
-func (c Scenario) String() string { return [...]string{"lost", "reset", "split"}[c] }
+func (s Scenario) String() string { return [...]string{"lost", "reset", "split"}[s] }
 
 // Bound is the most by which what reaches servers for one customer, counted as inside its quota, can pass the
 // quota's own bucket (B at once, R a second) over any span in which the case holds. Units and units a second.
@@ -41,43 +41,43 @@
 	Parts       int     // a split's parts; 1 otherwise
 	BurstExcess float64 // units beyond the quota's burst, once
 	ExcessRate  float64 // units a second beyond the quota's rate, for as long as the case lasts
-	// Ceiling is the most beyond a hard ceiling's depth and rate, over the same span: 0 by the arithmetic of
+	// CeilingExcess is the most beyond a hard ceiling's depth and rate, over the same span: 0 by the arithmetic of
 	// the parts whatever the counter does; NaN where the plan has no ceiling.
-	Ceiling float64
+	CeilingExcess float64
 	// Capped is true where the hard ceiling is the lower bound of the two: use never passes D + H·t.
 	Capped bool
 }
 
-// Over is the bound's total over a span of seconds, capped by the ceiling's own margin over the quota where the
+// Excess is the bound's total over a span of seconds, capped by the ceiling's own margin over the quota where the
 // plan has one: a ceiling of D and H leaves at most D − B + (H − R)·t beyond the quota.
-func (b Bound) Over(plan *choice.Plan, seconds float64) float64 {
-	over := b.BurstExcess + b.ExcessRate*seconds
+func (b Bound) Excess(plan *choice.Plan, seconds float64) float64 {
+	excess := b.BurstExcess + b.ExcessRate*seconds
 	if plan.CeilingRate > 0 {
-		over = math.Min(over, max(0, plan.CeilingBurst-plan.Burst+(plan.CeilingRate-plan.Rate)*seconds))
+		excess = math.Min(excess, max(0, plan.CeilingBurst-plan.Burst+(plan.CeilingRate-plan.Rate)*seconds))
 	}
-	return over
+	return excess
 }
 
 // BoundOf states the bound of one case for a plan, a set of s limiters and, for a split, its parts (at least 2).
 // Errors: a set below 1, a split of fewer than 2 parts, a plan with no rate.
-func BoundOf(name string, plan *choice.Plan, mostUnits float64, s int, c Scenario, parts int) (Bound, error) {
-	if s < 1 {
-		return Bound{}, fmt.Errorf("counterloss: a set of %d limiters", s)
+func BoundOf(name string, plan *choice.Plan, maxRequestUnits float64, limiters int, scenario Scenario, parts int) (Bound, error) {
+	if limiters < 1 {
+		return Bound{}, fmt.Errorf("counterloss: a set of %d limiters", limiters)
 	}
 	if plan.Rate <= 0 {
 		return Bound{}, fmt.Errorf("counterloss: plan %s has no rate", name)
 	}
-	b := Bound{Plan: name, Scenario: c, Limiters: s, Parts: 1, Ceiling: math.NaN()}
+	b := Bound{Plan: name, Scenario: scenario, Limiters: limiters, Parts: 1, CeilingExcess: math.NaN()}
 	if plan.CeilingRate > 0 {
-		b.Ceiling = 0
+		b.CeilingExcess = 0
 	}
-	n := float64(s)
-	switch c {
+	count := float64(limiters)
+	switch scenario {
 	case Lost:
-		// s local quotas, each max(u·B/s, J) at once and u·R/s a second, against B + R·t.
-		u := math.Min(n, choice.LocalQuotaParts)
-		b.BurstExcess = max(u*plan.Burst, n*mostUnits) - plan.Burst
-		b.ExcessRate = (u - 1) * plan.Rate
+		// s local quotas, each max(localParts·B/s, J) at once and localParts·R/s a second, against B + R·t.
+		localParts := math.Min(count, choice.LocalQuotaParts)
+		b.BurstExcess = max(localParts*plan.Burst, count*maxRequestUnits) - plan.Burst
+		b.ExcessRate = (localParts - 1) * plan.Rate
 	case Reset:
 		// A limiter that has not looked lately takes the burst anew from an empty total, once for the bucket
 		// that was forgotten; those that had looked keep what they knew, and a fallen total gives nothing back.
@@ -88,10 +88,10 @@
 		}
 		// Each part that holds one of the customer's limiters sees a whole bucket and a whole rate; when it
 		// heals, the parts that lose forget what was added there, which is a reset for their limiters.
-		m := float64(min(parts, s))
+		occupiedParts := float64(min(parts, limiters))
 		b.Parts = parts
-		b.BurstExcess = m * plan.Burst
-		b.ExcessRate = (m - 1) * plan.Rate
+		b.BurstExcess = occupiedParts * plan.Burst
+		b.ExcessRate = (occupiedParts - 1) * plan.Rate
 	}
 	b.Capped = plan.CeilingRate > 0
 	return b, nil
@@ -105,45 +105,45 @@
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	var out []Bound
+	var bounds []Bound
 	for _, name := range names {
 		plan := set.Plans[name]
 		if plan.Rate <= 0 {
 			continue // it has no quota in units that could be passed; a cap on attempts out is not bounded here
 		}
-		for _, c := range []struct {
-			c     Scenario
-			parts int
+		for _, row := range []struct {
+			scenario Scenario
+			parts    int
 		}{{Lost, 1}, {Reset, 1}, {Split, 2}, {Split, set.Limiters}} {
-			if c.c == Split && c.parts == 2 && set.Limiters <= 2 && len(out) > 0 && out[len(out)-1].Scenario == Split {
+			if row.scenario == Split && row.parts == 2 && set.Limiters <= 2 && len(bounds) > 0 && bounds[len(bounds)-1].Scenario == Split {
 				continue // one split of two is all there is
 			}
-			if c.c == Split && c.parts < 2 {
+			if row.scenario == Split && row.parts < 2 {
 				continue
 			}
-			b, err := BoundOf(name, plan, set.MaxRequestUnits, set.Limiters, c.c, c.parts)
+			b, err := BoundOf(name, plan, set.MaxRequestUnits, set.Limiters, row.scenario, row.parts)
 			if err != nil {
 				return nil, err
 			}
-			out = append(out, b)
+			bounds = append(bounds, b)
 		}
 	}
-	return out, nil
+	return bounds, nil
 }
 
 // Attrs is one bound as the log and `check` write it, with what it comes to over a minute.
 func (b Bound) Attrs(plan *choice.Plan) []slog.Attr {
 	ceiling := "none"
-	if !math.IsNaN(b.Ceiling) {
-		ceiling = rounded(b.Ceiling)
+	if !math.IsNaN(b.CeilingExcess) {
+		ceiling = formatFigure(b.CeilingExcess)
 	}
 	return []slog.Attr{
 		slog.String("plan", b.Plan), slog.String("case", b.Scenario.String()),
 		slog.Int("limiters", b.Limiters), slog.Int("parts", b.Parts),
-		slog.String("at_once", rounded(b.BurstExcess)), slog.String("a_second", rounded(b.ExcessRate)),
-		slog.String("over_a_minute", rounded(b.Over(plan, 60))), slog.String("ceiling_over", ceiling),
+		slog.String("at_once", formatFigure(b.BurstExcess)), slog.String("a_second", formatFigure(b.ExcessRate)),
+		slog.String("over_a_minute", formatFigure(b.Excess(plan, 60))), slog.String("ceiling_over", ceiling),
 	}
 }
 
-// rounded writes a figure with four digits, enough for an operator.
-func rounded(figure float64) string { return fmt.Sprintf("%.4g", figure) }
+// formatFigure writes a figure with four digits, enough for an operator.
+func formatFigure(figure float64) string { return fmt.Sprintf("%.4g", figure) }
--- a/internal/counterloss/counterloss_test.go
+++ b/internal/counterloss/counterloss_test.go
@@ -12,10 +12,10 @@
 var department = &choice.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40}
 var basic = &choice.Plan{Rate: 2, Burst: 8}
 
-func TestLostIsTheSlicesLargestRequests(t *testing.T) {
+func TestLostBound(t *testing.T) {
 	// 4 limiters whose slices are two equal parts each: 40 at once and 20 a second against 20 and 10.
 	b, err := BoundOf("department", department, 6, 4, Lost, 1)
-	if err != nil || b.BurstExcess != 20 || b.ExcessRate != 10 || b.Ceiling != 0 {
+	if err != nil || b.BurstExcess != 20 || b.ExcessRate != 10 || b.CeilingExcess != 0 {
 		t.Fatalf("%+v %v", b, err)
 	}
 	// 10 whose slices hold 6 units at least: 60 at once.
@@ -23,27 +23,27 @@
 		t.Fatalf("%+v", b)
 	}
 	alone, _ := BoundOf("basic", basic, 1, 1, Lost, 1)
-	if alone.BurstExcess != 0 || alone.ExcessRate != 0 || !math.IsNaN(alone.Ceiling) {
+	if alone.BurstExcess != 0 || alone.ExcessRate != 0 || !math.IsNaN(alone.CeilingExcess) {
 		t.Fatalf("one limiter's slice is the whole store: %+v", alone)
 	}
 }
 
-func TestSplitGrowsWithTimeButTheCeilingCapsIt(t *testing.T) {
+func TestSplitBoundIsCappedByCeiling(t *testing.T) {
 	b, _ := BoundOf("department", department, 6, 3, Split, 5) // only 3 parts can hold one of the 3 limiters
 	if b.BurstExcess != 60 || b.ExcessRate != 20 {            // 3 whole stores, the heal's loss among them
 		t.Fatalf("%+v", b)
 	}
 	// Over a minute: 60 + 1200 by the parts, but the ceiling leaves 20 + 10·60 = 620 beyond the quota.
-	if got := b.Over(department, 60); got != 620 {
+	if got := b.Excess(department, 60); got != 620 {
 		t.Fatalf("over a minute: %v", got)
 	}
 	free, _ := BoundOf("basic", basic, 6, 3, Split, 2)
-	if got := free.Over(basic, 60); got != 2*8+2*60 {
+	if got := free.Excess(basic, 60); got != 2*8+2*60 {
 		t.Fatalf("without a ceiling nothing caps it: %v", got)
 	}
 }
 
-func TestBadInputsAndTable(t *testing.T) {
+func TestInvalidInputsAndTable(t *testing.T) {
 	if _, err := BoundOf("x", basic, 6, 0, Lost, 1); err == nil {
 		t.Error("a set of none")
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -14,8 +14,8 @@
 const (
 	maxHeadBytes = 16 << 10
 	maxBodyBytes = 4 << 20
-	// maxStartMilliseconds is the last start of a server, in milliseconds, whose nanoseconds an int64 holds.
-	maxStartMilliseconds = math.MaxInt64 / 1e6
+	// maxStartedMs is the last start of a server, in milliseconds, whose nanoseconds an int64 holds.
+	maxStartedMs = math.MaxInt64 / 1e6
 )
 
 var endpointStates = map[string]choice.EndpointState{
@@ -36,14 +36,14 @@
 }
 
 // AppendFetch writes the call for the whole list.
-func AppendFetch(to []byte, host string) []byte {
-	return fmt.Appendf(to, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", host)
+func AppendFetch(dst []byte, host string) []byte {
+	return fmt.Appendf(dst, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", host)
 }
 
 // AppendWatch writes the call that waits, for hold nanoseconds at most, for something newer than a version.
-func AppendWatch(to []byte, host string, version, hold int64) []byte {
+func AppendWatch(dst []byte, host string, version, hold int64) []byte {
 	return fmt.Appendf(
-		to,
+		dst,
 		"GET /discovery/hosts?from=%d&hold_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		version,
 		hold/1e6,
@@ -94,10 +94,10 @@
 }
 
 // decode checks an entry, which stands at a place in the list.
-func (w *wireEndpoint) decode(place int) (Endpoint, error) {
+func (w *wireEndpoint) decode(index int) (Endpoint, error) {
 	state, known := endpointStates[w.State]
 	if !known {
-		name := entryName(place, w.ID)
+		name := entryName(index, w.ID)
 		return Endpoint{}, &ListRefusedError{
 			Server: name,
 			Key:    "lifecycle",
@@ -105,7 +105,7 @@
 		}
 	}
 	if w.ID == "" {
-		return Endpoint{}, &ListRefusedError{Server: entryName(place, ""), Key: "instanceId", Why: "missing"}
+		return Endpoint{}, &ListRefusedError{Server: entryName(index, ""), Key: "instanceId", Why: "missing"}
 	}
 	if _, _, err := net.SplitHostPort(w.Address); err != nil && state == choice.EndpointReady {
 		return Endpoint{}, &ListRefusedError{Server: w.ID, Key: "hostPort", Cause: err}
@@ -113,7 +113,7 @@
 	if w.Weight < 0 {
 		return Endpoint{}, &ListRefusedError{Server: w.ID, Key: "weight", Why: fmt.Sprintf("is %v", w.Weight)}
 	}
-	if w.StartedMs < 0 || w.StartedMs > maxStartMilliseconds {
+	if w.StartedMs < 0 || w.StartedMs > maxStartedMs {
 		return Endpoint{}, &ListRefusedError{Server: w.ID, Key: "startedAtMs", Why: fmt.Sprintf("is %v", w.StartedMs)}
 	}
 	return Endpoint{Address: w.Address, Endpoint: choice.Endpoint{
@@ -122,9 +122,9 @@
 }
 
 // entryName is how an error names an entry: by its id, or by its place in the list, from 0, where it has none.
-func entryName(i int, id string) string {
+func entryName(index int, id string) string {
 	if id == "" {
-		return strconv.Itoa(i)
+		return strconv.Itoa(index)
 	}
 	return id
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -109,14 +109,14 @@
 }
 
 // Err tells why an answer brings no list, by its status; nil where it does.
-func (a Response) Err() error {
-	switch a.Status {
+func (r Response) Err() error {
+	switch r.Status {
 	case http.StatusOK:
 		return nil
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return &ThrottledError{Status: a.Status}
+		return &ThrottledError{Status: r.Status}
 	}
-	return &StatusError{Status: a.Status}
+	return &StatusError{Status: r.Status}
 }
 
 // detail is the end of a message: why, and the cause underneath, as far as there are any.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -48,17 +48,17 @@
 }
 
 // Error says what happened.
-func (u *UnreadableError) Error() string {
-	return fmt.Sprintf("operator's file %s: %v", u.Path, u.Cause)
+func (e *UnreadableError) Error() string {
+	return fmt.Sprintf("operator's file %s: %v", e.Path, e.Cause)
 }
 
 // Hint is what to do.
-func (u *UnreadableError) Hint() string {
-	return "mend " + u.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
+func (e *UnreadableError) Hint() string {
+	return "mend " + e.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
 }
 
 // Unwrap gives the cause.
-func (u *UnreadableError) Unwrap() error { return u.Cause }
+func (e *UnreadableError) Unwrap() error { return e.Cause }
 
 // KeyError is a key that is not known, or whose value cannot work.
 type KeyError struct {
@@ -69,13 +69,13 @@
 }
 
 // Error says what happened.
-func (b *KeyError) Error() string {
-	return fmt.Sprintf("operator's file %s: %s is %v, not %s", b.Path, b.Key, b.Value, b.Want)
+func (e *KeyError) Error() string {
+	return fmt.Sprintf("operator's file %s: %s is %v, not %s", e.Path, e.Key, e.Value, e.Want)
 }
 
 // Hint is what to do.
-func (b *KeyError) Hint() string {
-	return fmt.Sprintf("set %s to %s in %s, or leave it out", b.Key, b.Want, b.Path)
+func (e *KeyError) Hint() string {
+	return fmt.Sprintf("set %s to %s in %s, or leave it out", e.Key, e.Want, e.Path)
 }
 
 // Read reads the file that GW_OPERATOR names; nothing is stated where it is not set. Errors: *UnreadableError, *KeyError.
@@ -100,19 +100,19 @@
 	if err := k.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
 		return nil, &UnreadableError{path, err}
 	}
-	o := &Options{}
+	options := &Options{}
 	var snapshotAge, stateAge float64 // seconds
 	numbers := map[string]*float64{
-		"list_calls_per_s":        &o.DiscoveryCallRate,
-		"start.connections_per_s": &o.ConnectionRate,
+		"list_calls_per_s":        &options.DiscoveryCallRate,
+		"start.connections_per_s": &options.ConnectionRate,
 		"snapshot.oldest_s":       &snapshotAge,
 		"distribution.oldest_s":   &stateAge,
 	}
-	words := map[string]*string{
-		"installation":            &o.Installation,
-		"snapshot.path":           &o.SnapshotPath,
-		"distribution.scope":      &o.Distribution.Scope,
-		"distribution.state_path": &o.Distribution.StatePath,
+	texts := map[string]*string{
+		"installation":            &options.Installation,
+		"snapshot.path":           &options.SnapshotPath,
+		"distribution.scope":      &options.Distribution.Scope,
+		"distribution.state_path": &options.Distribution.StatePath,
 	}
 	keys := k.Keys()
 	slices.Sort(keys)
@@ -120,12 +120,12 @@
 		value := k.Get(key)
 		var want string
 		switch {
-		case words[key] != nil:
-			want = readWord(value, words[key])
+		case texts[key] != nil:
+			want = readText(value, texts[key])
 		case numbers[key] != nil:
 			want = readNumber(value, numbers[key])
 		case key == relaysKey:
-			want = o.Distribution.readRelays(value)
+			want = options.Distribution.readRelays(value)
 		default:
 			want = "a key of this file"
 		}
@@ -133,36 +133,36 @@
 			return nil, &KeyError{path, key, value, want}
 		}
 	}
-	o.SnapshotMaxAge = int64(snapshotAge * 1e9)
-	o.Distribution.StateMaxAge = int64(stateAge * 1e9)
-	if err := checkSnapshot(path, o); err != nil {
+	options.SnapshotMaxAge = int64(snapshotAge * 1e9)
+	options.Distribution.StateMaxAge = int64(stateAge * 1e9)
+	if err := checkSnapshot(path, options); err != nil {
 		return nil, err
 	}
-	if err := checkDistribution(path, o); err != nil {
+	if err := checkDistribution(path, options); err != nil {
 		return nil, err
 	}
-	return o, nil
+	return options, nil
 }
 
-// readWord reads a text. It tells what the value should be where it is none.
-func readWord(value any, to *string) (want string) {
-	text, is := value.(string)
-	if !is || strings.TrimSpace(text) == "" {
+// readText reads a text. It tells what the value should be where it is none.
+func readText(value any, dst *string) (want string) {
+	text, isText := value.(string)
+	if !isText || strings.TrimSpace(text) == "" {
 		return "a text"
 	}
-	*to = text
+	*dst = text
 	return ""
 }
 
 // readNumber reads a number, whole or not, as readWord does a text.
-func readNumber(value any, to *float64) (want string) {
+func readNumber(value any, dst *float64) (want string) {
 	switch number := value.(type) {
 	case float64:
-		*to = number
+		*dst = number
 	case int64:
-		*to = float64(number)
+		*dst = float64(number)
 	}
-	if !(*to > 0 && *to <= maxNumber) {
+	if !(*dst > 0 && *dst <= maxNumber) {
 		return "a number above 0 and up to a million"
 	}
 	return ""
@@ -170,20 +170,20 @@
 
 // readRelays reads the relays, as readWord does a text.
 func (d *Distribution) readRelays(value any) (want string) {
-	var is bool
-	d.Relays, is = relays(value)
-	if !is {
+	var valid bool
+	d.Relays, valid = parseRelays(value)
+	if !valid {
 		return "a list of two addresses, host:port"
 	}
 	return ""
 }
 
 // checkSnapshot refuses keys of the snapshot that do not go together. Errors: *KeyError.
-func checkSnapshot(path string, o *Options) error {
+func checkSnapshot(path string, options *Options) error {
 	switch {
-	case o.SnapshotPath != "" && o.Installation == "":
+	case options.SnapshotPath != "" && options.Installation == "":
 		return &KeyError{path, "installation", "missing", "a name, as snapshot.path is set"}
-	case o.SnapshotPath != "" && o.SnapshotMaxAge == 0:
+	case options.SnapshotPath != "" && options.SnapshotMaxAge == 0:
 		return &KeyError{path, "snapshot.oldest_s", "missing", "a number of seconds, as snapshot.path is set"}
 	}
 	return nil
@@ -191,17 +191,17 @@
 
 const relaysKey = "distribution.relays"
 
-// relays reads a list of two addresses. Both may be the same where there is one relay.
-func relays(value any) (addresses [2]string, is bool) {
-	list, is := value.([]any)
-	if !is || len(list) != len(addresses) {
+// parseRelays reads a list of two addresses. Both may be the same where there is one relay.
+func parseRelays(value any) (addresses [2]string, valid bool) {
+	list, valid := value.([]any)
+	if !valid || len(list) != len(addresses) {
 		return addresses, false
 	}
-	for i, one := range list {
-		text, is := one.(string)
+	for i, entry := range list {
+		text, isText := entry.(string)
 		host, port, err := net.SplitHostPort(text)
-		number, bad := strconv.ParseUint(port, 10, 16)
-		if !is || err != nil || bad != nil || number == 0 || host == "" {
+		number, portErr := strconv.ParseUint(port, 10, 16)
+		if !isText || err != nil || portErr != nil || number == 0 || host == "" {
 			return addresses, false
 		}
 		addresses[i] = text
@@ -210,15 +210,15 @@
 }
 
 // checkDistribution refuses keys of the distribution that do not go together. Errors: *KeyError.
-func checkDistribution(path string, o *Options) error {
-	d := o.Distribution
+func checkDistribution(path string, options *Options) error {
+	d := options.Distribution
 	if _, err := distribution.ParseScope(d.Scope); err != nil {
 		return &KeyError{path, "distribution.scope", d.Scope, "a scope (kinds, '@', names, with commas)"}
 	}
 	switch {
 	case d != (Distribution{}) && d.Relays == [2]string{}:
 		return &KeyError{path, relaysKey, "missing", "a list of two addresses, as other keys of distribution are set"}
-	case d.StatePath != "" && o.Installation == "":
+	case d.StatePath != "" && options.Installation == "":
 		return &KeyError{path, "installation", "missing", "a name, as distribution.state_path is set"}
 	case d.StatePath != "" && d.StateMaxAge == 0:
 		return &KeyError{
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-const relaysStated = "[distribution]\nrelays = ['a:1', 'b:1']\n"
+const relaysSection = "[distribution]\nrelays = ['a:1', 'b:1']\n"
 
 func TestRead(t *testing.T) {
 	t.Setenv(Variable, "")
-	o, err := Read()
+	options, err := Read()
 	require.NoError(t, err)
-	require.Zero(t, *o, "with nothing set")
+	require.Zero(t, *options, "with nothing set")
 	t.Setenv(Variable, "../../deploy/operator.toml")
 	want := Options{
 		DiscoveryCallRate: 20,
@@ -29,9 +29,9 @@
 			StateMaxAge: 86400e9,
 		},
 	}
-	o, err = Read()
+	options, err = Read()
 	require.NoError(t, err)
-	require.Equal(t, want, *o, "the example")
+	require.Equal(t, want, *options, "the example")
 	t.Setenv(Variable, "/none")
 	var unreadable *UnreadableError
 	if _, err := Read(); !errors.As(err, &unreadable) || !errors.Is(err, fs.ErrNotExist) || unreadable.Hint() == "" {
@@ -43,31 +43,31 @@
 		"list_calls_per_s = 0": "list_calls_per_s", "list_calls_per_s = -2.5": "list_calls_per_s", "list_calls_per_s = nan": "list_calls_per_s",
 		"list_calls_per_s = '20'": "list_calls_per_s", "list_calls_per_s = [20]": "list_calls_per_s", "list_calls = 20": "list_calls",
 		"[start]\nconnections_per_s = 1e9": "start.connections_per_s", "installation = ' '": "installation", "installation = 3": "installation",
-		"[snapshot]\noldest_s = 5\npath = '/x'":                   "installation",
-		"installation = 'east'\n[snapshot]\npath = '/x'":          "snapshot.oldest_s",
-		"[snapshot]\npath = true":                                 "snapshot.path",
-		"[snapshots]\npath = '/x'":                                "snapshots.path",
-		"[start]\nconnections_per_s = {a = 1}":                    "start.connections_per_s.a",
-		"[distribution]\nrelays = 'a:1'":                          "distribution.relays",
-		"[distribution]\nrelays = ['a:1']":                        "distribution.relays",
-		"[distribution]\nrelays = ['a:1', 'b:1', 'c:1']":          "distribution.relays",
-		"[distribution]\nrelays = ['a:1', 'b']":                   "distribution.relays",
-		"[distribution]\nrelays = ['a:1', ':2']":                  "distribution.relays",
-		"[distribution]\nrelays = ['a:1', 'b:0']":                 "distribution.relays",
-		"[distribution]\nrelays = [1, 2]":                         "distribution.relays",
-		"[distribution]\nscope = 'endpoints@'":                    "distribution.relays",
-		relaysStated + "scope = 'endpoints'":                      "distribution.scope",
-		relaysStated + "scope = 'x@'":                             "distribution.scope",
-		relaysStated + "scope = 3":                                "distribution.scope",
-		relaysStated + "zone = 'a'":                               "distribution.zone",
-		relaysStated + "state_path = '/x'\noldest_s = 5":          "installation",
-		relaysStated + "state_path = ' '":                         "distribution.state_path",
-		relaysStated + "oldest_s = -1":                            "distribution.oldest_s",
-		"installation = 'e'\n" + relaysStated + "state_path='/x'": "distribution.oldest_s",
-		"start = 5\nlist_calls_per_s = 3\n" + "snapshot = 'x'":    "snapshot",
+		"[snapshot]\noldest_s = 5\npath = '/x'":                    "installation",
+		"installation = 'east'\n[snapshot]\npath = '/x'":           "snapshot.oldest_s",
+		"[snapshot]\npath = true":                                  "snapshot.path",
+		"[snapshots]\npath = '/x'":                                 "snapshots.path",
+		"[start]\nconnections_per_s = {a = 1}":                     "start.connections_per_s.a",
+		"[distribution]\nrelays = 'a:1'":                           "distribution.relays",
+		"[distribution]\nrelays = ['a:1']":                         "distribution.relays",
+		"[distribution]\nrelays = ['a:1', 'b:1', 'c:1']":           "distribution.relays",
+		"[distribution]\nrelays = ['a:1', 'b']":                    "distribution.relays",
+		"[distribution]\nrelays = ['a:1', ':2']":                   "distribution.relays",
+		"[distribution]\nrelays = ['a:1', 'b:0']":                  "distribution.relays",
+		"[distribution]\nrelays = [1, 2]":                          "distribution.relays",
+		"[distribution]\nscope = 'endpoints@'":                     "distribution.relays",
+		relaysSection + "scope = 'endpoints'":                      "distribution.scope",
+		relaysSection + "scope = 'x@'":                             "distribution.scope",
+		relaysSection + "scope = 3":                                "distribution.scope",
+		relaysSection + "zone = 'a'":                               "distribution.zone",
+		relaysSection + "state_path = '/x'\noldest_s = 5":          "installation",
+		relaysSection + "state_path = ' '":                         "distribution.state_path",
+		relaysSection + "oldest_s = -1":                            "distribution.oldest_s",
+		"installation = 'e'\n" + relaysSection + "state_path='/x'": "distribution.oldest_s",
+		"start = 5\nlist_calls_per_s = 3\n" + "snapshot = 'x'":     "snapshot",
 	} {
-		var bad *KeyError
-		if _, err := Parse("x", []byte(text)); !errors.As(err, &bad) || bad.Key != key || bad.Hint() == "" {
+		var keyErr *KeyError
+		if _, err := Parse("x", []byte(text)); !errors.As(err, &keyErr) || keyErr.Key != key || keyErr.Hint() == "" {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -11,7 +11,7 @@
 func TestReadsAFileOfAnEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/operator.toml")
 	require.NoError(t, err)
-	o, err := Parse("operator.toml", text)
+	options, err := Parse("operator.toml", text)
 	require.NoError(t, err)
 	require.Equal(
 		t,
@@ -28,6 +28,6 @@
 				StateMaxAge: 86400e9,
 			},
 		},
-		*o,
+		*options,
 	)
 }
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -10,16 +10,16 @@
 	maxCount = 1e6
 )
 
-// figure is a number by its key, and what it may be; 0 stands for one that is not given, where that may be.
-type figure struct {
+// boundedValue is a number by its key, and what it may be; 0 stands for one that is not given, where that may be.
+type boundedValue struct {
 	key        string
 	value      float64
 	min, max   float64
 	mayBeUnset bool
 }
 
-// checkFigures refuses the first figure that is out of its bounds, by its key behind that of the part.
-func checkFigures(part string, figures ...figure) error {
+// checkBounds refuses the first figure that is out of its bounds, by its key behind that of the part.
+func checkBounds(part string, figures ...boundedValue) error {
 	for _, f := range figures {
 		inBounds := f.min <= f.value && f.value <= f.max
 		if !inBounds && !(f.mayBeUnset && f.value == 0) {
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -22,8 +22,8 @@
 	Settings  *Settings
 }
 
-// kept is one figure of two configurations, by its key.
-type kept struct {
+// comparedValue is one figure of two configurations, by its key.
+type comparedValue struct {
 	key      string
 	old, new any
 }
@@ -31,57 +31,57 @@
 // NeedRestart names every key that differs in another configuration and cannot change before the next start, a class
 // or a plan by its name. Discovery and the counter may move, but a counter is neither added nor taken away.
 func (c *Config) NeedRestart(other *Config) (keys []string) {
-	a := c.Settings
-	b := other.Settings
-	all := []kept{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen},
-		{"counter", c.counter(c, other), other.counter(c, other)}, {"seed", c.Seed, other.Seed},
+	current := c.Settings
+	changed := other.Settings
+	values := []comparedValue{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen},
+		{"counter", c.fixedCounter(c, other), other.fixedCounter(c, other)}, {"seed", c.Seed, other.Seed},
 		{"limits: memory_mb", c.Memory, other.Memory}, {"limits: sockets", c.Sockets, other.Sockets}}
-	for _, s := range []kept{{"balancers", a.Limiters, b.Limiters}, {"position", a.Position, b.Position},
-		{"family-info: count-wait", a.CounterTimeout, b.CounterTimeout}, {"family-info: units-top", a.MaxRequestUnits, b.MaxRequestUnits},
-		{"family-info: trued-up", a.MaxActualUnits > 0, b.MaxActualUnits > 0}, {"contract: cold-from", a.ColdCapacity, b.ColdCapacity},
-		{"contract: warm-within", a.SlowStartWindow, b.SlowStartWindow}, {"contract: ask-every", a.PollInterval, b.PollInterval},
-		{"contract: stop-sending-within", a.DrainGrace, b.DrainGrace},
-		{"permissions: attempts-cap", a.MaxAttempts, b.MaxAttempts}, {"permissions: dial-timeout", a.DialTimeout, b.DialTimeout},
-		{"permissions: idle-close", a.IdleClose, b.IdleClose}, {"permissions: max-retry-after", a.MaxRetryAfter, b.MaxRetryAfter},
-		{"permissions: probes", a.HealthChecks, b.HealthChecks}, {"permissions: cancelling", a.CanCancel, b.CanCancel},
-		{"classes: deadline", a.LongestDeadline, b.LongestDeadline},
-		{"granularity", a.TimerResolution, b.TimerResolution}} {
-		all = append(all, kept{"settings: " + s.key, s.old, s.new})
-	}
-	all = append(
-		append(all, named("settings: classes: ", a.Classes, b.Classes)...),
-		named("settings: tariffs: ", a.Plans, b.Plans)...)
-	for _, k := range all {
-		if k.old != k.new {
-			keys = append(keys, k.key)
+	for _, s := range []comparedValue{{"balancers", current.Limiters, changed.Limiters}, {"position", current.Position, changed.Position},
+		{"family-info: count-wait", current.CounterTimeout, changed.CounterTimeout}, {"family-info: units-top", current.MaxRequestUnits, changed.MaxRequestUnits},
+		{"family-info: trued-up", current.MaxActualUnits > 0, changed.MaxActualUnits > 0}, {"contract: cold-from", current.ColdCapacity, changed.ColdCapacity},
+		{"contract: warm-within", current.SlowStartWindow, changed.SlowStartWindow}, {"contract: ask-every", current.PollInterval, changed.PollInterval},
+		{"contract: stop-sending-within", current.DrainGrace, changed.DrainGrace},
+		{"permissions: attempts-cap", current.MaxAttempts, changed.MaxAttempts}, {"permissions: dial-timeout", current.DialTimeout, changed.DialTimeout},
+		{"permissions: idle-close", current.IdleClose, changed.IdleClose}, {"permissions: max-retry-after", current.MaxRetryAfter, changed.MaxRetryAfter},
+		{"permissions: probes", current.HealthChecks, changed.HealthChecks}, {"permissions: cancelling", current.CanCancel, changed.CanCancel},
+		{"classes: deadline", current.LongestDeadline, changed.LongestDeadline},
+		{"granularity", current.TimerResolution, changed.TimerResolution}} {
+		values = append(values, comparedValue{"settings: " + s.key, s.old, s.new})
+	}
+	values = append(
+		append(values, compareNamed("settings: classes: ", current.Classes, changed.Classes)...),
+		compareNamed("settings: tariffs: ", current.Plans, changed.Plans)...)
+	for _, compared := range values {
+		if compared.old != compared.new {
+			keys = append(keys, compared.key)
 		}
 	}
 	return keys
 }
 
-// counter is the address where it cannot move: the settings that hold have no counter, or none is named any more.
-func (c *Config) counter(held, other *Config) string {
-	if held.Settings.CounterTimeout > 0 && other.Counter != "" {
+// fixedCounter is the address where it cannot move: the settings that hold have no fixedCounter, or none is named any more.
+func (c *Config) fixedCounter(current, other *Config) string {
+	if current.Settings.CounterTimeout > 0 && other.Counter != "" {
 		return ""
 	}
 	return c.Counter
 }
 
-// named are the classes or plans of two configurations: one that is in only one of them differs.
-func named[T comparable](part string, a, b map[string]*T) (all []kept) {
+// compareNamed are the classes or plans of two configurations: one that is in only one of them differs.
+func compareNamed[T comparable](part string, a, b map[string]*T) (values []comparedValue) {
 	names := maps.Clone(a)
 	maps.Copy(names, b)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		k := kept{key: part + name}
-		if x := a[name]; x != nil {
-			k.old = *x
+		compared := comparedValue{key: part + name}
+		if item := a[name]; item != nil {
+			compared.old = *item
 		}
-		if x := b[name]; x != nil {
-			k.new = *x
+		if item := b[name]; item != nil {
+			compared.new = *item
 		}
-		all = append(all, k)
+		values = append(values, compared)
 	}
-	return all
+	return values
 }
 
 const (
@@ -123,9 +123,9 @@
 	if err != nil {
 		return nil, &KeyError{Key: "seed", Cause: err}
 	}
-	if err := checkFigures("limits: ",
-		figure{"memory_mb", w.Limits.MemoryMB, minMemory, maxMemory, false},
-		figure{"sockets", float64(w.Limits.Sockets), minSockets, maxSockets, false},
+	if err := checkBounds("limits: ",
+		boundedValue{"memory_mb", w.Limits.MemoryMB, minMemory, maxMemory, false},
+		boundedValue{"sockets", float64(w.Limits.Sockets), minSockets, maxSockets, false},
 	); err != nil {
 		return nil, err
 	}
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-const good = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":"127.0.0.1:3","seed":"ff",` +
+const validConfig = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":"127.0.0.1:3","seed":"ff",` +
 	`"limits":{"memory_mb":192,"sockets":1024},"known":{"generation":1},"settings":{"balancers":1,"classes":` +
 	`[{"name":"c","aim":1,"effect":"free","group":"all"}],"tariffs":[{"name":"p","rate":5,"most-at-once":10}],` +
 	`"family-info":{"has-counter":true,"count-wait":0.05,"units-top":4},"contract":{"cold-from":0.3,"warm-within":10},` +
 	`"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15},"granularity":0.004}}`
 
-func TestReadConfig(t *testing.T) {
-	c, err := DecodeConfig([]byte(good))
+func TestDecodeConfig(t *testing.T) {
+	c, err := DecodeConfig([]byte(validConfig))
 	if err != nil || c.Seed != 255 || c.Memory != 192<<20 || c.Settings.IdleClose != 15e9 ||
 		c.Settings.CounterTimeout != 5e7 {
 		t.Fatalf("config %+v, error %v", c, err)
@@ -25,13 +25,13 @@
 			class.PriorityWeight,
 		)
 	}
-	moved := strings.Replace(strings.Replace(good, `"rate":5`, `"parallel":3`, 1), `"aim":1`, `"aim":1,"worth":5`, 1)
-	c, err = DecodeConfig([]byte(moved))
+	changed := strings.Replace(strings.Replace(validConfig, `"rate":5`, `"parallel":3`, 1), `"aim":1`, `"aim":1,"worth":5`, 1)
+	c, err = DecodeConfig([]byte(changed))
 	if err != nil || c.Settings.Plans["p"].MaxInFlight != 3 || c.Settings.Classes["c"].PriorityWeight != 5 {
 		t.Fatalf("config %+v, error %v", c, err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
-		{"no object", good, `[]`, "array"},
+		{"no object", validConfig, `[]`, "array"},
 		{"no settings", `"settings":{`, `"other":{`, "settings: missing"},
 		{"an unknown effect", `"free"`, `"dear"`, "settings: classes: c"},
 		{"a target latency of 0", `"aim":1`, `"aim":0`, "settings: classes: c: aim"},
@@ -51,7 +51,7 @@
 		{"too few sockets", `1024`, `8`, "limits: sockets"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := DecodeConfig([]byte(strings.Replace(good, c.old, c.new, 1)))
+			_, err := DecodeConfig([]byte(strings.Replace(validConfig, c.old, c.new, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("error %v, want %s", err, c.want)
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestFixed(t *testing.T) {
+func TestNeedRestart(t *testing.T) {
 	const plan, class, counter = "settings: tariffs: ", "settings: classes: ", "settings: family-info: count-wait"
 	for _, c := range []struct {
 		old, new string
@@ -81,14 +81,14 @@
 		{`"name":"n","listen":"127.0.0.1:1"`, `"name":"m","listen":"127.0.0.1:9"`, []string{"name", "listen"}},
 	} {
 		t.Run(c.new, func(t *testing.T) {
-			held, err := DecodeConfig([]byte(good))
-			text := strings.Replace(good, c.old, c.new, 1)
+			current, err := DecodeConfig([]byte(validConfig))
+			text := strings.Replace(validConfig, c.old, c.new, 1)
 			if c.new == `""` { // the counter goes with its settings
 				text = strings.Replace(text, `"has-counter":true`, `"has-counter":false`, 1)
 			}
 			other, otherErr := DecodeConfig([]byte(text))
-			if err != nil || otherErr != nil || !slices.Equal(held.NeedRestart(other), c.want) {
-				t.Fatalf("errors %v, %v, differs in %q", err, otherErr, held.NeedRestart(other))
+			if err != nil || otherErr != nil || !slices.Equal(current.NeedRestart(other), c.want) {
+				t.Fatalf("errors %v, %v, differs in %q", err, otherErr, current.NeedRestart(other))
 			}
 		})
 	}
--- a/internal/settings/other_test.go
+++ b/internal/settings/other_test.go
@@ -11,13 +11,13 @@
 	"ospreycroft/choice"
 )
 
-// TestFixedWhole changes each field that a configuration holds, one at a time: none may differ without its key being
+// TestNeedRestartCoversEveryField changes each field that a configuration holds, one at a time: none may differ without its key being
 // named.
-func TestFixedWhole(t *testing.T) {
+func TestNeedRestartCoversEveryField(t *testing.T) {
 	// they move, are asked for anew, or are the wire's
-	free := map[string]bool{"Discovery": true, "Known": true, "MaxLease": true}
+	changeable := map[string]bool{"Discovery": true, "Known": true, "MaxLease": true}
 	read := func() *Config {
-		c, err := DecodeConfig([]byte(good))
+		c, err := DecodeConfig([]byte(validConfig))
 		require.NoError(t, err)
 		return c
 	}
@@ -48,7 +48,7 @@
 			default:
 				continue // a part that has its own turn
 			}
-			if keys := read().NeedRestart(other); free[field] {
+			if keys := read().NeedRestart(other); changeable[field] {
 				require.Empty(t, keys, "%s.%s", name, field)
 			} else {
 				require.Len(t, keys, 1, "%s.%s", name, field)
@@ -57,11 +57,11 @@
 	}
 }
 
-// TestRefused names the key of each figure that cannot work, at the start and on SIGHUP alike: both read by ReadConfig.
-func TestRefused(t *testing.T) {
+// TestInvalidValues names the key of each figure that cannot work, at the start and on SIGHUP alike: both read by ReadConfig.
+func TestInvalidValues(t *testing.T) {
 	class, plan := func(key string) string { return "settings: classes: c: " + key }, func(key string) string { return "settings: tariffs: p: " + key }
 	for _, c := range []struct{ old, new, key string }{
-		{good, "", ""}, {`"granularity":0.004}}`, `"granul`, ""}, {`"granularity":0.004}}`, `"granularity":0.004}}{}`, ""},
+		{validConfig, "", ""}, {`"granularity":0.004}}`, `"granul`, ""}, {`"granularity":0.004}}`, `"granularity":0.004}}{}`, ""},
 		{`"granularity":0.004`, `"granularity":NaN`, ""},
 		{`,"granularity":0.004`, "", "settings: granularity"}, {`0.004`, `0`, "settings: granularity"},
 		{`0.004`, `1e-10`, "settings: granularity"}, {`0.004`, `1e400`, "settings: granularity"}, {`0.004`, `"x"`, "settings: granularity"},
@@ -105,8 +105,8 @@
 		{`"127.0.0.1:2"`, `"127.0.0.1:70000"`, "discovery"}, {`"discovery":"127.0.0.1:2",`, "", "discovery"},
 		{`"127.0.0.1:3"`, `"127.0.0.1:0"`, "counter"}, {`"127.0.0.1:1"`, `"1"`, "listen"},
 	} {
-		require.Contains(t, good, c.old)
-		_, err := DecodeConfig([]byte(strings.Replace(good, c.old, c.new, 1)))
+		require.Contains(t, validConfig, c.old)
+		_, err := DecodeConfig([]byte(strings.Replace(validConfig, c.old, c.new, 1)))
 		require.Error(t, err, c.new)
 		if c.key == "" { // the whole text
 			require.ErrorAs(t, err, new(*MalformedError), c.new)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,8 +14,8 @@
 // maxLease is the wire's own limit on a count's lifetime, nanoseconds.
 const maxLease = 60e9
 
-// notTold stands for a limiter's position that the settings do not give.
-const notTold = -1
+// positionUnset stands for a limiter's position that the settings do not give.
+const positionUnset = -1
 
 // polledMode is the word of registry-mode for a discovery that tells only those that ask.
 const polledMode = "on_request"
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -114,8 +114,8 @@
 
 func (c *wireClass) decode() (*choice.Class, error) {
 	idempotency, known := idempotencies[c.Idempotency]
-	scope, scoped := scopes[c.DeduplicationScope]
-	if !known || idempotency == choice.IdempotentWithKey && !scoped {
+	scope, scopeKnown := scopes[c.DeduplicationScope]
+	if !known || idempotency == choice.IdempotentWithKey && !scopeKnown {
 		return nil, keyError("classes: "+c.Name, "effect %q, group %q: not known", c.Idempotency, c.DeduplicationScope)
 	}
 	decoded := &choice.Class{
@@ -130,10 +130,10 @@
 
 func (c *wireClass) check() error {
 	part := "classes: " + c.Name
-	if err := checkFigures(part,
-		figure{": aim", c.LatencyObjective, minTime, maxTime, false},
-		figure{": worth", c.PriorityWeight, 0, maxRate, false},
-		figure{": dedup-window", c.DeduplicationWindow, minTime, maxTime, true},
+	if err := checkBounds(part,
+		boundedValue{": aim", c.LatencyObjective, minTime, maxTime, false},
+		boundedValue{": worth", c.PriorityWeight, 0, maxRate, false},
+		boundedValue{": dedup-window", c.DeduplicationWindow, minTime, maxTime, true},
 	); err != nil {
 		return err
 	}
@@ -180,15 +180,15 @@
 
 func (p *wirePlan) check() error {
 	part := "tariffs: " + p.Name
-	if err := checkFigures(part,
-		figure{": rate", p.Rate, 0, maxRate, false},
-		figure{": hard-rate", p.CeilingRate, 0, maxRate, false},
-		figure{": most-at-once", p.Burst, 0, maxRate, false},
-		figure{": never-over-depth", p.CeilingBurst, 0, maxRate, false},
-		figure{": parallel", p.MaxInFlight, 0, maxRate, false},
-		figure{": extra-worth", p.OverQuotaRevenue, 0, maxRate, false},
-		figure{": beyond-costs", p.OverQuotaPenalty, 0, maxRate, false},
-		figure{": value-factor", p.weight(), 0, maxRate, false},
+	if err := checkBounds(part,
+		boundedValue{": rate", p.Rate, 0, maxRate, false},
+		boundedValue{": hard-rate", p.CeilingRate, 0, maxRate, false},
+		boundedValue{": most-at-once", p.Burst, 0, maxRate, false},
+		boundedValue{": never-over-depth", p.CeilingBurst, 0, maxRate, false},
+		boundedValue{": parallel", p.MaxInFlight, 0, maxRate, false},
+		boundedValue{": extra-worth", p.OverQuotaRevenue, 0, maxRate, false},
+		boundedValue{": beyond-costs", p.OverQuotaPenalty, 0, maxRate, false},
+		boundedValue{": value-factor", p.weight(), 0, maxRate, false},
 	); err != nil {
 		return err
 	}
@@ -211,26 +211,26 @@
 
 // check refuses what cannot work beside classes and plans.
 func (w *wireSettings) check() error {
-	return checkFigures("",
-		figure{"family-info: units-top", w.Family.MaxRequestUnits, math.SmallestNonzeroFloat64, maxUnits, false},
-		figure{"granularity", w.TimerResolution, minTime, maxTime, false},
-		figure{"permissions: attempts-cap", float64(w.Permissions.MaxAttempts), 1, maxRate, false},
-		figure{"permissions: dial-timeout", w.Permissions.DialTimeout, minTime, maxTime, true},
-		figure{"permissions: idle-close", w.Permissions.IdleClose, minTime, maxTime, true},
-		figure{"permissions: max-retry-after", w.Permissions.MaxRetryAfter, 0, maxTime, false},
-		figure{"balancers", float64(w.Limiters), 1, maxCount, false},
-		figure{"family-info: count-wait", w.Family.CounterTimeout, minTime, maxTime, !w.Family.HasCounter},
-		figure{"contract: cold-from", w.Contract.ColdCapacity, 0, 1, false},
-		figure{"contract: stop-sending-within", w.Contract.DrainGrace, minTime, maxTime, true},
-		figure{"contract: ask-every", w.Contract.PollInterval, minTime, maxTime, w.Mode != polledMode},
-		figure{"contract: warm-within", w.Contract.SlowStartWindow, minTime, maxTime, false},
+	return checkBounds("",
+		boundedValue{"family-info: units-top", w.Family.MaxRequestUnits, math.SmallestNonzeroFloat64, maxUnits, false},
+		boundedValue{"granularity", w.TimerResolution, minTime, maxTime, false},
+		boundedValue{"permissions: attempts-cap", float64(w.Permissions.MaxAttempts), 1, maxRate, false},
+		boundedValue{"permissions: dial-timeout", w.Permissions.DialTimeout, minTime, maxTime, true},
+		boundedValue{"permissions: idle-close", w.Permissions.IdleClose, minTime, maxTime, true},
+		boundedValue{"permissions: max-retry-after", w.Permissions.MaxRetryAfter, 0, maxTime, false},
+		boundedValue{"balancers", float64(w.Limiters), 1, maxCount, false},
+		boundedValue{"family-info: count-wait", w.Family.CounterTimeout, minTime, maxTime, !w.Family.HasCounter},
+		boundedValue{"contract: cold-from", w.Contract.ColdCapacity, 0, 1, false},
+		boundedValue{"contract: stop-sending-within", w.Contract.DrainGrace, minTime, maxTime, true},
+		boundedValue{"contract: ask-every", w.Contract.PollInterval, minTime, maxTime, w.Mode != polledMode},
+		boundedValue{"contract: warm-within", w.Contract.SlowStartWindow, minTime, maxTime, false},
 	)
 }
 
 // position is the limiter's number among all, notTold where the settings do not give it.
 func (w *wireSettings) position() (int, error) {
 	if w.Position == nil {
-		return notTold, nil
+		return positionUnset, nil
 	}
 	if *w.Position < 0 || *w.Position >= w.Limiters {
 		return 0, keyError("position", "is %d, of %d balancers", *w.Position, w.Limiters)
--- a/internal/simwire/transcript_test.go
+++ b/internal/simwire/transcript_test.go
@@ -107,18 +107,18 @@
 
 // driver plays the simulator: random events, and answers to what the module asks for.
 type driver struct {
-	rng     *rand.Rand
-	now     float64
-	order   int
-	events  eventHeap
-	copies  map[string]int  // attempts of each request
-	open    map[string]bool // attempts that are not answered yet, by request and number
-	ended   map[string]bool
-	totals  map[uint64]float64
-	trouble map[string]float64 // until when a server is in trouble
-	write   func(batch string) []byte
-	record  *transcript.Transcript
-	bugs    []string
+	rng        *rand.Rand
+	now        float64
+	order      int
+	events     eventHeap
+	attempts   map[string]int  // attempts of each request
+	unanswered map[string]bool // attempts that are not answered yet, by request and number
+	ended      map[string]bool
+	totals     map[uint64]float64
+	faultUntil map[string]float64 // until when a server is in trouble
+	write      func(batch string) []byte
+	record     *transcript.Transcript
+	bugs       []string
 }
 
 func (d *driver) after(delay float64, run func()) {
@@ -126,8 +126,8 @@
 	heap.Push(&d.events, event{at: d.now + delay, order: d.order, run: run})
 }
 
-// tell sends one item in a batch of its own and acts on the answer.
-func (d *driver) tell(item map[string]any) {
+// send sends one item in a batch of its own and acts on the answer.
+func (d *driver) send(item map[string]any) {
 	item["limiter"] = 0
 	text, err := json.Marshal(map[string]any{"wall": d.now, "batch": d.order, "items": []any{item}})
 	if err != nil {
@@ -166,17 +166,17 @@
 	}
 	switch o.Type {
 	case "relay":
-		d.relayed(o.Handle, o.Server)
+		d.attemptSent(o.Handle, o.Server)
 	case "undo-send":
-		d.replied(o.Handle, o.Copy, codeCancelled, d.now)
+		d.attemptDone(o.Handle, o.Copy, codeCancelled, d.now)
 	case "shed", "respond-error":
 		d.ended[o.Handle] = true
 	case "charge-counter":
-		d.charged(o.Name, o.Amount)
+		d.counterAdded(o.Name, o.Amount)
 	case "poll":
-		d.polled(o.Server)
+		d.healthCheckSent(o.Server)
 	case "set-timer":
-		d.after(max(0, o.Due-d.now), func() { d.tell(map[string]any{"type": "timer", "ctx": o.Ctx}) })
+		d.after(max(0, o.Due-d.now), func() { d.send(map[string]any{"type": "timer", "ctx": o.Ctx}) })
 	case "bug":
 		d.bugs = append(d.bugs, o.Text)
 	}
@@ -184,13 +184,13 @@
 
 func attemptKey(handle string, number int) string { return fmt.Sprint(handle, "/", number) }
 
-func (d *driver) relayed(handle, server string) {
-	number := d.copies[handle]
-	d.copies[handle]++
-	d.open[attemptKey(handle, number)] = true
+func (d *driver) attemptSent(handle, server string) {
+	number := d.attempts[handle]
+	d.attempts[handle]++
+	d.unanswered[attemptKey(handle, number)] = true
 	sent := d.now
 	code, took := codeSucceeded, 0.02+0.2*d.rng.Float64()*d.rng.Float64()
-	if d.now < d.trouble[server] {
+	if d.now < d.faultUntil[server] {
 		code = d.rng.IntN(codeNotAttempted + 2) // one more stands for no answer
 		took *= 4
 	}
@@ -198,16 +198,16 @@
 		took = 30
 		code = codeTimedOut
 	}
-	d.after(took, func() { d.replied(handle, number, code, sent) })
+	d.after(took, func() { d.attemptDone(handle, number, code, sent) })
 }
 
-// replied tells how an attempt ended, once.
-func (d *driver) replied(handle string, number, code int, sent float64) {
+// attemptDone tells how an attempt ended, once.
+func (d *driver) attemptDone(handle string, number, code int, sent float64) {
 	key := attemptKey(handle, number)
-	if !d.open[key] {
+	if !d.unanswered[key] {
 		return
 	}
-	delete(d.open, key)
+	delete(d.unanswered, key)
 	item := map[string]any{"type": "reply", "handle": handle, "copy": number, "rc": code, "took": d.now - sent,
 		"final": code == codeSucceeded || d.ended[handle]}
 	if code == codeSucceeded {
@@ -216,11 +216,11 @@
 		item["feedback"] = []map[string]any{nil, {"outstanding": 3 + d.rng.IntN(5), "throughput": 20},
 			{"backlog": d.rng.IntN(4), "throughput": 12, "recent_ms": 60}}[d.rng.IntN(3)]
 	}
-	d.after(0, func() { d.tell(item) })
+	d.after(0, func() { d.send(item) })
 }
 
-// charged answers an add to a count; from second 20 to 26 the counter is in trouble, at second 40 it forgets all.
-func (d *driver) charged(name uint64, amount float64) {
+// counterAdded answers an add to a count; from second 20 to 26 the counter is in trouble, at second 40 it forgets all.
+func (d *driver) counterAdded(name uint64, amount float64) {
 	d.totals[name] += amount
 	total, code, delay := d.totals[name], codeSucceeded, 0.001+0.002*d.rng.Float64()
 	if d.now > 20 && d.now < 26 || d.rng.IntN(200) == 0 {
@@ -231,20 +231,20 @@
 	if code == codeSucceeded {
 		item["level"] = total
 	}
-	d.after(delay, func() { d.tell(item) })
+	d.after(delay, func() { d.send(item) })
 }
 
-func (d *driver) polled(server string) {
+func (d *driver) healthCheckSent(server string) {
 	code := codeSucceeded
-	if d.now < d.trouble[server] {
+	if d.now < d.faultUntil[server] {
 		code = codeTimedOut
 	}
-	d.after(0.02, func() { d.tell(map[string]any{"type": "probed", "server": server, "rc": code}) })
+	d.after(0.02, func() { d.send(map[string]any{"type": "probed", "server": server, "rc": code}) })
 }
 
 func serverName(i int) string { return fmt.Sprint("server-", i) }
 
-func listing(i int, availability string, since float64) map[string]any {
+func listEntry(i int, availability string, since float64) map[string]any {
 	entry := map[string]any{"server": serverName(i), "rack-zone": fmt.Sprint("zone-", i%3), "pod": i % 7,
 		"availability": availability, "power-hint": []float64{0, 1, 2}[i%3]}
 	if since > 0 {
@@ -259,7 +259,7 @@
 	customer := d.rng.IntN(transcriptCustomers)
 	plans := []string{"plain", "dear", "hard", "capped", "both", "free", "plain", "nobody's"}
 	classes := []string{"read", "read", "mark", "cell", "write"}
-	d.tell(
+	d.send(
 		map[string]any{"type": "inbound", "handle": handle, "budget": 0.3 + 3*d.rng.Float64(), "api-key": 1 + customer,
 			"tier": plans[customer%len(plans)], "cls": classes[d.rng.IntN(len(classes))],
 			"price-units": 1 + d.rng.IntN(6), "n-entries": 1 + customer%4},
@@ -268,7 +268,7 @@
 		d.after(0.1*d.rng.Float64(), func() {
 			if !d.ended[handle] {
 				d.ended[handle] = true
-				d.tell(map[string]any{"type": "vanished", "handle": handle})
+				d.send(map[string]any{"type": "vanished", "handle": handle})
 			}
 		})
 	}
@@ -281,41 +281,41 @@
 	}
 }
 
-// disturb changes the list or puts a server in trouble, again and again.
-func (d *driver) disturb() {
+// injectFault changes the list or puts a server in trouble, again and again.
+func (d *driver) injectFault() {
 	i := d.rng.IntN(transcriptServers)
 	switch d.rng.IntN(6) {
 	case 0:
-		d.tell(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listing(i, "L", 0)}})
+		d.send(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listEntry(i, "L", 0)}})
 	case 1:
-		d.tell(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listing(i, "D", 0)}})
+		d.send(map[string]any{"type": "membership", "how": "Partial", "gen": 2, "items": []any{listEntry(i, "D", 0)}})
 	case 2:
-		d.tell(
+		d.send(
 			map[string]any{
 				"type":  "membership",
 				"how":   "Partial",
 				"gen":   2,
-				"items": []any{listing(i, "U", d.now-0.2)},
+				"items": []any{listEntry(i, "U", d.now-0.2)},
 			},
 		)
 	case 3:
 		var all []any
 		for j := range transcriptServers {
 			if j != i {
-				all = append(all, listing(j, "U", 0))
+				all = append(all, listEntry(j, "U", 0))
 			}
 		}
-		d.tell(map[string]any{"type": "membership", "how": "Persisted", "gen": 3, "items": all})
+		d.send(map[string]any{"type": "membership", "how": "Persisted", "gen": 3, "items": all})
 	default:
-		d.trouble[serverName(i)] = d.now + 1 + 3*d.rng.Float64()
+		d.faultUntil[serverName(i)] = d.now + 1 + 3*d.rng.Float64()
 	}
 	if d.now < transcriptUntil {
-		d.after(0.5+d.rng.Float64(), d.disturb)
+		d.after(0.5+d.rng.Float64(), d.injectFault)
 	}
 }
 
-// play drives one instance through a run by its seed and gives the transcript of its answers.
-func play(t *testing.T, seed uint64) *transcript.Transcript {
+// runTranscript drives one instance through a run by its seed and gives the transcript of its answers.
+func runTranscript(t *testing.T, seed uint64) *transcript.Transcript {
 	t.Helper()
 	input, feed := io.Pipe()
 	answers, output := io.Pipe()
@@ -323,13 +323,13 @@
 	go func() { finished <- Run(input, output) }()
 	lines := bufio.NewReader(answers)
 	d := &driver{
-		rng:     rand.New(rand.NewPCG(seed, 0x51)),
-		copies:  map[string]int{},
-		open:    map[string]bool{},
-		ended:   map[string]bool{},
-		totals:  map[uint64]float64{},
-		trouble: map[string]float64{},
-		record:  transcript.New(),
+		rng:        rand.New(rand.NewPCG(seed, 0x51)),
+		attempts:   map[string]int{},
+		unanswered: map[string]bool{},
+		ended:      map[string]bool{},
+		totals:     map[uint64]float64{},
+		faultUntil: map[string]float64{},
+		record:     transcript.New(),
 	}
 	d.write = func(batch string) []byte {
 		_, err := io.WriteString(feed, batch)
@@ -339,14 +339,14 @@
 		return answer
 	}
 	d.now = 1
-	d.tell(map[string]any{"type": "begin", "seed": seed, "facts": json.RawMessage(transcriptFacts(seed))})
+	d.send(map[string]any{"type": "begin", "seed": seed, "facts": json.RawMessage(transcriptFacts(seed))})
 	var all []any
 	for i := range transcriptServers - int(seed%2)*(transcriptServers-6) {
-		all = append(all, listing(i, "U", 0))
+		all = append(all, listEntry(i, "U", 0))
 	}
-	d.tell(map[string]any{"type": "membership", "how": "Persisted", "gen": 1, "items": all})
+	d.send(map[string]any{"type": "membership", "how": "Persisted", "gen": 1, "items": all})
 	d.after(1, func() { d.arrive(0) })
-	d.after(5, d.disturb)
+	d.after(5, d.injectFault)
 	d.after(39, func() { clear(d.totals) })
 	for len(d.events) > 0 && d.now < transcriptUntil+10 {
 		next := heap.Pop(&d.events).(event)
@@ -368,7 +368,7 @@
 		name := fmt.Sprint("seed ", seed)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			require.Equal(t, sums[name], play(t, seed).Sum())
+			require.Equal(t, sums[name], runTranscript(t, seed).Sum())
 		})
 	}
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -30,33 +30,33 @@
 
 // item has the fields of all events; an absent one is nil.
 type item struct {
-	Type    *string         `json:"type"`
-	Limiter *int64          `json:"limiter"`
-	Seed    *int64          `json:"seed"`
-	Facts   json.RawMessage `json:"facts"`
-	How     *string         `json:"how"`
-	Items   []entry         `json:"items"`
-	Handle  *string         `json:"handle"`
-	Budget  *float64        `json:"budget"`
-	Key     *uint64         `json:"api-key"`
-	Tier    *string         `json:"tier"`
-	Class   *string         `json:"cls"`
-	Units   *float64        `json:"price-units"`
-	Entries *int            `json:"n-entries"`
-	Ctx     *int64          `json:"ctx"`
-	Name    *uint64         `json:"name"`
-	Code    *uint8          `json:"rc"`
-	Level   *float64        `json:"level"`
-	Took    *float64        `json:"took"`
-	Server  *string         `json:"server"`
-	Copy    *int            `json:"copy"`
-	Final   *bool           `json:"final"`
-	True    *float64        `json:"true-units"`
-	Load    struct {
-		Held   float64 `json:"outstanding"`
-		Pace   float64 `json:"throughput"`
-		Queue  float64 `json:"backlog"`
-		Recent float64 `json:"recent_ms"`
+	Type        *string         `json:"type"`
+	Limiter     *int64          `json:"limiter"`
+	Seed        *int64          `json:"seed"`
+	Facts       json.RawMessage `json:"facts"`
+	How         *string         `json:"how"`
+	Items       []entry         `json:"items"`
+	Handle      *string         `json:"handle"`
+	Budget      *float64        `json:"budget"`
+	Key         *uint64         `json:"api-key"`
+	Tier        *string         `json:"tier"`
+	Class       *string         `json:"cls"`
+	Units       *float64        `json:"price-units"`
+	Entries     *int            `json:"n-entries"`
+	Ctx         *int64          `json:"ctx"`
+	Name        *uint64         `json:"name"`
+	Code        *uint8          `json:"rc"`
+	Level       *float64        `json:"level"`
+	Took        *float64        `json:"took"`
+	Server      *string         `json:"server"`
+	Copy        *int            `json:"copy"`
+	Final       *bool           `json:"final"`
+	ActualUnits *float64        `json:"true-units"`
+	Load        struct {
+		InFlight   float64 `json:"outstanding"`
+		Throughput float64 `json:"throughput"`
+		Queued     float64 `json:"backlog"`
+		RecentMs   float64 `json:"recent_ms"`
 	} `json:"feedback"`
 }
 
@@ -73,22 +73,22 @@
 
 func seconds(nanos int64) float64 { return float64(nanos) / 1e9 }
 
-// reading takes fields out of one item and remembers the first that is missing.
-type reading struct{ missing string }
+// fieldReader takes fields out of one item and remembers the first that is missing.
+type fieldReader struct{ missing string }
 
-func take[T any](r *reading, field string, value *T) T {
+func required[T any](r *fieldReader, field string, value *T) T {
 	if value == nil {
 		if r.missing == "" {
 			r.missing = field
 		}
-		var none T
-		return none
+		var zero T
+		return zero
 	}
 	return *value
 }
 
-// err is the error of an item that lacks a field.
-func (r *reading) err(kind string) error {
+// missingError is the error of an item that lacks a field.
+func (r *fieldReader) missingError(kind string) error {
 	return fmt.Errorf("%s: field %q is missing", kind, r.missing)
 }
 
@@ -112,7 +112,7 @@
 	for line := 1; ; line++ {
 		text, err := in.ReadBytes('\n')
 		if len(bytes.TrimSpace(text)) > 0 {
-			number, err := h.batch(text)
+			number, err := h.handleBatch(text)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", line, err)
 			}
@@ -132,16 +132,16 @@
 	}
 }
 
-func (h *host) batch(text []byte) (int64, error) {
+func (h *host) handleBatch(text []byte) (int64, error) {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
 		return 0, err
 	}
-	r := &reading{}
-	number := take(r, "batch", b.Batch)
-	wall := nanos(take(r, "wall", b.Wall))
+	r := &fieldReader{}
+	number := required(r, "batch", b.Batch)
+	wall := nanos(required(r, "wall", b.Wall))
 	if b.Items == nil {
-		take[int](r, "items", nil)
+		required[int](r, "items", nil)
 	}
 	if r.missing != "" {
 		return 0, fmt.Errorf("batch %d: field %q is missing", number, r.missing)
@@ -152,18 +152,18 @@
 		if err := json.Unmarshal(raw, &it); err != nil {
 			return 0, fmt.Errorf("batch %d: item %d: %w", number, i, err)
 		}
-		if err := h.item(wall, &it); err != nil {
+		if err := h.handleItem(wall, &it); err != nil {
 			return 0, fmt.Errorf("batch %d: item %d: %w", number, i, err)
 		}
 	}
 	return number, nil
 }
 
-// item acts on one event.
-func (h *host) item(wall int64, it *item) error {
-	r := &reading{}
-	kind := take(r, "type", it.Type)
-	id := take(r, "limiter", it.Limiter)
+// handleItem acts on one event.
+func (h *host) handleItem(wall int64, it *item) error {
+	r := &fieldReader{}
+	kind := required(r, "type", it.Type)
+	id := required(r, "limiter", it.Limiter)
 	switch kind {
 	case "begin":
 		return h.begin(wall, id, it, r)
@@ -171,12 +171,12 @@
 		delete(h.instances, id)
 		return nil
 	}
-	call, err := it.call(kind, wall, r)
+	call, err := it.controllerCall(kind, wall, r)
 	if err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
 	}
 	if r.missing != "" {
-		return r.err(kind)
+		return r.missingError(kind)
 	}
 	if in := h.instances[id]; in != nil && call != nil {
 		in.call(wall, call)
@@ -185,10 +185,10 @@
 }
 
 // begin makes an instance, in the place of the one that had the number.
-func (h *host) begin(wall, id int64, it *item, r *reading) error {
-	seed := take(r, "seed", it.Seed)
+func (h *host) begin(wall, id int64, it *item, r *fieldReader) error {
+	seed := required(r, "seed", it.Seed)
 	if r.missing != "" {
-		return r.err("begin")
+		return r.missingError("begin")
 	}
 	decoded, err := settings.Decode(it.Facts)
 	if err != nil {
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// call turns an event of an instance into a call on its controller, nil for an event that is not known.
-func (it *item) call(kind string, wall int64, r *reading) (func(*choice.Controller), error) {
+// controllerCall turns an event of an instance into a controllerCall on its controller, nil for an event that is not known.
+func (it *item) controllerCall(kind string, wall int64, r *fieldReader) (func(*choice.Controller), error) {
 	switch kind {
 	case "membership":
 		return it.membership(wall, r)
@@ -212,35 +212,35 @@
 		result := it.attemptResult(r)
 		return func(c *choice.Controller) { c.AttemptDone(wall, result) }, nil
 	case "tallied":
-		name, outcome, total := take(r, "name", it.Name), choice.Outcome(take(r, "rc", it.Code)), 0.0
+		name, outcome, total := required(r, "name", it.Name), choice.Outcome(required(r, "rc", it.Code)), 0.0
 		if it.Level != nil {
 			total = *it.Level
 		}
 		return func(c *choice.Controller) { c.CounterReplied(wall, name, outcome, total) }, nil
 	case "probed":
-		server, outcome := take(r, "server", it.Server), choice.Outcome(take(r, "rc", it.Code))
+		server, outcome := required(r, "server", it.Server), choice.Outcome(required(r, "rc", it.Code))
 		return func(c *choice.Controller) { c.HealthCheckDone(wall, server, outcome) }, nil
 	case "vanished":
-		request := take(r, "handle", it.Handle)
+		request := required(r, "handle", it.Handle)
 		return func(c *choice.Controller) { c.ClientDisconnected(wall, request) }, nil
 	case "timer":
-		token := take(r, "ctx", it.Ctx)
+		token := required(r, "ctx", it.Ctx)
 		return func(c *choice.Controller) { c.TimerFired(wall, token) }, nil
 	}
 	return nil, nil
 }
 
 // membership takes in the endpoint list, unless the event says that there is none.
-func (it *item) membership(wall int64, r *reading) (func(*choice.Controller), error) {
-	how := take(r, "how", it.How)
+func (it *item) membership(wall int64, r *fieldReader) (func(*choice.Controller), error) {
+	how := required(r, "how", it.How)
 	endpoints := make([]choice.Endpoint, len(it.Items))
 	for i, entry := range it.Items {
-		state, known := endpointStates[take(r, "availability", entry.Availability)]
+		state, known := endpointStates[required(r, "availability", entry.Availability)]
 		if !known && r.missing == "" {
 			return nil, fmt.Errorf("availability %q is not known", *entry.Availability)
 		}
 		endpoints[i] = choice.Endpoint{
-			ID: take(
+			ID: required(
 				r,
 				"server",
 				entry.Server,
@@ -257,33 +257,33 @@
 }
 
 // arrival is the request that an event brings.
-func (it *item) arrival(r *reading) choice.Arrival {
+func (it *item) arrival(r *fieldReader) choice.Arrival {
 	return choice.Arrival{
-		ID: take(r, "handle", it.Handle), Timeout: nanos(take(r, "budget", it.Budget)),
-		Customer: take(r, "api-key", it.Key), Plan: take(r, "tier", it.Tier), Class: take(r, "cls", it.Class),
-		Units: take(r, "price-units", it.Units), Limiters: take(r, "n-entries", it.Entries),
+		ID: required(r, "handle", it.Handle), Timeout: nanos(required(r, "budget", it.Budget)),
+		Customer: required(r, "api-key", it.Key), Plan: required(r, "tier", it.Tier), Class: required(r, "cls", it.Class),
+		Units: required(r, "price-units", it.Units), Limiters: required(r, "n-entries", it.Entries),
 	}
 }
 
 // attemptResult is how an attempt ended, as the event tells it.
-func (it *item) attemptResult(r *reading) choice.AttemptResult {
-	a := choice.AttemptResult{Request: take(r, "handle", it.Handle), Attempt: take(r, "copy", it.Copy),
-		Outcome: choice.Outcome(take(r, "rc", it.Code)), Duration: nanos(take(r, "took", it.Took)),
-		Final: take(r, "final", it.Final), Load: choice.LoadReport{InFlight: it.Load.Held, Throughput: it.Load.Pace,
-			Queued: it.Load.Queue, ServiceTime: int64(it.Load.Recent * 1e6)}}
-	if it.True != nil {
-		a.ActualUnits = *it.True
+func (it *item) attemptResult(r *fieldReader) choice.AttemptResult {
+	a := choice.AttemptResult{Request: required(r, "handle", it.Handle), Attempt: required(r, "copy", it.Copy),
+		Outcome: choice.Outcome(required(r, "rc", it.Code)), Duration: nanos(required(r, "took", it.Took)),
+		Final: required(r, "final", it.Final), Load: choice.LoadReport{InFlight: it.Load.InFlight, Throughput: it.Load.Throughput,
+			Queued: it.Load.Queued, ServiceTime: int64(it.Load.RecentMs * 1e6)}}
+	if it.ActualUnits != nil {
+		a.ActualUnits = *it.ActualUnits
 	}
 	return a
 }
 
 // call runs one call on the controller; a panic in it is reported on the wire as its bug.
-func (in *instance) call(wall int64, do func(*choice.Controller)) {
+func (in *instance) call(wall int64, invoke func(*choice.Controller)) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			in.write(action{Type: "bug", Text: fmt.Sprint(cause)})
 		}
 	}()
 	in.wall = wall
-	do(in.controller)
+	invoke(in.controller)
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -8,14 +8,14 @@
 	"ospreycroft/choice"
 )
 
-const facts1 = `{"balancers":1,"classes":[{"name":"c","aim":1,"effect":"free","group":"all"}],` +
+const validFacts = `{"balancers":1,"classes":[{"name":"c","aim":1,"effect":"free","group":"all"}],` +
 	`"tariffs":[{"name":"p","rate":5,"most-at-once":10}],"family-info":{"has-counter":true,"count-wait":0.05,` +
 	`"units-top":4},"contract":{"cold-from":0.3,"warm-within":10},"permissions":{"attempts-cap":3},"granularity":0.004}`
 
 const (
-	begin   = `{"type":"begin","limiter":0,"seed":1,"facts":` + facts1 + `}`
-	members = `{"type":"membership","limiter":0,"how":"Persisted","gen":1,"items":[{"server":"s","availability":"U"}]}`
-	inbound = `{"type":"inbound","limiter":0,"handle":"j","budget":4,"api-key":7,"tier":"p","cls":"c",` +
+	begin      = `{"type":"begin","limiter":0,"seed":1,"facts":` + validFacts + `}`
+	membership = `{"type":"membership","limiter":0,"how":"Persisted","gen":1,"items":[{"server":"s","availability":"U"}]}`
+	inbound    = `{"type":"inbound","limiter":0,"handle":"j","budget":4,"api-key":7,"tier":"p","cls":"c",` +
 		`"price-units":2,"n-entries":1}`
 )
 
@@ -36,7 +36,7 @@
 		items []string
 		want  string
 	}{
-		{"a request reserves", []string{begin, members, inbound}, `"type":"charge-counter"`},
+		{"a request reserves", []string{begin, membership, inbound}, `"type":"charge-counter"`},
 		{"events for a stopped instance do nothing", []string{begin, `{"type":"retire","limiter":0}`, inbound}, `"output":[]`},
 		{"a restart in one batch starts anew", []string{begin + `,{"type":"retire","limiter":0},` + begin, inbound}, `"type":"shed"`},
 		{"unknown fields and events are ignored", []string{begin, `{"type":"news","limiter":0,"x":null}`}, `"output":[]`},
@@ -81,10 +81,10 @@
 
 func TestAttemptResult(t *testing.T) {
 	for _, c := range []struct {
-		load       string
-		held, pace float64
-		queue      float64
-		work       int64
+		load                 string
+		inFlight, throughput float64
+		queued               float64
+		serviceTime          int64
 	}{{`{"outstanding":7,"throughput":12.5,"other":1}`, 7, 12.5, 0, 0}, {"null", 0, 0, 0, 0},
 		{`{"backlog":3,"throughput":2.5,"recent_ms":135.5}`, 0, 2.5, 3, 135500000}} {
 		var it item
@@ -92,15 +92,15 @@
 			[]byte(`{"handle":"j","copy":1,"rc":0,"took":0.5,"final":true,"true-units":3,"feedback":`+c.load+`}`),
 			&it,
 		)
-		r := &reading{}
+		r := &fieldReader{}
 		want := choice.AttemptResult{
 			Request:     "j",
 			Attempt:     1,
 			Duration:    5e8,
 			Final:       true,
 			ActualUnits: 3,
-			Load: choice.LoadReport{InFlight: c.held, Throughput: c.pace,
-				Queued: c.queue, ServiceTime: c.work},
+			Load: choice.LoadReport{InFlight: c.inFlight, Throughput: c.throughput,
+				Queued: c.queued, ServiceTime: c.serviceTime},
 		}
 		if got := it.attemptResult(r); err != nil || r.missing != "" || got != want {
 			t.Fatalf("%+v, want %+v, error %v", got, want, err)
