--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -19,37 +19,37 @@
 
 var testFormat = Format{Name: "test-file", Version: 3}
 
-func TestUnframeGivesWhatFrameTook(t *testing.T) {
+func TestUnframeInvertsFrame(t *testing.T) {
 	body, err := testFormat.Unframe(testFormat.Frame([]byte("a body\nof two lines")))
 	require.NoError(t, err)
 	require.Equal(t, "a body\nof two lines", string(body))
 }
 
-func TestUnframeRefuses(t *testing.T) {
+func TestUnframeRejectsInvalidFiles(t *testing.T) {
 	framed := string(testFormat.Frame([]byte("body")))
-	isVersion := func(err error) bool {
+	isVersionError := func(err error) bool {
 		var version *VersionError
 		return errors.As(err, &version) && version.Version == 4 && version.Error() != ""
 	}
 	for _, c := range []struct {
 		name, text string
-		is         func(error) bool
+		matches    func(error) bool
 	}{
-		{"an empty file", "", func(err error) bool { return errors.Is(err, ErrTruncated) }},
-		{"a file cut short", framed[:len(framed)-1], func(err error) bool { return errors.Is(err, ErrTruncated) }},
-		{"a byte more", framed + "x", func(err error) bool { return errors.Is(err, ErrChecksum) }},
-		{"another byte", framed[:len(framed)-1] + "Y", func(err error) bool { return errors.Is(err, ErrChecksum) }},
-		{"another version", string(Format{Name: "test-file", Version: 4}.Frame([]byte("body"))), isVersion},
-		{"another program's", "what\n", func(err error) bool { return err != nil }},
+		{"empty file", "", func(err error) bool { return errors.Is(err, ErrTruncated) }},
+		{"truncated file", framed[:len(framed)-1], func(err error) bool { return errors.Is(err, ErrTruncated) }},
+		{"one extra byte", framed + "x", func(err error) bool { return errors.Is(err, ErrChecksum) }},
+		{"changed byte", framed[:len(framed)-1] + "Y", func(err error) bool { return errors.Is(err, ErrChecksum) }},
+		{"unknown version", string(Format{Name: "test-file", Version: 4}.Frame([]byte("body"))), isVersionError},
+		{"no first line of this format", "what\n", func(err error) bool { return err != nil }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := testFormat.Unframe([]byte(c.text))
-			require.True(t, c.is(err), "%v", err)
+			require.True(t, c.matches(err), "%v", err)
 		})
 	}
 }
 
-func TestWriteLeavesTheOldFileWhereAStepFails(t *testing.T) {
+func TestFailedWriteKeepsOldFile(t *testing.T) {
 	for _, step := range []string{"write", "rename"} {
 		t.Run(step, func(t *testing.T) {
 			disk := memfs.New()
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestDiskWritesAndReads(t *testing.T) {
+func TestDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, Write(Disk{}, path, []byte("text")))
 	text, err := Disk{}.Read(path)
@@ -73,18 +73,19 @@
 	require.Error(t, Disk{}.Sync(path+".none"))
 }
 
-// TestWriterTriesAgain: a disk that fails for a while, full or broken, gets what is owed once it takes it, without another
-// value being handed over; each turn is told once.
-func TestWriterTriesAgain(t *testing.T) {
+// TestWriterRetriesFailedSave guards against a value that is lost because the disk was full when it was saved. The save
+// fails twice and must be retried without another call of Save; report is called once for the failures and once for the
+// recovery.
+func TestWriterRetriesFailedSave(t *testing.T) {
 	var mutex sync.Mutex
-	tries := 0
+	attempts := 0
 	var reports []error
 	saved := make(chan int, 1)
 	writer := NewWriter(func(value *int) error {
 		mutex.Lock()
 		defer mutex.Unlock()
-		tries++
-		if tries <= 2 {
+		attempts++
+		if attempts <= 2 {
 			return syscall.ENOSPC
 		}
 		saved <- *value
@@ -96,13 +97,13 @@
 	case value := <-saved:
 		require.Equal(t, 1, value)
 	case <-time.After(5 * time.Second):
-		t.Fatal("it was not saved")
+		t.Fatal("the value was not saved within 5 s")
 	}
 	writer.Close()
 	require.Equal(t, []error{syscall.ENOSPC, nil}, reports)
 }
 
-func TestWriterWritesTheLatestOfWhatWaits(t *testing.T) {
+func TestWriterSavesOnlyLatestPendingValue(t *testing.T) {
 	release := make(chan struct{})
 	var saved []int
 	writer := NewWriter(func(value *int) error {
@@ -112,7 +113,7 @@
 	}, func(err error) { t.Error(err) })
 	one, two, three := 1, 2, 3
 	writer.Save(&one)
-	release <- struct{}{} // the first is being written
+	release <- struct{}{} // the save of the first value has begun
 	writer.Save(&two)
 	writer.Save(&three)
 	close(release)
--- a/internal/counterwire/counterwire_test.go
+++ b/internal/counterwire/counterwire_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-func TestAppendCall(t *testing.T) {
+func TestAppendAdd(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		amount float64
-		life   int64
-		want   string
+		name     string
+		amount   float64
+		lifetime int64
+		want     string
 	}{
-		{"a part of a millisecond counts as a whole one", -2.5, 4e9 + 1, "tally 7 -2.5 4001\r\n"},
-		{"a life is never 0", 1, 0, "tally 7 1 1\r\n"},
-		{"no exponents", 123456789.25, 1e6, "tally 7 123456789.25 1\r\n"},
+		{"the lifetime is rounded up to milliseconds", -2.5, 4e9 + 1, "tally 7 -2.5 4001\r\n"},
+		{"the lifetime is at least 1 ms", 1, 0, "tally 7 1 1\r\n"},
+		{"no exponent in the amount", 123456789.25, 1e6, "tally 7 123456789.25 1\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := string(AppendAdd(nil, 7, c.amount, c.life)); got != c.want {
+			if got := string(AppendAdd(nil, 7, c.amount, c.lifetime)); got != c.want {
 				t.Fatalf("wrote %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-func TestRead(t *testing.T) {
+func TestReadReply(t *testing.T) {
 	for _, c := range []struct {
-		in    string
-		kind  ReplyKind
-		total float64
-		used  int
-		bad   bool
+		in        string
+		kind      ReplyKind
+		total     float64
+		used      int
+		malformed bool
 	}{
 		{"ok 38.5\r\nok 1\r\n", Added, 38.5, 9, false},
 		{"busy\r\n", Overloaded, 0, 6, false},
@@ -44,21 +44,21 @@
 		{"what\r\n", 0, 0, 0, true},
 		{"ok 0x1f\r\n", 0, 0, 0, true},
 		{"pon", 0, 0, 0, false},
-		{"ooo", 0, 0, 0, true}, // it may never end
-		{strings.Repeat("x", mostLine), 0, 0, 0, true},
+		{"ooo", 0, 0, 0, true}, // malformed from its second byte: the line may never end
+		{strings.Repeat("x", maxLineBytes), 0, 0, 0, true},
 	} {
 		t.Run(c.in[:min(8, len(c.in))], func(t *testing.T) {
 			kind, total, used, err := ReadReply([]byte(c.in))
-			var spoilt *MalformedError
-			if kind != c.kind || total != c.total || used != c.used || errors.As(err, &spoilt) != c.bad ||
-				!c.bad && err != nil {
+			var malformedError *MalformedError
+			if kind != c.kind || total != c.total || used != c.used || errors.As(err, &malformedError) != c.malformed ||
+				!c.malformed && err != nil {
 				t.Fatalf("kind %d, total %v, used %d, error %v", kind, total, used, err)
 			}
 		})
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzReadReply(f *testing.F) {
 	f.Add([]byte("ok 38\r\n"))
 	f.Add([]byte("busy\r\npong\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,4 +1,4 @@
-// Package resp reads and writes RESP2, the protocol of clients and servers.
+// Package resp decodes and encodes RESP2, the protocol that clients and servers speak.
 package resp
 
 import (
@@ -8,62 +8,66 @@
 )
 
 const (
-	// MaxValueBytes is the longest value there may be.
+	// MaxValueBytes is the largest length of a bulk string in bytes.
 	MaxValueBytes = 64 << 10
-	// MaxMessageBytes is the longest command or answer that is read.
+	// MaxMessageBytes is the largest size of a command or reply in bytes.
 	MaxMessageBytes = MaxValueBytes + 16<<10
-	// maxWords is the longest list, maxLine the longest line in bytes, maxDepth how deep lists may stand in lists.
-	maxWords = 64
-	maxLine  = 1 << 10
-	maxDepth = 4
+	// maxElements is the largest number of elements of an array, maxLineBytes the longest line in bytes after its first
+	// byte, and maxDepth the number of levels to which arrays may be nested.
+	maxElements  = 64
+	maxLineBytes = 1 << 10
+	maxDepth     = 4
 )
 
 var (
-	// ErrMalformed is for bytes that are no RESP2.
+	// ErrMalformed reports input that is not valid RESP2, or not of the expected form.
 	ErrMalformed = errors.New("malformed")
-	// ErrTooLong is for what passes the limits above.
+	// ErrTooLong reports input that exceeds a limit on the length of a line, a value, an array or a message.
 	ErrTooLong = errors.New("too long")
 )
 
-// Value is one value; its text points into the bytes it was read from.
+// Value is a decoded value. Its text is a slice of the input.
 type Value struct {
 	Kind byte // '+', '-', ':', '$' or '*'
 	Null bool
-	Text []byte
-	List []Value
+	Text []byte  // without the line end; nil for arrays and null values
+	List []Value // the elements of an array
 }
 
-// line gives the text up to the first line end and what comes behind it; rest is nil while there is no line end.
-func line(b []byte) (text, rest []byte, err error) {
-	head := b[:min(len(b), maxLine)]
-	i := bytes.IndexByte(head, '\n')
+// readLine returns the text before the first line end and the bytes after it. rest is nil if the line is incomplete.
+func readLine(b []byte) (text, rest []byte, err error) {
+	window := b[:min(len(b), maxLineBytes)]
+	lineEnd := bytes.IndexByte(window, '\n')
 	switch {
-	case i < 0 && len(b) >= maxLine:
+	case lineEnd < 0 && len(b) >= maxLineBytes:
 		return nil, nil, ErrTooLong
-	case i < 0:
+	case lineEnd < 0:
 		return nil, nil, nil
-	case i == 0 || b[i-1] != '\r':
+	case lineEnd == 0 || b[lineEnd-1] != '\r':
 		return nil, nil, ErrMalformed
 	}
-	return b[:i-1], b[i+1:], nil
+	return b[:lineEnd-1], b[lineEnd+1:], nil
 }
 
-func size(text []byte, most int) (int, error) {
+// parseLength decodes the length of a bulk string or an array, -1 for null.
+func parseLength(text []byte, limit int) (int, error) {
 	n, err := strconv.Atoi(string(text))
 	switch {
 	case err != nil || n < -1 || len(text) > 0 && text[0] == '+':
 		return 0, ErrMalformed
-	case n > most:
+	case n > limit:
 		return 0, ErrTooLong
 	}
 	return n, nil
 }
 
-// ReadValue reads one value and tells how many bytes it took: 0 while it is not whole.
-func ReadValue(b []byte) (Value, int, error) { return readWhole(b, maxDepth) }
+// ReadValue decodes the value at the front of b and returns the number of bytes consumed, 0 if the value is
+// incomplete. The error is ErrMalformed or ErrTooLong.
+func ReadValue(b []byte) (Value, int, error) { return readComplete(b, maxDepth) }
 
-func readWhole(b []byte, depth int) (Value, int, error) {
-	v, rest, err := read(b, depth)
+// readComplete is ReadValue with a limit on the nesting of arrays.
+func readComplete(b []byte, depth int) (Value, int, error) {
+	v, rest, err := parseValue(b, depth)
 	if err == nil && rest == nil && len(b) > MaxMessageBytes {
 		err = ErrTooLong
 	}
@@ -73,8 +77,9 @@
 	return v, len(b) - len(rest), nil
 }
 
-// read reads one value from the front of the bytes; it gives a nil rest while the value is not whole.
-func read(b []byte, depth int) (v Value, rest []byte, err error) {
+// parseValue decodes the value at the front of b and returns the bytes after it. rest is nil if the value is
+// incomplete.
+func parseValue(b []byte, depth int) (v Value, rest []byte, err error) {
 	if len(b) == 0 {
 		return v, nil, nil
 	}
@@ -84,7 +89,7 @@
 	default:
 		return v, nil, ErrMalformed
 	}
-	text, rest, err := line(b[1:])
+	text, rest, err := readLine(b[1:])
 	if err != nil || rest == nil {
 		return v, nil, err
 	}
@@ -100,7 +105,7 @@
 	return v, rest, nil
 }
 
-// readInteger finishes an integer, whose digits are the text.
+// readInteger decodes an integer with the digits in text.
 func (v Value) readInteger(text, rest []byte) (Value, []byte, error) {
 	v.Text = text
 	if _, err := strconv.ParseInt(string(text), 10, 64); err != nil {
@@ -109,9 +114,9 @@
 	return v, rest, nil
 }
 
-// readBulk finishes a bulk string, whose length is the text.
+// readBulk decodes a bulk string with the length in text.
 func (v Value) readBulk(text, rest []byte) (Value, []byte, error) {
-	n, err := size(text, MaxValueBytes)
+	n, err := parseLength(text, MaxValueBytes)
 	if err != nil || n < 0 {
 		v.Null = true
 		return v, rest, err
@@ -126,9 +131,9 @@
 	return v, rest[n+2:], nil
 }
 
-// readList finishes a list, whose length is the text.
+// readList decodes an array with the length in text.
 func (v Value) readList(text, rest []byte, depth int) (Value, []byte, error) {
-	n, err := size(text, maxWords)
+	n, err := parseLength(text, maxElements)
 	if err != nil || n < 0 {
 		v.Null = true
 		return v, rest, err
@@ -138,7 +143,7 @@
 	}
 	for range n {
 		var item Value
-		item, rest, err = read(rest, depth-1)
+		item, rest, err = parseValue(rest, depth-1)
 		if err != nil || rest == nil {
 			return v, nil, err
 		}
@@ -147,17 +152,18 @@
 	return v, rest, nil
 }
 
-// ReadAnswer reads a server's answer: an error line, or three bulk strings, of which the first, the value, is never
-// null. What cannot become one is told as soon as it shows: a spoilt answer may never end.
+// ReadAnswer decodes a server's reply and returns the number of bytes consumed, 0 if the reply is incomplete. A reply
+// is an error, or an array of three bulk strings of which the first, the result, is not null. Input that does not
+// begin like a reply is rejected without waiting for its end, which may never come.
 func ReadAnswer(b []byte) (Value, int, error) {
 	if len(b) == 0 || b[0] == '-' {
 		return ReadValue(b)
 	}
-	head := []byte("*3\r\n$")
-	if n := min(len(b), len(head)); !bytes.Equal(b[:n], head[:n]) {
+	prefix := []byte("*3\r\n$")
+	if n := min(len(b), len(prefix)); !bytes.Equal(b[:n], prefix[:n]) {
 		return Value{}, 0, ErrMalformed
 	}
-	v, n, err := readWhole(b, 1)
+	v, n, err := readComplete(b, 1)
 	if err != nil || n == 0 {
 		return Value{}, 0, err
 	}
@@ -169,13 +175,14 @@
 	return v, n, nil
 }
 
-// ReadCommand reads a command, an array of bulk strings, and tells how many bytes it took: 0 while it is not whole.
+// ReadCommand decodes a command, an array of bulk strings. It appends the strings to words and returns the number of
+// bytes consumed, 0 if the command is incomplete.
 func ReadCommand(b []byte, words [][]byte) ([][]byte, int, error) {
-	// What cannot become a command is told at its first byte, not when its line ends.
+	// Input that is not an array is rejected at its first byte, as the end of its line may never come.
 	if len(b) > 0 && b[0] != '*' {
 		return words, 0, ErrMalformed
 	}
-	v, n, err := readWhole(b, 1)
+	v, n, err := readComplete(b, 1)
 	if err != nil || n == 0 {
 		return words, 0, err
 	}
@@ -191,7 +198,7 @@
 	return words, n, nil
 }
 
-// AppendBulk writes one bulk string.
+// AppendBulk appends a bulk string.
 func AppendBulk(to, text []byte) []byte {
 	to = append(to, '$')
 	to = strconv.AppendInt(to, int64(len(text)), 10)
@@ -200,7 +207,7 @@
 	return append(to, "\r\n"...)
 }
 
-// AppendCommand writes a command.
+// AppendCommand appends a command, an array of bulk strings.
 func AppendCommand(to []byte, words ...[]byte) []byte {
 	to = append(to, '*')
 	to = strconv.AppendInt(to, int64(len(words)), 10)
