--- /dev/null
+++ b/internal/sockets/backpressure_test.go
@@ -0,0 +1,242 @@
+package sockets
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ospreycroft/internal/limiter"
+)
+
+// connHistory is what the reducer was told of one connection, in order.
+type connHistory struct {
+	kinds []eventKind
+	text  strings.Builder
+	last  queuedEvent
+}
+
+// recordingDriver is a drive that keeps what the reducer is told, and for which nothing may stand still.
+type recordingDriver struct {
+	*driver
+	histories map[limiter.ConnID]*connHistory
+}
+
+// requireNonBlocking does something as the reducer, which must not wait for anybody.
+func (d *recordingDriver) requireNonBlocking(what string, call func()) {
+	d.t.Helper()
+	done := make(chan struct{})
+	go func() { defer close(done); call() }()
+	select {
+	case <-done:
+	case <-time.After(testTimeout):
+		d.t.Fatal("the reducer stands still: ", what)
+	}
+}
+
+func (d *recordingDriver) takeBatch() {
+	d.t.Helper()
+	d.requireNonBlocking("a batch", func() { d.step(0) })
+	require.LessOrEqual(d.t, len(d.s.current.bytes), maxQueuedBytes+readSize, "more waited than may")
+	from := 0
+	for _, e := range d.s.current.events {
+		history := d.histories[e.connID]
+		if history == nil {
+			history = &connHistory{}
+			d.histories[e.connID] = history
+		}
+		history.kinds, history.last = append(history.kinds, e.kind), e
+		history.text.Write(d.s.current.bytes[from : from+e.size])
+		from += e.size
+	}
+}
+
+// takeUntil takes batches until something holds.
+func (d *recordingDriver) takeUntil(what string, condition func() bool) {
+	d.t.Helper()
+	for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
+		require.Less(d.t, time.Since(start), testTimeout, what)
+		d.takeBatch()
+	}
+}
+
+// waitUntilQueueFull waits until more waits for the reducer than may.
+func (d *recordingDriver) waitUntilQueueFull() {
+	d.t.Helper()
+	require.Eventually(
+		d.t,
+		func() bool { return d.queuedBytes(0) > maxQueuedBytes },
+		testTimeout,
+		time.Millisecond,
+		"it does not fill",
+	)
+}
+
+// connectClient connects a client and gives its link.
+func (d *recordingDriver) connectClient() (net.Conn, *connection) {
+	d.t.Helper()
+	client, conn := d.dialClient(), (*connection)(nil)
+	d.takeUntil("it is let in", func() bool {
+		for _, candidate := range d.s.connections {
+			if nc := candidate.nbConn.Load(); nc != nil && nc.RemoteAddr().String() == client.LocalAddr().String() {
+				conn = candidate
+			}
+		}
+		return conn != nil
+	})
+	return client, conn
+}
+
+// endedByClose tells whether the reducer was told of a connection's end, and of nothing behind it.
+func (d *recordingDriver) endedByClose(id limiter.ConnID) bool {
+	history := d.histories[id]
+	return history != nil && history.kinds[len(history.kinds)-1] == connClosed
+}
+
+// readInProgress tells whether bytes are read from a connection and not posted.
+func (c *connection) readInProgress() bool {
+	free := c.readMutex.TryLock()
+	if free {
+		c.readMutex.Unlock()
+	}
+	return !free
+}
+
+// TestBackpressure: so many clients' bytes wait for the reducer that all who have to tell it something wait as well:
+// the poller, the one that lets clients in, those that dial, the one that tells of ends and those that read on for
+// clients that had sent too much. The reducer waits for none of them; once it takes what waits, all comes, in order,
+// and every place is given back.
+func TestBackpressure(t *testing.T) {
+	server := listenLoopback(t)
+	d := &recordingDriver{newDriver(t, 512, nil), map[limiter.ConnID]*connHistory{}}
+	t.Cleanup(func() { // a poller that waits for the reducer would not stop
+		for range 50 {
+			d.s.nextBatch()
+			d.s.batchTaken.Broadcast()
+			time.Sleep(time.Millisecond)
+		}
+	})
+	const clientCount, commandsPerClient = 80, 40
+	var clients [clientCount]net.Conn
+	var conns [clientCount]*connection
+	var sent [clientCount]string
+	for i := range clientCount {
+		clients[i], conns[i] = d.connectClient()
+		for k := range commandsPerClient {
+			sent[i] += fmt.Sprintf("*2\r\n$1\r\nX\r\n$5000\r\n%2500d%2500d\r\n", i, k)
+		}
+	}
+	pingClient, pingConn := d.connectClient()
+	writtenClient, writtenConn := d.connectClient()
+	gracefulClient, gracefulConn := d.connectClient()
+	closingClient, closingConn := d.connectClient()
+	resettingClient, resettingConn := d.connectClient()
+	_, locallyLostConn := d.connectClient()
+	for i := range clientCount {
+		go func() { _, _ = io.WriteString(clients[i], sent[i]) }()
+	}
+	d.waitUntilQueueFull()
+	d.takeBatch() // each that was told of reads on
+	d.waitUntilQueueFull()
+	send(t, pingClient, ping)
+	var blockedConn *connection
+	require.Eventually(t, func() bool { // bytes are out of the kernel, and whoever has read them cannot tell of them
+		for _, conn := range conns[1:] {
+			if conn.readInProgress() {
+				time.Sleep(20 * time.Millisecond)
+				blockedConn = conn
+				return conn.readInProgress()
+			}
+		}
+		return false
+	}, testTimeout, time.Millisecond, "nobody waits")
+	require.Zero(t, d.queuedBytes(pingConn.id), "the poller does not wait")
+
+	// Now all that can happen to connections happens.
+	slotsInUse, last := len(d.s.listener.slots), d.lastID()
+	stayingClient, leavingClient, abortedClient := d.dialClient(), d.dialClient(), d.dialClient()
+	send(t, stayingClient, ping+ping)
+	send(t, leavingClient, ping+ping+ping)
+	require.NoError(t, leavingClient.Close())
+	require.NoError(t, abortedClient.(*net.TCPConn).SetLinger(0))
+	require.NoError(t, abortedClient.Close())
+	require.Eventually(t, func() bool { return d.lastID() > last }, testTimeout, time.Millisecond, "nobody is let in")
+	require.NoError(t, closingClient.Close())
+	require.NoError(t, resettingClient.(*net.TCPConn).SetLinger(0))
+	require.NoError(t, resettingClient.Close())
+	_ = locallyLostConn.nbConn.Load().Close() // as the poller does, in whose stead nbio's own goroutine tells of it
+	require.Eventually(
+		t,
+		func() bool { return len(d.s.listener.slots) == slotsInUse-1 },
+		testTimeout,
+		time.Millisecond,
+		"its place is kept",
+	)
+	var dialedID, refusedID limiter.ConnID
+	var closedBlocked, closedGraceful, hasBacklog bool
+	d.requireNonBlocking("effects", func() {
+		dialedID = d.s.Dial(server.Addr().String(), int64(testTimeout))
+		refusedID = d.s.Dial("127.0.0.1:1", int64(testTimeout))
+		d.s.Close(d.s.Dial(server.Addr().String(), int64(testTimeout)))
+		closedBlocked = d.s.CloseGracefully(blockedConn.id, 1e9, 1e9)
+		for _, conn := range conns {
+			_ = d.s.Alive(conn.id)
+		}
+		d.s.Write(writtenConn.id, []byte("text"))
+		closedGraceful = d.s.CloseGracefully(gracefulConn.id, 1e9, 1e9)
+		d.s.Close(conns[0].id)
+		hasBacklog = d.s.HasBacklog()
+	})
+	require.False(t, closedBlocked, "it leaves one with commands that it was not told of")
+	require.True(t, closedGraceful)
+	require.False(t, hasBacklog)
+	expectRead(t, writtenClient, "text")
+	_, err := gracefulClient.Read(make([]byte, 1))
+	require.ErrorIs(t, err, io.EOF)
+	require.Greater(t, d.queuedBytes(0), maxQueuedBytes, "it has been taken")
+
+	d.takeUntil("all that was sent is told", func() bool {
+		for i, conn := range conns[1:] {
+			if history := d.histories[conn.id]; history.text.Len() < len(sent[i+1]) {
+				return false
+			}
+		}
+		return d.endedByClose(closingConn.id) && d.endedByClose(resettingConn.id) && d.endedByClose(locallyLostConn.id) && d.endedByClose(refusedID) &&
+			d.histories[dialedID] != nil
+	})
+	for i, conn := range conns[1:] {
+		require.True(t, d.histories[conn.id].text.String() == sent[i+1], "out of order")
+	}
+	require.True(t, strings.HasPrefix(sent[0], d.histories[conns[0].id].text.String()))
+	require.Equal(t, connected, d.histories[dialedID].last.kind)
+	require.Equal(t, limiter.ConnRefused, d.histories[refusedID].last.reason)
+	require.Equal(t, ping, d.histories[pingConn.id].text.String())
+	for _, c := range append(clients[:], pingClient, writtenClient, gracefulClient) {
+		_ = c.Close()
+	}
+	d.takeUntil("each that came is told of, and each end", func() bool {
+		pingsReceived := map[string]int{} // the reset one may not have come up
+		for id, history := range d.histories {
+			if history.kinds[0] == clientAccepted && history.text.String() != ping+ping && !d.endedByClose(id) {
+				return false
+			} else if history.text.Len() > 0 && history.text.Len() <= 3*len(ping) {
+				pingsReceived[history.text.String()]++
+			}
+		}
+		return maps.Equal(pingsReceived, map[string]int{ping: 1, ping + ping: 1, ping + ping + ping: 1})
+	})
+	require.NoError(t, stayingClient.Close())
+	d.takeUntil("every place is free", func() bool { return len(d.s.listener.slots) == 1 })
+}
+
+// lastID is that of the connection that came last.
+func (d *recordingDriver) lastID() limiter.ConnID {
+	d.s.mutex.Lock()
+	defer d.s.mutex.Unlock()
+	return d.s.lastID
+}
--- a/internal/sockets/connect.go
+++ b/internal/sockets/connect.go
@@ -17,16 +17,16 @@
 		if err != nil {
 			return err
 		}
-		failed := socket.Control(func(fd uintptr) { err = beginConnection(ctx, int(fd), to) })
-		if failed != nil {
-			return failed
+		controlErr := socket.Control(func(fd uintptr) { err = startConnect(ctx, int(fd), to) })
+		if controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
 }
 
-// beginConnection calls connect for a socket that does not block, again as long as it is interrupted.
-func beginConnection(ctx context.Context, fd int, to syscall.Sockaddr) error {
+// startConnect calls connect for a socket that does not block, again as long as it is interrupted.
+func startConnect(ctx context.Context, fd int, to syscall.Sockaddr) error {
 	for {
 		switch err := syscall.Connect(fd, to); err {
 		case nil, syscall.EINPROGRESS:
@@ -44,8 +44,8 @@
 }
 
 // socketAddress is the address of a dialler's call, IP:PORT, as system calls take it.
-func socketAddress(text string) (syscall.Sockaddr, error) {
-	address, err := netip.ParseAddrPort(text)
+func socketAddress(hostPort string) (syscall.Sockaddr, error) {
+	address, err := netip.ParseAddrPort(hostPort)
 	if err != nil {
 		return nil, err
 	}
@@ -65,9 +65,9 @@
 	if zone == "" {
 		return 0, nil
 	}
-	device, err := net.InterfaceByName(zone)
+	iface, err := net.InterfaceByName(zone)
 	if err != nil {
 		return 0, err
 	}
-	return uint32(device.Index), nil
+	return uint32(iface.Index), nil
 }
--- a/internal/sockets/connect_test.go
+++ b/internal/sockets/connect_test.go
@@ -14,7 +14,7 @@
 
 // TestDialer: connections come up at addresses of both families, and what refuses is told as before.
 func TestDialer(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, address := range []string{"127.0.0.1:0", "[::1]:0"} {
 		listener, err := net.Listen("tcp", address)
@@ -26,40 +26,40 @@
 		conn, err := newDialer().DialContext(ctx, "tcp", listener.Addr().String())
 		require.NoError(t, err)
 		require.Equal(t, listener.Addr().String(), conn.RemoteAddr().String())
-		far, err := listener.Accept()
+		peer, err := listener.Accept()
 		require.NoError(t, err)
-		_, err = far.Write([]byte("text"))
+		_, err = peer.Write([]byte("text"))
 		require.NoError(t, err)
 		got := make([]byte, 4)
 		_, err = conn.Read(got)
 		require.NoError(t, err)
 		require.Equal(t, "text", string(got))
-		_, _, _ = conn.Close(), far.Close(), listener.Close()
+		_, _, _ = conn.Close(), peer.Close(), listener.Close()
 	}
-	refusing := local(t)
+	refusing := listenLoopback(t)
 	require.NoError(t, refusing.Close())
 	_, err := newDialer().DialContext(ctx, "tcp", refusing.Addr().String())
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
 }
 
-// TestDialerGivesUpInTime: where no connection comes up, the dialler's time ends it.
-func TestDialerGivesUpInTime(t *testing.T) {
-	full := local(t)
-	raw, err := full.(*net.TCPListener).SyscallConn()
+// TestDialerTimeout: where no connection comes up, the dialler's time ends it.
+func TestDialerTimeout(t *testing.T) {
+	listener := listenLoopback(t)
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }))
 	require.NoError(t, err)
-	const within = 100 * time.Millisecond
+	const timeout = 100 * time.Millisecond
 	for { // until the queue is full
-		ctx, cancel := context.WithTimeout(context.Background(), within)
-		begun := time.Now()
-		conn, err := newDialer().DialContext(ctx, "tcp", full.Addr().String())
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
+		start := time.Now()
+		conn, err := newDialer().DialContext(ctx, "tcp", listener.Addr().String())
 		cancel()
 		if err != nil {
-			require.Less(t, time.Since(begun), patience)
-			var timeout net.Error
-			require.ErrorAs(t, err, &timeout)
-			require.True(t, timeout.Timeout())
+			require.Less(t, time.Since(start), testTimeout)
+			var netErr net.Error
+			require.ErrorAs(t, err, &netErr)
+			require.True(t, netErr.Timeout())
 			return
 		}
 		defer func() { _ = conn.Close() }()
@@ -68,10 +68,10 @@
 
 func TestSocketAddress(t *testing.T) {
 	for _, text := range []string{"127.0.0.1:80", "[::1]:443", "[::ffff:10.1.2.3]:9"} {
-		at, err := socketAddress(text)
+		address, err := socketAddress(text)
 		require.NoError(t, err)
 		var got netip.AddrPort
-		switch a := at.(type) {
+		switch a := address.(type) {
 		case *syscall.SockaddrInet4:
 			got = netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
 		case *syscall.SockaddrInet6:
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -20,18 +20,18 @@
 // 0.0.0.0, and it takes a refused connection for one that is up.
 func (s *Sockets) Dial(address string, timeout int64) limiter.ConnID {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(timeout))
-	l := s.newConnection(cancel, nil)
-	s.connections[l.id] = l
+	conn := s.newConnection(cancel, nil)
+	s.connections[conn.id] = conn
 	go func() {
 		defer logging.LogPanic("dialler")
 		defer cancel()
-		if err := s.dialUntil(ctx, l, address); err != nil {
-			s.enqueue(l, queuedEvent{kind: connClosed, reason: dialFailure(ctx, err)}, nil)
+		if err := s.dialWithRetry(ctx, conn, address); err != nil {
+			s.enqueue(conn, queuedEvent{kind: connClosed, reason: dialFailure(ctx, err)}, nil)
 			return
 		}
-		s.enqueue(l, queuedEvent{kind: connected}, nil)
+		s.enqueue(conn, queuedEvent{kind: connected}, nil)
 	}()
-	return l.id
+	return conn.id
 }
 
 // dialFailure is the reason why a connection did not come up.
@@ -47,52 +47,52 @@
 	return limiter.ConnRefused
 }
 
-// dialUntil dials, and again where this machine is to blame, as long as there is time for another try: the limiter's own
+// dialWithRetry dials, and again where this machine is to blame, as long as there is time for another try: the limiter's own
 // timer would else call it the other side's silence.
-func (s *Sockets) dialUntil(ctx context.Context, l *connection, address string) error {
-	end, _ := ctx.Deadline()
-	for pause := time.Duration(0); ; {
-		err := s.dial(ctx, l, address)
-		pause = nextPause(pause)
-		if err == nil || !transient.IsLocalFailure(err) || time.Until(end) < 2*pause {
+func (s *Sockets) dialWithRetry(ctx context.Context, conn *connection, address string) error {
+	deadline, _ := ctx.Deadline()
+	for backoff := time.Duration(0); ; {
+		err := s.dialOnce(ctx, conn, address)
+		backoff = nextBackoff(backoff)
+		if err == nil || !transient.IsLocalFailure(err) || time.Until(deadline) < 2*backoff {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 	}
 }
 
-func (s *Sockets) dial(ctx context.Context, l *connection, address string) error {
-	plain, err := s.dialTCP(ctx, "tcp", address)
+func (s *Sockets) dialOnce(ctx context.Context, conn *connection, address string) error {
+	tcpConn, err := s.dialTCP(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
-	c, err := nbio.NBConn(plain)
+	nc, err := nbio.NBConn(tcpConn)
 	if err != nil {
-		_ = plain.Close()
+		_ = tcpConn.Close()
 		return err
 	}
-	c.SetSession(l)
-	l.conn.Store(c)
-	err = s.addToEngine(c)
-	if err == nil && l.locallyClosed.Load() {
-		shutdown(c, syscall.SHUT_RDWR)
+	nc.SetSession(conn)
+	conn.nbConn.Store(nc)
+	err = s.addToEngine(nc)
+	if err == nil && conn.locallyClosed.Load() {
+		shutdown(nc, syscall.SHUT_RDWR)
 	}
 	return err
 }
 
 // addToEngine has the poller take a connection over. An engine that is being stopped takes none: nbio panics where one is
 // added as it waits for the others to close.
-func (s *Sockets) addToEngine(c *nbio.Conn) error {
-	s.adding.RLock()
-	defer s.adding.RUnlock()
+func (s *Sockets) addToEngine(nc *nbio.Conn) error {
+	s.addMutex.RLock()
+	defer s.addMutex.RUnlock()
 	if s.halted.Load() {
-		_ = c.Close()
+		_ = nc.Close()
 		return net.ErrClosed
 	}
-	_, err := s.engine.AddConn(c)
+	_, err := s.engine.AddConn(nc)
 	return err
 }
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -10,13 +10,13 @@
 	"go.uber.org/goleak"
 )
 
-func TestRefused(t *testing.T) {
-	kernel := func(no syscall.Errno) error {
-		return &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", no)}
+func TestListenError(t *testing.T) {
+	bindError := func(errno syscall.Errno) error {
+		return &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", errno)}
 	}
 	for _, c := range []struct {
-		no   syscall.Errno
-		want any
+		errno syscall.Errno
+		want  any
 	}{
 		{syscall.EADDRINUSE, new(*AddressInUseError)},
 		{syscall.EADDRNOTAVAIL, new(*AddressError)},
@@ -24,19 +24,19 @@
 		{syscall.EMFILE, new(*DescriptorsError)},
 		{syscall.ENFILE, new(*DescriptorsError)},
 	} {
-		err := listenError("127.0.0.1:1", kernel(c.no))
+		err := listenError("127.0.0.1:1", bindError(c.errno))
 		require.ErrorAs(t, err, c.want)
-		require.ErrorIs(t, err, c.no)
+		require.ErrorIs(t, err, c.errno)
 	}
 	require.NoError(t, Descriptors(1))
 }
 
 // A limiter that cannot listen leaves nothing running behind its error.
-func TestRefusedLeavesNothing(t *testing.T) {
+func TestListenErrorLeaksNoGoroutine(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = held.Close() }()
-	_, err = Listen(held.Addr().String(), 1, 64)
+	defer func() { _ = occupied.Close() }()
+	_, err = Listen(occupied.Addr().String(), 1, 64)
 	require.Error(t, err)
 }
--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -16,91 +16,91 @@
 	"ospreycroft/internal/limiter"
 )
 
-// size is how many bytes of a connection, 0 for all, wait for the reducer.
-func (d *drive) size(id limiter.ConnID) (size int) {
+// queuedBytes is how many bytes of a connection, 0 for all, wait for the reducer.
+func (d *driver) queuedBytes(id limiter.ConnID) (size int) {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
 	for _, e := range d.s.queued.events {
-		if id == 0 || e.conn == id {
+		if id == 0 || e.connID == id {
 			size += e.size
 		}
 	}
 	return size
 }
 
-// TestFlood: of a client that sends more than may wait for the reducer the poller reads a part, and goes on to others.
+// TestFloodingClient: of a client that sends more than may wait for the reducer the poller reads a part, and goes on to others.
 // The rest is read once the reducer was told of that part, and none of it is lost. Its end is seen over what was not
 // read.
-func TestFlood(t *testing.T) {
-	d := driven(t, 64, nil)
+func TestFloodingClient(t *testing.T) {
+	d := newDriver(t, 64, nil)
 	t.Cleanup(func() { // a poller that waits for the reducer would not stop
 		for range 20 {
 			d.s.nextBatch()
 			time.Sleep(time.Millisecond)
 		}
 	})
-	flooder, flood := d.dial(), limiter.ConnID(0)
-	d.until("it is let in", func() bool {
-		for id, l := range d.s.connections {
-			if l.accepting != nil {
-				flood = id
+	floodingClient, floodingID := d.dialClient(), limiter.ConnID(0)
+	d.stepUntil("it is let in", func() bool {
+		for id, conn := range d.s.connections {
+			if conn.listener != nil {
+				floodingID = id
 			}
 		}
-		return flood > 0
+		return floodingID > 0
 	})
 	const commands = 100
 	command := "*2\r\n$1\r\nX\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n"
 	require.Greater(t, commands*len(command), maxQueuedBytes+1<<20)
 	wrote := make(chan error, 1)
 	go func() {
-		_, err := io.WriteString(flooder, strings.Repeat(command, commands))
+		_, err := io.WriteString(floodingClient, strings.Repeat(command, commands))
 		wrote <- err
 	}()
-	require.Eventually(t, func() bool { return d.size(flood) >= maxClientBytes }, patience, time.Millisecond)
-	other := d.dial()
-	ask(t, other, ping)
-	require.Eventually(t, func() bool { return d.size(0)-d.size(flood) == len(ping) }, patience, time.Millisecond,
+	require.Eventually(t, func() bool { return d.queuedBytes(floodingID) >= maxQueuedBytesPerClient }, testTimeout, time.Millisecond)
+	other := d.dialClient()
+	send(t, other, ping)
+	require.Eventually(t, func() bool { return d.queuedBytes(0)-d.queuedBytes(floodingID) == len(ping) }, testTimeout, time.Millisecond,
 		"the poller reads one client alone")
-	require.Less(t, d.size(flood), maxClientBytes+readSize)
+	require.Less(t, d.queuedBytes(floodingID), maxQueuedBytesPerClient+readSize)
 	answered := make(chan string, 1)
 	text := strings.Repeat("-ERR unknown command\r\n", commands)
 	go func() {
 		got := make([]byte, len(text))
-		_, _ = io.ReadFull(flooder, got)
+		_, _ = io.ReadFull(floodingClient, got)
 		answered <- string(got)
 	}()
-	d.until("all of it is answered", func() bool { return len(answered) > 0 })
+	d.stepUntil("all of it is answered", func() bool { return len(answered) > 0 })
 	require.Equal(t, text, <-answered)
 	require.NoError(t, <-wrote)
 
 	go func() { // and it goes, with much unread
-		_, err := io.WriteString(flooder, strings.Repeat(command, 3))
-		_ = flooder.Close()
+		_, err := io.WriteString(floodingClient, strings.Repeat(command, 3))
+		_ = floodingClient.Close()
 		wrote <- err
 	}()
 	require.NoError(t, <-wrote)
-	d.until("its end is told", func() bool { return d.s.connections[flood] == nil })
-	require.Len(t, d.s.accepting.places, 2) // the other's, and the next one's
+	d.stepUntil("its end is told", func() bool { return d.s.connections[floodingID] == nil })
+	require.Len(t, d.s.listener.slots, 2) // the other's, and the next one's
 }
 
 // TestNoDescriptor: a client for whose connection no descriptor is left gives its place back. The library needs two
 // for a moment. It runs in a process of its own: what other tests have left closes when it likes, and would leave
 // descriptors.
 func TestNoDescriptor(t *testing.T) {
-	const alone = "SOCKETS_TEST_ALONE"
-	if os.Getenv(alone) == "" {
-		ctx, cancel := context.WithTimeout(t.Context(), 4*patience)
+	const subprocessEnv = "SOCKETS_TEST_ALONE"
+	if os.Getenv(subprocessEnv) == "" {
+		ctx, cancel := context.WithTimeout(t.Context(), 4*testTimeout)
 		defer cancel()
-		own := exec.CommandContext(ctx, os.Args[0], "-test.run=^TestNoDescriptor$")
-		own.Env = append(os.Environ(), alone+"=1")
-		text, err := own.CombinedOutput()
-		require.NoError(t, err, "%s", text)
+		cmd := exec.CommandContext(ctx, os.Args[0], "-test.run=^TestNoDescriptor$")
+		cmd.Env = append(os.Environ(), subprocessEnv+"=1")
+		output, err := cmd.CombinedOutput()
+		require.NoError(t, err, "%s", output)
 		return
 	}
-	s, address := listening(t, 1)
+	s, address := listen(t, 1)
 	t.Cleanup(func() {
 		if t.Failed() { // the place that was kept
-			<-s.accepting.places
+			<-s.listener.slots
 		}
 	})
 	var limit syscall.Rlimit
@@ -117,16 +117,16 @@
 	for _, f := range files[len(files)-2:] { // one for the client's own end, one to accept it
 		_ = f.Close()
 	}
-	far, err := net.Dial("tcp", address)
+	rejectedClient, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	defer func() { _ = far.Close() }()
-	_ = far.SetReadDeadline(time.Now().Add(patience))
-	_, err = far.Read(make([]byte, 1))
+	defer func() { _ = rejectedClient.Close() }()
+	_ = rejectedClient.SetReadDeadline(time.Now().Add(testTimeout))
+	_, err = rejectedClient.Read(make([]byte, 1))
 	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it was let in")
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
-	later, err := net.Dial("tcp", address)
+	laterClient, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	defer func() { _ = later.Close() }()
-	e, _ := next(t, s)
+	defer func() { _ = laterClient.Close() }()
+	e, _ := nextEvent(t, s)
 	require.Equal(t, clientAccepted, e.kind)
 }
--- a/internal/sockets/halt_test.go
+++ b/internal/sockets/halt_test.go
@@ -23,7 +23,7 @@
 		s.Halt()
 		return limiterSide, nil
 	}
-	require.ErrorIs(t, s.dial(t.Context(), s.newConnection(nil, nil), "any"), net.ErrClosed)
+	require.ErrorIs(t, s.dialOnce(t.Context(), s.newConnection(nil, nil), "any"), net.ErrClosed)
 	s.engine.Stop()
 	_, err = peer.Read(make([]byte, 1))
 	require.Error(t, err)
--- a/internal/sockets/library_log.go
+++ b/internal/sockets/library_log.go
@@ -15,9 +15,9 @@
 // libraryLogger puts what the network library says of its errors into the program's log, at intervals. By itself it writes to
 // standard output, without a bound and waiting for whoever reads that.
 type libraryLogger struct {
-	mutex    sync.Mutex
-	loggedAt time.Time
-	left     int // not logged since
+	mutex      sync.Mutex
+	loggedAt   time.Time
+	suppressed int // not logged since
 }
 
 var _ nbiologging.Logger = (*libraryLogger)(nil)
@@ -37,10 +37,10 @@
 	defer l.mutex.Unlock()
 	now := time.Now()
 	if now.Sub(l.loggedAt) < libraryLogInterval {
-		l.left++
+		l.suppressed++
 		return
 	}
-	slog.Error("network-library-failed", "error", fmt.Sprintf(format, values...), "left_out", l.left)
+	slog.Error("network-library-failed", "error", fmt.Sprintf(format, values...), "left_out", l.suppressed)
 	l.loggedAt = now
-	l.left = 0
+	l.suppressed = 0
 }
--- a/internal/sockets/local_failure.go
+++ b/internal/sockets/local_failure.go
@@ -14,11 +14,11 @@
 var routeFailures = []error{syscall.ENETUNREACH, syscall.ENETDOWN}
 
 const (
-	minRetryPause = time.Millisecond
-	maxRetryPause = 50 * time.Millisecond
+	minBackoff = time.Millisecond
+	maxBackoff = 50 * time.Millisecond
 )
 
-// nextPause is the pause behind the one that has passed; the first behind 0.
-func nextPause(pause time.Duration) time.Duration {
-	return min(max(2*pause, minRetryPause), maxRetryPause)
+// nextBackoff is the pause behind the one that has passed; the first behind 0.
+func nextBackoff(backoff time.Duration) time.Duration {
+	return min(max(2*backoff, minBackoff), maxBackoff)
 }
--- a/internal/sockets/local_failure_test.go
+++ b/internal/sockets/local_failure_test.go
@@ -20,30 +20,30 @@
 	"ospreycroft/internal/logging"
 )
 
-// failure is an error as package net gives it for a system call.
-func failure(call string, errno syscall.Errno) error {
+// netError is an error as package net gives it for a system call.
+func netError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// TestDialAgainAfterLocalFailure: socket or connect fails for a moment for want of something on this machine. The
+// TestDialRetriesAfterLocalFailure: socket or connect fails for a moment for want of something on this machine. The
 // connection comes up within the same dial, and nobody is blamed.
-func TestDialAgainAfterLocalFailure(t *testing.T) {
+func TestDialRetriesAfterLocalFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EINTR,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			s, address := listening(t, 2)
-			dial, tries := s.dialTCP, 0
+			s, address := listen(t, 2)
+			dial, attempts := s.dialTCP, 0
 			s.dialTCP = func(ctx context.Context, network, address string) (net.Conn, error) {
-				if tries++; tries <= 3 {
-					return nil, failure("connect", errno)
+				if attempts++; attempts <= 3 {
+					return nil, netError("connect", errno)
 				}
 				return dial(ctx, network, address)
 			}
-			id := s.Dial(address, int64(patience))
+			id := s.Dial(address, int64(testTimeout))
 			for {
-				e, _ := next(t, s)
-				if e.conn == id {
+				e, _ := nextEvent(t, s)
+				if e.connID == id {
 					require.Equal(t, connected, e.kind)
 					return
 				}
@@ -52,14 +52,14 @@
 	}
 }
 
-// TestLocalFailureThatLasts: it is told as this machine's own, before the limiter's timer calls it the other side's
+// TestPersistentLocalFailure: it is told as this machine's own, before the limiter's timer calls it the other side's
 // silence; a refusal is told at once.
-func TestLocalFailureThatLasts(t *testing.T) {
+func TestPersistentLocalFailure(t *testing.T) {
 	const timeout = 250 * time.Millisecond
 	for _, c := range []struct {
-		errno  syscall.Errno
-		reason limiter.CloseReason
-		tries  int // at most
+		errno    syscall.Errno
+		reason   limiter.CloseReason
+		attempts int // at most
 	}{
 		{syscall.ENFILE, limiter.LocalFailure, 50},
 		{syscall.ENETUNREACH, limiter.ConnRefused, 50},
@@ -67,18 +67,18 @@
 		{syscall.EHOSTUNREACH, limiter.ConnRefused, 1},
 	} {
 		t.Run(c.errno.Error(), func(t *testing.T) {
-			s, address := listening(t, 2)
-			tries := 0
+			s, address := listen(t, 2)
+			attempts := 0
 			s.dialTCP = func(context.Context, string, string) (net.Conn, error) {
-				tries++
-				return nil, failure("connect", c.errno)
+				attempts++
+				return nil, netError("connect", c.errno)
 			}
-			began := time.Now()
+			start := time.Now()
 			id := s.Dial(address, int64(timeout))
-			e := expect(t, s, connClosed, id)
+			e := expectEvent(t, s, connClosed, id)
 			require.Equal(t, c.reason, e.reason)
-			require.LessOrEqual(t, tries, c.tries)
-			require.Less(t, time.Since(began), timeout)
+			require.LessOrEqual(t, attempts, c.attempts)
+			require.Less(t, time.Since(start), timeout)
 		})
 	}
 }
@@ -94,17 +94,17 @@
 func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
-		return nil, failure("accept4", l.errno)
+		return nil, netError("accept4", l.errno)
 	}
 	return l.Listener.Accept()
 }
 
-// TestAcceptAgainAfterLocalFailure: accept fails for a moment. The client that waits in the kernel is accepted then, it
+// TestAcceptRetriesAfterLocalFailure: accept fails for a moment. The client that waits in the kernel is accepted then, it
 // counts as waiting meanwhile, and no place is lost.
-func TestAcceptAgainAfterLocalFailure(t *testing.T) {
-	inner := local(t)
-	g := newAcceptLimiter(1)
-	g.Listener = &failingListener{Listener: inner, failures: 4, errno: syscall.ENFILE}
+func TestAcceptRetriesAfterLocalFailure(t *testing.T) {
+	inner := listenLoopback(t)
+	a := newAcceptLimiter(1)
+	a.Listener = &failingListener{Listener: inner, failures: 4, errno: syscall.ENFILE}
 	client, err := net.Dial("tcp", inner.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = client.Close() }()
@@ -112,57 +112,57 @@
 	previous := slog.Default()
 	t.Cleanup(func() { slog.SetDefault(previous) })
 	slog.SetDefault(slog.New(logging.NewHandler(&log)))
-	began := time.Now()
-	c, err := g.Accept()
+	start := time.Now()
+	c, err := a.Accept()
 	require.NoError(t, err)
 	_ = c.Close()
-	refused := &AcceptError{Cause: failure("accept4", syscall.ENFILE)}
-	require.ErrorIs(t, refused, syscall.ENFILE)
-	require.Contains(t, log.String(), hint.Line(refused))
+	acceptErr := &AcceptError{Cause: netError("accept4", syscall.ENFILE)}
+	require.ErrorIs(t, acceptErr, syscall.ENFILE)
+	require.Contains(t, log.String(), hint.Line(acceptErr))
 	require.Equal(t, 1, strings.Count(log.String(), "event=accept-failed"))
-	require.GreaterOrEqual(t, time.Since(began), 4*minRetryPause, "it does not spin")
-	require.False(t, g.waiting.Load())
-	require.Equal(t, 3, g.failures, "the first was logged, the others wait for the next line")
-	g.release()
+	require.GreaterOrEqual(t, time.Since(start), 4*minBackoff, "it does not spin")
+	require.False(t, a.hasBacklog.Load())
+	require.Equal(t, 3, a.failures, "the first was logged, the others wait for the next line")
+	a.release()
 	_ = inner.Close()
-	_, err = g.Accept()
+	_, err = a.Accept()
 	require.True(t, errors.Is(err, net.ErrClosed))
-	require.Empty(t, g.places)
+	require.Empty(t, a.slots)
 }
 
 // TestAcceptedConnectionWaitsForDescriptor: for a moment there is no second descriptor for a connection that has been accepted. It
 // is not closed, its client would have sent its request in vain, and is taken over once there is one.
 func TestAcceptedConnectionWaitsForDescriptor(t *testing.T) {
-	inner := local(t)
-	g := newAcceptLimiter(1)
-	g.Listener = inner
-	failures, adopt := 0, g.adopt
-	g.adopt = func(c net.Conn) (*nbio.Conn, error) {
+	inner := listenLoopback(t)
+	a := newAcceptLimiter(1)
+	a.Listener = inner
+	failures, convert := 0, a.convert
+	a.convert = func(c net.Conn) (*nbio.Conn, error) {
 		if failures < 3 {
 			failures++
-			return nil, failure("dup", syscall.EMFILE)
+			return nil, netError("dup", syscall.EMFILE)
 		}
-		return adopt(c)
+		return convert(c)
 	}
 	client, err := net.Dial("tcp", inner.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = client.Close() }()
 	_, err = client.Write([]byte("request"))
 	require.NoError(t, err)
-	c, err := g.Accept()
+	c, err := a.Accept()
 	require.NoError(t, err)
 	require.Equal(t, 3, failures)
 	require.Equal(t, client.LocalAddr().String(), c.RemoteAddr().String())
 	_ = c.Close()
 }
 
-// TestListenWaitsUntilItAccepts: nbio misses a stop that comes before its accepting goroutine runs, and then tries the
+// TestListenWaitsForFirstAccept: nbio misses a stop that comes before its accepting goroutine runs, and then tries the
 // closed listener without a pause until the process ends; so nobody gets the sockets before it runs.
-func TestListenWaitsUntilItAccepts(t *testing.T) {
+func TestListenWaitsForFirstAccept(t *testing.T) {
 	for range 20 {
-		s, _ := listening(t, 2)
+		s, _ := listen(t, 2)
 		select {
-		case <-s.accepting.began:
+		case <-s.listener.acceptCalled:
 		default:
 			t.Fatal("it may be stopped before it accepts")
 		}
--- a/internal/sockets/poller.go
+++ b/internal/sockets/poller.go
@@ -30,9 +30,9 @@
 // well stand for a reset.
 var errPeerClosed = errors.New("the other side has ended the connection")
 
-// maxClientBytes is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all
+// maxQueuedBytesPerClient is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all
 // others.
-const maxClientBytes = 64 << 10
+const maxQueuedBytesPerClient = 64 << 10
 
 // eventBatch is what waits for the reducer: events, and the bytes that they tell of, in order.
 type eventBatch struct {
@@ -54,9 +54,9 @@
 // queuedEvent is an event of one connection that waits for the reducer. It becomes one of the limiter's events as it
 // is delivered.
 type queuedEvent struct {
-	kind eventKind
-	conn limiter.ConnID
-	size int // bytes, of dataReceived
+	kind   eventKind
+	connID limiter.ConnID
+	size   int // bytes, of dataReceived
 	// arrivedAt is when the last of these bytes came from a client to this machine, by elapsed; 0 where it does not matter.
 	arrivedAt int64
 	reason    limiter.CloseReason // of connClosed
@@ -66,17 +66,17 @@
 func (e queuedEvent) deliver(now int64, l *limiter.Limiter) {
 	switch e.kind {
 	case clientAccepted:
-		l.Step(now, limiter.ClientAccepted{Conn: e.conn})
+		l.Step(now, limiter.ClientAccepted{Conn: e.connID})
 	case connected:
-		l.Step(now, limiter.Connected{Conn: e.conn})
+		l.Step(now, limiter.Connected{Conn: e.connID})
 	case dataReceived:
 		age := int64(0)
 		if e.arrivedAt != 0 {
 			age = elapsed() - e.arrivedAt
 		}
-		l.Step(now, limiter.DataReceived{Conn: e.conn, Size: e.size, Age: age})
+		l.Step(now, limiter.DataReceived{Conn: e.connID, Size: e.size, Age: age})
 	case connClosed:
-		l.Step(now, limiter.ConnClosed{Conn: e.conn, Reason: e.reason})
+		l.Step(now, limiter.ConnClosed{Conn: e.connID, Reason: e.reason})
 	}
 }
 
@@ -84,33 +84,33 @@
 // its leaving together. What comes on a connection that was left is never read: the client may send it again
 // elsewhere. Nor is what a client that has gone sent past mostOfOne: the poller closes a connection on the word that
 // it ends, whatever is unread.
-func (s *Sockets) readLoop(l *connection, c *nbio.Conn, into []byte) {
+func (s *Sockets) readLoop(conn *connection, nc *nbio.Conn, buf []byte) {
 	defer logging.LogPanic("poller")
-	end := s.readAvailable(l, c, into, s.isClient(l))
-	if end != nil {
-		_ = c.CloseWithError(end)
+	closeErr := s.readAvailable(conn, nc, buf, s.isClient(conn))
+	if closeErr != nil {
+		_ = nc.CloseWithError(closeErr)
 	}
 	// The poller would go to sleep in the kernel next and hold the one thread for Go code until the runtime
 	// notices; so the reducer goes first.
 	runtime.Gosched()
 }
 
-func (s *Sockets) readAvailable(l *connection, c *nbio.Conn, into []byte, client bool) (end error) {
-	l.readMutex.Lock()
-	defer l.readMutex.Unlock()
+func (s *Sockets) readAvailable(conn *connection, nc *nbio.Conn, buf []byte, client bool) (closeErr error) {
+	conn.readMutex.Lock()
+	defer conn.readMutex.Unlock()
 	for {
-		if client && (l.locallyClosed.Load() || l.isBackpressured()) {
+		if client && (conn.locallyClosed.Load() || conn.isBackpressured()) {
 			return nil // its end is seen apart from what was not read
 		}
-		n, err := c.Read(into)
+		n, err := nc.Read(buf)
 		switch {
 		case n > 0:
-			l.bytesPosted += int64(n)
+			conn.bytesRead += int64(n)
 			arrivedAt := int64(0)
 			if client && s.running.Load() {
-				arrivedAt = elapsed() - timeInKernel(c)
+				arrivedAt = elapsed() - sinceLastReceive(nc)
 			}
-			s.enqueue(l, queuedEvent{kind: dataReceived, size: n, arrivedAt: arrivedAt}, into[:n])
+			s.enqueue(conn, queuedEvent{kind: dataReceived, size: n, arrivedAt: arrivedAt}, buf[:n])
 		case err == nil:
 			return errPeerClosed
 		case errors.Is(err, syscall.EAGAIN):
@@ -123,61 +123,61 @@
 
 // isBackpressured tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been
 // told of some since, or the reducer finds it stopped.
-func (l *connection) isBackpressured() bool {
-	if l.bytesPosted-l.bytesDelivered.Load() < maxClientBytes {
+func (c *connection) isBackpressured() bool {
+	if c.bytesRead-c.bytesDelivered.Load() < maxQueuedBytesPerClient {
 		return false
 	}
-	l.backpressured.Store(true)
-	return l.bytesPosted-l.bytesDelivered.Load() >= maxClientBytes
+	c.backpressured.Store(true)
+	return c.bytesRead-c.bytesDelivered.Load() >= maxQueuedBytesPerClient
 }
 
-// delivering notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of
+// markDelivered notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of
 // its own, which closes nothing: the poller sees the end as well.
-func (s *Sockets) delivering(e queuedEvent) {
-	l := s.connections[e.conn]
-	if l == nil || e.size == 0 {
+func (s *Sockets) markDelivered(e queuedEvent) {
+	conn := s.connections[e.connID]
+	if conn == nil || e.size == 0 {
 		return
 	}
-	l.bytesDelivered.Add(int64(e.size))
-	if l.backpressured.CompareAndSwap(true, false) {
+	conn.bytesDelivered.Add(int64(e.size))
+	if conn.backpressured.CompareAndSwap(true, false) {
 		go func() {
 			defer logging.LogPanic("resumed reader")
-			_ = s.readAvailable(l, l.conn.Load(), make([]byte, readSize), true)
+			_ = s.readAvailable(conn, conn.nbConn.Load(), make([]byte, readSize), true)
 		}()
 	}
 }
 
 // enqueue hands an event on a connection to the reducer.
-func (s *Sockets) enqueue(l *connection, e queuedEvent, data []byte) {
+func (s *Sockets) enqueue(conn *connection, e queuedEvent, data []byte) {
 	s.mutex.Lock()
-	e.conn = l.id
+	e.connID = conn.id
 	for len(s.queued.bytes) > maxQueuedBytes {
-		s.drained.Wait()
+		s.batchTaken.Wait()
 	}
 	if e.kind == clientAccepted {
-		s.queued.accepted = append(s.queued.accepted, l)
+		s.queued.accepted = append(s.queued.accepted, conn)
 	}
 	s.queued.events = append(s.queued.events, e)
 	s.queued.bytes = append(s.queued.bytes, data...)
-	first := len(s.queued.events) == 1
+	wasEmpty := len(s.queued.events) == 1
 	s.mutex.Unlock()
-	if first {
+	if wasEmpty {
 		s.wake()
 	}
 }
 
 // nextBatch gets what waits.
 func (s *Sockets) nextBatch() {
-	s.current.events, s.current.bytes, s.current.accepted, s.currentRead = s.current.events[:0], s.current.bytes[:0], s.current.accepted[:0], 0
+	s.current.events, s.current.bytes, s.current.accepted, s.currentOffset = s.current.events[:0], s.current.bytes[:0], s.current.accepted[:0], 0
 	if cap(s.current.bytes) > maxQueuedBytes {
 		s.current.bytes = nil
 	}
 	s.mutex.Lock()
 	s.current, s.queued = s.queued, s.current
 	s.mutex.Unlock()
-	s.drained.Broadcast()
-	for _, l := range s.current.accepted {
-		s.connections[l.id] = l
+	s.batchTaken.Broadcast()
+	for _, conn := range s.current.accepted {
+		s.connections[conn.id] = conn
 	}
 }
 
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -21,14 +21,14 @@
 // connection is one connection. The poller, nbio's own goroutines and the reducer all use it.
 type connection struct {
 	id             limiter.ConnID
-	conn           atomic.Pointer[nbio.Conn] // nil until it is up
+	nbConn         atomic.Pointer[nbio.Conn] // nil until it is up
 	cancel         context.CancelFunc        // ends the dialling; nil for a client's connection
 	locallyClosed  atomic.Bool               // the reducer has closed it
-	written        atomic.Int64
-	bytesHanded    int64          // bytes to write; the reducer's own
-	accepting      *acceptLimiter // of a client's connection
+	bytesWritten   atomic.Int64
+	bytesSubmitted int64          // bytes to write; the reducer's own
+	listener       *acceptLimiter // of a client's connection
 	readMutex      sync.Mutex     // held from before bytes leave the kernel until they are posted
-	bytesPosted    int64          // bytes, under reading
+	bytesRead      int64          // bytes, under reading
 	bytesDelivered atomic.Int64   // bytes of them that the reducer was told of
 	// maxClientBytes wait, and what else has come is read once the reducer was told of some
 	backpressured atomic.Bool
@@ -36,25 +36,25 @@
 
 // Sockets is safe for use by nbio's goroutines and the one that calls Run; Effects are for the latter alone.
 type Sockets struct {
-	engine    *nbio.Engine
-	dialTCP   dialFunc
-	accepting *acceptLimiter
-	wakeups   chan struct{}
-	mutex     sync.Mutex
-	lastID    limiter.ConnID
-	drained   sync.Cond // the reducer has taken the batch
-	queued    eventBatch
+	engine     *nbio.Engine
+	dialTCP    dialFunc
+	listener   *acceptLimiter
+	wakeups    chan struct{}
+	mutex      sync.Mutex
+	lastID     limiter.ConnID
+	batchTaken sync.Cond // the reducer has taken the batch
+	queued     eventBatch
 	// The rest belongs to the reducer's goroutine.
-	connections map[limiter.ConnID]*connection
-	current     eventBatch
-	currentRead int // of the present batch's bytes
-	timerAt     int64
-	wakeup      *wakeupTimer
-	running     atomic.Bool // Run has begun, and the limiter's clock goes on as the process's
-	halted      atomic.Bool
-	adding      sync.RWMutex  // held for reading while the engine takes a connection over
-	traceWanted atomic.Bool   // the trace is to be logged
-	lingering   []*connection // connections that were left and may not be closed yet
+	connections   map[limiter.ConnID]*connection
+	current       eventBatch
+	currentOffset int // of the present batch's bytes
+	timerAt       int64
+	wakeup        *wakeupTimer
+	running       atomic.Bool // Run has begun, and the limiter's clock goes on as the process's
+	halted        atomic.Bool
+	addMutex      sync.RWMutex  // held for reading while the engine takes a connection over
+	traceWanted   atomic.Bool   // the trace is to be logged
+	lingering     []*connection // connections that were left and may not be closed yet
 }
 
 // dialFunc opens a connection as net.Dialer.DialContext does, whose place the tests' own take.
@@ -63,95 +63,95 @@
 // Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the
 // process may hold fewer descriptors than it should: the connections to discovery and to servers need theirs. Errors:
 // *AddressInUseError, *AddressError, *DescriptorsError.
-func Listen(address string, clients, descriptors int) (*Sockets, error) {
+func Listen(address string, maxClients, descriptors int) (*Sockets, error) {
 	nbiologging.SetLogger(&libraryLogger{})
 	nbio.MaxOpenFiles = 2 * descriptors // nbio keeps a table of all descriptors there could be
 	s := &Sockets{
 		dialTCP: newDialer().DialContext,
 		wakeups: make(chan struct{}, 1), connections: map[limiter.ConnID]*connection{},
-		accepting: newAcceptLimiter(clientPlaces(clients, descriptors)),
+		listener: newAcceptLimiter(maxClientConns(maxClients, descriptors)),
 	}
-	s.drained.L = &s.mutex
+	s.batchTaken.L = &s.mutex
 	s.engine = nbio.NewEngine(nbio.Config{
 		Name: "ospreycroft", Network: "tcp", Addrs: []string{address}, NPoller: 1,
 		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection has
 		// just come up and is written to.
 		EpollMod: nbio.EPOLLET,
-		Listen:   s.accepting.listen,
+		Listen:   s.listener.listen,
 	})
-	s.handleEvents()
+	s.registerHandlers()
 	if err := s.engine.Start(); err != nil {
 		return nil, listenError(address, err)
 	}
-	<-s.accepting.began
+	<-s.listener.acceptCalled
 	s.wakeup = newWakeupTimer(s.engine)
 	return s, nil
 }
 
-// handleEvents has the poller's events queued for the reducer.
-func (s *Sockets) handleEvents() {
-	s.engine.OnOpen(s.opened)
-	into := make([]byte, readSize) // there is one poller
-	s.engine.OnRead(func(c *nbio.Conn) {
-		switch session := c.Session().(type) {
+// registerHandlers has the poller's events queued for the reducer.
+func (s *Sockets) registerHandlers() {
+	s.engine.OnOpen(s.onOpen)
+	buf := make([]byte, readSize) // there is one poller
+	s.engine.OnRead(func(nc *nbio.Conn) {
+		switch session := nc.Session().(type) {
 		case *connection:
-			s.readLoop(session, c, into)
+			s.readLoop(session, nc, buf)
 		case *wakeupTimer:
-			s.expired()
+			s.onWakeupTimer()
 		}
 	})
-	s.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
-		if l, is := c.Session().(*connection); is {
-			l.written.Add(int64(n))
+	s.engine.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
+		if conn, ok := nc.Session().(*connection); ok {
+			conn.bytesWritten.Add(int64(n))
 		}
 	})
-	s.engine.OnClose(s.closed)
+	s.engine.OnClose(s.onClose)
 }
 
-// opened takes a client's connection in. Those that were dialled have their record already.
-func (s *Sockets) opened(c *nbio.Conn) {
-	if c.Session() != nil {
+// onOpen takes a client's connection in. Those that were dialled have their record already.
+func (s *Sockets) onOpen(nc *nbio.Conn) {
+	if nc.Session() != nil {
 		return
 	}
-	l := s.newConnection(nil, s.accepting)
-	l.conn.Store(c)
-	c.SetSession(l)
-	s.enqueue(l, queuedEvent{kind: clientAccepted}, nil)
+	conn := s.newConnection(nil, s.listener)
+	conn.nbConn.Store(nc)
+	nc.SetSession(conn)
+	s.enqueue(conn, queuedEvent{kind: clientAccepted}, nil)
 }
 
-// closed takes the end of a connection.
-func (s *Sockets) closed(c *nbio.Conn, err error) {
-	if timer, is := c.Session().(*wakeupTimer); is {
-		timer.closed(c)
+// onClose takes the end of a connection.
+func (s *Sockets) onClose(nc *nbio.Conn, err error) {
+	if timer, ok := nc.Session().(*wakeupTimer); ok {
+		timer.onClose(nc)
 		return
 	}
-	l, is := c.Session().(*connection)
-	if !is {
+	conn, ok := nc.Session().(*connection)
+	if !ok {
 		return
 	}
 	reason := limiter.PeerReset
 	if errors.Is(err, errPeerClosed) {
 		reason = limiter.PeerClosed
 	}
-	if s.isClient(l) {
-		s.accepting.release()
+	if s.isClient(conn) {
+		s.listener.release()
 	}
-	s.enqueue(l, queuedEvent{kind: connClosed, reason: reason}, nil)
+	s.enqueue(conn, queuedEvent{kind: connClosed, reason: reason}, nil)
 }
 
 // newConnection makes the record of a new connection.
-func (s *Sockets) newConnection(cancel context.CancelFunc, gate *acceptLimiter) *connection {
+func (s *Sockets) newConnection(cancel context.CancelFunc, acceptedBy *acceptLimiter) *connection {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lastID++
-	return &connection{id: s.lastID, cancel: cancel, accepting: gate}
+	return &connection{id: s.lastID, cancel: cancel, listener: acceptedBy}
 }
 
 // isClient tells whether a connection is a client's. Its record was made under the lock, on another goroutine.
-func (s *Sockets) isClient(l *connection) bool {
+func (s *Sockets) isClient(conn *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return l.accepting != nil
+	return conn.listener != nil
 }
 
 // Run tells the limiter what happens until it has finished.
@@ -178,10 +178,10 @@
 		}
 		s.nextBatch()
 		for _, e := range s.current.events {
-			end := s.currentRead + e.size
-			s.delivering(e)
+			end := s.currentOffset + e.size
+			s.markDelivered(e)
 			e.deliver(clock(), l)
-			s.currentRead = end // whether the reducer has read them or not
+			s.currentOffset = end // whether the reducer has read them or not
 		}
 		if now := clock(); s.timerAt <= now {
 			l.Step(now, limiter.TimersDue{})
@@ -199,9 +199,9 @@
 
 // Halt ends Run whatever is owed, as the end of its process would.
 func (s *Sockets) Halt() {
-	s.adding.Lock() // what is being added comes before, the rest is refused
+	s.addMutex.Lock() // what is being added comes before, the rest is refused
 	s.halted.Store(true)
-	s.adding.Unlock()
+	s.addMutex.Unlock()
 	s.wake()
 }
 
@@ -239,4 +239,4 @@
 func (s *Sockets) WallClock() int64 { return time.Now().UnixNano() }
 
 // Read is an effect.
-func (s *Sockets) Read(into []byte) { copy(into, s.current.bytes[s.currentRead:]) }
+func (s *Sockets) Read(into []byte) { copy(into, s.current.bytes[s.currentOffset:]) }
--- a/internal/sockets/wakeup_timer.go
+++ b/internal/sockets/wakeup_timer.go
@@ -85,12 +85,12 @@
 	return true
 }
 
-// expired has the reducer run before the poller goes back to wait. The count of expiries need not be read: it is cleared
+// onWakeupTimer has the reducer run before the poller goes back to wait. The count of expiries need not be read: it is cleared
 // as the timer is set again, and the poller is told of each expiry once.
-func (s *Sockets) expired() {
+func (s *Sockets) onWakeupTimer() {
 	s.wake()
 	runtime.Gosched()
 }
 
-// closed gives the descriptor back, which nbio leaves to its owner for what is no socket.
-func (w *wakeupTimer) closed(conn *nbio.Conn) { _ = unix.Close(conn.Hash()) }
+// onClose gives the descriptor back, which nbio leaves to its owner for what is no socket.
+func (w *wakeupTimer) onClose(conn *nbio.Conn) { _ = unix.Close(conn.Hash()) }
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -23,41 +23,41 @@
 // Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be
 // closed here, before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind
 // that.
-func (s *Sockets) Write(id limiter.ConnID, bytes []byte) {
-	l := s.connections[id]
-	if l == nil {
+func (s *Sockets) Write(id limiter.ConnID, data []byte) {
+	conn := s.connections[id]
+	if conn == nil {
 		return
 	}
-	c, waits := l.conn.Load(), l.bytesHanded > l.written.Load()
+	nc, pending := conn.nbConn.Load(), conn.bytesSubmitted > conn.bytesWritten.Load()
 	// What was sent to us before its end waits in the kernel still; what we write behind it would count as sent.
-	if l.accepting == nil && peerEnded(c) {
+	if conn.listener == nil && peerClosed(nc) {
 		return
 	}
-	l.bytesHanded += int64(len(bytes))
-	if !waits {
-		n, err := writeNow(c, bytes)
-		l.written.Add(int64(n))
+	conn.bytesSubmitted += int64(len(data))
+	if !pending {
+		n, err := writeNow(nc, data)
+		conn.bytesWritten.Add(int64(n))
 		if err != nil {
-			shutdown(c, syscall.SHUT_RDWR)
+			shutdown(nc, syscall.SHUT_RDWR)
 			return
 		}
-		bytes = bytes[n:]
+		data = data[n:]
 	}
-	if len(bytes) > 0 {
-		_, _ = c.Write(bytes)
+	if len(data) > 0 {
+		_, _ = nc.Write(data)
 	}
 }
 
 // writeNow writes what the kernel takes, until it says that there is no room: nbio waits for word of room, which does not
 // come after a write that the kernel has cut short with room left.
-func writeNow(c *nbio.Conn, bytes []byte) (written int, err error) {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+func writeNow(nc *nbio.Conn, bytes []byte) (written int, err error) {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return 0, net.ErrClosed
 	}
 	for written < len(bytes) {
-		n, err := syscall.Write(c.Hash(), bytes[written:])
+		n, err := syscall.Write(nc.Hash(), bytes[written:])
 		switch err {
 		case nil:
 			written += n
@@ -71,28 +71,28 @@
 	return written, nil
 }
 
-// peerEnded tells whether the other side has ended the connection, as far as the kernel knows.
-func peerEnded(c *nbio.Conn) bool {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+// peerClosed tells whether the other side has ended the connection, as far as the kernel knows.
+func peerClosed(nc *nbio.Conn) bool {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return true
 	}
-	info, err := syscall.GetsockoptInt(c.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+	info, err := syscall.GetsockoptInt(nc.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	state := info & 0xff
 	return err == nil && (state == tcpStateClose || state == tcpStateCloseWait)
 }
 
-// timeInKernel is how long ago the latest data on a connection came to this machine, nanoseconds; 0 where the kernel does
+// sinceLastReceive is how long ago the latest data on a connection came to this machine, nanoseconds; 0 where the kernel does
 // not tell. A process that had no processor for a while, or one with many connections to accept, reads late; the client's
 // time has gone on meanwhile.
-func timeInKernel(c *nbio.Conn) int64 {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+func sinceLastReceive(nc *nbio.Conn) int64 {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return 0
 	}
-	info, err := unix.GetsockoptTCPInfo(c.Hash(), unix.IPPROTO_TCP, unix.TCP_INFO)
+	info, err := unix.GetsockoptTCPInfo(nc.Hash(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0
 	}
@@ -103,58 +103,58 @@
 // it would be taken for what a server sent behind the last one, and what is written to one that the server has ended
 // counts as sent.
 func (s *Sockets) Alive(id limiter.ConnID) bool {
-	l := s.connections[id]
-	if l == nil {
+	conn := s.connections[id]
+	if conn == nil {
 		return false
 	}
-	c := l.conn.Load()
-	if closed, _ := c.IsClosed(); closed || l.accepting != nil {
+	nc := conn.nbConn.Load()
+	if closed, _ := nc.IsClosed(); closed || conn.listener != nil {
 		return !closed
 	}
-	if !l.readMutex.TryLock() {
+	if !conn.readMutex.TryLock() {
 		return false
 	}
-	defer l.readMutex.Unlock()
-	return l.bytesPosted == l.bytesDelivered.Load() && isQuiet(c)
+	defer conn.readMutex.Unlock()
+	return conn.bytesRead == conn.bytesDelivered.Load() && readWouldBlock(nc)
 }
 
-// isQuiet tells whether neither bytes nor an end wait in the kernel.
-func isQuiet(c *nbio.Conn) bool {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+// readWouldBlock tells whether neither bytes nor an end wait in the kernel.
+func readWouldBlock(nc *nbio.Conn) bool {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return false
 	}
-	_, _, err := syscall.Recvfrom(c.Hash(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	_, _, err := syscall.Recvfrom(nc.Hash(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
 // PeerGone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is
 // told.
 func (s *Sockets) PeerGone(id limiter.ConnID) bool {
-	l := s.connections[id]
-	return l == nil || peerEnded(l.conn.Load())
+	conn := s.connections[id]
+	return conn == nil || peerClosed(conn.nbConn.Load())
 }
 
 // Written is an effect.
 func (s *Sockets) Written(id limiter.ConnID) int64 {
-	if l := s.connections[id]; l != nil {
-		return l.written.Load()
+	if conn := s.connections[id]; conn != nil {
+		return conn.bytesWritten.Load()
 	}
 	return 0
 }
 
-// waitingBytes asks the kernel how many bytes wait on a connection; 0 where that cannot be known.
-func waitingBytes(c *nbio.Conn, which uintptr) int {
-	c.Lock()
-	defer c.Unlock()
-	waiting := int32(0)
-	if closed, _ := c.IsClosed(); closed {
+// kernelQueueSize asks the kernel how many bytes wait on a connection; 0 where that cannot be known.
+func kernelQueueSize(nc *nbio.Conn, request uintptr) int {
+	nc.Lock()
+	defer nc.Unlock()
+	size := int32(0)
+	if closed, _ := nc.IsClosed(); closed {
 		return 0
 	}
-	_, _, failed := syscall.Syscall(syscall.SYS_IOCTL, uintptr(c.Hash()), which, uintptr(unsafe.Pointer(&waiting)))
-	if failed != 0 {
+	_, _, errno := syscall.Syscall(syscall.SYS_IOCTL, uintptr(nc.Hash()), request, uintptr(unsafe.Pointer(&size)))
+	if errno != 0 {
 		return 0
 	}
-	return int(waiting)
+	return int(size)
 }
