--- a/internal/sockets/accept_limiter.go
+++ b/internal/sockets/accept_limiter.go
@@ -15,54 +15,57 @@
 	"ospreycroft/internal/transient"
 )
 
-// This file bounds how many clients' connections are open.
+// This file limits how many client connections are open.
 
-// maxClientConns is how many connections of clients, of so many, there are places for: as many less as the process may
-// hold fewer descriptors than it should.
+// maxClientConns returns how many client connections may be open at once: clients, reduced in proportion if the
+// process's limit on open files (RLIMIT_NOFILE) is below descriptors, and at least 1.
 func maxClientConns(clients, descriptors int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(descriptors) {
-		return clients // a limit that cannot be asked for shows when it is met
+		return clients // an unknown limit shows up as EMFILE when it is reached
 	}
 	return max(clients*int(limit.Cur)/descriptors, 1)
 }
 
-// acceptLimiter lets only so many connections in; the rest wait in the kernel, where they are not lost.
+// acceptLimiter is the listener for clients. It accepts a connection only while it has a free slot; further connections
+// wait in the kernel's accept queue, where no request is lost.
 type acceptLimiter struct {
 	net.Listener
-	slots      chan struct{}
-	hasBacklog atomic.Bool // one more waits for a place, perhaps, or could not be accepted yet
-	// acceptCalled is closed once nbio accepts: stopped before that, it would take no notice and try a closed listener for ever.
+	slots      chan struct{} // one element for each open connection, and one for the pending Accept call
+	hasBacklog atomic.Bool   // a client may be in the accept queue: no slot is free, or the last accept failed
+	// acceptCalled is closed when nbio first calls Accept. An nbio engine that is stopped earlier misses the stop and
+	// calls Accept on the closed listener forever.
 	acceptCalled     chan struct{}
 	acceptCalledOnce sync.Once
-	// convert makes a connection nbio's; the tests put a failing one in its place.
+	// convert is nbio.NBConn; tests replace it by a function that fails.
 	convert func(net.Conn) (*nbio.Conn, error)
-	// The rest belongs to the goroutine that accepts.
-	failures int       // since the last that was logged
-	loggedAt time.Time // when one was last logged
+	// The fields below are used only by the goroutine that calls Accept.
+	failures int       // failed accepts since the last log line
+	loggedAt time.Time // time of the last log line
 }
 
 const (
-	// acceptLogInterval is how far apart lines on failures to accept are in the log.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
-	// convertTimeout is how long an accepted connection waits for its second descriptor.
+	// convertTimeout is how long convertWithRetry retries for want of a second descriptor.
 	convertTimeout = 200 * time.Millisecond
 )
 
-// newAcceptLimiter makes one with so many places.
+// newAcceptLimiter returns an acceptLimiter with a number of slots; it accepts once listen has opened an address.
 func newAcceptLimiter(slots int) *acceptLimiter {
 	return &acceptLimiter{slots: make(chan struct{}, slots), acceptCalled: make(chan struct{}), convert: nbio.NBConn}
 }
 
-// listen opens the address; the accept limiter is its listener from then on.
+// listen opens the address and returns the acceptLimiter as its listener.
 func (a *acceptLimiter) listen(network, address string) (net.Listener, error) {
 	inner, err := net.Listen(network, address)
 	a.Listener = inner
 	return a, err
 }
 
-// Accept lets the next connection in once there is a place for it. A failure of this machine passes: the connection
-// waits in the kernel meanwhile. nbio would try again at once, and log each time.
+// Accept waits for a free slot and then for a connection. It retries a failed accept with a backoff, as the connection
+// stays in the accept queue; nbio would retry at once and log each failure. It returns an error only for a closed
+// listener.
 func (a *acceptLimiter) Accept() (net.Conn, error) {
 	a.acceptCalledOnce.Do(func() { close(a.acceptCalled) })
 	a.hasBacklog.Store(true)
@@ -83,8 +86,9 @@
 	}
 }
 
-// acceptOne waits for a connection and makes it nbio's, which would keep the place of one that it cannot take over for want
-// of a descriptor. After a failure a connection counts as waiting: it is still in the kernel's backlog.
+// acceptOne accepts a connection and converts it to an nbio connection. The conversion is done here because nbio would
+// not report a connection that it fails to convert for want of a descriptor, and its slot would stay taken. A failed
+// accept sets hasBacklog, since the connection is still in the accept queue.
 func (a *acceptLimiter) acceptOne() (net.Conn, error) {
 	a.hasBacklog.Store(false)
 	c, err := a.Listener.Accept()
@@ -100,8 +104,9 @@
 	return converted, nil
 }
 
-// convertWithRetry makes a connection nbio's, which takes a second descriptor. Where there is none for a moment the client is not sent
-// away: it may have sent its request by now.
+// convertWithRetry converts a connection to an nbio connection, which duplicates its descriptor. It retries local
+// failures, such as a lack of descriptors, for up to convertTimeout rather than closing the connection: the client may
+// already have sent its request.
 func (a *acceptLimiter) convertWithRetry(c net.Conn) (*nbio.Conn, error) {
 	start := time.Now()
 	for backoff := time.Duration(0); ; {
@@ -114,7 +119,7 @@
 	}
 }
 
-// logFailure logs that a connection could not be accepted, at intervals.
+// logFailure logs a failed accept, at most once per acceptLogInterval, with the number of failures since the last line.
 func (a *acceptLimiter) logFailure(err error) {
 	a.failures++
 	if now := time.Now(); now.Sub(a.loggedAt) >= acceptLogInterval {
@@ -124,8 +129,9 @@
 	}
 }
 
+// release frees the slot of a connection that has been closed or was not accepted.
 func (a *acceptLimiter) release() { <-a.slots }
 
-// HasBacklog is an effect. The listener stays open until the process ends: on the fleet's bench the goroutine that
-// closed it stood still for a second and more, and with it the reducer.
+// HasBacklog implements limiter.Effects. The listener stays open until the process exits, since closing it can block
+// the closing goroutine, and with it the reducer, for more than a second.
 func (s *Sockets) HasBacklog() bool { return s.listener.hasBacklog.Load() }
--- a/internal/sockets/close.go
+++ b/internal/sockets/close.go
@@ -12,12 +12,14 @@
 	"ospreycroft/internal/logging"
 )
 
-// This file ends connections.
+// This file closes connections.
 
-// lingerCheckInterval is how often connections that were left are looked at, nanoseconds.
+// lingerCheckInterval is how often Run, before it returns, checks whether gracefully closed connections still have
+// unsent bytes; in nanoseconds.
 const lingerCheckInterval = 5e6
 
-// Close is an effect.
+// Close implements limiter.Effects. If the kernel holds all that was written to a server but has not sent all of it,
+// the connection is reset (see resetOnClose).
 func (s *Sockets) Close(id limiter.ConnID) int64 {
 	conn := s.connections[id]
 	if conn == nil {
@@ -29,7 +31,8 @@
 		conn.cancel()
 	}
 	if nc := conn.nbConn.Load(); nc != nil {
-		if conn.listener == nil && conn.bytesWritten.Load() == conn.bytesSubmitted && kernelQueueSize(nc, syscall.TIOCOUTQ) > 0 {
+		if conn.listener == nil && conn.bytesWritten.Load() == conn.bytesSubmitted &&
+			kernelQueueSize(nc, syscall.TIOCOUTQ) > 0 {
 			resetOnClose(nc)
 		}
 		shutdown(nc, syscall.SHUT_RDWR)
@@ -37,11 +40,14 @@
 	return conn.bytesWritten.Load()
 }
 
-// CloseGracefully is an effect. What lies unread in the kernel is read first: the process may have had no processor
-// for a while. From the look at what has come until the sending has ended the poller reads nothing: it holds the lock
-// as long as bytes are out of the kernel and not posted. Both directions end when the client has ended its own, or
-// after a time unless its machine still lacks bytes: to close over what was not read breaks the connection off, and
-// takes these along.
+// CloseGracefully implements limiter.Effects. It returns false and leaves the connection open while bytes from the
+// client are unread or undelivered, as they may be when the process has not been scheduled for a while. From this
+// check until the shutdown of the write side it holds readMutex, which the poller holds from before bytes leave the
+// kernel until they are queued; so nothing is read in between.
+//
+// The connection closes when the client closes its side. Otherwise it is closed after linger nanoseconds, or after a
+// multiple of linger up to about maxLinger while the kernel's send queue is not empty: closing a connection with unread
+// input resets it, and a reset discards bytes that the client has not received.
 func (s *Sockets) CloseGracefully(id limiter.ConnID, linger, maxLinger int64) bool {
 	conn := s.connections[id]
 	if conn == nil {
@@ -76,13 +82,14 @@
 	return true
 }
 
+// isClosed reports whether nbio has closed the connection.
 func (c *connection) isClosed() bool {
 	closed, _ := c.nbConn.Load().IsClosed()
 	return closed
 }
 
-// hasUnsent tells whether the end of the process could break off a connection that was left: its client's machine lacks
-// bytes, or has sent some that were not read.
+// hasUnsent reports whether the exit of the process could reset a gracefully closed connection before its client has
+// received everything: bytes are left in the kernel's send queue, or unread in its receive queue.
 func (s *Sockets) hasUnsent() bool {
 	s.lingering = slices.DeleteFunc(s.lingering, func(conn *connection) bool {
 		nc := conn.nbConn.Load()
@@ -91,9 +98,9 @@
 	return len(s.lingering) > 0
 }
 
-// resetOnClose has the closing of the descriptor, which follows, take along what the other machine lacks: a command that
-// was given up and that the kernel has whole would else become whole there later, when it takes bytes again, and run
-// for nobody.
+// resetOnClose sets a zero linger time, so that closing the descriptor, which follows, resets the connection and
+// discards the kernel's send queue. Without it a server that has stopped reading would receive the rest of an abandoned
+// command when it reads again, and execute it although nobody waits for the answer.
 func resetOnClose(nc *nbio.Conn) {
 	nc.Lock()
 	defer nc.Unlock()
@@ -102,9 +109,9 @@
 	}
 }
 
-// shutdown ends one or both directions and leaves closing the descriptor to the poller, which sees the end next. Were it
-// closed here, what the poller still has to tell of it could hit a new connection with the same number. It tells
-// whether there was something to end.
+// shutdown shuts down one or both directions and leaves closing the descriptor to the poller, which then reads the end
+// of file. If the descriptor were closed here, an event that the poller has already fetched for it could be applied to
+// a new connection with the same descriptor number. It returns false if the connection was closed already.
 func shutdown(nc *nbio.Conn, how int) bool {
 	nc.Lock()
 	defer nc.Unlock()
--- a/internal/sockets/connect.go
+++ b/internal/sockets/connect.go
@@ -8,9 +8,10 @@
 	"syscall"
 )
 
-// newDialer is a dialler that is not misled by a signal. The standard library's takes EINTR from connect for a connection
-// that goes on by itself; where the call was interrupted before it had begun, nobody makes one, and it waits until its
-// time is over. So the connection is begun here first. The dialler's own call then finds it under way or up.
+// newDialer returns a dialer that handles a connect call interrupted by a signal. net.Dialer takes EINTR from connect
+// to mean that the connection is in progress. If the call was interrupted before the kernel began to connect, nothing
+// is in progress, and the dial hangs until its timeout. So connect is called here first and repeated on EINTR; the
+// dialer's own call then finds the connection in progress or established.
 func newDialer() *net.Dialer {
 	return &net.Dialer{ControlContext: func(ctx context.Context, _, address string, socket syscall.RawConn) error {
 		to, err := socketAddress(address)
@@ -25,13 +26,13 @@
 	}}
 }
 
-// startConnect calls connect for a socket that does not block, again as long as it is interrupted.
+// startConnect calls connect on a non-blocking socket and repeats the call while it is interrupted.
 func startConnect(ctx context.Context, fd int, to syscall.Sockaddr) error {
 	for {
 		switch err := syscall.Connect(fd, to); err {
 		case nil, syscall.EINPROGRESS:
 			return nil
-		case syscall.EALREADY, syscall.EISCONN: // the interrupted call had begun it after all
+		case syscall.EALREADY, syscall.EISCONN: // the interrupted call did start the connection
 			return nil
 		case syscall.EINTR:
 			if ctx.Err() != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// socketAddress is the address of a dialler's call, IP:PORT, as system calls take it.
+// socketAddress converts an address of the form IP:PORT, as a dialer passes it, to a system call's argument.
 func socketAddress(hostPort string) (syscall.Sockaddr, error) {
 	address, err := netip.ParseAddrPort(hostPort)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return &syscall.SockaddrInet6{Port: int(address.Port()), Addr: ip.As16(), ZoneId: zone}, nil
 }
 
-// zoneIndex is the number of the interface that an IPv6 address names.
+// zoneIndex returns the interface index for the zone of an IPv6 address, 0 for no zone.
 func zoneIndex(zone string) (uint32, error) {
 	if zone == "" {
 		return 0, nil
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -15,9 +15,9 @@
 
 // This file opens connections.
 
-// Dial is an effect. The standard library dials and nbio takes the connection over: nbio's own dialling (v1.6.8)
-// copies the first four of the sixteen bytes in which addresses are held, so that each IPv4 address becomes
-// 0.0.0.0, and it takes a refused connection for one that is up.
+// Dial implements limiter.Effects. The standard library dials, and the connection is then added to nbio. The dialer of
+// nbio v1.6.8 is not used: it copies the first four bytes of a 16-byte address, which turns each IPv4 address into
+// 0.0.0.0, and it reports a refused connection as established.
 func (s *Sockets) Dial(address string, timeout int64) limiter.ConnID {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(timeout))
 	conn := s.newConnection(cancel, nil)
@@ -34,7 +34,8 @@
 	return conn.id
 }
 
-// dialFailure is the reason why a connection did not come up.
+// dialFailure returns the close reason for a failed dial. A route failure that outlasts the retries counts as refused,
+// since a network partition may cause it.
 func dialFailure(ctx context.Context, err error) limiter.CloseReason {
 	switch {
 	case transient.IsAny(err, routeFailures):
@@ -47,8 +48,9 @@
 	return limiter.ConnRefused
 }
 
-// dialWithRetry dials, and again where this machine is to blame, as long as there is time for another try: the limiter's own
-// timer would else call it the other side's silence.
+// dialWithRetry dials, and retries local failures while the deadline leaves time for another attempt. It returns before
+// the deadline in order to report the local failure; otherwise the limiter's own timer would report a server that does
+// not answer.
 func (s *Sockets) dialWithRetry(ctx context.Context, conn *connection, address string) error {
 	deadline, _ := ctx.Deadline()
 	for backoff := time.Duration(0); ; {
@@ -65,6 +67,7 @@
 	}
 }
 
+// dialOnce dials and adds the connection to the engine. A connection that Close was called for meanwhile is shut down.
 func (s *Sockets) dialOnce(ctx context.Context, conn *connection, address string) error {
 	tcpConn, err := s.dialTCP(ctx, "tcp", address)
 	if err != nil {
@@ -84,8 +87,8 @@
 	return err
 }
 
-// addToEngine has the poller take a connection over. An engine that is being stopped takes none: nbio panics where one is
-// added as it waits for the others to close.
+// addToEngine registers a connection with nbio's poller. It closes the connection and returns net.ErrClosed after Halt:
+// nbio panics if a connection is added while a stopping engine waits for the others to close.
 func (s *Sockets) addToEngine(nc *nbio.Conn) error {
 	s.addMutex.RLock()
 	defer s.addMutex.RUnlock()
--- a/internal/sockets/library_log.go
+++ b/internal/sockets/library_log.go
@@ -9,29 +9,30 @@
 	nbiologging "github.com/lesismal/nbio/logging"
 )
 
-// libraryLogInterval is how far apart lines of the network library are in the log.
+// libraryLogInterval is the minimum time between two log lines of the network library.
 const libraryLogInterval = time.Second
 
-// libraryLogger puts what the network library says of its errors into the program's log, at intervals. By itself it writes to
-// standard output, without a bound and waiting for whoever reads that.
+// libraryLogger is nbio's logger. It passes errors on to the program's log, at most one per libraryLogInterval, and
+// drops lower levels. nbio's default logger writes to standard output, at an unbounded rate, and blocks if nobody
+// reads it.
 type libraryLogger struct {
 	mutex      sync.Mutex
 	loggedAt   time.Time
-	suppressed int // not logged since
+	suppressed int // errors dropped since loggedAt
 }
 
 var _ nbiologging.Logger = (*libraryLogger)(nil)
 
-// Debug is a method of the library's Logger; nothing is logged.
+// Debug implements nbio's logging.Logger and logs nothing.
 func (*libraryLogger) Debug(string, ...any) {}
 
-// Info is a method of the library's Logger; nothing is logged.
+// Info implements nbio's logging.Logger and logs nothing.
 func (*libraryLogger) Info(string, ...any) {}
 
-// Warn is a method of the library's Logger; nothing is logged.
+// Warn implements nbio's logging.Logger and logs nothing.
 func (*libraryLogger) Warn(string, ...any) {}
 
-// Error is a method of the library's Logger.
+// Error implements nbio's logging.Logger.
 func (l *libraryLogger) Error(format string, values ...any) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/sockets/local_failure.go
+++ b/internal/sockets/local_failure.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// A system call can fail for want of something on this machine: descriptors, memory, ports or a route. Such a failure
-// passes, mostly within milliseconds, and says nothing of the other side; so the call is made again after a pause that
-// grows.
+// A system call can fail because this machine lacks descriptors, memory, ports or a route (transient.IsLocalFailure).
+// Such a failure mostly passes within milliseconds and does not tell anything about the peer, so the call is retried
+// with an exponential backoff.
 
-// routeFailures are those of the local failures that, where they last, keep this machine from the other side for good: a zone
-// that is cut off may show so.
+// routeFailures are the local failures that mean, if they persist, that this machine cannot reach the peer; a network
+// partition between zones may cause them.
 var routeFailures = []error{syscall.ENETUNREACH, syscall.ENETDOWN}
 
 const (
@@ -18,7 +18,8 @@
 	maxBackoff = 50 * time.Millisecond
 )
 
-// nextBackoff is the pause behind the one that has passed; the first behind 0.
+// nextBackoff returns the backoff that follows a previous one: twice as long, from minBackoff to maxBackoff. A previous
+// backoff of 0 gives the first one.
 func nextBackoff(backoff time.Duration) time.Duration {
 	return min(max(2*backoff, minBackoff), maxBackoff)
 }
--- a/internal/sockets/poller.go
+++ b/internal/sockets/poller.go
@@ -12,36 +12,37 @@
 	"ospreycroft/internal/logging"
 )
 
-// This file is the poller's side: what nbio's goroutines read and how it is queued for the reducer.
+// This file contains what runs on nbio's goroutines: reading from connections and queueing events for the reducer.
 
-// readSize is how many bytes the poller takes at a time.
+// readSize is the size of the poller's read buffer in bytes.
 const readSize = 32 << 10
 
-// processStart is when this package was loaded, by the monotonic clock.
+// processStart is the time at which this package was initialized; it has a monotonic reading.
 var processStart = time.Now()
 
-// elapsed is the process's own time, nanoseconds.
+// elapsed returns the monotonic time since processStart in nanoseconds.
 func elapsed() int64 { return int64(time.Since(processStart)) }
 
-// maxQueuedBytes is how many bytes may wait for the reducer; past that the poller waits, and then the kernel.
+// maxQueuedBytes is how many bytes may be queued for the reducer. Above it enqueue blocks, so the poller stops
+// reading and the kernel's receive buffers fill up.
 const maxQueuedBytes = 4 << 20
 
-// errPeerClosed ends a connection whose other side has ended it, behind all that it sent. The poller's own io.EOF may as
-// well stand for a reset.
+// errPeerClosed is the error with which a connection is closed when an end of file was read after all data. nbio's own
+// io.EOF does not tell this from a reset.
 var errPeerClosed = errors.New("the other side has ended the connection")
 
-// maxQueuedBytesPerClient is how many bytes of one client may wait: one that sends without a pause would hold up the poller, and all
-// others.
+// maxQueuedBytesPerClient is how many bytes of one client may be undelivered. Without this limit a client that sends
+// continuously would keep the poller busy and delay all other connections.
 const maxQueuedBytesPerClient = 64 << 10
 
-// eventBatch is what waits for the reducer: events, and the bytes that they tell of, in order.
+// eventBatch is a queue of events for the reducer, with the received bytes of all of them, in order.
 type eventBatch struct {
 	events   []queuedEvent
 	bytes    []byte
-	accepted []*connection
+	accepted []*connection // those of the clientAccepted events, to be added to Sockets.connections
 }
 
-// eventKind tells which of the limiter's events a queuedEvent becomes.
+// eventKind says which event of the limiter a queuedEvent is delivered as.
 type eventKind uint8
 
 const (
@@ -51,18 +52,18 @@
 	connClosed
 )
 
-// queuedEvent is an event of one connection that waits for the reducer. It becomes one of the limiter's events as it
-// is delivered.
+// queuedEvent is an event on one connection, queued for the reducer.
 type queuedEvent struct {
 	kind   eventKind
 	connID limiter.ConnID
-	size   int // bytes, of dataReceived
-	// arrivedAt is when the last of these bytes came from a client to this machine, by elapsed; 0 where it does not matter.
+	size   int // number of bytes, for dataReceived
+	// arrivedAt is when the kernel received the last of these bytes, on the clock of elapsed; 0 for data from servers and
+	// data read before Run.
 	arrivedAt int64
-	reason    limiter.CloseReason // of connClosed
+	reason    limiter.CloseReason // for connClosed
 }
 
-// deliver tells the limiter of the event.
+// deliver passes the event to the limiter; now is the limiter's time in nanoseconds.
 func (e queuedEvent) deliver(now int64, l *limiter.Limiter) {
 	switch e.kind {
 	case clientAccepted:
@@ -80,27 +81,30 @@
 	}
 }
 
-// readLoop reads what has come, to the end where it has come as well: the reducer then learns of a client's bytes and of
-// its leaving together. What comes on a connection that was left is never read: the client may send it again
-// elsewhere. Nor is what a client that has gone sent past mostOfOne: the poller closes a connection on the word that
-// it ends, whatever is unread.
+// readLoop reads all available bytes and, if the peer has closed, the end of file after them, so that the reducer
+// gets a client's bytes and its close in one batch. It reads nothing from a client's connection that the limiter has
+// closed: the client may send those commands again to another limiter. Nor does it read what a client that has closed
+// sent beyond maxQueuedBytesPerClient: on the event for the close, nbio closes a connection regardless of unread
+// bytes.
 func (s *Sockets) readLoop(conn *connection, nc *nbio.Conn, buf []byte) {
 	defer logging.LogPanic("poller")
 	closeErr := s.readAvailable(conn, nc, buf, s.isClient(conn))
 	if closeErr != nil {
 		_ = nc.CloseWithError(closeErr)
 	}
-	// The poller would go to sleep in the kernel next and hold the one thread for Go code until the runtime
-	// notices; so the reducer goes first.
+	// The poller blocks in a system call next. If the process has a single processor (GOMAXPROCS=1), the poller keeps it
+	// until the runtime's monitor takes it back. Yield to let the reducer run first.
 	runtime.Gosched()
 }
 
+// readAvailable reads and queues data until the kernel has no more, or until a client has sent too much. It returns the
+// error to close the connection with, or nil if the connection stays open.
 func (s *Sockets) readAvailable(conn *connection, nc *nbio.Conn, buf []byte, client bool) (closeErr error) {
 	conn.readMutex.Lock()
 	defer conn.readMutex.Unlock()
 	for {
 		if client && (conn.locallyClosed.Load() || conn.isBackpressured()) {
-			return nil // its end is seen apart from what was not read
+			return nil // nbio reports a close even if data before it is unread
 		}
 		n, err := nc.Read(buf)
 		switch {
@@ -121,8 +125,9 @@
 	}
 }
 
-// isBackpressured tells whether the reader is to stop: the reducer then has it go on. Either it finds that the reducer has been
-// told of some since, or the reducer finds it stopped.
+// isBackpressured reports whether reading must stop because maxQueuedBytesPerClient bytes are undelivered;
+// markDelivered then resumes it. The second comparison prevents a lost wakeup: either it sees a delivery that
+// happened after the first one, or markDelivered sees the backpressured flag.
 func (c *connection) isBackpressured() bool {
 	if c.bytesRead-c.bytesDelivered.Load() < maxQueuedBytesPerClient {
 		return false
@@ -131,8 +136,8 @@
 	return c.bytesRead-c.bytesDelivered.Load() >= maxQueuedBytesPerClient
 }
 
-// markDelivered notes that the reducer is told of an event now. What a client has sent meanwhile is read on a goroutine of
-// its own, which closes nothing: the poller sees the end as well.
+// markDelivered counts an event's bytes as delivered and resumes reading if it had stopped. Reading resumes on a new
+// goroutine, which ignores the error to close with: the poller sees the close as well.
 func (s *Sockets) markDelivered(e queuedEvent) {
 	conn := s.connections[e.connID]
 	if conn == nil || e.size == 0 {
@@ -147,7 +152,8 @@
 	}
 }
 
-// enqueue hands an event on a connection to the reducer.
+// enqueue queues an event on a connection, with the data received, and wakes the reducer if the queue was empty. It
+// blocks while more than maxQueuedBytes are queued.
 func (s *Sockets) enqueue(conn *connection, e queuedEvent, data []byte) {
 	s.mutex.Lock()
 	e.connID = conn.id
@@ -166,9 +172,11 @@
 	}
 }
 
-// nextBatch gets what waits.
+// nextBatch makes the queued events the current batch and reuses the previous batch's memory for the queue. A data
+// buffer that has grown beyond maxQueuedBytes is not kept.
 func (s *Sockets) nextBatch() {
-	s.current.events, s.current.bytes, s.current.accepted, s.currentOffset = s.current.events[:0], s.current.bytes[:0], s.current.accepted[:0], 0
+	s.current.events, s.current.bytes, s.current.accepted, s.currentOffset =
+		s.current.events[:0], s.current.bytes[:0], s.current.accepted[:0], 0
 	if cap(s.current.bytes) > maxQueuedBytes {
 		s.current.bytes = nil
 	}
@@ -181,7 +189,7 @@
 	}
 }
 
-// hasQueued tells whether something has happened that the reducer has not been told.
+// hasQueued reports whether events are queued for the reducer.
 func (s *Sockets) hasQueued() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,6 @@
-// Package sockets carries out the effects that package limiter asks for, on lesismal/nbio, and tells it what
-// happens, one thing at a time on the goroutine that calls Run.
+// Package sockets implements limiter.Effects on top of the network library lesismal/nbio, and passes the events on
+// its connections to the limiter. "The reducer" in this package is the limiter (limiter.Limiter) on the goroutine
+// that calls Run, which delivers one event at a time; "the poller" is nbio's goroutine that waits in epoll and reads.
 package sockets
 
 import (
@@ -18,54 +19,57 @@
 	"ospreycroft/internal/settings"
 )
 
-// connection is one connection. The poller, nbio's own goroutines and the reducer all use it.
+// connection is the state of one connection to a client or server. The poller, other goroutines of nbio and the reducer
+// share it.
 type connection struct {
 	id             limiter.ConnID
-	nbConn         atomic.Pointer[nbio.Conn] // nil until it is up
-	cancel         context.CancelFunc        // ends the dialling; nil for a client's connection
-	locallyClosed  atomic.Bool               // the reducer has closed it
-	bytesWritten   atomic.Int64
-	bytesSubmitted int64          // bytes to write; the reducer's own
-	listener       *acceptLimiter // of a client's connection
-	readMutex      sync.Mutex     // held from before bytes leave the kernel until they are posted
-	bytesRead      int64          // bytes, under reading
-	bytesDelivered atomic.Int64   // bytes of them that the reducer was told of
-	// maxClientBytes wait, and what else has come is read once the reducer was told of some
+	nbConn         atomic.Pointer[nbio.Conn] // nil until it is established
+	cancel         context.CancelFunc        // cancels the dial; nil for a client's connection
+	locallyClosed  atomic.Bool               // Close or CloseGracefully was called
+	bytesWritten   atomic.Int64              // bytes that the kernel has taken
+	bytesSubmitted int64                     // bytes passed to Write; used by the reducer only
+	listener       *acceptLimiter            // the listener that accepted a client's connection; nil for a dialed one
+	readMutex      sync.Mutex                // held from before bytes leave the kernel until they are queued
+	bytesRead      int64                     // bytes read from the kernel; guarded by readMutex
+	bytesDelivered atomic.Int64              // bytes of bytesRead that the reducer has been given
+	// backpressured is true while reading is stopped because maxQueuedBytesPerClient bytes are undelivered.
 	backpressured atomic.Bool
 }
 
-// Sockets is safe for use by nbio's goroutines and the one that calls Run; Effects are for the latter alone.
+// Sockets is the listener for clients and all connections of a limiter. Listen creates one. The methods of
+// limiter.Effects may be called only from the goroutine that calls Run; Halt and LogTrace from any.
 type Sockets struct {
 	engine     *nbio.Engine
 	dialTCP    dialFunc
 	listener   *acceptLimiter
-	wakeups    chan struct{}
+	wakeups    chan struct{} // holds an element while Run has something new to look at
 	mutex      sync.Mutex
-	lastID     limiter.ConnID
-	batchTaken sync.Cond // the reducer has taken the batch
-	queued     eventBatch
-	// The rest belongs to the reducer's goroutine.
+	lastID     limiter.ConnID // of the newest connection; guarded by mutex
+	batchTaken sync.Cond      // signals that nextBatch has emptied queued
+	queued     eventBatch     // guarded by mutex
+	// The fields below are used only by the reducer's goroutine, except for running, halted, addMutex and traceWanted.
 	connections   map[limiter.ConnID]*connection
-	current       eventBatch
-	currentOffset int // of the present batch's bytes
-	timerAt       int64
+	current       eventBatch // the batch being delivered
+	currentOffset int        // position of the current event's data in current.bytes
+	timerAt       int64      // limiter's time at which TimersDue is next due, nanoseconds
 	wakeup        *wakeupTimer
-	running       atomic.Bool // Run has begun, and the limiter's clock goes on as the process's
-	halted        atomic.Bool
-	addMutex      sync.RWMutex  // held for reading while the engine takes a connection over
-	traceWanted   atomic.Bool   // the trace is to be logged
-	lingering     []*connection // connections that were left and may not be closed yet
+	running       atomic.Bool   // Run has begun, so the limiter's clock advances with the process's
+	halted        atomic.Bool   // Halt was called
+	addMutex      sync.RWMutex  // read-locked while a connection is added to the engine
+	traceWanted   atomic.Bool   // LogTrace was called and the trace is not logged yet
+	lingering     []*connection // gracefully closed connections that may still be open
 }
 
-// dialFunc opens a connection as net.Dialer.DialContext does, whose place the tests' own take.
+// dialFunc has the signature of net.Dialer.DialContext; tests replace the dialer.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the
-// process may hold fewer descriptors than it should: the connections to discovery and to servers need theirs. Errors:
-// *AddressInUseError, *AddressError, *DescriptorsError.
+// Listen listens on the address for clients and starts the network library. At most maxClients connections of clients
+// are open at once, and proportionally fewer if the process may open fewer than descriptors file descriptors, so that
+// some are left for connections to discovery and to servers. The error is an *AddressInUseError, an
+// *AddressError or a *DescriptorsError.
 func Listen(address string, maxClients, descriptors int) (*Sockets, error) {
 	nbiologging.SetLogger(&libraryLogger{})
-	nbio.MaxOpenFiles = 2 * descriptors // nbio keeps a table of all descriptors there could be
+	nbio.MaxOpenFiles = 2 * descriptors // the size of nbio's table of connections by descriptor
 	s := &Sockets{
 		dialTCP: newDialer().DialContext,
 		wakeups: make(chan struct{}, 1), connections: map[limiter.ConnID]*connection{},
@@ -74,8 +78,8 @@
 	s.batchTaken.L = &s.mutex
 	s.engine = nbio.NewEngine(nbio.Config{
 		Name: "ospreycroft", Network: "tcp", Addrs: []string{address}, NPoller: 1,
-		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection has
-		// just come up and is written to.
+		// In level-triggered mode nbio may stop waiting for writability if a connection is written to just after it
+		// was established.
 		EpollMod: nbio.EPOLLET,
 		Listen:   s.listener.listen,
 	})
@@ -88,10 +92,10 @@
 	return s, nil
 }
 
-// registerHandlers has the poller's events queued for the reducer.
+// registerHandlers sets the engine's callbacks, which queue events for the reducer.
 func (s *Sockets) registerHandlers() {
 	s.engine.OnOpen(s.onOpen)
-	buf := make([]byte, readSize) // there is one poller
+	buf := make([]byte, readSize) // one buffer suffices for the single poller
 	s.engine.OnRead(func(nc *nbio.Conn) {
 		switch session := nc.Session().(type) {
 		case *connection:
@@ -108,7 +112,7 @@
 	s.engine.OnClose(s.onClose)
 }
 
-// onOpen takes a client's connection in. Those that were dialled have their record already.
+// onOpen is called for each connection added to the engine. Dialed connections and the timer already have a session.
 func (s *Sockets) onOpen(nc *nbio.Conn) {
 	if nc.Session() != nil {
 		return
@@ -119,7 +123,7 @@
 	s.enqueue(conn, queuedEvent{kind: clientAccepted}, nil)
 }
 
-// onClose takes the end of a connection.
+// onClose is called when nbio closes a connection. It frees a client's slot and queues the close.
 func (s *Sockets) onClose(nc *nbio.Conn, err error) {
 	if timer, ok := nc.Session().(*wakeupTimer); ok {
 		timer.onClose(nc)
@@ -139,7 +143,7 @@
 	s.enqueue(conn, queuedEvent{kind: connClosed, reason: reason}, nil)
 }
 
-// newConnection makes the record of a new connection.
+// newConnection returns a connection with a new ID; acceptedBy is nil for a dialed one.
 func (s *Sockets) newConnection(cancel context.CancelFunc, acceptedBy *acceptLimiter) *connection {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -147,14 +151,17 @@
 	return &connection{id: s.lastID, cancel: cancel, listener: acceptedBy}
 }
 
-// isClient tells whether a connection is a client's. Its record was made under the lock, on another goroutine.
+// isClient reports whether a connection is a client's. It locks the mutex because the connection was created under it
+// on another goroutine.
 func (s *Sockets) isClient(conn *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return conn.listener != nil
 }
 
-// Run tells the limiter what happens until it has finished.
+// Run delivers events, timers, the stop request and reloaded configurations to the limiter until the limiter has
+// finished. Unless the limiter is then overdue, Run also waits until no event is queued and no gracefully closed
+// connection has unsent bytes. After Halt it returns at once. clock returns the limiter's time in nanoseconds.
 func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
 	defer logPanic(l)
 	s.running.Store(true)
@@ -181,7 +188,7 @@
 			end := s.currentOffset + e.size
 			s.markDelivered(e)
 			e.deliver(clock(), l)
-			s.currentOffset = end // whether the reducer has read them or not
+			s.currentOffset = end // whether or not the reducer has called Read
 		}
 		if now := clock(); s.timerAt <= now {
 			l.Step(now, limiter.TimersDue{})
@@ -190,28 +197,28 @@
 		if s.wakeup.set(s.timerAt, time.Duration(wait)) {
 			wait += int64(backupDelay)
 		}
-		if len(s.lingering) > 0 && l.Finished() { // nothing tells that a client's machine has all
+		if len(s.lingering) > 0 && l.Finished() { // no event reports that a client has received everything
 			wait = min(wait, lingerCheckInterval)
 		}
 		timer.Reset(time.Duration(wait))
 	}
 }
 
-// Halt ends Run whatever is owed, as the end of its process would.
+// Halt makes Run return without finishing requests, as if the process had been killed.
 func (s *Sockets) Halt() {
-	s.addMutex.Lock() // what is being added comes before, the rest is refused
+	s.addMutex.Lock() // waits for additions in progress; later ones fail
 	s.halted.Store(true)
 	s.addMutex.Unlock()
 	s.wake()
 }
 
-// LogTrace has the reducer's goroutine log the limiter's trace.
+// LogTrace makes the reducer's goroutine log the limiter's trace.
 func (s *Sockets) LogTrace() {
 	s.traceWanted.Store(true)
 	s.wake()
 }
 
-// wake has Run look at what there is.
+// wake makes Run check for new events and requests.
 func (s *Sockets) wake() {
 	select {
 	case s.wakeups <- struct{}{}:
@@ -219,11 +226,11 @@
 	}
 }
 
-// tracedBeforePanic is how many of the latest records of the trace are logged before the process ends by a panic.
+// tracedBeforePanic is how many of the trace's latest records are logged before a panic ends the process.
 const tracedBeforePanic = 32
 
-// logPanic is deferred on the reducer's goroutine: it logs what happened before a panic, and then the panic, so that the
-// log's last lines tell why the process ended.
+// logPanic is deferred on the reducer's goroutine. On a panic it logs the latest trace records and then the panic, so
+// that the last lines of the log show why the process ended.
 func logPanic(l *limiter.Limiter) {
 	if cause := recover(); cause != nil {
 		l.LogTrace(tracedBeforePanic)
@@ -232,11 +239,11 @@
 	}
 }
 
-// SetTimer is an effect.
+// SetTimer implements limiter.Effects.
 func (s *Sockets) SetTimer(at int64) { s.timerAt = at }
 
-// WallClock is an effect.
+// WallClock implements limiter.Effects.
 func (s *Sockets) WallClock() int64 { return time.Now().UnixNano() }
 
-// Read is an effect.
+// Read implements limiter.Effects.
 func (s *Sockets) Read(into []byte) { copy(into, s.current.bytes[s.currentOffset:]) }
--- a/internal/sockets/wakeup_timer.go
+++ b/internal/sockets/wakeup_timer.go
@@ -11,31 +11,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// runtimeMonitorDelay is how long the poller may keep the processor of the Go runtime once it waits in the kernel: the
-// runtime's monitor, which looks every 10 ms on an idle process, takes it back the second time that it looks. No timer of
-// the runtime runs until then.
+// runtimeMonitorDelay is how long the poller may keep its Go processor (P) while it is blocked in the kernel. The
+// runtime's monitor checks every 10 ms in an idle process and takes the processor back on the second check. With a
+// single processor, no runtime timer fires until then.
 const runtimeMonitorDelay = 20 * time.Millisecond
 
-// backupDelay is how much later the runtime's timer is set where the kernel's is set, too, so that one thread wakes and not two.
+// backupDelay is how much later than the kernel's timer the runtime's timer is set, if both are set, so that only one
+// thread wakes up.
 const backupDelay = time.Millisecond
 
-// wakeupTimer is a timer of the kernel's that ends the poller's wait, so that the reducer runs in time although the poller
-// has the process's one processor. It is set for times within runtimeMonitorDelay; the runtime's timers do for others.
+// wakeupTimer is a kernel timer (timerfd) that ends the poller's wait, so that the reducer runs in time even if the
+// poller keeps the only Go processor. It is used for waits of up to runtimeMonitorDelay; longer ones use a runtime
+// timer.
 type wakeupTimer struct {
-	conn *nbio.Conn // nil where it could not be had; the runtime's timers do then, late now and then
-	at   int64      // the limiter's time that it is set for
+	conn *nbio.Conn // nil if the timer could not be created; then runtime timers are used, which may fire late
+	at   int64      // the limiter's time for which the timer is set, nanoseconds
 }
 
-// timerFile makes a timer's descriptor what nbio takes over: a net.Conn.
+// timerFile makes a net.Conn of a timer's descriptor, as nbio.NBConn requires.
 type timerFile struct{ *os.File }
 
-// LocalAddr is part of net.Conn; a timer has none.
+// LocalAddr implements net.Conn; it returns nil.
 func (timerFile) LocalAddr() net.Addr { return nil }
 
-// RemoteAddr is part of net.Conn; a timer has none.
+// RemoteAddr implements net.Conn; it returns nil.
 func (timerFile) RemoteAddr() net.Addr { return nil }
 
-// newWakeupTimer adds a timer to what the poller waits for.
+// newWakeupTimer adds a timer to the engine's poller. If that fails, it logs the error and returns an unusable timer.
 func newWakeupTimer(engine *nbio.Engine) *wakeupTimer {
 	timer := &wakeupTimer{}
 	if err := timer.addTo(engine); err != nil {
@@ -50,7 +52,7 @@
 		return os.NewSyscallError("timerfd_create", err)
 	}
 	file := timerFile{os.NewFile(uintptr(fd), "timerfd")}
-	conn, err := nbio.NBConn(file) // it has a descriptor of its own, and closes this one
+	conn, err := nbio.NBConn(file) // NBConn duplicates the descriptor and closes file
 	if err != nil {
 		_ = file.Close()
 		return err
@@ -63,8 +65,8 @@
 	return nil
 }
 
-// set has the poller woken at a time that is so far away, and tells whether it will be. The poller may be woken without
-// need: a time that it was set for before is not taken back.
+// set sets the timer to expire after wait, which ends at the limiter's time at, and reports whether the poller will be
+// woken then. A timer set earlier is not cancelled if set returns false, so the poller may also be woken needlessly.
 func (w *wakeupTimer) set(at int64, wait time.Duration) bool {
 	if w.conn == nil || wait <= 0 || wait > runtimeMonitorDelay {
 		return false
@@ -85,12 +87,12 @@
 	return true
 }
 
-// onWakeupTimer has the reducer run before the poller goes back to wait. The count of expiries need not be read: it is cleared
-// as the timer is set again, and the poller is told of each expiry once.
+// onWakeupTimer wakes the reducer and yields to it before the poller waits again. The timer's expiration count need
+// not be read: setting the timer again clears it, and an edge-triggered poller gets one event for each expiration.
 func (s *Sockets) onWakeupTimer() {
 	s.wake()
 	runtime.Gosched()
 }
 
-// onClose gives the descriptor back, which nbio leaves to its owner for what is no socket.
+// onClose closes the descriptor, which nbio does not do for descriptors other than sockets.
 func (w *wakeupTimer) onClose(conn *nbio.Conn) { _ = unix.Close(conn.Hash()) }
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -12,24 +12,24 @@
 	"ospreycroft/internal/limiter"
 )
 
-// This file writes, and tells what the kernel knows of a connection.
+// This file writes to connections and queries the kernel for their state.
 
-// The kernel's numbers, in the first byte of TCP_INFO, for a connection that the other side has broken off or ended.
+// Values of the first byte of TCP_INFO, the state of a TCP connection, after a reset or a close by the peer.
 const (
 	tcpStateClose     = 7
 	tcpStateCloseWait = 8
 )
 
-// Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be
-// closed here, before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind
-// that.
+// Write implements limiter.Effects. After a failed write it shuts the connection down, and the poller reports the
+// close. nbio's Write would close the descriptor on this goroutine instead, which is unsafe (see shutdown). So nbio
+// gets only the bytes that the kernel has no room for, and bytes that follow those.
 func (s *Sockets) Write(id limiter.ConnID, data []byte) {
 	conn := s.connections[id]
 	if conn == nil {
 		return
 	}
 	nc, pending := conn.nbConn.Load(), conn.bytesSubmitted > conn.bytesWritten.Load()
-	// What was sent to us before its end waits in the kernel still; what we write behind it would count as sent.
+	// The server has closed. Its last bytes may still be unread, and bytes written now would wrongly count as sent.
 	if conn.listener == nil && peerClosed(nc) {
 		return
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// writeNow writes what the kernel takes, until it says that there is no room: nbio waits for word of room, which does not
-// come after a write that the kernel has cut short with room left.
+// writeNow writes until all is written or the kernel returns EAGAIN. A short write is not enough to stop at: nbio waits
+// for an edge-triggered event for writability, which does not come if the kernel cut the write short with room left.
 func writeNow(nc *nbio.Conn, bytes []byte) (written int, err error) {
 	nc.Lock()
 	defer nc.Unlock()
@@ -71,7 +71,7 @@
 	return written, nil
 }
 
-// peerClosed tells whether the other side has ended the connection, as far as the kernel knows.
+// peerClosed reports whether the kernel has seen the peer close or reset the connection.
 func peerClosed(nc *nbio.Conn) bool {
 	nc.Lock()
 	defer nc.Unlock()
@@ -83,9 +83,9 @@
 	return err == nil && (state == tcpStateClose || state == tcpStateCloseWait)
 }
 
-// sinceLastReceive is how long ago the latest data on a connection came to this machine, nanoseconds; 0 where the kernel does
-// not tell. A process that had no processor for a while, or one with many connections to accept, reads late; the client's
-// time has gone on meanwhile.
+// sinceLastReceive returns the time since the kernel last received data on a connection, in nanoseconds, or 0 if
+// unknown. A client's deadline runs from then: a process that was not scheduled for a while, or that has many
+// connections to accept, reads the data late.
 func sinceLastReceive(nc *nbio.Conn) int64 {
 	nc.Lock()
 	defer nc.Unlock()
@@ -99,9 +99,9 @@
 	return int64(info.Last_data_recv) * int64(time.Millisecond)
 }
 
-// Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on
-// it would be taken for what a server sent behind the last one, and what is written to one that the server has ended
-// counts as sent.
+// Alive implements limiter.Effects. A connection to a server is alive only if no input or close is pending, in the
+// kernel or undelivered: bytes that a server sent after its last response would be taken for the response to the next
+// request, and bytes written after the server's close would count as sent.
 func (s *Sockets) Alive(id limiter.ConnID) bool {
 	conn := s.connections[id]
 	if conn == nil {
@@ -118,7 +118,7 @@
 	return conn.bytesRead == conn.bytesDelivered.Load() && readWouldBlock(nc)
 }
 
-// readWouldBlock tells whether neither bytes nor an end wait in the kernel.
+// readWouldBlock reports whether the kernel has neither bytes nor a close to read on a connection.
 func readWouldBlock(nc *nbio.Conn) bool {
 	nc.Lock()
 	defer nc.Unlock()
@@ -129,14 +129,14 @@
 	return err == syscall.EAGAIN
 }
 
-// PeerGone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is
-// told.
+// PeerGone implements limiter.Effects. It asks the kernel, which knows of a close before the poller has read up to it
+// and before the reducer gets the event.
 func (s *Sockets) PeerGone(id limiter.ConnID) bool {
 	conn := s.connections[id]
 	return conn == nil || peerClosed(conn.nbConn.Load())
 }
 
-// Written is an effect.
+// Written implements limiter.Effects.
 func (s *Sockets) Written(id limiter.ConnID) int64 {
 	if conn := s.connections[id]; conn != nil {
 		return conn.bytesWritten.Load()
@@ -144,7 +144,8 @@
 	return 0
 }
 
-// kernelQueueSize asks the kernel how many bytes wait on a connection; 0 where that cannot be known.
+// kernelQueueSize returns how many bytes are in a connection's kernel queue: request is TIOCINQ for the receive queue
+// or TIOCOUTQ for the send queue. It returns 0 if the connection is closed or the call fails.
 func kernelQueueSize(nc *nbio.Conn, request uintptr) int {
 	nc.Lock()
 	defer nc.Unlock()
