--- a/internal/sockets/backpressure_test.go
+++ b/internal/sockets/backpressure_test.go
@@ -14,20 +14,20 @@
 	"ospreycroft/internal/limiter"
 )
 
-// connHistory is what the reducer was told of one connection, in order.
+// connHistory is what the reducer has been given for one connection, in order.
 type connHistory struct {
 	kinds []eventKind
-	text  strings.Builder
+	text  strings.Builder // all data received
 	last  queuedEvent
 }
 
-// recordingDriver is a drive that keeps what the reducer is told, and for which nothing may stand still.
+// recordingDriver is a driver that records the delivered events by connection and fails the test if a call blocks.
 type recordingDriver struct {
 	*driver
 	histories map[limiter.ConnID]*connHistory
 }
 
-// requireNonBlocking does something as the reducer, which must not wait for anybody.
+// requireNonBlocking makes a call as the reducer and fails the test if it does not return within testTimeout.
 func (d *recordingDriver) requireNonBlocking(what string, call func()) {
 	d.t.Helper()
 	done := make(chan struct{})
@@ -35,14 +35,15 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		d.t.Fatal("the reducer stands still: ", what)
+		d.t.Fatal("the reducer is blocked: ", what)
 	}
 }
 
+// takeBatch delivers one batch to the reducer and records it.
 func (d *recordingDriver) takeBatch() {
 	d.t.Helper()
 	d.requireNonBlocking("a batch", func() { d.step(0) })
-	require.LessOrEqual(d.t, len(d.s.current.bytes), maxQueuedBytes+readSize, "more waited than may")
+	require.LessOrEqual(d.t, len(d.s.current.bytes), maxQueuedBytes+readSize, "more than maxQueuedBytes was queued")
 	from := 0
 	for _, e := range d.s.current.events {
 		history := d.histories[e.connID]
@@ -56,7 +57,7 @@
 	}
 }
 
-// takeUntil takes batches until something holds.
+// takeUntil takes batches until the condition holds.
 func (d *recordingDriver) takeUntil(what string, condition func() bool) {
 	d.t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
@@ -65,7 +66,7 @@
 	}
 }
 
-// waitUntilQueueFull waits until more waits for the reducer than may.
+// waitUntilQueueFull waits until more than maxQueuedBytes are queued for the reducer.
 func (d *recordingDriver) waitUntilQueueFull() {
 	d.t.Helper()
 	require.Eventually(
@@ -73,15 +74,15 @@
 		func() bool { return d.queuedBytes(0) > maxQueuedBytes },
 		testTimeout,
 		time.Millisecond,
-		"it does not fill",
+		"the queue does not fill up",
 	)
 }
 
-// connectClient connects a client and gives its link.
+// connectClient connects a client and returns both ends of its connection.
 func (d *recordingDriver) connectClient() (net.Conn, *connection) {
 	d.t.Helper()
 	client, conn := d.dialClient(), (*connection)(nil)
-	d.takeUntil("it is let in", func() bool {
+	d.takeUntil("the client is accepted", func() bool {
 		for _, candidate := range d.s.connections {
 			if nc := candidate.nbConn.Load(); nc != nil && nc.RemoteAddr().String() == client.LocalAddr().String() {
 				conn = candidate
@@ -92,13 +93,13 @@
 	return client, conn
 }
 
-// endedByClose tells whether the reducer was told of a connection's end, and of nothing behind it.
+// endedByClose reports whether the last event delivered for a connection was its close.
 func (d *recordingDriver) endedByClose(id limiter.ConnID) bool {
 	history := d.histories[id]
 	return history != nil && history.kinds[len(history.kinds)-1] == connClosed
 }
 
-// readInProgress tells whether bytes are read from a connection and not posted.
+// readInProgress reports whether a reader holds bytes of a connection that are not queued yet.
 func (c *connection) readInProgress() bool {
 	free := c.readMutex.TryLock()
 	if free {
@@ -107,14 +108,14 @@
 	return !free
 }
 
-// TestBackpressure: so many clients' bytes wait for the reducer that all who have to tell it something wait as well:
-// the poller, the one that lets clients in, those that dial, the one that tells of ends and those that read on for
-// clients that had sent too much. The reducer waits for none of them; once it takes what waits, all comes, in order,
-// and every place is given back.
+// TestBackpressure fills the reducer's queue, so that every goroutine that queues events blocks: the poller, the
+// accepting goroutine, dialers, nbio's closing goroutine and resumed readers. Guards against a deadlock: the reducer's
+// calls must not wait for any of them. Once it takes batches again, all events must arrive in order and all slots must
+// be released.
 func TestBackpressure(t *testing.T) {
 	server := listenLoopback(t)
 	d := &recordingDriver{newDriver(t, 512, nil), map[limiter.ConnID]*connHistory{}}
-	t.Cleanup(func() { // a poller that waits for the reducer would not stop
+	t.Cleanup(func() { // a poller that is blocked in enqueue could not be stopped
 		for range 50 {
 			d.s.nextBatch()
 			d.s.batchTaken.Broadcast()
@@ -141,11 +142,11 @@
 		go func() { _, _ = io.WriteString(clients[i], sent[i]) }()
 	}
 	d.waitUntilQueueFull()
-	d.takeBatch() // each that was told of reads on
+	d.takeBatch() // this resumes the readers of the clients in the batch
 	d.waitUntilQueueFull()
 	send(t, pingClient, ping)
 	var blockedConn *connection
-	require.Eventually(t, func() bool { // bytes are out of the kernel, and whoever has read them cannot tell of them
+	require.Eventually(t, func() bool { // a reader has taken bytes from the kernel and is blocked in enqueue
 		for _, conn := range conns[1:] {
 			if conn.readInProgress() {
 				time.Sleep(20 * time.Millisecond)
@@ -154,10 +155,10 @@
 			}
 		}
 		return false
-	}, testTimeout, time.Millisecond, "nobody waits")
-	require.Zero(t, d.queuedBytes(pingConn.id), "the poller does not wait")
+	}, testTimeout, time.Millisecond, "no reader is blocked")
+	require.Zero(t, d.queuedBytes(pingConn.id), "the poller is not blocked")
 
-	// Now all that can happen to connections happens.
+	// Each kind of event on connections now happens while the queue is full.
 	slotsInUse, last := len(d.s.listener.slots), d.lastID()
 	stayingClient, leavingClient, abortedClient := d.dialClient(), d.dialClient(), d.dialClient()
 	send(t, stayingClient, ping+ping)
@@ -165,17 +166,17 @@
 	require.NoError(t, leavingClient.Close())
 	require.NoError(t, abortedClient.(*net.TCPConn).SetLinger(0))
 	require.NoError(t, abortedClient.Close())
-	require.Eventually(t, func() bool { return d.lastID() > last }, testTimeout, time.Millisecond, "nobody is let in")
+	require.Eventually(t, func() bool { return d.lastID() > last }, testTimeout, time.Millisecond, "no client is accepted")
 	require.NoError(t, closingClient.Close())
 	require.NoError(t, resettingClient.(*net.TCPConn).SetLinger(0))
 	require.NoError(t, resettingClient.Close())
-	_ = locallyLostConn.nbConn.Load().Close() // as the poller does, in whose stead nbio's own goroutine tells of it
+	_ = locallyLostConn.nbConn.Load().Close() // as the poller would; nbio calls onClose on a goroutine of its own
 	require.Eventually(
 		t,
 		func() bool { return len(d.s.listener.slots) == slotsInUse-1 },
 		testTimeout,
 		time.Millisecond,
-		"its place is kept",
+		"its slot is not released",
 	)
 	var dialedID, refusedID limiter.ConnID
 	var closedBlocked, closedGraceful, hasBacklog bool
@@ -192,22 +193,22 @@
 		d.s.Close(conns[0].id)
 		hasBacklog = d.s.HasBacklog()
 	})
-	require.False(t, closedBlocked, "it leaves one with commands that it was not told of")
+	require.False(t, closedBlocked, "closed a connection with undelivered commands")
 	require.True(t, closedGraceful)
 	require.False(t, hasBacklog)
 	expectRead(t, writtenClient, "text")
 	_, err := gracefulClient.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	require.Greater(t, d.queuedBytes(0), maxQueuedBytes, "it has been taken")
+	require.Greater(t, d.queuedBytes(0), maxQueuedBytes, "the queue was emptied meanwhile")
 
-	d.takeUntil("all that was sent is told", func() bool {
+	d.takeUntil("all that was sent is delivered", func() bool {
 		for i, conn := range conns[1:] {
 			if history := d.histories[conn.id]; history.text.Len() < len(sent[i+1]) {
 				return false
 			}
 		}
-		return d.endedByClose(closingConn.id) && d.endedByClose(resettingConn.id) && d.endedByClose(locallyLostConn.id) && d.endedByClose(refusedID) &&
-			d.histories[dialedID] != nil
+		return d.endedByClose(closingConn.id) && d.endedByClose(resettingConn.id) &&
+			d.endedByClose(locallyLostConn.id) && d.endedByClose(refusedID) && d.histories[dialedID] != nil
 	})
 	for i, conn := range conns[1:] {
 		require.True(t, d.histories[conn.id].text.String() == sent[i+1], "out of order")
@@ -219,8 +220,8 @@
 	for _, c := range append(clients[:], pingClient, writtenClient, gracefulClient) {
 		_ = c.Close()
 	}
-	d.takeUntil("each that came is told of, and each end", func() bool {
-		pingsReceived := map[string]int{} // the reset one may not have come up
+	d.takeUntil("each accepted client and each close is delivered", func() bool {
+		pingsReceived := map[string]int{} // abortedClient may have been reset before it was accepted
 		for id, history := range d.histories {
 			if history.kinds[0] == clientAccepted && history.text.String() != ping+ping && !d.endedByClose(id) {
 				return false
@@ -231,10 +232,10 @@
 		return maps.Equal(pingsReceived, map[string]int{ping: 1, ping + ping: 1, ping + ping + ping: 1})
 	})
 	require.NoError(t, stayingClient.Close())
-	d.takeUntil("every place is free", func() bool { return len(d.s.listener.slots) == 1 })
+	d.takeUntil("all slots are released", func() bool { return len(d.s.listener.slots) == 1 })
 }
 
-// lastID is that of the connection that came last.
+// lastID returns the ID of the newest connection.
 func (d *recordingDriver) lastID() limiter.ConnID {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -14,13 +14,13 @@
 	"ospreycroft/internal/resp"
 )
 
-// request is a whole request's command, with a body where it is of an order class.
+// request returns a complete request command with this request ID.
 func request(id string) string {
 	return string(resp.AppendCommand(nil, []byte("SVC.QUERY"), []byte("000000000000000f"), []byte(id),
 		[]byte("c=c,t=p,d=4000,units=1,spread=1,first=0")))
 }
 
-// acceptConns hands out what a server acceptConns.
+// acceptConns accepts connections in the background and sends them on the returned channel.
 func acceptConns(t *testing.T, server net.Listener) <-chan *net.TCPConn {
 	accepted := make(chan *net.TCPConn, 8)
 	go func() {
@@ -32,10 +32,11 @@
 	return accepted
 }
 
-// stepUntilRequest turns until a connection to the server has come and is written to.
+// stepUntilRequest steps until a connection to the server is accepted and data has been written to it; it returns the
+// server's end.
 func (d *driver) stepUntilRequest(accepted <-chan *net.TCPConn) (c *net.TCPConn) {
 	d.t.Helper()
-	d.stepUntil("a connection comes", func() bool {
+	d.stepUntil("a connection with a request", func() bool {
 		select {
 		case c = <-accepted:
 		default:
@@ -45,7 +46,7 @@
 	return c
 }
 
-// findConnID finds our end of a connection, 0 where there is none.
+// findConnID returns the ID of the limiter's end of a connection, or 0 if there is none.
 func (d *driver) findConnID(peer net.Conn) limiter.ConnID {
 	for id, conn := range d.s.connections {
 		if nc := conn.nbConn.Load(); nc != nil && nc.RemoteAddr().String() == peer.LocalAddr().String() &&
@@ -56,26 +57,26 @@
 	return 0
 }
 
-// hasUndelivered tells whether something was read that the reducer was not told of.
+// hasUndelivered reports whether bytes were read from the connection that the reducer has not been given.
 func (c *connection) hasUndelivered() bool {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
 	return c.bytesRead > c.bytesDelivered.Load()
 }
 
-// TestDataAfterResponse: what a server sends behind its answer has come, the reducer was not told, and it has the next
-// request for that server. Written to the same connection, it would be served with what was never made for it, or run
-// and be lost with the connection.
+// TestDataAfterResponse: a server sends a second response, closes or resets after its response, and the reducer has
+// not got that event when it forwards the next request. It must use another connection. On the same one the request
+// would get a response that is not its own, or would be executed and its response lost with the connection.
 func TestDataAfterResponse(t *testing.T) {
 	const one, two = "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n", "*3\r\n$3\r\ntwo\r\n$-1\r\n$-1\r\n"
 	for name, c := range map[string]struct {
-		blocked bool // the poller stands, so that it waits in the kernel
+		blocked bool // block the poller, so that the data stays in the kernel
 		action  func(serverSide *net.TCPConn)
 	}{
-		"a second answer, read":          {false, func(serverSide *net.TCPConn) { _, _ = io.WriteString(serverSide, two) }},
-		"a second answer, in the kernel": {true, func(serverSide *net.TCPConn) { _, _ = io.WriteString(serverSide, two) }},
-		"an end":                         {true, func(serverSide *net.TCPConn) { _ = serverSide.CloseWrite() }},
-		"a reset": {true, func(serverSide *net.TCPConn) {
+		"second response, read":          {false, func(serverSide *net.TCPConn) { _, _ = io.WriteString(serverSide, two) }},
+		"second response, in the kernel": {true, func(serverSide *net.TCPConn) { _, _ = io.WriteString(serverSide, two) }},
+		"close":                          {true, func(serverSide *net.TCPConn) { _ = serverSide.CloseWrite() }},
+		"reset": {true, func(serverSide *net.TCPConn) {
 			_ = serverSide.SetLinger(0)
 			_ = serverSide.Close()
 		}},
@@ -96,7 +97,8 @@
 			if c.blocked {
 				blockedConn.readMutex.Lock()
 				send(t, blockingClient, "*")
-				require.Eventually(t, func() bool { return !readWouldBlock(blockedConn.nbConn.Load()) }, testTimeout, time.Millisecond)
+				require.Eventually(
+					t, func() bool { return !readWouldBlock(blockedConn.nbConn.Load()) }, testTimeout, time.Millisecond)
 			}
 			c.action(serverSide)
 			require.Eventually(
@@ -105,7 +107,7 @@
 				testTimeout,
 				time.Millisecond,
 			)
-			d.now += 4e7 // the connection has rested for more than eight ticks
+			d.now += 4e7 // the connection has been idle for more than eight times the timer resolution
 			d.step(0)
 			if c.blocked {
 				blockedConn.readMutex.Unlock()
@@ -122,15 +124,15 @@
 	}
 }
 
-// TestLateDataAfterResponse: a server's second answer may come some milliseconds late, and would be taken for the answer to
-// the next request on its connection. So none is used again that has rested for so short a time.
+// TestLateDataAfterResponse: a server's second response may arrive some milliseconds late and would be taken for the
+// response to the next request on that connection. So a connection must not be reused after so short an idle time.
 func TestLateDataAfterResponse(t *testing.T) {
 	server := listenLoopback(t)
 	d, accepted := newDriver(t, 64, server), acceptConns(t, server)
 	for _, id := range []string{"r1", "r2", "r3"} {
 		client := d.dialClient()
 		send(t, client, request(id))
-		serverSide := d.stepUntilRequest(accepted) // no connection that has rested for ten milliseconds is used again
+		serverSide := d.stepUntilRequest(accepted) // a new connection each time: 10 ms of idle time is too short for reuse
 		expectRead(t, serverSide, request(id))
 		send(t, serverSide, "*3\r\n$2\r\n"+id+"\r\n$-1\r\n$-1\r\n")
 		clientConn := d.s.connections[d.findConnID(client)]
@@ -140,7 +142,7 @@
 	}
 }
 
-// TestNoDelay: small writes are sent at once, to clients and to servers, after nbio has taken the connections over.
+// TestNoDelay: connections to clients and to servers have TCP_NODELAY set after nbio has taken them over.
 func TestNoDelay(t *testing.T) {
 	server := listenLoopback(t)
 	d, accepted := newDriver(t, 64, server), acceptConns(t, server)
@@ -157,8 +159,9 @@
 	}
 }
 
-// TestCloseCountsConcurrentFlush: what the poller gets into the kernel in the moment of closing is counted, for nothing can follow
-// it. The test holds the connection's lock as the poller's flush does, and writes a piece under it while Close waits.
+// TestCloseCountsConcurrentFlush: the number of bytes that Close returns must include those that the poller flushes to
+// the kernel while Close runs. The test holds the connection's lock, as the poller's flush does, and writes under it
+// while Close waits for the lock.
 func TestCloseCountsConcurrentFlush(t *testing.T) {
 	s, _ := listen(t, 1)
 	server := listenLoopback(t)
@@ -185,9 +188,9 @@
 	require.Equal(t, "abcdefg", string(text))
 }
 
-// TestWriteAfterPeerClosed: what a peer sent before it ended the connection is told, though something is written in the
-// moment of its end, and of that the kernel takes nothing: it would be lost, or count as sent. A poller that stands
-// keeps both in the kernel.
+// TestWriteAfterPeerClosed: a write just after the peer's close must not reach the kernel, where it would be lost or
+// count as sent, and the data that the peer sent before its close must still be delivered. The test blocks the poller
+// to keep that data and the close in the kernel.
 func TestWriteAfterPeerClosed(t *testing.T) {
 	for name, endConn := range map[string]func(c *net.TCPConn){
 		"end": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -208,8 +211,9 @@
 			blockedConn, serverConn := s.connections[e.connID], s.connections[id]
 			blockedConn.readMutex.Lock()
 			send(t, client, "*")
-			require.Eventually(t, func() bool { return !readWouldBlock(blockedConn.nbConn.Load()) }, testTimeout, time.Millisecond)
-			time.Sleep(5 * time.Millisecond) // the poller is at it
+			require.Eventually(
+				t, func() bool { return !readWouldBlock(blockedConn.nbConn.Load()) }, testTimeout, time.Millisecond)
+			time.Sleep(5 * time.Millisecond) // let the poller block on readMutex
 			send(t, peer, "last")
 			endConn(peer)
 			require.Eventually(t, func() bool { return peerClosed(serverConn.nbConn.Load()) }, testTimeout, time.Millisecond)
@@ -226,11 +230,12 @@
 	}
 }
 
-// TestDeadlineWithRequestPartlyWritten: when a request ends of which its server has but a part, the rest is held back before the client is
-// answered. The test stops the limiter in the moment in which it answers, and then reads at the server all that comes.
+// TestDeadlineWithRequestPartlyWritten: at its deadline a request has been sent to its server only in part. The
+// connection must be closed before the client is answered, so that the server never gets the complete command. The test
+// blocks the limiter while it answers the client, and reads at the server all that arrives.
 func TestDeadlineWithRequestPartlyWritten(t *testing.T) {
 	smallBuffers := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { // small segments keep the other side's send buffer small
+		return c.Control(func(fd uintptr) { // a small segment size keeps the limiter's send buffer small
 			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 536)
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1<<10)
 		})
@@ -244,7 +249,8 @@
 		[]byte("c=c,t=p,d=200,units=1,spread=1,first=0,pad="+strings.Repeat("x", 60<<10)))))
 	serverSide := d.stepUntilRequest(accepted)
 	require.Less(t, d.s.Written(d.findConnID(serverSide)), int64(60<<10))
-	serverConn, clientNBConn := d.s.connections[d.findConnID(serverSide)], d.s.connections[d.findConnID(client)].nbConn.Load()
+	serverConn, clientNBConn :=
+		d.s.connections[d.findConnID(serverSide)], d.s.connections[d.findConnID(client)].nbConn.Load()
 	clientNBConn.Lock()
 	stepped := make(chan struct{})
 	go func() {
@@ -258,7 +264,7 @@
 	text, err := io.ReadAll(serverSide)
 	clientNBConn.Unlock()
 	<-stepped
-	require.Less(t, len(text), 60<<10, "it got whole after its end")
-	require.NoError(t, err, "its connection was not ended")
+	require.Less(t, len(text), 60<<10, "the server received the complete command after its deadline")
+	require.NoError(t, err, "the connection was not closed")
 	expectRead(t, client, "-BUSY")
 }
--- a/internal/sockets/connect_test.go
+++ b/internal/sockets/connect_test.go
@@ -12,14 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDialer: connections come up at addresses of both families, and what refuses is told as before.
+// TestDialer: dialing works for both address families, and a refused connection returns ECONNREFUSED.
 func TestDialer(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, address := range []string{"127.0.0.1:0", "[::1]:0"} {
 		listener, err := net.Listen("tcp", address)
 		if errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.EAFNOSUPPORT) {
-			t.Logf("this machine has no %s", address)
+			t.Logf("this machine has no address %s", address)
 			continue
 		}
 		require.NoError(t, err)
@@ -42,7 +42,7 @@
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
 }
 
-// TestDialerTimeout: where no connection comes up, the dialler's time ends it.
+// TestDialerTimeout: a dial to a listener with a full accept queue ends with a timeout error.
 func TestDialerTimeout(t *testing.T) {
 	listener := listenLoopback(t)
 	raw, err := listener.(*net.TCPListener).SyscallConn()
@@ -50,7 +50,7 @@
 	require.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }))
 	require.NoError(t, err)
 	const timeout = 100 * time.Millisecond
-	for { // until the queue is full
+	for { // fill the accept queue, until a dial times out
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		start := time.Now()
 		conn, err := newDialer().DialContext(ctx, "tcp", listener.Addr().String())
--- a/internal/sockets/disconnect_load_test.go
+++ b/internal/sockets/disconnect_load_test.go
@@ -20,22 +20,23 @@
 	"ospreycroft/internal/limiter"
 )
 
-// maxAttemptDelay is how long after its client's close an attempt may begin.
+// maxAttemptDelay is how long after a client's close an attempt for it may still begin.
 const maxAttemptDelay = 100 * time.Millisecond
 
-// observer are the effects, which note when the reducer writes an attempt and when it ends a client's connection.
+// observer wraps Sockets as limiter.Effects. It records when the reducer writes an attempt and when it closes a
+// client's connection.
 type observer struct {
 	*Sockets
 	mutex       sync.Mutex
-	attempts    map[string]time.Time // the latest, by the client's name
-	closedAt    map[string]time.Time // by the client's address
-	clientConns map[string]*nbio.Conn
-	// The reducer's own: it stands stall for so long, again and again.
+	attempts    map[string]time.Time  // time of the latest attempt, by the client's name
+	closedAt    map[string]time.Time  // time of the reducer's Close, by the client's address
+	clientConns map[string]*nbio.Conn // the limiter's ends, by the client's address
+	// The fields below are used only by the reducer, which is blocked for the duration stall again and again.
 	stall        time.Duration
 	lastStallEnd time.Time
 }
 
-// Wake is asked for behind each event.
+// SetTimer is called after each event, so it is used to block the reducer.
 func (o *observer) SetTimer(at int64) {
 	if o.stall > 0 && time.Since(o.lastStallEnd) > o.stall/2 {
 		time.Sleep(o.stall)
@@ -44,10 +45,10 @@
 	o.Sockets.SetTimer(at)
 }
 
-// clientOfAttempt finds the client's name in the id of a request.
+// clientOfAttempt matches the client's name in the request ID of an attempt.
 var clientOfAttempt = regexp.MustCompile(`\r\n\$\d+\r\n(gone\d+)\.\d+\r\n`)
 
-// Alive is asked of each client from which something has come.
+// Alive is called for each client that has sent data; it records the client's connection.
 func (o *observer) Alive(id limiter.ConnID) bool {
 	if conn := o.connections[id]; conn != nil && conn.listener != nil {
 		nc := conn.nbConn.Load()
@@ -58,13 +59,14 @@
 	return o.Sockets.Alive(id)
 }
 
-// clientConn is the limiter's clientConn of a client's connection, from which something has come.
+// clientConn returns the limiter's end of the connection of a client that has sent data.
 func (o *observer) clientConn(address string) *nbio.Conn {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.clientConns[address]
 }
 
+// Write records the time if the data is an attempt for a client of the test.
 func (o *observer) Write(id limiter.ConnID, text []byte) {
 	if found := clientOfAttempt.FindSubmatch(text); found != nil {
 		o.mutex.Lock()
@@ -74,6 +76,7 @@
 	o.Sockets.Write(id, text)
 }
 
+// Close records the time if the connection is a client's.
 func (o *observer) Close(id limiter.ConnID) int64 {
 	if conn := o.connections[id]; conn != nil && conn.listener != nil {
 		o.mutex.Lock()
@@ -83,15 +86,15 @@
 	return o.Sockets.Close(id)
 }
 
-// timesOf gives the instants of a departed client, zero where there is none.
+// timesOf returns when the latest attempt for a client began and when its connection was closed; zero times if never.
 func (o *observer) timesOf(d disconnectedClient) (attempt, closedAt time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.attempts[d.name], o.closedAt[d.address]
 }
 
-// startObservedLimiter is a limiter that runs, before servers that answer each request two milliseconds later. Its reducer may stand
-// still for some time, again and again.
+// startObservedLimiter runs a limiter with servers that answer each request after 2 ms. If stall is not 0, the
+// reducer is blocked for that long again and again.
 func startObservedLimiter(t *testing.T, stall time.Duration) (o *observer, address string) {
 	t.Helper()
 	servers := make([]net.Listener, 8)
@@ -130,6 +133,7 @@
 	return o, address
 }
 
+// serveDelayed answers each request on a server's connections after 2 ms.
 func serveDelayed(server net.Listener) {
 	for c, err := server.Accept(); err == nil; c, err = server.Accept() {
 		go func() {
@@ -145,7 +149,7 @@
 	}
 }
 
-// pipelineRequests keeps eight requests of a client out until the test ends, and skips what it is answered.
+// pipelineRequests keeps eight requests of a client outstanding until done is closed, and discards the responses.
 func pipelineRequests(t *testing.T, address string, client int, done <-chan struct{}) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -169,7 +173,7 @@
 		if err == nil && strings.HasPrefix(line, "$") {
 			_, err = in.ReadString('\n')
 		} else if err == nil {
-			time.Sleep(2 * time.Millisecond) // it was turned away
+			time.Sleep(2 * time.Millisecond) // the request was rejected
 		}
 		if err != nil {
 			return
@@ -177,7 +181,7 @@
 	}
 }
 
-// floodCommands sends commands that are no requests, as fast as they are read.
+// floodCommands sends unknown commands as fast as the limiter reads them, until done is closed.
 func floodCommands(t *testing.T, address string, done <-chan struct{}) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -198,14 +202,15 @@
 	}
 }
 
-// disconnectedClient is a client that has gone.
+// disconnectedClient is a client that has disconnected.
 type disconnectedClient struct {
 	name, address string
-	closed        time.Time     // before the call
-	noticeDelay   time.Duration // so much later the limiter's kernel knew, and no attempt begins from then on
+	closed        time.Time     // taken before the call that disconnects
+	noticeDelay   time.Duration // from closed until the limiter's kernel saw the close, after which no attempt may begin
 }
 
-// runClient has a client bring requests, wait, and go: each second one by a reset.
+// runClient connects a client, sends requests, waits, and disconnects: clients with even numbers by a close, others
+// by a reset.
 func (o *observer) runClient(t *testing.T, address string, client, requests int, wait func()) (d disconnectedClient) {
 	conn, err := net.Dial("tcp", address)
 	if !assert.NoError(t, err) {
@@ -222,7 +227,7 @@
 	for n := range requests {
 		text.WriteString(request(fmt.Sprint(d.name, ".", n)))
 	}
-	_ = c.SetDeadline(time.Now().Add(20 * time.Millisecond)) // it goes where its own kernel takes no more
+	_ = c.SetDeadline(time.Now().Add(20 * time.Millisecond)) // the client disconnects even if it could not send everything
 	_, _ = io.WriteString(c, text.String())
 	wait()
 	clientConn := o.clientConn(d.address)
@@ -238,22 +243,23 @@
 	return d
 }
 
-// TestDisconnectNoticeDelay measures how long after a client's close the reducer ends its connection, and how long after it
-// the last attempt for it begins, beside clients that pipeline requests and clients that send without a pause.
+// TestDisconnectNoticeDelay: within maxAttemptDelay after a client's close the limiter's kernel must have seen it,
+// and no attempt for the client may begin later, under load by other clients that pipeline requests or send
+// continuously. The test also logs how long after the close the reducer closes the connection.
 func TestDisconnectNoticeDelay(t *testing.T) {
 	for _, c := range []struct {
 		name                               string
 		pipeliningClients, floodingClients int
-		leavingClients, requestsPerClient  int // that go
+		leavingClients, requestsPerClient  int // of the clients that disconnect
 		simultaneous                       bool
 		stall                              time.Duration // of the reducer
 	}{
 		{"64 clients pipeline", 64, 0, 400, 1, false, 0},
-		{"64 clients pipeline and 16 send without a pause", 64, 16, 400, 1, false, 0},
-		{"64 clients pipeline, and those that go have 64 requests out", 64, 0, 200, 64, false, 0},
-		{"64 clients pipeline, and 500 go in one instant", 64, 0, 500, 1, true, 0},
-		{"64 clients pipeline, and those that go send 64 KB more than the poller reads", 64, 0, 100, 1200, false, 0},
-		{"64 clients pipeline, and the reducer stands still for 0.2 s, again and again", 64, 0, 640, 4, false, 2 * maxAttemptDelay},
+		{"64 clients pipeline and 16 send continuously", 64, 16, 400, 1, false, 0},
+		{"64 clients pipeline, the leaving ones have 64 requests outstanding", 64, 0, 200, 64, false, 0},
+		{"64 clients pipeline, 500 disconnect simultaneously", 64, 0, 500, 1, true, 0},
+		{"64 clients pipeline, the leaving ones send 64 KB more than the poller reads", 64, 0, 100, 1200, false, 0},
+		{"64 clients pipeline, the reducer is blocked for 0.2 s repeatedly", 64, 0, 640, 4, false, 2 * maxAttemptDelay},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, address := startObservedLimiter(t, c.stall)
@@ -276,7 +282,7 @@
 				close(leaveSignal)
 			}
 			if c.stall > 0 {
-				workers = 64 // many go while it stands still
+				workers = 64 // many disconnect while the reducer is blocked
 			}
 			for worker := range workers {
 				leavers.Go(func() {
@@ -307,7 +313,7 @@
 			)
 			for _, d := range all {
 				attempt, closedAt := o.timesOf(d)
-				require.False(t, closedAt.IsZero(), "%s is never noticed", d.address)
+				require.False(t, closedAt.IsZero(), "the reducer never closed the connection of %s", d.address)
 				require.NoError(t, noticeDelay.RecordValue(d.noticeDelay.Microseconds()))
 				require.NoError(t, closeDelay.RecordValue(max(0, closedAt.Sub(d.closed).Microseconds())))
 				if after := attempt.Sub(d.closed); !attempt.IsZero() && after > 0 {
@@ -324,8 +330,8 @@
 			}
 			require.False(t, t.Failed())
 			t.Logf(
-				"from the close of %d clients until no attempt begins: %s; until the reducer has ended the connection: %s; "+
-					"%d last attempts after the close: %s",
+				"delay from the close of %d clients until the kernel saw it: %s; until the reducer closed the connection: %s; "+
+					"until the last attempt, for %d that began after the close: %s",
 				c.leavingClients,
 				summary(noticeDelay),
 				summary(closeDelay),
--- a/internal/sockets/disconnect_test.go
+++ b/internal/sockets/disconnect_test.go
@@ -17,13 +17,13 @@
 	"ospreycroft/internal/limiter"
 )
 
-// disconnectKind is how a client goes.
+// disconnectKind is a way in which a client disconnects.
 type disconnectKind struct {
 	name       string
 	disconnect func(c *net.TCPConn)
 }
 
-// disconnectKinds: one that only ends its sending counts as gone.
+// disconnectKinds are all ways; a client that only closes its sending side also counts as disconnected.
 var disconnectKinds = []disconnectKind{
 	{"close", func(c *net.TCPConn) { _ = c.Close() }},
 	{"reset", func(c *net.TCPConn) {
@@ -33,51 +33,59 @@
 	{"half-close", func(c *net.TCPConn) { _ = c.CloseWrite() }},
 }
 
-// disconnectDriver is a limiter with a client that is about to go, and another whose bytes can hold up the poller.
+// disconnectDriver is a driver with a client that is about to disconnect, and another that serves to block the poller.
 type disconnectDriver struct {
 	*driver
 	client, blockingClient  *net.TCPConn
-	clientConn, blockedConn *connection // their ends here
-	unblockPoller           func()      // lets the poller go on
+	clientConn, blockedConn *connection // the limiter's ends of the two connections
+	unblockPoller           func()      // set by blockPoller
 }
 
-// stepUntilAccepted waits until a client is let in and gives its link.
+// stepUntilAccepted steps until a client is accepted and returns the limiter's end of its connection.
 func (d *driver) stepUntilAccepted(client net.Conn) (conn *connection) {
 	d.t.Helper()
-	d.stepUntil("it is let in", func() bool {
+	d.stepUntil("the client is accepted", func() bool {
 		conn = d.s.connections[d.findConnID(client)]
 		return conn != nil
 	})
 	return conn
 }
 
+// newDisconnectDriver connects the two clients.
 func newDisconnectDriver(t *testing.T, d *driver) *disconnectDriver {
 	t.Helper()
-	result := &disconnectDriver{driver: d, client: d.dialClient().(*net.TCPConn), blockingClient: d.dialClient().(*net.TCPConn)}
-	result.clientConn, result.blockedConn = d.stepUntilAccepted(result.client), d.stepUntilAccepted(result.blockingClient)
+	result := &disconnectDriver{
+		driver: d, client: d.dialClient().(*net.TCPConn), blockingClient: d.dialClient().(*net.TCPConn)}
+	result.clientConn, result.blockedConn =
+		d.stepUntilAccepted(result.client), d.stepUntilAccepted(result.blockingClient)
 	return result
 }
 
-// blockPoller holds up the poller: what comes from now on stays in the kernel.
+// blockPoller blocks the poller in its read of blockedConn, so that all data that arrives afterwards stays in the
+// kernel until unblockPoller is called.
 func (d *disconnectDriver) blockPoller() {
 	d.t.Helper()
 	d.blockedConn.readMutex.Lock()
 	d.unblockPoller = sync.OnceFunc(d.blockedConn.readMutex.Unlock)
 	d.t.Cleanup(d.unblockPoller)
 	send(d.t, d.blockingClient, "*")
-	require.Eventually(d.t, func() bool { return !readWouldBlock(d.blockedConn.nbConn.Load()) }, testTimeout, time.Millisecond)
-	time.Sleep(5 * time.Millisecond) // the poller is at it
+	require.Eventually(
+		d.t, func() bool { return !readWouldBlock(d.blockedConn.nbConn.Load()) }, testTimeout, time.Millisecond)
+	time.Sleep(5 * time.Millisecond) // let the poller block on readMutex
 }
 
-// disconnectUnnoticed has the client go while the poller stands: the kernel knows, and nobody has told the reducer.
+// disconnectUnnoticed disconnects the client while the poller is blocked: the kernel has seen the close, the reducer
+// has not.
 func (d *disconnectDriver) disconnectUnnoticed(disconnect func(c *net.TCPConn)) {
 	d.t.Helper()
 	d.blockPoller()
 	disconnect(d.client)
-	require.Eventually(d.t, func() bool { return peerClosed(d.clientConn.nbConn.Load()) }, testTimeout, time.Millisecond)
+	require.Eventually(
+		d.t, func() bool { return peerClosed(d.clientConn.nbConn.Load()) }, testTimeout, time.Millisecond)
 }
 
-// serveOne has a request of another client serveOne by whichever connection brings it, and lets that one rest.
+// serveOne serves a request of another client and leaves the connection to the server idle for long enough to be
+// reused. It returns the server's end.
 func (d *disconnectDriver) serveOne(id string, accepted <-chan *net.TCPConn) (serverSide *net.TCPConn) {
 	d.t.Helper()
 	client := d.dialClient()
@@ -86,13 +94,13 @@
 	expectRead(d.t, serverSide, request(id))
 	send(d.t, serverSide, "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n")
 	clientConn := d.stepUntilAccepted(client)
-	d.stepUntil("it is answered", func() bool { return clientConn.bytesWritten.Load() > 0 })
-	d.step(4e7) // it has rested
+	d.stepUntil("the client is answered", func() bool { return clientConn.bytesWritten.Load() > 0 })
+	d.step(4e7) // idle for long enough to be reused
 	return serverSide
 }
 
-// requireNoAttempt fails the test if anything comes on a connection to a server, or another is opened, while the reducer goes on
-// for a while.
+// requireNoAttempt steps 20 times and fails the test if any data arrives on a connection to a server or another one is
+// opened.
 func (d *disconnectDriver) requireNoAttempt(serverSide *net.TCPConn, accepted <-chan *net.TCPConn) {
 	d.t.Helper()
 	defer func() { require.Empty(d.t, accepted, "another connection was opened") }()
@@ -105,11 +113,11 @@
 	}
 }
 
-// firstForwarded is the first that comes on a connection to a server, or on another that is opened.
+// firstForwarded steps until data arrives at the server, on its existing connection or a new one, and returns the data.
 func (d *disconnectDriver) firstForwarded(serverSide *net.TCPConn, accepted <-chan *net.TCPConn) (text string) {
 	d.t.Helper()
 	conns := []*net.TCPConn{serverSide}
-	d.stepUntil("a request is sent on", func() bool {
+	d.stepUntil("a request is forwarded", func() bool {
 		select {
 		case c := <-accepted:
 			conns = append(conns, c)
@@ -126,7 +134,8 @@
 	return text
 }
 
-// listenLoopback is a listener on loopback whose port stays kept until the test's end, so that nobody else answers there.
+// listenLoopback listens on a loopback port that stays reserved until the end of the test, even if the listener is
+// closed earlier, so that no other process answers there.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	port, err := ports.Keep()
@@ -138,12 +147,16 @@
 	return ln
 }
 
-// TestDisconnectBeforePollerReads: a client's end is in the kernel, and the poller has yet to come to it. Whatever the reducer is
-// told meanwhile, no attempt for that client is written, first or further, though its connection is open, or comes up,
-// just then. Another client's is.
+// TestDisconnectBeforePollerReads: the kernel has seen a client's close, and the poller has not read it. Whatever event
+// the reducer gets next, it must not write a first attempt or a retry for that client, even if a connection to a server
+// is idle or has just been established. Another client's request must be forwarded.
 func TestDisconnectBeforePollerReads(t *testing.T) {
-	for name, setup := range map[string]func(t *testing.T, disconnect func(c *net.TCPConn)) (d *disconnectDriver, serverSide *net.TCPConn, accepted <-chan *net.TCPConn){
-		"its request was read and not told, and a connection rests": func(t *testing.T, disconnect func(c *net.TCPConn)) (*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn) {
+	for name, setup := range map[string]func(t *testing.T, disconnect func(c *net.TCPConn)) (
+		d *disconnectDriver, serverSide *net.TCPConn, accepted <-chan *net.TCPConn,
+	){
+		"request read but not delivered, a connection is idle": func(t *testing.T, disconnect func(c *net.TCPConn)) (
+			*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn,
+		) {
 			server := listenLoopback(t)
 			accepted := acceptConns(t, server)
 			d := newDisconnectDriver(t, newDriver(t, 64, server))
@@ -153,7 +166,9 @@
 			d.disconnectUnnoticed(disconnect)
 			return d, serverSide, accepted
 		},
-		"its request waits for a connection, which comes up": func(t *testing.T, disconnect func(c *net.TCPConn)) (*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn) {
+		"request waits for a connection, which is established": func(t *testing.T, disconnect func(c *net.TCPConn)) (
+			*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn,
+		) {
 			server := listenLoopback(t)
 			accepted := acceptConns(t, server)
 			d := newDisconnectDriver(t, newDriver(t, 64, server))
@@ -165,20 +180,25 @@
 			d.disconnectUnnoticed(disconnect)
 			return d, serverSide, accepted
 		},
-		"as many commands wait behind it as may, and it is refused": func(t *testing.T, disconnect func(c *net.TCPConn)) (*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn) {
+		"more than maxPendingCommands, request rejected": func(t *testing.T, disconnect func(c *net.TCPConn)) (
+			*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn,
+		) {
 			server := listenLoopback(t)
 			accepted := acceptConns(t, server)
 			d := newDisconnectDriver(t, newDriver(t, 64, server))
 			text := request("r1") + strings.Repeat(ping, maxPendingCommands+6)
 			send(t, d.client, text)
-			require.Eventually(t, func() bool { return d.queuedBytes(d.clientConn.id) == len(text) }, testTimeout, time.Millisecond)
+			require.Eventually(
+				t, func() bool { return d.queuedBytes(d.clientConn.id) == len(text) }, testTimeout, time.Millisecond)
 			d.step(0)
 			serverSide := d.acceptServerConn(accepted)
 			d.waitConnectedQueued()
 			d.disconnectUnnoticed(disconnect)
 			return d, serverSide, accepted
 		},
-		"its commands fill what the poller reads of one client, and more lie in the kernel": func(t *testing.T, disconnect func(c *net.TCPConn)) (*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn) {
+		"limit of unread bytes reached, more in the kernel": func(t *testing.T, disconnect func(c *net.TCPConn)) (
+			*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn,
+		) {
 			server := listenLoopback(t)
 			accepted := acceptConns(t, server)
 			d := newDisconnectDriver(t, newDriver(t, 64, server))
@@ -188,12 +208,15 @@
 				text.WriteString(request(fmt.Sprintf("r%05d", i)))
 			}
 			send(t, d.client, text.String())
-			require.Eventually(t, func() bool { return d.clientConn.backpressured.Load() }, testTimeout, time.Millisecond)
+			require.Eventually(
+				t, func() bool { return d.clientConn.backpressured.Load() }, testTimeout, time.Millisecond)
 			require.Less(t, d.queuedBytes(d.clientConn.id), text.Len())
 			d.disconnectUnnoticed(disconnect)
 			return d, serverSide, accepted
 		},
-		"its attempt has failed, and it is sent again": func(t *testing.T, disconnect func(c *net.TCPConn)) (*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn) {
+		"attempt has failed, and a retry is due": func(t *testing.T, disconnect func(c *net.TCPConn)) (
+			*disconnectDriver, *net.TCPConn, <-chan *net.TCPConn,
+		) {
 			servers := []net.Listener{listenLoopback(t), listenLoopback(t), listenLoopback(t)}
 			accepted := make(chan *net.TCPConn, 8)
 			for _, server := range servers {
@@ -213,9 +236,10 @@
 			_ = first.SetLinger(0)
 			serverConn := d.s.connections[d.findConnID(first)]
 			_ = first.Close()
-			require.Eventually(t, func() bool { return d.hasQueuedClose(serverConn.id) }, testTimeout, time.Millisecond)
+			require.Eventually(
+				t, func() bool { return d.hasQueuedClose(serverConn.id) }, testTimeout, time.Millisecond)
 			d.disconnectUnnoticed(disconnect)
-			d.step(0) // it is decided on, and dials
+			d.step(0) // the reducer decides on the retry and dials
 			serverSide := d.acceptServerConn(accepted)
 			d.waitConnectedQueued()
 			return d, serverSide, accepted
@@ -225,7 +249,7 @@
 			t.Run(name+", "+kind.name, func(t *testing.T) {
 				d, serverSide, accepted := setup(t, kind.disconnect)
 				d.requireNoAttempt(serverSide, accepted)
-				require.Nil(t, d.s.connections[d.clientConn.id], "its connection is held")
+				require.Nil(t, d.s.connections[d.clientConn.id], "the client's connection was not closed")
 				stayingClient := d.dialClient()
 				send(t, stayingClient, request("st"))
 				d.unblockPoller()
@@ -236,10 +260,10 @@
 	}
 }
 
-// maxPendingCommands is how many commands may wait on one client's connection, by package limiter.
+// maxPendingCommands is the number of pending commands that package limiter allows on one client's connection.
 const maxPendingCommands = 1024
 
-// acceptServerConn waits for a connection to a server.
+// acceptServerConn waits for the limiter to connect to a server and returns the server's end.
 func (d *driver) acceptServerConn(accepted <-chan *net.TCPConn) *net.TCPConn {
 	d.t.Helper()
 	select {
@@ -251,7 +275,7 @@
 	}
 }
 
-// waitConnectedQueued waits until the word that a connection has come up waits for the reducer.
+// waitConnectedQueued waits until a connected event is queued for the reducer.
 func (d *driver) waitConnectedQueued() {
 	d.t.Helper()
 	require.Eventually(d.t, func() bool {
@@ -259,12 +283,12 @@
 	}, testTimeout, time.Millisecond)
 }
 
-// hasQueuedClose tells whether the word that a connection has ended waits for the reducer.
+// hasQueuedClose reports whether a connection's connClosed event is queued for the reducer.
 func (d *driver) hasQueuedClose(id limiter.ConnID) bool {
 	return d.hasQueuedEvent(func(e queuedEvent) bool { return e.kind == connClosed && e.connID == id })
 }
 
-// hasQueuedEvent tells whether an event waits for the reducer.
+// hasQueuedEvent reports whether a matching event is queued for the reducer.
 func (d *driver) hasQueuedEvent(matches func(e queuedEvent) bool) bool {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
@@ -276,12 +300,12 @@
 	return false
 }
 
-// TestDisconnectBehindFullQueue: the word of a client's end waits for the reducer behind ten thousand events and nearly all
-// the bytes that may wait. What the reducer is told before it, that the client's request has come or that its
-// connection is up, sends nothing.
+// TestDisconnectBehindFullQueue: a client's close is queued behind ten thousand events and nearly maxQueuedBytes. The
+// events before it, the arrival of the client's request or the established connection to a server, must not lead to an
+// attempt.
 func TestDisconnectBehindFullQueue(t *testing.T) {
 	for _, kind := range disconnectKinds {
-		t.Run("its request comes first, "+kind.name, func(t *testing.T) {
+		t.Run("request queued first, "+kind.name, func(t *testing.T) {
 			server := listenLoopback(t)
 			accepted := acceptConns(t, server)
 			d := newDisconnectDriver(t, newDriver(t, 256, server))
@@ -292,7 +316,7 @@
 			d.disconnectBehindFullQueue(others, kind.disconnect)
 			d.requireNoAttempt(serverSide, accepted)
 		})
-		t.Run("its connection comes up first, "+kind.name, func(t *testing.T) {
+		t.Run("established connection queued first, "+kind.name, func(t *testing.T) {
 			server := listenLoopback(t)
 			accepted := acceptConns(t, server)
 			d := newDisconnectDriver(t, newDriver(t, 256, server))
@@ -308,7 +332,7 @@
 	}
 }
 
-// connect64Clients are clients that are let in.
+// connect64Clients connects 64 clients and waits until they are accepted.
 func (d *disconnectDriver) connect64Clients() (others [64]net.Conn) {
 	d.t.Helper()
 	for i := range others {
@@ -318,7 +342,8 @@
 	return others
 }
 
-// disconnectBehindFullQueue has the others send in small pieces what may wait for the reducer, and then the client go.
+// disconnectBehindFullQueue nearly fills the queue with small pieces of data from the others, and then disconnects the
+// client.
 func (d *disconnectDriver) disconnectBehindFullQueue(others [64]net.Conn, disconnect func(c *net.TCPConn)) {
 	d.t.Helper()
 	const rounds, size = 160, 405
@@ -346,8 +371,8 @@
 	}
 }
 
-// TestManyClientsDisconnect: five hundred clients go in one instant, by an end and by a reset, and the poller has yet to come to
-// it. The reducer is told of all their requests, and sends none.
+// TestManyClientsDisconnect: five hundred clients close or reset their connections at once, and the poller has not read
+// this yet. The reducer gets all their requests and must not forward any.
 func TestManyClientsDisconnect(t *testing.T) {
 	server := listenLoopback(t)
 	accepted := acceptConns(t, server)
@@ -374,5 +399,5 @@
 	}
 	d.requireNoAttempt(serverSide, accepted)
 	d.unblockPoller()
-	d.stepUntil("the places of all are free", func() bool { return len(d.s.listener.slots) <= 3 })
+	d.stepUntil("all slots are released", func() bool { return len(d.s.listener.slots) <= 3 })
 }
--- a/internal/sockets/driver_test.go
+++ b/internal/sockets/driver_test.go
@@ -15,16 +15,17 @@
 	"ospreycroft/internal/settings"
 )
 
-// driver steps a whole limiter on real sockets by a clock of the test's: the poller reads as ever, and the reducer
-// learns of it when the test says so.
+// driver runs a complete limiter on real sockets with a simulated clock. The poller reads as usual, but events are
+// delivered to the limiter only when the test calls step.
 type driver struct {
 	t       *testing.T
 	s       *Sockets
 	l       *limiter.Limiter
-	now     int64
-	address string
+	now     int64  // the limiter's time in nanoseconds
+	address string // the limiter's address for clients
 }
 
+// newDriver returns a driver for a limiter with this limit on descriptors and one server, or none if server is nil.
 func newDriver(t *testing.T, descriptors int, server net.Listener) *driver {
 	t.Helper()
 	if server == nil {
@@ -33,7 +34,7 @@
 	return newDriverWithConfig(t, testConfig(descriptors, server))
 }
 
-// testConfig is a configuration of a limiter for these servers, which has nobody to ask for others.
+// testConfig returns a configuration with these servers and an unreachable discovery service.
 func testConfig(descriptors int, servers ...net.Listener) *settings.Config {
 	entries := make([]string, len(servers))
 	for i, server := range servers {
@@ -48,7 +49,7 @@
 			MaxRequestUnits: 64, Limiters: 1, MaxAttempts: 1, SlowStartWindow: 1, DialTimeout: 25e7, TimerResolution: 4e6}}}
 }
 
-// newDriverWithConfig is a limiter of this configuration.
+// newDriverWithConfig returns a driver for a limiter with this configuration.
 func newDriverWithConfig(t *testing.T, config *settings.Config) *driver {
 	t.Helper()
 	s, address := listenWithLimit(t, config.Sockets/2, max(config.Sockets, 256))
@@ -60,7 +61,7 @@
 	return d
 }
 
-// step tells the reducer all that the poller has read, so much time later.
+// step advances the clock by later nanoseconds and delivers all queued events and due timers.
 func (d *driver) step(later int64) {
 	d.now += later
 	d.s.nextBatch()
@@ -73,19 +74,20 @@
 	d.l.Step(d.now, limiter.TimersDue{})
 }
 
-// stepUntil turns stepUntil something holds.
+// stepUntil steps, without advancing the clock, until the condition holds.
 func (d *driver) stepUntil(what string, condition func() bool) {
 	d.t.Helper()
 	require.Eventually(d.t, func() bool { d.step(0); return condition() }, testTimeout, time.Millisecond, what)
 }
 
-// hasQueuedBytes tells whether bytes of a client wait for the reducer.
+// hasQueuedBytes reports whether received bytes are queued for the reducer.
 func (d *driver) hasQueuedBytes() bool {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
 	return len(d.s.queued.bytes) > 0
 }
 
+// dialClient connects a client to the limiter.
 func (d *driver) dialClient() net.Conn {
 	d.t.Helper()
 	c, err := net.Dial("tcp", d.address)
@@ -94,12 +96,14 @@
 	return c
 }
 
+// send writes text to a connection.
 func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	_, err := io.WriteString(c, text)
 	require.NoError(t, err)
 }
 
+// expectRead reads as many bytes as want has and compares them.
 func expectRead(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
@@ -109,29 +113,30 @@
 	require.Equal(t, want, string(got))
 }
 
+// ping is the PING command of a client.
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// TestCommandReadBeforeClose: a command that the poller has read when the limiter closes its resting connection is
-// answered. It would be lost: the client cannot know that it was not taken. Each case closes for another reason, with
-// the command read and not told.
+// TestCommandReadBeforeClose: the poller has read a command, not yet delivered, on an idle connection that the limiter
+// decides to close. The command must be answered. Otherwise it is lost, and the client cannot know whether it was
+// executed. Each case is a reason to close.
 func TestCommandReadBeforeClose(t *testing.T) {
 	for name, closeConn := range map[string]func(d *driver){
-		"idle for long": func(d *driver) {
+		"idle timeout": func(d *driver) {
 			for range 40 {
 				d.now += 1e8
 				d.l.Step(d.now, limiter.TimersDue{})
 			}
 		},
-		"the process ends": func(d *driver) {
+		"shutdown": func(d *driver) {
 			d.l.Step(d.now, limiter.ShutdownRequested{})
 			d.now += 4e8
 			d.l.Step(d.now, limiter.TimersDue{})
 			d.now += 11e7
 			d.l.Step(d.now, limiter.TimersDue{})
 		},
-		"room for others": func(d *driver) {
+		"connection limit reached": func(d *driver) {
 			d.now += 7e7
-			for id := range limiter.ConnID(8) { // makes the limiter full: a quarter of its descriptors is eight
+			for id := range limiter.ConnID(8) { // fills the limiter: a quarter of its 32 descriptors
 				d.l.Step(d.now, limiter.ClientAccepted{Conn: 1000 + id})
 			}
 		},
@@ -141,12 +146,12 @@
 			client := d.dialClient()
 			send(t, client, ping)
 			d.stepUntil(
-				"its first command is answered",
+				"the first command is answered",
 				func() bool { return d.s.connections[1] != nil && d.s.Written(1) > 0 || anyResponseWritten(d, 2) },
 			)
 			expectRead(t, client, "-LOADING not ready yet\r\n")
 			send(t, client, ping)
-			require.Eventually(t, d.hasQueuedBytes, testTimeout, time.Millisecond, "the poller has read it")
+			require.Eventually(t, d.hasQueuedBytes, testTimeout, time.Millisecond, "the poller has read the command")
 			closeConn(d)
 			d.step(0)
 			_ = client.SetReadDeadline(time.Now().Add(testTimeout))
@@ -163,7 +168,7 @@
 	}
 }
 
-// anyResponseWritten tells whether any client's connection was written to.
+// anyResponseWritten reports whether anything was written to an open connection whose ID is at least minID.
 func anyResponseWritten(d *driver, minID limiter.ConnID) bool {
 	for id := range d.s.connections {
 		if id >= minID && d.s.Written(id) > 0 {
@@ -173,8 +178,8 @@
 	return false
 }
 
-// TestCommandsOfClosedClient: of a client that has sent many commands and closed before the reducer came to them none is
-// taken.
+// TestCommandsOfClosedClient: a client sends several commands and closes before the reducer gets them. None may be
+// forwarded.
 func TestCommandsOfClosedClient(t *testing.T) {
 	server := listenLoopback(t)
 	d := newDriver(t, 64, server)
@@ -185,7 +190,7 @@
 	closedClient := d.dialClient()
 	send(t, closedClient, request("g1")+request("g2")+request("g3"))
 	require.NoError(t, closedClient.Close())
-	hasQueuedClose := func() bool { // all of it and its end wait for the reducer
+	hasQueuedClose := func() bool { // the commands and the close are queued for the reducer
 		d.s.mutex.Lock()
 		defer d.s.mutex.Unlock()
 		size, ended := 0, false
@@ -207,7 +212,7 @@
 		}
 	}()
 	got := ""
-	d.stepUntil("the request of the client that stays is sent on", func() bool {
+	d.stepUntil("the request of the open client is forwarded", func() bool {
 		select {
 		case got = <-accepted:
 			return true
@@ -215,12 +220,13 @@
 			return false
 		}
 	})
-	require.Contains(t, got, "st", "a request of the client that had gone was sent on")
+	require.Contains(t, got, "st", "a request of the closed client was forwarded")
 	require.Empty(t, accepted)
 }
 
-// TestCommandReadAsLimiterFinishes: the limiter has nothing left to do, and in that moment a client comes in and its command is
-// read. The clock that Run asks is the test's: it brings the client before it tells the time at which all is over.
+// TestCommandReadAsLimiterFinishes: just before the limiter finishes its shutdown, a client connects and its command
+// is read. The command must still be answered. The clock function that Run calls connects the client at that moment,
+// before it returns the time at which the limiter finishes.
 func TestCommandReadAsLimiterFinishes(t *testing.T) {
 	d := newDriver(t, 64, nil)
 	base := time.Now()
@@ -232,7 +238,7 @@
 		if stopped == 0 {
 			stopped = now
 		}
-		if lateClient == nil && now >= stopped+7e8 { // it finishes then
+		if lateClient == nil && now >= stopped+7e8 { // the time at which the limiter finishes
 			lateClient = d.dialClient()
 			send(t, lateClient, ping)
 			require.Eventually(t, d.hasQueuedBytes, testTimeout, time.Millisecond)
@@ -241,7 +247,7 @@
 	}
 	close(stop)
 	d.s.Run(clock, d.l, stop, nil)
-	require.NotNil(t, lateClient, "it finished before the client came")
+	require.NotNil(t, lateClient, "the limiter finished before the client connected")
 	_ = lateClient.SetReadDeadline(time.Now().Add(testTimeout))
 	line := make([]byte, 64)
 	n, err := lateClient.Read(line)
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -10,6 +10,7 @@
 	"go.uber.org/goleak"
 )
 
+// TestListenError: listenError chooses the error type by the system call's error and keeps that error as the cause.
 func TestListenError(t *testing.T) {
 	bindError := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", errno)}
@@ -31,7 +32,7 @@
 	require.NoError(t, Descriptors(1))
 }
 
-// A limiter that cannot listen leaves nothing running behind its error.
+// TestListenErrorLeaksNoGoroutine: a failed Listen stops the goroutines that it started.
 func TestListenErrorLeaksNoGoroutine(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sockets/flood_test.go
+++ b/internal/sockets/flood_test.go
@@ -16,7 +16,7 @@
 	"ospreycroft/internal/limiter"
 )
 
-// queuedBytes is how many bytes of a connection, 0 for all, wait for the reducer.
+// queuedBytes returns how many bytes of a connection are queued for the reducer; ID 0 means all connections.
 func (d *driver) queuedBytes(id limiter.ConnID) (size int) {
 	d.s.mutex.Lock()
 	defer d.s.mutex.Unlock()
@@ -28,19 +28,19 @@
 	return size
 }
 
-// TestFloodingClient: of a client that sends more than may wait for the reducer the poller reads a part, and goes on to others.
-// The rest is read once the reducer was told of that part, and none of it is lost. Its end is seen over what was not
-// read.
+// TestFloodingClient: a client sends more than maxQueuedBytes. The poller must read only a part, so that it can serve
+// other clients, and read the rest after the reducer has got that part; no byte may be lost. When the client closes,
+// the close must be delivered even if bytes before it are unread.
 func TestFloodingClient(t *testing.T) {
 	d := newDriver(t, 64, nil)
-	t.Cleanup(func() { // a poller that waits for the reducer would not stop
+	t.Cleanup(func() { // a poller that is blocked in enqueue could not be stopped
 		for range 20 {
 			d.s.nextBatch()
 			time.Sleep(time.Millisecond)
 		}
 	})
 	floodingClient, floodingID := d.dialClient(), limiter.ConnID(0)
-	d.stepUntil("it is let in", func() bool {
+	d.stepUntil("the client is accepted", func() bool {
 		for id, conn := range d.s.connections {
 			if conn.listener != nil {
 				floodingID = id
@@ -56,11 +56,12 @@
 		_, err := io.WriteString(floodingClient, strings.Repeat(command, commands))
 		wrote <- err
 	}()
-	require.Eventually(t, func() bool { return d.queuedBytes(floodingID) >= maxQueuedBytesPerClient }, testTimeout, time.Millisecond)
+	require.Eventually(
+		t, func() bool { return d.queuedBytes(floodingID) >= maxQueuedBytesPerClient }, testTimeout, time.Millisecond)
 	other := d.dialClient()
 	send(t, other, ping)
-	require.Eventually(t, func() bool { return d.queuedBytes(0)-d.queuedBytes(floodingID) == len(ping) }, testTimeout, time.Millisecond,
-		"the poller reads one client alone")
+	require.Eventually(t, func() bool { return d.queuedBytes(0)-d.queuedBytes(floodingID) == len(ping) },
+		testTimeout, time.Millisecond, "the poller reads only the flooding client")
 	require.Less(t, d.queuedBytes(floodingID), maxQueuedBytesPerClient+readSize)
 	answered := make(chan string, 1)
 	text := strings.Repeat("-ERR unknown command\r\n", commands)
@@ -69,23 +70,23 @@
 		_, _ = io.ReadFull(floodingClient, got)
 		answered <- string(got)
 	}()
-	d.stepUntil("all of it is answered", func() bool { return len(answered) > 0 })
+	d.stepUntil("all commands are answered", func() bool { return len(answered) > 0 })
 	require.Equal(t, text, <-answered)
 	require.NoError(t, <-wrote)
 
-	go func() { // and it goes, with much unread
+	go func() { // the client closes with unread data
 		_, err := io.WriteString(floodingClient, strings.Repeat(command, 3))
 		_ = floodingClient.Close()
 		wrote <- err
 	}()
 	require.NoError(t, <-wrote)
-	d.stepUntil("its end is told", func() bool { return d.s.connections[floodingID] == nil })
-	require.Len(t, d.s.listener.slots, 2) // the other's, and the next one's
+	d.stepUntil("the close is delivered", func() bool { return d.s.connections[floodingID] == nil })
+	require.Len(t, d.s.listener.slots, 2) // the other client's slot and the pending Accept call's
 }
 
-// TestNoDescriptor: a client for whose connection no descriptor is left gives its place back. The library needs two
-// for a moment. It runs in a process of its own: what other tests have left closes when it likes, and would leave
-// descriptors.
+// TestNoDescriptor: a client's connection is accepted, but no second descriptor, which nbio needs for a moment, is
+// available. The connection must be closed and its slot released. The test runs in a subprocess, because connections
+// left by other tests may close at any time and free descriptors.
 func TestNoDescriptor(t *testing.T) {
 	const subprocessEnv = "SOCKETS_TEST_ALONE"
 	if os.Getenv(subprocessEnv) == "" {
@@ -99,7 +100,7 @@
 	}
 	s, address := listen(t, 1)
 	t.Cleanup(func() {
-		if t.Failed() { // the place that was kept
+		if t.Failed() { // release the slot that leaked
 			<-s.listener.slots
 		}
 	})
@@ -114,7 +115,7 @@
 		defer func() { _ = f.Close() }()
 		files = append(files, f)
 	}
-	for _, f := range files[len(files)-2:] { // one for the client's own end, one to accept it
+	for _, f := range files[len(files)-2:] { // one for the client's end, one for the accepted connection
 		_ = f.Close()
 	}
 	rejectedClient, err := net.Dial("tcp", address)
@@ -122,7 +123,7 @@
 	defer func() { _ = rejectedClient.Close() }()
 	_ = rejectedClient.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err = rejectedClient.Read(make([]byte, 1))
-	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it was let in")
+	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the connection was not closed")
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
 	laterClient, err := net.Dial("tcp", address)
 	require.NoError(t, err)
--- a/internal/sockets/halt_test.go
+++ b/internal/sockets/halt_test.go
@@ -10,8 +10,8 @@
 	"ospreycroft/internal/lab/ports"
 )
 
-// TestDialWhileHalting: a connection that comes up as the sockets are halted is closed, and the engine, which would panic over
-// one that it is given while it stops, ends.
+// TestDialWhileHalting: a connection that is established while Halt is called must be closed and not be added to the
+// engine, which would panic on an addition while it stops.
 func TestDialWhileHalting(t *testing.T) {
 	port, err := ports.Keep()
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 	require.Error(t, err)
 }
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (one, other net.Conn) {
 	t.Helper()
 	port, err := ports.Keep()
--- a/internal/sockets/library_log_test.go
+++ b/internal/sockets/library_log_test.go
@@ -12,7 +12,8 @@
 	"ospreycroft/internal/logging"
 )
 
-// TestLibraryErrorsAreLoggedAtIntervals: the first of a second is a line, the next line tells how many there were meanwhile.
+// TestLibraryErrorsAreLoggedAtIntervals: at most one error per second is logged; the next line has the number of errors
+// dropped in between.
 func TestLibraryErrorsAreLoggedAtIntervals(t *testing.T) {
 	var log bytes.Buffer
 	previous := slog.Default()
--- a/internal/sockets/local_failure_test.go
+++ b/internal/sockets/local_failure_test.go
@@ -20,13 +20,13 @@
 	"ospreycroft/internal/logging"
 )
 
-// netError is an error as package net gives it for a system call.
+// netError returns an error as package net returns it for a failed system call.
 func netError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// TestDialRetriesAfterLocalFailure: socket or connect fails for a moment for want of something on this machine. The
-// connection comes up within the same dial, and nobody is blamed.
+// TestDialRetriesAfterLocalFailure: socket or connect fails for a moment because of a lack of resources on this
+// machine. The same Dial must establish the connection, and must not report a failure.
 func TestDialRetriesAfterLocalFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EINTR,
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestPersistentLocalFailure: it is told as this machine's own, before the limiter's timer calls it the other side's
-// silence; a refusal is told at once.
+// TestPersistentLocalFailure: a local failure that lasts must be reported as such before the dial timeout, at which the
+// limiter would blame the server. A refused connection is reported without a retry.
 func TestPersistentLocalFailure(t *testing.T) {
 	const timeout = 250 * time.Millisecond
 	for _, c := range []struct {
@@ -83,14 +83,14 @@
 	}
 }
 
-// failingListener fails to accept so many times.
+// failingListener is a listener whose next Accept calls fail, as many as failures says.
 type failingListener struct {
 	net.Listener
 	failures int
 	errno    syscall.Errno
 }
 
-// Accept is a method of net.Listener.
+// Accept implements net.Listener.
 func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
@@ -99,8 +99,8 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptRetriesAfterLocalFailure: accept fails for a moment. The client that waits in the kernel is accepted then, it
-// counts as waiting meanwhile, and no place is lost.
+// TestAcceptRetriesAfterLocalFailure: accept fails for a moment. The client in the accept queue must be accepted after
+// that, and no slot may be lost.
 func TestAcceptRetriesAfterLocalFailure(t *testing.T) {
 	inner := listenLoopback(t)
 	a := newAcceptLimiter(1)
@@ -120,9 +120,9 @@
 	require.ErrorIs(t, acceptErr, syscall.ENFILE)
 	require.Contains(t, log.String(), hint.Line(acceptErr))
 	require.Equal(t, 1, strings.Count(log.String(), "event=accept-failed"))
-	require.GreaterOrEqual(t, time.Since(start), 4*minBackoff, "it does not spin")
+	require.GreaterOrEqual(t, time.Since(start), 4*minBackoff, "retries without a backoff")
 	require.False(t, a.hasBacklog.Load())
-	require.Equal(t, 3, a.failures, "the first was logged, the others wait for the next line")
+	require.Equal(t, 3, a.failures, "only the first failure was logged")
 	a.release()
 	_ = inner.Close()
 	_, err = a.Accept()
@@ -130,8 +130,9 @@
 	require.Empty(t, a.slots)
 }
 
-// TestAcceptedConnectionWaitsForDescriptor: for a moment there is no second descriptor for a connection that has been accepted. It
-// is not closed, its client would have sent its request in vain, and is taken over once there is one.
+// TestAcceptedConnectionWaitsForDescriptor: for a moment no second descriptor is available for an accepted
+// connection. It must not be closed, since its client may have sent a request already, but converted once a
+// descriptor is available.
 func TestAcceptedConnectionWaitsForDescriptor(t *testing.T) {
 	inner := listenLoopback(t)
 	a := newAcceptLimiter(1)
@@ -156,15 +157,15 @@
 	_ = c.Close()
 }
 
-// TestListenWaitsForFirstAccept: nbio misses a stop that comes before its accepting goroutine runs, and then tries the
-// closed listener without a pause until the process ends; so nobody gets the sockets before it runs.
+// TestListenWaitsForFirstAccept: an nbio engine misses a stop that comes before its accepting goroutine runs, and then
+// calls Accept on the closed listener in a busy loop. So Listen must not return before Accept was called.
 func TestListenWaitsForFirstAccept(t *testing.T) {
 	for range 20 {
 		s, _ := listen(t, 2)
 		select {
 		case <-s.listener.acceptCalled:
 		default:
-			t.Fatal("it may be stopped before it accepts")
+			t.Fatal("Listen returned before the first Accept call")
 		}
 	}
 }
--- a/internal/sockets/reset_conn_test.go
+++ b/internal/sockets/reset_conn_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWriteToResetConn: a write that finds its connection broken off leaves the descriptor to the poller, which may
-// already have fetched the word of that end from the kernel and stand before it. Closed by the reducer, the number
-// would go to the next client, and the poller would close that one.
+// TestWriteToResetConn: a write to a connection that the client has reset must leave closing the descriptor to the
+// poller, which may have fetched the event for the reset and not handled it yet. If the reducer closed the
+// descriptor, the next client's connection could get the same number, and the poller would close that connection.
 func TestWriteToResetConn(t *testing.T) {
 	reserved, err := os.Open(os.DevNull)
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 			conns[i] = s.connections[e.connID]
 		}
 	}
-	pollerBlocked := func() bool { // the poller waits for the lock of a connection
+	pollerBlocked := func() bool { // the poller waits for a connection's readMutex
 		stacks := make([]byte, 1<<20)
 		for _, stack := range strings.Split(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
 			if strings.Contains(stack, "[sync.Mutex.Lock") && strings.Contains(stack, ").readAvailable(") {
@@ -42,14 +42,14 @@
 	conns[1].readMutex.Lock()
 	send(t, clients[0], ping)
 	require.Eventually(t, pollerBlocked, testTimeout, time.Millisecond)
-	send(t, clients[1], ping) // what comes now the poller fetches together
+	send(t, clients[1], ping) // the poller fetches this and the reset below in one epoll_wait call
 	_ = clients[2].SetLinger(0)
 	_ = clients[2].Close()
 	conns[0].readMutex.Unlock()
 	e, _ := nextEvent(t, s)
 	require.Equal(t, conns[0].id, e.connID)
 	require.Eventually(t, pollerBlocked, testTimeout, time.Millisecond)
-	files := []*os.File{reserved} // all lower numbers are taken but the one that accepting takes and gives back
+	files := []*os.File{reserved} // use up all lower descriptor numbers but one, which accepting needs for a moment
 	for int(files[len(files)-1].Fd()) < conns[2].nbConn.Load().Hash() {
 		f, err := os.Open(os.DevNull)
 		require.NoError(t, err)
@@ -58,7 +58,7 @@
 	}
 	_ = reserved.Close()
 	s.Write(conns[2].id, []byte("answer"))
-	time.Sleep(50 * time.Millisecond) // were there a place now, the next client would be let in
+	time.Sleep(50 * time.Millisecond) // if a slot were free now, the next client would be accepted
 	conns[1].readMutex.Unlock()
 	send(t, clients[3], ping)
 	for received := false; !received; received = e.connID > conns[2].id && e.kind == dataReceived {
@@ -66,5 +66,5 @@
 	}
 	_ = clients[3].SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err = clients[3].Read(make([]byte, 1))
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the next client was closed")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the next client's connection was closed")
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -18,15 +18,16 @@
 	"ospreycroft/internal/settings"
 )
 
+// testTimeout bounds how long a test waits for something to happen.
 const testTimeout = 5 * time.Second
 
-// nbioStartupTime is what nbio's goroutines take to run at most.
+// nbioStartupTime is how long nbio's goroutines may take to start.
 const nbioStartupTime = 20 * time.Millisecond
 
-// listen is a Sockets that takes so many clients, and its address.
+// listen returns a Sockets for at most this many clients, and its address.
 func listen(t *testing.T, clients int) (*Sockets, string) { return listenWithLimit(t, clients, 256) }
 
-// listenWithLimit is the same for so many descriptors.
+// listenWithLimit is listen with a number of file descriptors to pass to Listen.
 func listenWithLimit(t *testing.T, clients, descriptors int) (*Sockets, string) {
 	t.Helper()
 	port, err := ports.Keep()
@@ -38,13 +39,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		time.Sleep(nbioStartupTime) // it misses a stop that comes before
+		time.Sleep(nbioStartupTime) // an engine misses a stop before its goroutines run
 		s.engine.Stop()
 	})
 	return s, address
 }
 
-// nextEvent waits for the nextEvent event and reads what it tells of.
+// nextEvent waits for the next event and returns it with its data.
 func nextEvent(t *testing.T, s *Sockets) (queuedEvent, string) {
 	t.Helper()
 	for len(s.current.events) == 0 {
@@ -52,7 +53,7 @@
 		case <-s.wakeups:
 			s.nextBatch()
 		case <-time.After(testTimeout):
-			t.Fatal("nothing happened")
+			t.Fatal("no event")
 		}
 	}
 	e := s.current.events[0]
@@ -63,10 +64,11 @@
 	return e, string(data)
 }
 
+// expectEvent checks the next event's kind and connection. It skips events of connections with lower IDs.
 func expectEvent(t *testing.T, s *Sockets, kind eventKind, id limiter.ConnID) queuedEvent {
 	t.Helper()
 	e, _ := nextEvent(t, s)
-	for e.connID < id { // it has been closed, and the limiter knows it no more
+	for e.connID < id { // an earlier connection, already closed
 		e, _ = nextEvent(t, s)
 	}
 	if e.kind != kind || e.connID != id {
@@ -75,14 +77,15 @@
 	return e
 }
 
+// TestDial checks the events and the byte counts of dialed connections.
 func TestDial(t *testing.T) {
 	s, _ := listen(t, 1)
-	server, err := net.Listen("tcp", "127.3.2.1:0") // not what 0.0.0.0 stands for
+	server, err := net.Listen("tcp", "127.3.2.1:0") // an address that dialing 0.0.0.0 does not reach
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := server.Addr().String()
-	t.Run("a connection comes up where it was dialled", func(t *testing.T) {
+	t.Run("established and closed by the server", func(t *testing.T) {
 		id := s.Dial(address, int64(testTimeout))
 		expectEvent(t, s, connected, id)
 		s.Write(id, []byte("abc"))
@@ -94,7 +97,7 @@
 		if _, err := peer.Read(got); err != nil || string(got) != "abc" || s.Written(id) != 3 {
 			t.Fatalf("read %q, error %v, written %d", got, err, s.Written(id))
 		}
-		// What came before the end is told before it.
+		// Data sent before the close is delivered before it.
 		if _, err := peer.Write([]byte("last")); err != nil {
 			t.Fatal(err)
 		}
@@ -104,7 +107,7 @@
 		}
 		expectEvent(t, s, connClosed, id)
 	})
-	t.Run("it breaks", func(t *testing.T) {
+	t.Run("reset by the server", func(t *testing.T) {
 		id := s.Dial(address, int64(testTimeout))
 		expectEvent(t, s, connected, id)
 		peer, err := server.Accept()
@@ -117,7 +120,7 @@
 			t.Fatalf("end %s", e.reason)
 		}
 	})
-	t.Run("what the kernel does not take is not written", func(t *testing.T) {
+	t.Run("Close counts only bytes the kernel has taken", func(t *testing.T) {
 		id := s.Dial(address, int64(testTimeout))
 		expectEvent(t, s, connected, id)
 		peer, err := server.Accept()
@@ -131,7 +134,7 @@
 			t.Fatalf("written %d of %d", written, len(text))
 		}
 	})
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("refused", func(t *testing.T) {
 		_ = server.Close()
 		id := s.Dial(address, int64(testTimeout))
 		if e := expectEvent(t, s, connClosed, id); e.reason != limiter.ConnRefused {
@@ -140,6 +143,8 @@
 	})
 }
 
+// TestClose: Close returns the number of bytes written, which the client reads before the end of the connection, and
+// forgets the ID.
 func TestClose(t *testing.T) {
 	s, address := listen(t, 1)
 	client, err := net.Dial("tcp", address)
@@ -153,16 +158,17 @@
 	}
 	got := make([]byte, 9)
 	if n, err := client.Read(got); err != nil || string(got[:n]) != "answer" {
-		t.Fatalf("the client read %q, error %v", got[:n], err)
+		t.Fatalf("client read %q, error %v", got[:n], err)
 	}
 	if _, err := client.Read(got); err == nil {
-		t.Fatal("the connection is open still")
+		t.Fatal("the connection is still open")
 	}
-	expectEvent(t, s, connClosed, e.connID) // the poller has closed the descriptor
+	expectEvent(t, s, connClosed, e.connID) // queued when the poller closes the descriptor
 }
 
-// Connections past the limit wait in the kernel: taken in and closed, their requests would be lost. A process does not
-// end while some wait: ended with it, they would be broken off.
+// TestAcceptLimit: connections beyond the limit must wait in the kernel's accept queue, because requests on connections
+// that are accepted and closed would be lost. HasBacklog must report them, so that the process does not exit meanwhile
+// and reset them.
 func TestAcceptLimit(t *testing.T) {
 	s, address := listen(t, 1)
 	first, err := net.Dial("tcp", address)
@@ -177,14 +183,14 @@
 	if _, err := second.Write([]byte("early")); err != nil {
 		t.Fatal(err)
 	}
-	require.Eventually(t, s.HasBacklog, testTimeout, time.Millisecond, "nobody waits")
+	require.Eventually(t, s.HasBacklog, testTimeout, time.Millisecond, "no backlog reported")
 	time.Sleep(50 * time.Millisecond)
 	s.nextBatch()
 	if len(s.current.events) > 0 {
 		t.Fatalf("event %+v, want none", s.current.events[0])
 	}
 	_ = first.Close()
-	var fromSecond []queuedEvent // the place is free before the first one's end is told
+	var fromSecond []queuedEvent // the slot is released before the first one's close is queued
 	for range 3 {
 		got, text := nextEvent(t, s)
 		if got.connID == e.connID {
@@ -200,15 +206,16 @@
 	e = fromSecond[0]
 	s.Close(e.connID)
 	expectEvent(t, s, connClosed, e.connID)
-	require.Eventually(t, func() bool { return !s.HasBacklog() }, testTimeout, time.Millisecond, "nobody waits any more")
+	require.Eventually(t, func() bool { return !s.HasBacklog() }, testTimeout, time.Millisecond, "backlog still reported")
 }
 
-// TestRun plays one request through a whole limiter, which is told to stop while the server works on it.
+// TestRun sends one request through a complete limiter and requests a shutdown while the server works on it. Run must
+// return only after the client has got its response.
 func TestRun(t *testing.T) {
 	s, address := listen(t, 8)
 	server := listenLoopback(t)
 	class := &choice.Class{LatencyObjective: int64(testTimeout), Idempotency: choice.NonIdempotent}
-	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // nobody is there
+	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // no discovery service
 		Known: fmt.Appendf(
 			nil,
 			`{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service"}]}`,
@@ -261,8 +268,8 @@
 	close(stop)
 	select {
 	case <-stopped:
-		t.Fatal("it has stopped and owes an answer")
-	case <-time.After(700 * time.Millisecond): // past the time for which clients still come
+		t.Fatal("Run returned with a response outstanding")
+	case <-time.After(700 * time.Millisecond): // longer than the limiter accepts clients during a shutdown
 	}
 	if _, err := io.WriteString(serverConn, "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"); err != nil {
 		t.Fatal(err)
@@ -273,22 +280,22 @@
 	select {
 	case <-stopped:
 	case <-time.After(testTimeout):
-		t.Fatal("it has not stopped")
+		t.Fatal("Run has not returned")
 	}
 }
 
-// TestCloseGracefully: a client that is left gets all that was written, however slowly it reads and whatever it goes on to send:
-// nothing of that is read, and no reset takes its answers along. One that never ends its own side is closed after the
-// time.
+// TestCloseGracefully: after CloseGracefully a client must get everything that was written, even if it reads slowly and
+// sends more data. That data must not be read, and must not cause a reset that discards the responses. The connection
+// to a client that never closes its side is closed after the linger time.
 func TestCloseGracefully(t *testing.T) {
 	for _, clientCloses := range []bool{true, false} {
-		t.Run(fmt.Sprintf("it ends its side: %v", clientCloses), func(t *testing.T) {
+		t.Run(fmt.Sprintf("client closes its side: %v", clientCloses), func(t *testing.T) {
 			s, address := listen(t, 1)
 			client, err := net.Dial("tcp", address)
 			require.NoError(t, err)
 			e, _ := nextEvent(t, s)
 			_ = client.(*net.TCPConn).SetReadBuffer(1 << 12)
-			text := strings.Repeat("x", 1<<16) // more than its machine takes before it reads, and less than ours does
+			text := strings.Repeat("x", 1<<16) // more than the client's receive buffer, less than the limiter's send buffer
 			s.Write(e.connID, []byte(text))
 			require.True(t, s.Written(e.connID) >= 1<<16, "written %d", s.Written(e.connID))
 			const linger = int64(50 * time.Millisecond)
@@ -296,7 +303,7 @@
 			require.True(t, s.hasUnsent())
 			_, err = io.WriteString(client, "late")
 			require.NoError(t, err)
-			time.Sleep(3 * time.Duration(linger)) // it is not broken off while its machine lacks bytes
+			time.Sleep(3 * time.Duration(linger)) // stays open while the client has not received everything
 			got := make([]byte, len(text))
 			_, err = io.ReadFull(client, got)
 			require.NoError(t, err)
@@ -309,10 +316,10 @@
 				func() bool { return s.lingering == nil || s.lingering[0].isClosed() },
 				testTimeout,
 				time.Millisecond,
-				"it is closed",
+				"the connection is closed",
 			)
 			if e := expectEvent(t, s, connClosed, e.connID); e.size > 0 {
-				t.Fatal("it was read")
+				t.Fatal("data sent after the close was read")
 			}
 		})
 	}
