--- a/internal/sockets/poller.go
+++ b/internal/sockets/poller.go
@@ -29,7 +29,7 @@
 
 // errPeerClosed is the error with which a connection is closed when an end of file was read after all data. nbio's own
 // io.EOF does not tell this from a reset.
-var errPeerClosed = errors.New("the other side has ended the connection")
+var errPeerClosed = errors.New("the peer closed the connection")
 
 // maxQueuedBytesPerClient is how many bytes of one client may be undelivered. Without this limit a client that sends
 // continuously would keep the poller busy and delay all other connections.
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -65,8 +65,8 @@
 
 // Listen listens on the address for clients and starts the network library. At most maxClients connections of clients
 // are open at once, and proportionally fewer if the process may open fewer than descriptors file descriptors, so that
-// some are left for connections to discovery and to servers. The error is an *AddressInUseError, an
-// *AddressError or a *DescriptorsError.
+// some are left for connections to discovery and to servers. The error is an *AddressInUseError, an *AddressError or a
+// *DescriptorsError.
 func Listen(address string, maxClients, descriptors int) (*Sockets, error) {
 	nbiologging.SetLogger(&libraryLogger{})
 	nbio.MaxOpenFiles = 2 * descriptors // the size of nbio's table of connections by descriptor
@@ -162,7 +162,7 @@
 // Run delivers events, timers, the stop request and reloaded configurations to the limiter until the limiter has
 // finished. Unless the limiter is then overdue, Run also waits until no event is queued and no gracefully closed
 // connection has unsent bytes. After Halt it returns at once. clock returns the limiter's time in nanoseconds.
-func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
+func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, reloaded <-chan *settings.Config) {
 	defer logPanic(l)
 	s.running.Store(true)
 	timer := time.NewTimer(0)
@@ -177,7 +177,7 @@
 		case <-stop:
 			stop = nil
 			l.Step(clock(), limiter.ShutdownRequested{})
-		case config := <-renewed:
+		case config := <-reloaded:
 			l.Step(clock(), limiter.ConfigReloaded{Config: config})
 		}
 		if s.traceWanted.CompareAndSwap(true, false) {
--- a/internal/sockets/wakeup_timer.go
+++ b/internal/sockets/wakeup_timer.go
@@ -46,6 +46,7 @@
 	return timer
 }
 
+// addTo creates the kernel timer and registers it with the engine's poller.
 func (w *wakeupTimer) addTo(engine *nbio.Engine) error {
 	fd, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_CLOEXEC)
 	if err != nil {
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -50,14 +50,14 @@
 
 // writeNow writes until all is written or the kernel returns EAGAIN. A short write is not enough to stop at: nbio waits
 // for an edge-triggered event for writability, which does not come if the kernel cut the write short with room left.
-func writeNow(nc *nbio.Conn, bytes []byte) (written int, err error) {
+func writeNow(nc *nbio.Conn, data []byte) (written int, err error) {
 	nc.Lock()
 	defer nc.Unlock()
 	if closed, _ := nc.IsClosed(); closed {
 		return 0, net.ErrClosed
 	}
-	for written < len(bytes) {
-		n, err := syscall.Write(nc.Hash(), bytes[written:])
+	for written < len(data) {
+		n, err := syscall.Write(nc.Hash(), data[written:])
 		switch err {
 		case nil:
 			written += n
@@ -99,9 +99,10 @@
 	return int64(info.Last_data_recv) * int64(time.Millisecond)
 }
 
-// Alive implements limiter.Effects. A connection to a server is alive only if no input or close is pending, in the
-// kernel or undelivered: bytes that a server sent after its last response would be taken for the response to the next
-// request, and bytes written after the server's close would count as sent.
+// Alive implements limiter.Effects. A client's connection is alive until nbio closes it. A connection to a server is
+// alive only if, in addition, no input or close is pending, in the kernel or undelivered: bytes that a server sent
+// after its last response would be taken for the response to the next request, and bytes written after the server's
+// close would count as sent.
 func (s *Sockets) Alive(id limiter.ConnID) bool {
 	conn := s.connections[id]
 	if conn == nil {
