--- a/internal/sockets/halt_test.go
+++ b/internal/sockets/halt_test.go
@@ -10,8 +10,8 @@
 	"ospreycroft/internal/lab/ports"
 )
 
-// TestDialWhileHalting: a connection that comes up as the sockets are halted is closed, and the engine, which would panic over
-// one that it is given while it stops, ends.
+// TestDialWhileHalting: a connection that is established while Halt is called must be closed and not be added to the
+// engine, which would panic on an addition while it stops.
 func TestDialWhileHalting(t *testing.T) {
 	port, err := ports.Keep()
 	require.NoError(t, err)
@@ -23,13 +23,13 @@
 		s.Halt()
 		return limiterSide, nil
 	}
-	require.ErrorIs(t, s.dial(t.Context(), s.newConnection(nil, nil), "any"), net.ErrClosed)
+	require.ErrorIs(t, s.dialOnce(t.Context(), s.newConnection(nil, nil), "any"), net.ErrClosed)
 	s.engine.Stop()
 	_, err = peer.Read(make([]byte, 1))
 	require.Error(t, err)
 }
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (one, other net.Conn) {
 	t.Helper()
 	port, err := ports.Keep()
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,6 @@
-// Package sockets carries out the effects that package limiter asks for, on lesismal/nbio, and tells it what
-// happens, one thing at a time on the goroutine that calls Run.
+// Package sockets implements limiter.Effects on top of the network library lesismal/nbio, and passes the events on
+// its connections to the limiter. "The reducer" in this package is the limiter (limiter.Limiter) on the goroutine
+// that calls Run, which delivers one event at a time; "the poller" is nbio's goroutine that waits in epoll and reads.
 package sockets
 
 import (
@@ -18,144 +19,150 @@
 	"ospreycroft/internal/settings"
 )
 
-// connection is one connection. The poller, nbio's own goroutines and the reducer all use it.
+// connection is the state of one connection to a client or server. The poller, other goroutines of nbio and the reducer
+// share it.
 type connection struct {
 	id             limiter.ConnID
-	conn           atomic.Pointer[nbio.Conn] // nil until it is up
-	cancel         context.CancelFunc        // ends the dialling; nil for a client's connection
-	locallyClosed  atomic.Bool               // the reducer has closed it
-	written        atomic.Int64
-	bytesHanded    int64          // bytes to write; the reducer's own
-	accepting      *acceptLimiter // of a client's connection
-	readMutex      sync.Mutex     // held from before bytes leave the kernel until they are posted
-	bytesPosted    int64          // bytes, under reading
-	bytesDelivered atomic.Int64   // bytes of them that the reducer was told of
-	// maxClientBytes wait, and what else has come is read once the reducer was told of some
+	nbConn         atomic.Pointer[nbio.Conn] // nil until it is established
+	cancel         context.CancelFunc        // cancels the dial; nil for a client's connection
+	locallyClosed  atomic.Bool               // Close or CloseGracefully was called
+	bytesWritten   atomic.Int64              // bytes that the kernel has taken
+	bytesSubmitted int64                     // bytes passed to Write; used by the reducer only
+	listener       *acceptLimiter            // the listener that accepted a client's connection; nil for a dialed one
+	readMutex      sync.Mutex                // held from before bytes leave the kernel until they are queued
+	bytesRead      int64                     // bytes read from the kernel; guarded by readMutex
+	bytesDelivered atomic.Int64              // bytes of bytesRead that the reducer has been given
+	// backpressured is true while reading is stopped because maxQueuedBytesPerClient bytes are undelivered.
 	backpressured atomic.Bool
 }
 
-// Sockets is safe for use by nbio's goroutines and the one that calls Run; Effects are for the latter alone.
+// Sockets is the listener for clients and all connections of a limiter. Listen creates one. The methods of
+// limiter.Effects may be called only from the goroutine that calls Run; Halt and LogTrace from any.
 type Sockets struct {
-	engine    *nbio.Engine
-	dialTCP   dialFunc
-	accepting *acceptLimiter
-	wakeups   chan struct{}
-	mutex     sync.Mutex
-	lastID    limiter.ConnID
-	drained   sync.Cond // the reducer has taken the batch
-	queued    eventBatch
-	// The rest belongs to the reducer's goroutine.
-	connections map[limiter.ConnID]*connection
-	current     eventBatch
-	currentRead int // of the present batch's bytes
-	timerAt     int64
-	wakeup      *wakeupTimer
-	running     atomic.Bool // Run has begun, and the limiter's clock goes on as the process's
-	halted      atomic.Bool
-	adding      sync.RWMutex  // held for reading while the engine takes a connection over
-	traceWanted atomic.Bool   // the trace is to be logged
-	lingering   []*connection // connections that were left and may not be closed yet
+	engine     *nbio.Engine
+	dialTCP    dialFunc
+	listener   *acceptLimiter
+	wakeups    chan struct{} // holds an element while Run has something new to look at
+	mutex      sync.Mutex
+	lastID     limiter.ConnID // of the newest connection; guarded by mutex
+	batchTaken sync.Cond      // signals that nextBatch has emptied queued
+	queued     eventBatch     // guarded by mutex
+	// The fields below are used only by the reducer's goroutine, except for running, halted, addMutex and traceWanted.
+	connections   map[limiter.ConnID]*connection
+	current       eventBatch // the batch being delivered
+	currentOffset int        // position of the current event's data in current.bytes
+	timerAt       int64      // limiter's time at which TimersDue is next due, nanoseconds
+	wakeup        *wakeupTimer
+	running       atomic.Bool   // Run has begun, so the limiter's clock advances with the process's
+	halted        atomic.Bool   // Halt was called
+	addMutex      sync.RWMutex  // read-locked while a connection is added to the engine
+	traceWanted   atomic.Bool   // LogTrace was called and the trace is not logged yet
+	lingering     []*connection // gracefully closed connections that may still be open
 }
 
-// dialFunc opens a connection as net.Dialer.DialContext does, whose place the tests' own take.
+// dialFunc has the signature of net.Dialer.DialContext; tests replace the dialer.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Listen opens the address for clients; at most so many of their connections are held at once, and fewer where the
-// process may hold fewer descriptors than it should: the connections to discovery and to servers need theirs. Errors:
-// *AddressInUseError, *AddressError, *DescriptorsError.
-func Listen(address string, clients, descriptors int) (*Sockets, error) {
+// Listen listens on the address for clients and starts the network library. At most maxClients connections of clients
+// are open at once, and proportionally fewer if the process may open fewer than descriptors file descriptors, so that
+// some are left for connections to discovery and to servers. The error is an *AddressInUseError, an *AddressError or a
+// *DescriptorsError.
+func Listen(address string, maxClients, descriptors int) (*Sockets, error) {
 	nbiologging.SetLogger(&libraryLogger{})
-	nbio.MaxOpenFiles = 2 * descriptors // nbio keeps a table of all descriptors there could be
+	nbio.MaxOpenFiles = 2 * descriptors // the size of nbio's table of connections by descriptor
 	s := &Sockets{
 		dialTCP: newDialer().DialContext,
 		wakeups: make(chan struct{}, 1), connections: map[limiter.ConnID]*connection{},
-		accepting: newAcceptLimiter(clientPlaces(clients, descriptors)),
+		listener: newAcceptLimiter(maxClientConns(maxClients, descriptors)),
 	}
-	s.drained.L = &s.mutex
+	s.batchTaken.L = &s.mutex
 	s.engine = nbio.NewEngine(nbio.Config{
 		Name: "ospreycroft", Network: "tcp", Addrs: []string{address}, NPoller: 1,
-		// Edge-triggered, since nbio's level-triggered mode may stop waiting for room to write when a connection has
-		// just come up and is written to.
+		// In level-triggered mode nbio may stop waiting for writability if a connection is written to just after it
+		// was established.
 		EpollMod: nbio.EPOLLET,
-		Listen:   s.accepting.listen,
+		Listen:   s.listener.listen,
 	})
-	s.handleEvents()
+	s.registerHandlers()
 	if err := s.engine.Start(); err != nil {
 		return nil, listenError(address, err)
 	}
-	<-s.accepting.began
+	<-s.listener.acceptCalled
 	s.wakeup = newWakeupTimer(s.engine)
 	return s, nil
 }
 
-// handleEvents has the poller's events queued for the reducer.
-func (s *Sockets) handleEvents() {
-	s.engine.OnOpen(s.opened)
-	into := make([]byte, readSize) // there is one poller
-	s.engine.OnRead(func(c *nbio.Conn) {
-		switch session := c.Session().(type) {
+// registerHandlers sets the engine's callbacks, which queue events for the reducer.
+func (s *Sockets) registerHandlers() {
+	s.engine.OnOpen(s.onOpen)
+	buf := make([]byte, readSize) // one buffer suffices for the single poller
+	s.engine.OnRead(func(nc *nbio.Conn) {
+		switch session := nc.Session().(type) {
 		case *connection:
-			s.readLoop(session, c, into)
+			s.readLoop(session, nc, buf)
 		case *wakeupTimer:
-			s.expired()
+			s.onWakeupTimer()
 		}
 	})
-	s.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
-		if l, is := c.Session().(*connection); is {
-			l.written.Add(int64(n))
+	s.engine.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
+		if conn, ok := nc.Session().(*connection); ok {
+			conn.bytesWritten.Add(int64(n))
 		}
 	})
-	s.engine.OnClose(s.closed)
+	s.engine.OnClose(s.onClose)
 }
 
-// opened takes a client's connection in. Those that were dialled have their record already.
-func (s *Sockets) opened(c *nbio.Conn) {
-	if c.Session() != nil {
+// onOpen is called for each connection added to the engine. Dialed connections and the timer already have a session.
+func (s *Sockets) onOpen(nc *nbio.Conn) {
+	if nc.Session() != nil {
 		return
 	}
-	l := s.newConnection(nil, s.accepting)
-	l.conn.Store(c)
-	c.SetSession(l)
-	s.enqueue(l, queuedEvent{kind: clientAccepted}, nil)
+	conn := s.newConnection(nil, s.listener)
+	conn.nbConn.Store(nc)
+	nc.SetSession(conn)
+	s.enqueue(conn, queuedEvent{kind: clientAccepted}, nil)
 }
 
-// closed takes the end of a connection.
-func (s *Sockets) closed(c *nbio.Conn, err error) {
-	if timer, is := c.Session().(*wakeupTimer); is {
-		timer.closed(c)
+// onClose is called when nbio closes a connection. It frees a client's slot and queues the close.
+func (s *Sockets) onClose(nc *nbio.Conn, err error) {
+	if timer, ok := nc.Session().(*wakeupTimer); ok {
+		timer.onClose(nc)
 		return
 	}
-	l, is := c.Session().(*connection)
-	if !is {
+	conn, ok := nc.Session().(*connection)
+	if !ok {
 		return
 	}
 	reason := limiter.PeerReset
 	if errors.Is(err, errPeerClosed) {
 		reason = limiter.PeerClosed
 	}
-	if s.isClient(l) {
-		s.accepting.release()
+	if s.isClient(conn) {
+		s.listener.release()
 	}
-	s.enqueue(l, queuedEvent{kind: connClosed, reason: reason}, nil)
+	s.enqueue(conn, queuedEvent{kind: connClosed, reason: reason}, nil)
 }
 
-// newConnection makes the record of a new connection.
-func (s *Sockets) newConnection(cancel context.CancelFunc, gate *acceptLimiter) *connection {
+// newConnection returns a connection with a new ID; acceptedBy is nil for a dialed one.
+func (s *Sockets) newConnection(cancel context.CancelFunc, acceptedBy *acceptLimiter) *connection {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lastID++
-	return &connection{id: s.lastID, cancel: cancel, accepting: gate}
+	return &connection{id: s.lastID, cancel: cancel, listener: acceptedBy}
 }
 
-// isClient tells whether a connection is a client's. Its record was made under the lock, on another goroutine.
-func (s *Sockets) isClient(l *connection) bool {
+// isClient reports whether a connection is a client's. It locks the mutex because the connection was created under it
+// on another goroutine.
+func (s *Sockets) isClient(conn *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return l.accepting != nil
+	return conn.listener != nil
 }
 
-// Run tells the limiter what happens until it has finished.
-func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, renewed <-chan *settings.Config) {
+// Run delivers events, timers, the stop request and reloaded configurations to the limiter until the limiter has
+// finished. Unless the limiter is then overdue, Run also waits until no event is queued and no gracefully closed
+// connection has unsent bytes. After Halt it returns at once. clock returns the limiter's time in nanoseconds.
+func (s *Sockets) Run(clock func() int64, l *limiter.Limiter, stop <-chan struct{}, reloaded <-chan *settings.Config) {
 	defer logPanic(l)
 	s.running.Store(true)
 	timer := time.NewTimer(0)
@@ -170,7 +177,7 @@
 		case <-stop:
 			stop = nil
 			l.Step(clock(), limiter.ShutdownRequested{})
-		case config := <-renewed:
+		case config := <-reloaded:
 			l.Step(clock(), limiter.ConfigReloaded{Config: config})
 		}
 		if s.traceWanted.CompareAndSwap(true, false) {
@@ -178,10 +185,10 @@
 		}
 		s.nextBatch()
 		for _, e := range s.current.events {
-			end := s.currentRead + e.size
-			s.delivering(e)
+			end := s.currentOffset + e.size
+			s.markDelivered(e)
 			e.deliver(clock(), l)
-			s.currentRead = end // whether the reducer has read them or not
+			s.currentOffset = end // whether or not the reducer has called Read
 		}
 		if now := clock(); s.timerAt <= now {
 			l.Step(now, limiter.TimersDue{})
@@ -190,28 +197,28 @@
 		if s.wakeup.set(s.timerAt, time.Duration(wait)) {
 			wait += int64(backupDelay)
 		}
-		if len(s.lingering) > 0 && l.Finished() { // nothing tells that a client's machine has all
+		if len(s.lingering) > 0 && l.Finished() { // no event reports that a client has received everything
 			wait = min(wait, lingerCheckInterval)
 		}
 		timer.Reset(time.Duration(wait))
 	}
 }
 
-// Halt ends Run whatever is owed, as the end of its process would.
+// Halt makes Run return without finishing requests, as if the process had been killed.
 func (s *Sockets) Halt() {
-	s.adding.Lock() // what is being added comes before, the rest is refused
+	s.addMutex.Lock() // waits for additions in progress; later ones fail
 	s.halted.Store(true)
-	s.adding.Unlock()
+	s.addMutex.Unlock()
 	s.wake()
 }
 
-// LogTrace has the reducer's goroutine log the limiter's trace.
+// LogTrace makes the reducer's goroutine log the limiter's trace.
 func (s *Sockets) LogTrace() {
 	s.traceWanted.Store(true)
 	s.wake()
 }
 
-// wake has Run look at what there is.
+// wake makes Run check for new events and requests.
 func (s *Sockets) wake() {
 	select {
 	case s.wakeups <- struct{}{}:
@@ -219,11 +226,11 @@
 	}
 }
 
-// tracedBeforePanic is how many of the latest records of the trace are logged before the process ends by a panic.
+// tracedBeforePanic is how many of the trace's latest records are logged before a panic ends the process.
 const tracedBeforePanic = 32
 
-// logPanic is deferred on the reducer's goroutine: it logs what happened before a panic, and then the panic, so that the
-// log's last lines tell why the process ended.
+// logPanic is deferred on the reducer's goroutine. On a panic it logs the latest trace records and then the panic, so
+// that the last lines of the log show why the process ended.
 func logPanic(l *limiter.Limiter) {
 	if cause := recover(); cause != nil {
 		l.LogTrace(tracedBeforePanic)
@@ -232,11 +239,11 @@
 	}
 }
 
-// SetTimer is an effect.
+// SetTimer implements limiter.Effects.
 func (s *Sockets) SetTimer(at int64) { s.timerAt = at }
 
-// WallClock is an effect.
+// WallClock implements limiter.Effects.
 func (s *Sockets) WallClock() int64 { return time.Now().UnixNano() }
 
-// Read is an effect.
-func (s *Sockets) Read(into []byte) { copy(into, s.current.bytes[s.currentRead:]) }
+// Read implements limiter.Effects.
+func (s *Sockets) Read(into []byte) { copy(into, s.current.bytes[s.currentOffset:]) }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -18,16 +18,17 @@
 	"ospreycroft/internal/settings"
 )
 
-const patience = 5 * time.Second
+// testTimeout bounds how long a test waits for something to happen.
+const testTimeout = 5 * time.Second
 
-// nbioStarts is what nbio's goroutines take to run at most.
-const nbioStarts = 20 * time.Millisecond
+// nbioStartupTime is how long nbio's goroutines may take to start.
+const nbioStartupTime = 20 * time.Millisecond
 
-// listening is a Sockets that takes so many clients, and its address.
-func listening(t *testing.T, clients int) (*Sockets, string) { return listeningFor(t, clients, 256) }
+// listen returns a Sockets for at most this many clients, and its address.
+func listen(t *testing.T, clients int) (*Sockets, string) { return listenWithLimit(t, clients, 256) }
 
-// listeningFor is the same for so many descriptors.
-func listeningFor(t *testing.T, clients, descriptors int) (*Sockets, string) {
+// listenWithLimit is listen with a number of file descriptors to pass to Listen.
+func listenWithLimit(t *testing.T, clients, descriptors int) (*Sockets, string) {
 	t.Helper()
 	port, err := ports.Keep()
 	require.NoError(t, err)
@@ -38,138 +39,143 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		time.Sleep(nbioStarts) // it misses a stop that comes before
+		time.Sleep(nbioStartupTime) // an engine misses a stop before its goroutines run
 		s.engine.Stop()
 	})
 	return s, address
 }
 
-// next waits for the next event and reads what it tells of.
-func next(t *testing.T, s *Sockets) (queuedEvent, string) {
+// nextEvent waits for the next event and returns it with its data.
+func nextEvent(t *testing.T, s *Sockets) (queuedEvent, string) {
 	t.Helper()
 	for len(s.current.events) == 0 {
 		select {
 		case <-s.wakeups:
 			s.nextBatch()
-		case <-time.After(patience):
-			t.Fatal("nothing happened")
+		case <-time.After(testTimeout):
+			t.Fatal("no event")
 		}
 	}
 	e := s.current.events[0]
 	s.current.events = s.current.events[1:]
-	into := make([]byte, e.size)
-	s.Read(into)
-	s.currentRead += e.size
-	return e, string(into)
+	data := make([]byte, e.size)
+	s.Read(data)
+	s.currentOffset += e.size
+	return e, string(data)
 }
 
-func expect(t *testing.T, s *Sockets, kind eventKind, id limiter.ConnID) queuedEvent {
+// expectEvent checks the next event's kind and connection. It skips events of connections with lower IDs.
+func expectEvent(t *testing.T, s *Sockets, kind eventKind, id limiter.ConnID) queuedEvent {
 	t.Helper()
-	e, _ := next(t, s)
-	for e.conn < id { // it has been closed, and the limiter knows it no more
-		e, _ = next(t, s)
+	e, _ := nextEvent(t, s)
+	for e.connID < id { // an earlier connection, already closed
+		e, _ = nextEvent(t, s)
 	}
-	if e.kind != kind || e.conn != id {
+	if e.kind != kind || e.connID != id {
 		t.Fatalf("event %+v, want kind %d on %d", e, kind, id)
 	}
 	return e
 }
 
+// TestDial checks the events and the byte counts of dialed connections.
 func TestDial(t *testing.T) {
-	s, _ := listening(t, 1)
-	other, err := net.Listen("tcp", "127.3.2.1:0") // not what 0.0.0.0 stands for
+	s, _ := listen(t, 1)
+	server, err := net.Listen("tcp", "127.3.2.1:0") // an address that dialing 0.0.0.0 does not reach
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := other.Addr().String()
-	t.Run("a connection comes up where it was dialled", func(t *testing.T) {
-		id := s.Dial(address, int64(patience))
-		expect(t, s, connected, id)
+	address := server.Addr().String()
+	t.Run("established and closed by the server", func(t *testing.T) {
+		id := s.Dial(address, int64(testTimeout))
+		expectEvent(t, s, connected, id)
 		s.Write(id, []byte("abc"))
-		far, err := other.Accept()
+		peer, err := server.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := make([]byte, 3)
-		if _, err := far.Read(got); err != nil || string(got) != "abc" || s.Written(id) != 3 {
+		if _, err := peer.Read(got); err != nil || string(got) != "abc" || s.Written(id) != 3 {
 			t.Fatalf("read %q, error %v, written %d", got, err, s.Written(id))
 		}
-		// What came before the end is told before it.
-		if _, err := far.Write([]byte("last")); err != nil {
+		// Data sent before the close is delivered before it.
+		if _, err := peer.Write([]byte("last")); err != nil {
 			t.Fatal(err)
 		}
-		_ = far.Close()
-		if e, text := next(t, s); e.kind != dataReceived || text != "last" {
+		_ = peer.Close()
+		if e, text := nextEvent(t, s); e.kind != dataReceived || text != "last" {
 			t.Fatalf("event %+v with %q", e, text)
 		}
-		expect(t, s, connClosed, id)
+		expectEvent(t, s, connClosed, id)
 	})
-	t.Run("it breaks", func(t *testing.T) {
-		id := s.Dial(address, int64(patience))
-		expect(t, s, connected, id)
-		far, err := other.Accept()
+	t.Run("reset by the server", func(t *testing.T) {
+		id := s.Dial(address, int64(testTimeout))
+		expectEvent(t, s, connected, id)
+		peer, err := server.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = far.(*net.TCPConn).SetLinger(0)
-		_ = far.Close()
-		if e := expect(t, s, connClosed, id); e.reason != limiter.PeerReset && e.reason != limiter.PeerClosed {
+		_ = peer.(*net.TCPConn).SetLinger(0)
+		_ = peer.Close()
+		if e := expectEvent(t, s, connClosed, id); e.reason != limiter.PeerReset && e.reason != limiter.PeerClosed {
 			t.Fatalf("end %s", e.reason)
 		}
 	})
-	t.Run("what the kernel does not take is not written", func(t *testing.T) {
-		id := s.Dial(address, int64(patience))
-		expect(t, s, connected, id)
-		far, err := other.Accept()
+	t.Run("Close counts only bytes the kernel has taken", func(t *testing.T) {
+		id := s.Dial(address, int64(testTimeout))
+		expectEvent(t, s, connected, id)
+		peer, err := server.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = far.Close() }()
+		defer func() { _ = peer.Close() }()
 		text := make([]byte, 32<<20)
 		s.Write(id, text)
 		if written := s.Close(id); written == 0 || written >= int64(len(text)) {
 			t.Fatalf("written %d of %d", written, len(text))
 		}
 	})
-	t.Run("nobody listens", func(t *testing.T) {
-		_ = other.Close()
-		id := s.Dial(address, int64(patience))
-		if e := expect(t, s, connClosed, id); e.reason != limiter.ConnRefused {
+	t.Run("refused", func(t *testing.T) {
+		_ = server.Close()
+		id := s.Dial(address, int64(testTimeout))
+		if e := expectEvent(t, s, connClosed, id); e.reason != limiter.ConnRefused {
 			t.Fatalf("end %s", e.reason)
 		}
 	})
 }
 
+// TestClose: Close returns the number of bytes written, which the client reads before the end of the connection, and
+// forgets the ID.
 func TestClose(t *testing.T) {
-	s, address := listening(t, 1)
-	far, err := net.Dial("tcp", address)
+	s, address := listen(t, 1)
+	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, _ := next(t, s)
-	s.Write(e.conn, []byte("answer"))
-	if written := s.Close(e.conn); written != 6 || s.Written(e.conn) != 0 {
-		t.Fatalf("written %d, then %d", written, s.Written(e.conn))
+	e, _ := nextEvent(t, s)
+	s.Write(e.connID, []byte("answer"))
+	if written := s.Close(e.connID); written != 6 || s.Written(e.connID) != 0 {
+		t.Fatalf("written %d, then %d", written, s.Written(e.connID))
 	}
 	got := make([]byte, 9)
-	if n, err := far.Read(got); err != nil || string(got[:n]) != "answer" {
-		t.Fatalf("the client read %q, error %v", got[:n], err)
+	if n, err := client.Read(got); err != nil || string(got[:n]) != "answer" {
+		t.Fatalf("client read %q, error %v", got[:n], err)
 	}
-	if _, err := far.Read(got); err == nil {
-		t.Fatal("the connection is open still")
+	if _, err := client.Read(got); err == nil {
+		t.Fatal("the connection is still open")
 	}
-	expect(t, s, connClosed, e.conn) // the poller has closed the descriptor
+	expectEvent(t, s, connClosed, e.connID) // queued when the poller closes the descriptor
 }
 
-// Connections past the limit wait in the kernel: taken in and closed, their requests would be lost. A process does not
-// end while some wait: ended with it, they would be broken off.
-func TestAccept(t *testing.T) {
-	s, address := listening(t, 1)
+// TestAcceptLimit: connections beyond the limit must wait in the kernel's accept queue, because requests on connections
+// that are accepted and closed would be lost. HasBacklog must report them, so that the process does not exit meanwhile
+// and reset them.
+func TestAcceptLimit(t *testing.T) {
+	s, address := listen(t, 1)
 	first, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, _ := next(t, s)
+	e, _ := nextEvent(t, s)
 	second, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -177,50 +183,51 @@
 	if _, err := second.Write([]byte("early")); err != nil {
 		t.Fatal(err)
 	}
-	require.Eventually(t, s.HasBacklog, patience, time.Millisecond, "nobody waits")
+	require.Eventually(t, s.HasBacklog, testTimeout, time.Millisecond, "no backlog reported")
 	time.Sleep(50 * time.Millisecond)
 	s.nextBatch()
 	if len(s.current.events) > 0 {
 		t.Fatalf("event %+v, want none", s.current.events[0])
 	}
 	_ = first.Close()
-	var let []queuedEvent // the place is free before the first one's end is told
+	var fromSecond []queuedEvent // the slot is released before the first one's close is queued
 	for range 3 {
-		got, text := next(t, s)
-		if got.conn == e.conn {
+		got, text := nextEvent(t, s)
+		if got.connID == e.connID {
 			require.Equal(t, connClosed, got.kind)
 			continue
 		}
 		require.Equal(t, "early"[:got.size], text)
-		let = append(let, got)
+		fromSecond = append(fromSecond, got)
 	}
-	require.Len(t, let, 2)
-	require.Equal(t, clientAccepted, let[0].kind)
-	require.Equal(t, queuedEvent{kind: dataReceived, conn: let[0].conn, size: 5}, let[1])
-	e = let[0]
-	s.Close(e.conn)
-	expect(t, s, connClosed, e.conn)
-	require.Eventually(t, func() bool { return !s.HasBacklog() }, patience, time.Millisecond, "nobody waits any more")
+	require.Len(t, fromSecond, 2)
+	require.Equal(t, clientAccepted, fromSecond[0].kind)
+	require.Equal(t, queuedEvent{kind: dataReceived, connID: fromSecond[0].connID, size: 5}, fromSecond[1])
+	e = fromSecond[0]
+	s.Close(e.connID)
+	expectEvent(t, s, connClosed, e.connID)
+	require.Eventually(t, func() bool { return !s.HasBacklog() }, testTimeout, time.Millisecond, "backlog still reported")
 }
 
-// TestRun plays one request through a whole limiter, which is told to stop while the server works on it.
+// TestRun sends one request through a complete limiter and requests a shutdown while the server works on it. Run must
+// return only after the client has got its response.
 func TestRun(t *testing.T) {
-	s, address := listening(t, 8)
-	server := local(t)
-	class := &choice.Class{LatencyObjective: int64(patience), Idempotency: choice.NonIdempotent}
-	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // nobody is there
+	s, address := listen(t, 8)
+	server := listenLoopback(t)
+	class := &choice.Class{LatencyObjective: int64(testTimeout), Idempotency: choice.NonIdempotent}
+	config := &settings.Config{Discovery: "127.0.0.1:1", Memory: 1 << 27, Sockets: 64, // no discovery service
 		Known: fmt.Appendf(
 			nil,
 			`{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service"}]}`,
 			server.Addr(),
 		),
 		Settings: &settings.Settings{
-			IdleClose: int64(patience),
+			IdleClose: int64(testTimeout),
 			Settings: &choice.Settings{Classes: map[string]*choice.Class{"c": class},
 				Plans: map[string]*choice.Plan{
 					"p": {},
 				}, MaxRequestUnits: 8, Limiters: 1, MaxAttempts: 1, SlowStartWindow: 1,
-				DialTimeout: int64(patience), TimerResolution: 1e6},
+				DialTimeout: int64(testTimeout), TimerResolution: 1e6},
 		}}
 	clock := func() int64 { return time.Now().UnixNano() }
 	l, err := limiter.New(clock(), config, s)
@@ -249,22 +256,22 @@
 	if _, err := io.WriteString(client, command); err != nil {
 		t.Fatal(err)
 	}
-	far, err := server.Accept()
+	serverConn, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, len(command))
-	_, err = io.ReadFull(far, got)
+	_, err = io.ReadFull(serverConn, got)
 	if err != nil || !strings.HasSuffix(string(got), command[len(command)-resp.MaxValueBytes:]) {
 		t.Fatalf("the server read %d bytes, error %v", len(got), err)
 	}
 	close(stop)
 	select {
 	case <-stopped:
-		t.Fatal("it has stopped and owes an answer")
-	case <-time.After(700 * time.Millisecond): // past the time for which clients still come
+		t.Fatal("Run returned with a response outstanding")
+	case <-time.After(700 * time.Millisecond): // longer than the limiter accepts clients during a shutdown
 	}
-	if _, err := io.WriteString(far, "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"); err != nil {
+	if _, err := io.WriteString(serverConn, "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	if answer, err := io.ReadAll(bufio.NewReader(client)); string(answer) != "$5\r\nvalue\r\n" {
@@ -272,47 +279,47 @@
 	}
 	select {
 	case <-stopped:
-	case <-time.After(patience):
-		t.Fatal("it has not stopped")
+	case <-time.After(testTimeout):
+		t.Fatal("Run has not returned")
 	}
 }
 
-// TestLeave: a client that is left gets all that was written, however slowly it reads and whatever it goes on to send:
-// nothing of that is read, and no reset takes its answers along. One that never ends its own side is closed after the
-// time.
-func TestLeave(t *testing.T) {
-	for _, ends := range []bool{true, false} {
-		t.Run(fmt.Sprintf("it ends its side: %v", ends), func(t *testing.T) {
-			s, address := listening(t, 1)
-			far, err := net.Dial("tcp", address)
+// TestCloseGracefully: after CloseGracefully a client must get everything that was written, even if it reads slowly and
+// sends more data. That data must not be read, and must not cause a reset that discards the responses. The connection
+// to a client that never closes its side is closed after the linger time.
+func TestCloseGracefully(t *testing.T) {
+	for _, clientCloses := range []bool{true, false} {
+		t.Run(fmt.Sprintf("client closes its side: %v", clientCloses), func(t *testing.T) {
+			s, address := listen(t, 1)
+			client, err := net.Dial("tcp", address)
 			require.NoError(t, err)
-			e, _ := next(t, s)
-			_ = far.(*net.TCPConn).SetReadBuffer(1 << 12)
-			text := strings.Repeat("x", 1<<16) // more than its machine takes before it reads, and less than ours does
-			s.Write(e.conn, []byte(text))
-			require.True(t, s.Written(e.conn) >= 1<<16, "written %d", s.Written(e.conn))
-			const after = int64(50 * time.Millisecond)
-			require.True(t, s.CloseGracefully(e.conn, after, int64(patience)))
+			e, _ := nextEvent(t, s)
+			_ = client.(*net.TCPConn).SetReadBuffer(1 << 12)
+			text := strings.Repeat("x", 1<<16) // more than the client's receive buffer, less than the limiter's send buffer
+			s.Write(e.connID, []byte(text))
+			require.True(t, s.Written(e.connID) >= 1<<16, "written %d", s.Written(e.connID))
+			const linger = int64(50 * time.Millisecond)
+			require.True(t, s.CloseGracefully(e.connID, linger, int64(testTimeout)))
 			require.True(t, s.hasUnsent())
-			_, err = io.WriteString(far, "late")
+			_, err = io.WriteString(client, "late")
 			require.NoError(t, err)
-			time.Sleep(3 * time.Duration(after)) // it is not broken off while its machine lacks bytes
+			time.Sleep(3 * time.Duration(linger)) // stays open while the client has not received everything
 			got := make([]byte, len(text))
-			_, err = io.ReadFull(far, got)
+			_, err = io.ReadFull(client, got)
 			require.NoError(t, err)
-			if n, err := far.Read(got); ends {
+			if n, err := client.Read(got); clientCloses {
 				require.Equal(t, io.EOF, err, "%q", got[:n])
-				_ = far.Close()
+				_ = client.Close()
 			}
 			require.Eventually(
 				t,
 				func() bool { return s.lingering == nil || s.lingering[0].isClosed() },
-				patience,
+				testTimeout,
 				time.Millisecond,
-				"it is closed",
+				"the connection is closed",
 			)
-			if e := expect(t, s, connClosed, e.conn); e.size > 0 {
-				t.Fatal("it was read")
+			if e := expectEvent(t, s, connClosed, e.connID); e.size > 0 {
+				t.Fatal("data sent after the close was read")
 			}
 		})
 	}
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -12,52 +12,52 @@
 	"ospreycroft/internal/limiter"
 )
 
-// This file writes, and tells what the kernel knows of a connection.
+// This file writes to connections and queries the kernel for their state.
 
-// The kernel's numbers, in the first byte of TCP_INFO, for a connection that the other side has broken off or ended.
+// Values of the first byte of TCP_INFO, the state of a TCP connection, after a reset or a close by the peer.
 const (
 	tcpStateClose     = 7
 	tcpStateCloseWait = 8
 )
 
-// Write is an effect. A failure ends the connection, which the poller finds and tells. Written by nbio, it would be
-// closed here, before the poller (see shut); so nbio gets only what the kernel has no room for, and what comes behind
-// that.
-func (s *Sockets) Write(id limiter.ConnID, bytes []byte) {
-	l := s.connections[id]
-	if l == nil {
+// Write implements limiter.Effects. After a failed write it shuts the connection down, and the poller reports the
+// close. nbio's Write would close the descriptor on this goroutine instead, which is unsafe (see shutdown). So nbio
+// gets only the bytes that the kernel has no room for, and bytes that follow those.
+func (s *Sockets) Write(id limiter.ConnID, data []byte) {
+	conn := s.connections[id]
+	if conn == nil {
 		return
 	}
-	c, waits := l.conn.Load(), l.bytesHanded > l.written.Load()
-	// What was sent to us before its end waits in the kernel still; what we write behind it would count as sent.
-	if l.accepting == nil && peerEnded(c) {
+	nc, pending := conn.nbConn.Load(), conn.bytesSubmitted > conn.bytesWritten.Load()
+	// The server has closed. Its last bytes may still be unread, and bytes written now would wrongly count as sent.
+	if conn.listener == nil && peerClosed(nc) {
 		return
 	}
-	l.bytesHanded += int64(len(bytes))
-	if !waits {
-		n, err := writeNow(c, bytes)
-		l.written.Add(int64(n))
+	conn.bytesSubmitted += int64(len(data))
+	if !pending {
+		n, err := writeNow(nc, data)
+		conn.bytesWritten.Add(int64(n))
 		if err != nil {
-			shutdown(c, syscall.SHUT_RDWR)
+			shutdown(nc, syscall.SHUT_RDWR)
 			return
 		}
-		bytes = bytes[n:]
+		data = data[n:]
 	}
-	if len(bytes) > 0 {
-		_, _ = c.Write(bytes)
+	if len(data) > 0 {
+		_, _ = nc.Write(data)
 	}
 }
 
-// writeNow writes what the kernel takes, until it says that there is no room: nbio waits for word of room, which does not
-// come after a write that the kernel has cut short with room left.
-func writeNow(c *nbio.Conn, bytes []byte) (written int, err error) {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+// writeNow writes until all is written or the kernel returns EAGAIN. A short write is not enough to stop at: nbio waits
+// for an edge-triggered event for writability, which does not come if the kernel cut the write short with room left.
+func writeNow(nc *nbio.Conn, data []byte) (written int, err error) {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return 0, net.ErrClosed
 	}
-	for written < len(bytes) {
-		n, err := syscall.Write(c.Hash(), bytes[written:])
+	for written < len(data) {
+		n, err := syscall.Write(nc.Hash(), data[written:])
 		switch err {
 		case nil:
 			written += n
@@ -71,90 +71,92 @@
 	return written, nil
 }
 
-// peerEnded tells whether the other side has ended the connection, as far as the kernel knows.
-func peerEnded(c *nbio.Conn) bool {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+// peerClosed reports whether the kernel has seen the peer close or reset the connection.
+func peerClosed(nc *nbio.Conn) bool {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return true
 	}
-	info, err := syscall.GetsockoptInt(c.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+	info, err := syscall.GetsockoptInt(nc.Hash(), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	state := info & 0xff
 	return err == nil && (state == tcpStateClose || state == tcpStateCloseWait)
 }
 
-// timeInKernel is how long ago the latest data on a connection came to this machine, nanoseconds; 0 where the kernel does
-// not tell. A process that had no processor for a while, or one with many connections to accept, reads late; the client's
-// time has gone on meanwhile.
-func timeInKernel(c *nbio.Conn) int64 {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+// sinceLastReceive returns the time since the kernel last received data on a connection, in nanoseconds, or 0 if
+// unknown. A client's deadline runs from then: a process that was not scheduled for a while, or that has many
+// connections to accept, reads the data late.
+func sinceLastReceive(nc *nbio.Conn) int64 {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return 0
 	}
-	info, err := unix.GetsockoptTCPInfo(c.Hash(), unix.IPPROTO_TCP, unix.TCP_INFO)
+	info, err := unix.GetsockoptTCPInfo(nc.Hash(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0
 	}
 	return int64(info.Last_data_recv) * int64(time.Millisecond)
 }
 
-// Alive is an effect. Of a connection to a server it also asks for what has come and was not told: the next answer on
-// it would be taken for what a server sent behind the last one, and what is written to one that the server has ended
-// counts as sent.
+// Alive implements limiter.Effects. A client's connection is alive until nbio closes it. A connection to a server is
+// alive only if, in addition, no input or close is pending, in the kernel or undelivered: bytes that a server sent
+// after its last response would be taken for the response to the next request, and bytes written after the server's
+// close would count as sent.
 func (s *Sockets) Alive(id limiter.ConnID) bool {
-	l := s.connections[id]
-	if l == nil {
+	conn := s.connections[id]
+	if conn == nil {
 		return false
 	}
-	c := l.conn.Load()
-	if closed, _ := c.IsClosed(); closed || l.accepting != nil {
+	nc := conn.nbConn.Load()
+	if closed, _ := nc.IsClosed(); closed || conn.listener != nil {
 		return !closed
 	}
-	if !l.readMutex.TryLock() {
+	if !conn.readMutex.TryLock() {
 		return false
 	}
-	defer l.readMutex.Unlock()
-	return l.bytesPosted == l.bytesDelivered.Load() && isQuiet(c)
+	defer conn.readMutex.Unlock()
+	return conn.bytesRead == conn.bytesDelivered.Load() && readWouldBlock(nc)
 }
 
-// isQuiet tells whether neither bytes nor an end wait in the kernel.
-func isQuiet(c *nbio.Conn) bool {
-	c.Lock()
-	defer c.Unlock()
-	if closed, _ := c.IsClosed(); closed {
+// readWouldBlock reports whether the kernel has neither bytes nor a close to read on a connection.
+func readWouldBlock(nc *nbio.Conn) bool {
+	nc.Lock()
+	defer nc.Unlock()
+	if closed, _ := nc.IsClosed(); closed {
 		return false
 	}
-	_, _, err := syscall.Recvfrom(c.Hash(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	_, _, err := syscall.Recvfrom(nc.Hash(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// PeerGone is an effect. The kernel knows of the end before the poller has read up to it, and before the reducer is
-// told.
+// PeerGone implements limiter.Effects. It asks the kernel, which knows of a close before the poller has read up to it
+// and before the reducer gets the event.
 func (s *Sockets) PeerGone(id limiter.ConnID) bool {
-	l := s.connections[id]
-	return l == nil || peerEnded(l.conn.Load())
+	conn := s.connections[id]
+	return conn == nil || peerClosed(conn.nbConn.Load())
 }
 
-// Written is an effect.
+// Written implements limiter.Effects.
 func (s *Sockets) Written(id limiter.ConnID) int64 {
-	if l := s.connections[id]; l != nil {
-		return l.written.Load()
+	if conn := s.connections[id]; conn != nil {
+		return conn.bytesWritten.Load()
 	}
 	return 0
 }
 
-// waitingBytes asks the kernel how many bytes wait on a connection; 0 where that cannot be known.
-func waitingBytes(c *nbio.Conn, which uintptr) int {
-	c.Lock()
-	defer c.Unlock()
-	waiting := int32(0)
-	if closed, _ := c.IsClosed(); closed {
+// kernelQueueSize returns how many bytes are in a connection's kernel queue: request is TIOCINQ for the receive queue
+// or TIOCOUTQ for the send queue. It returns 0 if the connection is closed or the call fails.
+func kernelQueueSize(nc *nbio.Conn, request uintptr) int {
+	nc.Lock()
+	defer nc.Unlock()
+	size := int32(0)
+	if closed, _ := nc.IsClosed(); closed {
 		return 0
 	}
-	_, _, failed := syscall.Syscall(syscall.SYS_IOCTL, uintptr(c.Hash()), which, uintptr(unsafe.Pointer(&waiting)))
-	if failed != 0 {
+	_, _, errno := syscall.Syscall(syscall.SYS_IOCTL, uintptr(nc.Hash()), request, uintptr(unsafe.Pointer(&size)))
+	if errno != 0 {
 		return 0
 	}
-	return int(waiting)
+	return int(size)
 }
