--- a/internal/limiter/answer_order.go
+++ b/internal/limiter/answer_order.go
@@ -7,64 +7,64 @@
 // controller leaves, too.
 const answerMarginTicks = 2
 
-// addPlace makes the place of the present command's answer.
-func (cl *client) addPlace() *answer {
-	place := &answer{deadline: cl.commandDeadline}
-	cl.answers = append(cl.answers, place)
-	if len(cl.answers) > 1 && place.deadline != 0 {
-		cl.expireBy(cl.limiter.sendBy(place))
+// addAnswer makes the place of the present command's answer.
+func (cl *client) addAnswer() *answer {
+	pending := &answer{deadline: cl.commandDeadline}
+	cl.answers = append(cl.answers, pending)
+	if len(cl.answers) > 1 && pending.deadline != 0 {
+		cl.scheduleExpiry(cl.limiter.sendBy(pending))
 	}
-	return place
+	return pending
 }
 
 // sendBy is when an answer has to go out at the latest.
-func (l *Limiter) sendBy(place *answer) int64 {
-	return place.deadline - answerMarginTicks*l.settings.TimerResolution
+func (l *Limiter) sendBy(pending *answer) int64 {
+	return pending.deadline - answerMarginTicks*l.settings.TimerResolution
 }
 
-// expireBy has the requests ahead of answers that are due ended at a time, if that is not set to happen before.
-func (cl *client) expireBy(at int64) {
+// scheduleExpiry has the requests ahead of answers that are due ended at a time, if that is not set to happen before.
+func (cl *client) scheduleExpiry(at int64) {
 	timers := &cl.limiter.timers
-	if cl.expiry != nil && cl.expiry.index >= 0 {
-		if cl.expiry.at <= at {
+	if cl.expiryTimer != nil && cl.expiryTimer.index >= 0 {
+		if cl.expiryTimer.at <= at {
 			return
 		}
-		timers.cancel(cl.expiry)
+		timers.cancel(cl.expiryTimer)
 	}
-	cl.expiry = timers.add(at, cl.expireAhead)
+	cl.expiryTimer = timers.add(at, cl.expireBlocking)
 }
 
-// expireAhead ends the requests ahead of the last answer that is due now, and waits for the next one.
-func (cl *client) expireAhead() {
+// expireBlocking ends the requests ahead of the last answer that is due now, and waits for the next one.
+func (cl *client) expireBlocking() {
 	l := cl.limiter
-	for _, id := range cl.aheadOfDue() {
+	for _, id := range cl.requestsBlockingDue() {
 		l.controller.Expire(l.now, id)
 	}
 	next := int64(0)
-	for i, place := range cl.answers {
-		if i == 0 || place.deadline == 0 {
+	for i, pending := range cl.answers {
+		if i == 0 || pending.deadline == 0 {
 			continue
 		}
-		if at := l.sendBy(place); at > l.now && (next == 0 || at < next) {
+		if at := l.sendBy(pending); at > l.now && (next == 0 || at < next) {
 			next = at
 		}
 	}
 	if next != 0 && cl.open() {
-		cl.expireBy(next)
+		cl.scheduleExpiry(next)
 	}
 }
 
-// aheadOfDue are the requests that are not ended and stand ahead of the last answer that is due now.
-func (cl *client) aheadOfDue() (ids []string) {
-	due := 0
-	for i, place := range cl.answers {
-		if place.deadline != 0 && cl.limiter.sendBy(place) <= cl.limiter.now {
-			due = i
+// requestsBlockingDue are the requests that are not ended and stand ahead of the last answer that is due now.
+func (cl *client) requestsBlockingDue() (ids []string) {
+	lastDue := 0
+	for i, pending := range cl.answers {
+		if pending.deadline != 0 && cl.limiter.sendBy(pending) <= cl.limiter.now {
+			lastDue = i
 		}
 	}
-	for _, place := range cl.answers[:due] {
-		if place.request != nil && place.request.state == stateAccepted {
-			ids = append(ids, place.request.id)
+	for _, pending := range cl.answers[:lastDue] {
+		if pending.request != nil && pending.request.state == stateAccepted {
+			ids = append(ids, pending.request.id)
 		}
 	}
 	return ids
--- a/internal/limiter/arrival.go
+++ b/internal/limiter/arrival.go
@@ -64,7 +64,7 @@
 // parseRequest reads a request's command. It is as strict as the protocol: what a server turns away costs that
 // server's connection and its standing, and what is wrong may spoil the record of a customer that other limiters
 // share.
-func parseRequest(words [][]byte, set *settings.Settings) (parsedRequest, error) {
+func parseRequest(words [][]byte, cfg *settings.Settings) (parsedRequest, error) {
 	p := parsedRequest{firstLimiter: -1}
 	if len(words) <= wordFields || len(words) > wordBody+1 {
 		return p, errArguments
@@ -78,14 +78,14 @@
 		return p, errID
 	}
 	p.arrival.ID = string(words[wordID])
-	if err := p.parseFields(words[wordFields], set); err != nil {
+	if err := p.parseFields(words[wordFields], cfg); err != nil {
 		return p, err
 	}
-	return p, p.check(words, set)
+	return p, p.check(words, cfg)
 }
 
 // parseFields reads the list of names and values, which are separated by commas.
-func (p *parsedRequest) parseFields(list []byte, set *settings.Settings) error {
+func (p *parsedRequest) parseFields(list []byte, cfg *settings.Settings) error {
 	names := make([][]byte, 0, 8)
 	for start := 0; start <= len(list); {
 		field := list[start:]
@@ -102,7 +102,7 @@
 			p.timeoutStart = start + len("d=")
 			p.timeoutEnd = start + len(field)
 		}
-		if err := p.parseField(string(name), value, set); err != nil {
+		if err := p.parseField(string(name), value, cfg); err != nil {
 			return err
 		}
 		start += len(field) + 1
@@ -111,7 +111,7 @@
 }
 
 // parseField reads one value. Names that are not known are left alone.
-func (p *parsedRequest) parseField(name string, value []byte, set *settings.Settings) (err error) {
+func (p *parsedRequest) parseField(name string, value []byte, cfg *settings.Settings) (err error) {
 	a := &p.arrival
 	switch name {
 	case "c":
@@ -126,17 +126,17 @@
 		a.Timeout = int64(milliseconds * 1e6)
 	case "units":
 		a.Units, err = parseNumber(value)
-		if err != nil || a.Units <= 0 || a.Units > set.MaxRequestUnits {
+		if err != nil || a.Units <= 0 || a.Units > cfg.MaxRequestUnits {
 			return errUnits
 		}
 	case "spread":
 		a.Limiters, err = strconv.Atoi(string(value))
-		if err != nil || a.Limiters < 1 || a.Limiters > set.Limiters {
+		if err != nil || a.Limiters < 1 || a.Limiters > cfg.Limiters {
 			return errLimiters
 		}
 	case "first":
 		p.firstLimiter, err = parseNumber(value)
-		if err != nil || p.firstLimiter >= float64(set.Limiters) || p.firstLimiter != math.Trunc(p.firstLimiter) {
+		if err != nil || p.firstLimiter >= float64(cfg.Limiters) || p.firstLimiter != math.Trunc(p.firstLimiter) {
 			return errFirst
 		}
 	case "r":
@@ -148,15 +148,15 @@
 }
 
 // check refuses what is missing, and what does not go together.
-func (p *parsedRequest) check(words [][]byte, set *settings.Settings) error {
+func (p *parsedRequest) check(words [][]byte, cfg *settings.Settings) error {
 	a := &p.arrival
-	class := set.Classes[a.Class]
+	class := cfg.Classes[a.Class]
 	if class == nil {
 		return errClass
 	}
 	idempotent := class.Idempotency == choice.Idempotent
 	switch {
-	case set.Plans[a.Plan] == nil:
+	case cfg.Plans[a.Plan] == nil:
 		return errPlan
 	case a.Timeout == 0:
 		return errNoTimeout
--- a/internal/limiter/attempts.go
+++ b/internal/limiter/attempts.go
@@ -13,7 +13,7 @@
 	open          bool
 	conn          *serverConn
 	deadlineTimer *timer
-	lastByte      int64    // the place of its last byte among all that was written on its connection, 0 before
+	endOffset     int64    // the place of its last byte among all that was written on its connection, 0 before
 	location      location // where its server was then
 	neverRan      bool     // it has ended, and has not run
 }
@@ -25,28 +25,28 @@
 }
 
 // sharesScope tells whether two places are in one group.
-func (p location) sharesScope(group choice.DeduplicationScope, o location) bool {
-	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == o.zone ||
-		group == choice.ScopeCell && p.cell == o.cell
+func (p location) sharesScope(group choice.DeduplicationScope, other location) bool {
+	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == other.zone ||
+		group == choice.ScopeCell && p.cell == other.cell
 }
 
 // Send is an effect of the controller. An attempt that cannot be sent any more was never sent.
 func (l *Limiter) Send(id, server string) {
-	q := l.requests.byID[id]
-	att := &attempt{request: q, number: len(q.attempts), decidedAt: l.now, open: true}
-	q.attempts = append(q.attempts, att)
-	q.openAttempts++
+	req := l.requests.byID[id]
+	att := &attempt{request: req, number: len(req.attempts), decidedAt: l.now, open: true}
+	req.attempts = append(req.attempts, att)
+	req.openAttempts++
 	if att.number > 0 {
 		l.stats.outcomes.retries++
 	}
 	l.trace.add(traceRecord{at: l.now, kind: traceAttempt, request: id, attempt: att.number, peer: server})
-	if q.state != stateAccepted || l.now >= q.deadline || len(q.attempts) > l.settings.MaxAttempts {
+	if req.state != stateAccepted || l.now >= req.deadline || len(req.attempts) > l.settings.MaxAttempts {
 		l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		return
 	}
 	p := l.servers.pools[server]
-	l.whenListTrusted(func() {
-		if q.state != stateAccepted || l.now >= q.deadline || p == nil || p.draining {
+	l.whenListCurrent(func() {
+		if req.state != stateAccepted || l.now >= req.deadline || p == nil || p.draining {
 			l.endAttempt(att, choice.AttemptResult{Outcome: choice.NotAttempted})
 		} else if att.open {
 			p.send(att)
@@ -56,14 +56,14 @@
 
 // Cancel is an effect of the controller: it closes the attempt's connection.
 func (l *Limiter) Cancel(id string, number int) {
-	q := l.requests.byID[id]
-	if q == nil || number >= len(q.attempts) || !q.attempts[number].open {
+	req := l.requests.byID[id]
+	if req == nil || number >= len(req.attempts) || !req.attempts[number].open {
 		return
 	}
-	if b := q.attempts[number].conn; b != nil {
-		l.closeConn(b.conn, AttemptCancelled)
+	if sc := req.attempts[number].conn; sc != nil {
+		l.closeConn(sc.conn, AttemptCancelled)
 	} else { // it waits for a sure list
-		l.endAttempt(q.attempts[number], choice.AttemptResult{Outcome: choice.NotAttempted})
+		l.endAttempt(req.attempts[number], choice.AttemptResult{Outcome: choice.NotAttempted})
 	}
 }
 
@@ -72,27 +72,27 @@
 	if !att.open {
 		return
 	}
-	q := att.request
+	req := att.request
 	l.timers.cancel(att.deadlineTimer)
 	att.open = false
 	att.conn = nil
 	att.neverRan = reply.Outcome == choice.Overloaded || reply.Outcome == choice.ConnectFailed ||
 		reply.Outcome == choice.NotAttempted
-	q.openAttempts--
+	req.openAttempts--
 	l.traceAttemptEnd(att, reply.Outcome)
-	reply.Request = q.id
+	reply.Request = req.id
 	reply.Attempt = att.number
 	reply.Duration = l.now - att.decidedAt
-	reply.Final = q.state != stateAccepted
+	reply.Final = req.state != stateAccepted
 	l.results = append(l.results, pendingResult{attempt: reply})
-	l.forgetIfDone(q)
+	l.forgetIfDone(req)
 }
 
 // outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which
 // servers know the request again by an earlier attempt, or in no group with that one. The controller is to decide anew.
 func (att *attempt) outdated() bool {
 	now := att.conn.pool.limiter.now
-	return now-att.decidedAt > maxQuietDialTimeouts*att.conn.pool.limiter.settings.DialTimeout ||
+	return now-att.decidedAt > suspensionDialTimeouts*att.conn.pool.limiter.settings.DialTimeout ||
 		now >= att.deduplicatedUntil()
 }
 
@@ -100,12 +100,12 @@
 // if it does not by one, and without end where none has. What counts is where an earlier attempt was written, wherever
 // a list has its server now.
 func (att *attempt) deduplicatedUntil() int64 {
-	q := att.request
+	req := att.request
 	until := int64(math.MaxInt64)
-	for _, e := range q.attempts[:att.number] {
-		if q.deduplicationWindow > 0 && e.lastByte > 0 && !e.neverRan {
-			until = min(until, e.decidedAt+q.deduplicationWindow)
-			if !e.location.sharesScope(q.deduplicationScope, att.conn.pool.location) {
+	for _, earlier := range req.attempts[:att.number] {
+		if req.deduplicationWindow > 0 && earlier.endOffset > 0 && !earlier.neverRan {
+			until = min(until, earlier.decidedAt+req.deduplicationWindow)
+			if !earlier.location.sharesScope(req.deduplicationScope, att.conn.pool.location) {
 				return 0
 			}
 		}
--- a/internal/limiter/client.go
+++ b/internal/limiter/client.go
@@ -28,7 +28,7 @@
 	hasRequested    bool          // it has brought a request
 	element         *list.Element // in newClients or usedClients
 	commandDeadline int64         // of the command that is taken, 0 where it tells none
-	expiry          *timer        // ends what keeps answers that are due from going out
+	expiryTimer     *timer        // ends what keeps answers that are due from going out
 }
 
 // answer is the place of one command's answer among a client's.
@@ -62,13 +62,13 @@
 	}
 	cl.processingInput = true
 	for n := 1; n > 0 && used < len(b) && !cl.inputDiscarded && cl.open(); used += n {
-		n = cl.next(b[used:])
+		n = cl.nextCommand(b[used:])
 	}
 	if cl.inputDiscarded {
 		used = len(b)
 	}
-	if half := used < len(b); half != cl.partialCommand {
-		cl.partialCommand = half
+	if partial := used < len(b); partial != cl.partialCommand {
+		cl.partialCommand = partial
 		cl.markUsed()
 	}
 	cl.processingInput = false
@@ -76,15 +76,15 @@
 	return used, nil
 }
 
-// next takes one command.
-func (cl *client) next(b []byte) int {
+// nextCommand takes one command.
+func (cl *client) nextCommand(b []byte) int {
 	words, n, err := resp.ReadCommand(b, cl.limiter.scratch.words[:0])
 	cl.limiter.scratch.words = words[:0]
 	if len(cl.answers) >= maxPipelined {
 		cl.flush()
 	}
-	crowded := n == 0 && len(b) > buffer.MinCapacity && cl.limiter.bufferedBytes > cl.limiter.config.Memory/memoryShare
-	if err == nil && (crowded || len(cl.answers) >= maxPipelined) {
+	memoryExceeded := n == 0 && len(b) > buffer.MinCapacity && cl.limiter.bufferedBytes > cl.limiter.config.Memory/bufferMemoryDivisor
+	if err == nil && (memoryExceeded || len(cl.answers) >= maxPipelined) {
 		err = resp.ErrTooLong
 	}
 	if err != nil {
@@ -93,18 +93,18 @@
 		return len(b)
 	}
 	if n > 0 {
-		cl.command(words)
+		cl.handleCommand(words)
 	}
 	return n
 }
 
-// command acts on one command.
-func (cl *client) command(words [][]byte) {
+// handleCommand acts on one handleCommand.
+func (cl *client) handleCommand(words [][]byte) {
 	l := cl.limiter
 	cl.commandDeadline = 0
 	switch string(bytes.ToUpper(words[0])) {
 	case "SVC.QUERY", "SVC.SUBMIT":
-		cl.request(words)
+		cl.handleRequest(words)
 	case "PING":
 		if l.readiness.ready {
 			cl.answerDirectly("+PONG")
@@ -116,8 +116,8 @@
 	}
 }
 
-// request hands a request to the controller, or answers what no controller can make sense of.
-func (cl *client) request(words [][]byte) {
+// handleRequest hands a handleRequest to the controller, or answers what no controller can make sense of.
+func (cl *client) handleRequest(words [][]byte) {
 	l := cl.limiter
 	parsed, err := parseRequest(words, l.settings)
 	if err != nil {
@@ -136,21 +136,21 @@
 		cl.answerError(errIDInUse)
 		return
 	}
-	if cl.closing || l.outlivesShutdown(timeout) || timeout <= delay {
+	if cl.closing || l.tooLateToAnswer(timeout) || timeout <= delay {
 		// A connection that is never without an open request would never end, nor would the process; or the client's
 		// time is over.
 		cl.answerBusy()
 		return
 	}
-	if l.requests.heldBytes > l.config.Memory/memoryShare {
+	if l.requests.heldBytes > l.config.Memory/bufferMemoryDivisor {
 		// Nothing of it was sent, and one more might end the process with all that it has accepted.
 		cl.answerDirectly("-BUSY")
 		return
 	}
 	parsed.arrival.Timeout = timeout - delay
 	cl.markRequested()
-	place := cl.addPlace()
-	place.request = l.addRequest(cl, place, words, &parsed)
+	pending := cl.addAnswer()
+	pending.request = l.addRequest(cl, pending, words, &parsed)
 	l.controller.RequestArrived(l.now, parsed.arrival)
 }
 
@@ -166,7 +166,7 @@
 
 // answerDirectly answers a command without the controller.
 func (cl *client) answerDirectly(text string) {
-	cl.answer(cl.addPlace(), []byte(text+"\r\n"))
+	cl.fillAnswer(cl.addAnswer(), []byte(text+"\r\n"))
 }
 
 // answerBusy rejects a request that nothing was done for: another limiter may take it soon.
@@ -186,24 +186,24 @@
 
 // rejectInput tells a client why it is closed, behind the answers to what it sent before. Where these take too long
 // they fail: it is owed an error or a close soon.
-func (cl *client) rejectInput(why string) {
+func (cl *client) rejectInput(message string) {
 	l := cl.limiter
 	cl.inputDiscarded = true
 	cl.closing = true
-	cl.answerDirectly("-ERR " + why)
+	cl.answerDirectly("-ERR " + message)
 	if len(cl.answers) > 0 && l.conns[cl.conn.id] == cl.conn {
 		l.schedule(max(cl.connectedAt+minClientIdle, l.now+l.settings.DialTimeout), func() {
 			for len(cl.answers) > 0 && l.conns[cl.conn.id] == cl.conn {
-				q := cl.answers[0].request
-				l.results = append(l.results, pendingResult{disconnected: q.id})
-				l.move(q, stateFailed, failedAnswer)
+				req := cl.answers[0].request
+				l.results = append(l.results, pendingResult{disconnected: req.id})
+				l.endRequest(req, stateFailed, failedAnswer)
 			}
 		})
 	}
 }
 
-// answer fills one place and writes what is due, unless more is to come: answers go out in the order of the commands.
-func (cl *client) answer(a *answer, text []byte) {
+// fillAnswer fills one place and writes what is due, unless more is to come: answers go out in the order of the commands.
+func (cl *client) fillAnswer(a *answer, text []byte) {
 	a.text = text
 	if !cl.processingInput {
 		cl.flush()
@@ -231,9 +231,9 @@
 	l.write(cl.conn, l.scratch.write)
 	cl.lastWrite = l.now
 	if !cl.allWritten() {
-		l.clients.closeSlowReaders(l.config.Memory / memoryShare)
+		l.clients.closeSlowReaders(l.config.Memory / bufferMemoryDivisor)
 	}
-	if cl.open() && (cl.closing || l.shutdown.lingering(l.now)) { // one that came late is closed after its first answers
+	if cl.open() && (cl.closing || l.shutdown.lingerOver(l.now)) { // one that came late is closed after its first answers
 		cl.closeWhenAnswered()
 	}
 }
@@ -290,21 +290,21 @@
 }
 
 // onClosed gives up what the client still waits for.
-func (cl *client) onClosed(end CloseReason, _ int64) {
+func (cl *client) onClosed(reason CloseReason, _ int64) {
 	l := cl.limiter
-	l.timers.cancel(cl.expiry)
+	l.timers.cancel(cl.expiryTimer)
 	l.clients.count--
 	if cl.hasRequested {
 		l.clients.withRequest.Remove(cl.element)
 	} else {
 		l.clients.withoutRequest.Remove(cl.element)
 	}
-	if end == SlowReader {
+	if reason == SlowReader {
 		l.stats.inputErrors.slowReaders++
 	}
 	for _, a := range cl.answers {
 		if a.request != nil && a.request.state == stateAccepted {
-			l.move(a.request, stateClientGone, nil)
+			l.endRequest(a.request, stateClientGone, nil)
 			l.results = append(l.results, pendingResult{disconnected: a.request.id})
 		}
 	}
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// clientDescriptorShare: one descriptor in so many is for clients.
-	clientDescriptorShare = 2
-	// clientLimitShare: past one descriptor in so many, idle clients make room for others.
-	clientLimitShare = 4
+	// clientDescriptorDivisor: one descriptor in so many is for clients.
+	clientDescriptorDivisor = 2
+	// evictionDivisor: past one descriptor in so many, idle clients make room for others.
+	evictionDivisor = 4
 	// reapsNearLimit is how often clients are looked at in a dial time-out while there are many.
 	reapsNearLimit = 8
-	// newClientGraceShare: a client that sent nothing for this part of a dial time-out may be closed to make room.
-	newClientGraceShare = 4
+	// newClientGraceDivisor: a client that sent nothing for this part of a dial time-out may be closed to make room.
+	newClientGraceDivisor = 4
 	// minClientIdle is how long a connection without an open request is kept at least, nanoseconds.
 	minClientIdle = 2e9
-	// idleCloseShare: an idle connection is closed after this part of the time after which the other side closes it.
-	idleCloseShare = 2
+	// idleCloseDivisor: an idle connection is closed after this part of the time after which the other side closes it.
+	idleCloseDivisor = 2
 )
 
 // clientTable holds the clients' connections, and closes those that are idle for long or in the way of others.
@@ -36,20 +36,20 @@
 	cl.element = t.withoutRequest.PushBack(cl)
 	c.handler, t.limiter.conns[id] = cl, c
 	t.count++
-	t.makeRoom()
+	t.evictIdle()
 }
 
 // MaxClients is how many connections clients may hold together.
-func MaxClients(config *settings.Config) int { return config.Sockets / clientDescriptorShare }
+func MaxClients(config *settings.Config) int { return config.Sockets / clientDescriptorDivisor }
 
 // nearLimit: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and
 // where each keeps its connection after one request, only as many requests come as connections are closed.
-func (t *clientTable) nearLimit() bool { return t.count >= t.limiter.config.Sockets/clientLimitShare }
+func (t *clientTable) nearLimit() bool { return t.count >= t.limiter.config.Sockets/evictionDivisor }
 
-// makeRoom closes clients' connections without an open request, so that others can come: first those that never brought
+// evictIdle closes clients' connections without an open request, so that others can come: first those that never brought
 // one and had time to, then the one idle longest.
-func (t *clientTable) makeRoom() {
-	since := t.limiter.now - t.limiter.settings.DialTimeout/newClientGraceShare
+func (t *clientTable) evictIdle() {
+	since := t.limiter.now - t.limiter.settings.DialTimeout/newClientGraceDivisor
 	for t.nearLimit() && (t.closeFirstIdle(&t.withoutRequest, since) || t.closeFirstIdle(&t.withRequest, since)) {
 	}
 }
@@ -79,35 +79,35 @@
 				t.limiter.stats.inputErrors.silentClients++
 				cl.rejectInput("too slow")
 			case !cl.idle(): // an answer is on its way into the kernel
-			case !cl.hasRequested, idle > t.limiter.settings.IdleClose/idleCloseShare:
+			case !cl.hasRequested, idle > t.limiter.settings.IdleClose/idleCloseDivisor:
 				if cl.closeIfIdle() {
 					t.limiter.stats.inputErrors.silentClients++
 				}
 			}
 		}
 	}
-	t.makeRoom()
-	every := t.limiter.reapInterval()
+	t.evictIdle()
+	interval := t.limiter.reapInterval()
 	if t.nearLimit() {
-		every = min(every, t.limiter.settings.DialTimeout/reapsNearLimit)
+		interval = min(interval, t.limiter.settings.DialTimeout/reapsNearLimit)
 	}
-	t.limiter.schedule(t.limiter.now+every, t.reap)
+	t.limiter.schedule(t.limiter.now+interval, t.reap)
 }
 
 // closeSlowReaders closes clients until no more bytes wait for all of them than may: each time the one that holds the
 // most. Another one's answer is on its way, and is owed to it whatever others do.
-func (t *clientTable) closeSlowReaders(most int64) {
-	for unread, slowest := t.unread(); unread > most; unread, slowest = t.unread() {
+func (t *clientTable) closeSlowReaders(limit int64) {
+	for waiting, slowest := t.unreadBytes(); waiting > limit; waiting, slowest = t.unreadBytes() {
 		t.limiter.closeConn(slowest, SlowReader)
 	}
 }
 
-// unread is how many bytes wait for clients that do not read, and the connection for which most do; of two alike the
+// unreadBytes is how many bytes wait for clients that do not read, and the connection for which most do; of two alike the
 // older.
-func (t *clientTable) unread() (sum int64, slowest *conn) {
+func (t *clientTable) unreadBytes() (sum int64, slowest *conn) {
 	largest := int64(0)
 	for id, c := range t.limiter.conns {
-		if _, is := c.handler.(*client); !is {
+		if _, ok := c.handler.(*client); !ok {
 			continue
 		}
 		waiting := c.bytesSent - t.limiter.effects.Written(id)
--- a/internal/limiter/clients_test.go
+++ b/internal/limiter/clients_test.go
@@ -51,7 +51,7 @@
 func TestMakeRoom(t *testing.T) {
 	l, w, id := requestSent(t, "read")
 	w.say(l, 1, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	most := l.config.Sockets / clientLimitShare
+	most := l.config.Sockets / evictionDivisor
 	newcomer := clientConn + 1
 	for i := range ConnID(most - 1) {
 		l.Step(2, ClientAccepted{Conn: newcomer + i})
@@ -62,7 +62,7 @@
 		want []ConnID
 	}{
 		{"nobody who has just come", 3, nil},
-		{"the new client that came first", 2 + l.settings.DialTimeout/newClientGraceShare, []ConnID{newcomer}},
+		{"the new client that came first", 2 + l.settings.DialTimeout/newClientGraceDivisor, []ConnID{newcomer}},
 		{"and, once they are all in use, the one that was idle longest", second, []ConnID{newcomer, clientConn}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 				}
 				l.clients.accept(newcomer + ConnID(most))
 			}
-			if l.clients.makeRoom(); !slices.Equal(w.closed, c.want) {
+			if l.clients.evictIdle(); !slices.Equal(w.closed, c.want) {
 				t.Fatalf("closed %v, want %v", w.closed, c.want)
 			}
 		})
--- a/internal/limiter/close_reason.go
+++ b/internal/limiter/close_reason.go
@@ -19,41 +19,41 @@
 	NoConnection                        // it was not opened: there was no descriptor left for it
 	SlowReader                          // we ended it: the client does not read its answers
 	LocalFailure                        // it was not opened: a system call failed for want of something on this machine
-	closeReasons                        // the number of reasons
+	closeReasonCount                    // the number of reasons
 )
 
 // outcome is the one place where the end of a connection becomes the outcome of an attempt that was out on it. An
 // attempt is whole once the kernel has taken its last byte: it may have run then. One that is not whole never ran.
-func (e CloseReason) outcome(whole bool) choice.Outcome {
+func (r CloseReason) outcome(fullyWritten bool) choice.Outcome {
 	switch {
-	case whole && e == AttemptCancelled:
+	case fullyWritten && r == AttemptCancelled:
 		return choice.Cancelled
-	case whole && e == DeadlineExceeded:
+	case fullyWritten && r == DeadlineExceeded:
 		return choice.TimedOut
-	case whole:
+	case fullyWritten:
 		return choice.ConnectionLost
-	case e == AttemptCancelled, e == DeadlineExceeded, e == NoConnection, e == IdleClosed, e == LocalFailure:
+	case r == AttemptCancelled, r == DeadlineExceeded, r == NoConnection, r == IdleClosed, r == LocalFailure:
 		// Our own doing, before the server had a part in it: it says nothing of the server.
 		return choice.NotAttempted
 	}
 	return choice.ConnectFailed
 }
 
-// counted is the same for a call to the counter: one that is whole may have been added, and one that is not was
+// counterOutcome is the same for a call to the counter: one that is whole may have been added, and one that is not was
 // not added. Where the line broke or brought nonsense, the counter itself is neither down nor crowded.
-func (e CloseReason) counted(whole bool) choice.Outcome {
+func (r CloseReason) counterOutcome(fullyWritten bool) choice.Outcome {
 	switch {
-	case whole && (e == PeerClosed || e == PeerReset || e == ProtocolError):
+	case fullyWritten && (r == PeerClosed || r == PeerReset || r == ProtocolError):
 		return choice.ServerError
-	case whole:
+	case fullyWritten:
 		return choice.TimedOut
 	}
 	return choice.ConnectFailed
 }
 
 // String gives the word for log lines.
-func (e CloseReason) String() string {
+func (r CloseReason) String() string {
 	return [...]string{"refused", "dial-timed-out", "peer-closed", "peer-reset", "protocol-error", "cancelled",
 		"deadline-exceeded", "no-response", "idle", "no-descriptor", "slow-reader",
-		"local-failure"}[e]
+		"local-failure"}[r]
 }
--- a/internal/limiter/close_reason_test.go
+++ b/internal/limiter/close_reason_test.go
@@ -25,7 +25,7 @@
 			if c.end == PeerClosed || c.end == PeerReset || c.end == ProtocolError {
 				want = choice.ServerError
 			}
-			if c.end.counted(false) != choice.ConnectFailed || c.end.counted(true) != want {
+			if c.end.counterOutcome(false) != choice.ConnectFailed || c.end.counterOutcome(true) != want {
 				t.Fatal("a whole call may have been added, one that is not was not")
 			}
 		})
--- a/internal/limiter/cold_start.go
+++ b/internal/limiter/cold_start.go
@@ -35,23 +35,23 @@
 
 // ColdStartSettings are what the start of a limiter with this configuration is computed from; none that could start
 // before these were is refused for them.
-func ColdStartSettings(config *settings.Config, stated OperatorOptions) coldstart.Settings {
-	set := config.Settings
+func ColdStartSettings(config *settings.Config, opts OperatorOptions) coldstart.Settings {
+	cfg := config.Settings
 	return coldstart.Settings{
-		Limiters:        set.Limiters,
-		Position:        set.Position,
+		Limiters:        cfg.Limiters,
+		Position:        cfg.Position,
 		Jitter:          float64(uint64(config.Seed)>>11) / (1 << 53),
-		DialTimeout:     set.DialTimeout,
-		PollInterval:    set.PollInterval,
-		ColdCapacity:    min(max(set.ColdCapacity, 0), 1),
-		SlowStartWindow: set.SlowStartWindow,
+		DialTimeout:     cfg.DialTimeout,
+		PollInterval:    cfg.PollInterval,
+		ColdCapacity:    min(max(cfg.ColdCapacity, 0), 1),
+		SlowStartWindow: cfg.SlowStartWindow,
 		NotificationDeadline: max(
 			notificationDeadline,
-			4*set.DialTimeout,
+			4*cfg.DialTimeout,
 		),
 		ReadinessDeadline: readinessDeadline,
-		CallRate:          stated.DiscoveryCallRate,
-		ConnectionRate:    stated.ConnectionRate,
+		CallRate:          opts.DiscoveryCallRate,
+		ConnectionRate:    opts.ConnectionRate,
 	}
 }
 
@@ -68,20 +68,20 @@
 	savedAt   int64
 }
 
-func (l *Limiter) startCold(stated OperatorOptions) error {
-	if stated.DiscoveryCallRate == 0 && stated.ConnectionRate == 0 && stated.Snapshot == nil &&
-		stated.SaveSnapshot == nil {
+func (l *Limiter) initColdStart(opts OperatorOptions) error {
+	if opts.DiscoveryCallRate == 0 && opts.ConnectionRate == 0 && opts.Snapshot == nil &&
+		opts.SaveSnapshot == nil {
 		return nil
 	}
-	set := ColdStartSettings(l.config, stated)
-	set.CeilingLeadTime = min(l.controller.ReadyAt(), l.readiness.deadline) - l.now
-	rules, err := coldstart.New(l.now, set)
+	startSettings := ColdStartSettings(l.config, opts)
+	startSettings.CeilingLeadTime = min(l.controller.ReadyAt(), l.readiness.deadline) - l.now
+	state, err := coldstart.New(l.now, startSettings)
 	if err == nil {
 		l.coldStart = &coldStart{
 			limiter:   l,
-			options:   stated,
-			settings:  set,
-			start:     rules,
+			options:   opts,
+			settings:  startSettings,
+			start:     state,
 			endpoints: map[string]discovery.Endpoint{},
 		}
 	}
@@ -101,12 +101,12 @@
 }
 
 // pollFailed notes a call that brought no list.
-func (s *coldStart) pollFailed(end pollpacer.Failure) {
+func (s *coldStart) pollFailed(failure pollpacer.Failure) {
 	if s == nil {
 		return
 	}
 	kind := coldstart.CallFailed
-	if end == pollpacer.Throttled {
+	if failure == pollpacer.Throttled {
 		kind = coldstart.CallThrottled
 	}
 	s.step(coldstart.Event{Kind: kind})
@@ -123,35 +123,35 @@
 // chooseList takes the list of the configuration, nil for none, and gives the one to begin with: the snapshot's where
 // the same discovery has counted it further, or where there is no other. A start that the snapshot knows is not
 // forgotten. The version of the list is discovery's own if counted.
-func (s *coldStart) chooseList(known *discovery.List) (list *discovery.List, counted bool) {
-	old := s.options.Snapshot
-	if old == nil {
+func (s *coldStart) chooseList(known *discovery.List) (list *discovery.List, versionValid bool) {
+	snap := s.options.Snapshot
+	if snap == nil {
 		return known, known != nil
 	}
-	same := old.Discovery == s.limiter.config.Discovery
-	ramps := map[string]int64{}
-	kept := &discovery.List{Version: old.Generation}
-	for _, v := range old.Servers {
-		ramps[v.ID] = v.StartedAt
+	sameDiscovery := snap.Discovery == s.limiter.config.Discovery
+	startTimes := map[string]int64{}
+	restored := &discovery.List{Version: snap.Generation}
+	for _, v := range snap.Servers {
+		startTimes[v.ID] = v.StartedAt
 		entry := discovery.Endpoint{Address: v.Address, Endpoint: choice.Endpoint{ID: v.ID, Zone: v.Zone, Cell: v.Cell,
 			Weight: v.Weight, StartedAt: v.StartedAt}}
 		if v.Draining {
 			entry.State = choice.EndpointDraining
 		}
-		kept.Endpoints = append(kept.Endpoints, entry)
+		restored.Endpoints = append(restored.Endpoints, entry)
 	}
 	list = known
-	counted = true
-	if known == nil || same && old.Generation > known.Version {
-		list = kept
-		counted = same
+	versionValid = true
+	if known == nil || sameDiscovery && snap.Generation > known.Version {
+		list = restored
+		versionValid = sameDiscovery
 	}
 	for i := range list.Endpoints {
-		list.Endpoints[i].StartedAt = max(list.Endpoints[i].StartedAt, ramps[list.Endpoints[i].ID])
+		list.Endpoints[i].StartedAt = max(list.Endpoints[i].StartedAt, startTimes[list.Endpoints[i].ID])
 	}
-	slog.Info("snapshot-read", "generation", old.Generation, "servers", len(old.Servers),
-		"age_s", (s.limiter.now-old.TakenAt)/1e9, "used", list == kept)
-	return list, counted
+	slog.Info("snapshot-read", "generation", snap.Generation, "servers", len(snap.Servers),
+		"age_s", (s.limiter.now-snap.TakenAt)/1e9, "used", list == restored)
+	return list, versionValid
 }
 
 // saveList takes a list into what is held, and has that saved where a call has brought or confirmed it.
@@ -160,10 +160,10 @@
 		clear(s.endpoints)
 	}
 	for _, e := range list.Endpoints {
-		was := s.endpoints[e.ID]
-		e.StartedAt = max(e.StartedAt, was.StartedAt)
+		previous := s.endpoints[e.ID]
+		e.StartedAt = max(e.StartedAt, previous.StartedAt)
 		if e.Address == "" {
-			e.Address = was.Address
+			e.Address = previous.Address
 		}
 		s.endpoints[e.ID] = e
 		if e.State == choice.EndpointGone {
@@ -176,16 +176,16 @@
 		return
 	}
 	s.savedAt = l.now
-	out := &snapshot.Snapshot{TakenAt: l.now, Discovery: l.config.Discovery, Generation: list.Version}
+	snap := &snapshot.Snapshot{TakenAt: l.now, Discovery: l.config.Discovery, Generation: list.Version}
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		e := s.endpoints[id]
-		out.Servers = append(
-			out.Servers,
+		snap.Servers = append(
+			snap.Servers,
 			snapshot.Server{ID: id, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 				StartedAt: e.StartedAt, Draining: e.State == choice.EndpointDraining},
 		)
 	}
-	s.options.SaveSnapshot(out)
+	s.options.SaveSnapshot(snap)
 }
 
 // step tells the rules what happened and does what follows: clients may come, or the phase is another.
--- a/internal/limiter/cold_start_test.go
+++ b/internal/limiter/cold_start_test.go
@@ -223,7 +223,7 @@
 		l, w := newPollingLimiter(t, every, 0)
 		require.True(
 			t,
-			l.coldStart == nil && l.servers.pools["s"].newConns == (coldstart.Bucket{}),
+			l.coldStart == nil && l.servers.pools["s"].newConnBucket == (coldstart.Bucket{}),
 			"a start, or a bound of connections",
 		)
 		hold, limit := l.discovery.pacer.NextPoll(0, false)
@@ -281,9 +281,9 @@
 	w.pass(l, 10*second)
 	require.True(
 		t,
-		asks(w) == 1 && !l.suspension.listInDoubt && l.conns[id] != nil,
+		asks(w) == 1 && !l.suspension.listMayBeStale && l.conns[id] != nil,
 		"%d calls, in doubt %v",
 		asks(w),
-		l.suspension.listInDoubt,
+		l.suspension.listMayBeStale,
 	)
 }
--- a/internal/limiter/conn.go
+++ b/internal/limiter/conn.go
@@ -12,27 +12,27 @@
 	onConnected()
 	// onData takes from the bytes that have come and tells how many it has used up.
 	onData(bytes []byte) (used int, err error)
-	onClosed(end CloseReason, written int64)
+	onClosed(reason CloseReason, written int64)
 	// peer tells what the other side is.
 	peer() peerKind
 }
 
 type conn struct {
-	id           ConnID
-	handler      connHandler
-	open         bool
-	input        buffer.Buffer
-	bytesSent    int64  // bytes that were written, whether the kernel has taken them or not
-	lastUsed     int64  // when it was last used
-	receivedAt   int64  // when the latest bytes came to this machine
-	dialTimer    *timer // until when it must come up
-	countedBytes int64  // its buffer's part of buffered
+	id                ConnID
+	handler           connHandler
+	open              bool
+	input             buffer.Buffer
+	bytesSent         int64  // bytes that were written, whether the kernel has taken them or not
+	lastUsed          int64  // when it was last used
+	receivedAt        int64  // when the latest bytes came to this machine
+	dialTimer         *timer // until when it must come up
+	countedInputBytes int64  // its buffer's part of buffered
 }
 
 // dial begins a connection for a party, which is told when it is up or has ended. It ends in time even where the
 // sockets say nothing.
-func (l *Limiter) dial(p connHandler, address string, timeout int64) *conn {
-	c := &conn{id: l.effects.Dial(address, timeout), handler: p, lastUsed: l.now}
+func (l *Limiter) dial(h connHandler, address string, timeout int64) *conn {
+	c := &conn{id: l.effects.Dial(address, timeout), handler: h, lastUsed: l.now}
 	l.conns[c.id] = c
 	c.dialTimer = l.schedule(l.now+timeout, func() { l.closeConn(c, DialTimedOut) })
 	return c
@@ -79,9 +79,9 @@
 		c.input.Use(used)
 	}
 	if l.conns[c.id] == c {
-		l.bufferedBytes += int64(c.input.Size()) - c.countedBytes
-		c.countedBytes = int64(c.input.Size())
-		if cl, is := c.handler.(*client); is && cl.closing {
+		l.bufferedBytes += int64(c.input.Size()) - c.countedInputBytes
+		c.countedInputBytes = int64(c.input.Size())
+		if cl, ok := c.handler.(*client); ok && cl.closing {
 			cl.closeWhenAnswered()
 		}
 	}
@@ -94,12 +94,12 @@
 }
 
 // closeConn is the only place where a connection ends.
-func (l *Limiter) closeConn(c *conn, end CloseReason) {
+func (l *Limiter) closeConn(c *conn, reason CloseReason) {
 	delete(l.conns, c.id)
-	l.bufferedBytes -= c.countedBytes
+	l.bufferedBytes -= c.countedInputBytes
 	l.timers.cancel(c.dialTimer)
-	l.traceClose(c, end)
-	c.handler.onClosed(end, l.effects.Close(c.id))
+	l.traceClose(c, reason)
+	c.handler.onClosed(reason, l.effects.Close(c.id))
 }
 
 // connsInOrder lists the connections that have not ended, in a fixed order.
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -32,206 +32,206 @@
 }
 
 type counterCall struct {
-	conn     *counterConn
-	name     uint64
-	amount   float64
-	lifetime int64
-	madeAt   int64
-	timeout  *timer
-	ping     bool
-	lastByte int64 // the place of its last byte among all that was written, 0 before
-	answered bool  // the controller has had its answer; a late one belongs to nobody
+	conn      *counterConn
+	name      uint64
+	amount    float64
+	lifetime  int64
+	madeAt    int64
+	timeout   *timer
+	ping      bool
+	endOffset int64 // the place of its last byte among all that was written, 0 before
+	answered  bool  // the controller has had its answer; a late one belongs to nobody
 }
 
 // connect dials one more line.
-func (k *counterClient) connect() *counterConn {
-	ln := &counterConn{client: k}
-	k.conns = append(k.conns, ln)
-	ln.conn = k.limiter.dial(ln, k.limiter.config.Counter, k.limiter.settings.DialTimeout)
-	return ln
+func (cc *counterClient) connect() *counterConn {
+	cconn := &counterConn{client: cc}
+	cc.conns = append(cc.conns, cconn)
+	cconn.conn = cc.limiter.dial(cconn, cc.limiter.config.Counter, cc.limiter.settings.DialTimeout)
+	return cconn
 }
 
 // AddToCounter is an effect of the controller. Calls on one name that are out go on one line, so that they are
 // answered in their order.
 func (l *Limiter) AddToCounter(name uint64, amount float64, lifetime int64) {
-	k := &l.counter
+	cc := &l.counter
 	c := &counterCall{name: name, amount: amount, lifetime: lifetime, madeAt: l.now}
-	k.assign(c)
+	cc.assign(c)
 	c.timeout = l.schedule(l.now+l.settings.CounterTimeout, func() { c.conn.timeOut(c) })
 }
 
 // assign puts a call on a line.
-func (k *counterClient) assign(c *counterCall) {
-	ln := k.connFor(c.name)
-	c.conn, ln.calls = ln, append(ln.calls, c)
-	if ln.conn.open {
-		ln.write(c)
+func (cc *counterClient) assign(c *counterCall) {
+	cconn := cc.connFor(c.name)
+	c.conn, cconn.calls = cconn, append(cconn.calls, c)
+	if cconn.conn.open {
+		cconn.write(c)
 	}
 }
 
 // connFor chooses the connection for a call.
-func (k *counterClient) connFor(name uint64) *counterConn {
+func (cc *counterClient) connFor(name uint64) *counterConn {
 	var best *counterConn
-	lines := 0
-	for _, ln := range k.conns {
-		for _, c := range ln.calls {
-			if !c.ping && c.name == name && (!c.answered || !ln.draining) {
-				return ln
+	active := 0
+	for _, cconn := range cc.conns {
+		for _, c := range cconn.calls {
+			if !c.ping && c.name == name && (!c.answered || !cconn.draining) {
+				return cconn
 			}
 		}
-		if ln.draining {
+		if cconn.draining {
 			continue
 		}
-		lines++
-		if best == nil || len(ln.calls) < len(best.calls) {
-			best = ln
+		active++
+		if best == nil || len(cconn.calls) < len(best.calls) {
+			best = cconn
 		}
 	}
-	if best == nil || len(best.calls) > 0 && lines < maxCounterConns {
-		return k.connect()
+	if best == nil || len(best.calls) > 0 && active < maxCounterConns {
+		return cc.connect()
 	}
 	return best
 }
 
-// followMove goes to the counter's new address. What was written is answered on its old line, or ends with it; what
+// changeAddress goes to the counter's new address. What was written is answered on its old line, or ends with it; what
 // was not is written on a new one, once.
-func (k *counterClient) followMove() {
+func (cc *counterClient) changeAddress() {
 	var waiting []*counterCall
-	for _, ln := range slices.Clone(k.conns) {
-		ln.draining = true
-		if !ln.conn.open {
-			waiting = append(waiting, ln.calls...)
-			ln.calls = nil
+	for _, cconn := range slices.Clone(cc.conns) {
+		cconn.draining = true
+		if !cconn.conn.open {
+			waiting = append(waiting, cconn.calls...)
+			cconn.calls = nil
 		}
-		ln.closeIfDrained()
+		cconn.closeIfDrained()
 	}
 	for _, c := range waiting {
-		k.assign(c)
+		cc.assign(c)
 	}
 	if len(waiting) == 0 {
-		k.connect()
+		cc.connect()
 	}
 }
 
 // closeIfDrained closes a line to the old address that nothing is out on any more.
-func (ln *counterConn) closeIfDrained() {
-	if ln.draining && len(ln.calls) == 0 {
-		ln.client.limiter.closeConn(ln.conn, IdleClosed)
+func (cconn *counterConn) closeIfDrained() {
+	if cconn.draining && len(cconn.calls) == 0 {
+		cconn.client.limiter.closeConn(cconn.conn, IdleClosed)
 	}
 }
 
-func (ln *counterConn) write(c *counterCall) {
-	l := ln.client.limiter
+func (cconn *counterConn) write(c *counterCall) {
+	l := cconn.client.limiter
 	if c.ping {
 		l.scratch.write = counterwire.AppendPing(l.scratch.write[:0])
 	} else {
 		l.scratch.write = counterwire.AppendAdd(l.scratch.write[:0], c.name, c.amount, c.lifetime)
 	}
-	l.write(ln.conn, l.scratch.write)
-	c.lastByte = ln.conn.bytesSent
+	l.write(cconn.conn, l.scratch.write)
+	c.endOffset = cconn.conn.bytesSent
 }
 
 // timeOut ends a call that has no answer in time. Where it was not written yet it never will be.
-func (ln *counterConn) timeOut(c *counterCall) {
-	if c.lastByte == 0 {
-		ln.calls = slices.DeleteFunc(ln.calls, func(o *counterCall) bool { return o == c })
+func (cconn *counterConn) timeOut(c *counterCall) {
+	if c.endOffset == 0 {
+		cconn.calls = slices.DeleteFunc(cconn.calls, func(other *counterCall) bool { return other == c })
 	}
-	ln.client.reply(c, DeadlineExceeded.counted(c.lastByte > 0), 0)
+	cconn.client.finishCall(c, DeadlineExceeded.counterOutcome(c.endOffset > 0), 0)
 }
 
-// reply owes the controller the answer to a call, once.
-func (k *counterClient) reply(c *counterCall, outcome choice.Outcome, total float64) {
+// finishCall owes the controller the answer to a call, once.
+func (cc *counterClient) finishCall(c *counterCall, outcome choice.Outcome, total float64) {
 	if c.answered || c.ping {
 		return
 	}
 	c.answered = true
-	k.limiter.timers.cancel(c.timeout)
-	k.limiter.results = append(
-		k.limiter.results,
+	cc.limiter.timers.cancel(c.timeout)
+	cc.limiter.results = append(
+		cc.limiter.results,
 		pendingResult{counterReply: true, name: c.name, outcome: outcome, total: total},
 	)
-	if down := k.limiter.now-k.lastReply > silentTimeouts*k.limiter.settings.CounterTimeout; down && !k.loggedDown {
-		k.loggedDown = true
+	if down := cc.limiter.now-cc.lastReply > silentTimeouts*cc.limiter.settings.CounterTimeout; down && !cc.loggedDown {
+		cc.loggedDown = true
 		slog.Warn("counter", "answers", false)
 	}
 }
 
 // noteReply notes a sign of life.
-func (k *counterClient) noteReply() {
-	k.lastReply = k.limiter.now
-	if k.loggedDown {
-		k.loggedDown = false
+func (cc *counterClient) noteReply() {
+	cc.lastReply = cc.limiter.now
+	if cc.loggedDown {
+		cc.loggedDown = false
 		slog.Info("counter", "answers", true)
 	}
 }
 
-func (ln *counterConn) onConnected() {
-	for _, c := range ln.calls {
-		ln.write(c)
+func (cconn *counterConn) onConnected() {
+	for _, c := range cconn.calls {
+		cconn.write(c)
 	}
 }
 
-func (ln *counterConn) onData(b []byte) (int, error) {
+func (cconn *counterConn) onData(b []byte) (int, error) {
 	kind, total, n, err := counterwire.ReadReply(b)
 	if err != nil {
-		ln.client.limiter.stats.inputErrors.malformedCounterReplies++
+		cconn.client.limiter.stats.inputErrors.malformedCounterReplies++
 		return 0, err
 	}
 	if n == 0 {
 		return 0, nil
 	}
-	if len(ln.calls) == 0 {
+	if len(cconn.calls) == 0 {
 		return 0, errUnexpectedResponse
 	}
-	c := ln.calls[0]
+	c := cconn.calls[0]
 	if c.ping != (kind == counterwire.Pong) {
 		slog.Error("counter-line", hint.Attrs(&counterwire.MismatchError{Ping: c.ping})...)
 		return 0, errUnexpectedResponse
 	}
-	ln.calls = ln.calls[1:]
-	ln.client.noteReply()
+	cconn.calls = cconn.calls[1:]
+	cconn.client.noteReply()
 	switch kind {
 	case counterwire.Added:
-		ln.client.reply(c, choice.Succeeded, total)
+		cconn.client.finishCall(c, choice.Succeeded, total)
 	case counterwire.Overloaded:
-		ln.client.reply(c, choice.Overloaded, 0)
+		cconn.client.finishCall(c, choice.Overloaded, 0)
 	case counterwire.Rejected:
 		rejected := &counterwire.RejectedError{Name: c.name, Amount: c.amount}
 		slog.Error("counter-refused", append([]any{"name", c.name, "amount", c.amount}, hint.Attrs(rejected)...)...)
-		ln.client.reply(c, ConnRefused.counted(false), 0)
+		cconn.client.finishCall(c, ConnRefused.counterOutcome(false), 0)
 	}
-	ln.closeIfDrained()
+	cconn.closeIfDrained()
 	return n, nil
 }
 
-func (ln *counterConn) onClosed(end CloseReason, written int64) {
-	k := ln.client
-	k.conns = slices.DeleteFunc(k.conns, func(o *counterConn) bool { return o == ln })
-	for _, c := range ln.calls {
-		k.reply(c, end.counted(c.lastByte > 0 && written >= c.lastByte), 0)
+func (cconn *counterConn) onClosed(reason CloseReason, written int64) {
+	cc := cconn.client
+	cc.conns = slices.DeleteFunc(cc.conns, func(other *counterConn) bool { return other == cconn })
+	for _, c := range cconn.calls {
+		cc.finishCall(c, reason.counterOutcome(c.endOffset > 0 && written >= c.endOffset), 0)
 	}
 }
 
 // maintain gives up silent lines and keeps idle ones from being closed by the counter.
-func (k *counterClient) maintain() {
-	l := k.limiter
-	for _, ln := range slices.Clone(k.conns) {
+func (cc *counterClient) maintain() {
+	l := cc.limiter
+	for _, cconn := range slices.Clone(cc.conns) {
 		switch {
-		case !ln.conn.open:
-		case len(ln.calls) > 0 && l.now-ln.calls[0].madeAt > silentTimeouts*l.settings.CounterTimeout:
-			l.closeConn(ln.conn, NoResponse)
-		case len(ln.calls) == 0 && l.now-ln.conn.lastUsed > pingTimeouts*l.settings.CounterTimeout:
+		case !cconn.conn.open:
+		case len(cconn.calls) > 0 && l.now-cconn.calls[0].madeAt > silentTimeouts*l.settings.CounterTimeout:
+			l.closeConn(cconn.conn, NoResponse)
+		case len(cconn.calls) == 0 && l.now-cconn.conn.lastUsed > pingTimeouts*l.settings.CounterTimeout:
 			c := &counterCall{ping: true, madeAt: l.now}
-			ln.calls = append(ln.calls, c)
-			ln.write(c)
+			cconn.calls = append(cconn.calls, c)
+			cconn.write(c)
 		}
 	}
 }
 
 // hasPendingCalls tells whether a call is in flight that the controller waits for.
-func (k *counterClient) hasPendingCalls() bool {
-	for _, ln := range k.conns {
-		for _, c := range ln.calls {
+func (cc *counterClient) hasPendingCalls() bool {
+	for _, cconn := range cc.conns {
+		for _, c := range cconn.calls {
 			if !c.answered && !c.ping {
 				return true
 			}
--- a/internal/limiter/counter_test.go
+++ b/internal/limiter/counter_test.go
@@ -68,7 +68,7 @@
 			down bool
 		}{{0, false}, {silentTimeouts * l.settings.CounterTimeout, false}, {silentTimeouts*l.settings.CounterTimeout + 1, true}} {
 			l.now = c.at
-			if l.counter.reply(&counterCall{}, choice.TimedOut, 0); l.counter.loggedDown != c.down {
+			if l.counter.finishCall(&counterCall{}, choice.TimedOut, 0); l.counter.loggedDown != c.down {
 				t.Fatalf("down %v after %d", l.counter.loggedDown, c.at)
 			}
 		}
--- a/internal/limiter/deadlines_after_suspension_test.go
+++ b/internal/limiter/deadlines_after_suspension_test.go
@@ -17,6 +17,6 @@
 	require.False(t, l.Overdue() || l.Finished(), "clients' commands are unread")
 	w.say(l, woken, clientConn, "*1\r\n$4\r\nPING\r\n")
 	requireText(t, w.wrote[clientConn], "+PONG\r\n")
-	w.pass(l, woken+l.settings.DialTimeout/settleShare+1)
+	w.pass(l, woken+l.settings.DialTimeout/timerBlockDivisor+1)
 	require.True(t, l.Overdue() && l.Finished())
 }
--- a/internal/limiter/discovery.go
+++ b/internal/limiter/discovery.go
@@ -46,263 +46,263 @@
 }
 
 // start makes the first call, or plans it.
-func (w *discoveryClient) start() {
-	if w.limiter.coldStart.hasCallRate() {
-		w.scheduleSlot()
+func (d *discoveryClient) start() {
+	if d.limiter.coldStart.hasCallRate() {
+		d.scheduleSlot()
 		return
 	}
-	delay := w.pacer.FirstDelay()
-	if delay > 0 && w.versionKnown {
-		w.retryTimer = w.limiter.schedule(w.limiter.now+delay, w.connect)
+	delay := d.pacer.FirstDelay()
+	if delay > 0 && d.versionKnown {
+		d.retryTimer = d.limiter.schedule(d.limiter.now+delay, d.connect)
 		return
 	}
-	w.connect()
+	d.connect()
 }
 
 // restore takes the list of the configuration, which may be old.
-func (w *discoveryClient) restore(text []byte) error {
+func (d *discoveryClient) restore(text []byte) error {
 	if len(text) == 0 || string(text) == "null" {
-		return w.restoreList(nil)
+		return d.restoreList(nil)
 	}
 	list, err := discovery.DecodeList(text)
 	var refused *discovery.ListRefusedError
 	if errors.As(err, &refused) && refused.Key == "instances" && refused.Server == "" {
-		return w.restoreList(nil) // no server is known yet, which ends no start: discovery is asked
+		return d.restoreList(nil) // no server is known yet, which ends no start: discovery is asked
 	}
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	return w.restoreList(list)
+	return d.restoreList(list)
 }
 
 // restoreList begins with a list, nil for none.
-func (w *discoveryClient) restoreList(list *discovery.List) error {
-	counted := list != nil
-	if w.limiter.coldStart != nil {
-		list, counted = w.limiter.coldStart.chooseList(list)
+func (d *discoveryClient) restoreList(list *discovery.List) error {
+	versionValid := list != nil
+	if d.limiter.coldStart != nil {
+		list, versionValid = d.limiter.coldStart.chooseList(list)
 	}
 	if list != nil {
 		list.Complete = true
-		w.versionKnown = counted // what is newer is enough: a whole list costs discovery as much as several watches
-		w.applyList(list, coldstart.ListRestored)
+		d.versionKnown = versionValid // what is newer is enough: a whole list costs discovery as much as several watches
+		d.applyList(list, coldstart.ListRestored)
 	}
 	return nil
 }
 
 // scheduleSlot makes the next call when a stated budget allows it.
-func (w *discoveryClient) scheduleSlot() {
-	w.limiter.timers.cancel(w.retryTimer)
-	if at := w.limiter.coldStart.start.NextSlot(); at > w.limiter.now {
-		w.retryTimer = w.limiter.schedule(at, w.onSlot)
+func (d *discoveryClient) scheduleSlot() {
+	d.limiter.timers.cancel(d.retryTimer)
+	if at := d.limiter.coldStart.start.NextSlot(); at > d.limiter.now {
+		d.retryTimer = d.limiter.schedule(at, d.onSlot)
 		return
 	}
-	w.onSlot()
+	d.onSlot()
 }
 
 // onSlot: it is time for a call, or long past it.
-func (w *discoveryClient) onSlot() {
-	if w.limiter.coldStart.start.MissedSlot(w.limiter.now) {
-		w.limiter.coldStart.step(coldstart.Event{Kind: coldstart.SlotMissed})
-		w.scheduleSlot()
+func (d *discoveryClient) onSlot() {
+	if d.limiter.coldStart.start.MissedSlot(d.limiter.now) {
+		d.limiter.coldStart.step(coldstart.Event{Kind: coldstart.SlotMissed})
+		d.scheduleSlot()
 		return
 	}
-	w.limiter.coldStart.step(coldstart.Event{Kind: coldstart.CallMade})
-	if w.awaitingSlot {
-		w.awaitingSlot = false
-		w.poll()
+	d.limiter.coldStart.step(coldstart.Event{Kind: coldstart.CallMade})
+	if d.awaitingSlot {
+		d.awaitingSlot = false
+		d.poll()
 		return
 	}
-	w.connect()
+	d.connect()
 }
 
-func (w *discoveryClient) connect() {
-	w.responseReceived = false
-	w.lastFailure = pollpacer.Failed
-	w.conn = w.limiter.dial(w, w.limiter.config.Discovery, w.pacer.DialTimeout())
+func (d *discoveryClient) connect() {
+	d.responseReceived = false
+	d.lastFailure = pollpacer.Failed
+	d.conn = d.limiter.dial(d, d.limiter.config.Discovery, d.pacer.DialTimeout())
 }
 
-func (w *discoveryClient) onConnected() { w.poll() }
+func (d *discoveryClient) onConnected() { d.poll() }
 
 // poll calls for the whole list first and then waits for what is newer.
-func (w *discoveryClient) poll() {
-	l := w.limiter
-	var wait, limit int64
+func (d *discoveryClient) poll() {
+	l := d.limiter
+	var hold, timeout int64
 	if !l.coldStart.hasCallRate() {
-		wait, limit = w.pacer.NextPoll(l.now, !w.versionKnown)
+		hold, timeout = d.pacer.NextPoll(l.now, !d.versionKnown)
 	} else {
-		w.responseReceived = false
-		w.lastFailure = pollpacer.Failed // each call counts for itself
-		if w.versionKnown {
-			wait, _ = l.coldStart.start.HoldTime(l.now)
+		d.responseReceived = false
+		d.lastFailure = pollpacer.Failed // each call counts for itself
+		if d.versionKnown {
+			hold, _ = l.coldStart.start.HoldTime(l.now)
 		}
-		limit = l.coldStart.start.ResponseTimeout(l.now, wait)
+		timeout = l.coldStart.start.ResponseTimeout(l.now, hold)
 	}
 	l.coldStart.pollMade()
-	if w.revalidating && wait > 0 {
-		wait, limit = 1e6, limit-wait
+	if d.revalidating && hold > 0 {
+		hold, timeout = 1e6, timeout-hold
 	}
-	if w.versionKnown {
-		l.scratch.write = discovery.AppendWatch(l.scratch.write[:0], l.config.Discovery, w.version, wait)
+	if d.versionKnown {
+		l.scratch.write = discovery.AppendWatch(l.scratch.write[:0], l.config.Discovery, d.version, hold)
 	} else {
 		l.scratch.write = discovery.AppendFetch(l.scratch.write[:0], l.config.Discovery)
 	}
-	l.write(w.conn, l.scratch.write)
-	w.partialResponse = false
-	w.setResponseTimeout(l.now + limit)
+	l.write(d.conn, l.scratch.write)
+	d.partialResponse = false
+	d.setResponseTimeout(l.now + timeout)
 }
 
 // setResponseTimeout gives the call that is out up at a time.
-func (w *discoveryClient) setResponseTimeout(at int64) {
-	w.limiter.timers.cancel(w.responseTimer)
-	w.responseTimer = w.limiter.schedule(at, func() { w.limiter.closeConn(w.conn, NoResponse) })
+func (d *discoveryClient) setResponseTimeout(at int64) {
+	d.limiter.timers.cancel(d.responseTimer)
+	d.responseTimer = d.limiter.schedule(at, func() { d.limiter.closeConn(d.conn, NoResponse) })
 }
 
 // logFailure logs a failure, if none was lately: an agent on the own machine is asked again many times a second.
-func (w *discoveryClient) logFailure(event string, attrs ...any) {
-	if w.failureLoggedAt == 0 || w.limiter.now-w.failureLoggedAt >= failureLogInterval {
-		w.failureLoggedAt = w.limiter.now
+func (d *discoveryClient) logFailure(event string, attrs ...any) {
+	if d.failureLoggedAt == 0 || d.limiter.now-d.failureLoggedAt >= failureLogInterval {
+		d.failureLoggedAt = d.limiter.now
 		slog.Warn(event, attrs...)
 	}
 }
 
-func (w *discoveryClient) onData(b []byte) (int, error) {
-	if w.awaitingSlot && len(b) > 0 {
+func (d *discoveryClient) onData(b []byte) (int, error) {
+	if d.awaitingSlot && len(b) > 0 {
 		return 0, errUnexpectedResponse
 	}
-	a, n, err := discovery.ReadResponse(b)
-	if err == nil && n == 0 && len(b) > 0 && !w.partialResponse {
+	response, n, err := discovery.ReadResponse(b)
+	if err == nil && n == 0 && len(b) > 0 && !d.partialResponse {
 		// The rest of an answer is right behind; one that stops there would hide its news for the whole wait.
-		w.partialResponse = true
-		w.setResponseTimeout(min(w.responseTimer.at, w.limiter.now+w.pacer.PartialResponseTimeout()))
+		d.partialResponse = true
+		d.setResponseTimeout(min(d.responseTimer.at, d.limiter.now+d.pacer.PartialResponseTimeout()))
 	}
 	if err != nil { // asked at once again, it would be as bad
-		w.logFailure("list-refused", hint.Attrs(err)...)
-		w.responseReceived = false
-		w.lastFailure = pollpacer.Failed
+		d.logFailure("list-refused", hint.Attrs(err)...)
+		d.responseReceived = false
+		d.lastFailure = pollpacer.Failed
 	}
-	if err != nil || n == 0 || a.Status < 200 { // the answer itself comes behind a status of 1xx
+	if err != nil || n == 0 || response.Status < 200 { // the answer itself comes behind a status of 1xx
 		return n, err
 	}
-	err = w.handleResponse(a)
+	err = d.handleResponse(response)
 	if err != nil {
 		return 0, err
 	}
-	if a.CloseAfter {
-		w.limiter.closeConn(w.conn, IdleClosed)
-	} else if w.limiter.coldStart.hasCallRate() {
-		w.limiter.timers.cancel(w.responseTimer)
-		w.awaitingSlot = true
-		w.scheduleSlot()
+	if response.CloseAfter {
+		d.limiter.closeConn(d.conn, IdleClosed)
+	} else if d.limiter.coldStart.hasCallRate() {
+		d.limiter.timers.cancel(d.responseTimer)
+		d.awaitingSlot = true
+		d.scheduleSlot()
 	} else {
-		w.poll()
+		d.poll()
 	}
 	return n, nil
 }
 
 // handleResponse takes a whole answer: a list, or word that there is none.
-func (w *discoveryClient) handleResponse(a discovery.Response) (err error) {
-	w.responseReceived = true
-	if a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests {
-		w.logFailure("list-throttled", append([]any{"status", a.Status}, hint.Attrs(a.Err())...)...)
-		w.responseReceived = false
-		w.lastFailure = pollpacer.Throttled // what is held stays, and what is newer than that is asked for again
+func (d *discoveryClient) handleResponse(response discovery.Response) (err error) {
+	d.responseReceived = true
+	if response.Status == http.StatusServiceUnavailable || response.Status == http.StatusTooManyRequests {
+		d.logFailure("list-throttled", append([]any{"status", response.Status}, hint.Attrs(response.Err())...)...)
+		d.responseReceived = false
+		d.lastFailure = pollpacer.Throttled // what is held stays, and what is newer than that is asked for again
 		return errThrottled
 	}
 	var list *discovery.List
-	err = a.Err()
+	err = response.Err()
 	if err == nil {
-		list, err = discovery.DecodeList(a.Body)
+		list, err = discovery.DecodeList(response.Body)
 	}
 	if err != nil {
 		// The last good list stays. Asked at once again, it would be as bad.
-		w.logFailure("list-refused", hint.Attrs(err)...)
-		w.versionKnown = false
-		w.responseReceived = false
-		w.lastFailure = pollpacer.Failed
+		d.logFailure("list-refused", hint.Attrs(err)...)
+		d.versionKnown = false
+		d.responseReceived = false
+		d.lastFailure = pollpacer.Failed
 		return err
 	}
-	w.pacer.ResponseReceived(w.limiter.now)
+	d.pacer.ResponseReceived(d.limiter.now)
 	// One that counts from anew behind the same address may hold what was never told here.
-	w.versionKnown = list.Complete || list.Version >= w.version
-	w.serviceClock = a.Date
-	w.applyList(list, coldstart.ListReceived)
-	w.confirmedAt = w.limiter.now
-	if w.revalidating {
-		w.revalidating = false
-		w.limiter.trustList()
+	d.versionKnown = list.Complete || list.Version >= d.version
+	d.serviceClock = response.Date
+	d.applyList(list, coldstart.ListReceived)
+	d.confirmedAt = d.limiter.now
+	if d.revalidating {
+		d.revalidating = false
+		d.limiter.markListCurrent()
 	}
-	if w.limiter.coldStart == nil {
-		w.limiter.checkReady()
+	if d.limiter.coldStart == nil {
+		d.limiter.checkReady()
 	}
 	return nil
 }
 
 // onClosed renews the connection: at once where it has served, else when the pace allows it.
-func (w *discoveryClient) onClosed(end CloseReason, _ int64) {
-	w.limiter.timers.cancel(w.responseTimer)
-	if w.awaitingSlot {
-		w.awaitingSlot = false // its next call waits for its time already
+func (d *discoveryClient) onClosed(reason CloseReason, _ int64) {
+	d.limiter.timers.cancel(d.responseTimer)
+	if d.awaitingSlot {
+		d.awaitingSlot = false // its next call waits for its time already
 		return
 	}
-	if end == PeerClosed && w.conn.open { // an answer without a length is whole only now
-		if a, n, err := discovery.ReadClosedResponse(w.conn.input.Bytes()); err == nil && n > 0 {
-			_ = w.handleResponse(a)
+	if reason == PeerClosed && d.conn.open { // an answer without response length is whole only now
+		if response, n, err := discovery.ReadClosedResponse(d.conn.input.Bytes()); err == nil && n > 0 {
+			_ = d.handleResponse(response)
 		}
 	}
-	if !w.responseReceived {
-		w.limiter.coldStart.pollFailed(w.lastFailure)
-	} else if end != IdleClosed {
-		w.pacer.ConnectionLost(w.limiter.now)
+	if !d.responseReceived {
+		d.limiter.coldStart.pollFailed(d.lastFailure)
+	} else if reason != IdleClosed {
+		d.pacer.ConnectionLost(d.limiter.now)
 	}
-	if w.limiter.coldStart.hasCallRate() {
-		w.scheduleSlot()
+	if d.limiter.coldStart.hasCallRate() {
+		d.scheduleSlot()
 		return
 	}
-	if !w.responseReceived {
-		w.retryTimer = w.limiter.schedule(w.limiter.now+w.pacer.RetryDelay(w.limiter.now, w.lastFailure), w.connect)
+	if !d.responseReceived {
+		d.retryTimer = d.limiter.schedule(d.limiter.now+d.pacer.RetryDelay(d.limiter.now, d.lastFailure), d.connect)
 		return
 	}
-	w.connect()
+	d.connect()
 }
 
 // revalidate asks at once what has changed. Before the first call of all there is nothing to ask anew.
-func (w *discoveryClient) revalidate() {
-	if w.conn == nil {
+func (d *discoveryClient) revalidate() {
+	if d.conn == nil {
 		return
 	}
-	w.revalidating = true
-	if w.limiter.conns[w.conn.id] == w.conn {
-		w.responseReceived = true
-		w.limiter.closeConn(w.conn, IdleClosed)
+	d.revalidating = true
+	if d.limiter.conns[d.conn.id] == d.conn {
+		d.responseReceived = true
+		d.limiter.closeConn(d.conn, IdleClosed)
 		return
 	}
-	w.limiter.timers.cancel(w.retryTimer)
-	w.connect()
+	d.limiter.timers.cancel(d.retryTimer)
+	d.connect()
 }
 
-// followMove goes to discovery's new address, which may count its lists otherwise: the whole of it is asked for there,
+// changeAddress goes to discovery's new address, which may count its lists otherwise: the whole of it is asked for there,
 // and the last good one holds meanwhile.
-func (w *discoveryClient) followMove() {
-	w.versionKnown = false
-	w.pacer.ServiceMoved(w.limiter.now)
-	if w.limiter.coldStart != nil {
-		w.limiter.coldStart.step(coldstart.Event{Kind: coldstart.DiscoveryMoved})
-	}
-	if w.limiter.coldStart.hasCallRate() {
-		w.awaitingSlot = false
-		w.limiter.timers.cancel(w.retryTimer)
-	}
-	if w.conn != nil && w.limiter.conns[w.conn.id] == w.conn {
-		w.responseReceived = true
-		w.limiter.closeConn(w.conn, IdleClosed)
+func (d *discoveryClient) changeAddress() {
+	d.versionKnown = false
+	d.pacer.ServiceMoved(d.limiter.now)
+	if d.limiter.coldStart != nil {
+		d.limiter.coldStart.step(coldstart.Event{Kind: coldstart.DiscoveryMoved})
+	}
+	if d.limiter.coldStart.hasCallRate() {
+		d.awaitingSlot = false
+		d.limiter.timers.cancel(d.retryTimer)
+	}
+	if d.conn != nil && d.limiter.conns[d.conn.id] == d.conn {
+		d.responseReceived = true
+		d.limiter.closeConn(d.conn, IdleClosed)
 		return
 	}
 	// It waits for its turn at the old address. What the new one has to tell counts as notified before that may be
 	// over.
-	w.limiter.timers.cancel(w.retryTimer)
-	if w.limiter.coldStart.hasCallRate() {
-		w.scheduleSlot()
+	d.limiter.timers.cancel(d.retryTimer)
+	if d.limiter.coldStart.hasCallRate() {
+		d.scheduleSlot()
 		return
 	}
-	w.connect()
+	d.connect()
 }
--- a/internal/limiter/endpoints.go
+++ b/internal/limiter/endpoints.go
@@ -9,37 +9,37 @@
 )
 
 // applyList takes a list in: addresses for the pools, the rest for the controller.
-func (w *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
-	l := w.limiter
-	w.version = list.Version
+func (d *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
+	l := d.limiter
+	d.version = list.Version
 	if list.Complete {
-		w.completeLists++
+		d.completeLists++
 	}
 	endpoints := make([]choice.Endpoint, len(list.Endpoints))
-	var unused []*serverPool
-	clock := w.startClock(kind == coldstart.ListReceived)
+	var outdated []*serverPool
+	clock := d.startClock(kind == coldstart.ListReceived)
 	for i := range list.Endpoints {
 		entry := &list.Endpoints[i]
 		pool := l.servers.pools[entry.ID]
 		if pool == nil {
 			pool = l.servers.addPool(entry.ID, max(len(list.Endpoints), len(l.servers.pools)+1))
 		}
-		pool.listedIn = w.completeLists
+		pool.lastListedIn = d.completeLists
 		entry.StartedAt = pool.observeStart(entry.StartedAt, &clock)
 		endpoints[i] = entry.Endpoint
 		if pool.update(entry) {
-			unused = append(unused, pool)
+			outdated = append(outdated, pool)
 		}
 	}
 	if list.Complete {
-		unused = append(l.servers.markMissing(w.completeLists), unused...)
+		outdated = append(l.servers.markMissing(d.completeLists), outdated...)
 	}
 	if len(endpoints) > 0 || list.Complete {
 		slog.Info("list", "generation", list.Version, "complete", list.Complete, "entries", len(endpoints))
 		l.controller.UpdateEndpoints(l.now, list.Complete, endpoints)
 	}
 	// Only now, or the controller would send what is taken back to the same server again.
-	for _, pool := range unused {
+	for _, pool := range outdated {
 		pool.closeUnused()
 		pool.forgetIfEmpty()
 	}
@@ -58,6 +58,6 @@
 		p.address = entry.Address
 	}
 	p.location = location{entry.Zone, entry.Cell}
-	p.closeIdleSince(entry.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
+	p.closeLastUsedBefore(entry.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
 	return closeUnused
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -63,9 +63,9 @@
 }
 
 const (
-	// memoryShare: one byte of memory in so many may hold commands of requests, as many input buffers, as many answers
+	// bufferMemoryDivisor: one byte of memory in so many may hold commands of requests, as many input buffers, as many answers
 	// that wait.
-	memoryShare = 8
+	bufferMemoryDivisor = 8
 	// maintenancesPerIdleClose is how often idle connections are looked at in the time after which a server closes
 	// them.
 	maintenancesPerIdleClose = 32
@@ -82,15 +82,15 @@
 	l.clients.limiter = l
 	l.requests.byID = map[string]*request{}
 	l.servers = serverPools{
-		limiter:  l,
-		pools:    map[string]*serverPool{},
-		keepIdle: l.settings.IdleClose / idleCloseShare,
+		limiter:      l,
+		pools:        map[string]*serverPool{},
+		maxReuseIdle: l.settings.IdleClose / idleCloseDivisor,
 	}
 	l.counter = counterClient{limiter: l, lastReply: now}
 	l.discovery = newDiscoveryClient(l)
 	l.controller = choice.New(now, l.settings.Settings, config.Seed, l)
-	l.readiness.deadline = now + readyWithin
-	if err := l.startCold(options); err != nil {
+	l.readiness.deadline = now + maxReadyDelay
+	if err := l.initColdStart(options); err != nil {
 		return nil, err
 	}
 	if err := l.discovery.restore(config.Known); err != nil {
@@ -139,15 +139,15 @@
 // are forgotten behind the last.
 func (l *Limiter) deliverResults() {
 	for i := 0; i < len(l.results); i++ {
-		switch o := l.results[i]; {
-		case o.counterReply:
-			l.controller.CounterReplied(l.now, o.name, o.outcome, o.total)
-		case o.healthChecked != "":
-			l.controller.HealthCheckDone(l.now, o.healthChecked, o.outcome)
-		case o.disconnected != "":
-			l.controller.ClientDisconnected(l.now, o.disconnected)
+		switch result := l.results[i]; {
+		case result.counterReply:
+			l.controller.CounterReplied(l.now, result.name, result.outcome, result.total)
+		case result.healthChecked != "":
+			l.controller.HealthCheckDone(l.now, result.healthChecked, result.outcome)
+		case result.disconnected != "":
+			l.controller.ClientDisconnected(l.now, result.disconnected)
 		default:
-			l.controller.AttemptDone(l.now, o.attempt)
+			l.controller.AttemptDone(l.now, result.attempt)
 		}
 	}
 	l.results = l.results[:0]
@@ -161,7 +161,7 @@
 	if l.coldStart != nil {
 		l.coldStart.timePassed()
 	}
-	l.servers.lengthenKeepIdle()
+	l.servers.lengthenReuseIdle()
 	l.logStatistics()
 	l.schedule(l.now+l.settings.IdleClose/maintenancesPerIdleClose, l.maintain)
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -42,12 +42,12 @@
 		l, w, id := requestSent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		p := l.servers.pools["s"]
-		for ; l.now < restTicks*l.settings.TimerResolution; l.now += l.settings.TimerResolution {
+		for ; l.now < reuseDelayTicks*l.settings.TimerResolution; l.now += l.settings.TimerResolution {
 			if b := p.acquire(); b.conn != nil || len(p.idle) != 1 {
 				t.Fatal("a connection that has not rested is used again")
 			}
 		}
-		l.now = restTicks * l.settings.TimerResolution
+		l.now = reuseDelayTicks * l.settings.TimerResolution
 		if b := p.acquire(); b.conn == nil || b.conn.id != id {
 			t.Fatal("one that has rested is not")
 		}
@@ -62,7 +62,7 @@
 	})
 	t.Run("commands past the memory for them are turned away", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		l.requests.heldBytes = l.config.Memory/memoryShare + 1
+		l.requests.heldBytes = l.config.Memory/bufferMemoryDivisor + 1
 		w.say(l, 0, clientConn, command("j", "read", "480"))
 		requireText(t, w.wrote[clientConn], "-BUSY\r\n")
 	})
@@ -72,7 +72,7 @@
 		if l.bufferedBytes > buffer.MinCapacity*3 {
 			t.Fatalf("%d bytes are held", l.bufferedBytes)
 		}
-		l.bufferedBytes = l.config.Memory/memoryShare + 1
+		l.bufferedBytes = l.config.Memory/bufferMemoryDivisor + 1
 		w.say(l, 0, clientConn, "*1\r\n$4\r\nECHO\r\n*1\r\n$9000\r\n")
 		if strings.HasSuffix(w.wrote[clientConn], "-ERR too long\r\n") {
 			t.Fatal("a small part was turned away")
@@ -95,7 +95,7 @@
 func TestMaintain(t *testing.T) {
 	l, w, id := requestSent(t, "read")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	l.now = l.settings.IdleClose/idleCloseShare + 1
+	l.now = l.settings.IdleClose/idleCloseDivisor + 1
 	l.servers.closeExpiredIdle()
 	if !slices.Contains(w.closed, id) {
 		t.Fatalf("an idle connection was kept: closed %v", w.closed)
--- a/internal/limiter/readiness.go
+++ b/internal/limiter/readiness.go
@@ -2,8 +2,8 @@
 
 import "log/slog"
 
-// readyWithin: nine limiters in ten have to be ready within 10 s, less what it takes to start and to be asked.
-const readyWithin = 9e9
+// maxReadyDelay: nine limiters in ten have to be ready within 10 s, less what it takes to start and to be asked.
+const maxReadyDelay = 9e9
 
 // readiness is whether clients may come.
 type readiness struct {
--- a/internal/limiter/reload.go
+++ b/internal/limiter/reload.go
@@ -13,19 +13,19 @@
 	for _, key := range l.config.NeedRestart(config) {
 		slog.Warn("config-kept", "key", key)
 	}
-	moved := *l.config
-	moved.Discovery = config.Discovery
+	merged := *l.config
+	merged.Discovery = config.Discovery
 	if l.settings.CounterTimeout > 0 && config.Counter != "" {
-		moved.Counter = config.Counter
+		merged.Counter = config.Counter
 	}
-	discovery := moved.Discovery != l.config.Discovery
-	counter := moved.Counter != l.config.Counter
-	l.config = &moved
-	slog.Info("config-read", "discovery", moved.Discovery, "counter", moved.Counter)
-	if discovery {
-		l.discovery.followMove()
+	discoveryMoved := merged.Discovery != l.config.Discovery
+	counterMoved := merged.Counter != l.config.Counter
+	l.config = &merged
+	slog.Info("config-read", "discovery", merged.Discovery, "counter", merged.Counter)
+	if discoveryMoved {
+		l.discovery.changeAddress()
 	}
-	if counter {
-		l.counter.followMove()
+	if counterMoved {
+		l.counter.changeAddress()
 	}
 }
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -57,70 +57,70 @@
 )
 
 // addRequest makes a request of a command; the words are copied, for they stand in the connection's buffer.
-func (l *Limiter) addRequest(c *client, a *answer, words [][]byte, parsed *parsedRequest) *request {
+func (l *Limiter) addRequest(cl *client, a *answer, words [][]byte, parsed *parsedRequest) *request {
 	size := 0
 	for _, w := range words {
 		size += len(w)
 	}
 	text := make([]byte, 0, size)
-	q := &request{
-		id: parsed.arrival.ID, client: c, answer: a, deadline: l.now + parsed.arrival.Timeout, bytes: int64(size),
+	req := &request{
+		id: parsed.arrival.ID, client: cl, answer: a, deadline: l.now + parsed.arrival.Timeout, bytes: int64(size),
 		words: make([][]byte, len(words)),
 	}
 	for i, w := range words {
 		text = append(text, w...)
-		q.words[i] = text[len(text)-len(w):]
+		req.words[i] = text[len(text)-len(w):]
 	}
-	q.beforeTimeout = q.words[wordFields][:parsed.timeoutStart]
-	q.afterTimeout = q.words[wordFields][parsed.timeoutEnd:]
+	req.beforeTimeout = req.words[wordFields][:parsed.timeoutStart]
+	req.afterTimeout = req.words[wordFields][parsed.timeoutEnd:]
 	if class := l.settings.Classes[parsed.arrival.Class]; class.Idempotency == choice.IdempotentWithKey {
-		q.deduplicationWindow = class.DeduplicationWindow
-		q.deduplicationScope = class.DeduplicationScope
+		req.deduplicationWindow = class.DeduplicationWindow
+		req.deduplicationScope = class.DeduplicationScope
 	}
 	l.stats.outcomes.accepted++
-	l.trace.add(traceRecord{at: l.now, kind: traceAccepted, request: q.id, conn: c.conn.id})
-	l.requests.heldBytes += q.bytes
-	l.requests.byID[q.id], l.shutdown.flushed = q, false
-	return q
+	l.trace.add(traceRecord{at: l.now, kind: traceAccepted, request: req.id, conn: cl.conn.id})
+	l.requests.heldBytes += req.bytes
+	l.requests.byID[req.id], l.shutdown.flushed = req, false
+	return req
 }
 
-// move is the only place where a request changes its state. A request ends once, with one answer to its client.
-func (l *Limiter) move(q *request, to requestState, text []byte) {
-	if q.state != stateAccepted {
+// endRequest is the only place where a request changes its state. A request ends once, with one answer to its client.
+func (l *Limiter) endRequest(req *request, final requestState, text []byte) {
+	if req.state != stateAccepted {
 		return
 	}
 	l.requests.lastEnd = l.now
-	q.state = to
-	l.traceEnd(q)
-	if to == stateSucceeded {
+	req.state = final
+	l.traceEnd(req)
+	if final == stateSucceeded {
 		l.stats.outcomes.succeeded++
 	}
-	for _, att := range q.attempts {
+	for _, att := range req.attempts {
 		// A command of which the kernel has only a part must not become whole after the request's end: this comes
 		// before the answer.
-		if att.open && att.lastByte > 0 && l.effects.Written(att.conn.conn.id) < att.lastByte {
+		if att.open && att.endOffset > 0 && l.effects.Written(att.conn.conn.id) < att.endOffset {
 			l.closeConn(att.conn.conn, AttemptCancelled)
 		}
 	}
-	if to != stateClientGone {
-		q.client.answer(q.answer, text)
+	if final != stateClientGone {
+		req.client.fillAnswer(req.answer, text)
 	}
-	l.forgetIfDone(q)
+	l.forgetIfDone(req)
 }
 
 // forgetIfDone has a request that has ended and has nothing out forgotten, once the controller knows of its end.
-func (l *Limiter) forgetIfDone(q *request) {
-	if q.state != stateAccepted && q.openAttempts == 0 {
-		l.requests.done = append(l.requests.done, q)
+func (l *Limiter) forgetIfDone(req *request) {
+	if req.state != stateAccepted && req.openAttempts == 0 {
+		l.requests.done = append(l.requests.done, req)
 	}
 }
 
 // forgetDone lets go of the requests that are done; the controller has been told all.
 func (t *requestTable) forgetDone() {
-	for _, q := range t.done {
-		if t.byID[q.id] == q {
-			t.heldBytes -= q.bytes
-			delete(t.byID, q.id)
+	for _, req := range t.done {
+		if t.byID[req.id] == req {
+			t.heldBytes -= req.bytes
+			delete(t.byID, req.id)
 		}
 	}
 	clear(t.done)
@@ -128,11 +128,11 @@
 }
 
 // appendCommand writes the request's command with the time that is left.
-func (q *request) appendCommand(to []byte, now int64) []byte {
-	left := strconv.AppendInt(nil, max(1, (q.deadline-now)/1e6), 10)
-	list := bytes.Join([][]byte{q.beforeTimeout, left, q.afterTimeout}, nil)
-	words := append(append(make([][]byte, 0, len(q.words)), q.words[:wordFields]...), list)
-	return resp.AppendCommand(to, append(words, q.words[wordBody:]...)...)
+func (r *request) appendCommand(to []byte, now int64) []byte {
+	left := strconv.AppendInt(nil, max(1, (r.deadline-now)/1e6), 10)
+	list := bytes.Join([][]byte{r.beforeTimeout, left, r.afterTimeout}, nil)
+	words := append(append(make([][]byte, 0, len(r.words)), r.words[:wordFields]...), list)
+	return resp.AppendCommand(to, append(words, r.words[wordBody:]...)...)
 }
 
 // Reject is an effect of the controller.
@@ -144,14 +144,14 @@
 		text = strconv.AppendInt([]byte("-BUSY "), (retryAfter+1e6-1)/1e6, 10)
 		text = append(text, "\r\n"...)
 	}
-	if q := l.requests.byID[id]; q != nil {
-		l.move(q, stateRejected, text)
+	if req := l.requests.byID[id]; req != nil {
+		l.endRequest(req, stateRejected, text)
 	}
 }
 
 // Fail is an effect of the controller.
 func (l *Limiter) Fail(id string) {
-	if q := l.requests.byID[id]; q != nil {
-		l.move(q, stateFailed, failedAnswer)
+	if req := l.requests.byID[id]; req != nil {
+		l.endRequest(req, stateFailed, failedAnswer)
 	}
 }
--- a/internal/limiter/server_answer.go
+++ b/internal/limiter/server_answer.go
@@ -8,20 +8,20 @@
 	"ospreycroft/internal/resp"
 )
 
-// maxReportFigure is the largest figure of a load report that is believed, the protocol's largest amount.
-const maxReportFigure = 1e9
+// maxReportValue is the largest figure of a load report that is believed, the protocol's largest amount.
+const maxReportValue = 1e9
 
 // decodeAnswer tells what a server's answer means and its value: the true units, so many at most, and the load report
 // where it gives them.
-func decodeAnswer(v resp.Value, most float64) (reply choice.AttemptResult, value []byte) {
+func decodeAnswer(v resp.Value, maxUnits float64) (reply choice.AttemptResult, value []byte) {
 	switch {
 	case v.Kind == '*':
-		reply = choice.AttemptResult{Outcome: choice.Succeeded, ActualUnits: loadFigure(v.List[1].Text, "cost", most)}
+		reply = choice.AttemptResult{Outcome: choice.Succeeded, ActualUnits: reportField(v.List[1].Text, "cost", maxUnits)}
 		if len(v.List) > 2 {
-			reply.Load.InFlight = loadFigure(v.List[2].Text, "outstanding", maxReportFigure)
-			reply.Load.Throughput = loadFigure(v.List[2].Text, "throughput", maxReportFigure)
-			reply.Load.Queued = loadFigure(v.List[2].Text, "backlog", maxReportFigure)
-			reply.Load.ServiceTime = int64(loadFigure(v.List[2].Text, "recent_ms", maxReportFigure) * 1e6)
+			reply.Load.InFlight = reportField(v.List[2].Text, "outstanding", maxReportValue)
+			reply.Load.Throughput = reportField(v.List[2].Text, "throughput", maxReportValue)
+			reply.Load.Queued = reportField(v.List[2].Text, "backlog", maxReportValue)
+			reply.Load.ServiceTime = int64(reportField(v.List[2].Text, "recent_ms", maxReportValue) * 1e6)
 		}
 		return reply, v.List[0].Text
 	case (string(v.Text) == "BUSY" || bytes.HasPrefix(v.Text, []byte("BUSY "))):
@@ -30,12 +30,12 @@
 	return choice.AttemptResult{Outcome: choice.ServerError}, nil
 }
 
-// loadFigure finds one of the figures on use or load by its name. One that cannot be right counts as none, 0: settled,
+// reportField finds one of the figures on use or load by its name. One that cannot be right counts as none, 0: settled,
 // it would spoil the customer's account for good.
-func loadFigure(figures []byte, wanted string, most float64) float64 {
-	for _, field := range bytes.Split(figures, []byte(",")) {
+func reportField(report []byte, wanted string, limit float64) float64 {
+	for _, field := range bytes.Split(report, []byte(",")) {
 		if name, value, _ := bytes.Cut(field, []byte("=")); string(name) == wanted {
-			if x, err := strconv.ParseFloat(string(value), 64); err == nil && x > 0 && x <= most {
+			if x, err := strconv.ParseFloat(string(value), 64); err == nil && x > 0 && x <= limit {
 				return x
 			}
 		}
--- a/internal/limiter/server_pools.go
+++ b/internal/limiter/server_pools.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// serverDescriptorShare: one descriptor in so many is for connections to servers.
-	serverDescriptorShare = 4
-	// keepIdleDecrease: the time for which an idle connection is trusted is shortened by this part when one turns out
+	// serverDescriptorDivisor: one descriptor in so many is for connections to servers.
+	serverDescriptorDivisor = 4
+	// reuseIdleDecreaseDivisor: the time for which an idle connection is trusted is shortened by this part when one turns out
 	// to have ended without notice.
-	keepIdleDecrease = 4
-	// keepIdleIncrease: it is lengthened by this part when a connection still serves near its end, and at regular
+	reuseIdleDecreaseDivisor = 4
+	// reuseIdleIncreaseDivisor: it is lengthened by this part when a connection still serves near its end, and at regular
 	// times.
-	keepIdleIncrease = 16
-	// restTicks is for how many ticks of the clock a connection has to be idle before its next command.
-	restTicks = 8
+	reuseIdleIncreaseDivisor = 16
+	// reuseDelayTicks is for how many ticks of the clock a connection has to be idle before its next command.
+	reuseDelayTicks = 8
 )
 
 // serverPools holds the connections to servers, in a pool for each.
 type serverPools struct {
-	limiter   *Limiter
-	pools     map[string]*serverPool // by the server's id
-	poolsSeen int64                  // servers that were ever listed
-	connCount int                    // connections to servers
-	idle      list.List              // those that are idle, the one used last at the end
-	keepIdle  int64                  // how long a connection may be idle and be used again, nanoseconds
+	limiter      *Limiter
+	pools        map[string]*serverPool // by the server's id
+	poolsSeen    int64                  // servers that were ever listed
+	connCount    int                    // connections to servers
+	idle         list.List              // those that are idle, the one used last at the end
+	maxReuseIdle int64                  // how long a connection may be idle and be used again, nanoseconds
 }
 
-// lengthenKeepIdle trusts idle connections for a little longer.
-func (s *serverPools) lengthenKeepIdle() {
-	s.keepIdle = min(s.keepIdle+s.keepIdle/keepIdleIncrease, s.limiter.settings.IdleClose/idleCloseShare)
+// lengthenReuseIdle trusts idle connections for a little longer.
+func (s *serverPools) lengthenReuseIdle() {
+	s.maxReuseIdle = min(s.maxReuseIdle+s.maxReuseIdle/reuseIdleIncreaseDivisor, s.limiter.settings.IdleClose/idleCloseDivisor)
 }
 
-// shortenKeepIdle trusts them for a shorter time.
-func (s *serverPools) shortenKeepIdle() {
-	s.keepIdle = max(s.keepIdle-s.keepIdle/keepIdleDecrease, 2*s.limiter.settings.TimerResolution)
+// shortenReuseIdle trusts them for a shorter time.
+func (s *serverPools) shortenReuseIdle() {
+	s.maxReuseIdle = max(s.maxReuseIdle-s.maxReuseIdle/reuseIdleDecreaseDivisor, 2*s.limiter.settings.TimerResolution)
 }
 
 // serverPool holds the connections to one server.
@@ -49,40 +49,40 @@
 	id       string
 	address  string
 	location location
-	// toldStart is when a list said that the server started, by the wall clock, and startedAt the same by the limiter's
-	toldStart, startedAt int64
-	order                int64            // in the order in which the limiter met its servers
-	listedIn             int64            // the latest whole list that names it
-	conns                []*serverConn    // its connections, idle or not, in the order in which they were dialled
-	idle                 []*serverConn    // the one used last at the end
-	draining             bool             // it drains or is gone: no connection to it is kept
-	removed              bool             // it is let go of once there is none
-	newConns             coldstart.Bucket // of new connections, without bound where none is stated
+	// reportedStart is when a list said that the server started, by the wall clock, and startedAt the same by the limiter's
+	reportedStart, startedAt int64
+	listOrder                int64            // in the order in which the limiter met its servers
+	lastListedIn             int64            // the latest whole list that names it
+	conns                    []*serverConn    // its connections, idle or not, in the order in which they were dialled
+	idle                     []*serverConn    // the one used last at the end
+	draining                 bool             // it drains or is gone: no connection to it is kept
+	removed                  bool             // it is let go of once there is none
+	newConnBucket            coldstart.Bucket // of new connections, without bound where none is stated
 }
 
 // addPool makes the pool of a server that was not listed yet, one of so many.
 func (s *serverPools) addPool(id string, servers int) *serverPool {
 	s.poolsSeen++
 	p := &serverPool{
-		limiter:  s.limiter,
-		id:       id,
-		order:    s.poolsSeen,
-		newConns: s.limiter.coldStart.connectionBucket(servers),
+		limiter:       s.limiter,
+		id:            id,
+		listOrder:     s.poolsSeen,
+		newConnBucket: s.limiter.coldStart.connectionBucket(servers),
 	}
 	s.pools[id] = p
 	return p
 }
 
 // markMissing are the servers that a whole list does not name, which are gone, in the order in which they were met.
-func (s *serverPools) markMissing(whole int64) (missing []*serverPool) {
+func (s *serverPools) markMissing(listNumber int64) (missing []*serverPool) {
 	for _, p := range s.pools {
-		if p.listedIn != whole {
+		if p.lastListedIn != listNumber {
 			p.draining = true
 			p.removed = true
 			missing = append(missing, p)
 		}
 	}
-	slices.SortFunc(missing, func(a, b *serverPool) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(missing, func(a, b *serverPool) int { return cmp.Compare(a.listOrder, b.listOrder) })
 	return missing
 }
 
@@ -99,7 +99,7 @@
 // closeExpiredIdle closes the connections to servers that have been idle for long: a command that crosses with the
 // server's closing counts as sent.
 func (s *serverPools) closeExpiredIdle() {
-	for e := s.idle.Front(); e != nil && e.Value.(*serverConn).conn.lastUsed < s.limiter.now-s.keepIdle; e = s.idle.Front() {
+	for e := s.idle.Front(); e != nil && e.Value.(*serverConn).conn.lastUsed < s.limiter.now-s.maxReuseIdle; e = s.idle.Front() {
 		s.limiter.closeConn(e.Value.(*serverConn).conn, IdleClosed)
 	}
 }
@@ -109,68 +109,68 @@
 // behind, and would be taken for the answer to the next command.
 func (p *serverPool) acquire() *serverConn {
 	l := p.limiter
-	rest := max(l.settings.TimerResolution, min(restTicks*l.settings.TimerResolution, l.servers.keepIdle/2))
+	reuseDelay := max(l.settings.TimerResolution, min(reuseDelayTicks*l.settings.TimerResolution, l.servers.maxReuseIdle/2))
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		b := p.idle[i]
-		b.idleTime = l.now - b.conn.lastUsed
-		if b.idleTime > l.servers.keepIdle {
+		sc := p.idle[i]
+		sc.idleTime = l.now - sc.conn.lastUsed
+		if sc.idleTime > l.servers.maxReuseIdle {
 			break
-		} else if b.idleTime >= rest {
-			b.takeFromIdle()
-			return b
+		} else if sc.idleTime >= reuseDelay {
+			sc.removeFromIdle()
+			return sc
 		}
 	}
-	if !p.newConns.Take(l.now) ||
-		l.servers.connCount >= l.config.Sockets/serverDescriptorShare && !l.servers.closeOldestIdle() {
+	if !p.newConnBucket.Take(l.now) ||
+		l.servers.connCount >= l.config.Sockets/serverDescriptorDivisor && !l.servers.closeOldestIdle() {
 		return nil
 	}
 	l.servers.connCount++
-	b := &serverConn{pool: p, address: p.address}
-	p.conns = append(p.conns, b)
-	return b
+	sc := &serverConn{pool: p, address: p.address}
+	p.conns = append(p.conns, sc)
+	return sc
 }
 
 // withConn takes a connection for a command that begin puts on it: at once where it is open, else when it comes up.
 // One that had ended already, which the sockets have yet to tell, took nothing of the command: the next one is
 // tried, or the server would be blamed for closing an idle connection.
-func (p *serverPool) withConn(begin func(b *serverConn)) bool {
+func (p *serverPool) withConn(assign func(sc *serverConn)) bool {
 	for {
-		b := p.acquire()
-		if b == nil {
+		sc := p.acquire()
+		if sc == nil {
 			return false
 		}
-		if b.conn == nil {
-			begin(b)
-			b.conn = p.limiter.dial(b, b.address, p.limiter.settings.DialTimeout)
+		if sc.conn == nil {
+			assign(sc)
+			sc.conn = p.limiter.dial(sc, sc.address, p.limiter.settings.DialTimeout)
 			return true
 		}
-		if p.limiter.effects.Alive(b.conn.id) {
-			begin(b)
-			b.onConnected()
+		if p.limiter.effects.Alive(sc.conn.id) {
+			assign(sc)
+			sc.onConnected()
 			return true
 		}
-		p.limiter.closeConn(b.conn, PeerClosed)
+		p.limiter.closeConn(sc.conn, PeerClosed)
 	}
 }
 
 func (p *serverPool) send(att *attempt) {
 	l := p.limiter
-	begin := func(b *serverConn) {
-		b.attempt = att
-		att.conn = b
+	assign := func(sc *serverConn) {
+		sc.attempt = att
+		att.conn = sc
 		att.deadlineTimer = l.schedule(att.request.deadline, func() { l.closeConn(att.conn.conn, DeadlineExceeded) })
 	}
-	if !p.withConn(begin) {
+	if !p.withConn(assign) {
 		l.endAttempt(att, choice.AttemptResult{Outcome: NoConnection.outcome(false)})
 	}
 }
 
 // HealthCheck is an effect of the controller: the server answers a command that does no work.
 func (l *Limiter) HealthCheck(server string) {
-	begin := func(b *serverConn) {
-		b.healthCheckTimer = l.schedule(l.now+l.settings.DialTimeout, func() { l.closeConn(b.conn, DeadlineExceeded) })
+	assign := func(sc *serverConn) {
+		sc.healthCheckTimer = l.schedule(l.now+l.settings.DialTimeout, func() { l.closeConn(sc.conn, DeadlineExceeded) })
 	}
-	if p := l.servers.pools[server]; p == nil || !p.withConn(begin) {
+	if p := l.servers.pools[server]; p == nil || !p.withConn(assign) {
 		l.results = append(l.results, pendingResult{healthChecked: server, outcome: NoConnection.outcome(false)})
 	}
 }
@@ -187,17 +187,17 @@
 // connection is not up yet is taken back: by the time it is up the grace may be over.
 func (p *serverPool) closeUnused() {
 	p.closeIdle()
-	for _, b := range slices.Clone(p.conns) {
-		if p.limiter.conns[b.conn.id] == b.conn && !b.conn.open {
-			p.limiter.closeConn(b.conn, AttemptCancelled)
+	for _, sc := range slices.Clone(p.conns) {
+		if p.limiter.conns[sc.conn.id] == sc.conn && !sc.conn.open {
+			p.limiter.closeConn(sc.conn, AttemptCancelled)
 		}
 	}
 }
 
-func (p *serverPool) closeIdle() { p.closeIdleSince(math.MaxInt64) }
+func (p *serverPool) closeIdle() { p.closeLastUsedBefore(math.MaxInt64) }
 
-// closeIdleSince ends the connections that have been idle since before a time.
-func (p *serverPool) closeIdleSince(at int64) {
+// closeLastUsedBefore ends the connections that have been idle since before a time.
+func (p *serverPool) closeLastUsedBefore(at int64) {
 	for len(p.idle) > 0 && p.idle[0].conn.lastUsed < at {
 		p.limiter.closeConn(p.idle[0].conn, IdleClosed)
 	}
--- a/internal/limiter/server_pools_test.go
+++ b/internal/limiter/server_pools_test.go
@@ -59,7 +59,7 @@
 
 func TestCloseOldestIdle(t *testing.T) {
 	l, w, id := requestSent(t, "read")
-	l.servers.connCount = l.config.Sockets / serverDescriptorShare
+	l.servers.connCount = l.config.Sockets / serverDescriptorDivisor
 	t.Run("an attempt without a descriptor was never sent", func(t *testing.T) {
 		if l.servers.closeOldestIdle() || l.servers.pools["s"].acquire() != nil {
 			t.Fatal("a connection in use was given away")
@@ -67,7 +67,7 @@
 	})
 	t.Run("an idle connection makes room", func(t *testing.T) {
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorShare-1 ||
+		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorDivisor-1 ||
 			!slices.Contains(w.closed, id) {
 			t.Fatalf("closed %v, %d connections", w.closed, l.servers.connCount)
 		}
@@ -103,7 +103,7 @@
 	l, w, id := requestSent(t, "write")
 	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	w.dead = map[ConnID]bool{id: true}
-	l.now = restTicks * l.settings.TimerResolution
+	l.now = reuseDelayTicks * l.settings.TimerResolution
 	p := l.servers.pools["s"]
 	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.servers.connCount != 1 ||
 		!slices.Contains(w.closed, id) {
@@ -130,13 +130,13 @@
 				w.say(l, c.idle, clientConn, command("k", "write", "480"))
 				w.say(l, c.idle, counterConnID, "ok 4\r\n")
 			}
-			before := l.servers.keepIdle
+			before := l.servers.maxReuseIdle
 			l.Step(c.idle+c.after, ConnClosed{Conn: id, Reason: PeerReset})
-			if l.servers.keepIdle > before || (l.servers.keepIdle < before) != c.shorter {
-				t.Fatalf("kept for %d before and %d now", before, l.servers.keepIdle)
+			if l.servers.maxReuseIdle > before || (l.servers.maxReuseIdle < before) != c.shorter {
+				t.Fatalf("kept for %d before and %d now", before, l.servers.maxReuseIdle)
 			}
-			short := l.servers.keepIdle
-			if l.maintain(); c.shorter && l.servers.keepIdle <= short {
+			short := l.servers.maxReuseIdle
+			if l.maintain(); c.shorter && l.servers.maxReuseIdle <= short {
 				t.Fatal("it does not come back")
 			}
 		})
@@ -144,7 +144,7 @@
 	t.Run("one that was idle for longer is not used again", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
 		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		l.servers.keepIdle, l.now = second, second+1
+		l.servers.maxReuseIdle, l.now = second, second+1
 		if b := l.servers.pools["s"].acquire(); b.conn != nil {
 			t.Fatal("it was")
 		}
--- a/internal/limiter/server_start.go
+++ b/internal/limiter/server_start.go
@@ -27,47 +27,47 @@
 
 // startClock is what starts are converted by, those of the list that is applied. received tells that the list service has
 // just told it.
-func (w *discoveryClient) startClock(received bool) startClock {
-	now := w.limiter.now
-	clock := startClock{now: now, readings: []int64{w.limiter.effects.WallClock()}}
+func (d *discoveryClient) startClock(received bool) startClock {
+	now := d.limiter.now
+	clock := startClock{now: now, readings: []int64{d.limiter.effects.WallClock()}}
 	if !received {
 		return clock
 	}
-	if w.serviceClock != 0 {
-		clock.readings = append(clock.readings, w.serviceClock)
+	if d.serviceClock != 0 {
+		clock.readings = append(clock.readings, d.serviceClock)
 	}
-	agrees := w.serviceClock != 0 && !steps(w.serviceClock, now)
+	agrees := d.serviceClock != 0 && !differs(d.serviceClock, now)
 	if !agrees {
-		clock.confirmedAt = w.confirmedAt
+		clock.confirmedAt = d.confirmedAt
 	}
 	return clock
 }
 
-// steps tells whether a clock's reading is so far from the limiter's that one of them was stepped.
-func steps(reading, now int64) bool { return reading-now > maxClockSkew || now-reading > maxClockSkew }
+// differs tells whether a clock's reading is so far from the limiter's that one of them was stepped.
+func differs(clock, now int64) bool { return clock-now > maxClockSkew || now-clock > maxClockSkew }
 
-// stepped tells whether some clock was.
-func (c *startClock) stepped() bool {
+// anyDiffers tells whether some clock was.
+func (c *startClock) anyDiffers() bool {
 	for _, reading := range c.readings {
-		if steps(reading, c.now) {
+		if differs(reading, c.now) {
 			return true
 		}
 	}
 	return false
 }
 
-// local converts a start. Where a clock was stepped it cannot be known whether the start was stamped before the step or
+// toLocal converts a start. Where a clock was stepped it cannot be known whether the start was stamped before the step or
 // behind it, and the later of both that has come is taken: a server that is taken for cold gets too little for a while, one
 // that is taken for warm may fall.
-func (c *startClock) local(told int64) int64 {
-	start := told
+func (c *startClock) toLocal(reported int64) int64 {
+	start := reported
 	for _, reading := range c.readings {
-		if !steps(reading, c.now) {
+		if !differs(reading, c.now) {
 			continue
 		}
-		other := told - (reading - c.now)
-		if start > c.now || other > start && other <= c.now {
-			start = other
+		adjusted := reported - (reading - c.now)
+		if start > c.now || adjusted > start && adjusted <= c.now {
+			start = adjusted
 		}
 	}
 	switch {
@@ -81,16 +81,16 @@
 
 // observeStart takes in when a list says that the server started, 0 for long ago, and gives that by the limiter's clock. A
 // start that was told before keeps its time, unless it shows only now that a clock was stepped: then the later one holds.
-func (p *serverPool) observeStart(told int64, clock *startClock) int64 {
+func (p *serverPool) observeStart(reported int64, clock *startClock) int64 {
 	switch {
-	case told == 0:
+	case reported == 0:
 		return 0
-	case told != p.toldStart:
-		p.toldStart = told
-		p.startedAt = clock.local(told)
-	case clock.stepped():
-		again := startClock{now: clock.now, readings: clock.readings}
-		p.startedAt = max(p.startedAt, again.local(told))
+	case reported != p.reportedStart:
+		p.reportedStart = reported
+		p.startedAt = clock.toLocal(reported)
+	case clock.anyDiffers():
+		reconversion := startClock{now: clock.now, readings: clock.readings}
+		p.startedAt = max(p.startedAt, reconversion.toLocal(reported))
 	}
 	return p.startedAt
 }
--- a/internal/limiter/shutdown.go
+++ b/internal/limiter/shutdown.go
@@ -7,14 +7,14 @@
 	shutdownLinger = 500e6
 	// finalReadDelay: so long after that no byte of a client is on its way to us.
 	finalReadDelay = 200e6
-	// lateRequestFrom: a request that comes later than this after the end was asked for is lost where SIGKILL finds it
+	// lateRequestDelay: a request that comes later than this after the end was asked for is lost where SIGKILL finds it
 	// unanswered.
-	lateRequestFrom = 700e6
-	// maxKillAfterLate: SIGKILL may come so long after that, or after the longest deadline if that is shorter.
-	maxKillAfterLate = 3e9
+	lateRequestDelay = 700e6
+	// maxKillDelay: SIGKILL may come so long after that, or after the longest deadline if that is shorter.
+	maxKillDelay = 3e9
 	// killMargin is what it takes to answer, and killMarginShare: no more than this part of the longest deadline.
-	killMargin      = 200e6
-	killMarginShare = 4
+	killMargin        = 200e6
+	killMarginDivisor = 4
 )
 
 // shutdown is the graceful end of the process.
@@ -23,20 +23,20 @@
 	flushed     bool  // what customers owe the counter was added
 }
 
-// answerBy is how long after the end was asked for all has to be answered: just before SIGKILL may come.
-func (l *Limiter) answerBy() int64 {
-	kill := int64(maxKillAfterLate)
+// answerWindow is how long after the end was asked for all has to be answered: just before SIGKILL may come.
+func (l *Limiter) answerWindow() int64 {
+	kill := int64(maxKillDelay)
 	if longest := l.settings.LongestDeadline; longest > 0 {
 		kill = min(kill, longest)
 	}
-	return lateRequestFrom + kill - min(killMargin, kill/killMarginShare)
+	return lateRequestDelay + kill - min(killMargin, kill/killMarginDivisor)
 }
 
 // clientHoldTime is how long past the linger time a client's connection can hold the process.
-func (l *Limiter) clientHoldTime() int64 { return l.answerBy() - shutdownLinger }
+func (l *Limiter) clientHoldTime() int64 { return l.answerWindow() - shutdownLinger }
 
-// lingering tells whether the linger time is over: clients' connections are closed once they are answered.
-func (s *shutdown) lingering(now int64) bool { return s.lingerUntil != 0 && now >= s.lingerUntil }
+// lingerOver tells whether the linger time is over: clients' connections are closed once they are answered.
+func (s *shutdown) lingerOver(now int64) bool { return s.lingerUntil != 0 && now >= s.lingerUntil }
 
 // startShutdown begins the end: clients still come for a while, and what was taken is answered.
 func (l *Limiter) startShutdown() {
@@ -47,7 +47,7 @@
 	slog.Info("stopping", "requests", len(l.requests.byID), "clients", l.clients.count)
 	l.schedule(l.shutdown.lingerUntil, func() {
 		for _, c := range l.connsInOrder() {
-			if cl, is := c.handler.(*client); is {
+			if cl, ok := c.handler.(*client); ok {
 				cl.closeWhenAnswered()
 			}
 		}
@@ -56,11 +56,11 @@
 	l.schedule(l.shutdown.lingerUntil+l.clientHoldTime()+1, func() {})
 }
 
-// outlivesShutdown: what the process takes now it may not be able to answer. A request that came late is lost if the
+// tooLateToAnswer: what the process takes now it may not be able to answer. A request that came late is lost if the
 // process is killed first.
-func (l *Limiter) outlivesShutdown(budget int64) bool {
+func (l *Limiter) tooLateToAnswer(budget int64) bool {
 	since := l.now - (l.shutdown.lingerUntil - shutdownLinger)
-	return l.shutdown.lingerUntil != 0 && since > lateRequestFrom && since+budget > l.answerBy()
+	return l.shutdown.lingerUntil != 0 && since > lateRequestDelay && since+budget > l.answerWindow()
 }
 
 // flushIfDone lets the controller add what it owes to the counter, once the process is to end and nothing is out;
--- a/internal/limiter/shutdown_test.go
+++ b/internal/limiter/shutdown_test.go
@@ -69,7 +69,7 @@
 		at         int64
 		taken      bool
 	}{
-		{"in time, however long it may take", "9000", lateRequestFrom, true},
+		{"in time, however long it may take", "9000", lateRequestDelay, true},
 		{"late, and it ends before the process", "1500", second, true},
 		{"late, and it may not", "3000", second, false},
 	} {
--- a/internal/limiter/slow_reader_test.go
+++ b/internal/limiter/slow_reader_test.go
@@ -13,7 +13,7 @@
 func TestSlowestReaderMakesRoom(t *testing.T) {
 	l, w := newTestLimiter(t)
 	const hoarding, usual = clientConn + 1, clientConn + 2
-	l.config.Memory = 8 * memoryShare << 10 // so 8 KiB may wait
+	l.config.Memory = 8 * bufferMemoryDivisor << 10 // so 8 KiB may wait
 	for _, id := range []ConnID{hoarding, usual} {
 		l.Step(0, ClientAccepted{Conn: id})
 		w.kernel[id] = 0 // its machine takes nothing
--- a/internal/limiter/statistics.go
+++ b/internal/limiter/statistics.go
@@ -21,7 +21,7 @@
 }
 
 // closeCounts counts the connections that ended since it was last logged, by the other side and the reason.
-type closeCounts [peerKinds][closeReasons]int
+type closeCounts [peerKindCount][closeReasonCount]int
 
 // inputErrors counts what is logged at intervals: a line for each would let whoever sends nonsense fill the log.
 type inputErrors struct {
--- a/internal/limiter/suspension_test.go
+++ b/internal/limiter/suspension_test.go
@@ -66,10 +66,10 @@
 			l, w := newPollingLimiter(t, 10*second, 0)
 			w.say(l, 0, discoveryConn, nothing)
 			l.Step(c.slept, TimersDue{})
-			require.True(t, slices.Contains(w.closed, discoveryConn) == c.anew && l.suspension.listInDoubt == true,
+			require.True(t, slices.Contains(w.closed, discoveryConn) == c.anew && l.suspension.listMayBeStale == true,
 				"closed %v after %d", w.closed, c.slept)
 			w.pass(l, c.slept+l.settings.DialTimeout)
-			require.False(t, l.suspension.listInDoubt, "it never trusts the list again")
+			require.False(t, l.suspension.listMayBeStale, "it never trusts the list again")
 		}
 	})
 	t.Run("what came meanwhile is read before timers run", func(t *testing.T) {
@@ -86,7 +86,7 @@
 	t.Run("a repeat past the window in which servers know it is not sent", func(t *testing.T) {
 		l, w, id := requestDialling(t, "read")
 		q := l.requests.byID["j"]
-		q.deduplicationWindow, q.attempts = second/5, []*attempt{{request: q, decidedAt: 0, lastByte: 1}, q.attempts[0]}
+		q.deduplicationWindow, q.attempts = second/5, []*attempt{{request: q, decidedAt: 0, endOffset: 1}, q.attempts[0]}
 		q.attempts[1].number = 1
 		l.Step(second/5, Connected{Conn: id})
 		requireText(t, w.wrote[id], "")
--- a/internal/limiter/timers.go
+++ b/internal/limiter/timers.go
@@ -11,8 +11,8 @@
 
 // timerQueue holds the timers that have not run, the next one first.
 type timerQueue struct {
-	heap timerHeap
-	made int64 // timers that were ever made; of two at one time the one made first runs first
+	heap    timerHeap
+	created int64 // timers that were ever made; of two at one time the one made first runs first
 }
 
 // cancel takes a timer back that nothing waits for any more: each that runs wakes the process. nil and one that has
@@ -25,8 +25,8 @@
 
 // add makes a timer.
 func (q *timerQueue) add(at int64, run func()) *timer {
-	q.made++
-	t := &timer{at: at, order: q.made, run: run}
+	q.created++
+	t := &timer{at: at, order: q.created, run: run}
 	heap.Push(&q.heap, t)
 	return t
 }
@@ -34,8 +34,8 @@
 // next is when the next timer is due. There is always one: the maintenance's.
 func (q *timerQueue) next() int64 { return q.heap[0].at }
 
-// takeDue takes out the next timer that is due, nil for none.
-func (q *timerQueue) takeDue(now int64) *timer {
+// popDue takes out the next timer that is due, nil for none.
+func (q *timerQueue) popDue(now int64) *timer {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return nil
 	}
@@ -91,7 +91,7 @@
 	if l.now < l.suspension.timersBlockedUntil {
 		return
 	}
-	for t := l.timers.takeDue(l.now); t != nil; t = l.timers.takeDue(l.now) {
+	for t := l.timers.popDue(l.now); t != nil; t = l.timers.popDue(l.now) {
 		t.run()
 		l.deliverResults()
 	}
--- a/internal/limiter/trace.go
+++ b/internal/limiter/trace.go
@@ -55,18 +55,18 @@
 }
 
 // latest lists up to so many records, the oldest of them first.
-func (t *trace) latest(most int) []traceRecord {
-	most = min(most, t.count, traceSize)
-	list := make([]traceRecord, 0, most)
-	for i := t.count - most; i < t.count; i++ {
+func (t *trace) latest(limit int) []traceRecord {
+	limit = min(limit, t.count, traceSize)
+	list := make([]traceRecord, 0, limit)
+	for i := t.count - limit; i < t.count; i++ {
 		list = append(list, t.records[i%traceSize])
 	}
 	return list
 }
 
 // LogTrace logs up to so many of the latest records, the oldest first, a line each.
-func (l *Limiter) LogTrace(most int) {
-	for _, record := range l.trace.latest(most) {
+func (l *Limiter) LogTrace(limit int) {
+	for _, record := range l.trace.latest(limit) {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "trace", record.attrs(l.now)...)
 	}
 }
@@ -104,8 +104,8 @@
 }
 
 // traceEnd notes the end of a request.
-func (l *Limiter) traceEnd(q *request) {
-	l.trace.add(traceRecord{at: l.now, kind: traceEnded, request: q.id, detail: q.state.String()})
+func (l *Limiter) traceEnd(req *request) {
+	l.trace.add(traceRecord{at: l.now, kind: traceEnded, request: req.id, detail: req.state.String()})
 }
 
 // traceAttemptEnd notes the end of an attempt.
@@ -123,7 +123,7 @@
 	peerServer
 	peerCounter
 	peerDiscovery
-	peerKinds // the number of kinds
+	peerKindCount // the number of kinds
 )
 
 // String gives the word for log lines.
@@ -132,6 +132,6 @@
 }
 
 func (cl *client) peer() peerKind         { return peerClient }
-func (b *serverConn) peer() peerKind      { return peerServer }
-func (ln *counterConn) peer() peerKind    { return peerCounter }
-func (w *discoveryClient) peer() peerKind { return peerDiscovery }
+func (sc *serverConn) peer() peerKind     { return peerServer }
+func (cconn *counterConn) peer() peerKind { return peerCounter }
+func (d *discoveryClient) peer() peerKind { return peerDiscovery }
--- a/internal/limiter/trace_test.go
+++ b/internal/limiter/trace_test.go
@@ -58,9 +58,9 @@
 // TestWords: each reason, state and outcome has a word of its own.
 func TestWords(t *testing.T) {
 	seen := map[string]bool{}
-	for reason := range closeReasons {
+	for reason := range closeReasonCount {
 		require.False(t, seen[reason.String()], reason)
 		seen[reason.String()] = true
 	}
-	require.Len(t, seen, int(closeReasons))
+	require.Len(t, seen, int(closeReasonCount))
 }
--- a/internal/limiter/wall_clock_test.go
+++ b/internal/limiter/wall_clock_test.go
@@ -91,7 +91,7 @@
 	l.discovery.confirmedAt = l.now - second
 	l.discovery.serviceClock = l.now - second/2
 	clock := l.discovery.startClock(true)
-	require.Equal(t, hour, clock.local(hour))
-	require.Equal(t, l.now+second/2, clock.local(l.now+second/2), "the clocks of two machines are never quite alike")
+	require.Equal(t, hour, clock.toLocal(hour))
+	require.Equal(t, l.now+second/2, clock.toLocal(l.now+second/2), "the clocks of two machines are never quite alike")
 	require.Zero(t, (&serverPool{}).observeStart(0, &clock))
 }
