--- a/internal/limiter/answer_order.go
+++ b/internal/limiter/answer_order.go
@@ -1,13 +1,13 @@
 package limiter
 
-// Answers go out in the order of a client's commands. One that is ready would be late behind a request that has more
-// time, so the requests ahead of it are ended as its own time runs out. Each client has one timer for that.
+// Answers go out in the order of a client's commands. A finished answer can be stuck behind a request with a later
+// deadline, so the requests ahead of it are ended when its own deadline comes near. Each client has one timer for that.
 
-// answerMarginTicks is how long before a deadline an answer goes out at the latest, in ticks of the timers; it is what the
-// controller leaves, too.
+// answerMarginTicks is how long before its deadline an answer goes out at the latest, in timer ticks. The controller
+// leaves the same margin.
 const answerMarginTicks = 2
 
-// addAnswer makes the place of the present command's answer.
+// addAnswer appends a pending answer for the command that is handled.
 func (cl *client) addAnswer() *answer {
 	pending := &answer{deadline: cl.commandDeadline}
 	cl.answers = append(cl.answers, pending)
@@ -17,12 +17,12 @@
 	return pending
 }
 
-// sendBy is when an answer has to go out at the latest.
+// sendBy is the latest time at which an answer may go out.
 func (l *Limiter) sendBy(pending *answer) int64 {
 	return pending.deadline - answerMarginTicks*l.settings.TimerResolution
 }
 
-// scheduleExpiry has the requests ahead of answers that are due ended at a time, if that is not set to happen before.
+// scheduleExpiry sets the timer of expireBlocking, unless it is set for that time or an earlier one.
 func (cl *client) scheduleExpiry(at int64) {
 	timers := &cl.limiter.timers
 	if cl.expiryTimer != nil && cl.expiryTimer.index >= 0 {
@@ -34,7 +34,7 @@
 	cl.expiryTimer = timers.add(at, cl.expireBlocking)
 }
 
-// expireBlocking ends the requests ahead of the last answer that is due now, and waits for the next one.
+// expireBlocking ends the requests ahead of the last answer that is due, and sets the timer for the next one.
 func (cl *client) expireBlocking() {
 	l := cl.limiter
 	for _, id := range cl.requestsBlockingDue() {
@@ -54,7 +54,7 @@
 	}
 }
 
-// requestsBlockingDue are the requests that are not ended and stand ahead of the last answer that is due now.
+// requestsBlockingDue lists the IDs of the open requests ahead of the last answer that is due.
 func (cl *client) requestsBlockingDue() (ids []string) {
 	lastDue := 0
 	for i, pending := range cl.answers {
--- a/internal/limiter/arrival.go
+++ b/internal/limiter/arrival.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxIDBytes is the length of a request's id.
+	// maxIDBytes is the longest ID of a request, in bytes.
 	maxIDBytes = 64
-	// customerDigits is the number of digits of a customer's number, in base 16.
+	// customerDigits is the number of hexadecimal digits of a customer's number.
 	customerDigits = 16
-	// maxCustomer is the number below which customers are numbered.
+	// maxCustomer is the upper bound of customers' numbers, exclusive.
 	maxCustomer = 1 << 33
-	// maxNumber bounds the numbers in a command: no count of units or milliseconds is larger.
+	// maxNumber is the largest number in a command, of units or milliseconds.
 	maxNumber = 1e9
 )
 
-// What is wrong with a command that can never be right. The texts go to the client.
+// Errors of a command that is invalid whatever the state of the limiter. Their texts are sent to the client.
 var (
 	errArguments   = errors.New("wrong number of arguments")
 	errCustomer    = errors.New("customer is not a number below 2^33 in 16 digits")
@@ -44,7 +44,7 @@
 	errUnknownVerb = errors.New("unknown command")
 )
 
-// The words of a request's command.
+// Positions of the words in a request's command.
 const (
 	wordVerb = iota
 	wordCustomer
@@ -53,17 +53,17 @@
 	wordBody // only of classes that are not idempotent
 )
 
-// parsedRequest is what a request's command says.
+// parsedRequest is the content of a request's command.
 type parsedRequest struct {
 	arrival choice.Arrival
-	// timeoutStart and timeoutEnd enclose the client's time in the word of fields.
+	// timeoutStart and timeoutEnd delimit the value of d in the fields word.
 	timeoutStart, timeoutEnd int
-	firstLimiter             float64 // the first of the customer's limiters, negative where it is not given
+	firstLimiter             float64 // number of the first of the customer's limiters, negative if not given
 }
 
-// parseRequest reads a request's command. It is as strict as the protocol: what a server turns away costs that
-// server's connection and its standing, and what is wrong may spoil the record of a customer that other limiters
-// share.
+// parseRequest parses a request's command. It accepts only what the protocol allows: a server answers an invalid
+// command with an error, which costs the connection and counts against the server, and wrong numbers could corrupt the
+// account of a customer that other limiters share.
 func parseRequest(words [][]byte, cfg *settings.Settings) (parsedRequest, error) {
 	p := parsedRequest{firstLimiter: -1}
 	if len(words) <= wordFields || len(words) > wordBody+1 {
@@ -84,7 +84,7 @@
 	return p, p.check(words, cfg)
 }
 
-// parseFields reads the list of names and values, which are separated by commas.
+// parseFields parses the comma-separated list of name=value fields.
 func (p *parsedRequest) parseFields(list []byte, cfg *settings.Settings) error {
 	names := make([][]byte, 0, 8)
 	for start := 0; start <= len(list); {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// parseField reads one value. Names that are not known are left alone.
+// parseField parses one value. Unknown names are ignored.
 func (p *parsedRequest) parseField(name string, value []byte, cfg *settings.Settings) (err error) {
 	a := &p.arrival
 	switch name {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// check refuses what is missing, and what does not go together.
+// check rejects a command with missing fields, or with fields that contradict each other.
 func (p *parsedRequest) check(words [][]byte, cfg *settings.Settings) error {
 	a := &p.arrival
 	class := cfg.Classes[a.Class]
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// parseNumber reads a number of units or milliseconds: digits, with a point among them or none.
+// parseNumber parses an unsigned decimal number of units or milliseconds, without an exponent.
 func parseNumber(text []byte) (float64, error) {
 	if len(bytes.Trim(text, "0123456789.")) > 0 {
 		return 0, strconv.ErrSyntax
--- a/internal/limiter/attempts.go
+++ b/internal/limiter/attempts.go
@@ -8,29 +8,29 @@
 
 type attempt struct {
 	request       *request
-	number        int
-	decidedAt     int64
+	number        int   // among the request's attempts, from 0
+	decidedAt     int64 // when the controller decided on it, nanoseconds
 	open          bool
 	conn          *serverConn
 	deadlineTimer *timer
-	endOffset     int64    // the place of its last byte among all that was written on its connection, 0 before
-	location      location // where its server was then
-	neverRan      bool     // it has ended, and has not run
+	endOffset     int64    // offset behind its last byte in its connection's output, 0 before it is written
+	location      location // of its server when it was written
+	neverRan      bool     // it has ended and the server did not run it
 }
 
-// location is what a list says of where a server stands.
+// location is where a server is, as the endpoint list has it.
 type location struct {
 	zone string
 	cell int64
 }
 
-// sharesScope tells whether two places are in one group.
+// sharesScope tells whether two locations are in the same deduplication scope.
 func (p location) sharesScope(group choice.DeduplicationScope, other location) bool {
 	return group == choice.ScopeAll || group == choice.ScopeZone && p.zone == other.zone ||
 		group == choice.ScopeCell && p.cell == other.cell
 }
 
-// Send is an effect of the controller. An attempt that cannot be sent any more was never sent.
+// Send implements choice.Effects. An attempt that can no longer be sent ends as NotAttempted.
 func (l *Limiter) Send(id, server string) {
 	req := l.requests.byID[id]
 	att := &attempt{request: req, number: len(req.attempts), decidedAt: l.now, open: true}
@@ -54,7 +54,7 @@
 	})
 }
 
-// Cancel is an effect of the controller: it closes the attempt's connection.
+// Cancel implements choice.Effects. It closes the attempt's connection.
 func (l *Limiter) Cancel(id string, number int) {
 	req := l.requests.byID[id]
 	if req == nil || number >= len(req.attempts) || !req.attempts[number].open {
@@ -62,12 +62,12 @@
 	}
 	if sc := req.attempts[number].conn; sc != nil {
 		l.closeConn(sc.conn, AttemptCancelled)
-	} else { // it waits for a sure list
+	} else { // it is deferred until the list is current
 		l.endAttempt(req.attempts[number], choice.AttemptResult{Outcome: choice.NotAttempted})
 	}
 }
 
-// endAttempt ends an attempt, once, and owes the controller its answer.
+// endAttempt ends an attempt and queues its result for the controller. It does nothing if the attempt has ended.
 func (l *Limiter) endAttempt(att *attempt, reply choice.AttemptResult) {
 	if !att.open {
 		return
@@ -88,17 +88,18 @@
 	l.forgetIfDone(req)
 }
 
-// outdated: longer ago than the doubt and the dialling of a process that runs may take, or past the time for which
-// servers know the request again by an earlier attempt, or in no group with that one. The controller is to decide anew.
+// outdated tells whether the attempt must not be written any more: it was decided on longer ago than a running process
+// may take to get the list and to dial, or servers may no longer recognize the request from an earlier attempt. The
+// controller then decides again.
 func (att *attempt) outdated() bool {
 	now := att.conn.pool.limiter.now
 	return now-att.decidedAt > suspensionDialTimeouts*att.conn.pool.limiter.settings.DialTimeout ||
 		now >= att.deduplicatedUntil()
 }
 
-// deduplicatedUntil is until when the server would know the request again by each earlier attempt that may have run: 0
-// if it does not by one, and without end where none has. What counts is where an earlier attempt was written, wherever
-// a list has its server now.
+// deduplicatedUntil is the time until which the server recognizes the request from every earlier attempt that may have
+// run: 0 if it is outside the scope of one of them, math.MaxInt64 if there is none. An earlier attempt counts with the
+// location that its server had when it was written, whatever a later list says.
 func (att *attempt) deduplicatedUntil() int64 {
 	req := att.request
 	until := int64(math.MaxInt64)
--- a/internal/limiter/client.go
+++ b/internal/limiter/client.go
@@ -9,42 +9,42 @@
 	"ospreycroft/internal/resp"
 )
 
-// maxPipelined is how many commands may wait on one client's connection.
+// maxPipelined is how many commands of one client may wait for their answers.
 const maxPipelined = 1024
 
-// client is a connection that a client holds. Answers go out in the order of its commands.
+// client is a connection from a client. Answers go out in the order of its commands.
 type client struct {
 	limiter         *Limiter
 	conn            *conn
 	answers         []*answer
-	closing         bool          // it is closed once it is answered
-	closePending    bool          // that is looked at again soon
-	inputDiscarded  bool          // what it sent was malformed, and what comes behind that is not read
-	processingInput bool          // what has come is being read: its answers go out together behind that
+	closing         bool          // the connection is closed once everything is answered
+	closePending    bool          // a timer calls closeWhenAnswered again
+	inputDiscarded  bool          // it sent malformed input; what follows is not read
+	processingInput bool          // onData is running: answers go out together at its end
 	connectedAt     int64         // when it connected
-	lastWrite       int64         // when it was last written to
+	lastWrite       int64         // when something was last written to it
 	lastUsed        int64         // when its present command began, or its last one was answered
-	partialCommand  bool          // a command has begun and is not whole
-	hasRequested    bool          // it has brought a request
-	element         *list.Element // in newClients or usedClients
-	commandDeadline int64         // of the command that is taken, 0 where it tells none
-	expiryTimer     *timer        // ends what keeps answers that are due from going out
+	partialCommand  bool          // a command has begun and is not complete
+	hasRequested    bool          // it has sent a request
+	element         *list.Element // in clientTable.withoutRequest or withRequest
+	commandDeadline int64         // of the command that is handled, 0 if it has none
+	expiryTimer     *timer        // runs expireBlocking
 }
 
-// answer is the place of one command's answer among a client's.
+// answer is the answer to one command, pending while text is nil.
 type answer struct {
-	request  *request // nil where the limiter itself answers
+	request  *request // nil if the limiter itself answers
 	text     []byte
-	deadline int64 // when the client stops waiting for it, 0 where it did not tell
+	deadline int64 // when the client stops waiting, 0 if unknown
 }
 
-// onConnected is for connections that were dialled, which a client's never is.
+// onConnected is for dialled connections; a client's connection is accepted, so it is never called.
 func (cl *client) onConnected() {}
 
-// open tells whether the connection has not ended, as far as the reducer was told.
+// open tells whether the connection is open, as far as events have told.
 func (cl *client) open() bool { return cl.limiter.conns[cl.conn.id] == cl.conn }
 
-// idle: nothing is owed to the client, all is written and no part of a command has come that is still to be read.
+// idle tells whether no answer is pending, all output is in the kernel and no input is left to be read.
 func (cl *client) idle() bool {
 	inputRead := cl.inputDiscarded || len(cl.conn.input.Bytes()) == 0
 	return len(cl.answers) == 0 && inputRead && cl.allWritten()
@@ -55,10 +55,10 @@
 	return cl.limiter.effects.Written(cl.conn.id) >= cl.conn.bytesSent
 }
 
-// onData takes the commands that have come, and answers together what can be answered at once.
+// onData handles the commands that have come, and writes the finished answers together.
 func (cl *client) onData(b []byte) (used int, err error) {
 	if !cl.limiter.effects.Alive(cl.conn.id) {
-		return len(b), nil // it has gone, and waits for nothing: its end is told next
+		return len(b), nil // the client has disconnected, and ConnClosed follows
 	}
 	cl.processingInput = true
 	for n := 1; n > 0 && used < len(b) && !cl.inputDiscarded && cl.open(); used += n {
@@ -76,14 +76,15 @@
 	return used, nil
 }
 
-// nextCommand takes one command.
+// nextCommand parses and handles one command, and returns how many bytes it used.
 func (cl *client) nextCommand(b []byte) int {
 	words, n, err := resp.ReadCommand(b, cl.limiter.scratch.words[:0])
 	cl.limiter.scratch.words = words[:0]
 	if len(cl.answers) >= maxPipelined {
 		cl.flush()
 	}
-	memoryExceeded := n == 0 && len(b) > buffer.MinCapacity && cl.limiter.bufferedBytes > cl.limiter.config.Memory/bufferMemoryDivisor
+	memoryExceeded := n == 0 && len(b) > buffer.MinCapacity &&
+		cl.limiter.bufferedBytes > cl.limiter.config.Memory/bufferMemoryDivisor
 	if err == nil && (memoryExceeded || len(cl.answers) >= maxPipelined) {
 		err = resp.ErrTooLong
 	}
@@ -98,7 +99,7 @@
 	return n
 }
 
-// handleCommand acts on one handleCommand.
+// handleCommand handles one command.
 func (cl *client) handleCommand(words [][]byte) {
 	l := cl.limiter
 	cl.commandDeadline = 0
@@ -116,7 +117,7 @@
 	}
 }
 
-// handleRequest hands a handleRequest to the controller, or answers what no controller can make sense of.
+// handleRequest passes a request to the controller, or answers it if it is invalid or cannot be taken.
 func (cl *client) handleRequest(words [][]byte) {
 	l := cl.limiter
 	parsed, err := parseRequest(words, l.settings)
@@ -129,7 +130,8 @@
 	delay := max(waited, l.readDelay())
 	if timeout > delay {
 		cl.commandDeadline = l.now + timeout - delay
-	} else if timeout > waited { // its time may be over: behind a standstill that is not known for sure
+	} else if timeout > waited {
+		// After a suspension it is not certain how long the request waited, so its deadline may have passed.
 		cl.commandDeadline = l.now + timeout - waited
 	}
 	if l.requests.byID[parsed.arrival.ID] != nil {
@@ -137,13 +139,14 @@
 		return
 	}
 	if cl.closing || l.tooLateToAnswer(timeout) || timeout <= delay {
-		// A connection that is never without an open request would never end, nor would the process; or the client's
-		// time is over.
+		// The connection is closing, the process may be killed before the deadline, or the deadline has passed. A
+		// client that always has an open request would else keep its connection, and so the process, from ending.
 		cl.answerBusy()
 		return
 	}
 	if l.requests.heldBytes > l.config.Memory/bufferMemoryDivisor {
-		// Nothing of it was sent, and one more might end the process with all that it has accepted.
+		// Nothing of the request was forwarded, so it may be rejected. Running out of memory would lose all accepted
+		// requests.
 		cl.answerDirectly("-BUSY")
 		return
 	}
@@ -154,7 +157,7 @@
 	l.controller.RequestArrived(l.now, parsed.arrival)
 }
 
-// markRequested notes that the client has brought a request.
+// markRequested records that the client has sent a request.
 func (cl *client) markRequested() {
 	if !cl.hasRequested {
 		cl.limiter.clients.withoutRequest.Remove(cl.element)
@@ -169,7 +172,7 @@
 	cl.fillAnswer(cl.addAnswer(), []byte(text+"\r\n"))
 }
 
-// answerBusy rejects a request that nothing was done for: another limiter may take it soon.
+// answerBusy rejects a request of which nothing was done; the client may send it to another limiter soon.
 func (cl *client) answerBusy() {
 	text := "-BUSY"
 	if after := min(cl.limiter.settings.DialTimeout, cl.limiter.settings.MaxRetryAfter); after > 0 {
@@ -178,14 +181,14 @@
 	cl.answerDirectly(text)
 }
 
-// answerError answers a command that can never be right; -BUSY would say that it may be sent again.
+// answerError answers an invalid command. -BUSY would be wrong, as it tells the client to send the command again.
 func (cl *client) answerError(err error) {
 	cl.limiter.stats.inputErrors.invalidCommands++
 	cl.answerDirectly("-ERR " + err.Error())
 }
 
-// rejectInput tells a client why it is closed, behind the answers to what it sent before. Where these take too long
-// they fail: it is owed an error or a close soon.
+// rejectInput sends the client an error, behind the answers to its earlier commands, and closes the connection.
+// Requests that are still open after a while are failed: the client must get an error or a close soon.
 func (cl *client) rejectInput(message string) {
 	l := cl.limiter
 	cl.inputDiscarded = true
@@ -202,7 +205,8 @@
 	}
 }
 
-// fillAnswer fills one place and writes what is due, unless more is to come: answers go out in the order of the commands.
+// fillAnswer sets the text of an answer and writes all finished answers, unless onData is running, which writes them
+// together.
 func (cl *client) fillAnswer(a *answer, text []byte) {
 	a.text = text
 	if !cl.processingInput {
@@ -210,7 +214,7 @@
 	}
 }
 
-// flush writes the answers that are due.
+// flush writes the finished answers up to the first pending one.
 func (cl *client) flush() {
 	l := cl.limiter
 	due := 0
@@ -225,7 +229,7 @@
 	}
 	cl.answers = cl.answers[due:]
 	if len(cl.answers) == 0 {
-		cl.answers = nil // what many at once have taken is let go
+		cl.answers = nil // releases the memory of many pipelined answers
 	}
 	cl.markUsed()
 	l.write(cl.conn, l.scratch.write)
@@ -233,12 +237,13 @@
 	if !cl.allWritten() {
 		l.clients.closeSlowReaders(l.config.Memory / bufferMemoryDivisor)
 	}
-	if cl.open() && (cl.closing || l.shutdown.lingerOver(l.now)) { // one that came late is closed after its first answers
+	if cl.open() && (cl.closing || l.shutdown.lingerOver(l.now)) {
+		// A client that connected late is closed after its first answers.
 		cl.closeWhenAnswered()
 	}
 }
 
-// closeIfIdle closes the connection, which owes nothing, unless a command has come on it in this very moment.
+// closeIfIdle closes the idle connection unless a command has just come on it, and tells whether it did.
 func (cl *client) closeIfIdle() bool {
 	if !cl.limiter.effects.CloseGracefully(cl.conn.id, cl.limiter.settings.DialTimeout, cl.limiter.settings.IdleClose) {
 		return false
@@ -247,22 +252,22 @@
 	return true
 }
 
-// closeWhenAnswered ends the connection as soon as all is answered: our sending first, behind the last answer, so that
-// it arrives, and nothing is read from then on. Its client may send on until it finds the end; what was never read it
-// sends again elsewhere.
+// closeWhenAnswered closes the connection once everything is answered. It ends the sending direction first, so that the
+// last answer arrives, and reads nothing from then on. The client may go on sending until it notices; commands that
+// were never read can safely be sent to another limiter.
 func (cl *client) closeWhenAnswered() {
 	l := cl.limiter
 	cl.closing = true
 	if len(cl.answers) > 0 || cl.idle() && cl.closeIfIdle() {
 		return
 	}
-	// One that was refused may send on for ever, or never read.
+	// A client whose input is discarded may go on sending without end, or never read.
 	waited := l.now - cl.lastWrite
 	if cl.inputDiscarded && (waited > l.settings.IdleClose || waited > l.settings.DialTimeout && cl.allWritten()) {
 		l.closeConn(cl.conn, IdleClosed)
 		return
 	}
-	// The rest of an answer is on its way, or the rest of a command to us.
+	// An answer is not written completely, or a command has come in part.
 	if !cl.closePending {
 		cl.closePending = true
 		l.schedule(l.now+l.settings.TimerResolution, func() {
@@ -274,14 +279,15 @@
 	}
 }
 
-// closeIfGone ends the connection of a client that has gone. The event that tells of it may be far behind others.
+// closeIfGone closes the connection if the client has disconnected. The event that reports it may be queued behind many
+// others.
 func (cl *client) closeIfGone() {
 	if cl.open() && cl.limiter.effects.PeerGone(cl.conn.id) {
 		cl.limiter.closeConn(cl.conn, PeerClosed)
 	}
 }
 
-// markUsed notes that a client that has brought a request is in use.
+// markUsed updates lastUsed of a client that has sent a request. The others stay in the order in which they connected.
 func (cl *client) markUsed() {
 	if cl.hasRequested {
 		cl.lastUsed = cl.limiter.now
@@ -289,7 +295,7 @@
 	}
 }
 
-// onClosed gives up what the client still waits for.
+// onClosed ends the client's open requests.
 func (cl *client) onClosed(reason CloseReason, _ int64) {
 	l := cl.limiter
 	l.timers.cancel(cl.expiryTimer)
--- a/internal/limiter/clients.go
+++ b/internal/limiter/clients.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// clientDescriptorDivisor: one descriptor in so many is for clients.
+	// clientDescriptorDivisor: clients may hold this fraction of the descriptors, 1 in 2.
 	clientDescriptorDivisor = 2
-	// evictionDivisor: past one descriptor in so many, idle clients make room for others.
+	// evictionDivisor: above this fraction of the descriptors, 1 in 4, idle clients are closed for new ones.
 	evictionDivisor = 4
-	// reapsNearLimit is how often clients are looked at in a dial time-out while there are many.
+	// reapsNearLimit is how many times in a dial timeout clients are checked while nearLimit.
 	reapsNearLimit = 8
-	// newClientGraceDivisor: a client that sent nothing for this part of a dial time-out may be closed to make room.
+	// newClientGraceDivisor: a client that was idle for this fraction of a dial timeout, 1/4, may be evicted.
 	newClientGraceDivisor = 4
-	// minClientIdle is how long a connection without an open request is kept at least, nanoseconds.
+	// minClientIdle is how long a connection without an open request is kept if it is not evicted, nanoseconds.
 	minClientIdle = 2e9
-	// idleCloseDivisor: an idle connection is closed after this part of the time after which the other side closes it.
+	// idleCloseDivisor: an idle connection is closed after this fraction, 1/2, of the time after which the peer closes
+	// it.
 	idleCloseDivisor = 2
 )
 
-// clientTable holds the clients' connections, and closes those that are idle for long or in the way of others.
+// clientTable holds the clients' connections. It closes those that are idle for long, and idle ones where new clients
+// need descriptors.
 type clientTable struct {
 	limiter *Limiter
 	count   int
-	// withoutRequest are those that have brought no request yet, the oldest first; withRequest the others, the one
-	// used last at the end.
+	// withoutRequest holds clients that have sent no request yet, the oldest first; withRequest holds the others, the
+	// least recently used first.
 	withoutRequest, withRequest list.List
 }
 
@@ -39,22 +41,22 @@
 	t.evictIdle()
 }
 
-// MaxClients is how many connections clients may hold together.
+// MaxClients is the largest number of clients' connections.
 func MaxClients(config *settings.Config) int { return config.Sockets / clientDescriptorDivisor }
 
-// nearLimit: past this the usual clients could soon open no more. They hold a third of our descriptors at most, and
-// where each keeps its connection after one request, only as many requests come as connections are closed.
+// nearLimit tells whether idle clients are evicted. Clients commonly hold up to a third of the descriptors. If each
+// kept its connection after one request, new requests would come only as fast as connections are closed.
 func (t *clientTable) nearLimit() bool { return t.count >= t.limiter.config.Sockets/evictionDivisor }
 
-// evictIdle closes clients' connections without an open request, so that others can come: first those that never brought
-// one and had time to, then the one idle longest.
+// evictIdle closes idle clients while nearLimit: first those that never sent a request, then the least recently used.
 func (t *clientTable) evictIdle() {
 	since := t.limiter.now - t.limiter.settings.DialTimeout/newClientGraceDivisor
 	for t.nearLimit() && (t.closeFirstIdle(&t.withoutRequest, since) || t.closeFirstIdle(&t.withRequest, since)) {
 	}
 }
 
-// closeFirstIdle closes the first of a list that has been idle since a time, and tells whether there is one.
+// closeFirstIdle closes the first idle client of a list that was last used at since or before, and tells whether there
+// is one.
 func (t *clientTable) closeFirstIdle(clients *list.List, since int64) bool {
 	for e := clients.Front(); e != nil; e = e.Next() {
 		if cl := e.Value.(*client); cl.lastUsed > since {
@@ -66,8 +68,8 @@
 	return false
 }
 
-// reap looks at the clients at intervals. One that says nothing or half a command is closed: it would hold its place
-// for good.
+// reap closes clients that sent nothing or a partial command for too long, and those that are idle for long, and
+// schedules itself again. A client that never completes a command would else hold its descriptor for good.
 func (t *clientTable) reap() {
 	for _, clients := range []*list.List{&t.withoutRequest, &t.withRequest} {
 		for e := clients.Front(); e != nil; {
@@ -78,7 +80,7 @@
 			case cl.partialCommand:
 				t.limiter.stats.inputErrors.silentClients++
 				cl.rejectInput("too slow")
-			case !cl.idle(): // an answer is on its way into the kernel
+			case !cl.idle(): // an answer is not completely in the kernel yet
 			case !cl.hasRequested, idle > t.limiter.settings.IdleClose/idleCloseDivisor:
 				if cl.closeIfIdle() {
 					t.limiter.stats.inputErrors.silentClients++
@@ -94,16 +96,16 @@
 	t.limiter.schedule(t.limiter.now+interval, t.reap)
 }
 
-// closeSlowReaders closes clients until no more bytes wait for all of them than may: each time the one that holds the
-// most. Another one's answer is on its way, and is owed to it whatever others do.
+// closeSlowReaders closes clients until at most limit bytes of output wait in all, each time the one with the most.
+// Other clients must still get their answers.
 func (t *clientTable) closeSlowReaders(limit int64) {
 	for waiting, slowest := t.unreadBytes(); waiting > limit; waiting, slowest = t.unreadBytes() {
 		t.limiter.closeConn(slowest, SlowReader)
 	}
 }
 
-// unreadBytes is how many bytes wait for clients that do not read, and the connection for which most do; of two alike the
-// older.
+// unreadBytes is the output that waits for clients, in bytes, and the connection with the most of it; of equal ones the
+// oldest, nil if no output waits.
 func (t *clientTable) unreadBytes() (sum int64, slowest *conn) {
 	largest := int64(0)
 	for id, c := range t.limiter.conns {
--- a/internal/limiter/close_reason.go
+++ b/internal/limiter/close_reason.go
@@ -2,28 +2,28 @@
 
 import "ospreycroft/choice"
 
-// CloseReason is a way in which a connection can end, whoever ends it.
+// CloseReason says why a connection ended, whichever side ended it.
 type CloseReason uint8
 
-// The reasons.
+// Reasons for the end of a connection.
 const (
-	ConnRefused      CloseReason = iota // it never came up
-	DialTimedOut                        // it did not come up in time
-	PeerClosed                          // the other side ended it
-	PeerReset                           // the other side broke it off
-	ProtocolError                       // we ended it: what came was not understood
-	AttemptCancelled                    // we ended it: the controller called the attempt off
-	DeadlineExceeded                    // we ended it: the request's time was over
-	NoResponse                          // we ended it: nothing came for too long
-	IdleClosed                          // we ended it: it was idle, or there was need of its descriptor
-	NoConnection                        // it was not opened: there was no descriptor left for it
-	SlowReader                          // we ended it: the client does not read its answers
-	LocalFailure                        // it was not opened: a system call failed for want of something on this machine
+	ConnRefused      CloseReason = iota // the dial failed
+	DialTimedOut                        // the dial did not finish in time
+	PeerClosed                          // the peer closed it
+	PeerReset                           // the peer reset it
+	ProtocolError                       // closed here: the peer sent malformed or unexpected data
+	AttemptCancelled                    // closed here: the controller cancelled the attempt
+	DeadlineExceeded                    // closed here: the request's deadline passed
+	NoResponse                          // closed here: the peer did not answer in time
+	IdleClosed                          // closed here: it was idle, or no longer needed
+	NoConnection                        // not opened: no descriptor was left, or no new connection was allowed
+	SlowReader                          // closed here: the client does not read its answers
+	LocalFailure                        // not opened: a system call failed for lack of a resource on this machine
 	closeReasonCount                    // the number of reasons
 )
 
-// outcome is the one place where the end of a connection becomes the outcome of an attempt that was out on it. An
-// attempt is whole once the kernel has taken its last byte: it may have run then. One that is not whole never ran.
+// outcome maps the end of a connection to the outcome of the attempt on it; this is the only place that does. An
+// attempt is fully written once the kernel has taken its last byte, and then it may have run. Otherwise it never ran.
 func (r CloseReason) outcome(fullyWritten bool) choice.Outcome {
 	switch {
 	case fullyWritten && r == AttemptCancelled:
@@ -33,14 +33,14 @@
 	case fullyWritten:
 		return choice.ConnectionLost
 	case r == AttemptCancelled, r == DeadlineExceeded, r == NoConnection, r == IdleClosed, r == LocalFailure:
-		// Our own doing, before the server had a part in it: it says nothing of the server.
+		// It was ended on this side before the server took part, which says nothing of the server.
 		return choice.NotAttempted
 	}
 	return choice.ConnectFailed
 }
 
-// counterOutcome is the same for a call to the counter: one that is whole may have been added, and one that is not was
-// not added. Where the line broke or brought nonsense, the counter itself is neither down nor crowded.
+// counterOutcome does the same for a call to the counter: a fully written one may have been added, any other was not. A
+// connection that broke or brought malformed data does not mean that the counter is down or overloaded.
 func (r CloseReason) counterOutcome(fullyWritten bool) choice.Outcome {
 	switch {
 	case fullyWritten && (r == PeerClosed || r == PeerReset || r == ProtocolError):
@@ -51,7 +51,7 @@
 	return choice.ConnectFailed
 }
 
-// String gives the word for log lines.
+// String returns the word that log lines use.
 func (r CloseReason) String() string {
 	return [...]string{"refused", "dial-timed-out", "peer-closed", "peer-reset", "protocol-error", "cancelled",
 		"deadline-exceeded", "no-response", "idle", "no-descriptor", "slow-reader",
--- a/internal/limiter/cold_start.go
+++ b/internal/limiter/cold_start.go
@@ -14,27 +14,28 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// What the protocol says of every deployment, in nanoseconds.
+// Bounds of the protocol that hold in every deployment, in nanoseconds.
 const (
-	// what a silent discovery has to tell counts as notified so long after the silence began
+	// notificationDeadline: what discovery had to send counts as notified this long after it fell silent.
 	notificationDeadline = 6e9
-	readinessDeadline    = 30e9 // and a limiter has to be ready within this time
+	readinessDeadline    = 30e9 // a limiter has to be ready within this time of its start
 )
 
-// OperatorOptions is what operators state beside the configuration; the zero value leaves a start to the settings and
-// pollpacer alone.
+// OperatorOptions are the operator's settings beside the configuration. With the zero value a start depends on the
+// configuration and package pollpacer alone.
 type OperatorOptions struct {
-	DiscoveryCallRate float64 // calls a second that discovery bears from all limiters, 0 for what the settings imply
-	ConnectionRate    float64 // new connections a second that a server bears from all limiters, 0 for no bound
-	// Snapshot is what an earlier life of this limiter knew, nil for nothing; Save takes what this one knows, after
-	// each list that brings changes and, while that stays true, each SaveEvery nanoseconds; nil for no disk.
+	DiscoveryCallRate float64 // calls a second that discovery can take from all limiters, 0 to derive it
+	ConnectionRate    float64 // new connections a second that a server can take from all limiters, 0 for no bound
+	// Snapshot is the state that an earlier process of this limiter saved, nil for none. SaveSnapshot is given this
+	// process's state after each list with changes, and each SaveEvery nanoseconds while discovery confirms the list;
+	// nil to save nothing.
 	Snapshot     *snapshot.Snapshot
 	SaveSnapshot func(*snapshot.Snapshot)
 	SaveEvery    int64
 }
 
-// ColdStartSettings are what the start of a limiter with this configuration is computed from; none that could start
-// before these were is refused for them.
+// ColdStartSettings derives the settings of a cold start. Values are bounded here so that no configuration that was
+// valid without a cold start is refused because of them.
 func ColdStartSettings(config *settings.Config, opts OperatorOptions) coldstart.Settings {
 	cfg := config.Settings
 	return coldstart.Settings{
@@ -55,16 +56,16 @@
 	}
 }
 
-// coldStart is how this limiter comes up where operators state something; package coldstart decides. Its methods up to
-// bucket take a nil one: nothing is stated.
+// coldStart controls how the limiter comes up where the operator has set options; package coldstart has the rules. The
+// methods up to connectionBucket accept a nil receiver, which stands for no options.
 type coldStart struct {
 	limiter   *Limiter
 	options   OperatorOptions
 	settings  coldstart.Settings
 	start     *coldstart.Start
 	phase     coldstart.Phase               // as last logged
-	timer     *timer                        // when the limiter may be ready
-	endpoints map[string]discovery.Endpoint // the list, where it is saved
+	timer     *timer                        // fires when the limiter may become ready
+	endpoints map[string]discovery.Endpoint // the list by server ID, kept up to date if snapshots are saved
 	savedAt   int64
 }
 
@@ -88,19 +89,19 @@
 	return err
 }
 
-// hasCallRate tells whether the calls for lists go by the limiter's own instants, and not by pollpacer's pace.
+// hasCallRate tells whether calls to discovery follow this limiter's slots, and not the pace of package pollpacer.
 func (s *coldStart) hasCallRate() bool {
 	return s != nil && s.settings.PollInterval > 0 && s.settings.CallRate > 0
 }
 
-// pollMade notes a call that goes out by pollpacer's pace.
+// pollMade records a call that was made at the pace of package pollpacer.
 func (s *coldStart) pollMade() {
 	if s != nil && !s.hasCallRate() {
 		s.step(coldstart.Event{Kind: coldstart.CallMade})
 	}
 }
 
-// pollFailed notes a call that brought no list.
+// pollFailed records a call that brought no list.
 func (s *coldStart) pollFailed(failure pollpacer.Failure) {
 	if s == nil {
 		return
@@ -112,7 +113,8 @@
 	s.step(coldstart.Event{Kind: kind})
 }
 
-// connectionBucket holds the new connections to one of so many servers.
+// connectionBucket makes the token bucket for new connections to one of this many servers; the zero Bucket has no
+// bound.
 func (s *coldStart) connectionBucket(servers int) (b coldstart.Bucket) {
 	if s != nil && s.settings.ConnectionRate > 0 {
 		b = coldstart.NewBucket(s.limiter.now, &s.settings, servers)
@@ -120,9 +122,10 @@
 	return b
 }
 
-// chooseList takes the list of the configuration, nil for none, and gives the one to begin with: the snapshot's where
-// the same discovery has counted it further, or where there is no other. A start that the snapshot knows is not
-// forgotten. The version of the list is discovery's own if counted.
+// chooseList picks the list to start with, given the one of the configuration (nil for none). It picks the snapshot's
+// if that is a later version of the same discovery, or if there is no other. Servers keep the start times of the
+// snapshot where those are later. versionValid tells whether discovery itself gave the list its version, so that
+// changes since then can be asked for.
 func (s *coldStart) chooseList(known *discovery.List) (list *discovery.List, versionValid bool) {
 	snap := s.options.Snapshot
 	if snap == nil {
@@ -154,7 +157,7 @@
 	return list, versionValid
 }
 
-// saveList takes a list into what is held, and has that saved where a call has brought or confirmed it.
+// saveList merges a list into endpoints, and saves a snapshot if discovery has sent or confirmed the list.
 func (s *coldStart) saveList(list *discovery.List, kind coldstart.Kind) {
 	if list.Complete {
 		clear(s.endpoints)
@@ -188,7 +191,7 @@
 	s.options.SaveSnapshot(snap)
 }
 
-// step tells the rules what happened and does what follows: clients may come, or the phase is another.
+// step passes an event to the state machine and acts on its phase: it makes the limiter ready and logs a new phase.
 func (s *coldStart) step(e coldstart.Event) {
 	l := s.limiter
 	s.start.Step(l.now, e)
@@ -216,7 +219,7 @@
 
 func (s *coldStart) timePassed() { s.step(coldstart.Event{}) }
 
-// listApplied tells the cold start of a list that was applied.
+// listApplied records a list that was applied, and saves it if snapshots are saved.
 func (s *coldStart) listApplied(kind coldstart.Kind, list *discovery.List) {
 	e := coldstart.Event{Kind: kind, Whole: list.Complete, Servers: make([]coldstart.Server, len(list.Endpoints))}
 	for i, entry := range list.Endpoints {
--- a/internal/limiter/conn.go
+++ b/internal/limiter/conn.go
@@ -7,13 +7,13 @@
 	"ospreycroft/internal/buffer"
 )
 
-// connHandler is the other side of a connection.
+// connHandler handles what happens on a connection; there is one type for each kind of peer.
 type connHandler interface {
 	onConnected()
-	// onData takes from the bytes that have come and tells how many it has used up.
+	// onData handles received bytes and returns how many it has used; the rest is passed again with later bytes.
 	onData(bytes []byte) (used int, err error)
 	onClosed(reason CloseReason, written int64)
-	// peer tells what the other side is.
+	// peer tells what kind of peer the connection has.
 	peer() peerKind
 }
 
@@ -22,15 +22,15 @@
 	handler           connHandler
 	open              bool
 	input             buffer.Buffer
-	bytesSent         int64  // bytes that were written, whether the kernel has taken them or not
-	lastUsed          int64  // when it was last used
-	receivedAt        int64  // when the latest bytes came to this machine
-	dialTimer         *timer // until when it must come up
-	countedInputBytes int64  // its buffer's part of buffered
+	bytesSent         int64  // bytes passed to Effects.Write, whether or not the kernel has taken them
+	lastUsed          int64  // when it was dialled or accepted, came up, or last carried bytes
+	receivedAt        int64  // when the latest bytes reached this machine
+	dialTimer         *timer // ends a dial that takes too long; nil for a client's connection
+	countedInputBytes int64  // the share of input in Limiter.bufferedBytes
 }
 
-// dial begins a connection for a party, which is told when it is up or has ended. It ends in time even where the
-// sockets say nothing.
+// dial starts a connection for a handler, which is told when it is up or has ended. A timer ends the dial after timeout
+// nanoseconds even if the sockets report nothing.
 func (l *Limiter) dial(h connHandler, address string, timeout int64) *conn {
 	c := &conn{id: l.effects.Dial(address, timeout), handler: h, lastUsed: l.now}
 	l.conns[c.id] = c
@@ -38,7 +38,7 @@
 	return c
 }
 
-// connected takes word that a connection that was dialled is up, unless it has ended already.
+// connected handles the end of a dial, unless the connection has ended already.
 func (l *Limiter) connected(id ConnID) {
 	c := l.conns[id]
 	if c == nil {
@@ -51,7 +51,7 @@
 	l.consume(c)
 }
 
-// dataReceived reads what has come on a connection. Bytes may come before the word that the connection is up.
+// dataReceived reads the bytes that have come. They may come before Connected.
 func (l *Limiter) dataReceived(e DataReceived) {
 	c := l.conns[e.Conn]
 	if c == nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// consume lets the other side's bytes be used as far as they are whole.
+// consume passes the received bytes to the handler until it has used all complete messages.
 func (l *Limiter) consume(c *conn) {
 	c.lastUsed = l.now
 	for l.conns[c.id] == c {
@@ -93,7 +93,7 @@
 	l.effects.Write(c.id, bytes)
 }
 
-// closeConn is the only place where a connection ends.
+// closeConn ends a connection; it is the only place that does.
 func (l *Limiter) closeConn(c *conn, reason CloseReason) {
 	delete(l.conns, c.id)
 	l.bufferedBytes -= c.countedInputBytes
@@ -102,7 +102,7 @@
 	c.handler.onClosed(reason, l.effects.Close(c.id))
 }
 
-// connsInOrder lists the connections that have not ended, in a fixed order.
+// connsInOrder lists the open connections by ID.
 func (l *Limiter) connsInOrder() []*conn {
 	list := make([]*conn, 0, len(l.conns))
 	for _, c := range l.conns {
--- a/internal/limiter/counter.go
+++ b/internal/limiter/counter.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	maxCounterConns = 8  // connections to the counter, which holds 32 of a limiter
-	silentTimeouts  = 20 // a line whose first call is unanswered for so many time-outs is given up
-	pingTimeouts    = 40 // one that is idle for so many is pinged, before the counter closes it
+	maxCounterConns = 8  // connections to the counter, which accepts 32 from one limiter
+	silentTimeouts  = 20 // counter timeouts after which a connection with an unanswered call is closed
+	pingTimeouts    = 40 // counter timeouts after which an idle connection is pinged, before the counter closes it
 )
 
-// counterClient holds the connections to the counter.
+// counterClient manages the connections to the counter.
 type counterClient struct {
 	limiter    *Limiter
 	conns      []*counterConn
 	lastReply  int64 // when the counter last answered
-	loggedDown bool  // as logged: it has not for long
+	loggedDown bool  // the log says that the counter does not answer
 }
 
-// counterConn is one connection to the counter; answers come in the order of its calls.
+// counterConn is one connection to the counter. Answers come in the order of the calls.
 type counterConn struct {
 	client   *counterClient
 	conn     *conn
 	calls    []*counterCall
-	draining bool // the counter has moved: nothing new is written, and it is closed once all is answered
+	draining bool // the counter's address has changed: no new calls, closed once all are answered
 }
 
 type counterCall struct {
 	conn      *counterConn
 	name      uint64
 	amount    float64
-	lifetime  int64
+	lifetime  int64 // of the name on the counter, nanoseconds
 	madeAt    int64
 	timeout   *timer
 	ping      bool
-	endOffset int64 // the place of its last byte among all that was written, 0 before
-	answered  bool  // the controller has had its answer; a late one belongs to nobody
+	endOffset int64 // offset behind its last byte in its connection's output, 0 before it is written
+	answered  bool  // the controller has the result; a later answer is ignored
 }
 
-// connect dials one more line.
+// connect opens one more connection.
 func (cc *counterClient) connect() *counterConn {
 	cconn := &counterConn{client: cc}
 	cc.conns = append(cc.conns, cconn)
@@ -51,8 +51,8 @@
 	return cconn
 }
 
-// AddToCounter is an effect of the controller. Calls on one name that are out go on one line, so that they are
-// answered in their order.
+// AddToCounter implements choice.Effects. Calls on the same name that are in flight share a connection, so that they
+// are answered in order.
 func (l *Limiter) AddToCounter(name uint64, amount float64, lifetime int64) {
 	cc := &l.counter
 	c := &counterCall{name: name, amount: amount, lifetime: lifetime, madeAt: l.now}
@@ -60,7 +60,7 @@
 	c.timeout = l.schedule(l.now+l.settings.CounterTimeout, func() { c.conn.timeOut(c) })
 }
 
-// assign puts a call on a line.
+// assign adds a call to a connection, and writes it if the connection is up.
 func (cc *counterClient) assign(c *counterCall) {
 	cconn := cc.connFor(c.name)
 	c.conn, cconn.calls = cconn, append(cconn.calls, c)
@@ -69,7 +69,8 @@
 	}
 }
 
-// connFor chooses the connection for a call.
+// connFor picks the connection for a call: the one with a call on the same name, else the one with the fewest calls, or
+// a new one.
 func (cc *counterClient) connFor(name uint64) *counterConn {
 	var best *counterConn
 	active := 0
@@ -93,8 +94,8 @@
 	return best
 }
 
-// changeAddress goes to the counter's new address. What was written is answered on its old line, or ends with it; what
-// was not is written on a new one, once.
+// changeAddress switches to the counter's new address. Calls that were written wait for their answers on the old
+// connections; the others are written to a new connection, once.
 func (cc *counterClient) changeAddress() {
 	var waiting []*counterCall
 	for _, cconn := range slices.Clone(cc.conns) {
@@ -113,7 +114,7 @@
 	}
 }
 
-// closeIfDrained closes a line to the old address that nothing is out on any more.
+// closeIfDrained closes a connection to the old address if it has no calls in flight.
 func (cconn *counterConn) closeIfDrained() {
 	if cconn.draining && len(cconn.calls) == 0 {
 		cconn.client.limiter.closeConn(cconn.conn, IdleClosed)
@@ -131,7 +132,7 @@
 	c.endOffset = cconn.conn.bytesSent
 }
 
-// timeOut ends a call that has no answer in time. Where it was not written yet it never will be.
+// timeOut ends a call without an answer. If it was not written yet, it is never written.
 func (cconn *counterConn) timeOut(c *counterCall) {
 	if c.endOffset == 0 {
 		cconn.calls = slices.DeleteFunc(cconn.calls, func(other *counterCall) bool { return other == c })
@@ -139,7 +140,7 @@
 	cconn.client.finishCall(c, DeadlineExceeded.counterOutcome(c.endOffset > 0), 0)
 }
 
-// finishCall owes the controller the answer to a call, once.
+// finishCall queues a call's result for the controller. It does nothing for pings and calls that are finished.
 func (cc *counterClient) finishCall(c *counterCall, outcome choice.Outcome, total float64) {
 	if c.answered || c.ping {
 		return
@@ -156,7 +157,7 @@
 	}
 }
 
-// noteReply notes a sign of life.
+// noteReply records that the counter has answered.
 func (cc *counterClient) noteReply() {
 	cc.lastReply = cc.limiter.now
 	if cc.loggedDown {
@@ -212,7 +213,7 @@
 	}
 }
 
-// maintain gives up silent lines and keeps idle ones from being closed by the counter.
+// maintain closes connections that the counter does not answer on, and pings idle ones so that the counter keeps them.
 func (cc *counterClient) maintain() {
 	l := cc.limiter
 	for _, cconn := range slices.Clone(cc.conns) {
@@ -228,7 +229,7 @@
 	}
 }
 
-// hasPendingCalls tells whether a call is in flight that the controller waits for.
+// hasPendingCalls tells whether the controller waits for a call in flight.
 func (cc *counterClient) hasPendingCalls() bool {
 	for _, cconn := range cc.conns {
 		for _, c := range cconn.calls {
--- a/internal/limiter/discovery.go
+++ b/internal/limiter/discovery.go
@@ -12,40 +12,41 @@
 	"ospreycroft/internal/pollpacer"
 )
 
-var errThrottled = errors.New("discovery has turned the call away")
+var errThrottled = errors.New("discovery throttled the call")
 
-// failureLogInterval is how far apart lines on a failing discovery are in the log, nanoseconds.
+// failureLogInterval is the shortest time between log lines on a failing discovery, nanoseconds.
 const failureLogInterval = 1e9
 
-// discoveryClient is the connection to discovery.
+// discoveryClient polls discovery for the endpoint list over one connection.
 type discoveryClient struct {
 	limiter          *Limiter
 	conn             *conn
 	version          int64
-	completeLists    int64  // whole lists that were taken in
-	versionKnown     bool   // a list is held whose version discovery knows: what is newer is enough
-	responseTimer    *timer // until when the call that is out must be answered
-	responseReceived bool   // the connection has brought an answer
-	retryTimer       *timer // when it is dialled next, while it waits for that
+	completeLists    int64  // complete lists that were applied
+	versionKnown     bool   // discovery knows the version of the present list, so that a watch for changes is enough
+	responseTimer    *timer // when the outstanding call is given up
+	responseReceived bool   // the connection has brought a response
+	retryTimer       *timer // when to connect or call again; nil before the first wait
 	pacer            *pollpacer.Pacer
-	lastFailure      pollpacer.Failure // how the latest call ended, where it brought no list
-	revalidating     bool              // the process stood still: what there is has to be told at once
-	partialResponse  bool              // an answer has begun
-	confirmedAt      int64             // when the latest list, or word that nothing has changed, came; 0 before the first
-	serviceClock     int64             // the list service's clock in the answer that is taken, 0 where it does not tell
+	lastFailure      pollpacer.Failure // how the latest call without a list ended
+	revalidating     bool              // after a suspension: the next watch is answered at once
+	partialResponse  bool              // a response has begun and is not complete
+	confirmedAt      int64             // when discovery last sent or confirmed the list; 0 before the first time
+	serviceClock     int64             // discovery's clock in the response that is handled, 0 if it has none
 	failureLoggedAt  int64             // when a failure was last logged
-	// no call is out on the connection: with a stated budget the next one goes out at its time
+	// awaitingSlot: the connection is open without an outstanding call; with a call rate the next one waits for its
+	// slot.
 	awaitingSlot bool
 }
 
-// newDiscoveryClient makes the client, which makes its first call in start.
+// newDiscoveryClient makes the client; start makes its first call.
 func newDiscoveryClient(l *Limiter) discoveryClient {
 	pacer := pollpacer.New(l.now, l.settings.DialTimeout, max(l.settings.Position, 0), l.settings.PollInterval)
 	pacer.SetNotificationBound(l.settings.DrainGrace)
 	return discoveryClient{limiter: l, pacer: pacer}
 }
 
-// start makes the first call, or plans it.
+// start makes the first call, or schedules it.
 func (d *discoveryClient) start() {
 	if d.limiter.coldStart.hasCallRate() {
 		d.scheduleSlot()
@@ -59,7 +60,7 @@
 	d.connect()
 }
 
-// restore takes the list of the configuration, which may be old.
+// restore applies the list of the configuration, which may be out of date. Errors: one that begins with the key, known.
 func (d *discoveryClient) restore(text []byte) error {
 	if len(text) == 0 || string(text) == "null" {
 		return d.restoreList(nil)
@@ -67,7 +68,7 @@
 	list, err := discovery.DecodeList(text)
 	var refused *discovery.ListRefusedError
 	if errors.As(err, &refused) && refused.Key == "instances" && refused.Server == "" {
-		return d.restoreList(nil) // no server is known yet, which ends no start: discovery is asked
+		return d.restoreList(nil) // without servers the limiter starts all the same and asks discovery for the list
 	}
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
@@ -75,7 +76,7 @@
 	return d.restoreList(list)
 }
 
-// restoreList begins with a list, nil for none.
+// restoreList starts with a list, nil for none.
 func (d *discoveryClient) restoreList(list *discovery.List) error {
 	versionValid := list != nil
 	if d.limiter.coldStart != nil {
@@ -83,13 +84,13 @@
 	}
 	if list != nil {
 		list.Complete = true
-		d.versionKnown = versionValid // what is newer is enough: a whole list costs discovery as much as several watches
+		d.versionKnown = versionValid // a complete list costs discovery as much as several watches
 		d.applyList(list, coldstart.ListRestored)
 	}
 	return nil
 }
 
-// scheduleSlot makes the next call when a stated budget allows it.
+// scheduleSlot makes the next call at this limiter's slot.
 func (d *discoveryClient) scheduleSlot() {
 	d.limiter.timers.cancel(d.retryTimer)
 	if at := d.limiter.coldStart.start.NextSlot(); at > d.limiter.now {
@@ -99,7 +100,7 @@
 	d.onSlot()
 }
 
-// onSlot: it is time for a call, or long past it.
+// onSlot makes the call of a slot, or waits for another slot if this one passed too long ago.
 func (d *discoveryClient) onSlot() {
 	if d.limiter.coldStart.start.MissedSlot(d.limiter.now) {
 		d.limiter.coldStart.step(coldstart.Event{Kind: coldstart.SlotMissed})
@@ -123,7 +124,7 @@
 
 func (d *discoveryClient) onConnected() { d.poll() }
 
-// poll calls for the whole list first and then waits for what is newer.
+// poll asks for the complete list if the version is not known, else for changes since the version.
 func (d *discoveryClient) poll() {
 	l := d.limiter
 	var hold, timeout int64
@@ -131,7 +132,7 @@
 		hold, timeout = d.pacer.NextPoll(l.now, !d.versionKnown)
 	} else {
 		d.responseReceived = false
-		d.lastFailure = pollpacer.Failed // each call counts for itself
+		d.lastFailure = pollpacer.Failed // with slots each call is judged on its own, not each connection
 		if d.versionKnown {
 			hold, _ = l.coldStart.start.HoldTime(l.now)
 		}
@@ -151,13 +152,14 @@
 	d.setResponseTimeout(l.now + timeout)
 }
 
-// setResponseTimeout gives the call that is out up at a time.
+// setResponseTimeout sets when the outstanding call is given up, which closes the connection.
 func (d *discoveryClient) setResponseTimeout(at int64) {
 	d.limiter.timers.cancel(d.responseTimer)
 	d.responseTimer = d.limiter.schedule(at, func() { d.limiter.closeConn(d.conn, NoResponse) })
 }
 
-// logFailure logs a failure, if none was lately: an agent on the own machine is asked again many times a second.
+// logFailure logs a failure at most once in failureLogInterval: an agent on the same machine is called many times a
+// second.
 func (d *discoveryClient) logFailure(event string, attrs ...any) {
 	if d.failureLoggedAt == 0 || d.limiter.now-d.failureLoggedAt >= failureLogInterval {
 		d.failureLoggedAt = d.limiter.now
@@ -171,16 +173,16 @@
 	}
 	response, n, err := discovery.ReadResponse(b)
 	if err == nil && n == 0 && len(b) > 0 && !d.partialResponse {
-		// The rest of an answer is right behind; one that stops there would hide its news for the whole wait.
+		// The rest should follow at once. A response that stops there would hide changes for the whole hold time.
 		d.partialResponse = true
 		d.setResponseTimeout(min(d.responseTimer.at, d.limiter.now+d.pacer.PartialResponseTimeout()))
 	}
-	if err != nil { // asked at once again, it would be as bad
+	if err != nil { // a call made again at once would fail again, so it waits as after a failure
 		d.logFailure("list-refused", hint.Attrs(err)...)
 		d.responseReceived = false
 		d.lastFailure = pollpacer.Failed
 	}
-	if err != nil || n == 0 || response.Status < 200 { // the answer itself comes behind a status of 1xx
+	if err != nil || n == 0 || response.Status < 200 { // the final response follows one with a status of 1xx
 		return n, err
 	}
 	err = d.handleResponse(response)
@@ -199,13 +201,13 @@
 	return n, nil
 }
 
-// handleResponse takes a whole answer: a list, or word that there is none.
+// handleResponse handles a complete response. Errors: errThrottled, and those of package discovery.
 func (d *discoveryClient) handleResponse(response discovery.Response) (err error) {
 	d.responseReceived = true
 	if response.Status == http.StatusServiceUnavailable || response.Status == http.StatusTooManyRequests {
 		d.logFailure("list-throttled", append([]any{"status", response.Status}, hint.Attrs(response.Err())...)...)
 		d.responseReceived = false
-		d.lastFailure = pollpacer.Throttled // what is held stays, and what is newer than that is asked for again
+		d.lastFailure = pollpacer.Throttled // the list and its version stay valid; the next call asks for changes since
 		return errThrottled
 	}
 	var list *discovery.List
@@ -214,7 +216,7 @@
 		list, err = discovery.DecodeList(response.Body)
 	}
 	if err != nil {
-		// The last good list stays. Asked at once again, it would be as bad.
+		// The last valid list stays in use. A call made again at once would fail again.
 		d.logFailure("list-refused", hint.Attrs(err)...)
 		d.versionKnown = false
 		d.responseReceived = false
@@ -222,7 +224,8 @@
 		return err
 	}
 	d.pacer.ResponseReceived(d.limiter.now)
-	// One that counts from anew behind the same address may hold what was never told here.
+	// A lower version is that of a discovery that began to count anew: changes may be missing, so the complete list is
+	// needed.
 	d.versionKnown = list.Complete || list.Version >= d.version
 	d.serviceClock = response.Date
 	d.applyList(list, coldstart.ListReceived)
@@ -237,14 +240,14 @@
 	return nil
 }
 
-// onClosed renews the connection: at once where it has served, else when the pace allows it.
+// onClosed reconnects: at once if the connection has brought a response, else after a backoff.
 func (d *discoveryClient) onClosed(reason CloseReason, _ int64) {
 	d.limiter.timers.cancel(d.responseTimer)
 	if d.awaitingSlot {
-		d.awaitingSlot = false // its next call waits for its time already
+		d.awaitingSlot = false // a timer for the slot is set already
 		return
 	}
-	if reason == PeerClosed && d.conn.open { // an answer without response length is whole only now
+	if reason == PeerClosed && d.conn.open { // a response without a length ends with the connection
 		if response, n, err := discovery.ReadClosedResponse(d.conn.input.Bytes()); err == nil && n > 0 {
 			_ = d.handleResponse(response)
 		}
@@ -265,7 +268,7 @@
 	d.connect()
 }
 
-// revalidate asks at once what has changed. Before the first call of all there is nothing to ask anew.
+// revalidate asks at once what changed during a suspension. Before the first call there is nothing to revalidate.
 func (d *discoveryClient) revalidate() {
 	if d.conn == nil {
 		return
@@ -280,8 +283,8 @@
 	d.connect()
 }
 
-// changeAddress goes to discovery's new address, which may count its lists otherwise: the whole of it is asked for there,
-// and the last good one holds meanwhile.
+// changeAddress switches to discovery's new address. Versions may differ there, so the complete list is asked for; the
+// present one stays in use until it comes.
 func (d *discoveryClient) changeAddress() {
 	d.versionKnown = false
 	d.pacer.ServiceMoved(d.limiter.now)
@@ -297,8 +300,7 @@
 		d.limiter.closeConn(d.conn, IdleClosed)
 		return
 	}
-	// It waits for its turn at the old address. What the new one has to tell counts as notified before that may be
-	// over.
+	// The client waits to call the old address. Changes at the new one may count as notified before that wait is over.
 	d.limiter.timers.cancel(d.retryTimer)
 	if d.limiter.coldStart.hasCallRate() {
 		d.scheduleSlot()
--- a/internal/limiter/endpoints.go
+++ b/internal/limiter/endpoints.go
@@ -8,7 +8,7 @@
 	"ospreycroft/internal/discovery"
 )
 
-// applyList takes a list in: addresses for the pools, the rest for the controller.
+// applyList applies a list: addresses go to the pools, the rest to the controller.
 func (d *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
 	l := d.limiter
 	d.version = list.Version
@@ -38,7 +38,7 @@
 		slog.Info("list", "generation", list.Version, "complete", list.Complete, "entries", len(endpoints))
 		l.controller.UpdateEndpoints(l.now, list.Complete, endpoints)
 	}
-	// Only now, or the controller would send what is taken back to the same server again.
+	// Only after UpdateEndpoints: before it, the controller would retry the cancelled attempts on the same server.
 	for _, pool := range outdated {
 		pool.closeUnused()
 		pool.forgetIfEmpty()
@@ -48,8 +48,8 @@
 	}
 }
 
-// update takes in an entry of the list, and tells whether connections of the pool that are not in use are to be
-// closed: its server leaves, or has moved.
+// update applies an entry of the list, and tells whether the pool's unused connections are to be closed: the server is
+// draining or gone, or its address has changed.
 func (p *serverPool) update(entry *discovery.Endpoint) (closeUnused bool) {
 	p.draining = entry.State != choice.EndpointReady
 	p.removed = entry.State == choice.EndpointGone
@@ -58,6 +58,7 @@
 		p.address = entry.Address
 	}
 	p.location = location{entry.Zone, entry.Cell}
-	p.closeLastUsedBefore(entry.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
+	// Connections to an earlier process of the server are still open here if its machine vanished.
+	p.closeLastUsedBefore(entry.StartedAt)
 	return closeUnused
 }
--- a/internal/limiter/events.go
+++ b/internal/limiter/events.go
@@ -2,34 +2,34 @@
 
 import "ospreycroft/internal/settings"
 
-// ConnID names a connection.
+// ConnID identifies a connection.
 type ConnID uint64
 
 // Event is something that happened on the sockets or to the process: one of the types below. Step does not keep it, so
-// that a caller's event costs no allocation.
+// that passing one need not allocate.
 type Event interface{ isEvent() }
 
 type (
-	// ClientAccepted says that a client has connected.
+	// ClientAccepted reports that a client has connected.
 	ClientAccepted struct{ Conn ConnID }
-	// Connected says that a connection that was dialled is up.
+	// Connected reports that a dialled connection is up.
 	Connected struct{ Conn ConnID }
-	// DataReceived says that bytes have come; Effects.Read gives them while the event is taken.
+	// DataReceived reports that bytes have come, which Effects.Read copies during this Step.
 	DataReceived struct {
 		Conn ConnID
-		Size int   // bytes
-		Age  int64 // how long ago the last of them came to this machine, nanoseconds
+		Size int   // number of bytes, above 0
+		Age  int64 // nanoseconds since the last of them reached this machine
 	}
-	// ConnClosed says that a connection has ended from the other side, or did not come up.
+	// ConnClosed reports that the peer has ended a connection, or a dial has failed.
 	ConnClosed struct {
 		Conn   ConnID
 		Reason CloseReason
 	}
-	// TimersDue says that the time of Effects.SetTimer has come.
+	// TimersDue reports that the time of the latest Effects.SetTimer has come.
 	TimersDue struct{}
-	// ShutdownRequested says that the process is to end gracefully.
+	// ShutdownRequested reports that the process is to shut down gracefully.
 	ShutdownRequested struct{}
-	// ConfigReloaded says that the configuration was replaced.
+	// ConfigReloaded reports that the configuration file was replaced.
 	ConfigReloaded struct{ Config *settings.Config }
 )
 
@@ -47,32 +47,34 @@
 
 func (ConfigReloaded) isEvent() {}
 
-// Effects are what the reducer asks of the sockets.
+// Effects are the operations that the reducer needs from the sockets. All durations are nanoseconds.
 type Effects interface {
-	// Dial begins a connection; Connected or Ended follows.
+	// Dial starts a connection; Connected or ConnClosed follows.
 	Dial(address string, timeout int64) ConnID
-	// Read copies the bytes that the present event told of.
+	// Read copies the bytes of the present DataReceived event.
 	Read(into []byte)
+	// Write sends bytes on a connection that is up, and does nothing if it has ended. It does not keep the slice.
 	Write(id ConnID, bytes []byte)
-	// Alive tells whether a connection that is up has not ended, as far as the sockets know; of one that was dialled,
-	// also whether all that has come on it was told.
+	// Alive tells whether a connection that is up is still open, as far as the sockets know. For a dialled one it also
+	// tells whether events have reported all bytes that came.
 	Alive(id ConnID) bool
-	// PeerGone tells whether a client has ended its connection, also where no event has told of that yet.
+	// PeerGone tells whether a client has disconnected, even if no event has reported it yet.
 	PeerGone(id ConnID) bool
-	// Written tells how many bytes the kernel has taken.
+	// Written is how many of a connection's bytes the kernel has taken.
 	Written(id ConnID) int64
-	// Close ends the connection, if it has not ended yet; no event follows. It tells how many bytes the
-	// kernel had taken, which will not become more.
+	// Close ends a connection if it is still open; no event follows. It returns how many bytes the kernel has taken,
+	// which is final.
 	Close(id ConnID) int64
-	// CloseGracefully ends a client's connection unless bytes have come on it that no event has told of yet, and tells
-	// whether it did. What was written arrives; what comes from then on is never read. It is broken off so long after,
-	// if the client does not end it, but not while its machine lacks bytes, which may last up to the longest time.
+	// CloseGracefully ends a client's connection, unless bytes have come that no event has reported yet, and tells
+	// whether it did. Output still arrives, input is no longer read. If the client does not close its side, the
+	// connection is shut down after a time, but not while its machine has output to acknowledge, which may take up to
+	// most.
 	CloseGracefully(id ConnID, after, most int64) bool
-	// HasBacklog tells whether some clients wait in the kernel to be let in.
+	// HasBacklog tells whether clients wait in the kernel to be accepted.
 	HasBacklog() bool
-	// SetTimer asks for Due at a time; only the latest wish counts.
+	// SetTimer asks for TimersDue at a time; it replaces the time set before.
 	SetTimer(at int64)
-	// WallClock is the machine's wall clock, nanoseconds of Unix time, which may step. The times that Step is given go on
-	// evenly from what it was at the start.
+	// WallClock is the machine's wall clock in nanoseconds of Unix time, which may be stepped. The times given to Step
+	// advance evenly from its value at the start.
 	WallClock() int64
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,13 +1,12 @@
-// Package limiter is one limiter without its sockets: it holds all state of the process and is the one reducer that
-// changes it.
+// Package limiter is one limiter without its sockets: the reducer that holds the state of the process.
 //
-// Step takes an Event (events.go), one at a time and always on the same goroutine. It turns events into calls on the
-// admission controller (package choice), does what the controller asks for, and asks for effects on the sockets
-// (Effects). It decides nothing about requests. Package sockets calls it in the process, the lab's simfleet in memory.
+// Step takes one Event (events.go) at a time, always on the same goroutine. It turns events into calls on the admission
+// controller (package choice), carries out what the controller asks for, and calls Effects for the sockets. Decisions
+// on requests are the controller's alone. Package sockets calls Step in the process; the lab's simfleet calls it in
+// memory.
 //
-// The state is divided among parts: clients (clients.go, client.go), requests and attempts, server pools, the counter
-// client, the discovery client with the endpoint list, the cold start, timers, and what a suspension of the process
-// and its shutdown need.
+// Each part of the state has a file: clients (clients.go, client.go), requests and attempts, server pools, the counter
+// client, the discovery client with the endpoint list, the cold start, timers, suspension and shutdown.
 package limiter
 
 import (
@@ -17,18 +16,18 @@
 	"ospreycroft/internal/settings"
 )
 
-// Limiter is one real limiter. Each part of its state has an owner of its own; the parts call each other, and the
-// controller, through their methods. It is not safe for concurrent use.
+// Limiter is the reducer of one limiter. Its parts call each other and the controller through methods only. It is not
+// safe for concurrent use.
 type Limiter struct {
 	config     *settings.Config
 	settings   *settings.Settings
 	effects    Effects
 	controller *choice.Controller
-	now        int64 // of the event that is taken, nanoseconds
+	now        int64 // time of the event that is handled, nanoseconds
 
 	timers        timerQueue
-	conns         map[ConnID]*conn // all that have not ended, of clients, servers, the counter and discovery
-	bufferedBytes int64            // bytes of the connections' input buffers
+	conns         map[ConnID]*conn // open or being dialled, of all kinds of peers
+	bufferedBytes int64            // capacity of all input buffers, bytes
 	results       []pendingResult
 
 	clients    clientTable
@@ -36,7 +35,7 @@
 	servers    serverPools
 	counter    counterClient
 	discovery  discoveryClient
-	coldStart  *coldStart // nil where operators state nothing
+	coldStart  *coldStart // nil if the operator has set no options
 	readiness  readiness
 	suspension suspension
 	shutdown   shutdown
@@ -45,13 +44,14 @@
 	scratch    scratch
 }
 
-// scratch holds buffers that are used again and again.
+// scratch holds buffers that are reused.
 type scratch struct {
-	write []byte   // what is written next
-	words [][]byte // the words of the command that is read
+	write []byte   // output that is being encoded
+	words [][]byte // words of the command that is parsed
 }
 
-// pendingResult is what the controller is told once its present call is over.
+// pendingResult is a result that the controller is told after its present call has returned. counterReply,
+// healthChecked and disconnected tell its kind; if none is set, it is an attempt's.
 type pendingResult struct {
 	attempt       choice.AttemptResult
 	counterReply  bool
@@ -63,20 +63,20 @@
 }
 
 const (
-	// bufferMemoryDivisor: one byte of memory in so many may hold commands of requests, as many input buffers, as many answers
-	// that wait.
+	// bufferMemoryDivisor: commands of requests, input buffers, and output that waits for clients may each take this
+	// fraction of the memory limit, 1/8.
 	bufferMemoryDivisor = 8
-	// maintenancesPerIdleClose is how often idle connections are looked at in the time after which a server closes
-	// them.
+	// maintenancesPerIdleClose is how often maintain runs in the time after which a server closes an idle connection.
 	maintenancesPerIdleClose = 32
 )
 
-// New makes a limiter from its configuration. It knows the servers that the configuration lists.
+// New makes a limiter from its configuration, with the servers that this lists. Errors: see NewWithOptions.
 func New(now int64, config *settings.Config, effects Effects) (*Limiter, error) {
 	return NewWithOptions(now, config, OperatorOptions{}, effects)
 }
 
-// NewWithOptions makes a limiter that starts by what operators state beside its configuration.
+// NewWithOptions makes a limiter that starts with the operator's options. Errors: those of coldstart.New, and of a list
+// in the configuration that is invalid.
 func NewWithOptions(now int64, config *settings.Config, options OperatorOptions, effects Effects) (*Limiter, error) {
 	l := &Limiter{config: config, settings: config.Settings, effects: effects, now: now, conns: map[ConnID]*conn{}}
 	l.clients.limiter = l
@@ -109,7 +109,7 @@
 	return l, nil
 }
 
-// Step takes one event.
+// Step handles one event at a time now, in nanoseconds.
 func (l *Limiter) Step(now int64, event Event) {
 	l.observeClock(now)
 	switch e := event.(type) {
@@ -135,8 +135,8 @@
 	l.armTimer()
 }
 
-// deliverResults tells the controller what it is owed, in order; each call on it may bring more. Requests that are done
-// are forgotten behind the last.
+// deliverResults passes the queued results to the controller, in order; each call may queue more. Finished requests are
+// forgotten after the last one.
 func (l *Limiter) deliverResults() {
 	for i := 0; i < len(l.results); i++ {
 		switch result := l.results[i]; {
@@ -154,7 +154,7 @@
 	l.requests.forgetDone()
 }
 
-// maintain looks, at regular times, after idle connections, the cold start and the counts for the log.
+// maintain looks after idle connections, the cold start and the logged counts, and schedules itself again.
 func (l *Limiter) maintain() {
 	l.servers.closeExpiredIdle()
 	l.counter.maintain()
@@ -166,5 +166,5 @@
 	l.schedule(l.now+l.settings.IdleClose/maintenancesPerIdleClose, l.maintain)
 }
 
-// Log is an effect of the controller.
+// Log implements choice.Effects.
 func (l *Limiter) Log(text string) { slog.Info("decision", "text", text) }
--- a/internal/limiter/readiness.go
+++ b/internal/limiter/readiness.go
@@ -2,18 +2,19 @@
 
 import "log/slog"
 
-// maxReadyDelay: nine limiters in ten have to be ready within 10 s, less what it takes to start and to be asked.
+// maxReadyDelay: 90% of limiters have to be ready within 10 s of their start, which includes starting the process and
+// the client's poll. Nanoseconds.
 const maxReadyDelay = 9e9
 
-// readiness is whether clients may come.
+// readiness says whether the limiter is ready for clients.
 type readiness struct {
 	ready    bool
-	deadline int64 // when the limiter is ready at the latest, whatever the controller wants
+	deadline int64 // when the limiter becomes ready at the latest
 }
 
-// checkReady makes the limiter ready once discovery has told its list, or is down, so that the list of the
-// configuration must do. The controller may want more time, up to the deadline: what the parts of ceilings do not hold
-// by then is rejected, and they are not passed.
+// checkReady makes the limiter ready. It is called once discovery has sent its list, or a dial timeout after the start,
+// when the list of the configuration has to do. The controller may ask for more time, up to the deadline; requests
+// above this limiter's parts of the ceilings are then rejected, so that no ceiling is exceeded.
 func (l *Limiter) checkReady() {
 	at := min(l.controller.ReadyAt(), l.readiness.deadline)
 	if l.now < at {
--- a/internal/limiter/reload.go
+++ b/internal/limiter/reload.go
@@ -6,9 +6,9 @@
 	"ospreycroft/internal/settings"
 )
 
-// reload goes on by a configuration that has replaced the present one under load. Discovery and the counter may move;
-// what else differs holds from the next start on, each key with a line. A counter that the settings still have stays
-// where it is when none is named any more.
+// reload applies a configuration that has replaced the present one. Only the addresses of discovery and the counter
+// change; each other key that differs is logged and takes effect at the next start. If the settings use a counter and
+// the new configuration names none, its address stays.
 func (l *Limiter) reload(config *settings.Config) {
 	for _, key := range l.config.NeedRestart(config) {
 		slog.Warn("config-kept", "key", key)
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -11,14 +11,14 @@
 // requestTable holds the requests that are not forgotten yet.
 type requestTable struct {
 	byID map[string]*request
-	// done are the requests that are forgotten once the controller was told all that is pending. Until then it may still
-	// act on them: results wait behind others in one step, and delivering one can end the request of another.
+	// done holds the requests to forget once all queued results are delivered. Until then the controller may still act
+	// on them, as delivering one result can end the request of another.
 	done      []*request
-	heldBytes int64 // bytes of their commands
+	heldBytes int64 // bytes of the commands of all requests
 	lastEnd   int64 // when a request last ended
 }
 
-// requestState is where a request stands; move is the only function that changes it.
+// requestState is the state of a request; only endRequest changes it.
 type requestState uint8
 
 const (
@@ -26,10 +26,10 @@
 	stateSucceeded
 	stateRejected
 	stateFailed
-	stateClientGone // its client has gone
+	stateClientGone // the client has disconnected
 )
 
-// String gives the word for log lines.
+// String returns the word that log lines use.
 func (s requestState) String() string {
 	return [...]string{"accepted", "succeeded", "rejected", "failed", "client-gone"}[s]
 }
@@ -38,15 +38,15 @@
 	id       string
 	state    requestState
 	client   *client
-	answer   *answer // its place among the client's answers
+	answer   *answer // the client's pending answer
 	deadline int64
-	// How long a server knows the request again after an attempt, where it does; 0 else.
+	// How long after an attempt a server recognizes the request, nanoseconds; 0 if servers do not.
 	deduplicationWindow int64
-	deduplicationScope  choice.DeduplicationScope // and which servers do
+	deduplicationScope  choice.DeduplicationScope // which servers recognize it
 	attempts            []*attempt
-	openAttempts        int // attempts that are out
+	openAttempts        int // attempts that have not ended
 	bytes               int64
-	// The command as the client sent it: its words, and the third of them around the time that it gives.
+	// words is the client's command. Its third word is also split around the value of d, which each attempt replaces.
 	words                       [][]byte
 	beforeTimeout, afterTimeout []byte
 }
@@ -56,7 +56,7 @@
 	failedAnswer = []byte("-ERR written off\r\n")
 )
 
-// addRequest makes a request of a command; the words are copied, for they stand in the connection's buffer.
+// addRequest adds the request of a command. It copies the words, which lie in the connection's input buffer.
 func (l *Limiter) addRequest(cl *client, a *answer, words [][]byte, parsed *parsedRequest) *request {
 	size := 0
 	for _, w := range words {
@@ -84,7 +84,7 @@
 	return req
 }
 
-// endRequest is the only place where a request changes its state. A request ends once, with one answer to its client.
+// endRequest ends a request and answers its client. It does nothing if the request has ended, so each has one answer.
 func (l *Limiter) endRequest(req *request, final requestState, text []byte) {
 	if req.state != stateAccepted {
 		return
@@ -96,8 +96,8 @@
 		l.stats.outcomes.succeeded++
 	}
 	for _, att := range req.attempts {
-		// A command of which the kernel has only a part must not become whole after the request's end: this comes
-		// before the answer.
+		// An attempt of which the kernel has only a part must not be completed after the request's end, so its
+		// connection is closed before the answer is written.
 		if att.open && att.endOffset > 0 && l.effects.Written(att.conn.conn.id) < att.endOffset {
 			l.closeConn(att.conn.conn, AttemptCancelled)
 		}
@@ -108,14 +108,14 @@
 	l.forgetIfDone(req)
 }
 
-// forgetIfDone has a request that has ended and has nothing out forgotten, once the controller knows of its end.
+// forgetIfDone marks a request as done if it has ended and no attempt is open.
 func (l *Limiter) forgetIfDone(req *request) {
 	if req.state != stateAccepted && req.openAttempts == 0 {
 		l.requests.done = append(l.requests.done, req)
 	}
 }
 
-// forgetDone lets go of the requests that are done; the controller has been told all.
+// forgetDone forgets the requests that are done; all results have been delivered.
 func (t *requestTable) forgetDone() {
 	for _, req := range t.done {
 		if t.byID[req.id] == req {
@@ -127,7 +127,7 @@
 	t.done = t.done[:0]
 }
 
-// appendCommand writes the request's command with the time that is left.
+// appendCommand appends the request's command, with the time left as the value of d.
 func (r *request) appendCommand(to []byte, now int64) []byte {
 	left := strconv.AppendInt(nil, max(1, (r.deadline-now)/1e6), 10)
 	list := bytes.Join([][]byte{r.beforeTimeout, left, r.afterTimeout}, nil)
@@ -135,7 +135,7 @@
 	return resp.AppendCommand(to, append(words, r.words[wordBody:]...)...)
 }
 
-// Reject is an effect of the controller.
+// Reject implements choice.Effects.
 func (l *Limiter) Reject(id string, retryAfter int64, cause choice.RejectReason) {
 	l.stats.outcomes.rejected[cause]++
 	l.trace.add(traceRecord{at: l.now, kind: traceRejected, request: id, detail: cause.String()})
@@ -149,7 +149,7 @@
 	}
 }
 
-// Fail is an effect of the controller.
+// Fail implements choice.Effects.
 func (l *Limiter) Fail(id string) {
 	if req := l.requests.byID[id]; req != nil {
 		l.endRequest(req, stateFailed, failedAnswer)
--- a/internal/limiter/server_answer.go
+++ b/internal/limiter/server_answer.go
@@ -8,15 +8,18 @@
 	"ospreycroft/internal/resp"
 )
 
-// maxReportValue is the largest figure of a load report that is believed, the protocol's largest amount.
+// maxReportValue is the largest valid value in a load report, the largest amount in the protocol.
 const maxReportValue = 1e9
 
-// decodeAnswer tells what a server's answer means and its value: the true units, so many at most, and the load report
-// where it gives them.
+// decodeAnswer returns the outcome and the value in a server's answer. A successful one may give the actual units, at
+// most maxUnits, and the load report.
 func decodeAnswer(v resp.Value, maxUnits float64) (reply choice.AttemptResult, value []byte) {
 	switch {
 	case v.Kind == '*':
-		reply = choice.AttemptResult{Outcome: choice.Succeeded, ActualUnits: reportField(v.List[1].Text, "cost", maxUnits)}
+		reply = choice.AttemptResult{
+			Outcome:     choice.Succeeded,
+			ActualUnits: reportField(v.List[1].Text, "cost", maxUnits),
+		}
 		if len(v.List) > 2 {
 			reply.Load.InFlight = reportField(v.List[2].Text, "outstanding", maxReportValue)
 			reply.Load.Throughput = reportField(v.List[2].Text, "throughput", maxReportValue)
@@ -30,8 +33,8 @@
 	return choice.AttemptResult{Outcome: choice.ServerError}, nil
 }
 
-// reportField finds one of the figures on use or load by its name. One that cannot be right counts as none, 0: settled,
-// it would spoil the customer's account for good.
+// reportField finds a field of the usage or load report by its name. A missing or invalid value, or one above limit, is
+// 0: settled with the counter, it would corrupt the customer's account for good.
 func reportField(report []byte, wanted string, limit float64) float64 {
 	for _, field := range bytes.Split(report, []byte(",")) {
 		if name, value, _ := bytes.Cut(field, []byte("=")); string(name) == wanted {
--- a/internal/limiter/server_conn.go
+++ b/internal/limiter/server_conn.go
@@ -10,29 +10,30 @@
 	"ospreycroft/internal/resp"
 )
 
-// promptCloseDivisor: an end within this part of a dial time-out is the answer to a command's first byte.
+// promptCloseDivisor: a close within this fraction of a dial timeout, 1/8, is the peer's response to a command's first
+// byte.
 const promptCloseDivisor = 8
 
-// serverConn is one connection to a server, with at most one command out on it: one behind another would wait for the
-// other's answer.
+// serverConn is one connection to a server. It carries one command at a time, as a second one would wait for the first
+// one's answer.
 type serverConn struct {
 	pool             *serverPool
 	address          string
 	conn             *conn
 	attempt          *attempt
-	healthCheckTimer *timer        // until when the health check that is out must be answered, nil if none is
-	responseTimer    *timer        // until when an answer that has begun must be whole
-	idleTime         int64         // how long it had been idle before the command that is out, 0 where it is new
-	writtenAt        int64         // when that was written
-	idleElement      *list.Element // in the limiter's list of idle connections, nil while it is in use
+	healthCheckTimer *timer        // deadline of the health check in flight, nil if there is none
+	responseTimer    *timer        // deadline for the rest of an answer that has begun
+	idleTime         int64         // how long it was idle before its present command, 0 if it is new
+	writtenAt        int64         // when the present command was written
+	idleElement      *list.Element // in serverPools.idle, nil while the connection is in use
 }
 
 var (
-	errUnexpectedResponse = errors.New("an answer that nobody asked for")
-	errEarlyResponse      = errors.New("an answer to a command of which the kernel has only a part")
+	errUnexpectedResponse = errors.New("answer without a command or call in flight")
+	errEarlyResponse      = errors.New("answer to a command that is not fully written")
 )
 
-// onConnected writes the command that the connection was opened or taken for.
+// onConnected writes the command for which the connection was opened or reused.
 func (sc *serverConn) onConnected() {
 	l := sc.pool.limiter
 	sc.dropEndedAttempt()
@@ -55,9 +56,8 @@
 	}
 }
 
-// dropEndedAttempt ends the connection's attempt if its request has ended while the connection came up, so that
-// nothing may be sent for it any more, or if it is too late for the attempt: it was decided on before the process
-// stood still.
+// dropEndedAttempt ends the connection's attempt if it must not be written any more: its request has ended while the
+// connection came up, its server is draining, or the attempt is outdated.
 func (sc *serverConn) dropEndedAttempt() {
 	l := sc.pool.limiter
 	att := sc.attempt
@@ -67,7 +67,7 @@
 	if att.request.state == stateAccepted {
 		att.request.client.closeIfGone()
 	}
-	att = sc.attempt // none is left where the client has gone
+	att = sc.attempt // nil if the client has disconnected
 	if att == nil {
 		return
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// limitPartialRetry closes the connection in time where the kernel has only a part of a repeat: it must not become
-// whole once servers do not know the request again.
+// limitPartialRetry closes the connection once servers no longer recognize the request if the kernel then still has
+// only a part of the retry: a retry completed later could run the request twice.
 func (sc *serverConn) limitPartialRetry(att *attempt) {
 	l := sc.pool.limiter
 	if !sc.partlyWritten(att) || att.deduplicatedUntil() == math.MaxInt64 {
@@ -91,13 +91,14 @@
 	})
 }
 
-// partlyWritten tells whether an attempt is out of which the kernel has only a part.
+// partlyWritten tells whether the attempt is open and the kernel has only a part of it.
 func (sc *serverConn) partlyWritten(att *attempt) bool {
 	return att.open && att.endOffset > 0 && sc.pool.limiter.effects.Written(sc.conn.id) < att.endOffset
 }
 
-// closeOverduePartialWrites breaks off the attempts of which the kernel has only a part and whose time is over. Timers do that
-// as a rule, but do not run right behind a suspension, and the rest must not go out meanwhile.
+// closeOverduePartialWrites closes the connections of attempts that are past their time and of which the kernel has
+// only a part. Timers would do so, but they do not run right after a suspension, and the rest must not be sent
+// meanwhile.
 func (s *serverPools) closeOverduePartialWrites() {
 	l := s.limiter
 	for _, c := range l.connsInOrder() {
@@ -111,7 +112,7 @@
 	}
 }
 
-// release keeps the connection for the next command, if the server is to get any.
+// release keeps the connection for the next command, or closes it if the server is draining or its address has changed.
 func (sc *serverConn) release() {
 	if sc.pool.draining || sc.address != sc.pool.address {
 		sc.pool.limiter.closeConn(sc.conn, IdleClosed)
@@ -121,7 +122,7 @@
 	sc.idleElement = sc.pool.limiter.servers.idle.PushBack(sc)
 }
 
-// removeFromIdle takes the connection out of the idle ones, if it is one.
+// removeFromIdle takes the connection out of the idle ones, if it is idle.
 func (sc *serverConn) removeFromIdle() {
 	sc.pool.idle = without(sc.pool.idle, sc)
 	if sc.idleElement != nil {
@@ -130,7 +131,7 @@
 	}
 }
 
-// without is a list of connections without one of them.
+// without returns a list of connections without one of them. It reuses the list's array.
 func without(all []*serverConn, one *serverConn) []*serverConn {
 	if i := slices.Index(all, one); i >= 0 {
 		return slices.Delete(all, i, i+1)
@@ -138,7 +139,7 @@
 	return all
 }
 
-// onData takes the answer to the command that is out.
+// onData handles the answer to the command in flight.
 func (sc *serverConn) onData(bytes []byte) (int, error) {
 	if len(bytes) == 0 {
 		return 0, nil
@@ -172,14 +173,14 @@
 	}
 	switch {
 	case early:
-		l.closeConn(sc.conn, AttemptCancelled) // the rest of the command must not follow
+		l.closeConn(sc.conn, AttemptCancelled) // the rest of the command must not be sent
 	case l.conns[sc.conn.id] == sc.conn:
 		sc.release()
 	}
 	return n, nil
 }
 
-// startResponseTimer bounds how long the rest of an answer may take. The rest of a good answer is right behind; a malformed one
+// startResponseTimer bounds how long the rest of an answer may take. It normally follows at once; a malformed answer
 // would hold its request until the deadline.
 func (sc *serverConn) startResponseTimer() {
 	l := sc.pool.limiter
@@ -188,8 +189,8 @@
 	}
 }
 
-// handleAnswer ends the attempt by its answer. early says that the kernel has only a part of the command, so that a
-// server can only have rejected it.
+// handleAnswer ends the attempt with its answer. early says that the kernel has only a part of the command: the server
+// can only have rejected it, and any other answer is errEarlyResponse.
 func (sc *serverConn) handleAnswer(value resp.Value, early bool) error {
 	l := sc.pool.limiter
 	att := sc.attempt
@@ -205,7 +206,7 @@
 	return nil
 }
 
-// endHealthCheck ends the health check that is out, and owes the controller its outcome.
+// endHealthCheck ends the health check in flight and queues its outcome for the controller.
 func (sc *serverConn) endHealthCheck(outcome choice.Outcome) {
 	l := sc.pool.limiter
 	l.timers.cancel(sc.healthCheckTimer)
@@ -213,7 +214,7 @@
 	l.results = append(l.results, pendingResult{healthChecked: sc.pool.id, outcome: outcome})
 }
 
-// onClosed ends what was out on the connection.
+// onClosed ends the attempt or health check on the connection.
 func (sc *serverConn) onClosed(reason CloseReason, written int64) {
 	l := sc.pool.limiter
 	att := sc.attempt
@@ -223,9 +224,9 @@
 	sc.removeFromIdle()
 	inUse := att != nil || sc.healthCheckTimer != nil
 	if inUse && reason != ConnRefused && reason != ProtocolError {
-		// What is still idle may be as dead, where a machine has vanished and says nothing: a command on it might have
-		// run for all we know, while one for which no connection comes up has not. A server that writes nonsense is
-		// not dead.
+		// If the server's machine has vanished without notice, its idle connections are dead too. An attempt written to
+		// one may have run as far as can be known, while one that cannot connect has not. A refused connection or
+		// malformed data does not mean that the machine has vanished.
 		sc.pool.closeIdle()
 	}
 	if reason == ProtocolError {
@@ -244,7 +245,7 @@
 	sc.pool.forgetIfEmpty()
 }
 
-// endedWhileIdle tells whether the server had closed the connection, without notice, before its latest command came.
+// endedWhileIdle tells whether the server had closed the connection, unnoticed here, before its latest command.
 func (sc *serverConn) endedWhileIdle(reason CloseReason) bool {
 	l := sc.pool.limiter
 	closedByServer := reason == PeerReset || reason == PeerClosed
--- a/internal/limiter/server_pools.go
+++ b/internal/limiter/server_pools.go
@@ -11,34 +11,37 @@
 )
 
 const (
-	// serverDescriptorDivisor: one descriptor in so many is for connections to servers.
+	// serverDescriptorDivisor: connections to servers may hold this fraction of the descriptors, 1/4.
 	serverDescriptorDivisor = 4
-	// reuseIdleDecreaseDivisor: the time for which an idle connection is trusted is shortened by this part when one turns out
-	// to have ended without notice.
+	// reuseIdleDecreaseDivisor: maxReuseIdle decreases by this fraction, 1/4, when a connection turns out to have ended
+	// while it was idle.
 	reuseIdleDecreaseDivisor = 4
-	// reuseIdleIncreaseDivisor: it is lengthened by this part when a connection still serves near its end, and at regular
-	// times.
+	// reuseIdleIncreaseDivisor: maxReuseIdle increases by this fraction, 1/16, when a connection idle for more than
+	// half of it still serves, and at each maintenance.
 	reuseIdleIncreaseDivisor = 16
-	// reuseDelayTicks is for how many ticks of the clock a connection has to be idle before its next command.
+	// reuseDelayTicks is how many timer ticks a connection has to be idle before it is reused.
 	reuseDelayTicks = 8
 )
 
-// serverPools holds the connections to servers, in a pool for each.
+// serverPools holds the connections to servers, in one pool for each server.
 type serverPools struct {
 	limiter      *Limiter
-	pools        map[string]*serverPool // by the server's id
+	pools        map[string]*serverPool // by the server's ID
 	poolsSeen    int64                  // servers that were ever listed
-	connCount    int                    // connections to servers
-	idle         list.List              // those that are idle, the one used last at the end
-	maxReuseIdle int64                  // how long a connection may be idle and be used again, nanoseconds
+	connCount    int                    // connections to servers, including those being dialled
+	idle         list.List              // idle connections, the least recently used first
+	maxReuseIdle int64                  // how long a connection may be idle and still be reused, nanoseconds
 }
 
-// lengthenReuseIdle trusts idle connections for a little longer.
+// lengthenReuseIdle increases maxReuseIdle, up to a fraction of the time after which servers close idle connections.
 func (s *serverPools) lengthenReuseIdle() {
-	s.maxReuseIdle = min(s.maxReuseIdle+s.maxReuseIdle/reuseIdleIncreaseDivisor, s.limiter.settings.IdleClose/idleCloseDivisor)
+	s.maxReuseIdle = min(
+		s.maxReuseIdle+s.maxReuseIdle/reuseIdleIncreaseDivisor,
+		s.limiter.settings.IdleClose/idleCloseDivisor,
+	)
 }
 
-// shortenReuseIdle trusts them for a shorter time.
+// shortenReuseIdle decreases maxReuseIdle, to two timer ticks at least.
 func (s *serverPools) shortenReuseIdle() {
 	s.maxReuseIdle = max(s.maxReuseIdle-s.maxReuseIdle/reuseIdleDecreaseDivisor, 2*s.limiter.settings.TimerResolution)
 }
@@ -49,18 +52,18 @@
 	id       string
 	address  string
 	location location
-	// reportedStart is when a list said that the server started, by the wall clock, and startedAt the same by the limiter's
+	// reportedStart is the server's start as listed, by a wall clock; startedAt is the same by the limiter's clock.
 	reportedStart, startedAt int64
-	listOrder                int64            // in the order in which the limiter met its servers
-	lastListedIn             int64            // the latest whole list that names it
-	conns                    []*serverConn    // its connections, idle or not, in the order in which they were dialled
-	idle                     []*serverConn    // the one used last at the end
-	draining                 bool             // it drains or is gone: no connection to it is kept
-	removed                  bool             // it is let go of once there is none
-	newConnBucket            coldstart.Bucket // of new connections, without bound where none is stated
+	listOrder                int64            // rank in the order in which servers were first listed
+	lastListedIn             int64            // number of the latest complete list that names the server
+	conns                    []*serverConn    // idle or in use, in the order in which they were dialled
+	idle                     []*serverConn    // the least recently used first
+	draining                 bool             // the server is draining or gone: connections are not kept
+	removed                  bool             // the server is gone: the pool is forgotten once it is empty
+	newConnBucket            coldstart.Bucket // limits new connections; zero without an operator's bound
 }
 
-// addPool makes the pool of a server that was not listed yet, one of so many.
+// addPool adds the pool of a server that was not listed yet; servers is the number of servers listed.
 func (s *serverPools) addPool(id string, servers int) *serverPool {
 	s.poolsSeen++
 	p := &serverPool{
@@ -73,7 +76,8 @@
 	return p
 }
 
-// markMissing are the servers that a whole list does not name, which are gone, in the order in which they were met.
+// markMissing marks the servers that the complete list with this number does not name as gone, and returns them in the
+// order in which they were first listed.
 func (s *serverPools) markMissing(listNumber int64) (missing []*serverPool) {
 	for _, p := range s.pools {
 		if p.lastListedIn != listNumber {
@@ -86,7 +90,7 @@
 	return missing
 }
 
-// closeOldestIdle closes the connection to a server that has been idle longest.
+// closeOldestIdle closes the connection that has been idle longest, and tells whether there was one.
 func (s *serverPools) closeOldestIdle() bool {
 	oldest := s.idle.Front()
 	if oldest == nil {
@@ -96,20 +100,24 @@
 	return true
 }
 
-// closeExpiredIdle closes the connections to servers that have been idle for long: a command that crosses with the
-// server's closing counts as sent.
+// closeExpiredIdle closes connections that have been idle for too long to be reused. The server may close them soon,
+// and a command that crosses with the close counts as sent.
 func (s *serverPools) closeExpiredIdle() {
-	for e := s.idle.Front(); e != nil && e.Value.(*serverConn).conn.lastUsed < s.limiter.now-s.maxReuseIdle; e = s.idle.Front() {
+	for e := s.idle.Front(); e != nil &&
+		e.Value.(*serverConn).conn.lastUsed < s.limiter.now-s.maxReuseIdle; e = s.idle.Front() {
 		s.limiter.closeConn(e.Value.(*serverConn).conn, IdleClosed)
 	}
 }
 
-// acquire takes the connection that was used last or opens one; nil if there is no descriptor for it or no more may be
-// opened. One that has just brought an answer rests first: what a server sends too much comes some milliseconds
-// behind, and would be taken for the answer to the next command.
+// acquire reuses the most recently used connection or opens one. It returns nil if no descriptor is left or no new
+// connection is allowed. A connection that has just brought an answer is not reused at once: surplus bytes from a
+// server come some milliseconds after the answer, and would be taken for the answer to the next command.
 func (p *serverPool) acquire() *serverConn {
 	l := p.limiter
-	reuseDelay := max(l.settings.TimerResolution, min(reuseDelayTicks*l.settings.TimerResolution, l.servers.maxReuseIdle/2))
+	reuseDelay := max(
+		l.settings.TimerResolution,
+		min(reuseDelayTicks*l.settings.TimerResolution, l.servers.maxReuseIdle/2),
+	)
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		sc := p.idle[i]
 		sc.idleTime = l.now - sc.conn.lastUsed
@@ -130,9 +138,10 @@
 	return sc
 }
 
-// withConn takes a connection for a command that begin puts on it: at once where it is open, else when it comes up.
-// One that had ended already, which the sockets have yet to tell, took nothing of the command: the next one is
-// tried, or the server would be blamed for closing an idle connection.
+// withConn acquires a connection for a command, which assign puts on it. The command is written at once if the
+// connection is up, else when it comes up. withConn tells whether there was a connection. One that has ended, though no
+// event has reported it, is skipped: nothing was written, and the server must not be blamed for closing an idle
+// connection.
 func (p *serverPool) withConn(assign func(sc *serverConn)) bool {
 	for {
 		sc := p.acquire()
@@ -165,26 +174,29 @@
 	}
 }
 
-// HealthCheck is an effect of the controller: the server answers a command that does no work.
+// HealthCheck implements choice.Effects. It sends a command that does no work on the server.
 func (l *Limiter) HealthCheck(server string) {
 	assign := func(sc *serverConn) {
-		sc.healthCheckTimer = l.schedule(l.now+l.settings.DialTimeout, func() { l.closeConn(sc.conn, DeadlineExceeded) })
+		sc.healthCheckTimer = l.schedule(
+			l.now+l.settings.DialTimeout,
+			func() { l.closeConn(sc.conn, DeadlineExceeded) },
+		)
 	}
 	if p := l.servers.pools[server]; p == nil || !p.withConn(assign) {
 		l.results = append(l.results, pendingResult{healthChecked: server, outcome: NoConnection.outcome(false)})
 	}
 }
 
-// forgetIfEmpty lets go of a server that is gone once nothing is open to it: on a day on which all servers are
-// replaced, again and again, they would fill the memory.
+// forgetIfEmpty forgets a server that is gone and has no connections. Without this, servers that are replaced again and
+// again would fill the memory.
 func (p *serverPool) forgetIfEmpty() {
 	if l := p.limiter; p.removed && len(p.conns) == 0 && l.servers.pools[p.id] == p {
 		delete(l.servers.pools, p.id)
 	}
 }
 
-// closeUnused ends what is not in use of the connections to a server that drains or is gone. An attempt whose
-// connection is not up yet is taken back: by the time it is up the grace may be over.
+// closeUnused closes the idle connections to a server that is draining, gone or has a new address, and those being
+// dialled. Their attempts are cancelled, as the drain grace may be over by the time the dial succeeds.
 func (p *serverPool) closeUnused() {
 	p.closeIdle()
 	for _, sc := range slices.Clone(p.conns) {
@@ -196,7 +208,7 @@
 
 func (p *serverPool) closeIdle() { p.closeLastUsedBefore(math.MaxInt64) }
 
-// closeLastUsedBefore ends the connections that have been idle since before a time.
+// closeLastUsedBefore closes the idle connections that were last used before a time.
 func (p *serverPool) closeLastUsedBefore(at int64) {
 	for len(p.idle) > 0 && p.idle[0].conn.lastUsed < at {
 		p.limiter.closeConn(p.idle[0].conn, IdleClosed)
--- a/internal/limiter/server_start.go
+++ b/internal/limiter/server_start.go
@@ -1,32 +1,33 @@
 package limiter
 
-// Lists tell servers' starts by the machines' wall clock, which may be stepped before or while the limiter runs: its own
-// clock goes on evenly from what the wall clock showed at its start. Taken as it is told, a start can look an hour old, and
-// its server would get a warm one's load from all limiters; or it lies in the future, and its server looks cold until the
-// limiter's clock has made up for that. So a start is converted when it is first told.
+// Lists give servers' starts by the wall clocks of machines, which may be stepped before or while the limiter runs. The
+// limiter's own clock advances evenly from the wall clock's value at its start. Without a conversion, a start could
+// seem to be an hour ago, and all limiters would send the server a warm one's load; or it could lie in the future, and
+// the server would seem cold until the limiter's clock got there. So each start is converted when it is first listed.
 
 const (
-	// maxClockSkew is how far clocks may be apart without a step, nanoseconds.
+	// maxClockSkew is how far clocks differ at most without a step, nanoseconds.
 	maxClockSkew = 2e9
-	// maxListDelay is how long after a server's start the list tells of it.
+	// maxListDelay is how long after a server's start the list names it at the latest, nanoseconds.
 	maxListDelay = 6e9
-	// maxOutage: a list service that was away tells later; but not of a start so long before its latest list.
+	// maxOutage: after an outage discovery lists servers later, but none that started longer than this before its
+	// latest list. Nanoseconds.
 	maxOutage = 30e9
 )
 
-// startClock converts servers' starts, as they are told now, to the limiter's clock.
+// startClock converts servers' starts in the present list to the limiter's clock.
 type startClock struct {
 	now int64
-	// readings are other clocks' readings of now, by which a start may have been stamped: this machine's wall clock, and
-	// the list service's.
+	// readings are the present readings of the clocks that may have stamped a start: this machine's wall clock, and
+	// discovery's clock.
 	readings []int64
-	// confirmedAt is when the latest list came that did not name the server, 0 where there was none, or the list service's
+	// confirmedAt is when the latest list before this one came, nanoseconds; 0 if there was none, or if discovery's
 	// clock agrees with the limiter's.
 	confirmedAt int64
 }
 
-// startClock is what starts are converted by, those of the list that is applied. received tells that the list service has
-// just told it.
+// startClock returns the conversion for the list that is being applied. received tells that discovery has just sent the
+// list.
 func (d *discoveryClient) startClock(received bool) startClock {
 	now := d.limiter.now
 	clock := startClock{now: now, readings: []int64{d.limiter.effects.WallClock()}}
@@ -43,10 +44,10 @@
 	return clock
 }
 
-// differs tells whether a clock's reading is so far from the limiter's that one of them was stepped.
+// differs tells whether a clock's reading is so far from the limiter's clock that one of them was stepped.
 func differs(clock, now int64) bool { return clock-now > maxClockSkew || now-clock > maxClockSkew }
 
-// anyDiffers tells whether some clock was.
+// anyDiffers tells whether any of the clocks differs.
 func (c *startClock) anyDiffers() bool {
 	for _, reading := range c.readings {
 		if differs(reading, c.now) {
@@ -56,9 +57,9 @@
 	return false
 }
 
-// toLocal converts a start. Where a clock was stepped it cannot be known whether the start was stamped before the step or
-// behind it, and the later of both that has come is taken: a server that is taken for cold gets too little for a while, one
-// that is taken for warm may fall.
+// toLocal converts a start. After a step it cannot be known whether the start was stamped before it or after, so the
+// later of both times that is not in the future is used. A server wrongly taken for cold gets too little load for a
+// while; one wrongly taken for warm may be overloaded.
 func (c *startClock) toLocal(reported int64) int64 {
 	start := reported
 	for _, reading := range c.readings {
@@ -79,8 +80,8 @@
 	return start
 }
 
-// observeStart takes in when a list says that the server started, 0 for long ago, and gives that by the limiter's clock. A
-// start that was told before keeps its time, unless it shows only now that a clock was stepped: then the later one holds.
+// observeStart records the start that a list gives, 0 for long ago, and returns it by the limiter's clock. A start that
+// was listed before is not converted anew, except that after a clock was stepped the later of both times is used.
 func (p *serverPool) observeStart(reported int64, clock *startClock) int64 {
 	switch {
 	case reported == 0:
--- a/internal/limiter/statistics.go
+++ b/internal/limiter/statistics.go
@@ -7,36 +7,37 @@
 	"ospreycroft/choice"
 )
 
-// outcomeLogsPerIdleClose is how often the outcomes of requests are logged in the time after which a server closes idle
+// outcomeLogsPerIdleClose is how often outcomes of requests are logged in the time after which a server closes idle
 // connections.
 const outcomeLogsPerIdleClose = 3
 
-// statistics counts what is logged at intervals.
+// statistics holds the counts that are logged at intervals.
 type statistics struct {
 	inputErrors       inputErrors
-	inputErrorsLogged int64 // when they were last logged
+	inputErrorsLogged int64 // when input errors were last logged
 	outcomes          outcomeCounts
-	outcomesLogged    int64 // when they were last logged
+	outcomesLogged    int64 // when outcomes were last logged
 	closes            closeCounts
 }
 
-// closeCounts counts the connections that ended since it was last logged, by the other side and the reason.
+// closeCounts counts the connections that ended since the counts were last logged, by kind of peer and reason.
 type closeCounts [peerKindCount][closeReasonCount]int
 
-// inputErrors counts what is logged at intervals: a line for each would let whoever sends nonsense fill the log.
+// inputErrors counts invalid input and misbehaving clients. It is logged at intervals, as a line for each would let one
+// client fill the log.
 type inputErrors struct {
-	malformedCommands       int // clients' bytes that are no command
-	invalidCommands         int // commands that can never be right
-	silentClients           int // clients that said nothing, or half a command
+	malformedCommands       int // input from clients that is not a command
+	invalidCommands         int // commands with invalid arguments
+	silentClients           int // clients that sent nothing or a partial command for too long
 	slowReaders             int // clients that did not read their answers
-	malformedAnswers        int // servers' answers that are none
-	malformedCounterReplies int // the same of the counter
+	malformedAnswers        int // connections to servers with malformed or unexpected answers
+	malformedCounterReplies int // malformed answers from the counter
 }
 
-// outcomeCounts counts what became of requests since it was last logged.
+// outcomeCounts counts the outcomes of requests since they were last logged.
 type outcomeCounts struct {
 	accepted, succeeded int
-	retries             int // further attempts
+	retries             int // attempts after the first
 	rejected            [choice.RejectReasons]int
 }
 
@@ -64,7 +65,7 @@
 	l.stats.inputErrorsLogged = l.now
 }
 
-// LogOutcomes logs the counts since the last time, if there are any, in one line whatever their number.
+// LogOutcomes logs the counts since the last time in one line, if any is not 0.
 func (l *Limiter) LogOutcomes() {
 	counts := l.stats.outcomes
 	if counts == (outcomeCounts{}) {
@@ -79,7 +80,7 @@
 	l.stats.outcomes = outcomeCounts{}
 }
 
-// logCloses logs how many connections ended since the last time, by the other side and the reason, where any did.
+// logCloses logs how many connections ended since the last time, by kind of peer and reason, if any did.
 func (l *Limiter) logCloses() {
 	if l.stats.closes == (closeCounts{}) {
 		return
--- a/internal/limiter/suspension.go
+++ b/internal/limiter/suspension.go
@@ -2,34 +2,39 @@
 
 import "log/slog"
 
-// The process may stand still for long, stopped or without a processor, and finds on waking that all its timers are
-// due, that clients' requests have waited unread, and that the list may have changed. What it was told meanwhile
-// counts.
+// A process may be suspended: stopped by a signal or left without a processor. When it resumes, all its timers are due,
+// clients' requests have waited unread and the endpoint list may have changed. Changes that discovery sent in the
+// meantime count as notified although the limiter has not read them.
 
 const (
-	suspensionDialTimeouts = 2     // so many dial time-outs without an event are none that the timers allow
-	minSuspension          = 250e6 // nor are so many nanoseconds,
-	// but so many beyond the grace in which news has to be acted on are, where the settings tell it
+	// suspensionDialTimeouts is how many dial timeouts may pass without an event: timers fire more often than that.
+	suspensionDialTimeouts = 2
+	// minSuspension is the lower bound of suspensionThreshold where no drain grace is set, nanoseconds.
+	minSuspension = 250e6
+	// drainGraceMargin is the shortest reapInterval where a drain grace is set, and how far suspensionThreshold is
+	// above reapInterval at least, nanoseconds.
 	drainGraceMargin = 50e6
-	// for this part of the time between visits what has come meanwhile is read, and no timer runs
+	// timerBlockDivisor: after a suspension no timer runs for reapInterval divided by this, so that received data is
+	// read first.
 	timerBlockDivisor = 8
-	// where discovery is asked, what it had to tell in less than this is in the kernel, or not told
+	// minSuspensionToRevalidate: where discovery is polled, changes made during a shorter suspension have been received
+	// by the kernel or do not count as notified yet, so no new poll is needed. Nanoseconds.
 	minSuspensionToRevalidate = 2e9
 )
 
-// suspension is what the limiter knows of the latest time for which it stood still.
+// suspension describes the latest suspension of the process. Times are nanoseconds of the limiter's clock.
 type suspension struct {
-	clockStarted       bool  // something has happened
-	wokeAt             int64 // when it ended
-	duration           int64 // how long it was
-	timersBlockedUntil int64 // until when no timer runs
-	listMayBeStale     bool  // the list may have changed meanwhile, and no attempt goes out
+	clockStarted       bool  // Step has been called at least once
+	wokeAt             int64 // when the process resumed, 0 before the first suspension
+	duration           int64 // how long the suspension lasted
+	timersBlockedUntil int64 // no timer runs before this time
+	listMayBeStale     bool  // the list may have changed during the suspension; attempts are deferred
 	deferredSends      []func()
 	listCurrentTimer   *timer
 }
 
-// reapInterval is how often clients are visited, so that something happens: in a dial time-out or in the grace, if
-// that is shorter.
+// reapInterval is how often clients are checked, which also makes sure that events keep coming: each dial timeout, or
+// each drain grace if that is shorter.
 func (l *Limiter) reapInterval() int64 {
 	if l.settings.DrainGrace > 0 {
 		return min(l.settings.DialTimeout, max(l.settings.DrainGrace, drainGraceMargin))
@@ -37,8 +42,8 @@
 	return l.settings.DialTimeout
 }
 
-// suspensionThreshold is the longest time without an event that is no suspension. What the process was told in it
-// may be read behind a request, so it must not be longer than the grace.
+// suspensionThreshold is the longest gap between events that does not count as a suspension. A list change that arrived
+// in the gap may be read after a request, so the threshold must not exceed the drain grace.
 func (l *Limiter) suspensionThreshold() int64 {
 	threshold := max(suspensionDialTimeouts*l.settings.DialTimeout, minSuspension)
 	if l.settings.DrainGrace > 0 {
@@ -47,31 +52,33 @@
 	return threshold
 }
 
-// observeClock moves the clock on.
+// observeClock advances the clock and detects a suspension.
 func (l *Limiter) observeClock(now int64) {
 	gap := now - l.now
 	firstEvent := !l.suspension.clockStarted
 	l.now = now
 	l.suspension.clockStarted = true
-	if firstEvent || gap <= l.suspensionThreshold() { // what a start takes is no standing still
+	if firstEvent || gap <= l.suspensionThreshold() { // the time that a start takes is no suspension
 		return
 	}
 	state := &l.suspension
-	state.wokeAt, state.duration, state.timersBlockedUntil, state.listMayBeStale = now, gap, now+l.reapInterval()/timerBlockDivisor, true
+	state.wokeAt, state.duration, state.timersBlockedUntil, state.listMayBeStale =
+		now, gap, now+l.reapInterval()/timerBlockDivisor, true
 	slog.Warn("woken", "still_ms", gap/1e6)
 	l.servers.closeOverduePartialWrites()
 	l.timers.cancel(state.listCurrentTimer)
-	// what is held then must do: a list service that is down stops nothing
+	// If discovery does not answer within a dial timeout, the present list is used: an unavailable discovery stops
+	// nothing.
 	state.listCurrentTimer = l.schedule(now+l.discovery.pacer.DialTimeout(), l.markListCurrent)
 	if (l.settings.PollInterval == 0 || gap >= minSuspensionToRevalidate) && !l.coldStart.hasCallRate() {
 		l.discovery.revalidate()
-	} else { // the answer of the call that is out is in the kernel, if there is one
+	} else { // the answer to the outstanding call, if there is one, is in the kernel
 		l.timers.cancel(state.listCurrentTimer)
 		state.listCurrentTimer = l.schedule(state.timersBlockedUntil, l.markListCurrent)
 	}
 }
 
-// whenListCurrent does something at once, or where the list is in doubt once it is not.
+// whenListCurrent runs send now, or once markListCurrent is called if the list may be stale.
 func (l *Limiter) whenListCurrent(send func()) {
 	if l.suspension.listMayBeStale {
 		l.suspension.deferredSends = append(l.suspension.deferredSends, send)
@@ -80,7 +87,7 @@
 	}
 }
 
-// markListCurrent lets go what waited for the list.
+// markListCurrent ends the wait for the list and runs the deferred sends.
 func (l *Limiter) markListCurrent() {
 	l.timers.cancel(l.suspension.listCurrentTimer)
 	l.suspension.listMayBeStale = false
@@ -91,7 +98,8 @@
 	}
 }
 
-// readDelay is how long a request that is read now may have waited to be read.
+// readDelay is the longest time for which a request that is read now may have waited unread because of a suspension,
+// nanoseconds.
 func (l *Limiter) readDelay() int64 {
 	if l.suspension.duration == 0 || l.now >= l.suspension.wokeAt+l.reapInterval()/timerBlockDivisor {
 		return 0
--- a/internal/limiter/timers.go
+++ b/internal/limiter/timers.go
@@ -2,28 +2,28 @@
 
 import "container/heap"
 
-// timer runs something at a time.
+// timer calls a function at a time.
 type timer struct {
 	at, order int64
 	run       func()
-	index     int // in the heap, -1 once it is out of it
+	index     int // in the heap, -1 once it has fired or was cancelled
 }
 
-// timerQueue holds the timers that have not run, the next one first.
+// timerQueue holds the pending timers, the next one first.
 type timerQueue struct {
 	heap    timerHeap
-	created int64 // timers that were ever made; of two at one time the one made first runs first
+	created int64 // timers created so far; of two for the same time the one created first fires first
 }
 
-// cancel takes a timer back that nothing waits for any more: each that runs wakes the process. nil and one that has
-// run are fine.
+// cancel removes a timer, so that it does not wake the process. It does nothing if the timer is nil or no longer
+// pending.
 func (q *timerQueue) cancel(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&q.heap, t.index)
 	}
 }
 
-// add makes a timer.
+// add creates a timer.
 func (q *timerQueue) add(at int64, run func()) *timer {
 	q.created++
 	t := &timer{at: at, order: q.created, run: run}
@@ -31,10 +31,10 @@
 	return t
 }
 
-// next is when the next timer is due. There is always one: the maintenance's.
+// next is when the next timer is due. There is always one, that of maintain.
 func (q *timerQueue) next() int64 { return q.heap[0].at }
 
-// popDue takes out the next timer that is due, nil for none.
+// popDue removes and returns the next timer that is due, nil if none is.
 func (q *timerQueue) popDue(now int64) *timer {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return nil
@@ -42,13 +42,13 @@
 	return heap.Pop(&q.heap).(*timer)
 }
 
-// timerHeap is a heap of timers by their times.
+// timerHeap implements heap.Interface, ordered by time.
 type timerHeap []*timer
 
-// Len is a method of heap.Interface, as are Less, Swap, Push and Pop.
+// Len returns the number of timers.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less puts the earlier timer first.
+// Less orders timers by time, and by creation at the same time.
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
@@ -77,16 +77,15 @@
 	return t
 }
 
-// schedule has something run at a time.
+// schedule calls a function at a time.
 func (l *Limiter) schedule(at int64, run func()) *timer { return l.timers.add(at, run) }
 
-// armTimer asks the sockets for the next timer's time.
+// armTimer sets the timer of the sockets for the next timer here.
 func (l *Limiter) armTimer() {
 	l.effects.SetTimer(max(l.timers.next(), l.suspension.timersBlockedUntil))
 }
 
-// runTimers runs the timers that are due, unless the process has just stood still: what has come meanwhile is read
-// first.
+// runTimers runs the timers that are due, except right after a suspension, when received data is read first.
 func (l *Limiter) runTimers() {
 	if l.now < l.suspension.timersBlockedUntil {
 		return
@@ -97,7 +96,7 @@
 	}
 }
 
-// SetTimer is an effect of the controller.
+// SetTimer implements choice.Effects.
 func (l *Limiter) SetTimer(at, token int64) {
 	l.schedule(at, func() { l.controller.TimerFired(l.now, token) })
 }
--- a/internal/limiter/trace.go
+++ b/internal/limiter/trace.go
@@ -7,54 +7,55 @@
 	"ospreycroft/choice"
 )
 
-// traceSize is how many records are kept: some seconds of a busy limiter, in some tens of KiB.
+// traceSize is how many records are kept: some seconds of a busy limiter, in tens of KiB.
 const traceSize = 512
 
-// AllTrace asks LogTrace for all records that are kept.
+// AllTrace makes LogTrace log all records that are kept.
 const AllTrace = traceSize
 
-// traceKind is what a trace record tells of.
+// traceKind is the kind of step that a trace record describes.
 type traceKind uint8
 
 const (
 	traceAccepted   traceKind = iota // a request was accepted
-	traceEnded                       // a request has its final answer, or its client has gone
-	traceRejected                    // the controller rejected a request, with its reason
-	traceAttempt                     // the controller began an attempt
-	traceAttemptEnd                  // an attempt ended, with its outcome
-	traceConnClosed                  // a connection ended, with its reason
+	traceEnded                       // a request got its final answer, or its client disconnected
+	traceRejected                    // the controller rejected a request; detail is the reason
+	traceAttempt                     // the controller started an attempt
+	traceAttemptEnd                  // an attempt ended; detail is the outcome
+	traceConnClosed                  // a connection ended; detail is the reason
 )
 
-// String gives the word for log lines.
+// String returns the word that log lines use.
 func (k traceKind) String() string {
 	return [...]string{"accepted", "ended", "rejected", "attempt", "attempt-ended", "closed"}[k]
 }
 
-// traceRecord is one step of a request, an attempt or a connection. Only the fields of its kind are set.
+// traceRecord describes one step of a request, an attempt or a connection. Fields that do not apply to its kind are
+// zero.
 type traceRecord struct {
 	at      int64 // nanoseconds of the limiter's clock
 	kind    traceKind
 	conn    ConnID
-	request string // its id
+	request string // its ID
 	attempt int    // its number, from 0
-	peer    string // the server of an attempt, or what the other side of a connection is
-	detail  string // the reason, the state or the outcome
+	peer    string // the server of an attempt, or the kind of peer of a connection
+	detail  string // the reason, the final state or the outcome
 }
 
-// trace holds the latest records. Nothing is logged for a single request; but after a fault, or when an operator asks
-// (SIGUSR1), the records tell what each request, attempt and connection went through just before.
+// trace is a ring buffer of the latest records. Single requests are not logged, but after a fault, or when the operator
+// asks for it with SIGUSR1, the records show the latest steps of requests, attempts and connections.
 type trace struct {
 	records [traceSize]traceRecord
-	count   int // records that were ever added
+	count   int // records added so far
 }
 
-// add takes a record in the place of the oldest.
+// add stores a record in place of the oldest.
 func (t *trace) add(record traceRecord) {
 	t.records[t.count%traceSize] = record
 	t.count++
 }
 
-// latest lists up to so many records, the oldest of them first.
+// latest returns up to limit records, the oldest first.
 func (t *trace) latest(limit int) []traceRecord {
 	limit = min(limit, t.count, traceSize)
 	list := make([]traceRecord, 0, limit)
@@ -64,14 +65,14 @@
 	return list
 }
 
-// LogTrace logs up to so many of the latest records, the oldest first, a line each.
+// LogTrace logs up to limit of the latest records, the oldest first, one line each.
 func (l *Limiter) LogTrace(limit int) {
 	for _, record := range l.trace.latest(limit) {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "trace", record.attrs(l.now)...)
 	}
 }
 
-// attrs are the record's attributes in the log, as of a time.
+// attrs returns the record's log attributes; its age is as of now.
 func (r *traceRecord) attrs(now int64) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.Float64("age_ms", float64((now-r.at)/1e3)/1e3),
@@ -95,7 +96,7 @@
 	return attrs
 }
 
-// traceClose notes the end of a connection, and counts it by its other side and reason.
+// traceClose records the end of a connection, and counts it by kind of peer and reason.
 func (l *Limiter) traceClose(c *conn, reason CloseReason) {
 	l.stats.closes[c.handler.peer()][reason]++
 	l.trace.add(traceRecord{
@@ -103,19 +104,19 @@
 	})
 }
 
-// traceEnd notes the end of a request.
+// traceEnd records the end of a request.
 func (l *Limiter) traceEnd(req *request) {
 	l.trace.add(traceRecord{at: l.now, kind: traceEnded, request: req.id, detail: req.state.String()})
 }
 
-// traceAttemptEnd notes the end of an attempt.
+// traceAttemptEnd records the end of an attempt.
 func (l *Limiter) traceAttemptEnd(att *attempt, outcome choice.Outcome) {
 	l.trace.add(traceRecord{
 		at: l.now, kind: traceAttemptEnd, request: att.request.id, attempt: att.number, detail: outcome.String(),
 	})
 }
 
-// peerKind is what the other side of a connection is.
+// peerKind is the kind of peer that a connection has.
 type peerKind uint8
 
 const (
@@ -126,7 +127,7 @@
 	peerKindCount // the number of kinds
 )
 
-// String gives the word for log lines.
+// String returns the word that log lines use.
 func (k peerKind) String() string {
 	return [...]string{"client", "server", "counter", "discovery"}[k]
 }
