--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -161,7 +161,7 @@
 	if l.coldStart != nil {
 		l.coldStart.timePassed()
 	}
-	l.servers.lengthenReuseIdle()
+	l.servers.raiseMaxReuseIdle()
 	l.logStatistics()
 	l.schedule(l.now+l.settings.IdleClose/maintenancesPerIdleClose, l.maintain)
 }
--- a/internal/limiter/server_conn.go
+++ b/internal/limiter/server_conn.go
@@ -164,7 +164,7 @@
 	l.timers.cancel(sc.responseTimer)
 	sc.responseTimer = nil
 	if sc.idleTime > l.servers.maxReuseIdle/2 {
-		l.servers.lengthenReuseIdle()
+		l.servers.raiseMaxReuseIdle()
 	}
 	if sc.healthCheckTimer != nil {
 		sc.endHealthCheck(choice.Succeeded)
@@ -233,7 +233,7 @@
 		l.stats.inputErrors.malformedAnswers++
 	}
 	if att != nil && sc.endedWhileIdle(reason) {
-		l.servers.shortenReuseIdle()
+		l.servers.lowerMaxReuseIdle()
 	}
 	if att != nil {
 		sc.attempt = nil
--- a/internal/limiter/server_pools.go
+++ b/internal/limiter/server_pools.go
@@ -13,12 +13,12 @@
 const (
 	// serverDescriptorDivisor: connections to servers may hold this fraction of the descriptors, 1/4.
 	serverDescriptorDivisor = 4
-	// reuseIdleDecreaseDivisor: maxReuseIdle decreases by this fraction, 1/4, when a connection turns out to have ended
-	// while it was idle.
-	reuseIdleDecreaseDivisor = 4
-	// reuseIdleIncreaseDivisor: maxReuseIdle increases by this fraction, 1/16, when a connection idle for more than
+	// maxReuseIdleDecreaseDivisor: maxReuseIdle decreases by this fraction, 1/4, when a connection turns out to have
+	// ended while it was idle.
+	maxReuseIdleDecreaseDivisor = 4
+	// maxReuseIdleIncreaseDivisor: maxReuseIdle increases by this fraction, 1/16, when a connection idle for more than
 	// half of it still serves, and at each maintenance.
-	reuseIdleIncreaseDivisor = 16
+	maxReuseIdleIncreaseDivisor = 16
 	// reuseDelayTicks is how many timer ticks a connection has to be idle before it is reused.
 	reuseDelayTicks = 8
 )
@@ -33,17 +33,20 @@
 	maxReuseIdle int64                  // how long a connection may be idle and still be reused, nanoseconds
 }
 
-// lengthenReuseIdle increases maxReuseIdle, up to a fraction of the time after which servers close idle connections.
-func (s *serverPools) lengthenReuseIdle() {
+// raiseMaxReuseIdle increases maxReuseIdle, up to a fraction of the time after which servers close idle connections.
+func (s *serverPools) raiseMaxReuseIdle() {
 	s.maxReuseIdle = min(
-		s.maxReuseIdle+s.maxReuseIdle/reuseIdleIncreaseDivisor,
+		s.maxReuseIdle+s.maxReuseIdle/maxReuseIdleIncreaseDivisor,
 		s.limiter.settings.IdleClose/idleCloseDivisor,
 	)
 }
 
-// shortenReuseIdle decreases maxReuseIdle, to two timer ticks at least.
-func (s *serverPools) shortenReuseIdle() {
-	s.maxReuseIdle = max(s.maxReuseIdle-s.maxReuseIdle/reuseIdleDecreaseDivisor, 2*s.limiter.settings.TimerResolution)
+// lowerMaxReuseIdle decreases maxReuseIdle, to two timer ticks at least.
+func (s *serverPools) lowerMaxReuseIdle() {
+	s.maxReuseIdle = max(
+		s.maxReuseIdle-s.maxReuseIdle/maxReuseIdleDecreaseDivisor,
+		2*s.limiter.settings.TimerResolution,
+	)
 }
 
 // serverPool holds the connections to one server.
