--- a/internal/limiter/answer_order.go
+++ b/internal/limiter/answer_order.go
@@ -1,70 +1,70 @@
 package limiter
 
-// Answers go out in the order of a client's commands. One that is ready would be late behind a request that has more
-// time, so the requests ahead of it are ended as its own time runs out. Each client has one timer for that.
+// Answers go out in the order of a client's commands. A finished answer can be stuck behind a request with a later
+// deadline, so the requests ahead of it are ended when its own deadline comes near. Each client has one timer for that.
 
-// answerMarginTicks is how long before a deadline an answer goes out at the latest, in ticks of the timers; it is what the
-// controller leaves, too.
+// answerMarginTicks is how long before its deadline an answer goes out at the latest, in timer ticks. The controller
+// leaves the same margin.
 const answerMarginTicks = 2
 
-// addPlace makes the place of the present command's answer.
-func (cl *client) addPlace() *answer {
-	place := &answer{deadline: cl.commandDeadline}
-	cl.answers = append(cl.answers, place)
-	if len(cl.answers) > 1 && place.deadline != 0 {
-		cl.expireBy(cl.limiter.sendBy(place))
+// addAnswer appends a pending answer for the command that is handled.
+func (cl *client) addAnswer() *answer {
+	pending := &answer{deadline: cl.commandDeadline}
+	cl.answers = append(cl.answers, pending)
+	if len(cl.answers) > 1 && pending.deadline != 0 {
+		cl.scheduleExpiry(cl.limiter.sendBy(pending))
 	}
-	return place
+	return pending
 }
 
-// sendBy is when an answer has to go out at the latest.
-func (l *Limiter) sendBy(place *answer) int64 {
-	return place.deadline - answerMarginTicks*l.settings.TimerResolution
+// sendBy is the latest time at which an answer may go out.
+func (l *Limiter) sendBy(pending *answer) int64 {
+	return pending.deadline - answerMarginTicks*l.settings.TimerResolution
 }
 
-// expireBy has the requests ahead of answers that are due ended at a time, if that is not set to happen before.
-func (cl *client) expireBy(at int64) {
+// scheduleExpiry sets the timer of expireBlocking, unless it is set for that time or an earlier one.
+func (cl *client) scheduleExpiry(at int64) {
 	timers := &cl.limiter.timers
-	if cl.expiry != nil && cl.expiry.index >= 0 {
-		if cl.expiry.at <= at {
+	if cl.expiryTimer != nil && cl.expiryTimer.index >= 0 {
+		if cl.expiryTimer.at <= at {
 			return
 		}
-		timers.cancel(cl.expiry)
+		timers.cancel(cl.expiryTimer)
 	}
-	cl.expiry = timers.add(at, cl.expireAhead)
+	cl.expiryTimer = timers.add(at, cl.expireBlocking)
 }
 
-// expireAhead ends the requests ahead of the last answer that is due now, and waits for the next one.
-func (cl *client) expireAhead() {
+// expireBlocking ends the requests ahead of the last answer that is due, and sets the timer for the next one.
+func (cl *client) expireBlocking() {
 	l := cl.limiter
-	for _, id := range cl.aheadOfDue() {
+	for _, id := range cl.requestsBlockingDue() {
 		l.controller.Expire(l.now, id)
 	}
 	next := int64(0)
-	for i, place := range cl.answers {
-		if i == 0 || place.deadline == 0 {
+	for i, pending := range cl.answers {
+		if i == 0 || pending.deadline == 0 {
 			continue
 		}
-		if at := l.sendBy(place); at > l.now && (next == 0 || at < next) {
+		if at := l.sendBy(pending); at > l.now && (next == 0 || at < next) {
 			next = at
 		}
 	}
 	if next != 0 && cl.open() {
-		cl.expireBy(next)
+		cl.scheduleExpiry(next)
 	}
 }
 
-// aheadOfDue are the requests that are not ended and stand ahead of the last answer that is due now.
-func (cl *client) aheadOfDue() (ids []string) {
-	due := 0
-	for i, place := range cl.answers {
-		if place.deadline != 0 && cl.limiter.sendBy(place) <= cl.limiter.now {
-			due = i
+// requestsBlockingDue lists the IDs of the open requests ahead of the last answer that is due.
+func (cl *client) requestsBlockingDue() (ids []string) {
+	lastDue := 0
+	for i, pending := range cl.answers {
+		if pending.deadline != 0 && cl.limiter.sendBy(pending) <= cl.limiter.now {
+			lastDue = i
 		}
 	}
-	for _, place := range cl.answers[:due] {
-		if place.request != nil && place.request.state == stateAccepted {
-			ids = append(ids, place.request.id)
+	for _, pending := range cl.answers[:lastDue] {
+		if pending.request != nil && pending.request.state == stateAccepted {
+			ids = append(ids, pending.request.id)
 		}
 	}
 	return ids
--- a/internal/limiter/cold_start.go
+++ b/internal/limiter/cold_start.go
@@ -14,105 +14,107 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// What the protocol says of every deployment, in nanoseconds.
+// Bounds of the protocol that hold in every deployment, in nanoseconds.
 const (
-	// what a silent discovery has to tell counts as notified so long after the silence began
+	// notificationDeadline: what discovery had to send counts as notified this long after it fell silent.
 	notificationDeadline = 6e9
-	readinessDeadline    = 30e9 // and a limiter has to be ready within this time
+	readinessDeadline    = 30e9 // a limiter has to be ready within this time of its start
 )
 
-// OperatorOptions is what operators state beside the configuration; the zero value leaves a start to the settings and
-// pollpacer alone.
+// OperatorOptions are the operator's settings beside the configuration. With the zero value a start depends on the
+// configuration and package pollpacer alone.
 type OperatorOptions struct {
-	DiscoveryCallRate float64 // calls a second that discovery bears from all limiters, 0 for what the settings imply
-	ConnectionRate    float64 // new connections a second that a server bears from all limiters, 0 for no bound
-	// Snapshot is what an earlier life of this limiter knew, nil for nothing; Save takes what this one knows, after
-	// each list that brings changes and, while that stays true, each SaveEvery nanoseconds; nil for no disk.
+	DiscoveryCallRate float64 // calls a second that discovery can take from all limiters, 0 to derive it
+	ConnectionRate    float64 // new connections a second that a server can take from all limiters, 0 for no bound
+	// Snapshot is the state that an earlier process of this limiter saved, nil for none. SaveSnapshot is given this
+	// process's state after each list with changes, and each SaveEvery nanoseconds while discovery confirms the list;
+	// nil to save nothing.
 	Snapshot     *snapshot.Snapshot
 	SaveSnapshot func(*snapshot.Snapshot)
 	SaveEvery    int64
 }
 
-// ColdStartSettings are what the start of a limiter with this configuration is computed from; none that could start
-// before these were is refused for them.
-func ColdStartSettings(config *settings.Config, stated OperatorOptions) coldstart.Settings {
-	set := config.Settings
+// ColdStartSettings derives the settings of a cold start. Values are bounded here so that no configuration that was
+// valid without a cold start is refused because of them.
+func ColdStartSettings(config *settings.Config, opts OperatorOptions) coldstart.Settings {
+	cfg := config.Settings
 	return coldstart.Settings{
-		Limiters:        set.Limiters,
-		Position:        set.Position,
+		Limiters:        cfg.Limiters,
+		Position:        cfg.Position,
 		Jitter:          float64(uint64(config.Seed)>>11) / (1 << 53),
-		DialTimeout:     set.DialTimeout,
-		PollInterval:    set.PollInterval,
-		ColdCapacity:    min(max(set.ColdCapacity, 0), 1),
-		SlowStartWindow: set.SlowStartWindow,
+		DialTimeout:     cfg.DialTimeout,
+		PollInterval:    cfg.PollInterval,
+		ColdCapacity:    min(max(cfg.ColdCapacity, 0), 1),
+		SlowStartWindow: cfg.SlowStartWindow,
 		NotificationDeadline: max(
 			notificationDeadline,
-			4*set.DialTimeout,
+			4*cfg.DialTimeout,
 		),
 		ReadinessDeadline: readinessDeadline,
-		CallRate:          stated.DiscoveryCallRate,
-		ConnectionRate:    stated.ConnectionRate,
+		CallRate:          opts.DiscoveryCallRate,
+		ConnectionRate:    opts.ConnectionRate,
 	}
 }
 
-// coldStart is how this limiter comes up where operators state something; package coldstart decides. Its methods up to
-// bucket take a nil one: nothing is stated.
+// coldStart controls how the limiter comes up where the operator has set options; package coldstart has the rules. The
+// methods up to connectionBucket accept a nil receiver, which stands for no options.
 type coldStart struct {
 	limiter   *Limiter
 	options   OperatorOptions
 	settings  coldstart.Settings
 	start     *coldstart.Start
 	phase     coldstart.Phase               // as last logged
-	timer     *timer                        // when the limiter may be ready
-	endpoints map[string]discovery.Endpoint // the list, where it is saved
+	timer     *timer                        // fires when the limiter may become ready
+	endpoints map[string]discovery.Endpoint // the list by server ID, kept up to date if snapshots are saved
 	savedAt   int64
 }
 
-func (l *Limiter) startCold(stated OperatorOptions) error {
-	if stated.DiscoveryCallRate == 0 && stated.ConnectionRate == 0 && stated.Snapshot == nil &&
-		stated.SaveSnapshot == nil {
+func (l *Limiter) initColdStart(opts OperatorOptions) error {
+	if opts.DiscoveryCallRate == 0 && opts.ConnectionRate == 0 && opts.Snapshot == nil &&
+		opts.SaveSnapshot == nil {
 		return nil
 	}
-	set := ColdStartSettings(l.config, stated)
-	set.CeilingLeadTime = min(l.controller.ReadyAt(), l.readiness.deadline) - l.now
-	rules, err := coldstart.New(l.now, set)
+	startSettings := ColdStartSettings(l.config, opts)
+	startSettings.CeilingLeadTime = min(l.controller.ReadyAt(), l.readiness.deadline) - l.now
+	state, err := coldstart.New(l.now, startSettings)
 	if err == nil {
 		l.coldStart = &coldStart{
 			limiter:   l,
-			options:   stated,
-			settings:  set,
-			start:     rules,
+			options:   opts,
+			settings:  startSettings,
+			start:     state,
 			endpoints: map[string]discovery.Endpoint{},
 		}
 	}
 	return err
 }
 
-// hasCallRate tells whether the calls for lists go by the limiter's own instants, and not by pollpacer's pace.
+// hasCallRate tells whether calls to discovery follow this limiter's slots, and not the pace of package pollpacer.
 func (s *coldStart) hasCallRate() bool {
 	return s != nil && s.settings.PollInterval > 0 && s.settings.CallRate > 0
 }
 
-// pollMade notes a call that goes out by pollpacer's pace.
+// pollMade records a call that was made at the pace of package pollpacer.
 func (s *coldStart) pollMade() {
 	if s != nil && !s.hasCallRate() {
 		s.step(coldstart.Event{Kind: coldstart.CallMade})
 	}
 }
 
-// pollFailed notes a call that brought no list.
-func (s *coldStart) pollFailed(end pollpacer.Failure) {
+// pollFailed records a call that brought no list.
+func (s *coldStart) pollFailed(failure pollpacer.Failure) {
 	if s == nil {
 		return
 	}
 	kind := coldstart.CallFailed
-	if end == pollpacer.Throttled {
+	if failure == pollpacer.Throttled {
 		kind = coldstart.CallThrottled
 	}
 	s.step(coldstart.Event{Kind: kind})
 }
 
-// connectionBucket holds the new connections to one of so many servers.
+// connectionBucket makes the token bucket for new connections to one of this many servers; the zero Bucket has no
+// bound.
 func (s *coldStart) connectionBucket(servers int) (b coldstart.Bucket) {
 	if s != nil && s.settings.ConnectionRate > 0 {
 		b = coldstart.NewBucket(s.limiter.now, &s.settings, servers)
@@ -120,50 +122,51 @@
 	return b
 }
 
-// chooseList takes the list of the configuration, nil for none, and gives the one to begin with: the snapshot's where
-// the same discovery has counted it further, or where there is no other. A start that the snapshot knows is not
-// forgotten. The version of the list is discovery's own if counted.
-func (s *coldStart) chooseList(known *discovery.List) (list *discovery.List, counted bool) {
-	old := s.options.Snapshot
-	if old == nil {
+// chooseList picks the list to start with, given the one of the configuration (nil for none). It picks the snapshot's
+// if that is a later version of the same discovery, or if there is no other. Servers keep the start times of the
+// snapshot where those are later. versionValid tells whether discovery itself gave the list its version, so that
+// changes since then can be asked for.
+func (s *coldStart) chooseList(known *discovery.List) (list *discovery.List, versionValid bool) {
+	snap := s.options.Snapshot
+	if snap == nil {
 		return known, known != nil
 	}
-	same := old.Discovery == s.limiter.config.Discovery
-	ramps := map[string]int64{}
-	kept := &discovery.List{Version: old.Generation}
-	for _, v := range old.Servers {
-		ramps[v.ID] = v.StartedAt
+	sameDiscovery := snap.Discovery == s.limiter.config.Discovery
+	startTimes := map[string]int64{}
+	restored := &discovery.List{Version: snap.Generation}
+	for _, v := range snap.Servers {
+		startTimes[v.ID] = v.StartedAt
 		entry := discovery.Endpoint{Address: v.Address, Endpoint: choice.Endpoint{ID: v.ID, Zone: v.Zone, Cell: v.Cell,
 			Weight: v.Weight, StartedAt: v.StartedAt}}
 		if v.Draining {
 			entry.State = choice.EndpointDraining
 		}
-		kept.Endpoints = append(kept.Endpoints, entry)
+		restored.Endpoints = append(restored.Endpoints, entry)
 	}
 	list = known
-	counted = true
-	if known == nil || same && old.Generation > known.Version {
-		list = kept
-		counted = same
+	versionValid = true
+	if known == nil || sameDiscovery && snap.Generation > known.Version {
+		list = restored
+		versionValid = sameDiscovery
 	}
 	for i := range list.Endpoints {
-		list.Endpoints[i].StartedAt = max(list.Endpoints[i].StartedAt, ramps[list.Endpoints[i].ID])
+		list.Endpoints[i].StartedAt = max(list.Endpoints[i].StartedAt, startTimes[list.Endpoints[i].ID])
 	}
-	slog.Info("snapshot-read", "generation", old.Generation, "servers", len(old.Servers),
-		"age_s", (s.limiter.now-old.TakenAt)/1e9, "used", list == kept)
-	return list, counted
+	slog.Info("snapshot-read", "generation", snap.Generation, "servers", len(snap.Servers),
+		"age_s", (s.limiter.now-snap.TakenAt)/1e9, "used", list == restored)
+	return list, versionValid
 }
 
-// saveList takes a list into what is held, and has that saved where a call has brought or confirmed it.
+// saveList merges a list into endpoints, and saves a snapshot if discovery has sent or confirmed the list.
 func (s *coldStart) saveList(list *discovery.List, kind coldstart.Kind) {
 	if list.Complete {
 		clear(s.endpoints)
 	}
 	for _, e := range list.Endpoints {
-		was := s.endpoints[e.ID]
-		e.StartedAt = max(e.StartedAt, was.StartedAt)
+		previous := s.endpoints[e.ID]
+		e.StartedAt = max(e.StartedAt, previous.StartedAt)
 		if e.Address == "" {
-			e.Address = was.Address
+			e.Address = previous.Address
 		}
 		s.endpoints[e.ID] = e
 		if e.State == choice.EndpointGone {
@@ -176,19 +179,19 @@
 		return
 	}
 	s.savedAt = l.now
-	out := &snapshot.Snapshot{TakenAt: l.now, Discovery: l.config.Discovery, Generation: list.Version}
+	snap := &snapshot.Snapshot{TakenAt: l.now, Discovery: l.config.Discovery, Generation: list.Version}
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		e := s.endpoints[id]
-		out.Servers = append(
-			out.Servers,
+		snap.Servers = append(
+			snap.Servers,
 			snapshot.Server{ID: id, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 				StartedAt: e.StartedAt, Draining: e.State == choice.EndpointDraining},
 		)
 	}
-	s.options.SaveSnapshot(out)
+	s.options.SaveSnapshot(snap)
 }
 
-// step tells the rules what happened and does what follows: clients may come, or the phase is another.
+// step passes an event to the state machine and acts on its phase: it makes the limiter ready and logs a new phase.
 func (s *coldStart) step(e coldstart.Event) {
 	l := s.limiter
 	s.start.Step(l.now, e)
@@ -216,7 +219,7 @@
 
 func (s *coldStart) timePassed() { s.step(coldstart.Event{}) }
 
-// listApplied tells the cold start of a list that was applied.
+// listApplied records a list that was applied, and saves it if snapshots are saved.
 func (s *coldStart) listApplied(kind coldstart.Kind, list *discovery.List) {
 	e := coldstart.Event{Kind: kind, Whole: list.Complete, Servers: make([]coldstart.Server, len(list.Endpoints))}
 	for i, entry := range list.Endpoints {
--- a/internal/limiter/endpoints.go
+++ b/internal/limiter/endpoints.go
@@ -8,38 +8,38 @@
 	"ospreycroft/internal/discovery"
 )
 
-// applyList takes a list in: addresses for the pools, the rest for the controller.
-func (w *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
-	l := w.limiter
-	w.version = list.Version
+// applyList applies a list: addresses go to the pools, the rest to the controller.
+func (d *discoveryClient) applyList(list *discovery.List, kind coldstart.Kind) {
+	l := d.limiter
+	d.version = list.Version
 	if list.Complete {
-		w.completeLists++
+		d.completeLists++
 	}
 	endpoints := make([]choice.Endpoint, len(list.Endpoints))
-	var unused []*serverPool
-	clock := w.startClock(kind == coldstart.ListReceived)
+	var outdated []*serverPool
+	clock := d.startClock(kind == coldstart.ListReceived)
 	for i := range list.Endpoints {
 		entry := &list.Endpoints[i]
 		pool := l.servers.pools[entry.ID]
 		if pool == nil {
 			pool = l.servers.addPool(entry.ID, max(len(list.Endpoints), len(l.servers.pools)+1))
 		}
-		pool.listedIn = w.completeLists
+		pool.lastListedIn = d.completeLists
 		entry.StartedAt = pool.observeStart(entry.StartedAt, &clock)
 		endpoints[i] = entry.Endpoint
 		if pool.update(entry) {
-			unused = append(unused, pool)
+			outdated = append(outdated, pool)
 		}
 	}
 	if list.Complete {
-		unused = append(l.servers.markMissing(w.completeLists), unused...)
+		outdated = append(l.servers.markMissing(d.completeLists), outdated...)
 	}
 	if len(endpoints) > 0 || list.Complete {
 		slog.Info("list", "generation", list.Version, "complete", list.Complete, "entries", len(endpoints))
 		l.controller.UpdateEndpoints(l.now, list.Complete, endpoints)
 	}
-	// Only now, or the controller would send what is taken back to the same server again.
-	for _, pool := range unused {
+	// Only after UpdateEndpoints: before it, the controller would retry the cancelled attempts on the same server.
+	for _, pool := range outdated {
 		pool.closeUnused()
 		pool.forgetIfEmpty()
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// update takes in an entry of the list, and tells whether connections of the pool that are not in use are to be
-// closed: its server leaves, or has moved.
+// update applies an entry of the list, and tells whether the pool's unused connections are to be closed: the server is
+// draining or gone, or its address has changed.
 func (p *serverPool) update(entry *discovery.Endpoint) (closeUnused bool) {
 	p.draining = entry.State != choice.EndpointReady
 	p.removed = entry.State == choice.EndpointGone
@@ -58,6 +58,7 @@
 		p.address = entry.Address
 	}
 	p.location = location{entry.Zone, entry.Cell}
-	p.closeIdleSince(entry.StartedAt) // to the process before this one: where its machine vanished, nothing has said so
+	// Connections to an earlier process of the server are still open here if its machine vanished.
+	p.closeLastUsedBefore(entry.StartedAt)
 	return closeUnused
 }
--- a/internal/limiter/requests.go
+++ b/internal/limiter/requests.go
@@ -11,14 +11,14 @@
 // requestTable holds the requests that are not forgotten yet.
 type requestTable struct {
 	byID map[string]*request
-	// done are the requests that are forgotten once the controller was told all that is pending. Until then it may still
-	// act on them: results wait behind others in one step, and delivering one can end the request of another.
+	// done holds the requests to forget once all queued results are delivered. Until then the controller may still act
+	// on them, as delivering one result can end the request of another.
 	done      []*request
-	heldBytes int64 // bytes of their commands
+	heldBytes int64 // bytes of the commands of all requests
 	lastEnd   int64 // when a request last ended
 }
 
-// requestState is where a request stands; move is the only function that changes it.
+// requestState is the state of a request; only endRequest changes it.
 type requestState uint8
 
 const (
@@ -26,10 +26,10 @@
 	stateSucceeded
 	stateRejected
 	stateFailed
-	stateClientGone // its client has gone
+	stateClientGone // the client has disconnected
 )
 
-// String gives the word for log lines.
+// String returns the word that log lines use.
 func (s requestState) String() string {
 	return [...]string{"accepted", "succeeded", "rejected", "failed", "client-gone"}[s]
 }
@@ -38,15 +38,15 @@
 	id       string
 	state    requestState
 	client   *client
-	answer   *answer // its place among the client's answers
+	answer   *answer // the client's pending answer
 	deadline int64
-	// How long a server knows the request again after an attempt, where it does; 0 else.
+	// How long after an attempt a server recognizes the request, nanoseconds; 0 if servers do not.
 	deduplicationWindow int64
-	deduplicationScope  choice.DeduplicationScope // and which servers do
+	deduplicationScope  choice.DeduplicationScope // which servers recognize it
 	attempts            []*attempt
-	openAttempts        int // attempts that are out
+	openAttempts        int // attempts that have not ended
 	bytes               int64
-	// The command as the client sent it: its words, and the third of them around the time that it gives.
+	// words is the client's command. Its third word is also split around the value of d, which each attempt replaces.
 	words                       [][]byte
 	beforeTimeout, afterTimeout []byte
 }
@@ -56,86 +56,86 @@
 	failedAnswer = []byte("-ERR written off\r\n")
 )
 
-// addRequest makes a request of a command; the words are copied, for they stand in the connection's buffer.
-func (l *Limiter) addRequest(c *client, a *answer, words [][]byte, parsed *parsedRequest) *request {
+// addRequest adds the request of a command. It copies the words, which lie in the connection's input buffer.
+func (l *Limiter) addRequest(cl *client, a *answer, words [][]byte, parsed *parsedRequest) *request {
 	size := 0
 	for _, w := range words {
 		size += len(w)
 	}
 	text := make([]byte, 0, size)
-	q := &request{
-		id: parsed.arrival.ID, client: c, answer: a, deadline: l.now + parsed.arrival.Timeout, bytes: int64(size),
+	req := &request{
+		id: parsed.arrival.ID, client: cl, answer: a, deadline: l.now + parsed.arrival.Timeout, bytes: int64(size),
 		words: make([][]byte, len(words)),
 	}
 	for i, w := range words {
 		text = append(text, w...)
-		q.words[i] = text[len(text)-len(w):]
+		req.words[i] = text[len(text)-len(w):]
 	}
-	q.beforeTimeout = q.words[wordFields][:parsed.timeoutStart]
-	q.afterTimeout = q.words[wordFields][parsed.timeoutEnd:]
+	req.beforeTimeout = req.words[wordFields][:parsed.timeoutStart]
+	req.afterTimeout = req.words[wordFields][parsed.timeoutEnd:]
 	if class := l.settings.Classes[parsed.arrival.Class]; class.Idempotency == choice.IdempotentWithKey {
-		q.deduplicationWindow = class.DeduplicationWindow
-		q.deduplicationScope = class.DeduplicationScope
+		req.deduplicationWindow = class.DeduplicationWindow
+		req.deduplicationScope = class.DeduplicationScope
 	}
 	l.stats.outcomes.accepted++
-	l.trace.add(traceRecord{at: l.now, kind: traceAccepted, request: q.id, conn: c.conn.id})
-	l.requests.heldBytes += q.bytes
-	l.requests.byID[q.id], l.shutdown.flushed = q, false
-	return q
+	l.trace.add(traceRecord{at: l.now, kind: traceAccepted, request: req.id, conn: cl.conn.id})
+	l.requests.heldBytes += req.bytes
+	l.requests.byID[req.id], l.shutdown.flushed = req, false
+	return req
 }
 
-// move is the only place where a request changes its state. A request ends once, with one answer to its client.
-func (l *Limiter) move(q *request, to requestState, text []byte) {
-	if q.state != stateAccepted {
+// endRequest ends a request and answers its client. It does nothing if the request has ended, so each has one answer.
+func (l *Limiter) endRequest(req *request, final requestState, text []byte) {
+	if req.state != stateAccepted {
 		return
 	}
 	l.requests.lastEnd = l.now
-	q.state = to
-	l.traceEnd(q)
-	if to == stateSucceeded {
+	req.state = final
+	l.traceEnd(req)
+	if final == stateSucceeded {
 		l.stats.outcomes.succeeded++
 	}
-	for _, att := range q.attempts {
-		// A command of which the kernel has only a part must not become whole after the request's end: this comes
-		// before the answer.
-		if att.open && att.lastByte > 0 && l.effects.Written(att.conn.conn.id) < att.lastByte {
+	for _, att := range req.attempts {
+		// An attempt of which the kernel has only a part must not be completed after the request's end, so its
+		// connection is closed before the answer is written.
+		if att.open && att.endOffset > 0 && l.effects.Written(att.conn.conn.id) < att.endOffset {
 			l.closeConn(att.conn.conn, AttemptCancelled)
 		}
 	}
-	if to != stateClientGone {
-		q.client.answer(q.answer, text)
+	if final != stateClientGone {
+		req.client.fillAnswer(req.answer, text)
 	}
-	l.forgetIfDone(q)
+	l.forgetIfDone(req)
 }
 
-// forgetIfDone has a request that has ended and has nothing out forgotten, once the controller knows of its end.
-func (l *Limiter) forgetIfDone(q *request) {
-	if q.state != stateAccepted && q.openAttempts == 0 {
-		l.requests.done = append(l.requests.done, q)
+// forgetIfDone marks a request as done if it has ended and no attempt is open.
+func (l *Limiter) forgetIfDone(req *request) {
+	if req.state != stateAccepted && req.openAttempts == 0 {
+		l.requests.done = append(l.requests.done, req)
 	}
 }
 
-// forgetDone lets go of the requests that are done; the controller has been told all.
+// forgetDone forgets the requests that are done; all results have been delivered.
 func (t *requestTable) forgetDone() {
-	for _, q := range t.done {
-		if t.byID[q.id] == q {
-			t.heldBytes -= q.bytes
-			delete(t.byID, q.id)
+	for _, req := range t.done {
+		if t.byID[req.id] == req {
+			t.heldBytes -= req.bytes
+			delete(t.byID, req.id)
 		}
 	}
 	clear(t.done)
 	t.done = t.done[:0]
 }
 
-// appendCommand writes the request's command with the time that is left.
-func (q *request) appendCommand(to []byte, now int64) []byte {
-	left := strconv.AppendInt(nil, max(1, (q.deadline-now)/1e6), 10)
-	list := bytes.Join([][]byte{q.beforeTimeout, left, q.afterTimeout}, nil)
-	words := append(append(make([][]byte, 0, len(q.words)), q.words[:wordFields]...), list)
-	return resp.AppendCommand(to, append(words, q.words[wordBody:]...)...)
+// appendCommand appends the request's command, with the time left as the value of d.
+func (r *request) appendCommand(to []byte, now int64) []byte {
+	left := strconv.AppendInt(nil, max(1, (r.deadline-now)/1e6), 10)
+	list := bytes.Join([][]byte{r.beforeTimeout, left, r.afterTimeout}, nil)
+	words := append(append(make([][]byte, 0, len(r.words)), r.words[:wordFields]...), list)
+	return resp.AppendCommand(to, append(words, r.words[wordBody:]...)...)
 }
 
-// Reject is an effect of the controller.
+// Reject implements choice.Effects.
 func (l *Limiter) Reject(id string, retryAfter int64, cause choice.RejectReason) {
 	l.stats.outcomes.rejected[cause]++
 	l.trace.add(traceRecord{at: l.now, kind: traceRejected, request: id, detail: cause.String()})
@@ -144,14 +144,14 @@
 		text = strconv.AppendInt([]byte("-BUSY "), (retryAfter+1e6-1)/1e6, 10)
 		text = append(text, "\r\n"...)
 	}
-	if q := l.requests.byID[id]; q != nil {
-		l.move(q, stateRejected, text)
+	if req := l.requests.byID[id]; req != nil {
+		l.endRequest(req, stateRejected, text)
 	}
 }
 
-// Fail is an effect of the controller.
+// Fail implements choice.Effects.
 func (l *Limiter) Fail(id string) {
-	if q := l.requests.byID[id]; q != nil {
-		l.move(q, stateFailed, failedAnswer)
+	if req := l.requests.byID[id]; req != nil {
+		l.endRequest(req, stateFailed, failedAnswer)
 	}
 }
