--- a/choice/account.go
+++ b/choice/account.go
@@ -11,9 +11,9 @@
 	// LocalQuotaParts is the number of equal parts in which the quota is divided while it is full, however many
 	// limiters share the customer: use is uneven, and most customers take half of theirs.
 	LocalQuotaParts = 2
-	// maxInFlightDecay: an attempt of a plan that caps attempts in flight counts for this part of the shortest latency
+	// inFlightDecayDivisor: an attempt of a plan that caps attempts in flight counts for this part of the shortest latency
 	// objective, fading.
-	maxInFlightDecay = 4
+	inFlightDecayDivisor = 4
 )
 
 // account is what a limiter knows of one customer.
@@ -32,96 +32,96 @@
 
 // resetLocalQuota gives this limiter its part of what the quota holds. It holds the largest request at least: among
 // many limiters an equal part is smaller, and would reject for good requests well inside the quota.
-func (a *account) resetLocalQuota(now int64, tokens float64) {
-	parts := max(1, a.limiters/(1+(LocalQuotaParts-1)*max(0, tokens)/a.sharedQuota.burst))
-	a.localQuota = tokenBucket{
-		tokens:    math.Min(tokens, max(tokens/parts, a.maxCharge)),
-		burst:     max(a.sharedQuota.burst/parts, a.maxCharge),
-		rate:      a.sharedQuota.rate / parts,
+func (acct *account) resetLocalQuota(now int64, tokens float64) {
+	parts := max(1, acct.limiters/(1+(LocalQuotaParts-1)*max(0, tokens)/acct.sharedQuota.burst))
+	acct.localQuota = tokenBucket{
+		tokens:    math.Min(tokens, max(tokens/parts, acct.maxCharge)),
+		burst:     max(acct.sharedQuota.burst/parts, acct.maxCharge),
+		rate:      acct.sharedQuota.rate / parts,
 		updatedAt: now,
 	}
 }
 
 // ceilingWait is how many nanoseconds this limiter's part of the ceiling must fill before it holds the units; 0 where
 // it does.
-func (a *account) ceilingWait(now int64, units float64) int64 {
-	if a.plan.CeilingRate <= 0 || a.ceiling.refill(now) >= units {
+func (acct *account) ceilingWait(now int64, units float64) int64 {
+	if acct.plan.CeilingRate <= 0 || acct.ceiling.refill(now) >= units {
 		return 0
 	}
-	return 1 + a.ceiling.waitFor(units)
+	return 1 + acct.ceiling.waitFor(units)
 }
 
 // charge takes a request that is sent from all its buckets.
-func (a *account) charge(now int64, q *request) {
-	a.sharedQuota.take(now, q.charge)
-	a.localQuota.take(now, q.charge)
-	a.ceiling.refill(now)
-	if a.plan.CeilingRate > 0 { // a bucket that never fills again would never be forgotten
-		a.ceiling.tokens -= q.units
+func (acct *account) charge(now int64, req *request) {
+	acct.sharedQuota.take(now, req.charge)
+	acct.localQuota.take(now, req.charge)
+	acct.ceiling.refill(now)
+	if acct.plan.CeilingRate > 0 { // a bucket that never fills again would never be forgotten
+		acct.ceiling.tokens -= req.units
 	}
 }
 
 // refund puts back all that a request took.
-func (a *account) refund(now int64, q *request) {
-	a.sharedQuota.putBack(now, q.charge)
-	a.localQuota.putBack(now, q.charge)
-	a.ceiling.putBack(now, q.units)
+func (acct *account) refund(now int64, req *request) {
+	acct.sharedQuota.putBack(now, req.charge)
+	acct.localQuota.putBack(now, req.charge)
+	acct.ceiling.putBack(now, req.units)
 }
 
 // correct takes the difference between a request's actual units and its estimate from the quotas.
-func (a *account) correct(difference float64) {
-	a.sharedQuota.tokens -= difference
-	a.localQuota.tokens -= difference
+func (acct *account) correct(difference float64) {
+	acct.sharedQuota.tokens -= difference
+	acct.localQuota.tokens -= difference
 }
 
 // requestStarted notes that a request of the customer is known.
-func (a *account) requestStarted() { a.openRequests++ }
+func (acct *account) requestStarted() { acct.openRequests++ }
 
 // requestEnded notes that a request is no longer known. The customer counts as used up to the latest tick at which it
 // was.
-func (a *account) requestEnded(lastTick int64) {
-	a.openRequests--
-	a.lastUsed = max(a.lastUsed, lastTick)
+func (acct *account) requestEnded(lastTick int64) {
+	acct.openRequests--
+	acct.lastUsed = max(acct.lastUsed, lastTick)
 }
 
 // accountTable holds the customers that are not forgotten yet.
 type accountTable struct {
-	settings      *Settings
-	startedAt     int64
-	inFlightDecay float64 // seconds in which attempts under a cap fade
-	byCustomer    map[uint64]*account
-	expiries      expiryQueue
+	settings             *Settings
+	startedAt            int64
+	inFlightDecaySeconds float64 // seconds in which attempts under a cap fade
+	byCustomer           map[uint64]*account
+	expiries             expiryQueue
 }
 
 func newAccountTable(settings *Settings, startedAt int64) accountTable {
 	return accountTable{
 		settings: settings, startedAt: startedAt, byCustomer: map[uint64]*account{},
-		inFlightDecay: seconds(settings.shortestObjective()) / maxInFlightDecay,
+		inFlightDecaySeconds: seconds(settings.shortestObjective()) / inFlightDecayDivisor,
 	}
 }
 
-// use gives the customer's account, which it makes where there is none. counterKnown says that the counter has
+// getOrCreate gives the customer's account, which it makes where there is none. counterKnown says that the counter has
 // answered in this process's life, or that there is none.
-func (t *accountTable) use(now int64, arrival Arrival, plan *Plan, counterKnown bool) *account {
-	a := t.byCustomer[arrival.Customer]
-	if a == nil {
-		a = t.newAccount(now, arrival, plan)
-		if !counterKnown {
+func (t *accountTable) getOrCreate(now int64, arrival Arrival, plan *Plan, counterAnswered bool) *account {
+	acct := t.byCustomer[arrival.Customer]
+	if acct == nil {
+		acct = t.newAccount(now, arrival, plan)
+		if !counterAnswered {
 			// An earlier life may have spent the local quota without the counter.
-			filled := a.maxCharge + a.localQuota.rate*seconds(now-t.startedAt)
-			a.localQuota.tokens = min(a.localQuota.tokens, filled)
+			filled := acct.maxCharge + acct.localQuota.rate*seconds(now-t.startedAt)
+			acct.localQuota.tokens = min(acct.localQuota.tokens, filled)
 		}
-		t.byCustomer[arrival.Customer] = a
-		t.expiries.enter(now, a)
+		t.byCustomer[arrival.Customer] = acct
+		t.expiries.schedule(now, acct)
 	}
-	a.lastUsed = now
-	return a
+	acct.lastUsed = now
+	return acct
 }
 
 func (t *accountTable) newAccount(now int64, arrival Arrival, plan *Plan) *account {
 	rate, burst, maxCharge := t.quotaOf(plan)
 	limiters := float64(max(arrival.Limiters, 1))
-	a := &account{
+	acct := &account{
 		id: arrival.Customer, plan: plan, limiters: limiters, maxCharge: maxCharge,
 		window:      newCounterWindow(arrival.Customer),
 		sharedQuota: tokenBucket{tokens: burst / limiters, burst: burst, rate: rate, updatedAt: now},
@@ -133,8 +133,8 @@
 			updatedAt: t.startedAt,
 		},
 	}
-	a.resetLocalQuota(now, burst)
-	return a
+	acct.resetLocalQuota(now, burst)
+	return acct
 }
 
 // quotaOf is the quota of a plan. A cap on attempts in flight is one whose charges fade as attempts end: each counts
@@ -146,7 +146,7 @@
 	switch {
 	case plan.MaxInFlight <= 0:
 	case rate <= 0:
-		return plan.MaxInFlight / t.inFlightDecay, plan.MaxInFlight, 1
+		return plan.MaxInFlight / t.inFlightDecaySeconds, plan.MaxInFlight, 1
 	default:
 		burst = min(burst, max(plan.MaxInFlight/2, 2)*maxCharge)
 	}
@@ -156,31 +156,31 @@
 // customers lists the customers in the order of their numbers.
 func (t *accountTable) customers() []uint64 { return slices.Sorted(maps.Keys(t.byCustomer)) }
 
-// forgetUnused lets go of the customers whose counts and buckets are as good as new and who have nothing to settle. A
+// evictUnused lets go of the customers whose counts and buckets are as good as new and who have nothing to settle. A
 // part of a ceiling is once it is full: a new one, which fills from the start on, would be full too.
-func (t *accountTable) forgetUnused(now int64) {
-	for a := t.expiries.due(now); a != nil; a = t.expiries.due(now) {
-		if t.byCustomer[a.id] != a {
+func (t *accountTable) evictUnused(now int64) {
+	for acct := t.expiries.popDue(now); acct != nil; acct = t.expiries.popDue(now) {
+		if t.byCustomer[acct.id] != acct {
 			continue
 		}
-		if at := t.forgettableAt(now, a); at > now {
-			t.expiries.enter(at, a)
+		if at := t.evictableAt(now, acct); at > now {
+			t.expiries.schedule(at, acct)
 		} else {
-			delete(t.byCustomer, a.id)
+			delete(t.byCustomer, acct.id)
 		}
 	}
 }
 
-// forgettableAt is the earliest time at which a customer can be let go of, as far as is known now.
-func (t *accountTable) forgettableAt(now int64, a *account) int64 {
-	a.ceiling.refill(now)
-	at := a.ceiling.fullAt()
-	if a.sharedQuota.rate <= 0 {
+// evictableAt is the earliest time at which a customer can be let go of, as far as is known now.
+func (t *accountTable) evictableAt(now int64, acct *account) int64 {
+	acct.ceiling.refill(now)
+	at := acct.ceiling.fullAt()
+	if acct.sharedQuota.rate <= 0 {
 		return at
 	}
-	if a.openRequests > 0 {
-		a.lastUsed = now
+	if acct.openRequests > 0 {
+		acct.lastUsed = now
 	}
-	a.sharedQuota.refill(now)
-	return max(at, a.sharedQuota.fullAt(), a.lastUsed+windowLength(t.settings, a)+1)
+	acct.sharedQuota.refill(now)
+	return max(at, acct.sharedQuota.fullAt(), acct.lastUsed+windowLength(t.settings, acct)+1)
 }
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -10,7 +10,7 @@
 
 const (
 	benchLimiters = 550
-	benchInUse    = 20 // requests that are out meanwhile
+	benchInFlight = 20 // requests that are out meanwhile
 )
 
 // benchSettings are those of a fleet of 550 limiters whose customers have quotas and ceilings.
@@ -25,21 +25,23 @@
 	}
 }
 
-// benchWorld answers the counter and the servers at once, or leaves requests out.
-type benchWorld struct {
+// benchEffects answers the counter and the servers at once, or leaves requests out.
+type benchEffects struct {
 	recordedEffects
-	names  []uint64
-	answer bool
+	calledNames []uint64
+	answer      bool
 }
 
-func (w *benchWorld) Send(string, string)                          {}
-func (w *benchWorld) Reject(string, int64, RejectReason)           {}
-func (w *benchWorld) AddToCounter(name uint64, _ float64, _ int64) { w.names = append(w.names, name) }
+func (e *benchEffects) Send(string, string)                {}
+func (e *benchEffects) Reject(string, int64, RejectReason) {}
+func (e *benchEffects) AddToCounter(name uint64, _ float64, _ int64) {
+	e.calledNames = append(e.calledNames, name)
+}
 
-// benchFleet is a limiter before so many servers that has met so many customers once.
-func benchFleet(servers, customers int) (*Controller, *benchWorld, int64) {
-	w := &benchWorld{answer: true}
-	controller := New(0, benchSettings(), 1, w)
+// newBenchController is a limiter before so many servers that has met so many customers once.
+func newBenchController(servers, customers int) (*Controller, *benchEffects, int64) {
+	effects := &benchEffects{answer: true}
+	controller := New(0, benchSettings(), 1, effects)
 	entries := make([]Endpoint, servers)
 	for i := range entries {
 		entries[i] = Endpoint{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprintf("zone-%d", i%4), Weight: 1}
@@ -47,19 +49,19 @@
 	controller.UpdateEndpoints(0, true, entries)
 	now := 100 * second
 	for i := range customers {
-		w.play(controller, now, fmt.Sprintf("first-%d", i), uint64(i))
+		effects.runRequest(controller, now, fmt.Sprintf("first-%d", i), uint64(i))
 	}
-	w.answer = false
-	for i := range benchInUse {
+	effects.answer = false
+	for i := range benchInFlight {
 		now += second / 1000
-		w.play(controller, now, fmt.Sprintf("out-%d", i), uint64(i%max(customers, 1)))
+		effects.runRequest(controller, now, fmt.Sprintf("out-%d", i), uint64(i%max(customers, 1)))
 	}
-	w.answer = true
-	return controller, w, now
+	effects.answer = true
+	return controller, effects, now
 }
 
-// play takes a request through the counter and, if answer is set, to its end.
-func (w *benchWorld) play(controller *Controller, now int64, id string, customer uint64) {
+// runRequest takes a request through the counter and, if answer is set, to its end.
+func (e *benchEffects) runRequest(controller *Controller, now int64, id string, customer uint64) {
 	controller.RequestArrived(
 		now,
 		Arrival{
@@ -72,12 +74,12 @@
 			Limiters: 2,
 		},
 	)
-	for len(w.names) > 0 {
-		name := w.names[0]
-		w.names = w.names[1:]
+	for len(e.calledNames) > 0 {
+		name := e.calledNames[0]
+		e.calledNames = e.calledNames[1:]
 		controller.CounterReplied(now, name, Succeeded, 0.01)
 	}
-	if w.answer {
+	if e.answer {
 		controller.AttemptDone(
 			now+second/100,
 			AttemptResult{Request: id, Outcome: Succeeded, Duration: second / 100, Final: true},
@@ -88,12 +90,12 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, servers := range []int{20, 1000, 8500} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			controller, w, now := benchFleet(servers, 200)
+			controller, effects, now := newBenchController(servers, 200)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				now += second / 100
-				w.play(controller, now, "request", uint64(i%200))
+				effects.runRequest(controller, now, "request", uint64(i%200))
 			}
 		})
 	}
@@ -112,7 +114,7 @@
 }
 
 func benchTick(b *testing.B, servers, customers int) {
-	controller, _, now := benchFleet(servers, customers)
+	controller, _, now := newBenchController(servers, customers)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
@@ -125,7 +127,7 @@
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, servers := range []int{20, 1000, 8500} {
 		b.Run(fmt.Sprintf("change/servers=%d", servers), func(b *testing.B) {
-			controller, _, now := benchFleet(servers, 1)
+			controller, _, now := newBenchController(servers, 1)
 			for i := range b.N {
 				controller.UpdateEndpoints(
 					now,
@@ -135,7 +137,7 @@
 			}
 		})
 		b.Run(fmt.Sprintf("new/servers=%d", servers), func(b *testing.B) {
-			controller, _, now := benchFleet(servers, 1)
+			controller, _, now := newBenchController(servers, 1)
 			for i := range b.N {
 				controller.UpdateEndpoints(
 					now,
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -92,7 +92,7 @@
 	if complete {
 		c.servers.reindexAll(now)
 	}
-	c.concurrency.initialize()
+	c.concurrency.initializeInFlightLimit()
 	if c.servers.ringOutdated {
 		c.servers.sortRing()
 	}
@@ -101,113 +101,113 @@
 // RequestArrived takes a request from a client: it reserves the request's units on the counter, or decides by the
 // local quota where it cannot.
 func (c *Controller) RequestArrived(now int64, arrival Arrival) {
-	q := &request{
+	req := &request{
 		id: arrival.ID, class: c.settings.Classes[arrival.Class], units: arrival.Units, charge: arrival.Units,
 		deadline: now + arrival.Timeout - 2*c.settings.TimerResolution,
 	}
-	c.requests.add(q)
+	c.requests.add(req)
 	plan := c.settings.Plans[arrival.Plan]
-	if plan == nil || q.class == nil {
+	if plan == nil || req.class == nil {
 		// Nobody has granted it an allowance, and it loses nothing by asking again.
-		c.reject(now, q, c.settings.MaxRetryAfter, RejectedForPlan)
+		c.reject(now, req, c.settings.MaxRetryAfter, RejectedForPlan)
 		return
 	}
 	counterKnown := c.settings.CounterTimeout == 0 || c.sampling.everAnswered()
-	q.account = c.accounts.use(now, arrival, plan, counterKnown)
-	q.account.requestStarted()
-	if q.deadline <= now || len(c.eligibleServers(now, q)) == 0 {
-		c.reject(now, q, c.capacityRetryAfter(), RejectedForCapacity)
+	req.account = c.accounts.getOrCreate(now, arrival, plan, counterKnown)
+	req.account.requestStarted()
+	if req.deadline <= now || len(c.eligibleServers(now, req)) == 0 {
+		c.reject(now, req, c.capacityRetryAfter(), RejectedForCapacity)
 		return
 	}
-	if wait := q.account.ceilingWait(now, q.units); wait > 0 {
-		c.reject(now, q, wait, RejectedForCeiling)
+	if wait := req.account.ceilingWait(now, req.units); wait > 0 {
+		c.reject(now, req, wait, RejectedForCeiling)
 		return
 	}
-	c.effects.SetTimer(q.deadline, q.timer)
-	c.checkQuota(now, q)
+	c.effects.SetTimer(req.deadline, req.timer)
+	c.checkQuota(now, req)
 }
 
 // Expire ends a request before its deadline: answers that are due wait behind its answer.
 func (c *Controller) Expire(now int64, id string) {
-	if q := c.requests.byID[id]; q != nil && !q.ended() {
-		c.rejectOrFail(now, q)
+	if req := c.requests.byID[id]; req != nil && !req.ended() {
+		c.rejectOrFail(now, req)
 	}
 }
 
 // checkQuota reserves the request's charge on the counter, or has the local quota decide where the counter is not
 // asked.
-func (c *Controller) checkQuota(now int64, q *request) {
-	a := q.account
-	if a.sharedQuota.rate <= 0 {
-		c.admit(now, q)
+func (c *Controller) checkQuota(now int64, req *request) {
+	acct := req.account
+	if acct.sharedQuota.rate <= 0 {
+		c.admit(now, req)
 		return
 	}
-	if a.plan.Rate <= 0 {
-		q.charge = 1
+	if acct.plan.Rate <= 0 {
+		req.charge = 1
 	}
-	if c.asksCounter(now, q) {
-		c.reservations.reserve(now, q)
+	if c.shouldCallCounter(now, req) {
+		c.reservations.reserve(now, req)
 		return
 	}
-	c.decideLocally(now, q)
+	c.decideByLocalQuota(now, req)
 }
 
-// asksCounter tells whether the counter is asked for the request. It is not for a customer that is known to be out of
+// shouldCallCounter tells whether the counter is asked for the request. It is not for a customer that is known to be out of
 // units: the bucket kept here fills at the whole rate, so the true one holds no more, except for what others add back.
 // A call that brings what is still to be added back is made: the others go by a total that is too high until then.
-func (c *Controller) asksCounter(now int64, q *request) bool {
-	a := q.account
-	exhausted := a.sharedQuota.refill(now) < q.charge && a.window.pendingAdjustment >= 0
-	if c.settings.CounterTimeout == 0 || exhausted && a.window.known {
+func (c *Controller) shouldCallCounter(now int64, req *request) bool {
+	acct := req.account
+	exhausted := acct.sharedQuota.refill(now) < req.charge && acct.window.pendingAdjustment >= 0
+	if c.settings.CounterTimeout == 0 || exhausted && acct.window.observed {
 		return false
 	}
-	return !c.sampling.reduced() || !exhausted && c.sampling.includes(a)
+	return !c.sampling.reduced() || !exhausted && c.sampling.includes(acct)
 }
 
-// decideLocally decides by the local quota, where the counter is not asked or does not answer.
-func (c *Controller) decideLocally(now int64, q *request) {
-	quota := &q.account.localQuota
-	if quota.refill(now) < q.charge {
-		c.reject(now, q, min(quota.waitFor(q.charge), c.capacityRetryAfter()), RejectedForLocalQuota)
+// decideByLocalQuota decides by the local quota, where the counter is not asked or does not answer.
+func (c *Controller) decideByLocalQuota(now int64, req *request) {
+	quota := &req.account.localQuota
+	if quota.refill(now) < req.charge {
+		c.reject(now, req, min(quota.waitFor(req.charge), c.capacityRetryAfter()), RejectedForLocalQuota)
 		return
 	}
-	c.admit(now, q)
+	c.admit(now, req)
 }
 
 // admit sends the first attempt if there is capacity, and in the ceiling still: others may have gone meanwhile.
-func (c *Controller) admit(now int64, q *request) {
-	if wait := q.account.ceilingWait(now, q.units); wait > 0 {
-		c.releaseAndReject(now, q, wait, RejectedForCeiling)
+func (c *Controller) admit(now int64, req *request) {
+	if wait := req.account.ceilingWait(now, req.units); wait > 0 {
+		c.releaseAndReject(now, req, wait, RejectedForCeiling)
 		return
 	}
-	s := c.pickServer(now, q)
+	s := c.pickServer(now, req)
 	if s == nil {
-		c.releaseAndReject(now, q, c.capacityRetryAfter(), RejectedForCapacity)
+		c.releaseAndReject(now, req, c.capacityRetryAfter(), RejectedForCapacity)
 		return
 	}
-	q.account.charge(now, q)
-	c.reservations.owe(now, q)
+	req.account.charge(now, req)
+	c.reservations.deferCharge(now, req)
 	c.retries.requestSent(c.servers.count())
-	q.move(stateInFlight)
-	c.send(now, q, s)
+	req.setState(stateInFlight)
+	c.send(now, req, s)
 }
 
-func (c *Controller) releaseAndReject(now int64, q *request, retryAfter int64, reason RejectReason) {
-	c.reservations.release(now, q, q.charge)
-	c.reject(now, q, retryAfter, reason)
+func (c *Controller) releaseAndReject(now int64, req *request, retryAfter int64, reason RejectReason) {
+	c.reservations.release(now, req, req.charge)
+	c.reject(now, req, retryAfter, reason)
 }
 
 // send sends the request's next attempt to a server.
-func (c *Controller) send(now int64, q *request, s *server) {
-	s.begin(q.addAttempt(now, s))
+func (c *Controller) send(now int64, req *request, s *server) {
+	s.attemptStarted(req.addAttempt(now, s))
 	c.servers.reindex(now, s)
-	c.effects.Send(q.id, s.id)
+	c.effects.Send(req.id, s.id)
 }
 
 // CounterReplied takes the counter's answer to the oldest call on a name. total is the name's total after the add,
 // where the call succeeded.
 func (c *Controller) CounterReplied(now int64, name uint64, outcome Outcome, total float64) {
-	call, found := c.reservations.oldestCall(name)
+	call, found := c.reservations.popOldestCall(name)
 	if !found {
 		return
 	}
@@ -227,69 +227,69 @@
 	c.sampling.failed(outcome)
 	c.reservations.failed(call, outcome)
 	if call.request.state == stateReserving { // else it was a call that adds back, or the request has ended
-		c.decideLocally(now, call.request)
+		c.decideByLocalQuota(now, call.request)
 	}
 }
 
 // decideByQuota admits a request whose reservation was made if the customer's quota holds it, else adds it back and
 // rejects.
-func (c *Controller) decideByQuota(now int64, q *request) {
-	quota := &q.account.sharedQuota
-	waiting := q.state == stateReserving
-	if waiting && quota.tokens >= q.charge {
-		c.admit(now, q)
+func (c *Controller) decideByQuota(now int64, req *request) {
+	quota := &req.account.sharedQuota
+	waiting := req.state == stateReserving
+	if waiting && quota.tokens >= req.charge {
+		c.admit(now, req)
 		return
 	}
-	c.reservations.release(now, q, q.charge)
+	c.reservations.release(now, req, req.charge)
 	if waiting {
-		c.reject(now, q, quota.waitFor(q.charge), RejectedForQuota)
+		c.reject(now, req, quota.waitFor(req.charge), RejectedForQuota)
 	}
 }
 
 // AttemptDone takes the end of an attempt.
 func (c *Controller) AttemptDone(now int64, result AttemptResult) {
-	q := c.requests.byID[result.Request]
-	if q == nil {
+	req := c.requests.byID[result.Request]
+	if req == nil {
 		return
 	}
-	a := q.openAttempt(result.Attempt)
+	a := req.openAttempt(result.Attempt)
 	if a == nil {
 		return
 	}
-	q.endAttempt(a, result.Outcome)
+	req.endAttempt(a, result.Outcome)
 	c.recordResult(now, a, &result)
 	if result.Outcome == Succeeded { // also of a client that has gone
-		c.reservations.settle(now, q, result.ActualUnits, c.sampling.reduced())
+		c.reservations.reconcile(now, req, result.ActualUnits, c.sampling.reduced())
 	}
-	if result.Final && !q.ended() {
-		c.finish(q, a, result.Outcome)
+	if result.Final && !req.ended() {
+		c.finish(req, a, result.Outcome)
 	}
-	if q.ended() {
-		c.forgetIfDone(now, q)
+	if req.ended() {
+		c.removeIfDone(now, req)
 		return
 	}
-	if q.openAttempts == 0 && !c.retry(now, q) {
-		c.rejectOrFail(now, q)
+	if req.openAttempts == 0 && !c.retry(now, req) {
+		c.rejectOrFail(now, req)
 	}
 }
 
 // finish ends a request whose client has its final answer.
-func (c *Controller) finish(q *request, a *attempt, outcome Outcome) {
+func (c *Controller) finish(req *request, a *attempt, outcome Outcome) {
 	if outcome != Succeeded {
-		q.move(stateClientGone)
+		req.setState(stateClientGone)
 		return
 	}
 	if !a.overdue {
-		c.retries.paidOff(len(q.attempts) - 1)
+		c.retries.retriesSucceeded(len(req.attempts) - 1)
 	}
-	q.move(stateAnswered)
+	req.setState(stateAnswered)
 }
 
 // recordResult keeps the record of the server that an attempt was sent to.
 func (c *Controller) recordResult(now int64, a *attempt, result *AttemptResult) {
 	s := a.server
 	c.concurrency.checkOverdue(now, a)
-	s.end(a)
+	s.attemptEnded(a)
 	switch result.Outcome {
 	case Succeeded:
 		if c.outliers.succeeded(now, s) {
@@ -299,14 +299,14 @@
 		c.rotation.observe(s, result.Duration, a.request.units)
 		c.concurrency.succeeded(a)
 	case Overloaded:
-		s.health.lastSign = now
+		s.health.lastSeenAlive = now
 		c.concurrency.rejected(a, now+c.tickInterval)
 	case ServerError, ConnectFailed, ConnectionLost, Cancelled:
 		// Its duration is not observed: a server that fails is quick at it, and would draw all requests.
 		c.outliers.failed(now, s, result.Outcome)
 	case TimedOut, NotAttempted: // checkSilent judges the first, the second says nothing of the server
 	}
-	c.concurrency.raiseToMinimum(s)
+	c.concurrency.applyMinLimit(s)
 	c.servers.reindex(now, s)
 }
 
@@ -319,9 +319,9 @@
 
 // ClientDisconnected says that a request's client has gone.
 func (c *Controller) ClientDisconnected(now int64, id string) {
-	if q := c.requests.byID[id]; q != nil && !q.ended() {
-		q.move(stateClientGone)
-		c.forgetIfDone(now, q)
+	if req := c.requests.byID[id]; req != nil && !req.ended() {
+		req.setState(stateClientGone)
+		c.removeIfDone(now, req)
 	}
 }
 
@@ -338,20 +338,20 @@
 	if token == tickTimer {
 		c.tick(now)
 		c.lastTick = now
-		c.accounts.forgetUnused(now)
+		c.accounts.evictUnused(now)
 		c.effects.SetTimer(now+c.tickInterval, tickTimer)
 		return
 	}
-	if q := c.requests.byTimer[token]; q != nil && now >= q.deadline {
-		c.rejectOrFail(now, q)
+	if req := c.requests.byTimer[token]; req != nil && now >= req.deadline {
+		c.rejectOrFail(now, req)
 	}
 }
 
 // tick looks at the servers in use: it finds those that are silent, and lets others come back.
 func (c *Controller) tick(now int64) {
-	c.servers.forgetFinished()
+	c.servers.removeFinished()
 	c.concurrency.decayMean()
-	c.rotation.measureSubset(now, &c.servers)
+	c.rotation.updateSubsetWeight(now, &c.servers)
 	inUse := c.servers.index.activeInOrder()
 	for _, s := range inUse {
 		c.checkServer(now, s)
@@ -378,20 +378,20 @@
 	}
 }
 
-// forgetIfDone forgets an ended request once nothing of it is in flight. If no server got it whole, all that it took
+// removeIfDone forgets an ended request once nothing of it is in flight. If no server got it whole, all that it took
 // is put back.
-func (c *Controller) forgetIfDone(now int64, q *request) {
-	c.requests.stopTimer(q)
-	if q.openAttempts > 0 || !c.requests.remove(q) {
+func (c *Controller) removeIfDone(now int64, req *request) {
+	c.requests.stopTimer(req)
+	if req.openAttempts > 0 || !c.requests.remove(req) {
 		return
 	}
-	if q.account == nil {
+	if req.account == nil {
 		return
 	}
-	q.account.requestEnded(c.lastTick)
-	if len(q.attempts) > 0 && !q.reachedAny {
-		q.account.refund(now, q)
-		c.reservations.forgive(q)
-		c.reservations.release(now, q, q.charge)
+	req.account.requestEnded(c.lastTick)
+	if len(req.attempts) > 0 && !req.reachedAnyServer {
+		req.account.refund(now, req)
+		c.reservations.cancelDeferredCharge(req)
+		c.reservations.release(now, req, req.charge)
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -7,62 +7,62 @@
 
 func TestRequestArrived(t *testing.T) {
 	t.Run("reserves before its first attempt", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		controller.RequestArrived(0, arrival("j", "read", "plain"))
-		requireEffects(t, done, "count 2")
+		requireEffects(t, effects, "count 2")
 	})
 	t.Run("of a customer known to be out of units is rejected without a call", func(t *testing.T) {
-		controller, done := newTestController()
-		q := waitForCounter(controller, "read", "plain")
-		controller.CounterReplied(0, q.reservation.name, Succeeded, 60)
-		done.did = nil
+		controller, effects := newTestController()
+		req := reserveRequest(controller, "read", "plain")
+		controller.CounterReplied(0, req.reservation.name, Succeeded, 60)
+		effects.calls = nil
 		controller.RequestArrived(second/10, arrival("k", "read", "plain"))
-		requireEffects(t, done, "reject k")
-		if len(done.did) != 1 {
-			t.Fatalf("did %q", done.did)
+		requireEffects(t, effects, "reject k")
+		if len(effects.calls) != 1 {
+			t.Fatalf("did %q", effects.calls)
 		}
 		controller.RequestArrived(10*second, arrival("m", "read", "plain")) // by then the bucket may hold them
-		if last := done.did[len(done.did)-1]; !strings.HasPrefix(last, "count ") {
-			t.Fatalf("did %q", done.did)
+		if last := effects.calls[len(effects.calls)-1]; !strings.HasPrefix(last, "count ") {
+			t.Fatalf("did %q", effects.calls)
 		}
 	})
 	t.Run("of an unknown plan is rejected", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		controller.RequestArrived(0, arrival("j", "read", "nobody's"))
-		requireEffects(t, done, "reject j")
+		requireEffects(t, effects, "reject j")
 	})
 	t.Run("that has no time is rejected", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		a := arrival("j", "read", "plain")
 		a.Timeout = 0
 		controller.RequestArrived(0, a)
-		requireEffects(t, done, "reject j")
+		requireEffects(t, effects, "reject j")
 	})
 	t.Run("right after our start finds this limiter's part of the ceiling empty", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		startWindow(controller, "hard", second)
 		controller.RequestArrived(0, arrival("j", "read", "hard"))
-		requireEffects(t, done, "reject j")
-		done.requireReason(t, RejectedForCeiling)
+		requireEffects(t, effects, "reject j")
+		effects.requireReason(t, RejectedForCeiling)
 		controller.RequestArrived(second, arrival("k", "read", "hard"))
-		requireEffects(t, done, "count 2")
+		requireEffects(t, effects, "count 2")
 	})
 	t.Run("is held to this limiter's part of the ceiling when others went out while it waited", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		startWindow(controller, "hard", second/2)
 		controller.RequestArrived(second/2, arrival("j", "read", "hard"))
 		controller.RequestArrived(second/2, arrival("k", "read", "hard"))
 		name := controller.requests.byID["j"].reservation.name
 		controller.CounterReplied(second/2, name, Succeeded, 2)
 		controller.CounterReplied(second/2, name, Succeeded, 4)
-		requireEffects(t, done, "count 2", "count 2", "send j a", "count -2", "reject k")
-		done.requireReason(t, RejectedForCeiling)
+		requireEffects(t, effects, "count 2", "count 2", "send j a", "count -2", "reject k")
+		effects.requireReason(t, RejectedForCeiling)
 	})
 	t.Run("goes by the local quota while the counter is silent", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		controller.sampling.rate = 0
 		controller.RequestArrived(0, arrival("j", "read", "plain"))
-		requireEffects(t, done, "send j a")
+		requireEffects(t, effects, "send j a")
 		if controller.requests.byID["j"].account.window.pendingAdjustment != 2 {
 			t.Fatal("its units are not owed")
 		}
@@ -94,7 +94,8 @@
 	})
 	t.Run("the first limit of a server is shared by all limiters", func(t *testing.T) {
 		controller, _ := newTestController()
-		if limit := controller.servers.byID["a"].limit; limit*2 != initialLimitRequests*controller.settings.MaxRequestUnits {
+		if limit := controller.servers.byID["a"].limit; limit*2 !=
+			initialLimitRequests*controller.settings.MaxRequestUnits {
 			t.Fatal("limit", limit)
 		}
 	})
@@ -112,11 +113,11 @@
 
 func TestClientDisconnected(t *testing.T) {
 	t.Run("nothing is sent for a client that has gone", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		sendRequest(controller, "read")
 		controller.ClientDisconnected(1, "j")
 		controller.AttemptDone(2, AttemptResult{Request: "j", Outcome: Overloaded, Duration: 2})
-		requireEffects(t, done, "send j a")
+		requireEffects(t, effects, "send j a")
 		if controller.requests.byID["j"] != nil {
 			t.Fatal("the request is kept")
 		}
@@ -126,9 +127,9 @@
 // A part of a ceiling starts empty, and customers inside their quotas are rejected until it has filled.
 func TestReadyAt(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		rate, burst float64
-		warm, want  int64
+		name                  string
+		rate, burst           float64
+		slowStartWindow, want int64
 	}{
 		{"no ceiling", 0, 0, 10 * second, 0},
 		{"once each limiter's part holds the largest request", 4, 16, 10 * second, 2 * second},
@@ -137,7 +138,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			controller, _ := newTestController()
-			controller.settings.Plans["hard"].CeilingRate, controller.settings.Plans["hard"].CeilingBurst, controller.settings.SlowStartWindow = c.rate, c.burst, c.warm
+			controller.settings.Plans["hard"].CeilingRate,
+				controller.settings.Plans["hard"].CeilingBurst,
+				controller.settings.SlowStartWindow = c.rate, c.burst, c.slowStartWindow
 			if at := controller.ReadyAt(); at != c.want {
 				t.Fatal("ready at", at)
 			}
@@ -157,10 +160,10 @@
 		{"an idempotent request goes elsewhere", "read", ServerError, "send j b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			controller, done := newTestController()
+			controller, effects := newTestController()
 			sendRequest(controller, c.class)
 			controller.AttemptDone(second/10, AttemptResult{Request: "j", Outcome: c.outcome, Duration: second / 10})
-			requireEffects(t, done, c.want)
+			requireEffects(t, effects, c.want)
 		})
 	}
 	t.Run("a server that fails quickly draws no requests", func(t *testing.T) {
@@ -173,50 +176,50 @@
 		}
 	})
 	t.Run("true units settle the reservation once", func(t *testing.T) {
-		controller, done := newTestController()
-		q := sendRequest(controller, "read")
+		controller, effects := newTestController()
+		req := sendRequest(controller, "read")
 		controller.AttemptDone(
 			second/10,
 			AttemptResult{Request: "j", Outcome: Succeeded, Duration: second / 10, Final: true, ActualUnits: 5},
 		)
-		requireEffects(t, done, "send j a", "count 3")
-		if controller.requests.byID["j"] != nil || q.state != stateAnswered || q.account.sharedQuota.tokens > 5.6 {
-			t.Fatalf("request is kept in state %d, the bucket holds %v", q.state, q.account.sharedQuota.tokens)
+		requireEffects(t, effects, "send j a", "count 3")
+		if controller.requests.byID["j"] != nil || req.state != stateAnswered || req.account.sharedQuota.tokens > 5.6 {
+			t.Fatalf("request is kept in state %d, the bucket holds %v", req.state, req.account.sharedQuota.tokens)
 		}
 	})
 }
 
 func TestTimerFired(t *testing.T) {
 	t.Run("at its end a non-idempotent request that is out fails", func(t *testing.T) {
-		controller, done := newTestController()
-		q := sendRequest(controller, "write")
-		controller.TimerFired(q.deadline, q.timer)
-		requireEffects(t, done, "fail j")
+		controller, effects := newTestController()
+		req := sendRequest(controller, "write")
+		controller.TimerFired(req.deadline, req.timer)
+		requireEffects(t, effects, "fail j")
 	})
 	t.Run("at its end an idempotent request is rejected", func(t *testing.T) {
-		controller, done := newTestController()
-		q := sendRequest(controller, "read")
-		controller.TimerFired(q.deadline, q.timer)
-		requireEffects(t, done, "reject j")
+		controller, effects := newTestController()
+		req := sendRequest(controller, "read")
+		controller.TimerFired(req.deadline, req.timer)
+		requireEffects(t, effects, "reject j")
 	})
 }
 
 func TestRecordResult(t *testing.T) {
 	t.Run("a server that takes no connection is ejected at once, for the latency objective", func(t *testing.T) {
 		controller, _ := newTestController()
-		q := sendRequest(controller, "read")
-		controller.recordResult(0, q.attempts[0], &AttemptResult{Outcome: ConnectFailed})
+		req := sendRequest(controller, "read")
+		controller.recordResult(0, req.attempts[0], &AttemptResult{Outcome: ConnectFailed})
 		if s := controller.servers.byID["a"]; s.health.state != ejected || s.health.nextCheck != second {
 			t.Fatal("standing", s.health.state, "until", s.health.nextCheck)
 		}
 	})
 	t.Run("the in-flight limit grows to what chance brings together and no further", func(t *testing.T) {
 		controller, _ := newTestController()
-		q := sendRequest(controller, "read")
+		req := sendRequest(controller, "read")
 		// the load and four deviations of it are 20
 		controller.concurrency.meanInFlight, controller.concurrency.inFlightLimit = 4, 19.9
 		for range 3 {
-			controller.recordResult(0, q.attempts[0], &AttemptResult{Outcome: Succeeded, Duration: 1})
+			controller.recordResult(0, req.attempts[0], &AttemptResult{Outcome: Succeeded, Duration: 1})
 		}
 		if controller.concurrency.inFlightLimit != 20.15 {
 			t.Fatal("it is", controller.concurrency.inFlightLimit)
@@ -225,22 +228,22 @@
 }
 
 func TestAttemptDoneOfAnUnknownRequestDoesNothing(t *testing.T) {
-	controller, done := newTestController()
+	controller, effects := newTestController()
 	controller.AttemptDone(0, AttemptResult{Request: "unknown", Outcome: Succeeded})
-	q := sendRequest(controller, "read")
-	did := len(done.did)
-	controller.AttemptDone(0, AttemptResult{Request: q.id, Attempt: 1, Outcome: Succeeded})
-	if len(done.did) != did || q.ended() {
-		t.Fatalf("did %q", done.did)
+	req := sendRequest(controller, "read")
+	calls := len(effects.calls)
+	controller.AttemptDone(0, AttemptResult{Request: req.id, Attempt: 1, Outcome: Succeeded})
+	if len(effects.calls) != calls || req.ended() {
+		t.Fatalf("did %q", effects.calls)
 	}
 }
 
-func TestFinalFailureIsTheClients(t *testing.T) {
-	controller, done := newTestController()
-	q := sendRequest(controller, "read")
-	did := len(done.did)
-	controller.AttemptDone(1, AttemptResult{Request: q.id, Outcome: ConnectionLost, Duration: 1, Final: true})
-	if q.state != stateClientGone || len(done.did) != did || controller.requests.byID[q.id] != nil {
-		t.Fatalf("state %d, did %q", q.state, done.did)
+func TestFinalFailureEndsTheRequest(t *testing.T) {
+	controller, effects := newTestController()
+	req := sendRequest(controller, "read")
+	calls := len(effects.calls)
+	controller.AttemptDone(1, AttemptResult{Request: req.id, Outcome: ConnectionLost, Duration: 1, Final: true})
+	if req.state != stateClientGone || len(effects.calls) != calls || controller.requests.byID[req.id] != nil {
+		t.Fatalf("state %d, did %q", req.state, effects.calls)
 	}
 }
--- a/choice/concurrency.go
+++ b/choice/concurrency.go
@@ -6,21 +6,21 @@
 	// initialLimitRequests is how many of the largest requests all limiters together may have in flight at a new
 	// server.
 	initialLimitRequests = 3
-	// limitIncrease is how many prompt answers raise a limit by their own size.
-	limitIncrease = 8
-	// serverLimitDecrease is how many times more an overdue attempt takes from its server's limit than a prompt answer
+	// limitIncreaseDivisor is how many prompt answers raise a limit by their own size.
+	limitIncreaseDivisor = 8
+	// serverDecreaseFactor is how many times more an overdue attempt takes from its server's limit than a prompt answer
 	// adds.
-	serverLimitDecrease = 10
-	// maxInFlightLimitDecrease bounds the same for the in-flight limit, which falls the more, the more answers are
+	serverDecreaseFactor = 10
+	// maxInFlightDecreaseFactor bounds the same for the in-flight limit, which falls the more, the more answers are
 	// slow.
-	maxInFlightLimitDecrease = 4
+	maxInFlightDecreaseFactor = 4
 	// overloadPerDecrease is the share of slow answers for which an attempt takes from the in-flight limit what a
 	// prompt one adds.
 	overloadPerDecrease = 1.0 / 32
 	// overloadDecay is after how many answers an old one has lost most of its weight in the share of slow answers.
 	overloadDecay = 16
-	// promptParts: an answer within this part of the latency objective is prompt.
-	promptParts = 2
+	// promptDivisor: an answer within this part of the latency objective is prompt.
+	promptDivisor = 2
 	// residenceDecay is after how many load reports an old one has lost most of its weight: each limiter hears a few a
 	// second.
 	residenceDecay = 8
@@ -34,21 +34,21 @@
 // multiplicative decrease (AIMD): limits grow while answers come well inside the latency objective. Load reports that
 // show short residence times raise the limit at all servers.
 type concurrencyLimits struct {
-	settings       *Settings
-	servers        *serverSet
-	mostValuable   *Class  // the class that gets the whole in-flight limit
-	minServerLimit float64 // the largest request over the number of limiters
-	inFlightLimit  float64 // units that may be in flight at all servers; 0 until servers are known
-	meanInFlight   float64 // units that were in flight at them, decaying over the latency objective
-	overloadRatio  float64 // the decaying share of answers that were slow or rejections
-	meanResidence  float64 // the decaying mean of the logarithm of the seconds that requests stay at servers
-	reportedAt     int64   // when the latest load report came, 0 before the first
-	halfUsed       bool    // more than half of the in-flight limit was used at the last request
+	settings        *Settings
+	servers         *serverSet
+	highestPriority *Class  // the class that gets the whole in-flight limit
+	minServerLimit  float64 // the largest request over the number of limiters
+	inFlightLimit   float64 // units that may be in flight at all servers; 0 until servers are known
+	meanInFlight    float64 // units that were in flight at them, decaying over the latency objective
+	overloadRatio   float64 // the decaying share of answers that were slow or rejections
+	meanResidence   float64 // the decaying mean of the logarithm of the seconds that requests stay at servers
+	reportedAt      int64   // when the latest load report came, 0 before the first
+	halfUsed        bool    // more than half of the in-flight limit was used at the last request
 }
 
 func newConcurrencyLimits(settings *Settings, servers *serverSet) concurrencyLimits {
 	return concurrencyLimits{
-		settings: settings, servers: servers, mostValuable: settings.mostValuableClass(),
+		settings: settings, servers: servers, highestPriority: settings.highestPriorityClass(),
 		minServerLimit: settings.MaxRequestUnits / float64(settings.Limiters), overloadRatio: 1,
 	}
 }
@@ -63,14 +63,14 @@
 	return l.minServerLimit * float64(l.servers.count())
 }
 
-// initialize sets the in-flight limit once servers are known. The first requests of a limiter come together by chance
+// initializeInFlightLimit sets the in-flight limit once servers are known. The first requests of a limiter come together by chance
 // as later ones do.
-func (l *concurrencyLimits) initialize() {
+func (l *concurrencyLimits) initializeInFlightLimit() {
 	if l.inFlightLimit == 0 {
-		least := l.minInFlightLimit()
+		minimum := l.minInFlightLimit()
 		l.inFlightLimit = max(
-			initialLimitRequests*least,
-			least+burstDeviations*math.Sqrt(least*l.settings.MaxRequestUnits),
+			initialLimitRequests*minimum,
+			minimum+burstDeviations*math.Sqrt(minimum*l.settings.MaxRequestUnits),
 		)
 	}
 }
@@ -78,12 +78,12 @@
 // admits tells whether the in-flight limit has capacity for a request. inFlight is what is in flight at the servers
 // that may get it, available their capacity in servers. What may be in flight shrinks with the servers that can be
 // used.
-func (l *concurrencyLimits) admits(now int64, q *request, inFlight, available float64) bool {
-	inFlight += q.units
-	limit := l.inFlightLimit * l.residenceFactor(now, q.class) * available / max(float64(l.servers.ready()), 1)
-	limit *= 1 - priorityReserve*(1-q.class.PriorityWeight/l.mostValuable.PriorityWeight)
+func (l *concurrencyLimits) admits(now int64, req *request, inFlight, available float64) bool {
+	inFlight += req.units
+	limit := l.inFlightLimit * l.residenceFactor(now, req.class) * available / max(float64(l.servers.ready()), 1)
+	limit *= 1 - priorityReserve*(1-req.class.PriorityWeight/l.highestPriority.PriorityWeight)
 	l.halfUsed = inFlight > limit/2
-	return inFlight <= limit || inFlight <= q.units
+	return inFlight <= limit || inFlight <= req.units
 }
 
 // serverHasCapacity tells whether a server's own limit has capacity for a request. slowStartWeight is the server's.
@@ -99,8 +99,8 @@
 		return 1
 	}
 	// no class may fill the servers for a dearer one
-	objective := min(class.LatencyObjective, l.mostValuable.LatencyObjective)
-	return max(1, seconds(objective)/promptParts/math.Exp(l.meanResidence))
+	objective := min(class.LatencyObjective, l.highestPriority.LatencyObjective)
+	return max(1, seconds(objective)/promptDivisor/math.Exp(l.meanResidence))
 }
 
 // observeLoad takes in a load report.
@@ -124,19 +124,19 @@
 // checkOverdue lowers a server's limit for an attempt that is not answered well inside the latency objective, without
 // waiting for the answer: servers that slow down together would fill up until then.
 func (l *concurrencyLimits) checkOverdue(now int64, a *attempt) {
-	if !a.overdue && now-a.sentAt > a.request.class.LatencyObjective/promptParts {
+	if !a.overdue && now-a.sentAt > a.request.class.LatencyObjective/promptDivisor {
 		a.overdue = true
-		a.server.limit = max(a.server.limit-a.request.units*serverLimitDecrease/limitIncrease, l.minServerLimit)
-		l.decrease(a.request.units)
+		a.server.limit = max(a.server.limit-a.request.units*serverDecreaseFactor/limitIncreaseDivisor, l.minServerLimit)
+		l.decreaseInFlightLimit(a.request.units)
 	}
 }
 
-// decrease takes from the in-flight limit for an attempt that is overdue or was rejected. One limiter among hundreds
+// decreaseInFlightLimit takes from the in-flight limit for an attempt that is overdue or was rejected. One limiter among hundreds
 // sees a server too seldom to learn its limit in time; all together soon tell that the servers fill up. Where answers
 // are prompt the rest are silent, not overloaded, and it takes no more than a prompt answer adds.
-func (l *concurrencyLimits) decrease(units float64) {
-	times := max(1, math.Min(maxInFlightLimitDecrease, l.overloadRatio/overloadPerDecrease))
-	l.inFlightLimit = max(l.inFlightLimit-units*times/limitIncrease, l.minInFlightLimit())
+func (l *concurrencyLimits) decreaseInFlightLimit(units float64) {
+	factor := max(1, math.Min(maxInFlightDecreaseFactor, l.overloadRatio/overloadPerDecrease))
+	l.inFlightLimit = max(l.inFlightLimit-units*factor/limitIncreaseDivisor, l.minInFlightLimit())
 }
 
 // succeeded takes in an answer with a value. The attempt has been taken out of its server already.
@@ -148,11 +148,11 @@
 		return
 	}
 	if s.inFlight+units > s.limit/2 || l.halfUsed {
-		s.limit += units / limitIncrease
+		s.limit += units / limitIncreaseDivisor
 	}
 	// The limit is what can come together by chance, not the load: few requests in flight swing the most.
 	if l.inFlightLimit < l.meanInFlight+burstDeviations*math.Sqrt(l.meanInFlight*l.settings.MaxRequestUnits) {
-		l.inFlightLimit += units / limitIncrease
+		l.inFlightLimit += units / limitIncreaseDivisor
 	}
 }
 
@@ -162,13 +162,13 @@
 	s.overloadedUntil = until
 	s.limit = math.Min(s.limit, s.inFlight)
 	l.overloadRatio += (1 - l.overloadRatio) / overloadDecay
-	l.decrease(a.request.units)
+	l.decreaseInFlightLimit(a.request.units)
 }
 
-// raiseToMinimum keeps a server's limit at its least.
-func (l *concurrencyLimits) raiseToMinimum(s *server) { s.limit = max(s.limit, l.minServerLimit) }
+// applyMinLimit keeps a server's limit at its least.
+func (l *concurrencyLimits) applyMinLimit(s *server) { s.limit = max(s.limit, l.minServerLimit) }
 
 // answersArePrompt tells whether the servers that answer do so in time.
 func (l *concurrencyLimits) answersArePrompt() bool {
-	return l.overloadRatio < maxInFlightLimitDecrease*overloadPerDecrease
+	return l.overloadRatio < maxInFlightDecreaseFactor*overloadPerDecrease
 }
--- a/choice/concurrency_test.go
+++ b/choice/concurrency_test.go
@@ -10,7 +10,7 @@
 func TestInitialInFlightLimit(t *testing.T) {
 	for _, c := range []struct {
 		limiters, servers int
-		least             float64
+		minLimit          float64
 	}{{300, 180, 14}, {3, 9, 36}} {
 		controller, _ := newTestController()
 		controller.settings.Limiters = c.limiters
@@ -24,10 +24,10 @@
 			entries = append(entries, Endpoint{ID: fmt.Sprint(i), Weight: 1})
 		}
 		controller.UpdateEndpoints(0, true, entries)
-		floor := controller.concurrency.minInFlightLimit()
-		burst := burstDeviations * math.Sqrt(floor*controller.settings.MaxRequestUnits)
+		minimum := controller.concurrency.minInFlightLimit()
+		burst := burstDeviations * math.Sqrt(minimum*controller.settings.MaxRequestUnits)
 		got := controller.concurrency.inFlightLimit
-		if got < floor+burst || got < c.least {
+		if got < minimum+burst || got < c.minLimit {
 			t.Fatalf("%d limiters begin with room for %v units at %d servers", c.limiters, got, c.servers)
 		}
 	}
@@ -36,8 +36,8 @@
 func TestInFlightLimit(t *testing.T) {
 	t.Run("late attempts at any server narrow it, down to a request a server over all limiters", func(t *testing.T) {
 		controller, _ := newTestController()
-		q := sendRequest(controller, "read")
-		controller.concurrency.checkOverdue(second, q.attempts[0])
+		req := sendRequest(controller, "read")
+		controller.concurrency.checkOverdue(second, req.attempts[0])
 		if controller.concurrency.inFlightLimit != 20-1 {
 			t.Fatal("it is", controller.concurrency.inFlightLimit)
 		}
@@ -45,16 +45,16 @@
 		if controller.concurrency.inFlightLimit < controller.concurrency.minInFlightLimit() {
 			t.Fatal("the least is", controller.concurrency.minInFlightLimit())
 		}
-		controller.concurrency.decrease(q.units)
+		controller.concurrency.decreaseInFlightLimit(req.units)
 		if controller.concurrency.inFlightLimit != 4 {
 			t.Fatal("it is", controller.concurrency.inFlightLimit)
 		}
 	})
 	t.Run("a further attempt that was answered promptly is paid back", func(t *testing.T) {
 		controller, _ := newTestController()
-		q := sendRequest(controller, "read")
+		req := sendRequest(controller, "read")
 		controller.retries.retries = 1
-		controller.retry(0, q)
+		controller.retry(0, req)
 		controller.AttemptDone(1, AttemptResult{Request: "j", Attempt: 1, Outcome: Succeeded, Duration: 1, Final: true})
 		if controller.retries.retries != 1 {
 			t.Fatal("in hand", controller.retries.retries)
@@ -64,20 +64,30 @@
 
 func TestResidenceFactor(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		reports []float64 // seconds that requests stay, each a server's latest
-		age     int64
-		able    bool
+		name     string
+		reports  []float64 // seconds that requests stay, each a server's latest
+		age      int64
+		eligible bool
 	}{
 		{"no report: the in-flight limit binds", nil, 0, false},
 		{"requests stay for a fifth of the latency objective: there is room", []float64{0.2, 0.2, 0.2}, 0, true},
-		{"and one stuck server among many does not hide it", []float64{0.2, 0.2, 0.2, 0.2, 30, 0.2, 0.2, 0.2, 0.2, 0.2}, 0, true},
-		{"requests stay for most of the latency objective: the in-flight limit binds", []float64{0.8, 0.8, 0.8}, 0, false},
+		{
+			"and one stuck server among many does not hide it",
+			[]float64{0.2, 0.2, 0.2, 0.2, 30, 0.2, 0.2, 0.2, 0.2, 0.2},
+			0,
+			true,
+		},
+		{
+			"requests stay for most of the latency objective: the in-flight limit binds",
+			[]float64{0.8, 0.8, 0.8},
+			0,
+			false,
+		},
 		{"reports have grown old: the in-flight limit binds", []float64{0.2, 0.2, 0.2}, 2 * second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			controller, _ := newTestController()
-			for _, stay := range c.reports {
+			for _, residence := range c.reports {
 				att := &attempt{
 					request: &request{class: controller.settings.Classes["read"], units: 1},
 					server:  controller.servers.byID["a"],
@@ -85,17 +95,20 @@
 				controller.recordResult(
 					1,
 					att,
-					&AttemptResult{Outcome: Succeeded, Load: LoadReport{InFlight: 10 * stay, Throughput: 10}},
+					&AttemptResult{Outcome: Succeeded, Load: LoadReport{InFlight: 10 * residence, Throughput: 10}},
 				)
 			}
 			controller.concurrency.inFlightLimit = 2.5
 			controller.servers.byID["a"].inFlight = 3
 			reindex(controller, c.age)
-			able := controller.eligibleServers(c.age, &request{class: controller.settings.Classes["read"], units: 1})
-			if len(able) > 0 != c.able {
+			eligible := controller.eligibleServers(
+				c.age,
+				&request{class: controller.settings.Classes["read"], units: 1},
+			)
+			if len(eligible) > 0 != c.eligible {
 				t.Fatalf(
 					"able %v with a room of %v eased by %v",
-					able,
+					eligible,
 					controller.concurrency.inFlightLimit,
 					controller.concurrency.residenceFactor(c.age, controller.settings.Classes["read"]),
 				)
@@ -104,19 +117,19 @@
 	}
 }
 
-func TestDecrease(t *testing.T) {
+func TestDecreaseInFlightLimit(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		slow, left float64
+		name           string
+		overload, want float64
 	}{
 		{"where answers are slow a late attempt takes four times what a prompt one adds", 0.5, 19},
 		{"where answers are prompt, the others silent, it takes as much", 0, 19.75},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			controller, _ := newTestController()
-			controller.concurrency.overloadRatio = c.slow
-			controller.concurrency.decrease(2)
-			if controller.concurrency.inFlightLimit != c.left {
+			controller.concurrency.overloadRatio = c.overload
+			controller.concurrency.decreaseInFlightLimit(2)
+			if controller.concurrency.inFlightLimit != c.want {
 				t.Fatal("left", controller.concurrency.inFlightLimit)
 			}
 		})
@@ -125,17 +138,17 @@
 
 func TestPriorityReserve(t *testing.T) {
 	controller, _ := newTestController()
-	dear := &Class{LatencyObjective: second / 2, PriorityWeight: 5}
-	controller.settings.Classes["dear"], controller.concurrency.inFlightLimit = dear, 4
+	highPriority := &Class{LatencyObjective: second / 2, PriorityWeight: 5}
+	controller.settings.Classes["dear"], controller.concurrency.inFlightLimit = highPriority, 4
 	controller = func() *Controller {
-		n := New(0, controller.settings, 1, &recordedEffects{})
-		n.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
-		return n
+		rebuilt := New(0, controller.settings, 1, &recordedEffects{})
+		rebuilt.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
+		return rebuilt
 	}()
 	controller.concurrency.inFlightLimit = 4
 	controller.servers.byID["a"].inFlight = 2
 	reindex(controller, 0)
-	if len(controller.eligibleServers(0, &request{units: 2, class: dear})) == 0 {
+	if len(controller.eligibleServers(0, &request{units: 2, class: highPriority})) == 0 {
 		t.Fatal("the dearest class's requests do not get all of the in-flight limit")
 	}
 	if len(controller.eligibleServers(0, &request{units: 2, class: controller.settings.Classes["read"]})) != 0 {
@@ -143,7 +156,10 @@
 	}
 	controller.concurrency.reportedAt, controller.concurrency.meanResidence = 1, math.Log(0.2)
 	// by half a second, not one
-	if e := controller.concurrency.residenceFactor(1, controller.settings.Classes["read"]); math.Abs(e-1.25) > 1e-9 {
-		t.Fatal("a longer latency objective widens the in-flight limit by", e)
+	if factor := controller.concurrency.residenceFactor(
+		1,
+		controller.settings.Classes["read"],
+	); math.Abs(factor-1.25) > 1e-9 {
+		t.Fatal("a longer latency objective widens the in-flight limit by", factor)
 	}
 }
--- a/choice/counter_sampling.go
+++ b/choice/counter_sampling.go
@@ -40,11 +40,11 @@
 // includes tells whether the counter is asked for a request of the customer while the rate is reduced: always for some
 // customers, the same at all limiters (the count of a part of the use says little), and for more where going past the
 // quota costs more. A few requests of the others see whether the counter is back.
-func (s *counterSampling) includes(a *account) bool {
-	penalty := max(0, a.plan.OverQuotaPenalty-a.plan.OverQuotaRevenue) * a.plan.PriorityWeight
+func (s *counterSampling) includes(acct *account) bool {
+	penalty := max(0, acct.plan.OverQuotaPenalty-acct.plan.OverQuotaRevenue) * acct.plan.PriorityWeight
 	s.meanPenalty += (penalty - s.meanPenalty) / penaltyDecay
 	share := (s.rate - minSamplingRate) / (1 - s.rate) * penalty / s.meanPenalty
-	return a.window.customerHash() < share || s.random.Float64() < minSamplingRate
+	return acct.window.customerHash() < share || s.random.Float64() < minSamplingRate
 }
 
 // answered notes that a call was answered.
--- a/choice/counter_sampling_test.go
+++ b/choice/counter_sampling_test.go
@@ -6,38 +6,39 @@
 )
 
 func TestRequestArrivedWhileSampling(t *testing.T) {
-	crowded := func(owed float64) *recordedEffects {
-		controller, done := newTestController()
-		a := controller.useAccount(0, arrival("", "read", "plain"), controller.settings.Plans["plain"])
-		a.plan.OverQuotaPenalty, a.plan.PriorityWeight = 1, 1
-		controller.sampling.rate, a.sharedQuota.tokens, a.localQuota.tokens, a.window.known = 0.999, 0, -9, true
-		controller.reservations.rollOver(0, a)
-		a.window.pendingAdjustment = owed
+	arriveWithExhaustedQuota := func(owed float64) *recordedEffects {
+		controller, effects := newTestController()
+		acct := controller.getOrCreateAccount(0, arrival("", "read", "plain"), controller.settings.Plans["plain"])
+		acct.plan.OverQuotaPenalty, acct.plan.PriorityWeight = 1, 1
+		controller.sampling.rate, acct.sharedQuota.tokens,
+			acct.localQuota.tokens, acct.window.observed = 0.999, 0, -9, true
+		controller.reservations.rollOver(0, acct)
+		acct.window.pendingAdjustment = owed
 		controller.RequestArrived(0, arrival("j", "read", "plain"))
-		return done
+		return effects
 	}
 	t.Run("the counter is not asked for a customer known to be out", func(t *testing.T) {
-		requireEffects(t, crowded(0), "reject j")
+		requireEffects(t, arriveWithExhaustedQuota(0), "reject j")
 	})
 	t.Run("but when there is something to add back", func(t *testing.T) {
-		requireEffects(t, crowded(-3), "count -1")
+		requireEffects(t, arriveWithExhaustedQuota(-3), "count -1")
 	})
 	t.Run("the retry-after is no longer than clients honour", func(t *testing.T) {
-		if done := crowded(0); done.retryAfter > second || done.retryAfter <= second/4 {
-			t.Fatal("told to wait", done.retryAfter)
+		if effects := arriveWithExhaustedQuota(0); effects.retryAfter > second || effects.retryAfter <= second/4 {
+			t.Fatal("told to wait", effects.retryAfter)
 		}
 	})
 }
 
 // TestSamplingAfterOutage: a counter that was down is soon asked as much as it bore before, one that is crowded is not.
 func TestSamplingAfterOutage(t *testing.T) {
-	end := func(controller *Controller, outcome Outcome, n int) {
+	replyToCalls := func(controller *Controller, outcome Outcome, n int) {
 		for range n {
 			controller.reservations.calls[1] = append(
 				controller.reservations.calls[1],
 				counterCall{
 					request: &request{state: stateInFlight},
-					account: controller.useAccount(
+					account: controller.getOrCreateAccount(
 						0,
 						arrival("", "read", "plain"),
 						controller.settings.Plans["plain"],
@@ -49,19 +50,19 @@
 		}
 	}
 	controller, _ := newTestController()
-	end(controller, Succeeded, 10)
-	end(controller, ConnectFailed, 40)
+	replyToCalls(controller, Succeeded, 10)
+	replyToCalls(controller, ConnectFailed, 40)
 	if controller.sampling.rate != minSamplingRate {
 		t.Fatal("while it is down it is asked", controller.sampling.rate)
 	}
-	end(controller, Succeeded, 4)
+	replyToCalls(controller, Succeeded, 4)
 	if controller.sampling.rate != samplingDecrease {
 		t.Fatal("after four answers it is asked", controller.sampling.rate)
 	}
 	controller, _ = newTestController()
 	for range 40 {
-		end(controller, TimedOut, 1)
-		end(controller, Succeeded, 4)
+		replyToCalls(controller, TimedOut, 1)
+		replyToCalls(controller, Succeeded, 4)
 	}
 	if controller.sampling.rate > 0.3 {
 		t.Fatal("one that leaves a fifth unanswered is asked", controller.sampling.rate)
@@ -69,14 +70,14 @@
 }
 
 func TestSamplingByPenalty(t *testing.T) {
-	share := func(phase int64, costs float64) int {
+	countIncluded := func(windowOffset int64, penalty float64) int {
 		controller, _ := newTestController()
-		a := controller.useAccount(0, arrival("", "read", "plain"), controller.settings.Plans["plain"])
-		a.window.offset, a.plan.OverQuotaPenalty, a.plan.PriorityWeight = phase, costs, 1
+		acct := controller.getOrCreateAccount(0, arrival("", "read", "plain"), controller.settings.Plans["plain"])
+		acct.window.offset, acct.plan.OverQuotaPenalty, acct.plan.PriorityWeight = windowOffset, penalty, 1
 		controller.sampling.rate, controller.sampling.meanPenalty = 0.5, 1
 		n := 0
 		for range 100 {
-			if controller.sampling.includes(a) {
+			if controller.sampling.includes(acct) {
 				n++
 			}
 			controller.sampling.meanPenalty = 1
@@ -84,12 +85,12 @@
 		return n
 	}
 	t.Run("some customers are always asked for", func(t *testing.T) {
-		if n := share(math.MaxInt64/2, 1); n != 100 {
+		if n := countIncluded(math.MaxInt64/2, 1); n != 100 {
 			t.Fatal(n, "of 100")
 		}
 	})
 	t.Run("where going beyond costs less only now and then", func(t *testing.T) {
-		if n := share(math.MaxInt64/2, 0.1); n == 0 || n > 20 {
+		if n := countIncluded(math.MaxInt64/2, 0.1); n == 0 || n > 20 {
 			t.Fatal(n, "of 100")
 		}
 	})
@@ -97,15 +98,15 @@
 
 func TestSamplingRateRises(t *testing.T) {
 	controller, _ := newTestController()
-	q := waitForCounter(controller, "read", "plain")
-	controller.CounterReplied(0, q.reservation.name, TimedOut, 0)
-	var at []float64
+	req := reserveRequest(controller, "read", "plain")
+	controller.CounterReplied(0, req.reservation.name, TimedOut, 0)
+	var rates []float64
 	for range 3 {
-		controller.reservations.reserve(0, &request{id: "k", account: q.account, class: q.class, charge: 1})
-		controller.CounterReplied(0, q.reservation.name, Succeeded, 1)
-		at = append(at, controller.sampling.rate)
+		controller.reservations.reserve(0, &request{id: "k", account: req.account, class: req.class, charge: 1})
+		controller.CounterReplied(0, req.reservation.name, Succeeded, 1)
+		rates = append(rates, controller.sampling.rate)
 	}
-	if at[0] != 0.75+1.0/256 || at[1] != at[0]+2.0/256 || at[2] != at[1]+3.0/256 {
-		t.Fatal("asks rise by", at)
+	if rates[0] != 0.75+1.0/256 || rates[1] != rates[0]+2.0/256 || rates[2] != rates[1]+3.0/256 {
+		t.Fatal("asks rise by", rates)
 	}
 }
--- a/choice/expiry_queue.go
+++ b/choice/expiry_queue.go
@@ -32,13 +32,13 @@
 	return x
 }
 
-// due takes out the next customer that could be forgotten by now, nil for none.
-func (e *expiryQueue) due(now int64) *account {
+// popDue takes out the next customer that could be forgotten by now, nil for none.
+func (e *expiryQueue) popDue(now int64) *account {
 	if len(*e) == 0 || (*e)[0].at > now {
 		return nil
 	}
 	return heap.Pop(e).(expiry).account
 }
 
-// enter has a customer looked at again by the first tick from a time on.
-func (e *expiryQueue) enter(at int64, a *account) { heap.Push(e, expiry{at, a}) }
+// schedule has a customer looked at again by the first tick from a time on.
+func (e *expiryQueue) schedule(at int64, acct *account) { heap.Push(e, expiry{at, acct}) }
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -9,39 +9,39 @@
 
 // recordedEffects writes down what the limiter did, one line each.
 type recordedEffects struct {
-	did        []string
+	calls      []string
 	retryAfter int64        // the latest retry-after
 	reason     RejectReason // and why
-	logged     []string     // apart from did: a decision is logged beside what it does
+	logLines   []string     // apart from did: a decision is logged beside what it does
 }
 
-func (done *recordedEffects) add(form string, args ...any) {
-	done.did = append(done.did, fmt.Sprintf(form, args...))
+func (e *recordedEffects) record(format string, args ...any) {
+	e.calls = append(e.calls, fmt.Sprintf(format, args...))
 }
 
-func (done *recordedEffects) Send(request, server string) { done.add("send %s %s", request, server) }
-func (done *recordedEffects) Cancel(request string, attempt int) {
-	done.add("cancel %s %d", request, attempt)
+func (e *recordedEffects) Send(request, server string) { e.record("send %s %s", request, server) }
+func (e *recordedEffects) Cancel(request string, attempt int) {
+	e.record("cancel %s %d", request, attempt)
 }
-func (done *recordedEffects) Reject(request string, after int64, reason RejectReason) {
-	done.retryAfter, done.reason = after, reason
-	done.add("reject %s", request)
+func (e *recordedEffects) Reject(request string, after int64, reason RejectReason) {
+	e.retryAfter, e.reason = after, reason
+	e.record("reject %s", request)
 }
-func (done *recordedEffects) Fail(request string) { done.add("fail %s", request) }
-func (done *recordedEffects) AddToCounter(name uint64, amount float64, _ int64) {
-	done.add("count %v", amount)
+func (e *recordedEffects) Fail(request string) { e.record("fail %s", request) }
+func (e *recordedEffects) AddToCounter(name uint64, amount float64, _ int64) {
+	e.record("count %v", amount)
 }
-func (done *recordedEffects) HealthCheck(server string) { done.add("health check %s", server) }
-func (done *recordedEffects) SetTimer(at, token int64)  {}
-func (done *recordedEffects) Log(text string)           { done.logged = append(done.logged, text) }
+func (e *recordedEffects) HealthCheck(server string) { e.record("health check %s", server) }
+func (e *recordedEffects) SetTimer(at, token int64)  {}
+func (e *recordedEffects) Log(text string)           { e.logLines = append(e.logLines, text) }
 
 const second = int64(1e9)
 
 // newTestController makes a limiter with the servers a and b, an idempotent, a keyed and a non-idempotent class, and
 // one plan without and one with a ceiling.
 func newTestController() (*Controller, *recordedEffects) {
-	done := &recordedEffects{}
-	set := &Settings{
+	effects := &recordedEffects{}
+	settings := &Settings{
 		Classes: map[string]*Class{
 			"read": {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
 			"mark": {
@@ -61,22 +61,22 @@
 		ColdCapacity: 0.25, SlowStartWindow: 10 * second, DialTimeout: second / 4,
 		MaxAttempts: 3, MaxRetryAfter: second, HealthChecks: true, TimerResolution: second / 500,
 	}
-	controller := New(0, set, 1, done)
+	controller := New(0, settings, 1, effects)
 	controller.UpdateEndpoints(0, true, []Endpoint{{ID: "a", Zone: "x", Weight: 1}, {ID: "b", Zone: "y", Weight: 1}})
 	for _, s := range controller.servers.ring {
-		s.turns.current = 0
+		s.credit.current = 0
 	}
-	sortRingByName(controller)
+	sortRingByID(controller)
 	startWindow(controller, "plain", 0)
 	startWindow(controller, "hard", 0)
-	return controller, done
+	return controller, effects
 }
 
 // requireReason checks why the latest rejection came.
-func (done *recordedEffects) requireReason(t *testing.T, want RejectReason) {
+func (e *recordedEffects) requireReason(t *testing.T, want RejectReason) {
 	t.Helper()
-	if done.reason != want {
-		t.Fatalf("rejected for %v, want %v", done.reason, want)
+	if e.reason != want {
+		t.Fatalf("rejected for %v, want %v", e.reason, want)
 	}
 }
 
@@ -87,16 +87,16 @@
 	}
 }
 
-// sortRingByName puts the servers in the order of their ids instead of the ring's.
-func sortRingByName(controller *Controller) {
+// sortRingByID puts the servers in the order of their ids instead of the ring's.
+func sortRingByID(controller *Controller) {
 	slices.SortFunc(controller.servers.ring, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
-	controller.servers.number()
+	controller.servers.updateRingIndexes()
 }
 
 // startWindow lets a window of the plan's customer begin at the time.
 func startWindow(controller *Controller, plan string, at int64) {
-	acc := controller.useAccount(0, arrival("", "read", plan), controller.settings.Plans[plan])
-	acc.window.offset = windowLength(controller.settings, acc) - at
+	acct := controller.getOrCreateAccount(0, arrival("", "read", plan), controller.settings.Plans[plan])
+	acct.window.offset = windowLength(controller.settings, acct) - at
 }
 
 func arrival(id, class, plan string) Arrival {
@@ -111,40 +111,40 @@
 	}
 }
 
-// waitForCounter makes a request that waits for the counter.
-func waitForCounter(controller *Controller, class, plan string) *request {
+// reserveRequest makes a request that waits for the counter.
+func reserveRequest(controller *Controller, class, plan string) *request {
 	controller.RequestArrived(0, arrival("j", class, plan))
 	return controller.requests.byID["j"]
 }
 
 // sendRequest makes a request whose first attempt is out.
 func sendRequest(controller *Controller, class string) *request {
-	q := waitForCounter(controller, class, "plain")
-	controller.CounterReplied(0, q.reservation.name, Succeeded, 2)
-	return q
+	req := reserveRequest(controller, class, "plain")
+	controller.CounterReplied(0, req.reservation.name, Succeeded, 2)
+	return req
 }
 
 // requireEffects checks the last effect and the effects before it that a test names.
-func requireEffects(t *testing.T, done *recordedEffects, want ...string) {
+func requireEffects(t *testing.T, effects *recordedEffects, want ...string) {
 	t.Helper()
-	if len(done.did) < len(want) {
-		t.Fatalf("did %q, want %q at the end", done.did, want)
+	if len(effects.calls) < len(want) {
+		t.Fatalf("did %q, want %q at the end", effects.calls, want)
 	}
-	got := done.did[len(done.did)-len(want):]
+	got := effects.calls[len(effects.calls)-len(want):]
 	for i := range want {
 		if got[i] != want[i] {
-			t.Fatalf("did %q, want %q at the end", done.did, want)
+			t.Fatalf("did %q, want %q at the end", effects.calls, want)
 		}
 	}
 }
 
-// useAccount gives the account of an arrival's customer.
-func (c *Controller) useAccount(now int64, a Arrival, plan *Plan) *account {
-	return c.accounts.use(now, a, plan, c.settings.CounterTimeout == 0 || c.sampling.everAnswered())
+// getOrCreateAccount gives the account of an arrival's customer.
+func (c *Controller) getOrCreateAccount(now int64, a Arrival, plan *Plan) *account {
+	return c.accounts.getOrCreate(now, a, plan, c.settings.CounterTimeout == 0 || c.sampling.everAnswered())
 }
 
-// forgetAccounts is the part of a tick that lets go of customers.
-func (c *Controller) forgetAccounts(now int64) {
+// evictAccounts is the part of a tick that lets go of customers.
+func (c *Controller) evictAccounts(now int64) {
 	c.lastTick = now
-	c.accounts.forgetUnused(now)
+	c.accounts.evictUnused(now)
 }
--- a/choice/index.go
+++ b/choice/index.go
@@ -53,79 +53,79 @@
 }
 
 // update puts a server that is new or has changed into its group.
-func (x *serverIndex) update(now, slowStartWindow int64, s *server) {
-	x.remove(s)
+func (idx *serverIndex) update(now, slowStartWindow int64, s *server) {
+	idx.remove(s)
 	if s.state == EndpointReady {
-		x.ready++
+		idx.ready++
 		s.countedReady = true
 	}
 	if s.state == EndpointGone && !s.listedGone {
-		x.gone = append(x.gone, s)
+		idx.gone = append(idx.gone, s)
 		s.listedGone = true
 	}
 	s.group = groupOf(now, slowStartWindow, s)
 	switch s.group {
 	case groupIdle:
-		x.idle++
+		idx.idle++
 	case groupWarming:
 		s.warmingSince = s.startedAt
-		x.warmingSum += s.warmingSince
-		heap.Push(&x.warming, s)
+		idx.warmingSum += s.warmingSince
+		heap.Push(&idx.warming, s)
 	case groupActive:
-		s.slot = len(x.active)
-		x.active = append(x.active, s)
+		s.slot = len(idx.active)
+		idx.active = append(idx.active, s)
 	}
 }
 
 // remove takes a server out of its group.
-func (x *serverIndex) remove(s *server) {
+func (idx *serverIndex) remove(s *server) {
 	if s.countedReady {
-		x.ready--
+		idx.ready--
 		s.countedReady = false
 	}
 	switch s.group {
 	case groupIdle:
-		x.idle--
+		idx.idle--
 	case groupWarming:
-		x.warmingSum -= s.warmingSince
-		heap.Remove(&x.warming, s.slot)
+		idx.warmingSum -= s.warmingSince
+		heap.Remove(&idx.warming, s.slot)
 	case groupActive:
-		last := len(x.active) - 1
-		x.active[s.slot] = x.active[last]
-		x.active[s.slot].slot = s.slot
-		x.active[last] = nil
-		x.active = x.active[:last]
+		last := len(idx.active) - 1
+		idx.active[s.slot] = idx.active[last]
+		idx.active[s.slot].slot = s.slot
+		idx.active[last] = nil
+		idx.active = idx.active[:last]
 	}
 	s.group = groupNone
 }
 
 // finishWarming moves the servers that are warm by now from the group warming to idle.
-func (x *serverIndex) finishWarming(now, slowStartWindow int64) {
-	for len(x.warming) > 0 && now >= x.warming[0].warmingSince+slowStartWindow {
-		x.update(now, slowStartWindow, x.warming[0])
+func (idx *serverIndex) finishWarming(now, slowStartWindow int64) {
+	for len(idx.warming) > 0 && now >= idx.warming[0].warmingSince+slowStartWindow {
+		idx.update(now, slowStartWindow, idx.warming[0])
 	}
 }
 
 // warmingAge is the number of servers that are warming up with nothing in flight, and their mean time since they began.
-func (x *serverIndex) warmingAge(now int64) (servers, age int64) {
-	servers = int64(len(x.warming))
+func (idx *serverIndex) warmingAge(now int64) (servers, age int64) {
+	servers = int64(len(idx.warming))
 	if servers > 0 {
-		age = (servers*now - x.warmingSum) / servers
+		age = (servers*now - idx.warmingSum) / servers
 	}
 	return servers, age
 }
 
 // activeInOrder lists the active servers in the order of the ring. The list holds until the next call.
-func (x *serverIndex) activeInOrder() []*server {
-	x.ordered = append(x.ordered[:0], x.active...)
-	slices.SortFunc(x.ordered, func(a, b *server) int { return cmp.Compare(a.ringIndex, b.ringIndex) })
-	return x.ordered
+func (idx *serverIndex) activeInOrder() []*server {
+	idx.ordered = append(idx.ordered[:0], idx.active...)
+	slices.SortFunc(idx.ordered, func(a, b *server) int { return cmp.Compare(a.ringIndex, b.ringIndex) })
+	return idx.ordered
 }
 
 // ejected is the number of ready servers that are ejected.
-func (x *serverIndex) ejected() int {
+func (idx *serverIndex) ejected() int {
 	servers := 0
-	for _, s := range x.active {
+	for _, s := range idx.active {
 		if s.state == EndpointReady && s.health.state == ejected {
 			servers++
 		}
@@ -134,18 +134,18 @@
 }
 
 // hasFinished tells whether some server is gone with nothing in flight.
-func (x *serverIndex) hasFinished() bool {
-	x.gone = slices.DeleteFunc(x.gone, func(s *server) bool {
+func (idx *serverIndex) hasFinished() bool {
+	idx.gone = slices.DeleteFunc(idx.gone, func(s *server) bool {
 		s.listedGone = s.state == EndpointGone
 		return !s.listedGone
 	})
-	return slices.ContainsFunc(x.gone, (*server).finished)
+	return slices.ContainsFunc(idx.gone, (*server).finished)
 }
 
-// forget takes a server that is finished out of the index.
-func (x *serverIndex) forget(finished *server) {
-	x.remove(finished)
-	x.gone = slices.DeleteFunc(x.gone, func(s *server) bool { return s == finished })
+// deleteServer takes a server that is finished out of the index.
+func (idx *serverIndex) deleteServer(finished *server) {
+	idx.remove(finished)
+	idx.gone = slices.DeleteFunc(idx.gone, func(s *server) bool { return s == finished })
 }
 
 // warmingHeap is a heap of servers by when they began to warm up.
--- a/choice/index_test.go
+++ b/choice/index_test.go
@@ -8,82 +8,84 @@
 	"testing"
 )
 
-// eligibleByWalk is eligibleServers without the index: it looks at every server. The index must give the same servers.
-func eligibleByWalk(controller *Controller, now int64, q *request) []*server {
-	var able []*server
-	out, usable, ready, near := q.units, 0.0, 0.0, 0
+// eligibleByFullScan is eligibleServers without the index: it looks at every server. The index must give the same servers.
+func eligibleByFullScan(controller *Controller, now int64, req *request) []*server {
+	var eligible []*server
+	inFlightUnits, capacity, ready, considered := req.units, 0.0, 0.0, 0
 	for _, s := range controller.servers.ring {
 		if s.state == EndpointReady {
 			ready++
 		}
-		if !controller.servers.mayReceive(now, q, s) {
+		if !controller.servers.mayReceive(now, req, s) {
 			continue
 		}
-		warmth := controller.slowStart.weight(now, s)
-		out, usable, near = out+s.inFlight, usable+warmth, near+1
-		if near > controller.servers.subsetSize() && len(able) > 0 {
+		slowStartWeight := controller.slowStart.weight(now, s)
+		inFlightUnits, capacity, considered = inFlightUnits+s.inFlight, capacity+slowStartWeight, considered+1
+		if considered > controller.servers.subsetSize() && len(eligible) > 0 {
 			continue
 		}
-		if now >= s.overloadedUntil && (len(s.attempts) == 0 || s.inFlight+q.units <= s.limit*warmth) {
-			able = append(able, s)
+		if now >= s.overloadedUntil && (len(s.attempts) == 0 || s.inFlight+req.units <= s.limit*slowStartWeight) {
+			eligible = append(eligible, s)
 		}
 	}
-	room := controller.concurrency.inFlightLimit * controller.concurrency.residenceFactor(
+	allowed := controller.concurrency.inFlightLimit * controller.concurrency.residenceFactor(
 		now,
-		q.class,
-	) * usable / max(
+		req.class,
+	) * capacity / max(
 		ready,
 		1,
 	)
-	room *= 1 - priorityReserve*(1-q.class.PriorityWeight/controller.concurrency.mostValuable.PriorityWeight)
-	if out > room && out > q.units {
+	allowed *= 1 - priorityReserve*(1-req.class.PriorityWeight/controller.concurrency.highestPriority.PriorityWeight)
+	if inFlightUnits > allowed && inFlightUnits > req.units {
 		return nil
 	}
-	return able
+	return eligible
 }
 
-// forgettableByWalk are the customers that a look at every one would let go of now. It changes nothing.
-func forgettableByWalk(controller *Controller, now int64) map[uint64]bool {
+// evictableByFullScan are the customers that a look at every one would let go of now. It changes nothing.
+func evictableByFullScan(controller *Controller, now int64) map[uint64]bool {
 	inUse := map[*account]bool{}
-	for _, q := range controller.requests.byID {
-		inUse[q.account] = true
+	for _, req := range controller.requests.byID {
+		inUse[req.account] = true
 	}
-	let := map[uint64]bool{}
-	for id, a := range controller.accounts.byCustomer {
-		quota, ceiling := a.sharedQuota, a.ceiling
-		unused := !inUse[a] && now-a.lastUsed > windowLength(controller.settings, a)
+	evictable := map[uint64]bool{}
+	for id, acct := range controller.accounts.byCustomer {
+		quota, ceiling := acct.sharedQuota, acct.ceiling
+		unused := !inUse[acct] && now-acct.lastUsed > windowLength(controller.settings, acct)
 		full := quota.rate <= 0 || unused && quota.refill(now) >= quota.burst
-		let[id] = full && ceiling.refill(now) >= ceiling.burst
+		evictable[id] = full && ceiling.refill(now) >= ceiling.burst
 	}
-	return let
+	return evictable
 }
 
-// world answers what a limiter asks for at random.
-type world struct {
+// randomEnvironment answers what a limiter asks for at random.
+type randomEnvironment struct {
 	recordedEffects
-	rng    *rand.Rand
-	sent   []string
-	called []uint64
-	ended  map[string]bool
+	rng          *rand.Rand
+	sent         []string
+	counterCalls []uint64
+	ended        map[string]bool
 }
 
-func (w *world) Send(request, _ string)                         { w.sent = append(w.sent, request) }
-func (w *world) Reject(request string, _ int64, _ RejectReason) { w.ended[request] = true }
-func (w *world) Fail(request string)                            { w.ended[request] = true }
-func (w *world) AddToCounter(name uint64, _ float64, _ int64)   { w.called = append(w.called, name) }
-func (w *world) Cancel(request string, _ int)                   {}
-func (w *world) HealthCheck(string)                             {}
+func (e *randomEnvironment) Send(request, _ string)                         { e.sent = append(e.sent, request) }
+func (e *randomEnvironment) Reject(request string, _ int64, _ RejectReason) { e.ended[request] = true }
+func (e *randomEnvironment) Fail(request string)                            { e.ended[request] = true }
+func (e *randomEnvironment) AddToCounter(name uint64, _ float64, _ int64) {
+	e.counterCalls = append(e.counterCalls, name)
+}
+func (e *randomEnvironment) Cancel(request string, _ int) {}
+func (e *randomEnvironment) HealthCheck(string)           {}
 
-// randomFleet is a limiter with random settings before a random list of servers.
-func randomFleet(seed int64) (*Controller, *world) {
-	w := &world{rng: rand.New(rand.NewSource(seed)), ended: map[string]bool{}}
-	set := &Settings{
+// newRandomController is a limiter with random settings before a random list of servers.
+func newRandomController(seed int64) (*Controller, *randomEnvironment) {
+	env := &randomEnvironment{rng: rand.New(rand.NewSource(seed)), ended: map[string]bool{}}
+	settings := &Settings{
 		Classes: map[string]*Class{
 			"read": {LatencyObjective: second, Idempotency: Idempotent, PriorityWeight: 1},
 			"mark": {
 				LatencyObjective:    2 * second,
 				Idempotency:         IdempotentWithKey,
-				DeduplicationScope:  DeduplicationScope(w.rng.Intn(3)),
+				DeduplicationScope:  DeduplicationScope(env.rng.Intn(3)),
 				DeduplicationWindow: 3 * second,
 				PriorityWeight:      2,
 			},
@@ -97,78 +99,82 @@
 			}, "hard": {Rate: 5, Burst: 10, CeilingRate: 8, CeilingBurst: 16, PriorityWeight: 1},
 			"open": {MaxInFlight: 4, PriorityWeight: 1}, "free": {PriorityWeight: 1},
 		},
-		CounterTimeout: second / 20, MaxRequestUnits: 4, MaxLease: 20 * second, Limiters: 1 + w.rng.Intn(60), Position: w.rng.Intn(60),
-		ColdCapacity: 0.25 * float64(w.rng.Intn(3)), SlowStartWindow: 4 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second,
-		HealthChecks: w.rng.Intn(2) == 0, CanCancel: true, TimerResolution: second / 500,
+		CounterTimeout: second / 20, MaxRequestUnits: 4, MaxLease: 20 * second,
+		Limiters: 1 + env.rng.Intn(60), Position: env.rng.Intn(60),
+		ColdCapacity: 0.25 * float64(env.rng.Intn(3)), SlowStartWindow: 4 * second,
+		DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second,
+		HealthChecks: env.rng.Intn(2) == 0, CanCancel: true, TimerResolution: second / 500,
 	}
-	controller := New(0, set, seed, w)
-	controller.UpdateEndpoints(0, true, w.entries(1+w.rng.Intn(120), 0))
-	return controller, w
+	controller := New(0, settings, seed, env)
+	controller.UpdateEndpoints(0, true, env.endpoints(1+env.rng.Intn(120), 0))
+	return controller, env
 }
 
-// entries are lines of a list on some of so many servers: ready, draining, gone, started now or long ago.
-func (w *world) entries(servers int, now int64) (entries []Endpoint) {
+// endpoints are lines of a list on some of so many servers: ready, draining, gone, started now or long ago.
+func (e *randomEnvironment) endpoints(servers int, now int64) (endpoints []Endpoint) {
 	for i := range servers {
-		e := Endpoint{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%4), Cell: int64(i % 6), Weight: 1}
-		switch w.rng.Intn(8) {
+		endpoint := Endpoint{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%4), Cell: int64(i % 6), Weight: 1}
+		switch e.rng.Intn(8) {
 		case 0:
-			e.State = EndpointDraining
+			endpoint.State = EndpointDraining
 		case 1:
-			e.State = EndpointGone
+			endpoint.State = EndpointGone
 		case 2:
-			e.StartedAt = now
+			endpoint.StartedAt = now
 		case 3:
-			e.StartedAt = now + second/3 // a clock that runs ahead
+			endpoint.StartedAt = now + second/3 // a clock that runs ahead
 		}
-		entries = append(entries, e)
+		endpoints = append(endpoints, endpoint)
 	}
-	return entries
+	return endpoints
 }
 
-// step lets one random thing happen.
-func (w *world) step(controller *Controller, now int64, n int) {
-	switch w.rng.Intn(10) {
+// randomStep lets one random thing happen.
+func (e *randomEnvironment) randomStep(controller *Controller, now int64, n int) {
+	switch e.rng.Intn(10) {
 	case 0, 1, 2:
 		plans, classes := []string{"plain", "hard", "open", "free"}, []string{"read", "mark", "write"}
-		customer := w.rng.Intn(40)
+		customer := e.rng.Intn(40)
 		controller.RequestArrived(
 			now,
 			Arrival{ID: fmt.Sprint("q", n), Timeout: 3 * second, Customer: uint64(customer), Plan: plans[customer%4],
-				Class: classes[w.rng.Intn(3)], Units: 1, Limiters: 2},
+				Class: classes[e.rng.Intn(3)], Units: 1, Limiters: 2},
 		)
 	case 3, 4:
-		if len(w.called) > 0 {
+		if len(e.counterCalls) > 0 {
 			controller.CounterReplied(
 				now,
-				w.called[0],
-				[]Outcome{Succeeded, Succeeded, TimedOut, ServerError}[w.rng.Intn(4)],
+				e.counterCalls[0],
+				[]Outcome{Succeeded, Succeeded, TimedOut, ServerError}[e.rng.Intn(4)],
 				3,
 			)
-			w.called = w.called[1:]
+			e.counterCalls = e.counterCalls[1:]
 		}
 	case 5, 6, 7:
-		if len(w.sent) > 0 {
-			i := w.rng.Intn(len(w.sent))
-			id := w.sent[i]
-			w.sent = slices.Delete(w.sent, i, i+1)
-			w.answer(controller, now, id)
+		if len(e.sent) > 0 {
+			i := e.rng.Intn(len(e.sent))
+			id := e.sent[i]
+			e.sent = slices.Delete(e.sent, i, i+1)
+			e.finishAttempt(controller, now, id)
 		}
 	case 8:
-		w.change(controller, now)
+		e.changeServers(controller, now)
 	case 9:
-		controller.ClientDisconnected(now, fmt.Sprint("q", w.rng.Intn(n+1)))
+		controller.ClientDisconnected(now, fmt.Sprint("q", e.rng.Intn(n+1)))
 	}
 }
 
-// answer ends the open attempt of a request in some way.
-func (w *world) answer(controller *Controller, now int64, id string) {
-	q := controller.requests.byID[id]
-	if q == nil {
+// finishAttempt ends the open attempt of a request in some way.
+func (e *randomEnvironment) finishAttempt(controller *Controller, now int64, id string) {
+	req := controller.requests.byID[id]
+	if req == nil {
 		return
 	}
-	for _, att := range q.attempts {
+	for _, att := range req.attempts {
 		if att.open {
-			outcome := []Outcome{Succeeded, Succeeded, ServerError, Overloaded, TimedOut, ConnectFailed, ConnectionLost}[w.rng.Intn(7)]
+			outcome := []Outcome{
+				Succeeded, Succeeded, ServerError, Overloaded, TimedOut, ConnectFailed, ConnectionLost,
+			}[e.rng.Intn(7)]
 			controller.AttemptDone(
 				now,
 				AttemptResult{
@@ -184,20 +190,20 @@
 	}
 }
 
-// change has some servers come, go or be probed.
-func (w *world) change(controller *Controller, now int64) {
-	entries := w.entries(130, now)
-	if w.rng.Intn(4) == 0 {
-		controller.UpdateEndpoints(now, true, entries[w.rng.Intn(60):])
+// changeServers has some servers come, go or be probed.
+func (e *randomEnvironment) changeServers(controller *Controller, now int64) {
+	endpoints := e.endpoints(130, now)
+	if e.rng.Intn(4) == 0 {
+		controller.UpdateEndpoints(now, true, endpoints[e.rng.Intn(60):])
 		return
 	}
-	i := w.rng.Intn(len(entries))
-	controller.UpdateEndpoints(now, false, entries[i:i+1])
-	controller.HealthCheckDone(now, entries[i].ID, Succeeded)
+	i := e.rng.Intn(len(endpoints))
+	controller.UpdateEndpoints(now, false, endpoints[i:i+1])
+	controller.HealthCheckDone(now, endpoints[i].ID, Succeeded)
 }
 
-// check compares the index with a walk over all servers.
-func check(t *testing.T, controller *Controller, now int64) {
+// requireIndexMatchesScan compares the index with a walk over all servers.
+func requireIndexMatchesScan(t *testing.T, controller *Controller, now int64) {
 	t.Helper()
 	ready := 0
 	for i, s := range controller.servers.ring {
@@ -225,23 +231,23 @@
 		{units: 1, class: controller.settings.Classes["read"]},
 		{units: 1, class: controller.settings.Classes["write"]},
 	}
-	for _, q := range controller.requests.byID {
-		if q.account != nil {
-			requests = append(requests, q)
+	for _, req := range controller.requests.byID {
+		if req.account != nil {
+			requests = append(requests, req)
 		}
 	}
-	for _, q := range requests {
-		want, got := eligibleByWalk(controller, now, q), controller.eligibleServers(now, q)
+	for _, req := range requests {
+		want, got := eligibleByFullScan(controller, now, req), controller.eligibleServers(now, req)
 		if !slices.Equal(want, got) {
 			t.Fatalf("a walk finds %d servers, the index %d", len(want), len(got))
 		}
 	}
-	let := forgettableByWalk(controller, now)
+	evictable := evictableByFullScan(controller, now)
 	before := len(controller.accounts.byCustomer)
-	controller.forgetAccounts(now)
-	for id, over := range let {
-		if kept := controller.accounts.byCustomer[id] != nil; kept == over {
-			t.Fatalf("of %d customers %d is kept: %v, a walk lets go of it: %v", before, id, kept, over)
+	controller.evictAccounts(now)
+	for id, evicted := range evictable {
+		if kept := controller.accounts.byCustomer[id] != nil; kept == evicted {
+			t.Fatalf("of %d customers %d is kept: %v, a walk lets go of it: %v", before, id, kept, evicted)
 		}
 	}
 }
@@ -250,24 +256,24 @@
 // step.
 func TestIndex(t *testing.T) {
 	for seed := range int64(40) {
-		controller, w := randomFleet(seed)
+		controller, env := newRandomController(seed)
 		now := second
 		for n := range 400 {
-			now += int64(w.rng.Intn(int(second) / 20))
-			if w.rng.Intn(50) == 0 {
+			now += int64(env.rng.Intn(int(second) / 20))
+			if env.rng.Intn(50) == 0 {
 				now += 8 * second // long enough for customers to be forgotten
 			}
-			w.step(controller, now, n)
-			for _, q := range controller.requests.byTimer {
-				if now >= q.deadline {
-					controller.TimerFired(now, q.timer)
+			env.randomStep(controller, now, n)
+			for _, req := range controller.requests.byTimer {
+				if now >= req.deadline {
+					controller.TimerFired(now, req.timer)
 					break
 				}
 			}
 			if n%5 == 0 {
 				controller.tick(now)
 			}
-			check(t, controller, now)
+			requireIndexMatchesScan(t, controller, now)
 		}
 	}
 }
@@ -294,14 +300,14 @@
 	}
 }
 
-// TestLastUsedUntilForgotten: a customer counts as used up to the latest tick at which a request of it was known.
-func TestLastUsedUntilForgotten(t *testing.T) {
+// TestLastUsedUntilEvicted: a customer counts as used up to the latest tick at which a request of it was known.
+func TestLastUsedUntilEvicted(t *testing.T) {
 	controller, _ := newTestController()
-	q := sendRequest(controller, "read")
+	req := sendRequest(controller, "read")
 	controller.TimerFired(5*second, 0)
 	controller.TimerFired(6*second, 0)
 	controller.AttemptDone(7*second, AttemptResult{Request: "j", Outcome: Succeeded, Duration: 7 * second, Final: true})
-	if q.account.lastUsed != 6*second || q.account.openRequests != 0 {
-		t.Fatalf("used at %d, %d requests held", q.account.lastUsed, q.account.openRequests)
+	if req.account.lastUsed != 6*second || req.account.openRequests != 0 {
+		t.Fatalf("used at %d, %d requests held", req.account.lastUsed, req.account.openRequests)
 	}
 }
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -22,12 +22,12 @@
 
 // serverHealth is the outlier detection's record of a server.
 type serverHealth struct {
-	state        healthState
-	lastSign     int64   // its last sign of life
-	failureRatio float64 // the decaying share of its attempts that failed
-	checksPassed int     // health checks answered in a row
-	ejectionTime int64   // how long it was ejected for, nanoseconds; doubles with each ejection
-	nextCheck    int64   // when it is health-checked or tried next
+	state         healthState
+	lastSeenAlive int64   // its last sign of life
+	failureRatio  float64 // the decaying share of its attempts that failed
+	checksPassed  int     // health checks answered in a row
+	ejectionTime  int64   // how long it was ejected for, nanoseconds; doubles with each ejection
+	nextCheck     int64   // when it is health-checked or tried next
 }
 
 // outlierDetector ejects servers that fail or show no life, and reinstates them.
@@ -42,7 +42,7 @@
 // succeeded takes in an answer with a value, and tells whether the server is healthy again by it.
 func (d *outlierDetector) succeeded(now int64, s *server) (recovered bool) {
 	h := &s.health
-	h.lastSign = now
+	h.lastSeenAlive = now
 	h.failureRatio *= 1 - failureWeight
 	if h.state == ejected || h.state == halfOpen && h.failureRatio < maxFailureRatio/2 {
 		h.state = healthy
@@ -63,12 +63,12 @@
 }
 
 // eject keeps new requests from a server until it shows life.
-func (d *outlierDetector) eject(now int64, s *server, why string) {
+func (d *outlierDetector) eject(now int64, s *server, reason string) {
 	h := &s.health
 	if h.state == ejected || float64(d.servers.index.ejected()+1) > float64(d.servers.ready())*maxEjectedShare {
 		return
 	}
-	d.effects.Log("server " + s.id + " " + why + ", ejected")
+	d.effects.Log("server " + s.id + " " + reason + ", ejected")
 	h.ejectionTime = min(max(2*h.ejectionTime, d.tickInterval*ticksPerObjective), d.settings.SlowStartWindow)
 	h.state = ejected
 	h.checksPassed = 0
@@ -96,11 +96,11 @@
 		return
 	}
 	oldest := s.attempts[0]
-	patience := oldest.request.class.LatencyObjective
+	silenceTimeout := oldest.request.class.LatencyObjective
 	if len(s.attempts) > 1 {
-		patience = patience * 2 / 3
+		silenceTimeout = silenceTimeout * 2 / 3
 	}
-	if now-max(s.health.lastSign, oldest.sentAt) > patience {
+	if now-max(s.health.lastSeenAlive, oldest.sentAt) > silenceTimeout {
 		d.eject(now, s, "is silent")
 	}
 }
@@ -124,9 +124,9 @@
 // list does not tell of yet, so it warms up.
 func (d *outlierDetector) reinstate(now int64, s *server) {
 	s.health.state = halfOpen
-	s.health.lastSign = now
+	s.health.lastSeenAlive = now
 	if s.health.failureRatio > maxFailureRatio {
 		s.startedAt = now
-		s.turns.slowStart = d.slowStart.firstTurns(s.ringHash, d.servers.count(), d.servers.subsetSize())
+		s.credit.slowStart = d.slowStart.initialCredit(s.ringHash, d.servers.count(), d.servers.subsetSize())
 	}
 }
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -7,24 +7,24 @@
 )
 
 func TestTick(t *testing.T) {
-	out := func(controller *Controller, id string, s *server) *request {
-		q := &request{
+	sendTo := func(controller *Controller, id string, s *server) *request {
+		req := &request{
 			id:       id,
 			class:    controller.settings.Classes["read"],
 			state:    stateInFlight,
 			units:    1,
 			deadline: 9 * second,
 		}
-		controller.send(0, q, s)
-		return q
+		controller.send(0, req, s)
+		return req
 	}
 	t.Run("a silent server is ejected and its request goes elsewhere", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		sendRequest(controller, "read")
-		out(controller, "k", controller.servers.byID["a"]).state = stateAnswered
+		sendTo(controller, "k", controller.servers.byID["a"]).state = stateAnswered
 		controller.settings.CanCancel = true
 		controller.tick(second * 3 / 4)
-		requireEffects(t, done, "cancel j 0")
+		requireEffects(t, effects, "cancel j 0")
 		if controller.servers.byID["a"].health.state != ejected {
 			t.Fatal("not ejected")
 		}
@@ -32,32 +32,32 @@
 	t.Run(
 		"a lone attempt shows a silent server only after the latency objective, and is not copied then",
 		func(t *testing.T) {
-			controller, done := newTestController()
+			controller, effects := newTestController()
 			a := controller.servers.byID["a"]
-			out(controller, "k", a)
+			sendTo(controller, "k", a)
 			controller.tick(second * 3 / 4)
 			early := a.health.state
 			controller.tick(second * 5 / 4)
-			requireEffects(t, done, "send k a")
+			requireEffects(t, effects, "send k a")
 			if early != healthy || a.health.state != ejected {
 				t.Fatal("standing", early, "then", a.health.state)
 			}
 		},
 	)
 	t.Run("its attempt is cancelled, then sent again", func(t *testing.T) {
-		controller, done := newTestController()
+		controller, effects := newTestController()
 		controller.settings.CanCancel = true
 		sendRequest(controller, "read")
 		controller.outliers.eject(0, controller.servers.byID["a"], "")
 		controller.tick(second / 2)
-		requireEffects(t, done, "cancel j 0")
+		requireEffects(t, effects, "cancel j 0")
 		controller.AttemptDone(second/2, AttemptResult{Request: "j", Outcome: Cancelled, Duration: second / 2})
-		requireEffects(t, done, "send j b")
+		requireEffects(t, effects, "send j b")
 	})
 	t.Run("an attempt that is out too long lowers the limit once, before its answer", func(t *testing.T) {
 		controller, _ := newTestController()
 		a := controller.servers.byID["a"]
-		out(controller, "k", a)
+		sendTo(controller, "k", a)
 		before := a.limit
 		controller.tick(second * 6 / 10)
 		once := a.limit
@@ -91,25 +91,31 @@
 	})
 }
 
-// newControllerOfServers makes a limiter with so many servers, named by their numbers.
-func newControllerOfServers(servers int) (*Controller, *recordedEffects) {
-	controller, done := newTestController()
+// newControllerWithServers makes a limiter with so many servers, named by their numbers.
+func newControllerWithServers(servers int) (*Controller, *recordedEffects) {
+	controller, effects := newTestController()
 	var endpoints []Endpoint
 	for i := range servers {
 		endpoints = append(endpoints, Endpoint{ID: fmt.Sprint(i), Zone: "x", Weight: 1})
 	}
 	controller.UpdateEndpoints(0, true, endpoints)
-	return controller, done
+	return controller, effects
 }
 
 // sendAt has an attempt in flight at a server since a time.
 func sendAt(controller *Controller, s *server, at int64) {
-	q := &request{id: "k", class: controller.settings.Classes["read"], state: stateInFlight, units: 1, deadline: 99 * second}
-	controller.send(at, q, s)
+	req := &request{
+		id:       "k",
+		class:    controller.settings.Classes["read"],
+		state:    stateInFlight,
+		units:    1,
+		deadline: 99 * second,
+	}
+	controller.send(at, req, s)
 }
 
 func TestThreeFailuresInARowEject(t *testing.T) {
-	controller, done := newTestController()
+	controller, effects := newTestController()
 	a := controller.servers.byID["a"]
 	controller.outliers.failed(0, a, ServerError)
 	if a.health.failureRatio != 0.25 {
@@ -120,13 +126,13 @@
 		t.Fatal("ejected after two failures")
 	}
 	controller.outliers.failed(0, a, ServerError)
-	if a.health.state != ejected || !slices.Equal(done.logged, []string{"server a fails, ejected"}) {
-		t.Fatalf("state %v, logged %q", a.health.state, done.logged)
+	if a.health.state != ejected || !slices.Equal(effects.logLines, []string{"server a fails, ejected"}) {
+		t.Fatalf("state %v, logged %q", a.health.state, effects.logLines)
 	}
 }
 
 func TestEjectsThreeQuartersAtMost(t *testing.T) {
-	controller, _ := newControllerOfServers(20)
+	controller, _ := newControllerWithServers(20)
 	for _, s := range controller.servers.ring {
 		controller.outliers.eject(0, s, "")
 	}
@@ -136,26 +142,27 @@
 }
 
 func TestEjectionTimeDoublesUpToTheSlowStartWindow(t *testing.T) {
-	controller, done := newControllerOfServers(20)
+	controller, effects := newControllerWithServers(20)
 	s := controller.servers.byID["3"]
 	for i, want := range []int64{1, 2, 4, 8, 10, 10} {
 		now := int64(i) * 100 * second
 		controller.outliers.eject(now, s, "fails")
 		controller.outliers.eject(now+second/2, s, "fails") // it is out already
-		if s.health.ejectionTime != want*second || s.health.nextCheck != now+want*second || len(done.logged) != i+1 {
-			t.Fatalf("ejection %d: %+v, logged %q", i, s.health, done.logged)
+		if s.health.ejectionTime != want*second || s.health.nextCheck != now+want*second ||
+			len(effects.logLines) != i+1 {
+			t.Fatalf("ejection %d: %+v, logged %q", i, s.health, effects.logLines)
 		}
 		controller.outliers.reinstate(now+50*second, s)
 	}
 }
 
-func TestServerIsSilentByItsLatestSignOfLife(t *testing.T) {
+func TestSilenceIsMeasuredFromTheLatestSignOfLife(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		happened func(d *outlierDetector, s *server)
-		sentAt   int64
-		kept     int64
-		ejected  int64
+		name         string
+		signOfLife   func(d *outlierDetector, s *server)
+		sentAt       int64
+		notEjectedAt int64
+		ejected      int64
 	}{
 		{"an answer is one", func(d *outlierDetector, s *server) { d.succeeded(9*second, s) },
 			0, 10 * second, 11 * second},
@@ -164,17 +171,17 @@
 		{"it has the time from the sending on", func(*outlierDetector, *server) {}, 5 * second, 6 * second, 7 * second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			controller, done := newTestController()
+			controller, effects := newTestController()
 			a := controller.servers.byID["a"]
 			sendAt(controller, a, c.sentAt)
-			c.happened(&controller.outliers, a)
-			controller.outliers.checkSilent(c.kept, a)
+			c.signOfLife(&controller.outliers, a)
+			controller.outliers.checkSilent(c.notEjectedAt, a)
 			if a.health.state == ejected {
 				t.Fatal("ejected within the latency objective")
 			}
 			controller.outliers.checkSilent(c.ejected, a)
-			if a.health.state != ejected || !slices.Equal(done.logged, []string{"server a is silent, ejected"}) {
-				t.Fatalf("state %v, logged %q", a.health.state, done.logged)
+			if a.health.state != ejected || !slices.Equal(effects.logLines, []string{"server a is silent, ejected"}) {
+				t.Fatalf("state %v, logged %q", a.health.state, effects.logLines)
 			}
 		})
 	}
@@ -211,35 +218,35 @@
 }
 
 func TestEjectedServerIsCheckedOnceItsTimeIsOver(t *testing.T) {
-	controller, done := newTestController()
+	controller, effects := newTestController()
 	controller.settings.DialTimeout = 3 * second
 	a := controller.servers.byID["a"]
 	controller.outliers.eject(0, a, "")
 	controller.outliers.checkEjected(second-1, a)
-	if len(done.did) > 0 {
-		t.Fatalf("did %q", done.did)
+	if len(effects.calls) > 0 {
+		t.Fatalf("did %q", effects.calls)
 	}
 	controller.outliers.checkEjected(second, a)
-	requireEffects(t, done, "health check a")
+	requireEffects(t, effects, "health check a")
 	if a.health.state != ejected || a.health.nextCheck != 4*second {
 		t.Fatalf("the next check comes before this one can have ended: %+v", a.health)
 	}
 }
 
-func TestWithoutHealthChecksTheTimeReinstates(t *testing.T) {
-	controller, done := newTestController()
+func TestReinstatedAfterEjectionTimeWithoutHealthChecks(t *testing.T) {
+	controller, effects := newTestController()
 	controller.settings.HealthChecks = false
 	a := controller.servers.byID["a"]
 	controller.outliers.eject(0, a, "")
 	controller.outliers.checkEjected(second-1, a)
 	early := a.health.state
 	controller.outliers.checkEjected(second, a)
-	if early != ejected || a.health.state != halfOpen || len(done.did) > 0 {
-		t.Fatalf("state %v, then %v, did %q", early, a.health.state, done.did)
+	if early != ejected || a.health.state != halfOpen || len(effects.calls) > 0 {
+		t.Fatalf("state %v, then %v, did %q", early, a.health.state, effects.calls)
 	}
 }
 
-func TestServerThatOnlyWasSilentComesBackWarm(t *testing.T) {
+func TestSilentServerIsReinstatedWarm(t *testing.T) {
 	controller, _ := newTestController()
 	a := controller.servers.byID["a"]
 	controller.outliers.eject(0, a, "is silent")
@@ -249,7 +256,7 @@
 	}
 }
 
-func TestFailedHealthCheckBeginsAnew(t *testing.T) {
+func TestFailedHealthCheckResetsTheCount(t *testing.T) {
 	controller, _ := newTestController()
 	s := controller.servers.byID["a"]
 	controller.outliers.eject(0, s, "")
--- a/choice/refund_test.go
+++ b/choice/refund_test.go
@@ -6,11 +6,11 @@
 // or the slice let it in; else the units are taken, and the true ones are settled even if the client has gone.
 func TestRefund(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		outcomes []Outcome
-		gone     bool // the client leaves before the last of them
-		units    float64
-		back     float64 // what is added back to the counter
+		name       string
+		outcomes   []Outcome
+		clientGone bool // the client leaves before the last of them
+		units      float64
+		addedBack  float64 // what is added back to the counter
 	}{
 		{"the connection never came up and the client has gone", []Outcome{NotAttempted}, true, 0, -2},
 		{"refused, and the client has gone", []Outcome{ConnectFailed}, true, 0, -2},
@@ -20,59 +20,59 @@
 		{"served after the client had gone", []Outcome{Succeeded}, true, 3, 1},
 		{"served", []Outcome{Succeeded}, false, 3, 1},
 	} {
-		for _, slice := range []bool{false, true} {
-			controller, done := newTestController()
+		for _, localOnly := range []bool{false, true} {
+			controller, effects := newTestController()
 			controller.retries.retries = 9
 			controller.UpdateEndpoints(0, false, []Endpoint{{ID: "c", Zone: "y", Weight: 1}})
 			startWindow(controller, "hard", second)
-			if slice {
+			if localOnly {
 				controller.sampling.rate = 0
 			}
 			controller.RequestArrived(second, arrival("j", "read", "hard"))
-			q := controller.requests.byID["j"]
-			a := q.account
-			if !slice {
-				controller.CounterReplied(second, q.reservation.name, Succeeded, 2)
+			req := controller.requests.byID["j"]
+			acct := req.account
+			if !localOnly {
+				controller.CounterReplied(second, req.reservation.name, Succeeded, 2)
 			}
-			level, owed := a.localQuota.tokens, a.window.pendingAdjustment
-			for i, o := range c.outcomes {
-				if c.gone && i == len(c.outcomes)-1 {
+			localTokens, pending := acct.localQuota.tokens, acct.window.pendingAdjustment
+			for i, outcome := range c.outcomes {
+				if c.clientGone && i == len(c.outcomes)-1 {
 					controller.ClientDisconnected(second, "j")
 				}
-				done.did = nil
+				effects.calls = nil
 				controller.AttemptDone(
 					second,
 					AttemptResult{
 						Request:     "j",
 						Attempt:     i,
-						Outcome:     o,
-						Final:       q.ended() || o == Succeeded,
+						Outcome:     outcome,
+						Final:       req.ended() || outcome == Succeeded,
 						ActualUnits: c.units,
 					},
 				)
 			}
 			counted := 0
-			for _, did := range done.did {
-				if did == "count -2" || did == "count 1" {
+			for _, call := range effects.calls {
+				if call == "count -2" || call == "count 1" {
 					counted++
 				}
 			}
-			switch want := c.back; {
-			case slice && a.window.pendingAdjustment != owed+want,
-				!slice && (counted != 0) != (want != 0),
-				a.localQuota.tokens != level-want:
+			switch want := c.addedBack; {
+			case localOnly && acct.window.pendingAdjustment != pending+want,
+				!localOnly && (counted != 0) != (want != 0),
+				acct.localQuota.tokens != localTokens-want:
 				t.Errorf(
 					"%s, slice %v: did %q, owed %v before and %v, slice %v before and %v",
 					c.name,
-					slice,
-					done.did,
-					owed,
-					a.window.pendingAdjustment,
-					level,
-					a.localQuota.tokens,
+					localOnly,
+					effects.calls,
+					pending,
+					acct.window.pendingAdjustment,
+					localTokens,
+					acct.localQuota.tokens,
 				)
-			case (a.ceiling.tokens == 4) != (want < 0): // it held 4 before the request
-				t.Errorf("%s, slice %v: the ceiling's part holds %v", c.name, slice, a.ceiling.tokens)
+			case (acct.ceiling.tokens == 4) != (want < 0): // it held 4 before the request
+				t.Errorf("%s, slice %v: the ceiling's part holds %v", c.name, localOnly, acct.ceiling.tokens)
 			}
 			if len(controller.requests.byID) > 0 {
 				t.Errorf("%s: it is not forgotten", c.name)
@@ -84,21 +84,22 @@
 // TestShutDown: at the end of the process what is owed is added, customer by customer, once; what fades with its
 // window is not.
 func TestShutDown(t *testing.T) {
-	controller, done := newTestController()
+	controller, effects := newTestController()
 	for id, owed := range map[uint64]float64{7: 2, 3: -1, 5: 0} {
-		a := controller.useAccount(0, Arrival{Customer: id, Limiters: 1}, controller.settings.Plans["plain"])
-		controller.reservations.rollOver(0, a)
-		a.window.pendingAdjustment = owed
+		acct := controller.getOrCreateAccount(0, Arrival{Customer: id, Limiters: 1}, controller.settings.Plans["plain"])
+		controller.reservations.rollOver(0, acct)
+		acct.window.pendingAdjustment = owed
 	}
 	controller.ShutDown(0)
-	requireEffects(t, done, "count -1", "count 2")
+	requireEffects(t, effects, "count -1", "count 2")
 	controller.ShutDown(0)
-	if len(done.did) != 2 {
-		t.Fatalf("did %q", done.did)
+	if len(effects.calls) != 2 {
+		t.Fatalf("did %q", effects.calls)
 	}
-	controller.accounts.byCustomer[7].window.pendingAdjustment, controller.accounts.byCustomer[3].window.pendingAdjustment = 2, -1
+	controller.accounts.byCustomer[7].window.pendingAdjustment,
+		controller.accounts.byCustomer[3].window.pendingAdjustment = 2, -1
 	controller.ShutDown(4 * windowLength(controller.settings, controller.accounts.byCustomer[7]))
-	if len(done.did) != 3 {
-		t.Fatalf("did %q: what was owed back to a window that has passed is not added", done.did)
+	if len(effects.calls) != 3 {
+		t.Fatalf("did %q: what was owed back to a window that has passed is not added", effects.calls)
 	}
 }
--- a/choice/request.go
+++ b/choice/request.go
@@ -24,12 +24,12 @@
 	account *account // nil where its plan or class is unknown
 	units   float64
 	// what it takes from its customer's quota: its units, or 1 where the plan caps attempts in flight
-	charge       float64
-	deadline     int64 // the last moment for a final answer
-	attempts     []*attempt
-	openAttempts int
-	reachedAny   bool // a server got it whole, so that its units are spent
-	reservation  reservation
+	charge           float64
+	deadline         int64 // the last moment for a final answer
+	attempts         []*attempt
+	openAttempts     int
+	reachedAnyServer bool // a server got it whole, so that its units are spent
+	reservation      reservation
 }
 
 // attempt is one try of a request at one server.
@@ -43,43 +43,43 @@
 	overdue    bool // it has lowered its server's limit
 }
 
-func (q *request) ended() bool { return q.state >= stateAnswered }
+func (req *request) ended() bool { return req.state >= stateAnswered }
 
-// move changes the request's state. An ended request keeps its end.
-func (q *request) move(to requestState) {
-	if q.ended() {
-		panic(fmt.Sprintf("request %s moved to %d after its end %d", q.id, to, q.state))
+// setState changes the request's state. An ended request keeps its end.
+func (req *request) setState(to requestState) {
+	if req.ended() {
+		panic(fmt.Sprintf("request %s moved to %d after its end %d", req.id, to, req.state))
 	}
-	q.state = to
+	req.state = to
 }
 
 // addAttempt begins an attempt at a server.
-func (q *request) addAttempt(now int64, s *server) *attempt {
-	added := &attempt{request: q, server: s, number: len(q.attempts), sentAt: now, open: true, mayHaveRun: true}
-	q.attempts = append(q.attempts, added)
-	q.openAttempts++
+func (req *request) addAttempt(now int64, s *server) *attempt {
+	added := &attempt{request: req, server: s, number: len(req.attempts), sentAt: now, open: true, mayHaveRun: true}
+	req.attempts = append(req.attempts, added)
+	req.openAttempts++
 	return added
 }
 
 // endAttempt notes how an open attempt ended.
-func (q *request) endAttempt(ended *attempt, outcome Outcome) {
+func (req *request) endAttempt(ended *attempt, outcome Outcome) {
 	ended.open = false
 	ended.mayHaveRun = outcome.mayHaveRun()
-	q.openAttempts--
-	q.reachedAny = q.reachedAny || outcome.reachedServer()
+	req.openAttempts--
+	req.reachedAnyServer = req.reachedAnyServer || outcome.reachedServer()
 }
 
 // openAttempt is the attempt of a number, nil where there is none that is open.
-func (q *request) openAttempt(number int) *attempt {
-	if number < 0 || number >= len(q.attempts) || !q.attempts[number].open {
+func (req *request) openAttempt(number int) *attempt {
+	if number < 0 || number >= len(req.attempts) || !req.attempts[number].open {
 		return nil
 	}
-	return q.attempts[number]
+	return req.attempts[number]
 }
 
 // mayHaveRun tells whether some attempt may have run, or may still run.
-func (q *request) mayHaveRun() bool {
-	for _, a := range q.attempts {
+func (req *request) mayHaveRun() bool {
+	for _, a := range req.attempts {
 		if a.mayHaveRun {
 			return true
 		}
@@ -99,21 +99,21 @@
 }
 
 // add takes a request in and gives it a timer's token.
-func (t *requestTable) add(q *request) {
+func (t *requestTable) add(req *request) {
 	t.lastTimer++
-	q.timer = t.lastTimer
-	t.byID[q.id] = q
-	t.byTimer[q.timer] = q
+	req.timer = t.lastTimer
+	t.byID[req.id] = req
+	t.byTimer[req.timer] = req
 }
 
 // stopTimer lets the request's deadline pass unnoticed.
-func (t *requestTable) stopTimer(q *request) { delete(t.byTimer, q.timer) }
+func (t *requestTable) stopTimer(req *request) { delete(t.byTimer, req.timer) }
 
 // remove forgets a request; false where it was not held, as after its id was taken by another.
-func (t *requestTable) remove(q *request) bool {
-	if t.byID[q.id] != q {
+func (t *requestTable) remove(req *request) bool {
+	if t.byID[req.id] != req {
 		return false
 	}
-	delete(t.byID, q.id)
+	delete(t.byID, req.id)
 	return true
 }
--- a/choice/request_test.go
+++ b/choice/request_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-func TestMove(t *testing.T) {
+func TestSetState(t *testing.T) {
 	t.Run("an ended request keeps its end", func(t *testing.T) {
 		defer func() {
 			if recover() == nil {
 				t.Fatal("it moved")
 			}
 		}()
-		(&request{state: stateAnswered}).move(stateRejected)
+		(&request{state: stateAnswered}).setState(stateRejected)
 	})
 }
 
-func TestRequestTableForgetsOnlyItsOwn(t *testing.T) {
+func TestRequestTableRemovesOnlyTheGivenRequest(t *testing.T) {
 	table := newRequestTable()
 	first, second := &request{id: "same"}, &request{id: "same"}
 	table.add(first)
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// windowFillTimes is the length of a counter window, in times that the quota takes to fill.
-	windowFillTimes = 16
+	// windowRefillPeriods is the length of a counter window, in times that the quota takes to fill.
+	windowRefillPeriods = 16
 	// leaseWindows is for how many windows the counter keeps a name.
 	leaseWindows = 2
 )
@@ -18,8 +18,8 @@
 	offset            int64   // shifts the customer's windows against the clock, nanoseconds
 	number            int64   // of the window that the other fields belong to
 	total             float64 // the latest total
-	known             bool    // a total was seen, in this window or an earlier one
-	seenAt            int64   // when the latest was
+	observed          bool    // a total was seen, in this window or an earlier one
+	observedAt        int64   // when the latest was
 	unconfirmed       float64 // what calls without an answer may have added
 	unconfirmedUnsent float64 // the part of it that was for requests that were never sent
 	pendingAdjustment float64 // what is still to be added, weighted as of its time
@@ -34,32 +34,32 @@
 
 // windowLength is the length of the customer's windows, in nanoseconds. At each new window what was added before goes
 // unseen, so windows are long; but a lease must not be longer than the counter keeps a name.
-func windowLength(settings *Settings, a *account) int64 {
-	length := nanoseconds(windowFillTimes * a.sharedQuota.burst / a.sharedQuota.rate)
+func windowLength(settings *Settings, acct *account) int64 {
+	length := nanoseconds(windowRefillPeriods * acct.sharedQuota.burst / acct.sharedQuota.rate)
 	return min(length, settings.MaxLease/leaseWindows)
 }
 
 // counterName is the name of the customer's count in the present window.
-func (a *account) counterName() uint64 { return mix(mix(a.id)^uint64(a.window.number)) >> 1 }
+func (acct *account) counterName() uint64 { return mix(mix(acct.id)^uint64(acct.window.number)) >> 1 }
 
-// fillTimes is how many times the customer's quota fills in a time.
-func (a *account) fillTimes(nanoseconds int64) float64 {
-	return seconds(nanoseconds) * a.sharedQuota.rate / a.sharedQuota.burst
+// refillPeriods is how many times the customer's quota fills in a time.
+func (acct *account) refillPeriods(nanoseconds int64) float64 {
+	return seconds(nanoseconds) * acct.sharedQuota.rate / acct.sharedQuota.burst
 }
 
 // rollOver moves the account to the window that holds now, and gives what an add of one unit weighs in it.
-func rollOver(now int64, settings *Settings, a *account) (weight float64) {
-	length := windowLength(settings, a)
-	shifted := now + a.window.offset%length
-	if number := shifted / length; number != a.window.number {
-		w := &a.window
+func rollOver(now int64, settings *Settings, acct *account) (weight float64) {
+	length := windowLength(settings, acct)
+	shifted := now + acct.window.offset%length
+	if number := shifted / length; number != acct.window.number {
+		w := &acct.window
 		w.number = number
 		w.total = 0
 		w.unconfirmed = 0
 		w.unconfirmedUnsent = 0
-		w.pendingAdjustment = max(w.pendingAdjustment, 0) * math.Exp(-a.fillTimes(length))
+		w.pendingAdjustment = max(w.pendingAdjustment, 0) * math.Exp(-acct.refillPeriods(length))
 	}
-	return math.Exp(a.fillTimes(shifted % length))
+	return math.Exp(acct.refillPeriods(shifted % length))
 }
 
 // reservation is what a request has on the counter, or owes it.
@@ -92,18 +92,18 @@
 }
 
 // rollOver moves an account to the present window; see the function of the same name.
-func (r *reservations) rollOver(now int64, a *account) (weight float64) {
-	return rollOver(now, r.settings, a)
+func (r *reservations) rollOver(now int64, acct *account) (weight float64) {
+	return rollOver(now, r.settings, acct)
 }
 
-// call makes a call. What a reservation carries along may bring its amount below 0.
-func (r *reservations) call(name uint64, c counterCall) {
-	r.calls[name] = append(r.calls[name], c)
-	r.effects.AddToCounter(name, c.amount, leaseWindows*windowLength(r.settings, c.account))
+// sendCall makes a sendCall. What a reservation carries along may bring its amount below 0.
+func (r *reservations) sendCall(name uint64, call counterCall) {
+	r.calls[name] = append(r.calls[name], call)
+	r.effects.AddToCounter(name, call.amount, leaseWindows*windowLength(r.settings, call.account))
 }
 
-// oldestCall takes out the oldest call on a name; false where there is none.
-func (r *reservations) oldestCall(name uint64) (counterCall, bool) {
+// popOldestCall takes out the oldest call on a name; false where there is none.
+func (r *reservations) popOldestCall(name uint64) (counterCall, bool) {
 	queue := r.calls[name]
 	if len(queue) == 0 {
 		return counterCall{}, false
@@ -116,93 +116,96 @@
 }
 
 // reserve adds a request's charge to its customer's count, and what is still to be adjusted with it.
-func (r *reservations) reserve(now int64, q *request) {
-	a := q.account
-	weight := r.rollOver(now, a)
-	q.reservation = reservation{
+func (r *reservations) reserve(now int64, req *request) {
+	acct := req.account
+	weight := r.rollOver(now, acct)
+	req.reservation = reservation{
 		held:     true,
-		name:     a.counterName(),
+		name:     acct.counterName(),
 		weight:   weight,
-		leaseEnd: now + windowLength(r.settings, a),
+		leaseEnd: now + windowLength(r.settings, acct),
 	}
-	q.move(stateReserving)
-	amount := q.charge*weight + a.window.pendingAdjustment
-	a.window.pendingAdjustment = 0
-	r.call(q.reservation.name, counterCall{request: q, account: a, amount: amount})
+	req.setState(stateReserving)
+	amount := req.charge*weight + acct.window.pendingAdjustment
+	acct.window.pendingAdjustment = 0
+	r.sendCall(req.reservation.name, counterCall{request: req, account: acct, amount: amount})
 }
 
-// owe notes that a request was sent without a reservation: its charge goes with the next call.
-func (r *reservations) owe(now int64, q *request) {
-	a := q.account
-	if q.reservation.held || a.sharedQuota.rate <= 0 {
+// deferCharge notes that a request was sent without a reservation: its charge goes with the next call.
+func (r *reservations) deferCharge(now int64, req *request) {
+	acct := req.account
+	if req.reservation.held || acct.sharedQuota.rate <= 0 {
 		return
 	}
-	q.reservation.weight = r.rollOver(now, a)
-	q.reservation.name = a.counterName()
-	a.window.pendingAdjustment += q.charge * q.reservation.weight
+	req.reservation.weight = r.rollOver(now, acct)
+	req.reservation.name = acct.counterName()
+	acct.window.pendingAdjustment += req.charge * req.reservation.weight
 }
 
-// forgive takes back what owe noted, unless its window has passed.
-func (r *reservations) forgive(q *request) {
-	a := q.account
-	if !q.reservation.held && a.sharedQuota.rate > 0 && q.reservation.name == a.counterName() {
-		a.window.pendingAdjustment -= q.charge * q.reservation.weight
+// cancelDeferredCharge takes back what owe noted, unless its window has passed.
+func (r *reservations) cancelDeferredCharge(req *request) {
+	acct := req.account
+	if !req.reservation.held && acct.sharedQuota.rate > 0 && req.reservation.name == acct.counterName() {
+		acct.window.pendingAdjustment -= req.charge * req.reservation.weight
 	}
 }
 
 // release adds back units that were reserved and not used; once, and not after the lease has ended.
-func (r *reservations) release(now int64, q *request, units float64) {
-	if q.reservation.held && now < q.reservation.leaseEnd && units != 0 {
-		amount := -units * q.reservation.weight
-		r.call(q.reservation.name, counterCall{request: q, account: q.account, amount: amount, background: true})
+func (r *reservations) release(now int64, req *request, units float64) {
+	if req.reservation.held && now < req.reservation.leaseEnd && units != 0 {
+		amount := -units * req.reservation.weight
+		r.sendCall(
+			req.reservation.name,
+			counterCall{request: req, account: req.account, amount: amount, background: true},
+		)
 	}
-	q.reservation.held = false
+	req.reservation.held = false
 }
 
-// settle puts the actual units in the place of the estimate, once: in the quotas, and on the count at once or, to
+// reconcile puts the actual units in the place of the estimate, once: in the quotas, and on the count at once or, to
 // spare the counter a call, with the next one.
-func (r *reservations) settle(now int64, q *request, actual float64, spareCounter bool) {
-	difference := actual - q.units
-	if actual > 0 && difference != 0 && q.account.plan.Rate > 0 {
-		q.account.correct(difference)
-		if !q.reservation.held || spareCounter {
-			weight := r.rollOver(now, q.account)
-			q.account.window.pendingAdjustment += difference * weight
-			q.reservation.held = false
+func (r *reservations) reconcile(now int64, req *request, actual float64, spareCounter bool) {
+	difference := actual - req.units
+	if actual > 0 && difference != 0 && req.account.plan.Rate > 0 {
+		req.account.correct(difference)
+		if !req.reservation.held || spareCounter {
+			weight := r.rollOver(now, req.account)
+			req.account.window.pendingAdjustment += difference * weight
+			req.reservation.held = false
 		}
-		r.release(now, q, -difference)
+		r.release(now, req, -difference)
 	}
-	q.reservation.held = false
+	req.reservation.held = false
 }
 
 // flush adds what a customer still owes, at the end of the process.
-func (r *reservations) flush(now int64, a *account) {
-	if a.window.pendingAdjustment != 0 {
-		r.rollOver(now, a) // what is owed to a window that has passed fades with it
+func (r *reservations) flush(now int64, acct *account) {
+	if acct.window.pendingAdjustment != 0 {
+		r.rollOver(now, acct) // what is owed to a window that has passed fades with it
 	}
-	if a.window.pendingAdjustment == 0 || r.settings.CounterTimeout <= 0 {
+	if acct.window.pendingAdjustment == 0 || r.settings.CounterTimeout <= 0 {
 		return
 	}
-	amount := a.window.pendingAdjustment
-	a.window.pendingAdjustment = 0
-	r.call(a.counterName(), counterCall{request: &request{}, account: a, amount: amount, background: true})
+	amount := acct.window.pendingAdjustment
+	acct.window.pendingAdjustment = 0
+	r.sendCall(acct.counterName(), counterCall{request: &request{}, account: acct, amount: amount, background: true})
 }
 
 // failed notes that a call brought no total. Its request, if one waits for it, has no reservation any more: what the
 // local quota then sends is owed anew.
-func (r *reservations) failed(c counterCall, outcome Outcome) {
+func (r *reservations) failed(call counterCall, outcome Outcome) {
 	unsent := 0.0
-	if !c.background {
-		c.request.reservation.held = false
-		unsent = c.request.charge * c.request.reservation.weight
+	if !call.background {
+		call.request.reservation.held = false
+		unsent = call.request.charge * call.request.reservation.weight
 	}
-	w := &c.account.window
+	w := &call.account.window
 	if outcome == TimedOut || outcome == ServerError { // it may have been added
-		w.unconfirmed += c.amount
+		w.unconfirmed += call.amount
 		w.unconfirmedUnsent += unsent
 		return
 	}
-	w.pendingAdjustment += c.amount - unsent
+	w.pendingAdjustment += call.amount - unsent
 }
 
 // minObservationGap keeps the correction for the time between two totals finite when they come at once, in times that
@@ -210,26 +213,26 @@
 const minObservationGap = 1e-9
 
 // observe draws what a total shows into the customer's quota: what other limiters have added is taken from it.
-func (r *reservations) observe(now int64, c counterCall, name uint64, total float64) {
-	a := c.account
-	quota := &a.sharedQuota
-	weight := r.rollOver(now, a)
+func (r *reservations) observe(now int64, call counterCall, name uint64, total float64) {
+	acct := call.account
+	quota := &acct.sharedQuota
+	weight := r.rollOver(now, acct)
 	quota.refill(now)
-	if name != a.counterName() {
+	if name != acct.counterName() {
 		return // the count of a window that has passed says nothing of this one
 	}
-	others := a.window.addedByOthers(c, total)
-	sinceLast := a.fillTimes(now - a.window.seenAt)
+	others := acct.window.addedByOthers(call, total)
+	sinceLast := acct.refillPeriods(now - acct.window.observedAt)
 	switch {
-	case others < -a.maxCharge*float64(r.settings.Limiters)*weight:
+	case others < -acct.maxCharge*float64(r.settings.Limiters)*weight:
 		// Others add back what they rejected, but a total that falls further means that the counter has forgotten, and
 		// that gives nothing back: a counter that lost its counts grants nobody a fresh burst.
 		others = 0
-	case !a.window.known || sinceLast > 1:
+	case !acct.window.observed || sinceLast > 1:
 		// What was known of the quota counts no more: it stands as the faded use of all says.
 		quota.tokens = quota.burst - total/weight
-		if c.request.state == stateReserving && !c.background {
-			quota.tokens += c.request.charge
+		if call.request.state == stateReserving && !call.background {
+			quota.tokens += call.request.charge
 		}
 		others = 0
 	default:
@@ -241,16 +244,16 @@
 	}
 	quota.tokens = math.Min(quota.burst, max(quota.tokens-others, -quota.burst))
 	quota.overflow = 0
-	a.window.known = true
-	a.window.seenAt = now
-	a.resetLocalQuota(now, quota.tokens)
+	acct.window.observed = true
+	acct.window.observedAt = now
+	acct.resetLocalQuota(now, quota.tokens)
 }
 
 // addedByOthers takes in a total and gives what other limiters have added since the last one. Calls that nobody
 // answered may have been worked off late: what they added is not the others', and what was added for requests that
 // were never sent is added back with the next call.
-func (w *counterWindow) addedByOthers(c counterCall, total float64) float64 {
-	others := total - w.total - c.amount
+func (w *counterWindow) addedByOthers(call counterCall, total float64) float64 {
+	others := total - w.total - call.amount
 	w.total = total
 	ours := math.Min(max(others, math.Min(w.unconfirmed, 0)), max(w.unconfirmed, 0))
 	w.pendingAdjustment -= math.Min(w.unconfirmedUnsent, max(ours, 0))
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -5,10 +5,10 @@
 const (
 	// requestsPerRetry: the retry budget grows by one retry for so many requests.
 	requestsPerRetry = 10
-	// lostAfter is how many times as long as it should take an attempt must be in flight to be taken for lost.
-	lostAfter = 4
-	// minLostParts: but not before this part of the latency objective.
-	minLostParts = 4
+	// lostFactor is how many times as long as it should take an attempt must be in flight to be taken for lost.
+	lostFactor = 4
+	// minLostDivisor: but not before this part of the latency objective.
+	minLostDivisor = 4
 )
 
 // retryBudget bounds the retries by the requests: retries of many limiters would overload servers that are slow
@@ -30,8 +30,8 @@
 	b.retries = math.Min(b.retries+1.0/requestsPerRetry, float64(servers))
 }
 
-// paidOff gives retries back that brought a prompt answer: where some servers are bad and others good, more may follow.
-func (b *retryBudget) paidOff(retries int) { b.retries += float64(retries) }
+// retriesSucceeded gives retries back that brought a prompt answer: where some servers are bad and others good, more may follow.
+func (b *retryBudget) retriesSucceeded(retries int) { b.retries += float64(retries) }
 
 // deduplicates tells whether a server would drop the repeat of a request with an idempotency key that may have run by
 // an earlier attempt.
@@ -56,19 +56,20 @@
 }
 
 // retry sends a further attempt where the class, the time, the attempts left and the retry budget allow it.
-func (c *Controller) retry(now int64, q *request) bool {
-	if q.deadline <= now || len(q.attempts) >= c.settings.MaxAttempts || !c.retries.available() || q.openAttempts > 0 {
+func (c *Controller) retry(now int64, req *request) bool {
+	if req.deadline <= now || len(req.attempts) >= c.settings.MaxAttempts ||
+		!c.retries.available() || req.openAttempts > 0 {
 		return false
 	}
-	if q.class.Idempotency == NonIdempotent && q.mayHaveRun() {
+	if req.class.Idempotency == NonIdempotent && req.mayHaveRun() {
 		return false
 	}
-	s := c.pickServer(now, q)
+	s := c.pickServer(now, req)
 	if s == nil {
 		return false
 	}
 	c.retries.spend()
-	c.send(now, q, s)
+	c.send(now, req, s)
 	return true
 }
 
@@ -76,23 +77,23 @@
 // end is known.
 func (c *Controller) cancelLost(now int64, a *attempt) {
 	s := a.server
-	q := a.request
+	req := a.request
 	lost := c.isLost(now, a)
-	if q.state != stateInFlight || q.class.Idempotency == NonIdempotent || !c.settings.CanCancel {
+	if req.state != stateInFlight || req.class.Idempotency == NonIdempotent || !c.settings.CanCancel {
 		return
 	}
-	if lost && now-q.attempts[0].sentAt > q.class.LatencyObjective {
+	if lost && now-req.attempts[0].sentAt > req.class.LatencyObjective {
 		// A late answer is worth nothing: the server and the client are spared it.
-		c.rejectOrFail(now, q)
-		c.effects.Cancel(q.id, a.number)
+		c.rejectOrFail(now, req)
+		c.effects.Cancel(req.id, a.number)
 		return
 	}
 	unusable := s.health.state == ejected || s.state == EndpointGone || lost
-	if !unusable || now-a.sentAt > q.class.LatencyObjective {
+	if !unusable || now-a.sentAt > req.class.LatencyObjective {
 		return
 	}
-	if c.retries.available() && len(c.eligibleServers(now, q)) > 0 {
-		c.effects.Cancel(q.id, a.number)
+	if c.retries.available() && len(c.eligibleServers(now, req)) > 0 {
+		c.effects.Cancel(req.id, a.number)
 	}
 }
 
@@ -103,6 +104,6 @@
 	if s.pace.units <= 0 || !c.concurrency.answersArePrompt() {
 		return false
 	}
-	expected := nanoseconds(lostAfter * a.request.units * s.pace.seconds / s.pace.units)
-	return now-a.sentAt > max(expected, a.request.class.LatencyObjective/minLostParts)
+	expected := nanoseconds(lostFactor * a.request.units * s.pace.seconds / s.pace.units)
+	return now-a.sentAt > max(expected, a.request.class.LatencyObjective/minLostDivisor)
 }
--- a/choice/retry_test.go
+++ b/choice/retry_test.go
@@ -4,23 +4,23 @@
 
 func TestRetry(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		set  func(controller *Controller, q *request)
+		name   string
+		change func(controller *Controller, req *request)
 	}{
-		{"no attempt is left", func(controller *Controller, q *request) { controller.settings.MaxAttempts = 1 }},
-		{"no second attempt is in hand", func(controller *Controller, q *request) { controller.retries.retries = 0 }},
-		{"an attempt is out", func(controller *Controller, q *request) {}},
-		{"its time is over", func(controller *Controller, q *request) { q.deadline = 0 }},
+		{"no attempt is left", func(controller *Controller, req *request) { controller.settings.MaxAttempts = 1 }},
+		{"no second attempt is in hand", func(controller *Controller, req *request) { controller.retries.retries = 0 }},
+		{"an attempt is out", func(controller *Controller, req *request) {}},
+		{"its time is over", func(controller *Controller, req *request) { req.deadline = 0 }},
 	} {
 		t.Run("sends nothing when "+c.name, func(t *testing.T) {
 			controller, _ := newTestController()
-			q := sendRequest(controller, "read")
-			q.openAttempts = 0
+			req := sendRequest(controller, "read")
+			req.openAttempts = 0
 			if c.name == "an attempt is out" {
-				q.openAttempts = 1
+				req.openAttempts = 1
 			}
-			c.set(controller, q)
-			if controller.retry(1, q) {
+			c.change(controller, req)
+			if controller.retry(1, req) {
 				t.Fatal("it did")
 			}
 		})
@@ -29,11 +29,11 @@
 
 func TestLostAttempts(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class string
-		slow  float64
-		at    int64
-		want  string
+		name     string
+		class    string
+		overload float64
+		at       int64
+		want     string
 	}{
 		{"an attempt out for many times its request's time is cancelled", "read", 0, second / 3, "cancel j 0"},
 		{"but not before that", "read", 0, second / 5, "send j a"},
@@ -42,23 +42,23 @@
 		{"a request past its latency objective is given up at once", "read", 0, second + 1, "reject j"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			controller, done := newTestController()
+			controller, effects := newTestController()
 			controller.settings.CanCancel = true
-			q := sendRequest(controller, c.class)
-			controller.concurrency.overloadRatio = c.slow
+			req := sendRequest(controller, c.class)
+			controller.concurrency.overloadRatio = c.overload
 			for _, s := range controller.servers.ring {
 				s.pace.seconds, s.pace.units = 0.02, 2 // 10 ms a unit
 			}
 			controller.tick(c.at)
 			if c.want == "reject j" {
-				requireEffects(t, done, "reject j", "cancel j 0")
+				requireEffects(t, effects, "reject j", "cancel j 0")
 				return
 			}
-			requireEffects(t, done, c.want)
+			requireEffects(t, effects, c.want)
 			if c.want == "cancel j 0" {
 				controller.AttemptDone(c.at, AttemptResult{Request: "j", Outcome: Cancelled, Duration: c.at})
-				requireEffects(t, done, "send j b")
-				if q.attempts[0].server.health.failureRatio == 0 {
+				requireEffects(t, effects, "send j b")
+				if req.attempts[0].server.health.failureRatio == 0 {
 					t.Fatal("it does not count against its server")
 				}
 			}
@@ -67,7 +67,7 @@
 }
 
 func TestDeduplicationWithinACell(t *testing.T) {
-	pod := &Class{
+	cellScoped := &Class{
 		LatencyObjective:    second,
 		Idempotency:         IdempotentWithKey,
 		DeduplicationScope:  ScopeCell,
@@ -79,7 +79,7 @@
 		cell, at int64
 		want     bool
 	}{{3, second * 3 / 2, true}, {4, second * 3 / 2, false}, {3, 2 * second, false}} {
-		if got := pod.deduplicates(c.at, first, &server{cell: c.cell, zone: "x"}); got != c.want {
+		if got := cellScoped.deduplicates(c.at, first, &server{cell: c.cell, zone: "x"}); got != c.want {
 			t.Errorf("cell %d at %d: %v", c.cell, c.at, got)
 		}
 	}
--- a/choice/rotation.go
+++ b/choice/rotation.go
@@ -9,8 +9,8 @@
 	fleetPaceDecay = 10 * serverPaceDecay
 	// maxPaceRatio bounds how many times a server's pace may count the mean, or how small a part of it.
 	maxPaceRatio = 3
-	// enoughAvailable: with a smaller part of the subset to choose from, a warming server must be owed a turn.
-	enoughAvailable = 0.5
+	// minAvailableShare: with a smaller part of the subset to choose from, a warming server must be owed a turn.
+	minAvailableShare = 0.5
 )
 
 // rotation deals requests out to servers by smooth weighted round robin. The weights follow the servers' nominal
@@ -43,17 +43,17 @@
 	r.fleetPace.units = r.fleetPace.units*(1-1.0/fleetPaceDecay) + units
 }
 
-// measureSubset sums the weight of the servers of the subset that are not ejected.
-func (r *rotation) measureSubset(now int64, servers *serverSet) {
+// updateSubsetWeight sums the weight of the servers of the subset that are not ejected.
+func (r *rotation) updateSubsetWeight(now int64, servers *serverSet) {
 	r.subsetWeight = 0
-	left := servers.subsetSize()
+	remaining := servers.subsetSize()
 	for _, s := range servers.ring {
-		if left <= 0 {
+		if remaining <= 0 {
 			return
 		}
 		if s.state == EndpointReady && s.health.state != ejected {
 			r.subsetWeight += r.weight(now, s)
-			left--
+			remaining--
 		}
 	}
 }
@@ -62,57 +62,59 @@
 // of what is in flight are passed over.
 func (r *rotation) next(now int64, eligible []*server, units float64) *server {
 	inFlight := units
-	total := 0.0
+	totalWeight := 0.0
 	warming := 0.0
 	for _, s := range eligible {
 		weight := r.weight(now, s)
 		inFlight += s.inFlight
-		total += weight
+		totalWeight += weight
 		if r.slowStart.warming(now, s) {
 			warming += weight
 		}
 	}
 	var best *server
-	turn := 0.0
-	bestClaim := 0.0
+	contendingWeight := 0.0
+	bestScore := 0.0
 	for _, s := range eligible {
 		weight := r.weight(now, s)
-		preference, skip := r.slowStartTurn(now, s, weight, total, warming)
-		if skip || s.inFlight/weight > inFlight/total {
+		preference, skip := r.addSlowStartCredit(now, s, weight, totalWeight, warming)
+		if skip || s.inFlight/weight > inFlight/totalWeight {
 			continue
 		}
-		turn += weight
-		s.turns.current += weight
-		claim := preference + s.turns.current
-		if best == nil || claim > bestClaim {
+		contendingWeight += weight
+		s.credit.current += weight
+		score := preference + s.credit.current
+		if best == nil || score > bestScore {
 			best = s
-			bestClaim = claim
+			bestScore = score
 		}
 	}
 	if best != nil {
-		best.turns.current -= turn
-		best.turns.slowStart--
+		best.credit.current -= contendingWeight
+		best.credit.slowStart--
 	}
 	return best
 }
 
-// slowStartTurn credits a warming server with its part of a turn. It gives a preference over the other servers, which
+// addSlowStartCredit credits a warming server with its part of a turn. It gives a preference over the other servers, which
 // is infinite for a server that is owed a whole turn, or tells to skip the server. total and warming are the weights
 // of all eligible servers and of those that warm up.
-func (r *rotation) slowStartTurn(now int64, s *server, weight, total, warming float64) (preference float64, skip bool) {
+func (r *rotation) addSlowStartCredit(
+	now int64, s *server, weight, totalWeight, warming float64,
+) (preference float64, skip bool) {
 	if !r.slowStart.warming(now, s) {
 		return 0, false
 	}
 	// Where no other has capacity, or in a small group, a warming server gets no more than its turns either.
-	all := max(r.subsetWeight, total, math.SmallestNonzeroFloat64)
-	s.turns.slowStart = math.Min(1, s.turns.slowStart+weight/all)
-	if s.turns.slowStart < 1 && total < r.subsetWeight*enoughAvailable {
+	rotationWeight := max(r.subsetWeight, totalWeight, math.SmallestNonzeroFloat64)
+	s.credit.slowStart = math.Min(1, s.credit.slowStart+weight/rotationWeight)
+	if s.credit.slowStart < 1 && totalWeight < r.subsetWeight*minAvailableShare {
 		return 0, true
 	}
 	// Beside enough warm servers it gets its turns at once: turns that are kept could all come together. Before that
 	// it is chosen only where no warm server can be.
-	if warming < total*enoughAvailable {
-		return math.Copysign(math.Inf(1), s.turns.slowStart-1), false
+	if warming < totalWeight*minAvailableShare {
+		return math.Copysign(math.Inf(1), s.credit.slowStart-1), false
 	}
 	return 0, false
 }
--- a/choice/rotation_test.go
+++ b/choice/rotation_test.go
@@ -26,7 +26,7 @@
 			a := controller.servers.byID["a"]
 			a.health.state = halfOpen
 			reindex(controller, 0)
-			free, nonIdempotent := controller.servers.mayReceive(
+			idempotentAllowed, nonIdempotentAllowed := controller.servers.mayReceive(
 				0,
 				unsentRequest,
 				a,
@@ -36,8 +36,13 @@
 				a,
 			)
 			controller.send(0, &request{class: unsentRequest.class}, a)
-			if !free || nonIdempotent || controller.servers.mayReceive(0, unsentRequest, a) {
-				t.Fatal("usable", free, nonIdempotent, controller.servers.mayReceive(0, unsentRequest, a))
+			if !idempotentAllowed || nonIdempotentAllowed || controller.servers.mayReceive(0, unsentRequest, a) {
+				t.Fatal(
+					"usable",
+					idempotentAllowed,
+					nonIdempotentAllowed,
+					controller.servers.mayReceive(0, unsentRequest, a),
+				)
 			}
 		},
 	)
@@ -68,21 +73,21 @@
 	})
 }
 
-func TestControllersBeginAtDifferentServers(t *testing.T) {
-	first := map[string]bool{}
+func TestControllersStartAtDifferentServers(t *testing.T) {
+	chosen := map[string]bool{}
 	for seed := range int64(20) {
-		done := &recordedEffects{}
+		effects := &recordedEffects{}
 		read := &Class{LatencyObjective: second, PriorityWeight: 1}
 		controller := New(
 			0,
 			&Settings{Limiters: 20, MaxRequestUnits: 1, SlowStartWindow: 1, Classes: map[string]*Class{"read": read}},
 			seed,
-			done,
+			effects,
 		)
 		controller.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
-		first[controller.pickServer(0, &request{units: 1, class: read}).id] = true
+		chosen[controller.pickServer(0, &request{units: 1, class: read}).id] = true
 	}
-	if len(first) != 2 {
-		t.Fatal("all begin at", first)
+	if len(chosen) != 2 {
+		t.Fatal("all begin at", chosen)
 	}
 }
--- a/choice/server.go
+++ b/choice/server.go
@@ -14,7 +14,7 @@
 	overloadedUntil int64   // it has rejected a request and gets none until then
 	nominalWeight   float64 // 0 where the list does not tell
 	pace            servicePace
-	turns           rotationTurns
+	credit          rotationCredit
 	zone            string
 	cell            int64
 	ringHash        uint64 // its place on the ring of all servers, the same at all limiters
@@ -28,8 +28,8 @@
 	units   float64
 }
 
-// rotationTurns is what a server is owed by the weighted rotation.
-type rotationTurns struct {
+// rotationCredit is what a server is owed by the weighted rotation.
+type rotationCredit struct {
 	current   float64 // current weight of the smooth weighted round robin: its claim on the next turn
 	slowStart float64 // turns that it is owed while it warms up
 }
@@ -37,20 +37,20 @@
 // finished tells whether a server is gone and nothing is in flight there.
 func (s *server) finished() bool { return s.state == EndpointGone && len(s.attempts) == 0 }
 
-// begin takes in an attempt that is sent to the server.
-func (s *server) begin(a *attempt) {
+// attemptStarted takes in an attempt that is sent to the server.
+func (s *server) attemptStarted(a *attempt) {
 	s.attempts = append(s.attempts, a)
 	s.inFlight += a.request.units
 }
 
-// end takes out an attempt that has ended.
-func (s *server) end(ended *attempt) {
+// attemptEnded takes out an attempt that has ended.
+func (s *server) attemptEnded(ended *attempt) {
 	s.attempts = slices.DeleteFunc(s.attempts, func(a *attempt) bool { return a == ended })
 	s.inFlight = max(0, s.inFlight-ended.request.units)
 }
 
-// replaceBy takes the record of a new process at the same endpoint. What is in flight there stays.
-func (s *server) replaceBy(fresh server) {
+// replaceWith takes the record of a new process at the same endpoint. What is in flight there stays.
+func (s *server) replaceWith(fresh server) {
 	fresh.attempts = s.attempts
 	fresh.inFlight = s.inFlight
 	fresh.ringIndex = s.ringIndex
@@ -68,10 +68,10 @@
 	case s == nil:
 		s = &fresh
 		// Limiters that start together, all knowing nothing, must not all begin at the same server.
-		s.turns.current = c.random.Float64()
+		s.credit.current = c.random.Float64()
 		c.servers.add(s)
 	case endpoint.StartedAt > s.startedAt:
-		s.replaceBy(fresh) // nothing that is known of the old process holds for the new one
+		s.replaceWith(fresh) // nothing that is known of the old process holds for the new one
 	}
 	s.zone = endpoint.Zone
 	s.cell = endpoint.Cell
@@ -85,7 +85,7 @@
 	return server{
 		id: endpoint.ID, ringHash: hash, startedAt: endpoint.StartedAt,
 		limit:  c.concurrency.initialServerLimit(),
-		health: serverHealth{lastSign: now},
-		turns:  rotationTurns{slowStart: c.slowStart.firstTurns(hash, c.servers.count(), c.servers.subsetSize())},
+		health: serverHealth{lastSeenAlive: now},
+		credit: rotationCredit{slowStart: c.slowStart.initialCredit(hash, c.servers.count(), c.servers.subsetSize())},
 	}
 }
--- a/choice/slow_start_test.go
+++ b/choice/slow_start_test.go
@@ -14,7 +14,7 @@
 	)
 	controller.tick(second)
 	a, b := controller.servers.byID["a"], controller.servers.byID["b"]
-	a.overloadedUntil, b.turns.slowStart = 1<<62, 0
+	a.overloadedUntil, b.credit.slowStart = 1<<62, 0
 	got := 0
 	for range 100 { // the warm one has no room: the cold one gets its turns and no more
 		if s := controller.pickServer(second, &request{units: 1, class: controller.settings.Classes["read"]}); s == b {
@@ -44,7 +44,7 @@
 	// a was a mistake: it is warm
 	controller.UpdateEndpoints(second, false, []Endpoint{{ID: "a", Zone: "x", Weight: 1, StartedAt: 1}})
 	a, b := controller.servers.byID["a"], controller.servers.byID["b"]
-	a.startedAt, a.overloadedUntil, b.turns.slowStart = 0, 1<<62, math.Min(b.turns.slowStart, 0)
+	a.startedAt, a.overloadedUntil, b.credit.slowStart = 0, 1<<62, math.Min(b.credit.slowStart, 0)
 	reindex(controller, second)
 	now := 2 * second // b is warm for a tenth
 	controller.tick(now)
@@ -75,5 +75,5 @@
 			return
 		}
 	}
-	t.Fatal("it gets none of 40, and owes", -b.turns.slowStart)
+	t.Fatal("it gets none of 40, and owes", -b.credit.slowStart)
 }
--- a/choice/types.go
+++ b/choice/types.go
@@ -157,8 +157,8 @@
 	return shortest
 }
 
-// hasRepeatableClass tells whether the requests of some class may run again.
-func (s *Settings) hasRepeatableClass() bool {
+// hasRetryableClass tells whether the requests of some class may run again.
+func (s *Settings) hasRetryableClass() bool {
 	for _, class := range s.Classes {
 		if class.Idempotency != NonIdempotent {
 			return true
@@ -167,9 +167,9 @@
 	return false
 }
 
-// mostValuableClass is the class whose units are worth the most, and of several the one with the shortest latency
+// highestPriorityClass is the class whose units are worth the most, and of several the one with the shortest latency
 // objective.
-func (s *Settings) mostValuableClass() *Class {
+func (s *Settings) highestPriorityClass() *Class {
 	var most *Class
 	for _, class := range s.Classes {
 		if most == nil || class.PriorityWeight > most.PriorityWeight ||
--- a/choice/types_test.go
+++ b/choice/types_test.go
@@ -28,14 +28,14 @@
 	}
 }
 
-func TestRepeatableClass(t *testing.T) {
+func TestHasRetryableClass(t *testing.T) {
 	write := &Class{Idempotency: NonIdempotent}
-	set := &Settings{Classes: map[string]*Class{"write": write}}
-	if set.hasRepeatableClass() {
+	settings := &Settings{Classes: map[string]*Class{"write": write}}
+	if settings.hasRetryableClass() {
 		t.Fatal("a non-idempotent class may run again")
 	}
-	set.Classes["read"] = &Class{Idempotency: Idempotent}
-	if !set.hasRepeatableClass() {
+	settings.Classes["read"] = &Class{Idempotency: Idempotent}
+	if !settings.hasRetryableClass() {
 		t.Fatal("an idempotent class may not run again")
 	}
 }
