--- a/choice/index.go
+++ b/choice/index.go
@@ -6,38 +6,39 @@
 	"slices"
 )
 
-// indexGroup is the part of a serverIndex that holds a server.
+// indexGroup is the group of a serverIndex that holds a server.
 type indexGroup uint8
 
 const (
-	groupNone    indexGroup = iota // not ready for new requests, and nothing in flight
+	groupNone    indexGroup = iota // not ready for new requests, with nothing in flight
 	groupIdle                      // ready, healthy and warm, with nothing in flight
-	groupWarming                   // the same, but still warming up
-	groupActive                    // has attempts in flight, or is ready and not healthy: it is looked at by itself
+	groupWarming                   // as groupIdle, but still warming up
+	groupActive                    // attempts in flight, or ready but unhealthy or not started yet: visited one by one
 )
 
-// serverIndex finds the servers that a request or a tick has to look at, so that their cost follows what is in use and
-// not how many servers there are. Each server is in one group by its state; update moves it there after a change.
+// serverIndex finds the servers that a request or a tick has to visit, so that their cost depends on the servers in use
+// and not on the number of servers. Each server is in one group according to its state; update moves it there after a
+// change.
 type serverIndex struct {
-	ready      int         // servers that are listed as ready
-	idle       int         // servers of the group idle
-	warmingSum int64       // the sum of startedAt over the group warming, modulo 2^64
-	warming    warmingHeap // the servers of the group warming
-	active     []*server   // the servers of the group active, in no order
+	ready      int         // servers listed as ready
+	idle       int         // servers in groupIdle
+	warmingSum int64       // sum of startedAt over groupWarming, modulo 2^64
+	warming    warmingHeap // servers in groupWarming
+	active     []*server   // servers in groupActive, unordered
 	gone       []*server   // servers that were listed as gone, each once
-	ordered    []*server   // a buffer of activeInOrder
+	ordered    []*server   // buffer that activeInOrder reuses
 }
 
-// indexEntry is where a serverIndex holds a server.
+// indexEntry records where a serverIndex holds a server.
 type indexEntry struct {
 	group        indexGroup
-	slot         int   // its place in the group's list
-	warmingSince int64 // startedAt, as the group warming has it
-	countedReady bool  // it is counted in serverIndex.ready
-	listedGone   bool  // it is in serverIndex.gone
+	slot         int   // position in the active slice or the warming heap
+	warmingSince int64 // startedAt as added to warmingSum
+	countedReady bool  // counted in serverIndex.ready
+	listedGone   bool  // contained in serverIndex.gone
 }
 
-// groupOf tells where a server belongs.
+// groupOf returns the group that a server belongs to.
 func groupOf(now, slowStartWindow int64, s *server) indexGroup {
 	switch {
 	case len(s.attempts) > 0 || s.inFlight > 0 && s.state == EndpointReady:
@@ -52,80 +53,80 @@
 	return groupWarming
 }
 
-// update puts a server that is new or has changed into its group.
-func (x *serverIndex) update(now, slowStartWindow int64, s *server) {
-	x.remove(s)
+// update puts a new or changed server into its group.
+func (idx *serverIndex) update(now, slowStartWindow int64, s *server) {
+	idx.remove(s)
 	if s.state == EndpointReady {
-		x.ready++
+		idx.ready++
 		s.countedReady = true
 	}
 	if s.state == EndpointGone && !s.listedGone {
-		x.gone = append(x.gone, s)
+		idx.gone = append(idx.gone, s)
 		s.listedGone = true
 	}
 	s.group = groupOf(now, slowStartWindow, s)
 	switch s.group {
 	case groupIdle:
-		x.idle++
+		idx.idle++
 	case groupWarming:
 		s.warmingSince = s.startedAt
-		x.warmingSum += s.warmingSince
-		heap.Push(&x.warming, s)
+		idx.warmingSum += s.warmingSince
+		heap.Push(&idx.warming, s)
 	case groupActive:
-		s.slot = len(x.active)
-		x.active = append(x.active, s)
+		s.slot = len(idx.active)
+		idx.active = append(idx.active, s)
 	}
 }
 
-// remove takes a server out of its group.
-func (x *serverIndex) remove(s *server) {
+// remove removes a server from its group.
+func (idx *serverIndex) remove(s *server) {
 	if s.countedReady {
-		x.ready--
+		idx.ready--
 		s.countedReady = false
 	}
 	switch s.group {
 	case groupIdle:
-		x.idle--
+		idx.idle--
 	case groupWarming:
-		x.warmingSum -= s.warmingSince
-		heap.Remove(&x.warming, s.slot)
+		idx.warmingSum -= s.warmingSince
+		heap.Remove(&idx.warming, s.slot)
 	case groupActive:
-		last := len(x.active) - 1
-		x.active[s.slot] = x.active[last]
-		x.active[s.slot].slot = s.slot
-		x.active[last] = nil
-		x.active = x.active[:last]
+		last := len(idx.active) - 1
+		idx.active[s.slot] = idx.active[last]
+		idx.active[s.slot].slot = s.slot
+		idx.active[last] = nil
+		idx.active = idx.active[:last]
 	}
 	s.group = groupNone
 }
 
-// finishWarming moves the servers that are warm by now from the group warming to idle.
-func (x *serverIndex) finishWarming(now, slowStartWindow int64) {
-	for len(x.warming) > 0 && now >= x.warming[0].warmingSince+slowStartWindow {
-		x.update(now, slowStartWindow, x.warming[0])
+// finishWarming moves the servers that have warmed up from groupWarming to groupIdle.
+func (idx *serverIndex) finishWarming(now, slowStartWindow int64) {
+	for len(idx.warming) > 0 && now >= idx.warming[0].warmingSince+slowStartWindow {
+		idx.update(now, slowStartWindow, idx.warming[0])
 	}
 }
 
-// warmingAge is the number of servers that are warming up with nothing in flight, and their mean time since they began.
-func (x *serverIndex) warmingAge(now int64) (servers, age int64) {
-	servers = int64(len(x.warming))
+// warmingAge returns the number of servers in groupWarming and their mean time since startedAt, in nanoseconds.
+func (idx *serverIndex) warmingAge(now int64) (servers, age int64) {
+	servers = int64(len(idx.warming))
 	if servers > 0 {
-		age = (servers*now - x.warmingSum) / servers
+		age = (servers*now - idx.warmingSum) / servers
 	}
 	return servers, age
 }
 
-// activeInOrder lists the active servers in the order of the ring. The list holds until the next call.
-func (x *serverIndex) activeInOrder() []*server {
-	x.ordered = append(x.ordered[:0], x.active...)
-	slices.SortFunc(x.ordered, func(a, b *server) int { return cmp.Compare(a.ringIndex, b.ringIndex) })
-	return x.ordered
+// activeInOrder returns the active servers in ring order. The slice is valid until the next call.
+func (idx *serverIndex) activeInOrder() []*server {
+	idx.ordered = append(idx.ordered[:0], idx.active...)
+	slices.SortFunc(idx.ordered, func(a, b *server) int { return cmp.Compare(a.ringIndex, b.ringIndex) })
+	return idx.ordered
 }
 
 // ejected is the number of ready servers that are ejected.
-func (x *serverIndex) ejected() int {
+func (idx *serverIndex) ejected() int {
 	servers := 0
-	for _, s := range x.active {
+	for _, s := range idx.active {
 		if s.state == EndpointReady && s.health.state == ejected {
 			servers++
 		}
@@ -133,28 +134,29 @@
 	return servers
 }
 
-// hasFinished tells whether some server is gone with nothing in flight.
-func (x *serverIndex) hasFinished() bool {
-	x.gone = slices.DeleteFunc(x.gone, func(s *server) bool {
+// hasFinished reports whether some server is gone with nothing in flight. It first drops servers that have returned
+// from the list of gone ones.
+func (idx *serverIndex) hasFinished() bool {
+	idx.gone = slices.DeleteFunc(idx.gone, func(s *server) bool {
 		s.listedGone = s.state == EndpointGone
 		return !s.listedGone
 	})
-	return slices.ContainsFunc(x.gone, (*server).finished)
+	return slices.ContainsFunc(idx.gone, (*server).finished)
 }
 
-// forget takes a server that is finished out of the index.
-func (x *serverIndex) forget(finished *server) {
-	x.remove(finished)
-	x.gone = slices.DeleteFunc(x.gone, func(s *server) bool { return s == finished })
+// deleteServer deletes a finished server from the index.
+func (idx *serverIndex) deleteServer(finished *server) {
+	idx.remove(finished)
+	idx.gone = slices.DeleteFunc(idx.gone, func(s *server) bool { return s == finished })
 }
 
-// warmingHeap is a heap of servers by when they began to warm up.
+// warmingHeap is a heap of servers by the time at which they started to warm up.
 type warmingHeap []*server
 
-// Len is a method of heap.Interface, as are Less, Swap, Push and Pop.
+// Len implements heap.Interface, as do Less, Swap, Push and Pop.
 func (h warmingHeap) Len() int { return len(h) }
 
-// Less puts the server that began first in front.
+// Less orders servers by their start, the earliest first.
 func (h warmingHeap) Less(i, j int) bool { return h[i].warmingSince < h[j].warmingSince }
 
 // Swap exchanges two servers.
--- a/choice/request.go
+++ b/choice/request.go
@@ -2,84 +2,85 @@
 
 import "fmt"
 
-// requestState is where a request stands; request.move is the only function that changes it.
+// requestState is a request's state. Only request.setState changes it.
 type requestState uint8
 
 const (
 	stateAccepted   requestState = iota
-	stateReserving               // it waits for the counter
+	stateReserving               // waiting for the counter
 	stateInFlight                // its first attempt was sent
-	stateAnswered                // a server's answer went to the client
+	stateAnswered                // a server's answer was passed to the client
 	stateRejected                // rejected: it had no effect
 	stateFailed                  // failed: it may have had its effect
-	stateClientGone              // the client has left
+	stateClientGone              // the client has disconnected
 )
 
-// request is one request from its arrival until nothing of it is out any more.
+// request is a request from its arrival until it has ended and none of its attempts is open.
 type request struct {
 	id      string
-	timer   int64 // the token of its deadline's timer
+	timer   int64 // token of its deadline's timer
 	state   requestState
 	class   *Class
-	account *account // nil where its plan or class is unknown
+	account *account // nil if its plan or class is unknown
 	units   float64
-	// what it takes from its customer's quota: its units, or 1 where the plan caps attempts in flight
-	charge       float64
-	deadline     int64 // the last moment for a final answer
-	attempts     []*attempt
-	openAttempts int
-	reachedAny   bool // a server got it whole, so that its units are spent
-	reservation  reservation
+	// charge is what it takes from the customer's quota: its units, or 1 if the plan has no rate but caps attempts in
+	// flight.
+	charge           float64
+	deadline         int64 // latest time for the final answer
+	attempts         []*attempt
+	openAttempts     int
+	reachedAnyServer bool // a server received the whole request, so its units are spent
+	reservation      reservation
 }
 
-// attempt is one try of a request at one server.
+// attempt is one attempt of a request at one server.
 type attempt struct {
 	request    *request
 	server     *server
-	number     int
+	number     int // from 0, in order of sending
 	sentAt     int64
-	open       bool
-	mayHaveRun bool // true also while it is open
-	overdue    bool // it has lowered its server's limit
+	open       bool // its end has not been reported
+	mayHaveRun bool // also true while it is open
+	overdue    bool // it was not answered promptly and has lowered the limits
 }
 
-func (q *request) ended() bool { return q.state >= stateAnswered }
+func (req *request) ended() bool { return req.state >= stateAnswered }
 
-// move changes the request's state. An ended request keeps its end.
-func (q *request) move(to requestState) {
-	if q.ended() {
-		panic(fmt.Sprintf("request %s moved to %d after its end %d", q.id, to, q.state))
+// setState changes the request's state. It panics if the request has ended, since the end is final.
+func (req *request) setState(to requestState) {
+	if req.ended() {
+		panic(fmt.Sprintf("request %s set to state %d after it ended in state %d", req.id, to, req.state))
 	}
-	q.state = to
+	req.state = to
 }
 
-// addAttempt begins an attempt at a server.
-func (q *request) addAttempt(now int64, s *server) *attempt {
-	added := &attempt{request: q, server: s, number: len(q.attempts), sentAt: now, open: true, mayHaveRun: true}
-	q.attempts = append(q.attempts, added)
-	q.openAttempts++
+// addAttempt adds an open attempt at a server.
+func (req *request) addAttempt(now int64, s *server) *attempt {
+	added := &attempt{request: req, server: s, number: len(req.attempts), sentAt: now, open: true, mayHaveRun: true}
+	req.attempts = append(req.attempts, added)
+	req.openAttempts++
 	return added
 }
 
-// endAttempt notes how an open attempt ended.
-func (q *request) endAttempt(ended *attempt, outcome Outcome) {
+// endAttempt records how an open attempt ended.
+func (req *request) endAttempt(ended *attempt, outcome Outcome) {
 	ended.open = false
 	ended.mayHaveRun = outcome.mayHaveRun()
-	q.openAttempts--
-	q.reachedAny = q.reachedAny || outcome.reachedServer()
+	req.openAttempts--
+	req.reachedAnyServer = req.reachedAnyServer || outcome.reachedServer()
 }
 
-// openAttempt is the attempt of a number, nil where there is none that is open.
-func (q *request) openAttempt(number int) *attempt {
-	if number < 0 || number >= len(q.attempts) || !q.attempts[number].open {
+// openAttempt returns the attempt with the given number if it is open, otherwise nil.
+func (req *request) openAttempt(number int) *attempt {
+	if number < 0 || number >= len(req.attempts) || !req.attempts[number].open {
 		return nil
 	}
-	return q.attempts[number]
+	return req.attempts[number]
 }
 
-// mayHaveRun tells whether some attempt may have run, or may still run.
-func (q *request) mayHaveRun() bool {
-	for _, a := range q.attempts {
+// mayHaveRun reports whether some attempt may have run, or may still run.
+func (req *request) mayHaveRun() bool {
+	for _, a := range req.attempts {
 		if a.mayHaveRun {
 			return true
 		}
@@ -87,10 +88,10 @@
 	return false
 }
 
-// requestTable holds the requests that are not forgotten yet.
+// requestTable holds the requests that have not ended or have open attempts.
 type requestTable struct {
 	byID      map[string]*request
-	byTimer   map[int64]*request // those that are not ended, by the token of their deadline's timer
+	byTimer   map[int64]*request // requests that have not ended, by the token of their deadline's timer
 	lastTimer int64
 }
 
@@ -98,22 +99,22 @@
 	return requestTable{byID: map[string]*request{}, byTimer: map[int64]*request{}}
 }
 
-// add takes a request in and gives it a timer's token.
-func (t *requestTable) add(q *request) {
+// add adds a request and assigns its timer's token.
+func (t *requestTable) add(req *request) {
 	t.lastTimer++
-	q.timer = t.lastTimer
-	t.byID[q.id] = q
-	t.byTimer[q.timer] = q
+	req.timer = t.lastTimer
+	t.byID[req.id] = req
+	t.byTimer[req.timer] = req
 }
 
-// stopTimer lets the request's deadline pass unnoticed.
-func (t *requestTable) stopTimer(q *request) { delete(t.byTimer, q.timer) }
+// stopTimer makes the controller ignore the request's deadline.
+func (t *requestTable) stopTimer(req *request) { delete(t.byTimer, req.timer) }
 
-// remove forgets a request; false where it was not held, as after its id was taken by another.
-func (t *requestTable) remove(q *request) bool {
-	if t.byID[q.id] != q {
+// remove removes a request. It returns false if the table does not hold it, such as after its ID was reused.
+func (t *requestTable) remove(req *request) bool {
+	if t.byID[req.id] != req {
 		return false
 	}
-	delete(t.byID, q.id)
+	delete(t.byID, req.id)
 	return true
 }
--- a/choice/request_test.go
+++ b/choice/request_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-func TestMove(t *testing.T) {
-	t.Run("an ended request keeps its end", func(t *testing.T) {
+func TestSetState(t *testing.T) {
+	t.Run("an ended request keeps its state", func(t *testing.T) {
 		defer func() {
 			if recover() == nil {
-				t.Fatal("it moved")
+				t.Fatal("it changed its state")
 			}
 		}()
-		(&request{state: stateAnswered}).move(stateRejected)
+		(&request{state: stateAnswered}).setState(stateRejected)
 	})
 }
 
-func TestRequestTableForgetsOnlyItsOwn(t *testing.T) {
+func TestRequestTableRemovesOnlyTheGivenRequest(t *testing.T) {
 	table := newRequestTable()
 	first, second := &request{id: "same"}, &request{id: "same"}
 	table.add(first)
 	table.add(second)
 	if table.remove(first) || !table.remove(second) || len(table.byID) != 0 {
-		t.Fatal("the first was forgotten in the second's place")
+		t.Fatal("the first request was removed instead of the second")
 	}
 }
--- a/choice/rotation_test.go
+++ b/choice/rotation_test.go
@@ -20,13 +20,13 @@
 		}
 	})
 	t.Run(
-		"passes a server that is half-open for non-idempotent requests, and for others while one is out",
+		"skips a half-open server for non-idempotent requests, and for others while it has one in flight",
 		func(t *testing.T) {
 			controller, _ := newTestController()
 			a := controller.servers.byID["a"]
 			a.health.state = halfOpen
 			reindex(controller, 0)
-			free, nonIdempotent := controller.servers.mayReceive(
+			idempotentAllowed, nonIdempotentAllowed := controller.servers.mayReceive(
 				0,
 				unsentRequest,
 				a,
@@ -36,12 +36,17 @@
 				a,
 			)
 			controller.send(0, &request{class: unsentRequest.class}, a)
-			if !free || nonIdempotent || controller.servers.mayReceive(0, unsentRequest, a) {
-				t.Fatal("usable", free, nonIdempotent, controller.servers.mayReceive(0, unsentRequest, a))
+			if !idempotentAllowed || nonIdempotentAllowed || controller.servers.mayReceive(0, unsentRequest, a) {
+				t.Fatal(
+					"may receive",
+					idempotentAllowed,
+					nonIdempotentAllowed,
+					controller.servers.mayReceive(0, unsentRequest, a),
+				)
 			}
 		},
 	)
-	t.Run("passes a server that drains", func(t *testing.T) {
+	t.Run("skips a server that is draining", func(t *testing.T) {
 		controller, _ := newTestController()
 		controller.UpdateEndpoints(
 			0,
@@ -49,10 +54,10 @@
 			[]Endpoint{{ID: "a", State: EndpointDraining}, {ID: "b", State: EndpointGone}},
 		)
 		if s := controller.pickServer(0, unsentRequest); s != nil {
-			t.Fatal("took", s.id)
+			t.Fatal("picked", s.id)
 		}
 	})
-	t.Run("gives a cold server its part of the turns", func(t *testing.T) {
+	t.Run("gives a warming server its share of the turns", func(t *testing.T) {
 		controller, _ := newTestController()
 		controller.servers.byID["a"].startedAt = second
 		reindex(controller, second)
@@ -68,21 +73,21 @@
 	})
 }
 
-func TestControllersBeginAtDifferentServers(t *testing.T) {
-	first := map[string]bool{}
+func TestControllersStartAtDifferentServers(t *testing.T) {
+	chosen := map[string]bool{}
 	for seed := range int64(20) {
-		done := &recordedEffects{}
+		effects := &recordedEffects{}
 		read := &Class{LatencyObjective: second, PriorityWeight: 1}
 		controller := New(
 			0,
 			&Settings{Limiters: 20, MaxRequestUnits: 1, SlowStartWindow: 1, Classes: map[string]*Class{"read": read}},
 			seed,
-			done,
+			effects,
 		)
 		controller.UpdateEndpoints(0, true, []Endpoint{{ID: "a"}, {ID: "b"}})
-		first[controller.pickServer(0, &request{units: 1, class: read}).id] = true
+		chosen[controller.pickServer(0, &request{units: 1, class: read}).id] = true
 	}
-	if len(first) != 2 {
-		t.Fatal("all begin at", first)
+	if len(chosen) != 2 {
+		t.Fatal("all start at", chosen)
 	}
 }
--- a/choice/types_test.go
+++ b/choice/types_test.go
@@ -28,14 +28,14 @@
 	}
 }
 
-func TestRepeatableClass(t *testing.T) {
+func TestHasRetryableClass(t *testing.T) {
 	write := &Class{Idempotency: NonIdempotent}
-	set := &Settings{Classes: map[string]*Class{"write": write}}
-	if set.hasRepeatableClass() {
-		t.Fatal("a non-idempotent class may run again")
+	settings := &Settings{Classes: map[string]*Class{"write": write}}
+	if settings.hasRetryableClass() {
+		t.Fatal("a non-idempotent class counts as retryable")
 	}
-	set.Classes["read"] = &Class{Idempotency: Idempotent}
-	if !set.hasRepeatableClass() {
-		t.Fatal("an idempotent class may not run again")
+	settings.Classes["read"] = &Class{Idempotency: Idempotent}
+	if !settings.hasRetryableClass() {
+		t.Fatal("an idempotent class does not count as retryable")
 	}
 }
