--- a/cmd/ospreycroft/check.go
+++ b/cmd/ospreycroft/check.go
@@ -73,40 +73,41 @@
 	if err != nil {
 		return err
 	}
-	for _, b := range rows {
-		report(logging.Event{Name: "counter-loss-bound", Attrs: b.Attrs(config.Settings.Plans[b.Plan])})
+	for _, bound := range rows {
+		report(logging.Event{Name: "counter-loss-bound", Attrs: bound.Attrs(config.Settings.Plans[bound.Plan])})
 	}
 	return nil
 }
 
 // reportStartBounds states what a start of all limiters costs the list service, and how late news can come. A budget that is
 // too small for the list's clock is said, and is no error.
-func reportStartBounds(config *settings.Config, o *operator.Options, report func(logging.Event)) error {
-	set := limiter.ColdStartSettings(
+func reportStartBounds(config *settings.Config, options *operator.Options, report func(logging.Event)) error {
+	startSettings := limiter.ColdStartSettings(
 		config,
-		limiter.OperatorOptions{DiscoveryCallRate: o.DiscoveryCallRate, ConnectionRate: o.ConnectionRate},
+		limiter.OperatorOptions{DiscoveryCallRate: options.DiscoveryCallRate, ConnectionRate: options.ConnectionRate},
 	)
 	servers := 0
 	if list, err := discovery.DecodeList(config.Known); err == nil {
 		servers = len(list.Endpoints)
 	}
-	a, err := set.Advise(servers)
+	advice, err := startSettings.Advise(servers)
 	var late *coldstart.LateNotificationError
 	if err != nil && !errors.As(err, &late) {
 		return err
 	}
-	if set.PollInterval > 0 {
+	if startSettings.PollInterval > 0 {
 		report(logging.Event{Name: "start-bound", Attrs: []slog.Attr{
 			roundedAttr(
 				"list_calls_per_s",
-				a.CallRate,
-			), slog.Bool("stated", a.StatedRate), slog.Bool("even", a.EvenRate),
-			roundedAttr("all_asked_s", float64(a.AllPolledWithin)/1e9),
+				advice.CallRate,
+			), slog.Bool("stated", advice.StatedRate), slog.Bool("even", advice.EvenRate),
+			roundedAttr("all_asked_s", float64(advice.AllPolledWithin)/1e9),
 		}})
 	}
-	if a.ConnectionRate > 0 {
+	if advice.ConnectionRate > 0 {
 		report(logging.Event{Name: "start-bound", Attrs: []slog.Attr{
-			roundedAttr("connections_per_s", set.ConnectionRate), roundedAttr("one_limiter", a.ConnectionRate),
+			roundedAttr("connections_per_s", startSettings.ConnectionRate),
+			roundedAttr("one_limiter", advice.ConnectionRate),
 		}})
 	}
 	if late != nil {
--- a/cmd/ospreycroft/departed_test.go
+++ b/cmd/ospreycroft/client_gone_test.go
@@ -23,50 +23,50 @@
 // < admit < decideByQuota < CounterReplied < limiter.(*Limiter).deliverResults; its trace has both requests ended by
 // client-gone before it.
 
-// TestClientLeavesBetweenItsReservations: both grants and the client's end come while the process has no processor, in
+// TestClientClosesBetweenReservations: both grants and the client's end come while the process has no processor, in
 // this order. The process goes on, sends nothing for the client that has gone, and serves the next one.
-func TestClientLeavesBetweenItsReservations(t *testing.T) {
+func TestClientClosesBetweenReservations(t *testing.T) {
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
 	defer func() { _ = log.Close() }()
 	server := testbed.Listen(t)
-	e := begin(t, server.Address, log)
-	line := e.counter.Accept(t)
-	e.client.Say(t, testbed.Request("first", "read", 3000))
-	line.Line(t)
-	line.Say(t, "ok 1\r\n")
-	served := server.Accept(t)
-	served.Command(t)
-	served.Serve(t, "value")
-	require.Equal(t, "$value", e.client.Answer(t))
+	h := startHarness(t, server.Address, log)
+	counterConn := h.counter.Accept(t)
+	h.client.Say(t, testbed.Request("first", "read", 3000))
+	counterConn.Line(t)
+	counterConn.Say(t, "ok 1\r\n")
+	serverConn := server.Accept(t)
+	serverConn.Command(t)
+	serverConn.Serve(t, "value")
+	require.Equal(t, "$value", h.client.Answer(t))
 	time.Sleep(100 * time.Millisecond) // the connection to the server has rested, and takes the next attempt at once
-	leaving := (&testbed.Rig{Address: e.client.TCP.RemoteAddr().String()}).Dial(t)
-	leaving.Say(t, testbed.Request("left-1", "read", 3000)+testbed.Request("left-2", "read", 3000))
-	line.Line(t)
-	line.Line(t)
+	closing := (&testbed.Rig{Address: h.client.TCP.RemoteAddr().String()}).Dial(t)
+	closing.Say(t, testbed.Request("left-1", "read", 3000)+testbed.Request("left-2", "read", 3000))
+	counterConn.Line(t)
+	counterConn.Line(t)
 
-	e.suspend()
-	line.Say(t, "ok 2\r\nok 3\r\n")
+	h.suspend()
+	counterConn.Say(t, "ok 2\r\nok 3\r\n")
 	time.Sleep(20 * time.Millisecond) // the grants are in the kernel before the end is
-	_ = leaving.TCP.Close()
+	_ = closing.TCP.Close()
 	time.Sleep(20 * time.Millisecond)
-	require.NoError(t, e.program.Process.Signal(syscall.SIGCONT))
+	require.NoError(t, h.program.Process.Signal(syscall.SIGCONT))
 
 	select {
-	case err := <-e.ended:
+	case err := <-h.exited:
 		text, _ := os.ReadFile(log.Name())
 		t.Fatalf("it ended by itself: %v\n%s", err, text)
 	case <-time.After(200 * time.Millisecond):
 	}
-	served.Quiet(t, time.Millisecond)
+	serverConn.Quiet(t, time.Millisecond)
 	for range 2 { // both reservations are added back
-		require.Contains(t, line.Line(t), " -")
+		require.Contains(t, counterConn.Line(t), " -")
 	}
-	line.Say(t, "ok 2\r\nok 1\r\n")
-	e.client.Say(t, testbed.Request("next", "read", 3000))
-	line.Line(t)
-	line.Say(t, "ok 2\r\n")
-	require.Equal(t, "next", served.Command(t)[2])
-	served.Serve(t, "again")
-	require.Equal(t, "$again", e.client.Answer(t))
+	counterConn.Say(t, "ok 2\r\nok 1\r\n")
+	h.client.Say(t, testbed.Request("next", "read", 3000))
+	counterConn.Line(t)
+	counterConn.Say(t, "ok 2\r\n")
+	require.Equal(t, "next", serverConn.Command(t)[2])
+	serverConn.Serve(t, "again")
+	require.Equal(t, "$again", h.client.Answer(t))
 }
--- a/cmd/ospreycroft/counting_server_test.go
+++ b/cmd/ospreycroft/counting_server_test.go
@@ -12,8 +12,8 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// slowAnswer is what a slow server takes for each request.
-const slowAnswer = 150 * time.Millisecond
+// slowServerDelay is what a slow server takes for each request.
+const slowServerDelay = 150 * time.Millisecond
 
 // countingServer is a server that counts how often each request has reached it. It answers with a value, after a delay, or
 // never.
@@ -25,20 +25,20 @@
 	received          map[string]int // by the request's id
 }
 
-// startCounting starts one that answers at once.
-func startCounting(t *testing.T, name string) *countingServer {
+// startCountingServer starts one that answers at once.
+func startCountingServer(t *testing.T, name string) *countingServer {
 	t.Helper()
 	return (&countingServer{}).start(t, name)
 }
 
-// startSlow starts one that takes slowAnswer for each request.
-func startSlow(t *testing.T, name string) *countingServer {
+// startSlowServer starts one that takes slowAnswer for each request.
+func startSlowServer(t *testing.T, name string) *countingServer {
 	t.Helper()
-	return (&countingServer{delay: slowAnswer}).start(t, name)
+	return (&countingServer{delay: slowServerDelay}).start(t, name)
 }
 
-// startHanging starts one that never answers.
-func startHanging(t *testing.T, name string) *countingServer {
+// startHangingServer starts one that never answers.
+func startHangingServer(t *testing.T, name string) *countingServer {
 	t.Helper()
 	return (&countingServer{hangs: true}).start(t, name)
 }
@@ -77,15 +77,15 @@
 	s.received[id]++
 }
 
-// times is how often a request has reached it.
-func (s *countingServer) times(id string) int {
+// timesReceived is how often a request has reached it.
+func (s *countingServer) timesReceived(id string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.received[id]
 }
 
-// total is how many requests have reached it.
-func (s *countingServer) total() int {
+// requestCount is how many requests have reached it.
+func (s *countingServer) requestCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.received)
--- a/cmd/ospreycroft/crash.go
+++ b/cmd/ospreycroft/crash.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// maxCrashText bounds what is logged of an earlier life's traceback; its cause and first frames come first.
-const maxCrashText = 2 << 10
+// maxCrashTextBytes bounds what is logged of an earlier life's traceback; its cause and first frames come first.
+const maxCrashTextBytes = 2 << 10
 
 // crashPath is the file in a directory that holds the traceback of a limiter's latest crash.
 func crashPath(dir, limiter string) string {
 	return filepath.Join(dir, url.PathEscape(limiter)+".crash")
 }
 
-// watchCrashes logs why the limiter's earlier life crashed, if it did, and has the runtime write this life's crash to the same
+// initCrashFile logs why the limiter's earlier life crashed, if it did, and has the runtime write this life's crash to the same
 // file: also a fatal error of the runtime, which no program can recover, and where the log of the process is lost.
 // Whatever is wrong with the file ends no start.
-func watchCrashes(dir, limiter string) {
+func initCrashFile(dir, limiter string) {
 	path := crashPath(dir, limiter)
 	logEarlierCrash(path)
 	file, err := os.Create(path)
@@ -44,9 +44,9 @@
 	if len(bytes.TrimSpace(text)) == 0 {
 		return
 	}
-	at := "unknown"
+	crashedAt := "unknown"
 	if info, err := os.Stat(path); err == nil {
-		at = info.ModTime().UTC().Format(time.RFC3339)
+		crashedAt = info.ModTime().UTC().Format(time.RFC3339)
 	}
-	slog.Error("earlier-crash", "at", at, "text", string(text[:min(len(text), maxCrashText)]))
+	slog.Error("earlier-crash", "at", crashedAt, "text", string(text[:min(len(text), maxCrashTextBytes)]))
 }
--- a/cmd/ospreycroft/descriptors_test.go
+++ b/cmd/ospreycroft/descriptors_test.go
@@ -18,28 +18,28 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// reachedWithin is how soon after discovery's return its list has to be heard and used.
-const reachedWithin = 6 * time.Second
+// recoveryTimeout is how soon after discovery's return its list has to be heard and used.
+const recoveryTimeout = 6 * time.Second
 
-// idlers are clients that take every connection that they are let have, say nothing, and come again when they are
+// startIdleClients are clients that take every connection that they are let have, say nothing, and come again when they are
 // closed.
-func idlers(t *testing.T, address string, many int) {
+func startIdleClients(t *testing.T, address string, count int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	t.Cleanup(func() { cancel(); running.Wait() })
-	for range many {
+	for range count {
 		running.Go(func() {
 			for ctx.Err() == nil {
-				idle(ctx, address)
+				holdIdleConn(ctx, address)
 				time.Sleep(5 * time.Millisecond)
 			}
 		})
 	}
 }
 
-// idle holds one connection until the limiter or the test ends it.
-func idle(ctx context.Context, address string) {
+// holdIdleConn holds one connection until the limiter or the test ends it.
+func holdIdleConn(ctx context.Context, address string) {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -50,27 +50,28 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
-// held is how many descriptors a process holds, and how many of them are sockets.
-func held(t *testing.T, process int) (all, sockets int) {
+// countDescriptors is how many descriptors a process holds, and how many of them are sockets.
+func countDescriptors(t *testing.T, process int) (all, sockets int) {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d/fd", process)
 	list, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, entry := range list {
-		if to, err := os.Readlink(filepath.Join(dir, entry.Name())); err == nil && strings.HasPrefix(to, "socket:") {
+		if target, err := os.Readlink(filepath.Join(dir, entry.Name())); err == nil &&
+			strings.HasPrefix(target, "socket:") {
 			sockets++
 		}
 	}
 	return len(list), sockets
 }
 
-// listsOnce is a list service that tells of one server, and then of no news.
-type listsOnce struct {
-	server string
-	heard  chan time.Time
+// singleServerList is a list service that tells of one server, and then of no news.
+type singleServerList struct {
+	server    string
+	firstCall chan time.Time
 }
 
-func (l *listsOnce) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *singleServerList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("from") == "2" {
 		select {
 		case <-r.Context().Done():
@@ -80,7 +81,7 @@
 		return
 	}
 	select {
-	case l.heard <- time.Now():
+	case l.firstCall <- time.Now():
 	default:
 	}
 	_, _ = fmt.Fprintf(
@@ -90,8 +91,8 @@
 	)
 }
 
-// limited starts the program with so many descriptors, of which its configuration says another number, and no server.
-func limited(
+// startWithDescriptorLimit starts the program with so many descriptors, of which its configuration says another number, and no server.
+func startWithDescriptorLimit(
 	t *testing.T,
 	descriptors, configured int,
 	discovery string,
@@ -128,8 +129,8 @@
 	for _, c := range []struct{ descriptors, configured int }{{96, 96}, {64, 1024}} {
 		t.Run(fmt.Sprintf("%d descriptors, %d configured", c.descriptors, c.configured), func(t *testing.T) {
 			discovery := testbed.KeepPort(t)
-			address, program, log := limited(t, c.descriptors, c.configured, discovery.Address())
-			asks := func(client *testbed.Conn, id string) string {
+			address, program, log := startWithDescriptorLimit(t, c.descriptors, c.configured, discovery.Address())
+			sendRequest := func(client *testbed.Conn, id string) string {
 				client.Say(t, testbed.Request(id, "read", 1000))
 				return client.Answer(t)
 			}
@@ -140,49 +141,49 @@
 				}
 				return err == nil
 			}, testbed.Patience, 10*time.Millisecond)
-			open := (&testbed.Rig{Address: address}).Dial(t)
-			require.Regexp(t, "^-BUSY", asks(open, "first"))
-			idlers(t, address, 3*c.descriptors)
-			for begun, n := time.Now(), 0; time.Since(begun) < 3*time.Second; n++ { // it stays in use
-				require.Regexp(t, "^-BUSY", asks(open, fmt.Sprint("before", n)))
+			openClient := (&testbed.Rig{Address: address}).Dial(t)
+			require.Regexp(t, "^-BUSY", sendRequest(openClient, "first"))
+			startIdleClients(t, address, 3*c.descriptors)
+			for start, n := time.Now(), 0; time.Since(start) < 3*time.Second; n++ { // it stays in use
+				require.Regexp(t, "^-BUSY", sendRequest(openClient, fmt.Sprint("before", n)))
 				time.Sleep(20 * time.Millisecond)
 			}
-			all, sockets := held(t, program.Process.Pid)
+			held, sockets := countDescriptors(t, program.Process.Pid)
 
 			server := testbed.Listen(t)
-			lists := &listsOnce{server: server.Address, heard: make(chan time.Time, 1)}
+			handler := &singleServerList{server: server.Address, firstCall: make(chan time.Time, 1)}
 			ln, err := discovery.Listen()
 			require.NoError(t, err)
-			back := time.Now()
-			service := &http.Server{Handler: lists}
+			serviceBack := time.Now()
+			service := &http.Server{Handler: handler}
 			go func() { _ = service.Serve(ln) }()
 			t.Cleanup(func() { _ = service.Close() })
-			var heard time.Time
-			for n := 0; heard.IsZero(); n++ {
-				require.Less(t, time.Since(back), reachedWithin, "the list is not heard")
+			var firstCall time.Time
+			for n := 0; firstCall.IsZero(); n++ {
+				require.Less(t, time.Since(serviceBack), recoveryTimeout, "the list is not heard")
 				select {
-				case heard = <-lists.heard:
+				case firstCall = <-handler.firstCall:
 				default:
-					require.Regexp(t, "^-BUSY", asks(open, fmt.Sprint("again", n)))
+					require.Regexp(t, "^-BUSY", sendRequest(openClient, fmt.Sprint("again", n)))
 					time.Sleep(20 * time.Millisecond)
 				}
 			}
 			time.Sleep(50 * time.Millisecond) // the list is read
 			sent := time.Now()
-			open.Say(t, testbed.Request("served", "read", 1000))
-			serving := server.Accept(t)
-			require.Equal(t, "served", serving.Command(t)[2])
-			serving.Serve(t, "value")
-			require.Equal(t, "$value", open.Answer(t))
-			require.Less(t, time.Since(back), reachedWithin)
+			openClient.Say(t, testbed.Request("served", "read", 1000))
+			serverConn := server.Accept(t)
+			require.Equal(t, "served", serverConn.Command(t)[2])
+			serverConn.Serve(t, "value")
+			require.Equal(t, "$value", openClient.Answer(t))
+			require.Less(t, time.Since(serviceBack), recoveryTimeout)
 			text, err := os.ReadFile(log.Name())
 			require.NoError(t, err)
 			require.Less(t, len(text), 1<<16, "it floods its log")
 			t.Logf(
 				"%d descriptors held, %d sockets; the list was asked for %v after discovery's return, a request served in %v; %d bytes of log",
-				all,
+				held,
 				sockets,
-				heard.Sub(back),
+				firstCall.Sub(serviceBack),
 				time.Since(sent),
 				len(text),
 			)
--- a/cmd/ospreycroft/distribution.go
+++ b/cmd/ospreycroft/distribution.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	watchEvery     = time.Second      // between two looks at how the distribution stands
-	callErrorEvery = 10 * time.Second // a failed call is logged no more often for each type of error
-	places         = 4096             // of limiters without a stated one
+	statusCheckInterval  = time.Second      // between two looks at how the distribution stands
+	callErrorLogInterval = 10 * time.Second // a failed call is logged no more often for each type of error
+	positionCount        = 4096             // of limiters without a stated one
 	// a state that does not change is saved so often within the age up to which it is believed
-	savesInOldest = 8
+	stateSavesPerMaxAge = 8
 )
 
 // configUpdates gives the reducer the configurations that come while it runs: that of the file, with the addresses that the
 // distribution has put in force in place of the file's.
 type configUpdates struct {
-	mutex     sync.Mutex
-	file      *settings.Config       // that of the start, with the addresses that were read last
-	addresses distribution.Addresses // the distribution's; empty where the file's hold
-	running   bool                   // the reducer runs, or will soon
-	updates   chan *settings.Config  // unbuffered: the reducer takes one between two requests
-	done      chan struct{}          // closed once the reducer takes no more
+	mutex          sync.Mutex
+	file           *settings.Config       // that of the start, with the addresses that were read last
+	addresses      distribution.Addresses // the distribution's; empty where the file's hold
+	reducerStarted bool                   // the reducer runs, or will soon
+	updates        chan *settings.Config  // unbuffered: the reducer takes one between two requests
+	done           chan struct{}          // closed once the reducer takes no more
 }
 
 func newConfigUpdates(file *settings.Config) *configUpdates {
@@ -43,66 +43,66 @@
 }
 
 // start gives the configuration to start with; what comes from now on is sent to the reducer.
-func (r *configUpdates) start() *settings.Config {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.running = true
-	return r.withAddresses(r.file, r.addresses)
+func (u *configUpdates) start() *settings.Config {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	u.reducerStarted = true
+	return u.withAddresses(u.file, u.addresses)
 }
 
 // withAddresses puts addresses in the place of a file's. A counter is not added.
-func (r *configUpdates) withAddresses(file *settings.Config, addresses distribution.Addresses) *settings.Config {
+func (u *configUpdates) withAddresses(file *settings.Config, addresses distribution.Addresses) *settings.Config {
 	config := *file
 	if addresses.Discovery != "" {
 		config.Discovery = addresses.Discovery
 	}
-	if addresses.Counter != "" && r.hasCounter() {
+	if addresses.Counter != "" && u.hasCounter() {
 		config.Counter = addresses.Counter
 	}
 	return &config
 }
 
-func (r *configUpdates) hasCounter() bool { return r.file.Settings.CounterTimeout > 0 }
+func (u *configUpdates) hasCounter() bool { return u.file.Settings.CounterTimeout > 0 }
 
-// fileReread takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs
+// reloadFile takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs
 // the reducer says that it holds from the next start on, so only the addresses are noted.
-func (r *configUpdates) fileReread(file *settings.Config) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	config := r.withAddresses(file, r.addresses)
+func (u *configUpdates) reloadFile(file *settings.Config) {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	config := u.withAddresses(file, u.addresses)
 	if config.Discovery != file.Discovery || config.Counter != file.Counter {
 		slog.Info("config-addresses-kept", "discovery", config.Discovery, "counter", config.Counter)
 	}
-	noted := *r.file
-	noted.Discovery = file.Discovery
+	updated := *u.file
+	updated.Discovery = file.Discovery
 	if file.Counter != "" {
-		noted.Counter = file.Counter
+		updated.Counter = file.Counter
 	}
-	r.file = &noted
-	r.send(config)
+	u.file = &updated
+	u.send(config)
 }
 
-// move puts the distribution's addresses in force, both or neither. Errors: *distribution.FixedKeyError for the
+// setAddresses puts the distribution's addresses in force, both or neither. Errors: *distribution.FixedKeyError for the
 // counter of a limiter that has none.
-func (r *configUpdates) move(addresses distribution.Addresses) error {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if addresses.Counter != "" && !r.hasCounter() {
+func (u *configUpdates) setAddresses(addresses distribution.Addresses) error {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	if addresses.Counter != "" && !u.hasCounter() {
 		return &distribution.FixedKeyError{
 			Key: distribution.Key{Kind: distribution.KindEndpoints, Name: distribution.EndpointCounter},
 		}
 	}
-	r.addresses = addresses
-	if r.running {
-		r.send(r.withAddresses(r.file, addresses))
+	u.addresses = addresses
+	if u.reducerStarted {
+		u.send(u.withAddresses(u.file, addresses))
 	}
 	return nil
 }
 
-func (r *configUpdates) send(config *settings.Config) {
+func (u *configUpdates) send(config *settings.Config) {
 	select {
-	case r.updates <- config:
-	case <-r.done:
+	case u.updates <- config:
+	case <-u.done:
 	}
 }
 
@@ -110,12 +110,12 @@
 type follower struct {
 	*transport.Follower
 	subscriber *distribution.Subscriber
-	renewals   *configUpdates
-	place      *statefile.Place                          // nil where no state is kept
+	configs    *configUpdates
+	stateFile  *statefile.Place                          // nil where no state is kept
 	writer     *atomicfile.Writer[distribution.Snapshot] // nil where no state is kept
 	restored   bool                                      // it began with a state from the disk,
-	started    int64                                     // then
-	logged     map[string]int64                          // when a type of error was last logged
+	startedAt  int64                                     // then
+	lastLogged map[string]int64                          // when a type of error was last logged
 	clock      func() int64
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
@@ -123,27 +123,32 @@
 
 // newFollower makes the follower of a limiter and puts the state on the disk in force; nil where the operator names no
 // relays.
-func newFollower(config *settings.Config, o *operator.Options, renewals *configUpdates, clock func() int64) *follower {
-	if o.Distribution.Relays == [2]string{} {
+func newFollower(
+	config *settings.Config,
+	options *operator.Options,
+	configs *configUpdates,
+	clock func() int64,
+) *follower {
+	if options.Distribution.Relays == [2]string{} {
 		return nil
 	}
-	scope, _ := distribution.ParseScope(o.Distribution.Scope) // package operator has checked it
-	applier := &distribution.LimiterApplier{Move: renewals.move}
-	f := &follower{renewals: renewals, clock: clock, started: clock(), logged: map[string]int64{}}
+	scope, _ := distribution.ParseScope(options.Distribution.Scope) // package operator has checked it
+	applier := &distribution.LimiterApplier{Move: configs.setAddresses}
+	f := &follower{configs: configs, clock: clock, startedAt: clock(), lastLogged: map[string]int64{}}
 	f.subscriber = distribution.NewSubscriber(
 		clock(),
 		distribution.SubscriberOptions{Name: config.Name, Scope: scope, Applier: applier},
 	)
-	f.Follower = transport.NewFollower(f.subscriber, transport.FollowerOptions{Servers: o.Distribution.Relays,
+	f.Follower = transport.NewFollower(f.subscriber, transport.FollowerOptions{Servers: options.Distribution.Relays,
 		DialTimeout: time.Duration(config.Settings.DialTimeout), Position: position(config), Clock: clock,
-		Report: f.report, Changed: f.changed})
-	if o.Distribution.StatePath != "" {
-		f.place = &statefile.Place{
-			Dir:          o.Distribution.StatePath,
-			Installation: o.Installation,
+		Report: f.reportError, Changed: f.versionChanged})
+	if options.Distribution.StatePath != "" {
+		f.stateFile = &statefile.Place{
+			Dir:          options.Distribution.StatePath,
+			Installation: options.Installation,
 			Subscriber:   config.Name,
 			Scope:        scope,
-			MaxAge:       o.Distribution.StateMaxAge,
+			MaxAge:       options.Distribution.StateMaxAge,
 			Files:        atomicfile.Disk{},
 			Clock:        machineclock.OriginOf(clock()),
 		}
@@ -159,30 +164,30 @@
 	}
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(config.Name))
-	return int(hash.Sum32() % places)
+	return int(hash.Sum32() % positionCount)
 }
 
 // restore puts the state on the disk in force. Whatever is wrong with it is logged, and the start goes on without it.
 func (f *follower) restore() {
 	now := f.clock()
-	held, err := f.place.Load(now)
+	snapshot, err := f.stateFile.Load(now)
 	if err != nil {
 		slog.Warn("config-state-refused", hint.Attrs(err)...)
 		return
 	}
-	if held == nil {
+	if snapshot == nil {
 		return
 	}
-	state, err := distribution.NewStateOf(held.Entries)
+	state, err := distribution.NewStateOf(snapshot.Entries)
 	if err == nil {
-		err = f.subscriber.Restore(held.Version, state, max(now-held.TakenAt, 0))
+		err = f.subscriber.Restore(snapshot.Version, state, max(now-snapshot.TakenAt, 0))
 	}
 	if err != nil {
 		slog.Warn("config-refused", hint.Attrs(err)...)
 		return
 	}
 	f.restored = true
-	logVersion(held.Version)
+	logVersion(snapshot.Version)
 	logUnconfirmed(f.subscriber.Status(now))
 }
 
@@ -190,16 +195,16 @@
 func (f *follower) start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	if f.place != nil {
-		f.writer = statefile.NewWriter(f.place, reportWritten)
+	if f.stateFile != nil {
+		f.writer = statefile.NewWriter(f.stateFile, logStateWrite)
 	}
 	f.running.Go(func() { f.Run(ctx) })
-	f.running.Go(func() { f.watch(ctx) })
+	f.running.Go(func() { f.monitor(ctx) })
 	return f.stop
 }
 
 func (f *follower) stop() {
-	close(f.renewals.done)
+	close(f.configs.done)
 	f.cancel()
 	f.running.Wait()
 	if f.writer != nil {
@@ -207,52 +212,52 @@
 	}
 }
 
-// changed is told of each version that has come in force.
-func (f *follower) changed(s *distribution.Snapshot) {
-	logVersion(s.Version)
+// versionChanged is told of each version that has come in force.
+func (f *follower) versionChanged(snapshot *distribution.Snapshot) {
+	logVersion(snapshot.Version)
 	if f.writer != nil {
-		f.writer.Save(s)
+		f.writer.Save(snapshot)
 	}
 }
 
-// report logs an error: each refusal, and of failed calls the first of a type for a time.
-func (f *follower) report(err error) {
+// reportError logs an error: each refusal, and of failed calls the first of a type for a time.
+func (f *follower) reportError(err error) {
 	var refused *distribution.RefusedError
 	if errors.As(err, &refused) {
 		slog.Warn("config-refused", hint.Attrs(refused)...)
 		return
 	}
 	kind, now := fmt.Sprintf("%T", err), f.clock()
-	if last, was := f.logged[kind]; was && now-last < int64(callErrorEvery) {
+	if last, logged := f.lastLogged[kind]; logged && now-last < int64(callErrorLogInterval) {
 		return
 	}
-	f.logged[kind] = now
+	f.lastLogged[kind] = now
 	slog.Warn("config-call-failed", hint.Attrs(err)...)
 }
 
-// watch logs when the version in force is unconfirmed and when it is confirmed again, and saves a state that does not
+// monitor logs when the version in force is unconfirmed and when it is confirmed again, and saves a state that does not
 // change.
-func (f *follower) watch(ctx context.Context) {
-	ticker := time.NewTicker(watchEvery)
+func (f *follower) monitor(ctx context.Context) {
+	ticker := time.NewTicker(statusCheckInterval)
 	defer ticker.Stop()
-	unconfirmed, saved := f.restored, f.clock()
+	unconfirmed, lastSaved := f.restored, f.clock()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		status, is := f.status()
-		if is != unconfirmed {
-			unconfirmed = is
-			if is {
+		status, nowUnconfirmed := f.status()
+		if nowUnconfirmed != unconfirmed {
+			unconfirmed = nowUnconfirmed
+			if nowUnconfirmed {
 				logUnconfirmed(status)
 			} else {
 				slog.Info("config-confirmed", "epoch", status.Version.Epoch, "version", status.Version.Number)
 			}
 		}
-		if f.place != nil && f.clock()-saved >= f.place.MaxAge/savesInOldest {
-			saved = f.clock()
+		if f.stateFile != nil && f.clock()-lastSaved >= f.stateFile.MaxAge/stateSavesPerMaxAge {
+			lastSaved = f.clock()
 			f.save()
 		}
 	}
@@ -263,7 +268,7 @@
 func (f *follower) status() (status distribution.Status, unconfirmed bool) {
 	f.Do(func(now int64, s *distribution.Subscriber) {
 		status = s.Status(now)
-		unconfirmed = status.Condition == distribution.Unconfirmed || f.restored && status.Age >= now-f.started
+		unconfirmed = status.Condition == distribution.Unconfirmed || f.restored && status.Age >= now-f.startedAt
 	})
 	return status, unconfirmed
 }
@@ -271,8 +276,8 @@
 // save hands the state over under the subscriber's lock, so that no older one can take a newer one's place.
 func (f *follower) save() {
 	f.Do(func(now int64, s *distribution.Subscriber) {
-		if held := s.Snapshot(now); held != nil {
-			f.writer.Save(held)
+		if snapshot := s.Snapshot(now); snapshot != nil {
+			f.writer.Save(snapshot)
 		}
 	})
 }
@@ -286,7 +291,7 @@
 		"age_s", fmt.Sprintf("%.3f", float64(status.Age)/1e9))
 }
 
-func reportWritten(err error) {
+func logStateWrite(err error) {
 	if err == nil {
 		slog.Info("config-state-written")
 		return
--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -25,60 +25,60 @@
 // published.
 func TestPublishedAddress(t *testing.T) {
 	t.Parallel()
-	n := startNetwork(t)
-	first, second := startPlace(t, "first"), startPlace(t, "second")
-	l := n.startLimiter(t, first, n.servers)
+	n := startDistributionNetwork(t)
+	first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
+	l := n.startLimiter(t, first, n.relayAddresses)
 	c := l.startClient(t)
-	l.moved(t, first, soon)
-	number := n.publish(t, distribution.EndpointDiscovery, second.Address(0))
-	l.moved(t, second, moveWithin)
-	require.True(t, l.Wrote(fmt.Sprintf("event=config-version epoch=1 version=%d\n", number), 1, soon), l.Log())
-	_ = n.publish(t, distribution.EndpointDiscovery, "nowhere")
-	require.True(t, l.Wrote("event=config-refused", 1, soon), l.Log())
+	l.awaitRequestsTo(t, first, eventTimeout)
+	number := n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
+	l.awaitRequestsTo(t, second, addressChangeTimeout)
+	require.True(t, l.Wrote(fmt.Sprintf("event=config-version epoch=1 version=%d\n", number), 1, eventTimeout), l.Log())
+	_ = n.publishAddress(t, distribution.EndpointDiscovery, "nowhere")
+	require.True(t, l.Wrote("event=config-refused", 1, eventTimeout), l.Log())
 	require.Contains(t, l.Log(), `is \"nowhere\", which is no address" hint="publish a change that mends`)
-	l.moved(t, second, soon)
+	l.awaitRequestsTo(t, second, eventTimeout)
 	require.NotContains(t, l.Log(), fmt.Sprintf("version=%d\n", number+1), "the refused version is not in force")
 	require.NoError(t, l.Signal(syscall.SIGHUP))
-	require.True(t, l.Wrote("event=config-addresses-kept discovery="+second.Address(0), 1, soon), l.Log())
-	require.True(t, l.Wrote("event=config-read discovery="+second.Address(0), 2, soon), l.Log())
-	l.moved(t, second, soon)
-	c.judge(t, l, first, second)
+	require.True(t, l.Wrote("event=config-addresses-kept discovery="+second.Address(0), 1, eventTimeout), l.Log())
+	require.True(t, l.Wrote("event=config-read discovery="+second.Address(0), 2, eventTimeout), l.Log())
+	l.awaitRequestsTo(t, second, eventTimeout)
+	c.stopAndCheck(t, l, first, second)
 	require.NoError(t, l.Signal(syscall.SIGTERM))
-	ended, err := l.Ended(soon)
+	ended, err := l.Ended(eventTimeout)
 	require.True(t, ended && err == nil, l.Log())
 }
 
-// TestMendedPublication publishes what cannot be put in force, an address that is none and a key that a running
+// TestCorrectedPublication publishes what cannot be put in force, an address that is none and a key that a running
 // limiter cannot change, and each time a change that mends it: that one is in force.
-func TestMendedPublication(t *testing.T) {
+func TestCorrectedPublication(t *testing.T) {
 	t.Parallel()
-	n := startNetwork(t)
-	first, second := startPlace(t, "first"), startPlace(t, "second")
-	l := n.startLimiter(t, first, n.servers)
+	n := startDistributionNetwork(t)
+	first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
+	l := n.startLimiter(t, first, n.relayAddresses)
 	c := l.startClient(t)
-	require.True(t, l.Wrote("event=config-version epoch=1 version=1\n", 1, soon), l.Log())
-	_ = n.publish(t, distribution.EndpointDiscovery, "nowhere")
-	require.True(t, l.Wrote("is \\\"nowhere\\\", which is no address", 1, soon), l.Log())
-	l.moved(t, first, soon)
-	_ = n.publish(t, distribution.EndpointDiscovery, second.Address(0))
-	l.moved(t, second, moveWithin)
-	require.True(t, l.Wrote("event=config-version epoch=1 version=3\n", 1, soon), l.Log())
-	_ = n.publish(t, "listen", "127.0.0.1:1")
-	require.True(t, l.Wrote("endpoints//listen cannot change while the limiter runs", 1, soon), l.Log())
-	_ = n.change(t, distribution.Mutation{Entry: distribution.Entry{Key: endpoint("listen")}, Delete: true})
-	require.True(t, l.Wrote("event=config-version epoch=1 version=5\n", 1, soon), l.Log())
-	c.judge(t, l, first, second)
+	require.True(t, l.Wrote("event=config-version epoch=1 version=1\n", 1, eventTimeout), l.Log())
+	_ = n.publishAddress(t, distribution.EndpointDiscovery, "nowhere")
+	require.True(t, l.Wrote("is \\\"nowhere\\\", which is no address", 1, eventTimeout), l.Log())
+	l.awaitRequestsTo(t, first, eventTimeout)
+	_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
+	l.awaitRequestsTo(t, second, addressChangeTimeout)
+	require.True(t, l.Wrote("event=config-version epoch=1 version=3\n", 1, eventTimeout), l.Log())
+	_ = n.publishAddress(t, "listen", "127.0.0.1:1")
+	require.True(t, l.Wrote("endpoints//listen cannot change while the limiter runs", 1, eventTimeout), l.Log())
+	_ = n.publishMutation(t, distribution.Mutation{Entry: distribution.Entry{Key: endpointKey("listen")}, Delete: true})
+	require.True(t, l.Wrote("event=config-version epoch=1 version=5\n", 1, eventTimeout), l.Log())
+	c.stopAndCheck(t, l, first, second)
 }
 
 // TestRelayFaults has a publication reach a limiter whose first relay talks garbage, is killed or is stalled.
 func TestRelayFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault func(t *testing.T, n *network)
+		fault func(t *testing.T, n *distributionNetwork)
 	}{
-		{"garbage", func(t *testing.T, n *network) {
+		{"garbage", func(t *testing.T, n *distributionNetwork) {
 			n.relays[0].Kill()
-			listener, err := n.ports[0].Listen()
+			listener, err := n.relayPorts[0].Listen()
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = listener.Close() })
 			go func() {
@@ -88,110 +88,118 @@
 				}
 			}()
 		}},
-		{"killed", func(_ *testing.T, n *network) { n.relays[0].Kill() }},
-		{"stalled", func(t *testing.T, n *network) { require.NoError(t, n.relays[0].Signal(syscall.SIGSTOP)) }},
+		{"killed", func(_ *testing.T, n *distributionNetwork) { n.relays[0].Kill() }},
+		{
+			"stalled",
+			func(t *testing.T, n *distributionNetwork) { require.NoError(t, n.relays[0].Signal(syscall.SIGSTOP)) },
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			n := startNetwork(t)
-			first, second := startPlace(t, "first"), startPlace(t, "second")
-			l := n.startLimiter(t, first, n.servers)
+			n := startDistributionNetwork(t)
+			first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
+			l := n.startLimiter(t, first, n.relayAddresses)
 			client := l.startClient(t)
-			require.True(t, l.Wrote("event=config-version", 1, soon), l.Log())
+			require.True(t, l.Wrote("event=config-version", 1, eventTimeout), l.Log())
 			c.fault(t, n)
-			_ = n.publish(t, distribution.EndpointDiscovery, second.Address(0))
-			l.moved(t, second, moveWithin)
-			client.judge(t, l, first, second)
+			_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
+			l.awaitRequestsTo(t, second, addressChangeTimeout)
+			client.stopAndCheck(t, l, first, second)
 		})
 	}
 }
 
-// TestCutOff cuts both relays off from the source while an address is published: the limiter serves on, and moves once
+// TestRelaysPartitioned cuts both relays off from the source while an address is published: the limiter serves on, and moves once
 // the way is healed. Then both relays are gone: it says that its version is unconfirmed, and one that is back confirms
 // it.
-func TestCutOff(t *testing.T) {
+func TestRelaysPartitioned(t *testing.T) {
 	t.Parallel()
-	n := startNetwork(t)
-	first, second := startPlace(t, "first"), startPlace(t, "second")
-	l := n.startLimiter(t, first, n.servers)
+	n := startDistributionNetwork(t)
+	first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
+	l := n.startLimiter(t, first, n.relayAddresses)
 	c := l.startClient(t)
-	require.True(t, l.Wrote("event=config-version", 1, soon), l.Log())
-	n.cut(t, true)
-	_ = n.publish(t, distribution.EndpointDiscovery, second.Address(0))
+	require.True(t, l.Wrote("event=config-version", 1, eventTimeout), l.Log())
+	n.setPartitioned(t, true)
+	_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
 	time.Sleep(3 * time.Second)
-	require.Zero(t, second.server.total(), "the source is cut off")
-	l.moved(t, first, soon)
-	n.cut(t, false)
-	l.moved(t, second, moveWithin)
+	require.Zero(t, second.server.requestCount(), "the source is cut off")
+	l.awaitRequestsTo(t, first, eventTimeout)
+	n.setPartitioned(t, false)
+	l.awaitRequestsTo(t, second, addressChangeTimeout)
 	for _, relay := range n.relays {
 		relay.Kill()
 	}
-	require.True(t, l.Wrote("event=config-unconfirmed epoch=1 version=2 age_s=1", 1, 2*soon), l.Log())
-	l.moved(t, second, soon)
+	require.True(t, l.Wrote("event=config-unconfirmed epoch=1 version=2 age_s=1", 1, 2*eventTimeout), l.Log())
+	l.awaitRequestsTo(t, second, eventTimeout)
 	n.startRelay(t, 0)
-	require.True(t, l.Wrote("event=config-confirmed epoch=1 version=2", 1, moveWithin), l.Log())
-	c.judge(t, l, first, second)
+	require.True(t, l.Wrote("event=config-confirmed epoch=1 version=2", 1, addressChangeTimeout), l.Log())
+	c.stopAndCheck(t, l, first, second)
 }
 
-// TestRestart kills a limiter whose relays are gone: in its next life it serves what was in force from its disk,
+// TestRestartWithoutRelays kills a limiter whose relays are gone: in its next life it serves what was in force from its disk,
 // unconfirmed, though its file says another address. With the state spoilt it says so and starts by its file.
-func TestRestart(t *testing.T) {
+func TestRestartWithoutRelays(t *testing.T) {
 	t.Parallel()
-	n := startNetwork(t)
-	first, second := startPlace(t, "first"), startPlace(t, "second")
-	l := n.startLimiter(t, first, n.servers)
-	_ = n.publish(t, distribution.EndpointDiscovery, second.Address(0))
-	require.True(t, l.Wrote("event=config-version epoch=1 version=2", 1, soon), l.Log())
-	state := filepath.Join(n.state, "n.distribution")
+	n := startDistributionNetwork(t)
+	first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
+	l := n.startLimiter(t, first, n.relayAddresses)
+	_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
+	require.True(t, l.Wrote("event=config-version epoch=1 version=2", 1, eventTimeout), l.Log())
+	stateFile := filepath.Join(n.stateDir, "n.distribution")
 	require.Eventually(t, func() bool {
-		text, err := os.ReadFile(state)
+		text, err := os.ReadFile(stateFile)
 		return err == nil && strings.Contains(string(text), second.Address(0))
-	}, soon, 5*time.Millisecond)
+	}, eventTimeout, 5*time.Millisecond)
 	l.Kill()
 	for _, relay := range n.relays {
 		relay.Kill()
 	}
-	l = n.startLimiter(t, first, n.servers)
+	l = n.startLimiter(t, first, n.relayAddresses)
 	c := l.startClient(t)
-	l.moved(t, second, soon)
-	c.judge(t, l, first, second)
+	l.awaitRequestsTo(t, second, eventTimeout)
+	c.stopAndCheck(t, l, first, second)
 	require.Contains(t, l.Log(), "event=config-version epoch=1 version=2\n")
 	require.Contains(t, l.Log(), "event=config-unconfirmed epoch=1 version=2 age_s=")
-	require.False(t, l.Wrote("event=config-confirmed", 1, 3*watchEvery/2), "no relay has confirmed it: %s", l.Log())
+	require.False(
+		t,
+		l.Wrote("event=config-confirmed", 1, 3*statusCheckInterval/2),
+		"no relay has confirmed it: %s",
+		l.Log(),
+	)
 	n.startRelay(t, 0)
-	require.True(t, l.Wrote("event=config-confirmed epoch=1 version=2", 1, soon), l.Log())
+	require.True(t, l.Wrote("event=config-confirmed epoch=1 version=2", 1, eventTimeout), l.Log())
 	n.relays[0].Kill()
 	l.Kill()
 
-	text, err := os.ReadFile(state)
+	text, err := os.ReadFile(stateFile)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(state, text[:len(text)-5], 0o600)) // it is cut short
-	l = n.startLimiter(t, first, n.servers)
+	require.NoError(t, os.WriteFile(stateFile, text[:len(text)-5], 0o600)) // it is cut short
+	l = n.startLimiter(t, first, n.relayAddresses)
 	c = l.startClient(t)
-	l.moved(t, first, soon)
-	require.Contains(t, l.Log(), "event=config-state-refused error=\"the state file "+state+" is cut short")
+	l.awaitRequestsTo(t, first, eventTimeout)
+	require.Contains(t, l.Log(), "event=config-state-refused error=\"the state file "+stateFile+" is cut short")
 	require.NotContains(t, l.Log(), "event=config-version")
 	n.startRelay(t, 1)
-	l.moved(t, second, moveWithin)
-	require.NoError(t, os.RemoveAll(n.state))
-	_ = n.publish(t, distribution.EndpointDiscovery, first.Address(0))
-	l.moved(t, first, moveWithin)
-	require.True(t, l.Wrote("event=config-state-unwritten", 1, soon), l.Log())
-	c.judge(t, l, first, second)
+	l.awaitRequestsTo(t, second, addressChangeTimeout)
+	require.NoError(t, os.RemoveAll(n.stateDir))
+	_ = n.publishAddress(t, distribution.EndpointDiscovery, first.Address(0))
+	l.awaitRequestsTo(t, first, addressChangeTimeout)
+	require.True(t, l.Wrote("event=config-state-unwritten", 1, eventTimeout), l.Log())
+	c.stopAndCheck(t, l, first, second)
 }
 
-// TestRelayPortStaysKeptWhileItIsDown: a relay that was killed could not be started again, since something else on the machine
+// TestRelayPortReservedWhileDown: a relay that was killed could not be started again, since something else on the machine
 // had its port by then ("bind: address already in use", once in many runs of TestRestart).
 //
 // The relay had asked the kernel for any free port; behind its end the port was free again, and the kernel gave it to the next
 // connection that went out, here or in another test's process. The dial below does on purpose what the kernel did by chance.
-func TestRelayPortStaysKeptWhileItIsDown(t *testing.T) {
-	n := startNetwork(t)
+func TestRelayPortReservedWhileDown(t *testing.T) {
+	n := startDistributionNetwork(t)
 	n.relays[0].Kill()
-	local, err := net.ResolveTCPAddr("tcp", n.servers[0])
+	local, err := net.ResolveTCPAddr("tcp", n.relayAddresses[0])
 	require.NoError(t, err)
-	outgoing := net.Dialer{LocalAddr: local}
-	conn, err := outgoing.Dial("tcp", n.address)
+	dialer := net.Dialer{LocalAddr: local}
+	conn, err := dialer.Dial("tcp", n.sourceAddress)
 	if err == nil {
 		_ = conn.Close()
 	}
@@ -199,8 +207,8 @@
 	n.startRelay(t, 0)
 }
 
-// withCounter is a configuration of a limiter with a counter.
-func withCounter(t *testing.T, discovery, counter string) *settings.Config {
+// configWithCounter is a configuration of a limiter with a counter.
+func configWithCounter(t *testing.T, discovery, counter string) *settings.Config {
 	t.Helper()
 	config, err := settings.DecodeConfig(
 		fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:1","discovery":%q,"counter":%q,"seed":"ff",
@@ -213,100 +221,105 @@
 	return config
 }
 
-// TestRenewals puts the distribution's addresses over the file's, before the reducer runs and while it does.
-func TestRenewals(t *testing.T) {
-	r := newConfigUpdates(withCounter(t, "a:1", "a:2"))
-	require.NoError(t, r.move(distribution.Addresses{Counter: "b:2"}))
-	config := r.start()
+// TestConfigUpdates puts the distribution's addresses over the file's, before the reducer runs and while it does.
+func TestConfigUpdates(t *testing.T) {
+	configs := newConfigUpdates(configWithCounter(t, "a:1", "a:2"))
+	require.NoError(t, configs.setAddresses(distribution.Addresses{Counter: "b:2"}))
+	config := configs.start()
 	require.Equal(t, []string{"a:1", "b:2"}, []string{config.Discovery, config.Counter}, "at the start")
-	taken := func(send func()) []string {
-		go send()
-		config := <-r.updates
+	takeUpdate := func(change func()) []string {
+		go change()
+		config := <-configs.updates
 		return []string{config.Discovery, config.Counter}
 	}
 	require.Equal(
 		t,
 		[]string{"b:1", "b:2"},
-		taken(func() { _ = r.move(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}) }),
+		takeUpdate(func() { _ = configs.setAddresses(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}) }),
+	)
+	require.Equal(
+		t,
+		[]string{"b:1", "b:2"},
+		takeUpdate(func() { configs.reloadFile(configWithCounter(t, "c:1", "c:2")) }),
+		"SIGHUP",
 	)
-	require.Equal(t, []string{"b:1", "b:2"}, taken(func() { r.fileReread(withCounter(t, "c:1", "c:2")) }), "SIGHUP")
 	require.Equal(
 		t,
 		[]string{"c:1", "d:2"},
-		taken(func() { _ = r.move(distribution.Addresses{Counter: "d:2"}) }),
+		takeUpdate(func() { _ = configs.setAddresses(distribution.Addresses{Counter: "d:2"}) }),
 		"the file's newest",
 	)
-	close(r.done)
-	require.NoError(t, r.move(distribution.Addresses{Counter: "e:2"}), "the reducer takes no more")
+	close(configs.done)
+	require.NoError(t, configs.setAddresses(distribution.Addresses{Counter: "e:2"}), "the reducer takes no more")
 }
 
-// TestNoCounter publishes a counter's address to a limiter that has none.
-func TestNoCounter(t *testing.T) {
-	config := withCounter(t, "a:1", "a:2")
+// TestCounterAddressWithoutCounter publishes a counter's address to a limiter that has none.
+func TestCounterAddressWithoutCounter(t *testing.T) {
+	config := configWithCounter(t, "a:1", "a:2")
 	config.Settings.CounterTimeout = 0
-	r := newConfigUpdates(config)
+	configs := newConfigUpdates(config)
 	var fixed *distribution.FixedKeyError
-	require.ErrorAs(t, r.move(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}), &fixed)
-	require.Equal(t, "a:1", r.start().Discovery, "both or neither")
+	require.ErrorAs(t, configs.setAddresses(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}), &fixed)
+	require.Equal(t, "a:1", configs.start().Discovery, "both or neither")
 }
 
-// TestSwitchedOff reads an operator's file without relays: nothing follows.
-func TestSwitchedOff(t *testing.T) {
-	config := withCounter(t, "a:1", "a:2")
-	r := newConfigUpdates(config)
-	require.Nil(t, newFollower(config, &operator.Options{Installation: "i"}, r, func() int64 { return 0 }))
-	require.Equal(t, config, r.start())
+// TestNoRelaysNoFollower reads an operator's file without relays: nothing follows.
+func TestNoRelaysNoFollower(t *testing.T) {
+	config := configWithCounter(t, "a:1", "a:2")
+	configs := newConfigUpdates(config)
+	require.Nil(t, newFollower(config, &operator.Options{Installation: "i"}, configs, func() int64 { return 0 }))
+	require.Equal(t, config, configs.start())
 }
 
-// TestFollowerEnds ends a follower in the middle of a move that the reducer no longer takes, with no relay there:
+// TestFollowerStops ends a follower in the middle of a move that the reducer no longer takes, with no relay there:
 // nothing is left.
-func TestFollowerEnds(t *testing.T) {
+func TestFollowerStops(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	config := withCounter(t, "a:1", "a:2")
-	r := newConfigUpdates(config)
+	config := configWithCounter(t, "a:1", "a:2")
+	configs := newConfigUpdates(config)
 	start := time.Now()
 	f := newFollower(config, &operator.Options{Installation: "i", Distribution: operator.Distribution{
-		Relays: [2]string{"127.0.0.1:1", "127.0.0.1:1"}, StatePath: t.TempDir(), StateMaxAge: 600e9}}, r,
+		Relays: [2]string{"127.0.0.1:1", "127.0.0.1:1"}, StatePath: t.TempDir(), StateMaxAge: 600e9}}, configs,
 		func() int64 { return int64(time.Since(start)) })
-	_ = r.start()
+	_ = configs.start()
 	stop := f.start()
-	moved := make(chan error)
-	go func() { moved <- r.move(distribution.Addresses{Discovery: "b:1"}) }()
+	addressesSet := make(chan error)
+	go func() { addressesSet <- configs.setAddresses(distribution.Addresses{Discovery: "b:1"}) }()
 	time.Sleep(50 * time.Millisecond)
-	begun := time.Now()
+	stopStart := time.Now()
 	stop()
-	require.NoError(t, <-moved)
-	require.Less(t, time.Since(begun), time.Second)
+	require.NoError(t, <-addressesSet)
+	require.Less(t, time.Since(stopStart), time.Second)
 }
 
-// TestUnchangedState keeps a state that does not change: it is saved again while it is confirmed, so that it does not
+// TestUnchangedStateSavedAgain keeps a state that does not change: it is saved again while it is confirmed, so that it does not
 // become too old to be believed.
-func TestUnchangedState(t *testing.T) {
+func TestUnchangedStateSavedAgain(t *testing.T) {
 	t.Parallel()
-	n := startNetwork(t)
-	config := withCounter(t, "a:1", "a:2")
-	r := newConfigUpdates(config)
+	n := startDistributionNetwork(t)
+	config := configWithCounter(t, "a:1", "a:2")
+	configs := newConfigUpdates(config)
 	start := time.Now()
 	f := newFollower(config, &operator.Options{Installation: "i", Distribution: operator.Distribution{
-		Relays: n.servers, StatePath: n.state, StateMaxAge: int64(8 * time.Second)}}, r,
+		Relays: n.relayAddresses, StatePath: n.stateDir, StateMaxAge: int64(8 * time.Second)}}, configs,
 		func() int64 { return start.UnixNano() + int64(time.Since(start)) })
-	_ = r.start()
+	_ = configs.start()
 	defer f.start()()
-	taken := func() int64 {
-		place := statefile.Place{
-			Dir:          n.state,
+	savedAt := func() int64 {
+		file := statefile.Place{
+			Dir:          n.stateDir,
 			Installation: "i",
 			Subscriber:   "n",
 			MaxAge:       int64(time.Hour),
 			Files:        atomicfile.Disk{},
 		}
-		held, err := place.Load(time.Now().UnixNano())
-		if err != nil || held == nil {
+		snapshot, err := file.Load(time.Now().UnixNano())
+		if err != nil || snapshot == nil {
 			return 0
 		}
-		return held.TakenAt
+		return snapshot.TakenAt
 	}
-	require.Eventually(t, func() bool { return taken() > 0 }, soon, 5*time.Millisecond)
-	first := taken()
-	require.Eventually(t, func() bool { return taken() > first }, soon, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return savedAt() > 0 }, eventTimeout, 5*time.Millisecond)
+	first := savedAt()
+	require.Eventually(t, func() bool { return savedAt() > first }, eventTimeout, 5*time.Millisecond)
 }
--- a/cmd/ospreycroft/pipeline_test.go
+++ b/cmd/ospreycroft/pipeline_test.go
@@ -12,13 +12,13 @@
 // TestPipelinedDeadlinesAreKept: what TestPipelinedDeadlines of the limiter plays, with a real process. The server
 // hangs. A client that sent a request with little time behind one with much saw its answer two seconds late.
 func TestPipelinedDeadlinesAreKept(t *testing.T) {
-	address, _, _, _ := start(t, "127.0.0.1:1", startHanging(t, "hangs").Instance)
+	address, _, _, _ := startProgram(t, "127.0.0.1:1", startHangingServer(t, "hangs").Instance)
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
-	const little = 400 * time.Millisecond
+	const shortTimeout = 400 * time.Millisecond
 	sent := time.Now()
-	_, err = conn.Write(append(request("much", 2500), request("little", int(little.Milliseconds()))...))
+	_, err = conn.Write(append(request("much", 2500), request("little", int(shortTimeout.Milliseconds()))...))
 	require.NoError(t, err)
 	require.NoError(t, conn.SetDeadline(sent.Add(5*time.Second)))
 	answers := bufio.NewReader(conn)
@@ -26,8 +26,8 @@
 		_, err := answers.ReadString('\n')
 		require.NoError(t, err)
 	}
-	require.Less(t, time.Since(sent), little+lateAnswer, "both have their answers by the earlier deadline")
+	require.Less(t, time.Since(sent), shortTimeout+answerSlack, "both have their answers by the earlier deadline")
 }
 
-// lateAnswer is how long after a deadline an answer may come on a busy machine: what is later than half a second is lost.
-const lateAnswer = 100 * time.Millisecond
+// answerSlack is how long after a deadline an answer may come on a busy machine: what is later than half a second is lost.
+const answerSlack = 100 * time.Millisecond
--- a/cmd/ospreycroft/end_test.go
+++ b/cmd/ospreycroft/program_test.go
@@ -25,19 +25,19 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// ending is a program with a counter, of which the test holds the other ends.
-type ending struct {
-	t              *testing.T
-	config         string // its file
-	program        *exec.Cmd
-	ended          chan error
-	client         *testbed.Conn
-	counter, moved *testbed.Peer // where the counter is, and where the next configuration puts it
+// programHarness is a program with a counter, of which the test holds the other ends.
+type programHarness struct {
+	t                    *testing.T
+	config               string // its file
+	program              *exec.Cmd
+	exited               chan error
+	client               *testbed.Conn
+	counter, nextCounter *testbed.Peer // where the counter is, and where the next configuration puts it
 }
 
-// configure writes the configuration.
-func (e *ending) configure(listen, counter, server string) {
-	e.t.Helper()
+// writeConfig writes the configuration.
+func (h *programHarness) writeConfig(listen, counter, server string) {
+	h.t.Helper()
 	known, _ := json.Marshal([]emulator.Instance{{ID: "s", HostPort: server, Lifecycle: "in_service", Weight: 1}})
 	config := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":"127.0.0.1:1","counter":%q,"seed":"ff",
 		"limits":{"memory_mb":192,"sockets":1024},"known":{"generation":1,"reset":true,"instances":%s},
@@ -46,55 +46,61 @@
 		"family-info":{"has-counter":true,"count-wait":2,"units-top":16,"trued-up":true},
 		"contract":{"cold-from":0.3,"warm-within":10},"permissions":{"attempts-cap":3,"dial-timeout":1.5,"idle-close":15},
 		"granularity":0.004}}`, listen, counter, known)
-	require.NoError(e.t, os.WriteFile(e.config, []byte(config), 0o600))
+	require.NoError(h.t, os.WriteFile(h.config, []byte(config), 0o600))
 }
 
-// begin starts the program, with its log to a file, and a client.
-func begin(t *testing.T, server string, log *os.File) *ending {
+// startHarness starts the program, with its log to a file, and a client.
+func startHarness(t *testing.T, server string, log *os.File) *programHarness {
 	t.Helper()
-	return beginUnder(t, server, log, nil)
+	return startHarnessWithShim(t, server, log, nil)
 }
 
-// beginUnder does so with the program's system calls decided on, nil for none, and with more in its environment.
-func beginUnder(t *testing.T, server string, log *os.File, decide syscallshim.Decide, environment ...string) *ending {
+// startHarnessWithShim does so with the program's system calls decided on, nil for none, and with more in its environment.
+func startHarnessWithShim(
+	t *testing.T,
+	server string,
+	log *os.File,
+	decide syscallshim.Decide,
+	environment ...string,
+) *programHarness {
 	t.Helper()
-	return beginWhile(t, server, log, decide, func(*exec.Cmd) {}, environment...)
+	return startHarnessAndDo(t, server, log, decide, func(*exec.Cmd) {}, environment...)
 }
 
-// beginWhile does so, and something else as soon as the program's process is there.
-func beginWhile(
+// startHarnessAndDo does so, and something else as soon as the program's process is there.
+func startHarnessAndDo(
 	t *testing.T,
 	server string,
 	log *os.File,
 	decide syscallshim.Decide,
-	meanwhile func(program *exec.Cmd),
+	afterStart func(program *exec.Cmd),
 	environment ...string,
-) *ending {
+) *programHarness {
 	t.Helper()
 	listen := testbed.KeepPort(t).Address()
-	e := &ending{
-		t:       t,
-		config:  filepath.Join(t.TempDir(), "config.json"),
-		ended:   make(chan error, 1),
-		counter: testbed.Listen(t),
-		moved:   testbed.Listen(t),
+	h := &programHarness{
+		t:           t,
+		config:      filepath.Join(t.TempDir(), "config.json"),
+		exited:      make(chan error, 1),
+		counter:     testbed.Listen(t),
+		nextCounter: testbed.Listen(t),
 	}
-	e.configure(listen, e.counter.Address, server)
-	e.program = exec.Command(os.Args[0])
-	e.program.Env = append(os.Environ(), "OSPREYCROFT_IS_THE_PROGRAM=1", "GW_CONFIG="+e.config)
-	e.program.Env = append(e.program.Env, environment...)
-	e.program.Stderr = log
+	h.writeConfig(listen, h.counter.Address, server)
+	h.program = exec.Command(os.Args[0])
+	h.program.Env = append(os.Environ(), "OSPREYCROFT_IS_THE_PROGRAM=1", "GW_CONFIG="+h.config)
+	h.program.Env = append(h.program.Env, environment...)
+	h.program.Stderr = log
 	started := func() error { return nil }
 	if decide != nil {
 		var err error
-		started, err = syscallshim.Command(e.program, os.Args[0], decide, &syscallshim.Counts{})
+		started, err = syscallshim.Command(h.program, os.Args[0], decide, &syscallshim.Counts{})
 		require.NoError(t, err)
 	}
-	require.NoError(t, e.program.Start())
+	require.NoError(t, h.program.Start())
 	require.NoError(t, started())
-	meanwhile(e.program)
-	go func() { e.ended <- e.program.Wait() }()
-	t.Cleanup(func() { _ = e.program.Process.Kill() })
+	afterStart(h.program)
+	go func() { h.exited <- h.program.Wait() }()
+	t.Cleanup(func() { _ = h.program.Process.Kill() })
 	require.Eventually(t, func() bool {
 		c, err := net.Dial("tcp", listen)
 		if err == nil {
@@ -102,25 +108,25 @@
 		}
 		return err == nil
 	}, testbed.Patience, 20*time.Millisecond)
-	e.client = (&testbed.Rig{Address: listen}).Dial(t)
-	e.configure(listen, e.moved.Address, server) // what SIGHUP brings
-	return e
+	h.client = (&testbed.Rig{Address: listen}).Dial(t)
+	h.writeConfig(listen, h.nextCounter.Address, server) // what SIGHUP brings
+	return h
 }
 
-// ends fails the test unless the program ends in order.
-func (e *ending) ends(within time.Duration) {
-	e.t.Helper()
+// requireExit fails the test unless the program ends in order.
+func (h *programHarness) requireExit(timeout time.Duration) {
+	h.t.Helper()
 	select {
-	case err := <-e.ended:
-		require.NoError(e.t, err)
-	case <-time.After(within):
-		e.t.Fatal("it does not end")
+	case err := <-h.exited:
+		require.NoError(h.t, err)
+	case <-time.After(timeout):
+		h.t.Fatal("it does not end")
 	}
 }
 
-// TestSignalsAsItEnds: SIGTERM finds a request in each state, and SIGTERM again and SIGHUP twice come behind it. The
+// TestSignalsDuringShutdown: SIGTERM finds a request in each state, and SIGTERM again and SIGHUP twice come behind it. The
 // request is served, its units are settled, at the counter's new place, and the process ends in order and in time.
-func TestSignalsAsItEnds(t *testing.T) {
+func TestSignalsDuringShutdown(t *testing.T) {
 	for _, state := range []string{"reserving", "dialling", "sent"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
@@ -131,64 +137,64 @@
 			log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 			require.NoError(t, err)
 			defer func() { _ = log.Close() }()
-			e := begin(t, server.Address, log)
-			logged := func(text string, times int) {
+			h := startHarness(t, server.Address, log)
+			awaitLogged := func(text string, times int) {
 				t.Helper()
 				require.Eventually(t, func() bool {
 					all, err := os.ReadFile(log.Name())
 					return err == nil && strings.Count(string(all), text) == times
 				}, testbed.Patience, time.Millisecond, text)
 			}
-			line := e.counter.Accept(t)
-			e.client.Say(t, testbed.Request("id", "read", 3000))
-			require.Contains(t, line.Line(t), "tally ")
-			var c *testbed.Conn
+			counterConn := h.counter.Accept(t)
+			h.client.Say(t, testbed.Request("id", "read", 3000))
+			require.Contains(t, counterConn.Line(t), "tally ")
+			var serverConn *testbed.Conn
 			if state != "reserving" {
-				line.Say(t, "ok 1\r\n")
+				counterConn.Say(t, "ok 1\r\n")
 			}
 			if state == "sent" {
-				c = server.Accept(t)
-				c.Command(t)
+				serverConn = server.Accept(t)
+				serverConn.Command(t)
 			}
-			asked := time.Now()
+			stopSent := time.Now()
 			for i, next := range []struct {
 				signal syscall.Signal
 				log    string
 				times  int
 			}{{syscall.SIGTERM, "event=stopping", 1}, {syscall.SIGTERM, "event=stopping", 1}, {syscall.SIGHUP, "event=config-read", 1},
 				{syscall.SIGHUP, "event=config-read", 2}} {
-				require.NoError(t, e.program.Process.Signal(next.signal), i)
-				logged(next.log, next.times)
+				require.NoError(t, h.program.Process.Signal(next.signal), i)
+				awaitLogged(next.log, next.times)
 			}
-			time.Sleep(time.Until(asked.Add(900 * time.Millisecond))) // one that owes nothing has ended by then
+			time.Sleep(time.Until(stopSent.Add(900 * time.Millisecond))) // one that owes nothing has ended by then
 			if state == "reserving" {
-				line.Say(t, "ok 1\r\n")
+				counterConn.Say(t, "ok 1\r\n")
 			}
 			if state == "dialling" {
 				_ = server.Accept(t)
 			}
-			if c == nil {
-				c = server.Accept(t)
-				c.Command(t)
+			if serverConn == nil {
+				serverConn = server.Accept(t)
+				serverConn.Command(t)
 			}
-			c.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
-			require.Equal(t, "$value", e.client.Answer(t))
-			line = e.moved.Accept(t)
-			require.Contains(t, line.Line(t), "tally ")
-			require.NoError(t, e.program.Process.Signal(syscall.SIGHUP)) // it has not ended
-			logged("event=config-read", 3)
-			line.Say(t, "ok 3\r\n")
-			e.ends(time.Until(asked.Add(3700 * time.Millisecond)))
+			serverConn.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+			require.Equal(t, "$value", h.client.Answer(t))
+			counterConn = h.nextCounter.Accept(t)
+			require.Contains(t, counterConn.Line(t), "tally ")
+			require.NoError(t, h.program.Process.Signal(syscall.SIGHUP)) // it has not ended
+			awaitLogged("event=config-read", 3)
+			counterConn.Say(t, "ok 3\r\n")
+			h.requireExit(time.Until(stopSent.Add(3700 * time.Millisecond)))
 		})
 	}
 }
 
-// TestTraceAskedForAsItStarts: signals that ask for the trace come while the program starts, from when the Go runtime has taken
+// TestTraceSignalsDuringStart: signals that ask for the trace come while the program starts, from when the Go runtime has taken
 // signals over, a millisecond behind exec. It starts, and logs a trace.
-func TestTraceAskedForAsItStarts(t *testing.T) {
-	log, read := logFile(t)
+func TestTraceSignalsDuringStart(t *testing.T) {
+	log, readLog := logFile(t)
 	server := testbed.Listen(t)
-	asking := func(program *exec.Cmd) {
+	sendTraceSignals := func(program *exec.Cmd) {
 		status := fmt.Sprintf("/proc/%d/status", program.Process.Pid)
 		require.Eventually(t, func() bool {
 			text, err := os.ReadFile(status)
@@ -203,51 +209,51 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	e := beginWhile(t, server.Address, log, nil, asking)
-	serveOne(t, e, server)
-	require.Contains(t, read(), "event=trace")
+	h := startHarnessAndDo(t, server.Address, log, nil, sendTraceSignals)
+	requireServed(t, h, server)
+	require.Contains(t, readLog(), "event=trace")
 }
 
-// TestLogBreaksOff: who reads the log may end first, where both are told to end together. What was taken is answered
+// TestLogReaderCloses: who reads the log may end first, where both are told to end together. What was taken is answered
 // all the same.
-func TestLogBreaksOff(t *testing.T) {
+func TestLogReaderCloses(t *testing.T) {
 	server := testbed.Listen(t)
 	read, write, err := os.Pipe()
 	require.NoError(t, err)
-	e := begin(t, server.Address, write)
+	h := startHarness(t, server.Address, write)
 	require.NoError(t, write.Close())
-	line := e.counter.Accept(t)
-	e.client.Say(t, testbed.Request("id", "read", 3000))
-	line.Line(t)
-	line.Say(t, "ok 1\r\n")
-	c := server.Accept(t)
-	c.Command(t)
+	counterConn := h.counter.Accept(t)
+	h.client.Say(t, testbed.Request("id", "read", 3000))
+	counterConn.Line(t)
+	counterConn.Say(t, "ok 1\r\n")
+	serverConn := server.Accept(t)
+	serverConn.Command(t)
 	require.NoError(t, read.Close())
-	require.NoError(t, e.program.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, h.program.Process.Signal(syscall.SIGTERM))
 	time.Sleep(100 * time.Millisecond)
-	c.Serve(t, "value")
-	require.Equal(t, "$value", e.client.Answer(t))
-	e.ends(testbed.Patience)
+	serverConn.Serve(t, "value")
+	require.Equal(t, "$value", h.client.Answer(t))
+	h.requireExit(testbed.Patience)
 }
 
-// TestLogIsNotRead: clients were left without answers, though servers and counter were well: whoever collects the log had
+// TestLogPipeFull: clients were left without answers, though servers and counter were well: whoever collects the log had
 // stopped reading, and the goroutine that does everything else stood still in the write of its next line.
 //
 // The log is a pipe of the smallest size, full before the program starts. The program must become ready, serve, end in order
 // at SIGTERM, and write on where it was, in whole lines, once the pipe is read.
-func TestLogIsNotRead(t *testing.T) {
+func TestLogPipeFull(t *testing.T) {
 	read, write, err := os.Pipe()
 	require.NoError(t, err)
 	defer func() { _ = read.Close() }()
 	defer func() { _ = write.Close() }()
-	const smallest = 4096
-	_, err = unix.FcntlInt(write.Fd(), unix.F_SETPIPE_SZ, smallest)
+	const pipeSize = 4096
+	_, err = unix.FcntlInt(write.Fd(), unix.F_SETPIPE_SZ, pipeSize)
 	require.NoError(t, err)
-	_, err = write.Write(append(bytes.Repeat([]byte("."), smallest-1), '\n'))
+	_, err = write.Write(append(bytes.Repeat([]byte("."), pipeSize-1), '\n'))
 	require.NoError(t, err)
 	server := testbed.Listen(t)
-	e := begin(t, server.Address, write)
-	serveOne(t, e, server)
+	h := startHarness(t, server.Address, write)
+	requireServed(t, h, server)
 
 	lines := bufio.NewScanner(read)
 	for lines.Scan() && !strings.Contains(lines.Text(), "event=ready") {
@@ -262,14 +268,14 @@
 		_, err = unix.Write(filler, []byte("."))
 	}
 	require.ErrorIs(t, err, unix.EAGAIN)
-	require.NoError(t, e.program.Process.Signal(syscall.SIGTERM))
-	e.ends(testbed.Patience)
+	require.NoError(t, h.program.Process.Signal(syscall.SIGTERM))
+	h.requireExit(testbed.Patience)
 }
 
 // suspend stops the program and returns once all of its threads stand still.
-func (e *ending) suspend() {
-	e.t.Helper()
-	suspend(e.t, e.program.Process)
+func (h *programHarness) suspend() {
+	h.t.Helper()
+	suspend(h.t, h.program.Process)
 }
 
 // suspend stops a process and returns once all of its threads stand still, which the signal alone does not wait for.
--- a/cmd/ospreycroft/renew_test.go
+++ b/cmd/ospreycroft/reload_test.go
@@ -12,34 +12,35 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// TestRefusedRenewal sends SIGHUP for files that cannot work: each is turned down whole, with its key in the log, and
+// TestRejectedReload sends SIGHUP for files that cannot work: each is turned down whole, with its key in the log, and
 // nothing moves. A good one behind them moves the list service.
-func TestRefusedRenewal(t *testing.T) {
+func TestRejectedReload(t *testing.T) {
 	first, second := testbed.Listen(t), testbed.Listen(t)
-	_, program, ended, log := start(t, first.Address)
+	_, program, exited, log := startProgram(t, first.Address)
 	_ = first.Accept(t)
-	var path string
+	var configPath string
 	for _, v := range program.Env {
 		if p, is := strings.CutPrefix(v, "GW_CONFIG="); is {
-			path = p
+			configPath = p
 		}
 	}
-	text, err := os.ReadFile(path)
+	text, err := os.ReadFile(configPath)
 	require.NoError(t, err)
-	moved := strings.Replace(string(text), first.Address, second.Address, 1)
-	hup := func(text string) {
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	changed := strings.Replace(string(text), first.Address, second.Address, 1)
+	reload := func(text string) {
+		require.NoError(t, os.WriteFile(configPath, []byte(text), 0o600))
 		require.NoError(t, program.Process.Signal(syscall.SIGHUP))
 	}
-	for _, bad := range []string{"", moved[:len(moved)-40], strings.Replace(moved, `"attempts-cap":3`, `"attempts-cap":0`, 1),
-		strings.Replace(moved, `"aim":2`, `"aim":"2"`, 1), strings.Replace(moved, second.Address, "nowhere", 1)} {
-		hup(bad)
+	for _, bad := range []string{"", changed[:len(changed)-40],
+		strings.Replace(changed, `"attempts-cap":3`, `"attempts-cap":0`, 1),
+		strings.Replace(changed, `"aim":2`, `"aim":"2"`, 1), strings.Replace(changed, second.Address, "nowhere", 1)} {
+		reload(bad)
 		second.None(t, 100*time.Millisecond)
 	}
-	hup(moved)
+	reload(changed)
 	_ = second.Accept(t)
 	require.NoError(t, program.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, <-ended)
+	require.NoError(t, <-exited)
 	require.Equal(t, 5, strings.Count(log.String(), "event=config-refused"), log.String())
 	for _, key := range []string{"permissions: attempts-cap", "classes: aim", "discovery"} {
 		require.Contains(t, log.String(), key)
--- a/cmd/ospreycroft/run.go
+++ b/cmd/ospreycroft/run.go
@@ -21,14 +21,14 @@
 // configVariable names the configuration's file.
 const configVariable = "GW_CONFIG"
 
-// memoryLimitParts: the runtime keeps to three of so many parts of the memory, the rest is left for what it does not count.
-const memoryLimitParts = 4
+// memoryReserveDivisor: the runtime keeps to three of so many parts of the memory, the rest is left for what it does not count.
+const memoryReserveDivisor = 4
 
 // run serves until SIGTERM, and ends once all that was accepted is answered.
 func run() error {
 	reloads := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
 	signal.Notify(reloads, syscall.SIGHUP)
-	traces := traceSignal()        // before anything else, so that none is missed
+	traceRequests := traceSignal() // before anything else, so that none is missed
 	signal.Ignore(syscall.SIGPIPE) // who reads the log may end first: it ends no limiter that owes answers
 	config, err := readConfig()
 	if err != nil {
@@ -40,27 +40,27 @@
 	}
 	limitRuntime(config)
 	if options.SnapshotPath != "" {
-		watchCrashes(options.SnapshotPath, config.Name)
+		initCrashFile(options.SnapshotPath, config.Name)
 	}
 	stop := stopSignal()
 	clock := newClock()
-	renewals := newConfigUpdates(config)
-	follower := newFollower(config, options, renewals, clock)
-	config = renewals.start()
-	go rereadOn(reloads, renewals)
+	configs := newConfigUpdates(config)
+	follower := newFollower(config, options, configs, clock)
+	config = configs.start()
+	go reloadOn(reloads, configs)
 	if err := sockets.Descriptors(config.Sockets); err != nil { // it serves as far as they go
 		slog.Warn("descriptors-short", hint.Attrs(err)...)
 	}
-	listening, err := listen(config)
+	listener, err := listen(config)
 	if err != nil {
 		return err
 	}
-	stated := limiter.OperatorOptions{
+	limiterOptions := limiter.OperatorOptions{
 		DiscoveryCallRate: options.DiscoveryCallRate,
 		ConnectionRate:    options.ConnectionRate,
 	}
-	defer startSnapshots(config, options, &stated, clock)()
-	l, err := limiter.NewWithOptions(clock(), config, stated, listening)
+	defer startSnapshots(config, options, &limiterOptions, clock)()
+	l, err := limiter.NewWithOptions(clock(), config, limiterOptions, listener)
 	if err != nil {
 		return err
 	}
@@ -70,8 +70,8 @@
 	if follower != nil {
 		defer follower.start()()
 	}
-	go logTraceOn(traces, listening)
-	listening.Run(clock, l, stop, renewals.updates)
+	go logTraceOn(traceRequests, listener)
+	listener.Run(clock, l, stop, configs.updates)
 	l.LogOutcomes()
 	slog.Info("stopped", "name", config.Name)
 	return nil
@@ -97,19 +97,19 @@
 }
 
 // listen opens the address for clients, again where that fails for want of something on this machine.
-func listen(config *settings.Config) (listening *sockets.Sockets, err error) {
+func listen(config *settings.Config) (listener *sockets.Sockets, err error) {
 	err = transient.RetryStart(func() error {
-		listening, err = sockets.Listen(config.Listen, limiter.MaxClients(config), config.Sockets)
+		listener, err = sockets.Listen(config.Listen, limiter.MaxClients(config), config.Sockets)
 		return err
 	})
-	return listening, err
+	return listener, err
 }
 
 // limitRuntime keeps the Go runtime to one thread that runs Go code at a time, as there is one core (with more, each wake costs a
 // search for idle ones), and to a part of the memory.
 func limitRuntime(config *settings.Config) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(config.Memory * (memoryLimitParts - 1) / memoryLimitParts)
+	debug.SetMemoryLimit(config.Memory * (memoryReserveDivisor - 1) / memoryReserveDivisor)
 }
 
 // stopSignal gives a channel that is closed at SIGTERM or SIGINT. Its goroutine lasts until then.
@@ -132,9 +132,9 @@
 }
 
 // logTraceOn has the trace logged at each signal, until the process ends.
-func logTraceOn(signals <-chan os.Signal, listening *sockets.Sockets) {
+func logTraceOn(signals <-chan os.Signal, listener *sockets.Sockets) {
 	for range signals {
-		listening.LogTrace()
+		listener.LogTrace()
 	}
 }
 
@@ -145,15 +145,15 @@
 	return func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 }
 
-// rereadOn reads the configuration again at each signal, until the process ends. One that cannot be used changes nothing.
-func rereadOn(signals <-chan os.Signal, renewals *configUpdates) {
+// reloadOn reads the configuration again at each signal, until the process ends. One that cannot be used changes nothing.
+func reloadOn(signals <-chan os.Signal, configs *configUpdates) {
 	for range signals {
 		config, err := readConfig()
 		if err != nil {
 			slog.Warn("config-refused", hint.Attrs(err)...)
 			continue
 		}
-		renewals.fileReread(config)
+		configs.reloadFile(config)
 	}
 }
 
--- a/cmd/ospreycroft/stop_test.go
+++ b/cmd/ospreycroft/stop_test.go
@@ -37,31 +37,31 @@
 }
 
 // request is one that may take so many milliseconds.
-func request(id string, left int) []byte {
+func request(id string, timeoutMs int) []byte {
 	return resp.AppendCommand(nil, []byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id),
-		fmt.Appendf(nil, "c=c,t=p,d=%d,units=1,spread=1,first=0", left))
+		fmt.Appendf(nil, "c=c,t=p,d=%d,units=1,spread=1,first=0", timeoutMs))
 }
 
-// anyClass is the class of the requests, with no deadline told.
-const anyClass = `{"name":"c","aim":2,"effect":"free","group":"all"}`
+// defaultClass is the class of the requests, with no deadline told.
+const defaultClass = `{"name":"c","aim":2,"effect":"free","group":"all"}`
 
-// start starts the program and waits until it listens.
-func start(
+// startProgram starts the program and waits until it listens.
+func startProgram(
 	t *testing.T,
 	discovery string,
 	servers ...emulator.Instance,
-) (address string, program *exec.Cmd, ended chan error, log *strings.Builder) {
+) (address string, program *exec.Cmd, exited chan error, log *strings.Builder) {
 	t.Helper()
-	return startUnder(t, nil, anyClass, discovery, servers...)
+	return startProgramWithShim(t, nil, defaultClass, discovery, servers...)
 }
 
-// startUnder does so with the program's system calls decided on, nil for none, and the settings of the requests' class.
-func startUnder(
+// startProgramWithShim does so with the program's system calls decided on, nil for none, and the settings of the requests' class.
+func startProgramWithShim(
 	t *testing.T,
 	decide syscallshim.Decide,
 	class, discovery string,
 	servers ...emulator.Instance,
-) (address string, program *exec.Cmd, ended chan error, log *strings.Builder) {
+) (address string, program *exec.Cmd, exited chan error, log *strings.Builder) {
 	t.Helper()
 	address = testbed.KeepPort(t).Address()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -85,13 +85,13 @@
 	}
 	require.NoError(t, program.Start())
 	require.NoError(t, started())
-	ended = make(chan error, 1)
-	go func() { ended <- program.Wait() }()
+	exited = make(chan error, 1)
+	go func() { exited <- program.Wait() }()
 	t.Cleanup(func() { _ = program.Process.Kill() })
 	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		if c, err := net.Dial("tcp", address); err == nil {
 			_ = c.Close()
-			return address, program, ended, log
+			return address, program, exited, log
 		} else if time.Since(start) > 5*time.Second {
 			t.Fatal(err)
 		}
@@ -103,34 +103,34 @@
 func TestStopUnderLoad(t *testing.T) {
 	all, entries := make([]*countingServer, 24), make([]emulator.Instance, 24)
 	for i := range all {
-		all[i] = startSlow(t, fmt.Sprint("s", i))
+		all[i] = startSlowServer(t, fmt.Sprint("s", i))
 		entries[i] = all[i].Instance
 	}
-	address, program, ended, log := start(t, "127.0.0.1:1", entries...)
-	callers := make([]loadgen.Holder, 8)
+	address, program, exited, log := startProgram(t, "127.0.0.1:1", entries...)
+	clients := make([]loadgen.Holder, 8)
 	var running sync.WaitGroup
-	call := func(i int, first time.Duration) {
-		callers[i] = loadgen.Holder{
+	startClient := func(i int, firstDelay time.Duration) {
+		clients[i] = loadgen.Holder{
 			Name:    fmt.Sprint("caller", i),
-			First:   first,
+			First:   firstDelay,
 			Second:  70 * time.Millisecond,
 			Patient: 8 * time.Second,
 		}
-		running.Go(func() { callers[i].Run(address, func(id string) []byte { return request(id, 2000) }) })
+		running.Go(func() { clients[i].Run(address, func(id string) []byte { return request(id, 2000) }) })
 	}
 	for i := range 5 {
-		call(i, 0)
+		startClient(i, 0)
 	}
 	time.Sleep(700 * time.Millisecond)
-	asked := time.Now()
+	stopSent := time.Now()
 	require.NoError(t, program.Process.Signal(syscall.SIGTERM))
 	time.Sleep(300 * time.Millisecond)
-	call(5, 0)
-	call(6, 100*time.Millisecond)
-	call(7, time.Second) // on a connection that it has had for long
+	startClient(5, 0)
+	startClient(6, 100*time.Millisecond)
+	startClient(7, time.Second) // on a connection that it has had for long
 	select {
-	case err := <-ended:
-		if took := time.Since(asked); err != nil || took > 3700*time.Millisecond {
+	case err := <-exited:
+		if took := time.Since(stopSent); err != nil || took > 3700*time.Millisecond {
 			t.Errorf("it ended after %v, error %v\n%s", took, err, log)
 		} else {
 			t.Logf("it ended after %v", took)
@@ -140,10 +140,10 @@
 		_ = program.Process.Kill()
 	}
 	running.Wait()
-	for i, c := range callers {
+	for i, c := range clients {
 		for _, id := range c.Lost {
 			for _, s := range all {
-				assert.Zero(t, s.times(id), "%s was sent on and has no answer", id)
+				assert.Zero(t, s.timesReceived(id), "%s was sent on and has no answer", id)
 			}
 		}
 		assert.True(t, i >= 7 || c.Served != 0, "%s: %d answers, none served", c.Name, c.Answered)
@@ -167,38 +167,38 @@
 // stopBeforeKill plays it with a longest deadline.
 func stopBeforeKill(t *testing.T, deadline time.Duration) {
 	t.Helper()
-	kill := deadline + 700*time.Millisecond
-	hangs := startHanging(t, "hangs")
+	killAfter := deadline + 700*time.Millisecond
+	hangs := startHangingServer(t, "hangs")
 	all, entries := []*countingServer{hangs}, []emulator.Instance{hangs.Instance}
 	for i := range 7 {
-		answers := startSlow(t, fmt.Sprint("answers", i))
-		all, entries = append(all, answers), append(entries, answers.Instance)
+		answering := startSlowServer(t, fmt.Sprint("answers", i))
+		all, entries = append(all, answering), append(entries, answering.Instance)
 	}
 	class := fmt.Sprintf(`{"name":"c","aim":0.2,"deadline":%v,"effect":"free","group":"all"}`, deadline.Seconds())
-	address, program, ended, log := startUnder(t, nil, class, "127.0.0.1:1", entries...)
-	callers := make([]loadgen.Holder, 12)
+	address, program, exited, log := startProgramWithShim(t, nil, class, "127.0.0.1:1", entries...)
+	clients := make([]loadgen.Holder, 12)
 	var running sync.WaitGroup
-	for i := range callers {
-		callers[i] = loadgen.Holder{Name: fmt.Sprint("caller", i), Second: 40 * time.Millisecond, Patient: 8 * time.Second}
+	for i := range clients {
+		clients[i] = loadgen.Holder{Name: fmt.Sprint("caller", i), Second: 40 * time.Millisecond, Patient: 8 * time.Second}
 		running.Go(func() {
-			callers[i].Run(address, func(id string) []byte { return request(id, int(deadline.Milliseconds())) })
+			clients[i].Run(address, func(id string) []byte { return request(id, int(deadline.Milliseconds())) })
 		})
 	}
 	time.Sleep(time.Second)
-	asked := time.Now()
+	stopSent := time.Now()
 	require.NoError(t, program.Process.Signal(syscall.SIGTERM))
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		require.NoError(t, err, log)
-		t.Logf("it ended after %v, %d requests hung", time.Since(asked), hangs.total())
-	case <-time.After(kill):
+		t.Logf("it ended after %v, %d requests hung", time.Since(stopSent), hangs.requestCount())
+	case <-time.After(killAfter):
 		_ = program.Process.Kill()
-		require.Error(t, <-ended)
+		require.Error(t, <-exited)
 		t.Errorf("it has not ended when the kill may come\n%s", log)
 	}
 	running.Wait()
-	require.Positive(t, hangs.total())
-	for _, c := range callers {
+	require.Positive(t, hangs.requestCount())
+	for _, c := range clients {
 		assert.Positive(t, c.Answered, c.Name)
 		if sent := c.Answered + len(c.Lost); reachedAny(all[1:], c.Name, sent) {
 			assert.Positive(t, c.Served, c.Name)
@@ -207,7 +207,7 @@
 		}
 		for _, id := range c.Lost {
 			for _, s := range all {
-				assert.Zero(t, s.times(id), "%s was sent on and has no answer", id)
+				assert.Zero(t, s.timesReceived(id), "%s was sent on and has no answer", id)
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 func reachedAny(servers []*countingServer, client string, requests int) bool {
 	for n := 1; n <= requests; n++ {
 		for _, s := range servers {
-			if s.times(fmt.Sprint(client, "-", n)) > 0 {
+			if s.timesReceived(fmt.Sprint(client, "-", n)) > 0 {
 				return true
 			}
 		}
@@ -225,18 +225,18 @@
 	return false
 }
 
-// TestWoken stops a real process while requests come and its list changes behind them: woken, it sends nothing to the
+// TestListChangeWhileSuspended stops a real process while requests come and its list changes behind them: woken, it sends nothing to the
 // server that drains, though it reads the requests first, and serves them elsewhere.
-func TestWoken(t *testing.T) {
-	drains, stays := startSlow(t, "drains"), startSlow(t, "stays")
-	leaving, staying := drains.Instance, stays.Instance
+func TestListChangeWhileSuspended(t *testing.T) {
+	draining, staying := startSlowServer(t, "drains"), startSlowServer(t, "stays")
+	drainingEntry, stayingEntry := draining.Instance, staying.Instance
 	list, err := emulator.NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
 	require.NoError(t, err)
 	require.NoError(t, list.Start())
 	defer list.Close()
-	list.Set(leaving)
-	list.Set(staying)
-	address, program, _, log := start(t, list.Address(0), leaving, staying)
+	list.Set(drainingEntry)
+	list.Set(stayingEntry)
+	address, program, _, log := startProgram(t, list.Address(0), drainingEntry, stayingEntry)
 	conns := make([]net.Conn, 8)
 	for i := range conns {
 		conns[i], err = net.Dial("tcp", address)
@@ -247,12 +247,12 @@
 	for i, c := range conns[:2] { // so that a connection to each server rests
 		_, _ = c.Write(request(fmt.Sprint("early-", i), 9000))
 	}
-	early := make([]byte, 1024)
+	buffer := make([]byte, 1024)
 	for i, c := range conns[:2] {
-		n, err := c.Read(early)
-		require.True(t, err == nil && early[0] == '$', "request %d: %q, error %v", i, early[:n], err)
+		n, err := c.Read(buffer)
+		require.True(t, err == nil && buffer[0] == '$', "request %d: %q, error %v", i, buffer[:n], err)
 	}
-	require.Equal(t, []int{1, 1}, []int{drains.total(), stays.total()})
+	require.Equal(t, []int{1, 1}, []int{draining.requestCount(), staying.requestCount()})
 	time.Sleep(20 * time.Millisecond)
 	suspend(t, program.Process)
 	time.Sleep(10 * time.Millisecond)
@@ -260,8 +260,8 @@
 		_, _ = c.Write(request(fmt.Sprint("job-", i), 9000))
 	}
 	time.Sleep(100 * time.Millisecond)
-	leaving.Lifecycle = "terminating"
-	list.Set(leaving)
+	drainingEntry.Lifecycle = "terminating"
+	list.Set(drainingEntry)
 	time.Sleep(900 * time.Millisecond)
 	_ = program.Process.Signal(syscall.SIGCONT)
 	for i, c := range conns {
@@ -269,6 +269,6 @@
 		line, err := bufio.NewReader(c).ReadString('\n')
 		assert.NoError(t, err, "request %d: %q", i, line)
 	}
-	assert.Equal(t, 1, drains.total(), "the one that drains got more than the early request\n%s", log)
-	assert.Greater(t, stays.total(), 1, "%s", log)
+	assert.Equal(t, 1, draining.requestCount(), "the one that drains got more than the early request\n%s", log)
+	assert.Greater(t, staying.requestCount(), 1, "%s", log)
 }
--- a/cmd/ospreycroft/stall_test.go
+++ b/cmd/ospreycroft/suspended_shutdown_test.go
@@ -14,30 +14,30 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// TestRequestUnreadAsItsConnectionIsLeft: the process has no processor around the time, 0.5 s after SIGTERM, when idle
+// TestUnreadRequestsDuringShutdown: the process has no processor around the time, 0.5 s after SIGTERM, when idle
 // connections of clients are left. Requests that came meanwhile lie unread in the kernel then: each is answered, and no
 // connection ends under one.
-func TestRequestUnreadAsItsConnectionIsLeft(t *testing.T) {
+func TestUnreadRequestsDuringShutdown(t *testing.T) {
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
 	defer func() { _ = log.Close() }()
-	e := begin(t, testbed.Listen(t).Address, log)
-	require.Eventually(t, func() bool { return ping(t, e.client) == "+PONG" }, testbed.Patience, 20*time.Millisecond)
-	clients := []*testbed.Conn{e.client}
+	h := startHarness(t, testbed.Listen(t).Address, log)
+	require.Eventually(t, func() bool { return ping(t, h.client) == "+PONG" }, testbed.Patience, 20*time.Millisecond)
+	clients := []*testbed.Conn{h.client}
 	for len(clients) < 20 {
-		c := (&testbed.Rig{Address: e.client.TCP.RemoteAddr().String()}).Dial(t)
+		c := (&testbed.Rig{Address: h.client.TCP.RemoteAddr().String()}).Dial(t)
 		require.Equal(t, "+PONG", ping(t, c))
 		clients = append(clients, c)
 	}
-	asked := time.Now()
-	require.NoError(t, e.program.Process.Signal(syscall.SIGTERM))
-	time.Sleep(time.Until(asked.Add(300 * time.Millisecond)))
-	require.NoError(t, e.program.Process.Signal(syscall.SIGSTOP))
+	stopSent := time.Now()
+	require.NoError(t, h.program.Process.Signal(syscall.SIGTERM))
+	time.Sleep(time.Until(stopSent.Add(300 * time.Millisecond)))
+	require.NoError(t, h.program.Process.Signal(syscall.SIGSTOP))
 	for i, c := range clients {
 		c.Say(t, testbed.Request(fmt.Sprint("id", i), "none", 3000))
 	}
-	time.Sleep(time.Until(asked.Add(560 * time.Millisecond)))
-	require.NoError(t, e.program.Process.Signal(syscall.SIGCONT))
+	time.Sleep(time.Until(stopSent.Add(560 * time.Millisecond)))
+	require.NoError(t, h.program.Process.Signal(syscall.SIGCONT))
 	unanswered := 0
 	for _, c := range clients {
 		if text, _ := c.Rest(t); text == "" {
@@ -45,7 +45,7 @@
 		}
 	}
 	assert.Zero(t, unanswered, "of %d requests", len(clients))
-	e.ends(testbed.Patience)
+	h.requireExit(testbed.Patience)
 }
 
 // ping is the answer to PING.
--- a/cmd/ospreycroft/system_calls_test.go
+++ b/cmd/ospreycroft/system_calls_test.go
@@ -22,7 +22,7 @@
 // is not laid at a server's door.
 
 // logFile is a file for the program's log, and a look at what it holds.
-func logFile(t *testing.T) (file *os.File, read func() string) {
+func logFile(t *testing.T) (file *os.File, readLog func() string) {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
@@ -34,26 +34,26 @@
 	}
 }
 
-// serveOne has a client's request granted by the counter and answered by the server.
-func serveOne(t *testing.T, e *ending, server *testbed.Peer) {
+// requireServed has a client's request granted by the counter and answered by the server.
+func requireServed(t *testing.T, h *programHarness, server *testbed.Peer) {
 	t.Helper()
-	line := e.counter.Accept(t)
-	e.client.Say(t, testbed.Request("id", "read", 3000))
-	require.Contains(t, line.Line(t), "tally ")
-	line.Say(t, "ok 1\r\n")
-	c := server.Accept(t)
-	require.Equal(t, "id", c.Command(t)[2])
+	counterConn := h.counter.Accept(t)
+	h.client.Say(t, testbed.Request("id", "read", 3000))
+	require.Contains(t, counterConn.Line(t), "tally ")
+	counterConn.Say(t, "ok 1\r\n")
+	serverConn := server.Accept(t)
+	require.Equal(t, "id", serverConn.Command(t)[2])
 	value := strings.Repeat("value", 1000)
-	c.Serve(t, value)
-	require.Equal(t, "$"+value, e.client.Answer(t))
+	serverConn.Serve(t, value)
+	require.Equal(t, "$"+value, h.client.Answer(t))
 }
 
-// TestReadsAndWritesCutShort: each read and write of a socket does seven bytes at most, and every third is interrupted.
-func TestReadsAndWritesCutShort(t *testing.T) {
+// TestPartialReadsAndWrites: each read and write of a socket does seven bytes at most, and every third is interrupted.
+func TestPartialReadsAndWrites(t *testing.T) {
 	calls := 0
 	log, _ := logFile(t)
 	server := testbed.Listen(t)
-	e := beginUnder(t, server.Address, log, func(c syscallshim.Call) syscallshim.Decision {
+	h := startHarnessWithShim(t, server.Address, log, func(c syscallshim.Call) syscallshim.Decision {
 		if c.Number != unix.SYS_READ && c.Number != unix.SYS_WRITE || !c.IsSocket() {
 			return syscallshim.Decision{}
 		}
@@ -62,19 +62,19 @@
 		}
 		return syscallshim.Decision{Bytes: 7}
 	})
-	serveOne(t, e, server)
+	requireServed(t, h, server)
 }
 
-// TestAcceptFailsForAWhile: accept fails for 300 ms. The client that waits is served then, the program does not spin, and
+// TestTransientAcceptErrors: accept fails for 300 ms. The client that waits is served then, the program does not spin, and
 // says once a second at most what it is about.
-func TestAcceptFailsForAWhile(t *testing.T) {
+func TestTransientAcceptErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ECONNABORTED, unix.EINTR} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			var failing atomic.Bool
 			var failed atomic.Int64
-			log, read := logFile(t)
+			log, readLog := logFile(t)
 			server := testbed.Listen(t)
-			e := beginUnder(t, server.Address, log, func(c syscallshim.Call) syscallshim.Decision {
+			h := startHarnessWithShim(t, server.Address, log, func(c syscallshim.Call) syscallshim.Decision {
 				if c.Number != unix.SYS_ACCEPT4 || !failing.Load() {
 					return syscallshim.Decision{}
 				}
@@ -85,18 +85,18 @@
 			})
 			failing.Store(true)
 			time.AfterFunc(300*time.Millisecond, func() { failing.Store(false) })
-			e.client = (&testbed.Rig{Address: e.client.TCP.RemoteAddr().String()}).Dial(t)
-			serveOne(t, e, server)
+			h.client = (&testbed.Rig{Address: h.client.TCP.RemoteAddr().String()}).Dial(t)
+			requireServed(t, h, server)
 			require.Positive(t, failed.Load())
 			require.Less(t, failed.Load(), int64(60))
-			require.LessOrEqual(t, strings.Count(read(), "event=accept-failed"), 1)
+			require.LessOrEqual(t, strings.Count(readLog(), "event=accept-failed"), 1)
 		})
 	}
 }
 
-// TestDialFailsForAMoment: socket or connect fails three times as the program dials its server, or while it starts. The
+// TestTransientDialErrors: socket or connect fails three times as the program dials its server, or while it starts. The
 // request is served, and the server is not ejected.
-func TestDialFailsForAMoment(t *testing.T) {
+func TestTransientDialErrors(t *testing.T) {
 	for _, c := range []struct {
 		number int
 		errno  unix.Errno
@@ -113,131 +113,137 @@
 	} {
 		for _, atStart := range []bool{false, true} {
 			t.Run(c.errno.Error(), func(t *testing.T) {
-				var left atomic.Int64
+				var failuresLeft atomic.Int64
 				if atStart {
-					left.Store(3)
+					failuresLeft.Store(3)
 				}
-				log, read := logFile(t)
+				log, readLog := logFile(t)
 				server := testbed.Listen(t)
-				e := beginUnder(t, server.Address, log, func(call syscallshim.Call) syscallshim.Decision {
-					if call.Number != c.number || left.Add(-1) < 0 {
+				h := startHarnessWithShim(t, server.Address, log, func(call syscallshim.Call) syscallshim.Decision {
+					if call.Number != c.number || failuresLeft.Add(-1) < 0 {
 						return syscallshim.Decision{}
 					}
 					return syscallshim.Decision{Errno: c.errno}
 				})
-				left.Store(3)
-				serveOne(t, e, server)
-				require.NotContains(t, read(), "ejected")
-				require.NotContains(t, read(), "event=failed")
+				failuresLeft.Store(3)
+				requireServed(t, h, server)
+				require.NotContains(t, readLog(), "ejected")
+				require.NotContains(t, readLog(), "event=failed")
 			})
 		}
 	}
 }
 
-// TestStartBehindFailingReads: a read of the configuration or of the operator's file fails three times as the program starts.
-func TestStartBehindFailingReads(t *testing.T) {
-	stated := filepath.Join(t.TempDir(), "operator.toml")
-	require.NoError(t, os.WriteFile(stated, []byte("installation = 'i'\n"), 0o600))
-	t.Setenv(operator.Variable, stated)
+// TestStartRetriesFailedReads: a read of the configuration or of the operator's file fails three times as the program starts.
+func TestStartRetriesFailedReads(t *testing.T) {
+	operatorFile := filepath.Join(t.TempDir(), "operator.toml")
+	require.NoError(t, os.WriteFile(operatorFile, []byte("installation = 'i'\n"), 0o600))
+	t.Setenv(operator.Variable, operatorFile)
 	for _, file := range []string{"config.json", "operator.toml"} {
 		t.Run(file, func(t *testing.T) {
 			failures := 0
-			log, read := logFile(t)
+			log, readLog := logFile(t)
 			server := testbed.Listen(t)
-			e := beginUnder(t, server.Address, log, func(c syscallshim.Call) syscallshim.Decision {
+			h := startHarnessWithShim(t, server.Address, log, func(c syscallshim.Call) syscallshim.Decision {
 				if c.Number != unix.SYS_READ || failures == 3 || !strings.HasSuffix(c.Path(), file) {
 					return syscallshim.Decision{}
 				}
 				failures++
 				return syscallshim.Decision{Errno: unix.EIO}
 			})
-			serveOne(t, e, server)
+			requireServed(t, h, server)
 			require.Equal(t, 3, failures)
-			require.Contains(t, read(), "event=start-retried")
+			require.Contains(t, readLog(), "event=start-retried")
 		})
 	}
 }
 
-// keepSnapshots has the programs that the test starts keep their lists in a directory, in the file that is named.
-func keepSnapshots(t *testing.T) (dir, file string) {
+// enableSnapshots has the programs that the test starts keep their lists in a directory, in the file that is named.
+func enableSnapshots(t *testing.T) (dir, file string) {
 	t.Helper()
 	dir = t.TempDir()
-	stated := filepath.Join(dir, "operator.toml")
+	operatorFile := filepath.Join(dir, "operator.toml")
 	options := fmt.Appendf(nil, "installation = 'i'\n[snapshot]\npath = %q\noldest_s = 60\n", dir)
-	require.NoError(t, os.WriteFile(stated, options, 0o600))
-	t.Setenv(operator.Variable, stated)
+	require.NoError(t, os.WriteFile(operatorFile, options, 0o600))
+	t.Setenv(operator.Variable, operatorFile)
 	return dir, filepath.Join(dir, "n.snapshot")
 }
 
-// TestDiskRefusesSnapshots: the disk refuses writes, or syncs, while the program has a list to keep. It serves meanwhile, and the
+// TestSnapshotWriteErrors: the disk refuses writes, or syncs, while the program has a list to keep. It serves meanwhile, and the
 // list is there once the disk takes it, also for a life behind a kill.
-func TestDiskRefusesSnapshots(t *testing.T) {
-	for name, refused := range map[string]struct {
+func TestSnapshotWriteErrors(t *testing.T) {
+	for name, failure := range map[string]struct {
 		number int
 		errno  unix.Errno
 	}{"full": {unix.SYS_WRITE, unix.ENOSPC}, "broken": {unix.SYS_FSYNC, unix.EIO}} {
 		t.Run(name, func(t *testing.T) {
-			dir, snapshots := keepSnapshots(t)
-			var refuses atomic.Bool
-			var refusals atomic.Int64
-			refuses.Store(true)
+			dir, snapshots := enableSnapshots(t)
+			var failing atomic.Bool
+			var failures atomic.Int64
+			failing.Store(true)
 			decide := func(c syscallshim.Call) syscallshim.Decision {
-				if c.Number != refused.number || !refuses.Load() || !strings.HasPrefix(c.Path(), dir) {
+				if c.Number != failure.number || !failing.Load() || !strings.HasPrefix(c.Path(), dir) {
 					return syscallshim.Decision{}
 				}
-				refusals.Add(1)
-				return syscallshim.Decision{Errno: refused.errno}
+				failures.Add(1)
+				return syscallshim.Decision{Errno: failure.errno}
 			}
-			first := startPlace(t, "first")
-			address, program, ended, _ := startUnder(t, decide, anyClass, first.Address(0), first.server.Instance)
-			require.Eventually(t, func() bool { return refusals.Load() > 1 }, testbed.Patience, 10*time.Millisecond)
+			first := startDiscovery(t, "first")
+			address, program, exited, _ := startProgramWithShim(
+				t,
+				decide,
+				defaultClass,
+				first.Address(0),
+				first.server.Instance,
+			)
+			require.Eventually(t, func() bool { return failures.Load() > 1 }, testbed.Patience, 10*time.Millisecond)
 			client := (&testbed.Rig{Address: address}).Dial(t)
 			client.Say(t, string(request("id", 2000)))
 			require.Equal(t, "$v", client.Answer(t))
 			require.NoFileExists(t, snapshots)
 
-			refuses.Store(false)
+			failing.Store(false)
 			require.Eventually(t, func() bool {
 				_, err := os.Stat(snapshots)
 				return err == nil
 			}, testbed.Patience, 10*time.Millisecond)
 			require.NoError(t, program.Process.Kill())
-			require.Error(t, <-ended)
-			_, program, ended, log := start(t, first.Address(0), first.server.Instance)
+			require.Error(t, <-exited)
+			_, program, exited, log := startProgram(t, first.Address(0), first.server.Instance)
 			require.NoError(t, program.Process.Signal(syscall.SIGTERM))
-			require.NoError(t, <-ended)
+			require.NoError(t, <-exited)
 			require.Contains(t, log.String(), "event=snapshot-read")
 		})
 	}
 }
 
-// TestKilledInTheMiddleOfASnapshot: the program is killed while it writes a newer list down, of which half is left. The
+// TestKilledDuringSnapshotWrite: the program is killed while it writes a newer list down, of which half is left. The
 // next life has the list before it.
-func TestKilledInTheMiddleOfASnapshot(t *testing.T) {
-	dir, snapshots := keepSnapshots(t)
-	var kills atomic.Bool
+func TestKilledDuringSnapshotWrite(t *testing.T) {
+	dir, snapshots := enableSnapshots(t)
+	var killOnSync atomic.Bool
 	decide := func(c syscallshim.Call) syscallshim.Decision {
-		if c.Number == unix.SYS_FSYNC && kills.Load() && strings.HasPrefix(c.Path(), dir) {
+		if c.Number == unix.SYS_FSYNC && killOnSync.Load() && strings.HasPrefix(c.Path(), dir) {
 			_ = unix.Kill(c.PID, unix.SIGKILL)
 		}
 		return syscallshim.Decision{}
 	}
-	first := startPlace(t, "first")
-	_, _, ended, _ := startUnder(t, decide, anyClass, first.Address(0), first.server.Instance)
+	first := startDiscovery(t, "first")
+	_, _, exited, _ := startProgramWithShim(t, decide, defaultClass, first.Address(0), first.server.Instance)
 	require.Eventually(t, func() bool {
 		_, err := os.Stat(snapshots)
 		return err == nil
 	}, testbed.Patience, 10*time.Millisecond)
-	kills.Store(true)
-	first.Set(startCounting(t, "second").Instance)
-	require.Error(t, <-ended)
+	killOnSync.Store(true)
+	first.Set(startCountingServer(t, "second").Instance)
+	require.Error(t, <-exited)
 
-	written := snapshots + ".new"
-	info, err := os.Stat(written)
+	partialFile := snapshots + ".new"
+	info, err := os.Stat(partialFile)
 	require.NoError(t, err)
-	require.NoError(t, os.Truncate(written, info.Size()/2))
-	_, program, ended, log := start(t, "127.0.0.1:1", first.server.Instance)
+	require.NoError(t, os.Truncate(partialFile, info.Size()/2))
+	_, program, exited, log := startProgram(t, "127.0.0.1:1", first.server.Instance)
 	require.NoError(t, program.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, <-ended)
+	require.NoError(t, <-exited)
 	require.Regexp(t, `event=snapshot-read generation=\d+ servers=1 `, log.String())
 }
--- a/cmd/ospreycroft/time_left_test.go
+++ b/cmd/ospreycroft/time_left_test.go
@@ -14,38 +14,38 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// TestTimeToldAfterStandstill: a request comes, on an open and on a new connection, while the process has no processor. The
+// TestTimeLeftAfterSuspension: a request comes, on an open and on a new connection, while the process has no processor. The
 // server is told the time that the client has left, not what it had when it sent the request; also where the request is
 // read long after the process goes on, behind many other connections.
-func TestTimeToldAfterStandstill(t *testing.T) {
+func TestTimeLeftAfterSuspension(t *testing.T) {
 	const (
 		timeout    = 3000 * time.Millisecond
-		standstill = 600 * time.Millisecond
+		suspension = 600 * time.Millisecond
 		slack      = 150 * time.Millisecond
 	)
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
 	defer func() { _ = log.Close() }()
 	server := testbed.Listen(t)
-	e := begin(t, server.Address, log)
-	line := e.counter.Accept(t)
-	address := e.client.TCP.RemoteAddr().String()
-	require.Equal(t, "+PONG", awaitReady(t, e.client))
+	h := startHarness(t, server.Address, log)
+	counterConn := h.counter.Accept(t)
+	address := h.client.TCP.RemoteAddr().String()
+	require.Equal(t, "+PONG", pingUntilReady(t, h.client))
 
-	e.suspend()
-	crowd := make([]*testbed.Conn, 0, 150)
-	for range cap(crowd) {
-		crowd = append(crowd, (&testbed.Rig{Address: address}).Dial(t))
+	h.suspend()
+	otherConns := make([]*testbed.Conn, 0, 150)
+	for range cap(otherConns) {
+		otherConns = append(otherConns, (&testbed.Rig{Address: address}).Dial(t))
 	}
-	fresh := (&testbed.Rig{Address: address}).Dial(t)
+	newConn := (&testbed.Rig{Address: address}).Dial(t)
 	sent := time.Now()
-	e.client.Say(t, testbed.Request("open", "read", int(timeout.Milliseconds())))
-	fresh.Say(t, testbed.Request("fresh", "read", int(timeout.Milliseconds())))
-	time.Sleep(standstill)
-	require.NoError(t, e.program.Process.Signal(syscall.SIGCONT))
+	h.client.Say(t, testbed.Request("open", "read", int(timeout.Milliseconds())))
+	newConn.Say(t, testbed.Request("fresh", "read", int(timeout.Milliseconds())))
+	time.Sleep(suspension)
+	require.NoError(t, h.program.Process.Signal(syscall.SIGCONT))
 	for range 2 {
-		line.Line(t)
-		line.Say(t, "ok 1\r\n")
+		counterConn.Line(t)
+		counterConn.Say(t, "ok 1\r\n")
 	}
 	for range 2 {
 		words := server.Accept(t).Command(t)
@@ -55,8 +55,8 @@
 	}
 }
 
-// awaitReady is the answer to PING once the limiter is ready.
-func awaitReady(t *testing.T, c *testbed.Conn) string {
+// pingUntilReady is the answer to PING once the limiter is ready.
+func pingUntilReady(t *testing.T, c *testbed.Conn) string {
 	t.Helper()
 	answer := ping(t, c)
 	for end := time.Now().Add(testbed.Patience); answer != "+PONG" && time.Now().Before(end); answer = ping(t, c) {
