--- a/cmd/ospreycroft/broken_connections_test.go
+++ b/cmd/ospreycroft/broken_connections_test.go
@@ -13,17 +13,17 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// brokenConnErrnos are the errors that Linux gives for reads of a broken connection, beside a reset.
+// brokenConnErrnos are the errors, beside a reset, that Linux returns for a read of a broken connection.
 var brokenConnErrnos = []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH}
 
-// connBreaker breaks a connection of the program, at its next read, once it is told which.
+// connBreaker breaks a connection of the program at its next read, once peerAddress is set.
 type connBreaker struct {
-	peerAddress atomic.Value // string: of the other side
-	breaks      atomic.Int64
+	peerAddress atomic.Value // string: the other side of the connection to break, empty for none
+	breaks      atomic.Int64 // reads that failed
 	errno       unix.Errno
 }
 
-// decide breaks the connection, and lets all else go on.
+// decide fails reads of the chosen connection and lets every other call proceed.
 func (b *connBreaker) decide(c syscallshim.Call) syscallshim.Decision {
 	peerAddress, ok := b.peerAddress.Load().(string)
 	if !ok || c.Number != unix.SYS_READ || !c.IsSocket() || !isConnectedTo(c, peerAddress) {
@@ -33,7 +33,7 @@
 	return syscallshim.Decision{Errno: b.errno, Break: true}
 }
 
-// startWithConnBreaker starts the program with one server, and gives its line to the counter.
+// startWithConnBreaker starts the program with one server and accepts its connection to the counter.
 func startWithConnBreaker(
 	t *testing.T,
 	b *connBreaker,
@@ -45,7 +45,7 @@
 	return h, server, h.counter.Accept(t)
 }
 
-// isConnectedTo tells whether a call is on a connection to an address.
+// isConnectedTo tells whether a call is on a connection to the port of an address.
 func isConnectedTo(c syscallshim.Call, address string) bool {
 	fd, err := c.Descriptor()
 	if err != nil {
@@ -57,8 +57,8 @@
 	return err == nil && ok && strings.HasSuffix(address, ":"+strconv.Itoa(inet.Port))
 }
 
-// TestServerConnectionBreaks: the connection to the server breaks under a request that may run again. The request is not
-// lost: it goes again, or is rejected.
+// TestServerConnectionBreaks: the connection to the server breaks while an idempotent request is in flight. The request
+// is not lost: it is retried, or rejected where no other server is left.
 func TestServerConnectionBreaks(t *testing.T) {
 	for _, errno := range brokenConnErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -71,14 +71,14 @@
 			serverConn.Command(t)
 			b.peerAddress.Store(server.Address)
 			serverConn.Serve(t, "value")
-			require.Contains(t, h.client.Answer(t), "-BUSY") // there is no other server to go to
+			require.Contains(t, h.client.Answer(t), "-BUSY") // there is no other server to retry on
 			require.Positive(t, b.breaks.Load())
 		})
 	}
 }
 
-// TestClientConnectionBreaks: a client's connection breaks, by an error that the kernel gives for that, while its request
-// is at the server. Nothing more is sent for it, and other clients are served.
+// TestClientConnectionBreaks: a client's connection breaks with an error of the kernel while its request is in flight.
+// The request is not retried, and other clients are served.
 func TestClientConnectionBreaks(t *testing.T) {
 	for _, errno := range brokenConnErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -92,25 +92,25 @@
 			require.Equal(t, "gone", first.Command(t)[2])
 
 			b.peerAddress.Store(h.client.TCP.LocalAddr().String())
-			h.client.Say(t, "*1\r\n$4\r\nPING\r\n") // so that there is something to read
+			h.client.Say(t, "*1\r\n$4\r\nPING\r\n") // makes the program read the connection
 			_, err := h.client.Rest(t)
-			require.NoError(t, err, "it is closed with no answer")
+			require.NoError(t, err, "the connection is closed without an answer")
 			require.Positive(t, b.breaks.Load())
 			require.NoError(t, first.TCP.Close())
 
 			other.Say(t, testbed.Request("stays", "read", 3000))
-			counterConn.Line(t) // the units of the one that has gone, or those of this one
+			counterConn.Line(t) // settles the abandoned request's units, or reserves this one's
 			counterConn.Say(t, "ok 1\r\n")
 			second := server.Accept(t)
-			require.Equal(t, "stays", second.Command(t)[2], "the one that has gone is not sent again")
+			require.Equal(t, "stays", second.Command(t)[2], "the abandoned request is not retried")
 			second.Serve(t, "value")
 			require.Equal(t, "$value", other.Answer(t))
 		})
 	}
 }
 
-// TestCounterConnectionBreaks: the connection to the counter breaks under a call. The local quota decides on its request,
-// and the counter is asked again on a new connection.
+// TestCounterConnectionBreaks: the connection to the counter breaks during a call. The local quota decides on the
+// request, and the next call uses a new connection.
 func TestCounterConnectionBreaks(t *testing.T) {
 	for _, errno := range brokenConnErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
--- a/cmd/ospreycroft/check.go
+++ b/cmd/ospreycroft/check.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// check reads a configuration as a limiter would and prints what it states.
+// check reads a configuration as a limiter does and prints what follows from it: the limits of attempts in flight, the
+// priority weights and the bounds.
 func check(path string) error {
 	config, err := settings.ReadFile(path)
 	if err != nil {
@@ -64,10 +65,11 @@
 	return reportCounterLoss(config, printEvent)
 }
 
-// printEvent prints an event for `check`.
+// printEvent prints an event to standard output.
 func printEvent(e logging.Event) { fmt.Println(e) }
 
-// reportCounterLoss states, plan by plan, how far use can pass a quota when the counter is lost, emptied or split.
+// reportCounterLoss reports, for each plan, by how much use can exceed the quota when the shared counter is
+// unreachable, reset or partitioned.
 func reportCounterLoss(config *settings.Config, report func(logging.Event)) error {
 	rows, err := counterloss.Table(config.Settings.Settings)
 	if err != nil {
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// reportStartBounds states what a start of all limiters costs the list service, and how late news can come. A budget that is
-// too small for the list's clock is said, and is no error.
+// reportStartBounds reports the calls to discovery and the connections to servers when all limiters start at once. If
+// the configured call rate makes endpoint lists arrive late, it reports list-late; this is not an error.
 func reportStartBounds(config *settings.Config, options *operator.Options, report func(logging.Event)) error {
 	startSettings := limiter.ColdStartSettings(
 		config,
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// roundedAttr is a figure with four digits, enough for an operator.
+// roundedAttr formats a value with four significant digits.
 func roundedAttr(key string, value float64) slog.Attr {
 	return slog.String(key, fmt.Sprintf("%.4g", value))
 }
--- a/cmd/ospreycroft/clock_test.go
+++ b/cmd/ospreycroft/clock_test.go
@@ -19,19 +19,19 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// timeLeftField is the time that a command tells its server, of the command's fields.
+// timeLeftField matches the time left, in milliseconds, among the fields of a command to a server.
 var timeLeftField = regexp.MustCompile(`,d=(\d+),`)
 
-// TestWallClockSteps: the wall clock steps while one request is out and before another comes. The first gets its final answer at
-// its deadline by real time, the server of the second is told what its client has left, both are counted in the windows that
-// were named before, and no connection is closed.
+// TestWallClockSteps: the wall clock steps while one request is in flight and before another one comes. The first gets
+// its final answer by its deadline in real time, the server of the second is told the time that its client has left,
+// both are counted in the window that was current before the step, and no connection is closed.
 func TestWallClockSteps(t *testing.T) {
 	library, err := clockstep.Build(t.TempDir())
 	require.NoError(t, err)
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 7 * time.Second, -7 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			sameWindow := runClockStep(t, library, step)
-			if !sameWindow { // it may have ended in order just then, but does not twice within seconds
+			if !sameWindow { // the window may have ended regularly in between, but not twice within seconds
 				sameWindow = runClockStep(t, library, step)
 			}
 			require.True(t, sameWindow)
@@ -39,7 +39,7 @@
 	}
 }
 
-// runClockStep plays one step, and tells whether both requests are counted in the same window.
+// runClockStep runs one step, and tells whether both requests were counted in the same window.
 func runClockStep(t *testing.T, library string, step time.Duration) (sameWindow bool) {
 	t.Helper()
 	const (
@@ -82,7 +82,8 @@
 	return firstTally[1] == secondTally[1]
 }
 
-// requireLogTime has the program log, and fails the test unless its wall clock reads so: that it has stepped.
+// requireLogTime makes the program log its trace, and fails the test unless the line's time is near want: the program's
+// wall clock has stepped.
 func requireLogTime(t *testing.T, h *programHarness, readLog func() string, want time.Time) {
 	t.Helper()
 	require.NoError(t, h.program.Process.Signal(syscall.SIGUSR1))
@@ -96,7 +97,7 @@
 	require.WithinDuration(t, want, logTime, testbed.Patience)
 }
 
-// useSteppedClock gives the programs that the test starts a wall clock that steps when the test says so.
+// useSteppedClock gives the programs that the test starts a wall clock that the test can step.
 func useSteppedClock(t *testing.T, library string) *clockstep.Clock {
 	t.Helper()
 	clock, err := clockstep.New(library, filepath.Join(t.TempDir(), "clock"))
@@ -108,8 +109,8 @@
 	return clock
 }
 
-// TestSnapshotUsedAfterClockStep: the wall clock steps by far more than a snapshot may be old while the limiter is down. The snapshot
-// is seconds old all the same, and is used.
+// TestSnapshotUsedAfterClockStep: the wall clock steps by far more than a snapshot's maximum age while the limiter is
+// down. The snapshot is only seconds old, and is used.
 func TestSnapshotUsedAfterClockStep(t *testing.T) {
 	library, err := clockstep.Build(t.TempDir())
 	require.NoError(t, err)
@@ -135,17 +136,18 @@
 	}
 }
 
-// TestServersChangeAfterClockStep: the wall clock has stepped under a limiter, and then a server drains and a fresh one
-// comes. Nothing goes to the one that drains once its grace is over, and the fresh one is warmed up slowly: with one warm
-// server beside it, it would else get half of the requests.
+// TestServersChangeAfterClockStep: after a step of the wall clock, one server starts draining and a fresh one is added.
+// No request goes to the draining server once its grace has passed, and the fresh server warms up slowly: without slow
+// start it would get half of the requests beside one warm server.
 func TestServersChangeAfterClockStep(t *testing.T) {
 	library, err := clockstep.Build(t.TempDir())
 	require.NoError(t, err)
 	const (
 		clients       = 4
-		grace         = time.Second // far longer than the news takes
+		grace         = time.Second // far longer than the new list takes to arrive
 		measurePeriod = 1500 * time.Millisecond
-		coldShare     = 0.33 // of the requests, at most; 0.3 to 0.4 of the warm one's pace are 0.23 to 0.29 of all
+		// maximum share of the requests; 0.3 to 0.4 of the warm server's rate are 0.23 to 0.29 of all
+		coldShare = 0.33
 	)
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -177,7 +179,7 @@
 			time.Sleep(measurePeriod - grace)
 			toFresh, toStaying := fresh.requestCount()-freshBefore, staying.requestCount()-stayingBefore
 			stop()
-			require.Equal(t, drainingBefore, draining.requestCount(), "requests went to the server that drains")
+			require.Equal(t, drainingBefore, draining.requestCount(), "requests went to the draining server")
 			require.Positive(t, toStaying)
 			share := float64(toFresh) / float64(toFresh+toStaying)
 			t.Logf("%d requests to the fresh server, %d to the warm one", toFresh, toStaying)
@@ -186,7 +188,7 @@
 	}
 }
 
-// startClients has clients send one request after the other until they are stopped.
+// startClients starts clients that each send one request after another until they are stopped.
 func startClients(t *testing.T, address string, count int) (stop func()) {
 	t.Helper()
 	var stopping atomic.Bool
--- a/cmd/ospreycroft/counting_server_test.go
+++ b/cmd/ospreycroft/counting_server_test.go
@@ -12,32 +12,32 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// slowServerDelay is what a slow server takes for each request.
+// slowServerDelay is how long a slow server takes for each request.
 const slowServerDelay = 150 * time.Millisecond
 
-// countingServer is a server that counts how often each request has reached it. It answers with a value, after a delay, or
-// never.
+// countingServer is a server that counts how often it receives each request. It answers with a value, at once or after
+// a delay, or never.
 type countingServer struct {
-	emulator.Instance // its entry in a list
+	emulator.Instance // its entry in an endpoint list
 	delay             time.Duration
-	hangs             bool
+	hangs             bool // it never answers
 	mutex             sync.Mutex
-	received          map[string]int // by the request's id
+	received          map[string]int // how often, by the request's id
 }
 
-// startCountingServer starts one that answers at once.
+// startCountingServer starts a server that answers at once.
 func startCountingServer(t *testing.T, name string) *countingServer {
 	t.Helper()
 	return (&countingServer{}).start(t, name)
 }
 
-// startSlowServer starts one that takes slowAnswer for each request.
+// startSlowServer starts a server that takes slowServerDelay for each request.
 func startSlowServer(t *testing.T, name string) *countingServer {
 	t.Helper()
 	return (&countingServer{delay: slowServerDelay}).start(t, name)
 }
 
-// startHangingServer starts one that never answers.
+// startHangingServer starts a server that never answers.
 func startHangingServer(t *testing.T, name string) *countingServer {
 	t.Helper()
 	return (&countingServer{hangs: true}).start(t, name)
@@ -77,14 +77,14 @@
 	s.received[id]++
 }
 
-// timesReceived is how often a request has reached it.
+// timesReceived returns how often the server has received a request.
 func (s *countingServer) timesReceived(id string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.received[id]
 }
 
-// requestCount is how many requests have reached it.
+// requestCount returns how many different requests the server has received.
 func (s *countingServer) requestCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/cmd/ospreycroft/crash.go
+++ b/cmd/ospreycroft/crash.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// maxCrashTextBytes bounds what is logged of an earlier life's traceback; its cause and first frames come first.
+// maxCrashTextBytes limits how much of a traceback is logged. The cause and the first frames stand at its start.
 const maxCrashTextBytes = 2 << 10
 
-// crashPath is the file in a directory that holds the traceback of a limiter's latest crash.
+// crashPath returns the path of the file in dir that holds the traceback of the latest crash of limiter.
 func crashPath(dir, limiter string) string {
 	return filepath.Join(dir, url.PathEscape(limiter)+".crash")
 }
 
-// initCrashFile logs why the limiter's earlier life crashed, if it did, and has the runtime write this life's crash to the same
-// file: also a fatal error of the runtime, which no program can recover, and where the log of the process is lost.
-// Whatever is wrong with the file ends no start.
+// initCrashFile logs the crash of the previous process of this limiter, if there was one, and makes the runtime write a
+// crash of this process to the same file. The file also holds fatal errors of the runtime, which no program can recover
+// from, and remains if the process's log is lost. An error with the file is logged and does not prevent the start.
 func initCrashFile(dir, limiter string) {
 	path := crashPath(dir, limiter)
 	logEarlierCrash(path)
 	file, err := os.Create(path)
 	if err == nil {
-		err = errors.Join(debug.SetCrashOutput(file, debug.CrashOptions{}), file.Close()) // the runtime has its own descriptor
+		err = errors.Join(debug.SetCrashOutput(file, debug.CrashOptions{}), file.Close()) // the runtime duplicates it
 	}
 	if err != nil {
 		slog.Warn("crash-file-unwritten", "path", path, "error", err)
 	}
 }
 
-// logEarlierCrash logs the crash that the file holds, if any.
+// logEarlierCrash logs the crash that the file at path holds, if any.
 func logEarlierCrash(path string) {
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/cmd/ospreycroft/crash_test.go
+++ b/cmd/ospreycroft/crash_test.go
@@ -15,8 +15,8 @@
 	"ospreycroft/internal/logging"
 )
 
-// TestEarlierCrashIsLogged: the next life tells what the runtime has left of the last one, once, and goes on where the
-// directory cannot be used.
+// TestEarlierCrashIsLogged: the next start logs the traceback that the runtime left behind, once, and a directory that
+// cannot be used does not prevent the start.
 func TestEarlierCrashIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	previous := slog.Default()
@@ -35,7 +35,7 @@
 	require.Contains(t, out.String(), "event=crash-file-unwritten")
 }
 
-// TestTraceOnSignal: SIGUSR1 has the trace written, and the process goes on.
+// TestTraceOnSignal: SIGUSR1 makes the program log its trace, and does not end it.
 func TestTraceOnSignal(t *testing.T) {
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
--- a/cmd/ospreycroft/descriptors_test.go
+++ b/cmd/ospreycroft/descriptors_test.go
@@ -18,11 +18,10 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// recoveryTimeout is how soon after discovery's return its list has to be heard and used.
+// recoveryTimeout is how soon after discovery is back its list must be read and used.
 const recoveryTimeout = 6 * time.Second
 
-// startIdleClients are clients that take every connection that they are let have, say nothing, and come again when they are
-// closed.
+// startIdleClients starts count clients that connect, send nothing, and connect again when they are closed.
 func startIdleClients(t *testing.T, address string, count int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -38,7 +37,7 @@
 	}
 }
 
-// holdIdleConn holds one connection until the limiter or the test ends it.
+// holdIdleConn holds one idle connection until the limiter closes it or ctx ends.
 func holdIdleConn(ctx context.Context, address string) {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", address)
@@ -50,7 +49,7 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
-// countDescriptors is how many descriptors a process holds, and how many of them are sockets.
+// countDescriptors returns how many descriptors a process holds, and how many of them are sockets.
 func countDescriptors(t *testing.T, process int) (all, sockets int) {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d/fd", process)
@@ -65,10 +64,10 @@
 	return len(list), sockets
 }
 
-// singleServerList is a list service that tells of one server, and then of no news.
+// singleServerList is a discovery service that lists one server and then reports no changes.
 type singleServerList struct {
 	server    string
-	firstCall chan time.Time
+	firstCall chan time.Time // buffered, gets the time of the first call for the whole list
 }
 
 func (l *singleServerList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -91,7 +90,8 @@
 	)
 }
 
-// startWithDescriptorLimit starts the program with so many descriptors, of which its configuration says another number, and no server.
+// startWithDescriptorLimit starts the program without servers and with a limit of descriptors, which may differ from
+// the limit that its configuration states.
 func startWithDescriptorLimit(
 	t *testing.T,
 	descriptors, configured int,
@@ -122,9 +122,10 @@
 	return address, program, log
 }
 
-// TestIdleClientsInOutage: idle clients take every descriptor that they are let have while discovery refuses. Once it
-// is back its list is heard, and a request on a client's connection that was open all the while is served, in time.
-// The second case is a process that may hold fewer descriptors than its configuration says.
+// TestIdleClientsInOutage: idle clients take every descriptor that the limiter lets them have while discovery refuses
+// connections. Once discovery is back, its list is read, and a request on a client connection that stayed open is
+// served, within recoveryTimeout. In the second case the process may hold fewer descriptors than its configuration
+// states.
 func TestIdleClientsInOutage(t *testing.T) {
 	for _, c := range []struct{ descriptors, configured int }{{96, 96}, {64, 1024}} {
 		t.Run(fmt.Sprintf("%d descriptors, %d configured", c.descriptors, c.configured), func(t *testing.T) {
@@ -144,7 +145,7 @@
 			openClient := (&testbed.Rig{Address: address}).Dial(t)
 			require.Regexp(t, "^-BUSY", sendRequest(openClient, "first"))
 			startIdleClients(t, address, 3*c.descriptors)
-			for start, n := time.Now(), 0; time.Since(start) < 3*time.Second; n++ { // it stays in use
+			for start, n := time.Now(), 0; time.Since(start) < 3*time.Second; n++ { // the connection stays in use
 				require.Regexp(t, "^-BUSY", sendRequest(openClient, fmt.Sprint("before", n)))
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -160,7 +161,7 @@
 			t.Cleanup(func() { _ = service.Close() })
 			var firstCall time.Time
 			for n := 0; firstCall.IsZero(); n++ {
-				require.Less(t, time.Since(serviceBack), recoveryTimeout, "the list is not heard")
+				require.Less(t, time.Since(serviceBack), recoveryTimeout, "discovery is not called")
 				select {
 				case firstCall = <-handler.firstCall:
 				default:
@@ -168,7 +169,7 @@
 					time.Sleep(20 * time.Millisecond)
 				}
 			}
-			time.Sleep(50 * time.Millisecond) // the list is read
+			time.Sleep(50 * time.Millisecond) // until the list is read
 			sent := time.Now()
 			openClient.Say(t, testbed.Request("served", "read", 1000))
 			serverConn := server.Accept(t)
@@ -178,9 +179,9 @@
 			require.Less(t, time.Since(serviceBack), recoveryTimeout)
 			text, err := os.ReadFile(log.Name())
 			require.NoError(t, err)
-			require.Less(t, len(text), 1<<16, "it floods its log")
+			require.Less(t, len(text), 1<<16, "the log grows too fast")
 			t.Logf(
-				"%d descriptors held, %d sockets; the list was asked for %v after discovery's return, a request served in %v; %d bytes of log",
+				"%d descriptors, %d sockets; discovery called after %v, request served in %v; %d bytes of log",
 				held,
 				sockets,
 				firstCall.Sub(serviceBack),
--- a/cmd/ospreycroft/distribution.go
+++ b/cmd/ospreycroft/distribution.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	statusCheckInterval  = time.Second      // between two looks at how the distribution stands
-	callErrorLogInterval = 10 * time.Second // a failed call is logged no more often for each type of error
-	positionCount        = 4096             // of limiters without a stated one
-	// a state that does not change is saved so often within the age up to which it is believed
+	statusCheckInterval  = time.Second      // between two checks of the subscriber's status
+	callErrorLogInterval = 10 * time.Second // minimum time between log lines for one type of call error
+	positionCount        = 4096             // positions to which names are hashed if none is configured
+	// stateSavesPerMaxAge is how often an unchanged state is saved within the maximum age of a usable state.
 	stateSavesPerMaxAge = 8
 )
 
-// configUpdates gives the reducer the configurations that come while it runs: that of the file, with the addresses that the
-// distribution has put in force in place of the file's.
+// configUpdates passes configurations to the reducer: the file's, with the addresses replaced by those that the
+// distribution has put in force.
 type configUpdates struct {
 	mutex          sync.Mutex
-	file           *settings.Config       // that of the start, with the addresses that were read last
-	addresses      distribution.Addresses // the distribution's; empty where the file's hold
-	reducerStarted bool                   // the reducer runs, or will soon
-	updates        chan *settings.Config  // unbuffered: the reducer takes one between two requests
-	done           chan struct{}          // closed once the reducer takes no more
+	file           *settings.Config       // as read at the start, with the addresses as read last
+	addresses      distribution.Addresses // from the distribution; empty where the file's apply
+	reducerStarted bool                   // start was called: updates are sent from then on
+	updates        chan *settings.Config  // unbuffered: the reducer receives one between two requests
+	done           chan struct{}          // closed once the reducer receives no more updates
 }
 
 func newConfigUpdates(file *settings.Config) *configUpdates {
 	return &configUpdates{file: file, updates: make(chan *settings.Config), done: make(chan struct{})}
 }
 
-// start gives the configuration to start with; what comes from now on is sent to the reducer.
+// start returns the configuration to start with. Later changes are sent to the reducer.
 func (u *configUpdates) start() *settings.Config {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -50,7 +50,8 @@
 	return u.withAddresses(u.file, u.addresses)
 }
 
-// withAddresses puts addresses in the place of a file's. A counter is not added.
+// withAddresses returns a copy of file with its addresses replaced by those that are not empty. The counter's is
+// ignored if the limiter has no counter.
 func (u *configUpdates) withAddresses(file *settings.Config, addresses distribution.Addresses) *settings.Config {
 	config := *file
 	if addresses.Discovery != "" {
@@ -64,8 +65,8 @@
 
 func (u *configUpdates) hasCounter() bool { return u.file.Settings.CounterTimeout > 0 }
 
-// reloadFile takes the file as it was read again. The distribution's addresses stay in force over it. Of what else differs
-// the reducer says that it holds from the next start on, so only the addresses are noted.
+// reloadFile applies a configuration file that was read again. The distribution's addresses override the file's. Only
+// the addresses are stored: other settings take effect at the next start, which the reducer logs.
 func (u *configUpdates) reloadFile(file *settings.Config) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -82,8 +83,8 @@
 	u.send(config)
 }
 
-// setAddresses puts the distribution's addresses in force, both or neither. Errors: *distribution.FixedKeyError for the
-// counter of a limiter that has none.
+// setAddresses puts the distribution's addresses in force, all or none. It returns a *distribution.FixedKeyError for a
+// counter address if the limiter has no counter.
 func (u *configUpdates) setAddresses(addresses distribution.Addresses) error {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -106,23 +107,23 @@
 	}
 }
 
-// follower keeps a limiter's distributed configuration up to date, on goroutines beside the reducer's.
+// follower keeps a limiter's distributed configuration up to date, on its own goroutines beside the reducer's.
 type follower struct {
 	*transport.Follower
 	subscriber *distribution.Subscriber
 	configs    *configUpdates
-	stateFile  *statefile.Place                          // nil where no state is kept
-	writer     *atomicfile.Writer[distribution.Snapshot] // nil where no state is kept
-	restored   bool                                      // it began with a state from the disk,
-	startedAt  int64                                     // then
-	lastLogged map[string]int64                          // when a type of error was last logged
-	clock      func() int64
+	stateFile  *statefile.Place                          // nil if no state is kept on disk
+	writer     *atomicfile.Writer[distribution.Snapshot] // nil if no state is kept on disk
+	restored   bool                                      // a state from the disk was put in force at the start
+	startedAt  int64                                     // when the follower was created
+	lastLogged map[string]int64                          // when each type of call error was last logged
+	clock      func() int64                              // nanoseconds, also the unit of startedAt and lastLogged
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
 
-// newFollower makes the follower of a limiter and puts the state on the disk in force; nil where the operator names no
-// relays.
+// newFollower creates the follower of a limiter and puts the state on the disk in force. It returns nil if the operator
+// names no relays.
 func newFollower(
 	config *settings.Config,
 	options *operator.Options,
@@ -132,7 +133,7 @@
 	if options.Distribution.Relays == [2]string{} {
 		return nil
 	}
-	scope, _ := distribution.ParseScope(options.Distribution.Scope) // package operator has checked it
+	scope, _ := distribution.ParseScope(options.Distribution.Scope) // validated by package operator
 	applier := &distribution.LimiterApplier{Move: configs.setAddresses}
 	f := &follower{configs: configs, clock: clock, startedAt: clock(), lastLogged: map[string]int64{}}
 	f.subscriber = distribution.NewSubscriber(
@@ -157,7 +158,7 @@
 	return f
 }
 
-// position is the limiter's place among all, by its name where the configuration states none.
+// position returns the limiter's position among all limiters, derived from its name if the configuration states none.
 func position(config *settings.Config) int {
 	if config.Settings.Position >= 0 {
 		return config.Settings.Position
@@ -167,7 +168,7 @@
 	return int(hash.Sum32() % positionCount)
 }
 
-// restore puts the state on the disk in force. Whatever is wrong with it is logged, and the start goes on without it.
+// restore puts the state on the disk in force. An error is logged, and the limiter starts without the state.
 func (f *follower) restore() {
 	now := f.clock()
 	snapshot, err := f.stateFile.Load(now)
@@ -191,7 +192,8 @@
 	logUnconfirmed(f.subscriber.Status(now))
 }
 
-// start begins to follow, and gives what ends it once the reducer takes no more.
+// start begins to follow the relays. The function it returns stops the follower, and is called once the reducer
+// receives no more updates.
 func (f *follower) start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -212,7 +214,7 @@
 	}
 }
 
-// versionChanged is told of each version that has come in force.
+// versionChanged logs and saves a version that was put in force.
 func (f *follower) versionChanged(snapshot *distribution.Snapshot) {
 	logVersion(snapshot.Version)
 	if f.writer != nil {
@@ -220,7 +222,8 @@
 	}
 }
 
-// reportError logs an error: each refusal, and of failed calls the first of a type for a time.
+// reportError logs an error: each refusal, and a failed call unless one with the same type of error was logged within
+// callErrorLogInterval.
 func (f *follower) reportError(err error) {
 	var refused *distribution.RefusedError
 	if errors.As(err, &refused) {
@@ -235,8 +238,8 @@
 	slog.Warn("config-call-failed", hint.Attrs(err)...)
 }
 
-// monitor logs when the version in force is unconfirmed and when it is confirmed again, and saves a state that does not
-// change.
+// monitor logs when the version in force becomes unconfirmed and when it is confirmed again, and periodically saves a
+// state that does not change.
 func (f *follower) monitor(ctx context.Context) {
 	ticker := time.NewTicker(statusCheckInterval)
 	defer ticker.Stop()
@@ -263,8 +266,8 @@
 	}
 }
 
-// status is how the subscriber stands, and whether its version is unconfirmed. One from the disk is, until the source
-// was heard in this life: until then its age is not below this life's.
+// status returns the subscriber's status and whether its version is unconfirmed. A version from the disk is unconfirmed
+// until this process has heard from the source: until then its age is at least the time since the start.
 func (f *follower) status() (status distribution.Status, unconfirmed bool) {
 	f.Do(func(now int64, s *distribution.Subscriber) {
 		status = s.Status(now)
@@ -273,7 +276,8 @@
 	return status, unconfirmed
 }
 
-// save hands the state over under the subscriber's lock, so that no older one can take a newer one's place.
+// save passes the state to the writer. It does so under the subscriber's lock, so that an older state cannot replace a
+// newer one.
 func (f *follower) save() {
 	f.Do(func(now int64, s *distribution.Subscriber) {
 		if snapshot := s.Snapshot(now); snapshot != nil {
--- a/cmd/ospreycroft/distribution_network_test.go
+++ b/cmd/ospreycroft/distribution_network_test.go
@@ -28,11 +28,12 @@
 )
 
 const (
-	eventTimeout         = 10 * time.Second
-	addressChangeTimeout = 18 * time.Second // after a publication, with faults of one relay
+	eventTimeout         = 10 * time.Second // limit of a wait for an event or a request
+	addressChangeTimeout = 18 * time.Second // from a publication until the address is used, with a faulty relay
 )
 
-// serverDiscovery is a discovery with one server of its own, so that the server shows which discovery a limiter asks.
+// serverDiscovery is a discovery service with one server of its own: the server that receives requests shows which
+// discovery a limiter uses.
 type serverDiscovery struct {
 	*emulator.Discovery
 	server *countingServer
@@ -49,20 +50,20 @@
 	return d
 }
 
-// distributionNetwork is a source, two relays behind links to it, and a limiter's files.
+// distributionNetwork is a source, two relays that reach it through fault proxies, and a limiter's files.
 type distributionNetwork struct {
 	programs       distbench.Programs
 	source         *distbench.Process
-	sourceAddress  string // of the source
+	sourceAddress  string
 	links          [2]*faultproxy.Proxy
 	relays         [2]*distbench.Process
-	relayPorts     [2]*ports.Kept // the relays'
-	relayAddresses [2]string      // their addresses
-	configDir      string         // of the limiter's files
-	stateDir       string         // of the limiter's state
+	relayPorts     [2]*ports.Kept // stay reserved while a relay is down
+	relayAddresses [2]string
+	configDir      string // the limiter's configuration and operator's file
+	stateDir       string // the limiter's distribution.state_path
 }
 
-// The times of the links' script: the cut lasts from cutFrom until cutUntil by the clock that Step is given.
+// The links are cut from cutFrom until cutUntil, in the time that is passed to Proxy.Step.
 const (
 	cutFrom  = 1
 	cutUntil = 2
@@ -74,7 +75,7 @@
 	err      error
 }
 
-// buildPrograms builds the programs once for all tests.
+// buildPrograms builds the distribution's programs once for all tests.
 func buildPrograms(t *testing.T) distbench.Programs {
 	t.Helper()
 	builds.once.Do(func() {
@@ -125,7 +126,7 @@
 	require.True(t, n.relays[i].Wrote("event=config-version", 1, eventTimeout), n.relays[i].Log())
 }
 
-// setPartitioned cuts both relays off from the source, or heals the way.
+// setPartitioned cuts both relays off from the source, or restores the links.
 func (n *distributionNetwork) setPartitioned(t *testing.T, partitioned bool) {
 	now := int64(cutUntil)
 	if partitioned {
@@ -136,7 +137,7 @@
 	}
 }
 
-// publishAddress publishes an address, and gives the version's number.
+// publishAddress publishes an endpoint's address and returns the version's number.
 func (n *distributionNetwork) publishAddress(t *testing.T, name, address string) uint64 {
 	t.Helper()
 	return n.publishMutation(t, distribution.Mutation{
@@ -161,14 +162,15 @@
 	return change.Version.Number
 }
 
-// limiterProcess is a real limiter that follows a network's relays.
+// limiterProcess is a limiter process that follows a network's relays.
 type limiterProcess struct {
 	*distbench.Process
-	address, configPath string // its own, and that of its configuration
-	config              string // of its configuration
+	address, configPath string // for clients, and of the configuration file
+	config              string // the text of that file
 }
 
-// startLimiter starts a limiter whose file names a place's discovery.
+// startLimiter starts a limiter whose configuration file names a discovery service, and whose operator's file names
+// relays.
 func (n *distributionNetwork) startLimiter(t *testing.T, discovery serverDiscovery, relays [2]string) *limiterProcess {
 	t.Helper()
 	known, err := json.Marshal([]emulator.Instance{discovery.server.Instance})
@@ -199,11 +201,11 @@
 	require.NoError(t, err)
 	t.Cleanup(l.Kill)
 	require.NoError(t, l.Reachable(l.address))
-	require.True(t, l.Wrote("event=ready", 1, eventTimeout), l.Log()) // the platform sends no client before
+	require.True(t, l.Wrote("event=ready", 1, eventTimeout), l.Log()) // the platform sends no clients earlier
 	return l
 }
 
-// awaitRequestsTo waits until a limiter's requests go to a place's server.
+// awaitRequestsTo waits until the limiter's requests reach the discovery's server.
 func (l *limiterProcess) awaitRequestsTo(t *testing.T, discovery serverDiscovery, timeout time.Duration) {
 	t.Helper()
 	before, end := discovery.server.requestCount(), time.Now().Add(timeout)
@@ -213,15 +215,15 @@
 	}
 }
 
-// client sends requests one after another on one connection, and notes their answers.
+// client sends requests one after another on one connection, and records their answers.
 type client struct {
 	stop, ended chan struct{}
 	served      []string
-	rejected    []string // other answers, each with its request and the time
-	connErr     error    // how the connection ended before it was told to stop
+	rejected    []string // other answers, each with its request, error and time
+	connErr     error    // ended the connection before stop was closed
 }
 
-// clientInterval is between two requests, and clientTimeout how long each may take.
+// clientInterval is the pause between two requests, clientTimeout the time that each may take.
 const (
 	clientInterval = 2 * time.Millisecond
 	clientTimeout  = 2 * time.Second
@@ -269,7 +271,8 @@
 	return err
 }
 
-// stopAndCheck stops the client: each request had its answer in time, and reached one server, once.
+// stopAndCheck stops the client, and checks that each request was answered with a value in time and reached exactly one
+// server, once.
 func (c *client) stopAndCheck(t *testing.T, l *limiterProcess, discoveries ...serverDiscovery) {
 	t.Helper()
 	close(c.stop)
--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -20,9 +20,9 @@
 	"ospreycroft/internal/settings"
 )
 
-// TestPublishedAddress moves a limiter under load by publications: it asks the new discovery, each request is answered
-// and runs once. An address that is none is refused whole, and what was in force serves; SIGHUP keeps what was
-// published.
+// TestPublishedAddress moves a limiter under load to another discovery by a publication: each request is answered and
+// runs once. A publication with an invalid address is refused as a whole, and the version in force stays. On SIGHUP the
+// published address still overrides the file's.
 func TestPublishedAddress(t *testing.T) {
 	t.Parallel()
 	n := startDistributionNetwork(t)
@@ -48,8 +48,8 @@
 	require.True(t, ended && err == nil, l.Log())
 }
 
-// TestCorrectedPublication publishes what cannot be put in force, an address that is none and a key that a running
-// limiter cannot change, and each time a change that mends it: that one is in force.
+// TestCorrectedPublication publishes changes that cannot be put in force, an invalid address and a key that a running
+// limiter cannot change, and after each one a change that corrects it. The correction is put in force.
 func TestCorrectedPublication(t *testing.T) {
 	t.Parallel()
 	n := startDistributionNetwork(t)
@@ -70,7 +70,7 @@
 	c.stopAndCheck(t, l, first, second)
 }
 
-// TestRelayFaults has a publication reach a limiter whose first relay talks garbage, is killed or is stalled.
+// TestRelayFaults: a publication reaches a limiter whose first relay sends garbage, is killed or is suspended.
 func TestRelayFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestRelaysPartitioned cuts both relays off from the source while an address is published: the limiter serves on, and moves once
-// the way is healed. Then both relays are gone: it says that its version is unconfirmed, and one that is back confirms
-// it.
+// TestRelaysPartitioned cuts both relays off from the source while an address is published: the limiter keeps serving,
+// and uses the address once the links are restored. Then both relays are killed: the limiter reports its version as
+// unconfirmed, and as confirmed once one relay is back.
 func TestRelaysPartitioned(t *testing.T) {
 	t.Parallel()
 	n := startDistributionNetwork(t)
@@ -136,8 +136,9 @@
 	c.stopAndCheck(t, l, first, second)
 }
 
-// TestRestartWithoutRelays kills a limiter whose relays are gone: in its next life it serves what was in force from its disk,
-// unconfirmed, though its file says another address. With the state spoilt it says so and starts by its file.
+// TestRestartWithoutRelays kills a limiter while its relays are down. After the restart it serves with the state on its
+// disk, unconfirmed, although its configuration file names another address. If the state file is truncated, the limiter
+// logs that and starts with the addresses of the configuration file. It also logs that a state cannot be written.
 func TestRestartWithoutRelays(t *testing.T) {
 	t.Parallel()
 	n := startDistributionNetwork(t)
@@ -173,7 +174,7 @@
 
 	text, err := os.ReadFile(stateFile)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(stateFile, text[:len(text)-5], 0o600)) // it is cut short
+	require.NoError(t, os.WriteFile(stateFile, text[:len(text)-5], 0o600)) // truncated
 	l = n.startLimiter(t, first, n.relayAddresses)
 	c = l.startClient(t)
 	l.awaitRequestsTo(t, first, eventTimeout)
@@ -188,11 +189,11 @@
 	c.stopAndCheck(t, l, first, second)
 }
 
-// TestRelayPortReservedWhileDown: a relay that was killed could not be started again, since something else on the machine
-// had its port by then ("bind: address already in use", once in many runs of TestRestart).
+// TestRelayPortReservedWhileDown guards against a relay that cannot be restarted after a kill because its port is taken
+// ("bind: address already in use", once in many runs of TestRestartWithoutRelays).
 //
-// The relay had asked the kernel for any free port; behind its end the port was free again, and the kernel gave it to the next
-// connection that went out, here or in another test's process. The dial below does on purpose what the kernel did by chance.
+// Relays used to listen on any port that the kernel found free. Once a relay had ended, the kernel could give its port
+// to any outgoing connection, of this test or of another process. The dial below requests that port on purpose.
 func TestRelayPortReservedWhileDown(t *testing.T) {
 	n := startDistributionNetwork(t)
 	n.relays[0].Kill()
@@ -207,7 +208,7 @@
 	n.startRelay(t, 0)
 }
 
-// configWithCounter is a configuration of a limiter with a counter.
+// configWithCounter returns the configuration of a limiter with a counter.
 func configWithCounter(t *testing.T, discovery, counter string) *settings.Config {
 	t.Helper()
 	config, err := settings.DecodeConfig(
@@ -221,7 +222,7 @@
 	return config
 }
 
-// TestConfigUpdates puts the distribution's addresses over the file's, before the reducer runs and while it does.
+// TestConfigUpdates: the distribution's addresses override the file's, before the reducer runs and while it does.
 func TestConfigUpdates(t *testing.T) {
 	configs := newConfigUpdates(configWithCounter(t, "a:1", "a:2"))
 	require.NoError(t, configs.setAddresses(distribution.Addresses{Counter: "b:2"}))
@@ -247,23 +248,24 @@
 		t,
 		[]string{"c:1", "d:2"},
 		takeUpdate(func() { _ = configs.setAddresses(distribution.Addresses{Counter: "d:2"}) }),
-		"the file's newest",
+		"the file's address as read last",
 	)
 	close(configs.done)
-	require.NoError(t, configs.setAddresses(distribution.Addresses{Counter: "e:2"}), "the reducer takes no more")
+	require.NoError(t, configs.setAddresses(distribution.Addresses{Counter: "e:2"}), "the reducer has ended")
 }
 
-// TestCounterAddressWithoutCounter publishes a counter's address to a limiter that has none.
+// TestCounterAddressWithoutCounter publishes a counter's address to a limiter without a counter.
 func TestCounterAddressWithoutCounter(t *testing.T) {
 	config := configWithCounter(t, "a:1", "a:2")
 	config.Settings.CounterTimeout = 0
 	configs := newConfigUpdates(config)
 	var fixed *distribution.FixedKeyError
 	require.ErrorAs(t, configs.setAddresses(distribution.Addresses{Discovery: "b:1", Counter: "b:2"}), &fixed)
-	require.Equal(t, "a:1", configs.start().Discovery, "both or neither")
+	require.Equal(t, "a:1", configs.start().Discovery, "neither address is put in force")
 }
 
-// TestNoRelaysNoFollower reads an operator's file without relays: nothing follows.
+// TestNoRelaysNoFollower: without relays in the operator's file there is no follower, and the configuration file
+// applies.
 func TestNoRelaysNoFollower(t *testing.T) {
 	config := configWithCounter(t, "a:1", "a:2")
 	configs := newConfigUpdates(config)
@@ -271,8 +273,8 @@
 	require.Equal(t, config, configs.start())
 }
 
-// TestFollowerStops ends a follower in the middle of a move that the reducer no longer takes, with no relay there:
-// nothing is left.
+// TestFollowerStops stops a follower during a change of addresses that the reducer no longer receives, with no relay
+// reachable. No goroutine is left.
 func TestFollowerStops(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	config := configWithCounter(t, "a:1", "a:2")
@@ -292,8 +294,8 @@
 	require.Less(t, time.Since(stopStart), time.Second)
 }
 
-// TestUnchangedStateSavedAgain keeps a state that does not change: it is saved again while it is confirmed, so that it does not
-// become too old to be believed.
+// TestUnchangedStateSavedAgain: a state that does not change is saved again while it is confirmed, so that it does not
+// exceed the maximum age.
 func TestUnchangedStateSavedAgain(t *testing.T) {
 	t.Parallel()
 	n := startDistributionNetwork(t)
--- a/cmd/ospreycroft/main.go
+++ b/cmd/ospreycroft/main.go
@@ -1,7 +1,9 @@
-// Command ospreycroft is one real limiter: it takes clients' requests and sends them to servers as package choice decides.
+// Command ospreycroft is one limiter: it accepts requests of clients and forwards them to servers as package choice
+// decides.
 //
-// With no arguments, as the platform starts it, it serves until SIGTERM (run.go). `ospreycroft check` reads a configuration and
-// states its bounds (check.go). GW_CONFIG names the configuration, GW_OPERATOR the operator's file.
+// Without arguments, as the platform starts it, it serves until SIGTERM (run.go). `ospreycroft check` reads a
+// configuration and prints its bounds (check.go). GW_CONFIG names the configuration file, GW_OPERATOR the operator's
+// file.
 package main
 
 import (
@@ -18,7 +20,8 @@
 	logging.Install(os.Stderr)
 	defer logging.Flush()
 	root := &cobra.Command{
-		Use: "ospreycroft", Short: "one limiter; GW_CONFIG names its configuration", Args: cobra.NoArgs, SilenceUsage: true,
+		Use: "ospreycroft", Short: "one limiter; GW_CONFIG names its configuration",
+		Args: cobra.NoArgs, SilenceUsage: true,
 		RunE: func(*cobra.Command, []string) error { return run() },
 	}
 	root.AddCommand(checkCommand())
--- a/cmd/ospreycroft/pipeline_test.go
+++ b/cmd/ospreycroft/pipeline_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPipelinedDeadlinesAreKept: what TestPipelinedDeadlines of the limiter plays, with a real process. The server
-// hangs. A client that sent a request with little time behind one with much saw its answer two seconds late.
+// TestPipelinedDeadlinesAreKept is the test TestPipelinedDeadlines of package limiter with a real process and a server
+// that hangs. It guards against late answers: a client that sent a request with a short timeout after one with a long
+// timeout got its answer two seconds late.
 func TestPipelinedDeadlinesAreKept(t *testing.T) {
 	address, _, _, _ := startProgram(t, "127.0.0.1:1", startHangingServer(t, "hangs").Instance)
 	conn, err := net.Dial("tcp", address)
@@ -26,8 +27,9 @@
 		_, err := answers.ReadString('\n')
 		require.NoError(t, err)
 	}
-	require.Less(t, time.Since(sent), shortTimeout+answerSlack, "both have their answers by the earlier deadline")
+	require.Less(t, time.Since(sent), shortTimeout+answerSlack, "both requests are answered by the earlier deadline")
 }
 
-// answerSlack is how long after a deadline an answer may come on a busy machine: what is later than half a second is lost.
+// answerSlack is how long after its deadline an answer may come on a busy machine. An answer more than half a second
+// late counts as lost.
 const answerSlack = 100 * time.Millisecond
--- a/cmd/ospreycroft/program_test.go
+++ b/cmd/ospreycroft/program_test.go
@@ -25,17 +25,17 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// programHarness is a program with a counter, of which the test holds the other ends.
+// programHarness is a program under test, with a client of it and the test's own counters.
 type programHarness struct {
 	t                    *testing.T
-	config               string // its file
+	config               string // path of the configuration file
 	program              *exec.Cmd
 	exited               chan error
 	client               *testbed.Conn
-	counter, nextCounter *testbed.Peer // where the counter is, and where the next configuration puts it
+	counter, nextCounter *testbed.Peer // of the configuration at the start, and of the next one
 }
 
-// writeConfig writes the configuration.
+// writeConfig writes the configuration file.
 func (h *programHarness) writeConfig(listen, counter, server string) {
 	h.t.Helper()
 	known, _ := json.Marshal([]emulator.Instance{{ID: "s", HostPort: server, Lifecycle: "in_service", Weight: 1}})
@@ -49,13 +49,14 @@
 	require.NoError(h.t, os.WriteFile(h.config, []byte(config), 0o600))
 }
 
-// startHarness starts the program, with its log to a file, and a client.
+// startHarness starts the program, with its log written to a file, and a client.
 func startHarness(t *testing.T, server string, log *os.File) *programHarness {
 	t.Helper()
 	return startHarnessWithShim(t, server, log, nil)
 }
 
-// startHarnessWithShim does so with the program's system calls decided on, nil for none, and with more in its environment.
+// startHarnessWithShim is startHarness with decide applied to the program's system calls, nil to run it without the
+// shim, and with additions to its environment.
 func startHarnessWithShim(
 	t *testing.T,
 	server string,
@@ -67,7 +68,7 @@
 	return startHarnessAndDo(t, server, log, decide, func(*exec.Cmd) {}, environment...)
 }
 
-// startHarnessAndDo does so, and something else as soon as the program's process is there.
+// startHarnessAndDo is startHarnessWithShim with a function that is called as soon as the process has started.
 func startHarnessAndDo(
 	t *testing.T,
 	server string,
@@ -109,23 +110,24 @@
 		return err == nil
 	}, testbed.Patience, 20*time.Millisecond)
 	h.client = (&testbed.Rig{Address: listen}).Dial(t)
-	h.writeConfig(listen, h.nextCounter.Address, server) // what SIGHUP brings
+	h.writeConfig(listen, h.nextCounter.Address, server) // for the next SIGHUP
 	return h
 }
 
-// requireExit fails the test unless the program ends in order.
+// requireExit fails the test unless the program exits without an error within the timeout.
 func (h *programHarness) requireExit(timeout time.Duration) {
 	h.t.Helper()
 	select {
 	case err := <-h.exited:
 		require.NoError(h.t, err)
 	case <-time.After(timeout):
-		h.t.Fatal("it does not end")
+		h.t.Fatal("the program does not exit")
 	}
 }
 
-// TestSignalsDuringShutdown: SIGTERM finds a request in each state, and SIGTERM again and SIGHUP twice come behind it. The
-// request is served, its units are settled, at the counter's new place, and the process ends in order and in time.
+// TestSignalsDuringShutdown: SIGTERM comes while a request is in one of its states, and another SIGTERM and two SIGHUPs
+// follow. The request is served, its units are settled at the counter's new address, and the process exits without an
+// error and in time.
 func TestSignalsDuringShutdown(t *testing.T) {
 	for _, state := range []string{"reserving", "dialling", "sent"} {
 		t.Run(state, func(t *testing.T) {
@@ -161,12 +163,16 @@
 				signal syscall.Signal
 				log    string
 				times  int
-			}{{syscall.SIGTERM, "event=stopping", 1}, {syscall.SIGTERM, "event=stopping", 1}, {syscall.SIGHUP, "event=config-read", 1},
-				{syscall.SIGHUP, "event=config-read", 2}} {
+			}{
+				{syscall.SIGTERM, "event=stopping", 1},
+				{syscall.SIGTERM, "event=stopping", 1},
+				{syscall.SIGHUP, "event=config-read", 1},
+				{syscall.SIGHUP, "event=config-read", 2},
+			} {
 				require.NoError(t, h.program.Process.Signal(next.signal), i)
 				awaitLogged(next.log, next.times)
 			}
-			time.Sleep(time.Until(stopSent.Add(900 * time.Millisecond))) // one that owes nothing has ended by then
+			time.Sleep(time.Until(stopSent.Add(900 * time.Millisecond))) // an idle limiter has exited by then
 			if state == "reserving" {
 				counterConn.Say(t, "ok 1\r\n")
 			}
@@ -181,7 +187,7 @@
 			require.Equal(t, "$value", h.client.Answer(t))
 			counterConn = h.nextCounter.Accept(t)
 			require.Contains(t, counterConn.Line(t), "tally ")
-			require.NoError(t, h.program.Process.Signal(syscall.SIGHUP)) // it has not ended
+			require.NoError(t, h.program.Process.Signal(syscall.SIGHUP)) // fails if the process has exited
 			awaitLogged("event=config-read", 3)
 			counterConn.Say(t, "ok 3\r\n")
 			h.requireExit(time.Until(stopSent.Add(3700 * time.Millisecond)))
@@ -189,8 +195,8 @@
 	}
 }
 
-// TestTraceSignalsDuringStart: signals that ask for the trace come while the program starts, from when the Go runtime has taken
-// signals over, a millisecond behind exec. It starts, and logs a trace.
+// TestTraceSignalsDuringStart: signals that request the trace come while the program starts, from when the Go runtime
+// has installed its signal handlers, a millisecond after exec. The program starts, and logs a trace.
 func TestTraceSignalsDuringStart(t *testing.T) {
 	log, readLog := logFile(t)
 	server := testbed.Listen(t)
@@ -214,8 +220,8 @@
 	require.Contains(t, readLog(), "event=trace")
 }
 
-// TestLogReaderCloses: who reads the log may end first, where both are told to end together. What was taken is answered
-// all the same.
+// TestLogReaderCloses: the reader of the log exits before the program, as may happen when both are told to stop
+// together. Accepted requests are still answered.
 func TestLogReaderCloses(t *testing.T) {
 	server := testbed.Listen(t)
 	read, write, err := os.Pipe()
@@ -236,11 +242,11 @@
 	h.requireExit(testbed.Patience)
 }
 
-// TestLogPipeFull: clients were left without answers, though servers and counter were well: whoever collects the log had
-// stopped reading, and the goroutine that does everything else stood still in the write of its next line.
+// TestLogPipeFull guards against clients left without answers while servers and counter are well: the collector of the
+// log had stopped reading, and the reducer's goroutine blocked in the write of its next line.
 //
-// The log is a pipe of the smallest size, full before the program starts. The program must become ready, serve, end in order
-// at SIGTERM, and write on where it was, in whole lines, once the pipe is read.
+// The log is a pipe of the smallest size that is full before the program starts. The program becomes ready, serves and
+// exits on SIGTERM, and goes on writing whole lines once the pipe is read.
 func TestLogPipeFull(t *testing.T) {
 	read, write, err := os.Pipe()
 	require.NoError(t, err)
@@ -261,10 +267,14 @@
 	}
 	require.Contains(t, lines.Text(), "event=ready")
 
-	filler, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", write.Fd()), unix.O_WRONLY|unix.O_NONBLOCK|unix.O_CLOEXEC, 0)
+	filler, err := unix.Open(
+		fmt.Sprintf("/proc/self/fd/%d", write.Fd()),
+		unix.O_WRONLY|unix.O_NONBLOCK|unix.O_CLOEXEC,
+		0,
+	)
 	require.NoError(t, err)
 	defer func() { _ = unix.Close(filler) }()
-	for err == nil { // it is full again as the program ends
+	for err == nil { // the pipe is full again when the program exits
 		_, err = unix.Write(filler, []byte("."))
 	}
 	require.ErrorIs(t, err, unix.EAGAIN)
@@ -272,13 +282,14 @@
 	h.requireExit(testbed.Patience)
 }
 
-// suspend stops the program and returns once all of its threads stand still.
+// suspend stops the program and returns once all its threads are stopped.
 func (h *programHarness) suspend() {
 	h.t.Helper()
 	suspend(h.t, h.program.Process)
 }
 
-// suspend stops a process and returns once all of its threads stand still, which the signal alone does not wait for.
+// suspend stops a process and returns once all its threads are stopped, for which sending the signal alone does not
+// wait.
 func suspend(t *testing.T, process *os.Process) {
 	t.Helper()
 	require.NoError(t, process.Signal(syscall.SIGSTOP))
@@ -287,7 +298,7 @@
 		files, _ := filepath.Glob(tasks)
 		return len(files) > 0 && !slices.ContainsFunc(files, func(file string) bool {
 			text, _ := os.ReadFile(file)
-			_, rest, _ := strings.Cut(string(text), ") ") // behind the name
+			_, rest, _ := strings.Cut(string(text), ") ") // after the process's name
 			return !strings.HasPrefix(rest, "T")
 		})
 	}, testbed.Patience, time.Millisecond)
--- a/cmd/ospreycroft/reload_test.go
+++ b/cmd/ospreycroft/reload_test.go
@@ -12,8 +12,8 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// TestRejectedReload sends SIGHUP for files that cannot work: each is turned down whole, with its key in the log, and
-// nothing moves. A good one behind them moves the list service.
+// TestRejectedReload sends SIGHUP for configuration files that cannot be used: each one is rejected as a whole, with
+// its key in the log, and no address changes. A valid file after them changes the address of discovery.
 func TestRejectedReload(t *testing.T) {
 	first, second := testbed.Listen(t), testbed.Listen(t)
 	_, program, exited, log := startProgram(t, first.Address)
--- a/cmd/ospreycroft/run.go
+++ b/cmd/ospreycroft/run.go
@@ -18,18 +18,19 @@
 	"ospreycroft/internal/transient"
 )
 
-// configVariable names the configuration's file.
+// configVariable is the environment variable that holds the path of the configuration file.
 const configVariable = "GW_CONFIG"
 
-// memoryReserveDivisor: the runtime keeps to three of so many parts of the memory, the rest is left for what it does not count.
+// memoryReserveDivisor: one part in this many of the configured memory is withheld from the Go runtime, for memory that
+// the runtime does not count.
 const memoryReserveDivisor = 4
 
-// run serves until SIGTERM, and ends once all that was accepted is answered.
+// run serves until SIGTERM or SIGINT, and returns once every accepted request is answered.
 func run() error {
-	reloads := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
+	reloads := make(chan os.Signal, 1) // one pending signal is enough: the reload reads the latest file
 	signal.Notify(reloads, syscall.SIGHUP)
-	traceRequests := traceSignal() // before anything else, so that none is missed
-	signal.Ignore(syscall.SIGPIPE) // who reads the log may end first: it ends no limiter that owes answers
+	traceRequests := traceSignal() // registered early, so that no signal is missed
+	signal.Ignore(syscall.SIGPIPE) // the log reader may exit first; accepted requests are still answered
 	config, err := readConfig()
 	if err != nil {
 		return err
@@ -48,7 +49,7 @@
 	follower := newFollower(config, options, configs, clock)
 	config = configs.start()
 	go reloadOn(reloads, configs)
-	if err := sockets.Descriptors(config.Sockets); err != nil { // it serves as far as they go
+	if err := sockets.Descriptors(config.Sockets); err != nil { // serve with as many as there are
 		slog.Warn("descriptors-short", hint.Attrs(err)...)
 	}
 	listener, err := listen(config)
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// readConfig reads the configuration, at the start and again when SIGHUP says that it was replaced. A read that fails for
-// want of something on this machine is made again: it passes, and nobody sends the signal twice.
+// readConfig reads the configuration file, at the start and again on SIGHUP. A read that fails because of a temporary
+// shortage on this machine is retried, since nobody sends the signal twice.
 func readConfig() (config *settings.Config, err error) {
 	err = transient.RetryStart(func() error {
 		config, err = settings.ReadFile(os.Getenv(configVariable))
@@ -87,7 +88,7 @@
 	return config, err
 }
 
-// readOptions reads the operator's file, again like the configuration.
+// readOptions reads the operator's file, with the same retries as readConfig.
 func readOptions() (options *operator.Options, err error) {
 	err = transient.RetryStart(func() error {
 		options, err = operator.Read()
@@ -96,7 +97,7 @@
 	return options, err
 }
 
-// listen opens the address for clients, again where that fails for want of something on this machine.
+// listen opens the address for clients, with the same retries as readConfig.
 func listen(config *settings.Config) (listener *sockets.Sockets, err error) {
 	err = transient.RetryStart(func() error {
 		listener, err = sockets.Listen(config.Listen, limiter.MaxClients(config), config.Sockets)
@@ -105,14 +106,14 @@
 	return listener, err
 }
 
-// limitRuntime keeps the Go runtime to one thread that runs Go code at a time, as there is one core (with more, each wake costs a
-// search for idle ones), and to a part of the memory.
+// limitRuntime limits the Go runtime to part of the configured memory and to one thread that runs Go code at a time:
+// there is one core, and with more threads each wake-up costs a search for idle ones.
 func limitRuntime(config *settings.Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(config.Memory * (memoryReserveDivisor - 1) / memoryReserveDivisor)
 }
 
-// stopSignal gives a channel that is closed at SIGTERM or SIGINT. Its goroutine lasts until then.
+// stopSignal returns a channel that is closed on SIGTERM or SIGINT. Its goroutine runs until then.
 func stopSignal() <-chan struct{} {
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
@@ -124,28 +125,29 @@
 	return stop
 }
 
-// traceSignal gives a channel of the signal with which an operator asks for the latest records of the trace.
+// traceSignal returns a channel of SIGUSR1 signals, by which an operator requests the latest records of the trace.
 func traceSignal() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
 	return signals
 }
 
-// logTraceOn has the trace logged at each signal, until the process ends.
+// logTraceOn logs the trace on each signal, until the process exits.
 func logTraceOn(signals <-chan os.Signal, listener *sockets.Sockets) {
 	for range signals {
 		listener.LogTrace()
 	}
 }
 
-// newClock gives the process's clock, in nanoseconds. All limiters name their counts by one clock, so it begins as the system's;
-// from then on it only goes forward.
+// newClock returns the process's clock, in nanoseconds. It starts at the wall clock's time, because all limiters name
+// the counter's windows by the same clock, and then advances monotonically.
 func newClock() func() int64 {
 	start := time.Now()
 	return func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 }
 
-// reloadOn reads the configuration again at each signal, until the process ends. One that cannot be used changes nothing.
+// reloadOn reads the configuration again on each signal, until the process exits. A file that cannot be used is logged
+// and changes nothing.
 func reloadOn(signals <-chan os.Signal, configs *configUpdates) {
 	for range signals {
 		config, err := readConfig()
@@ -157,7 +159,7 @@
 	}
 }
 
-// logStart logs that the limiter listens, and what its configuration means.
+// logStart logs that the limiter listens, and the bounds that follow from its configuration.
 func logStart(config *settings.Config, options *operator.Options) error {
 	slog.Info("started", "name", config.Name, "listen", config.Listen)
 	if err := reportCounterLoss(config, logging.Event.Log); err != nil {
--- a/cmd/ospreycroft/snapshots.go
+++ b/cmd/ospreycroft/snapshots.go
@@ -12,11 +12,11 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// snapshotSavesPerMaxAge: a list that does not change is saved so often within the age up to which it is believed.
+// snapshotSavesPerMaxAge is how often an unchanged endpoint list is saved within the maximum age of a usable snapshot.
 const snapshotSavesPerMaxAge = 8
 
-// startSnapshots reads what an earlier life of this limiter has left on a disk and begins to write there. Whatever is wrong
-// with it is logged, and the start goes on without it.
+// startSnapshots loads the snapshot that the previous process of this limiter left on the disk and starts the writer of
+// new ones; the function it returns closes the writer. An error is logged, and the limiter starts without a snapshot.
 func startSnapshots(
 	config *settings.Config,
 	options *operator.Options,
--- a/cmd/ospreycroft/stop_test.go
+++ b/cmd/ospreycroft/stop_test.go
@@ -25,7 +25,8 @@
 	"ospreycroft/internal/resp"
 )
 
-// TestMain lets the tests start the program itself: the test's own file, told so.
+// TestMain runs the program itself in place of the tests where OSPREYCROFT_IS_THE_PROGRAM is set, so that tests can
+// start the test binary as the program.
 func TestMain(m *testing.M) {
 	syscallshim.LaunchIfAsked()
 	if os.Getenv("OSPREYCROFT_IS_THE_PROGRAM") != "" {
@@ -36,16 +37,16 @@
 	os.Exit(m.Run())
 }
 
-// request is one that may take so many milliseconds.
+// request returns a request with a timeout in milliseconds.
 func request(id string, timeoutMs int) []byte {
 	return resp.AppendCommand(nil, []byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id),
 		fmt.Appendf(nil, "c=c,t=p,d=%d,units=1,spread=1,first=0", timeoutMs))
 }
 
-// defaultClass is the class of the requests, with no deadline told.
+// defaultClass is the class of the requests, without a deadline.
 const defaultClass = `{"name":"c","aim":2,"effect":"free","group":"all"}`
 
-// startProgram starts the program and waits until it listens.
+// startProgram starts the program and waits until it accepts connections.
 func startProgram(
 	t *testing.T,
 	discovery string,
@@ -55,7 +56,8 @@
 	return startProgramWithShim(t, nil, defaultClass, discovery, servers...)
 }
 
-// startProgramWithShim does so with the program's system calls decided on, nil for none, and the settings of the requests' class.
+// startProgramWithShim is startProgram with decide applied to the program's system calls, nil to run it without the
+// shim, and with the settings of the requests' class.
 func startProgramWithShim(
 	t *testing.T,
 	decide syscallshim.Decide,
@@ -98,8 +100,9 @@
 	}
 }
 
-// TestStopUnderLoad ends a real process under clients that never let go. What it has sent on it answers, it ends
-// before it may be killed, and who comes in the first half second is served.
+// TestStopUnderLoad stops the program under clients that keep their connections open and always have a request in
+// flight. The program answers what it has forwarded and exits before it may be killed, and clients that connect in the
+// first half second are served.
 func TestStopUnderLoad(t *testing.T) {
 	all, entries := make([]*countingServer, 24), make([]emulator.Instance, 24)
 	for i := range all {
@@ -127,34 +130,36 @@
 	time.Sleep(300 * time.Millisecond)
 	startClient(5, 0)
 	startClient(6, 100*time.Millisecond)
-	startClient(7, time.Second) // on a connection that it has had for long
+	startClient(7, time.Second) // on a connection that has been open for a second
 	select {
 	case err := <-exited:
 		if took := time.Since(stopSent); err != nil || took > 3700*time.Millisecond {
-			t.Errorf("it ended after %v, error %v\n%s", took, err, log)
+			t.Errorf("the program exited after %v, error %v\n%s", took, err, log)
 		} else {
-			t.Logf("it ended after %v", took)
+			t.Logf("the program exited after %v", took)
 		}
 	case <-time.After(8 * time.Second):
-		t.Errorf("it does not end")
+		t.Errorf("the program does not exit")
 		_ = program.Process.Kill()
 	}
 	running.Wait()
 	for i, c := range clients {
 		for _, id := range c.Lost {
 			for _, s := range all {
-				assert.Zero(t, s.timesReceived(id), "%s was sent on and has no answer", id)
+				assert.Zero(t, s.timesReceived(id), "%s was forwarded and has no answer", id)
 			}
 		}
 		assert.True(t, i >= 7 || c.Served != 0, "%s: %d answers, none served", c.Name, c.Answered)
-		t.Logf("%s: %d answered, %d served, %d crossed", c.Name, c.Answered, c.Served, len(c.Lost))
+		t.Logf("%s: %d answered, %d served, %d without an answer", c.Name, c.Answered, c.Served, len(c.Lost))
 	}
 }
 
-// TestStopBeforeEarliestKill: the kill comes as early as it may, at the longest deadline and 0.7 s after SIGTERM, while a server hangs
-// and clients send on open connections. The program has ended by then, and what it sent on, also to the server that hangs, has its
-// final answer. A client is served as soon as one of its requests has reached a server that answers: at the start both requests
-// that it keeps open may be with the server that hangs, which leaves it with failures alone.
+// TestStopBeforeEarliestKill: the kill comes as early as it may, the longest deadline plus 0.7 s after SIGTERM, while a
+// server hangs and clients send on open connections. By then the program has exited, and every request that it
+// forwarded, also to the hanging server, has its final answer.
+//
+// A client must be served only if one of its requests has reached a server that answers: at the start both requests
+// that it keeps in flight may be at the hanging server, and then all its answers are failures.
 func TestStopBeforeEarliestKill(t *testing.T) {
 	for _, deadline := range []time.Duration{400 * time.Millisecond, time.Second, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -164,7 +169,7 @@
 	}
 }
 
-// stopBeforeKill plays it with a longest deadline.
+// stopBeforeKill runs TestStopBeforeEarliestKill with one longest deadline.
 func stopBeforeKill(t *testing.T, deadline time.Duration) {
 	t.Helper()
 	killAfter := deadline + 700*time.Millisecond
@@ -179,7 +184,11 @@
 	clients := make([]loadgen.Holder, 12)
 	var running sync.WaitGroup
 	for i := range clients {
-		clients[i] = loadgen.Holder{Name: fmt.Sprint("caller", i), Second: 40 * time.Millisecond, Patient: 8 * time.Second}
+		clients[i] = loadgen.Holder{
+			Name:    fmt.Sprint("caller", i),
+			Second:  40 * time.Millisecond,
+			Patient: 8 * time.Second,
+		}
 		running.Go(func() {
 			clients[i].Run(address, func(id string) []byte { return request(id, int(deadline.Milliseconds())) })
 		})
@@ -190,11 +199,11 @@
 	select {
 	case err := <-exited:
 		require.NoError(t, err, log)
-		t.Logf("it ended after %v, %d requests hung", time.Since(stopSent), hangs.requestCount())
+		t.Logf("the program exited after %v, %d requests hung", time.Since(stopSent), hangs.requestCount())
 	case <-time.After(killAfter):
 		_ = program.Process.Kill()
 		require.Error(t, <-exited)
-		t.Errorf("it has not ended when the kill may come\n%s", log)
+		t.Errorf("the program has not exited by the earliest kill\n%s", log)
 	}
 	running.Wait()
 	require.Positive(t, hangs.requestCount())
@@ -203,17 +212,17 @@
 		if sent := c.Answered + len(c.Lost); reachedAny(all[1:], c.Name, sent) {
 			assert.Positive(t, c.Served, c.Name)
 		} else {
-			t.Logf("%s: the server that hangs has had all that was sent on of its %d requests", c.Name, sent)
+			t.Logf("%s: of its %d requests, all that were forwarded went to the hanging server", c.Name, sent)
 		}
 		for _, id := range c.Lost {
 			for _, s := range all {
-				assert.Zero(t, s.timesReceived(id), "%s was sent on and has no answer", id)
+				assert.Zero(t, s.timesReceived(id), "%s was forwarded and has no answer", id)
 			}
 		}
 	}
 }
 
-// reachedAny tells whether one of a client's requests, of which there are so many, has reached one of the servers.
+// reachedAny tells whether any of a client's requests, numbered from 1 to requests, has reached one of the servers.
 func reachedAny(servers []*countingServer, client string, requests int) bool {
 	for n := 1; n <= requests; n++ {
 		for _, s := range servers {
@@ -225,8 +234,9 @@
 	return false
 }
 
-// TestListChangeWhileSuspended stops a real process while requests come and its list changes behind them: woken, it sends nothing to the
-// server that drains, though it reads the requests first, and serves them elsewhere.
+// TestListChangeWhileSuspended suspends the program while requests come and, after them, its endpoint list changes.
+// When it resumes it reads the requests first; it still sends nothing to the draining server, and serves them
+// elsewhere.
 func TestListChangeWhileSuspended(t *testing.T) {
 	draining, staying := startSlowServer(t, "drains"), startSlowServer(t, "stays")
 	drainingEntry, stayingEntry := draining.Instance, staying.Instance
@@ -244,7 +254,7 @@
 		defer func() { _ = conns[i].Close() }()
 	}
 	time.Sleep(300 * time.Millisecond)
-	for i, c := range conns[:2] { // so that a connection to each server rests
+	for i, c := range conns[:2] { // so that there is an idle connection to each server
 		_, _ = c.Write(request(fmt.Sprint("early-", i), 9000))
 	}
 	buffer := make([]byte, 1024)
@@ -269,6 +279,6 @@
 		line, err := bufio.NewReader(c).ReadString('\n')
 		assert.NoError(t, err, "request %d: %q", i, line)
 	}
-	assert.Equal(t, 1, draining.requestCount(), "the one that drains got more than the early request\n%s", log)
+	assert.Equal(t, 1, draining.requestCount(), "the draining server got more than the early request\n%s", log)
 	assert.Greater(t, staying.requestCount(), 1, "%s", log)
 }
--- a/cmd/ospreycroft/suspended_shutdown_test.go
+++ b/cmd/ospreycroft/suspended_shutdown_test.go
@@ -14,9 +14,9 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// TestUnreadRequestsDuringShutdown: the process has no processor around the time, 0.5 s after SIGTERM, when idle
-// connections of clients are left. Requests that came meanwhile lie unread in the kernel then: each is answered, and no
-// connection ends under one.
+// TestUnreadRequestsDuringShutdown: the process is suspended around the time, 0.5 s after SIGTERM, when it closes idle
+// connections of clients. Requests that came meanwhile are still unread in the kernel: each one is answered, and no
+// connection is closed with a request unanswered.
 func TestUnreadRequestsDuringShutdown(t *testing.T) {
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
@@ -48,7 +48,7 @@
 	h.requireExit(testbed.Patience)
 }
 
-// ping is the answer to PING.
+// ping returns the answer to PING.
 func ping(t *testing.T, c *testbed.Conn) string {
 	t.Helper()
 	c.Say(t, "*1\r\n$4\r\nPING\r\n")
--- a/cmd/ospreycroft/system_calls_test.go
+++ b/cmd/ospreycroft/system_calls_test.go
@@ -18,10 +18,10 @@
 	"ospreycroft/internal/operator"
 )
 
-// System calls of the program fail as Linux documents, and it goes on: a request is served, and what failed on this machine
-// is not laid at a server's door.
+// In these tests system calls of the program fail as Linux documents. The program keeps running: a request is served,
+// and a failure of this machine is not counted against a server.
 
-// logFile is a file for the program's log, and a look at what it holds.
+// logFile creates a file for the program's log, and returns a function that reads it.
 func logFile(t *testing.T) (file *os.File, readLog func() string) {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "log"))
@@ -48,7 +48,8 @@
 	require.Equal(t, "$"+value, h.client.Answer(t))
 }
 
-// TestPartialReadsAndWrites: each read and write of a socket does seven bytes at most, and every third is interrupted.
+// TestPartialReadsAndWrites: each read and write of a socket transfers seven bytes at most, and every third one is
+// interrupted.
 func TestPartialReadsAndWrites(t *testing.T) {
 	calls := 0
 	log, _ := logFile(t)
@@ -65,8 +66,8 @@
 	requireServed(t, h, server)
 }
 
-// TestTransientAcceptErrors: accept fails for 300 ms. The client that waits is served then, the program does not spin, and
-// says once a second at most what it is about.
+// TestTransientAcceptErrors: accept fails for 300 ms. The waiting client is served afterwards, the program does not
+// spin, and it logs the error once a second at most.
 func TestTransientAcceptErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ECONNABORTED, unix.EINTR} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -79,7 +80,7 @@
 					return syscallshim.Decision{}
 				}
 				if failed.Add(1) > 20 && (errno == unix.ECONNABORTED || errno == unix.EINTR) {
-					return syscallshim.Decision{} // of these the standard library tries the next at once
+					return syscallshim.Decision{} // the standard library retries these at once
 				}
 				return syscallshim.Decision{Errno: errno}
 			})
@@ -94,7 +95,7 @@
 	}
 }
 
-// TestTransientDialErrors: socket or connect fails three times as the program dials its server, or while it starts. The
+// TestTransientDialErrors: socket or connect fails three times while the program dials its server or starts. The
 // request is served, and the server is not ejected.
 func TestTransientDialErrors(t *testing.T) {
 	for _, c := range []struct {
@@ -108,7 +109,7 @@
 		{unix.SYS_CONNECT, unix.EAGAIN},
 		{unix.SYS_CONNECT, unix.EADDRNOTAVAIL},
 		{unix.SYS_CONNECT, unix.ENETUNREACH},
-		// Interrupted before it has begun. Go's dialler took it for one that goes on by itself, and waited for it.
+		// Interrupted before the connect began. Go's dialer took it for one in progress, and waited for it.
 		{unix.SYS_CONNECT, unix.EINTR},
 	} {
 		for _, atStart := range []bool{false, true} {
@@ -134,7 +135,8 @@
 	}
 }
 
-// TestStartRetriesFailedReads: a read of the configuration or of the operator's file fails three times as the program starts.
+// TestStartRetriesFailedReads: a read of the configuration or of the operator's file fails three times while the
+// program starts.
 func TestStartRetriesFailedReads(t *testing.T) {
 	operatorFile := filepath.Join(t.TempDir(), "operator.toml")
 	require.NoError(t, os.WriteFile(operatorFile, []byte("installation = 'i'\n"), 0o600))
@@ -158,7 +160,8 @@
 	}
 }
 
-// enableSnapshots has the programs that the test starts keep their lists in a directory, in the file that is named.
+// enableSnapshots makes the programs that the test starts keep snapshots of their endpoint lists in dir, in the named
+// file.
 func enableSnapshots(t *testing.T) (dir, file string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -169,8 +172,8 @@
 	return dir, filepath.Join(dir, "n.snapshot")
 }
 
-// TestSnapshotWriteErrors: the disk refuses writes, or syncs, while the program has a list to keep. It serves meanwhile, and the
-// list is there once the disk takes it, also for a life behind a kill.
+// TestSnapshotWriteErrors: writes, or syncs, fail on the disk while the program has an endpoint list to save. The
+// program keeps serving and saves the list once the disk works again, and a process started after a kill reads it.
 func TestSnapshotWriteErrors(t *testing.T) {
 	for name, failure := range map[string]struct {
 		number int
@@ -217,8 +220,8 @@
 	}
 }
 
-// TestKilledDuringSnapshotWrite: the program is killed while it writes a newer list down, of which half is left. The
-// next life has the list before it.
+// TestKilledDuringSnapshotWrite: the program is killed while it writes a newer endpoint list, of which half is left.
+// The next process reads the list that was saved before.
 func TestKilledDuringSnapshotWrite(t *testing.T) {
 	dir, snapshots := enableSnapshots(t)
 	var killOnSync atomic.Bool
--- a/cmd/ospreycroft/time_left_test.go
+++ b/cmd/ospreycroft/time_left_test.go
@@ -14,9 +14,9 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// TestTimeLeftAfterSuspension: a request comes, on an open and on a new connection, while the process has no processor. The
-// server is told the time that the client has left, not what it had when it sent the request; also where the request is
-// read long after the process goes on, behind many other connections.
+// TestTimeLeftAfterSuspension: requests come, on an open and on a new connection, while the process is suspended. The
+// server is told the time that the client has left, not the time that it had when it sent the request. This also holds
+// where the request is read long after the process resumes, after many other connections.
 func TestTimeLeftAfterSuspension(t *testing.T) {
 	const (
 		timeout    = 3000 * time.Millisecond
@@ -55,7 +55,7 @@
 	}
 }
 
-// pingUntilReady is the answer to PING once the limiter is ready.
+// pingUntilReady sends PING until the limiter is ready, and returns the last answer.
 func pingUntilReady(t *testing.T, c *testbed.Conn) string {
 	t.Helper()
 	answer := ping(t, c)
