--- a/cmd/ospreycroft/check.go
+++ b/cmd/ospreycroft/check.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// check reads a configuration as a limiter would and prints what it states.
+// check reads a configuration as a limiter does and prints what follows from it: the limits of attempts in flight, the
+// priority weights and the bounds.
 func check(path string) error {
 	config, err := settings.ReadFile(path)
 	if err != nil {
@@ -64,49 +65,51 @@
 	return reportCounterLoss(config, printEvent)
 }
 
-// printEvent prints an event for `check`.
+// printEvent prints an event to standard output.
 func printEvent(e logging.Event) { fmt.Println(e) }
 
-// reportCounterLoss states, plan by plan, how far use can pass a quota when the counter is lost, emptied or split.
+// reportCounterLoss reports, for each plan, by how much use can exceed the quota when the shared counter is
+// unreachable, reset or partitioned.
 func reportCounterLoss(config *settings.Config, report func(logging.Event)) error {
 	rows, err := counterloss.Table(config.Settings.Settings)
 	if err != nil {
 		return err
 	}
-	for _, b := range rows {
-		report(logging.Event{Name: "counter-loss-bound", Attrs: b.Attrs(config.Settings.Plans[b.Plan])})
+	for _, bound := range rows {
+		report(logging.Event{Name: "counter-loss-bound", Attrs: bound.Attrs(config.Settings.Plans[bound.Plan])})
 	}
 	return nil
 }
 
-// reportStartBounds states what a start of all limiters costs the list service, and how late news can come. A budget that is
-// too small for the list's clock is said, and is no error.
-func reportStartBounds(config *settings.Config, o *operator.Options, report func(logging.Event)) error {
-	set := limiter.ColdStartSettings(
+// reportStartBounds reports the calls to discovery and the connections to servers when all limiters start at once. If
+// the configured call rate makes endpoint lists arrive late, it reports list-late; this is not an error.
+func reportStartBounds(config *settings.Config, options *operator.Options, report func(logging.Event)) error {
+	startSettings := limiter.ColdStartSettings(
 		config,
-		limiter.OperatorOptions{DiscoveryCallRate: o.DiscoveryCallRate, ConnectionRate: o.ConnectionRate},
+		limiter.OperatorOptions{DiscoveryCallRate: options.DiscoveryCallRate, ConnectionRate: options.ConnectionRate},
 	)
 	servers := 0
 	if list, err := discovery.DecodeList(config.Known); err == nil {
 		servers = len(list.Endpoints)
 	}
-	a, err := set.Advise(servers)
+	advice, err := startSettings.Advise(servers)
 	var late *coldstart.LateNotificationError
 	if err != nil && !errors.As(err, &late) {
 		return err
 	}
-	if set.PollInterval > 0 {
+	if startSettings.PollInterval > 0 {
 		report(logging.Event{Name: "start-bound", Attrs: []slog.Attr{
 			roundedAttr(
 				"list_calls_per_s",
-				a.CallRate,
-			), slog.Bool("stated", a.StatedRate), slog.Bool("even", a.EvenRate),
-			roundedAttr("all_asked_s", float64(a.AllPolledWithin)/1e9),
+				advice.CallRate,
+			), slog.Bool("stated", advice.StatedRate), slog.Bool("even", advice.EvenRate),
+			roundedAttr("all_asked_s", float64(advice.AllPolledWithin)/1e9),
 		}})
 	}
-	if a.ConnectionRate > 0 {
+	if advice.ConnectionRate > 0 {
 		report(logging.Event{Name: "start-bound", Attrs: []slog.Attr{
-			roundedAttr("connections_per_s", set.ConnectionRate), roundedAttr("one_limiter", a.ConnectionRate),
+			roundedAttr("connections_per_s", startSettings.ConnectionRate),
+			roundedAttr("one_limiter", advice.ConnectionRate),
 		}})
 	}
 	if late != nil {
@@ -117,7 +120,7 @@
 	return nil
 }
 
-// roundedAttr is a figure with four digits, enough for an operator.
+// roundedAttr formats a value with four significant digits.
 func roundedAttr(key string, value float64) slog.Attr {
 	return slog.String(key, fmt.Sprintf("%.4g", value))
 }
--- a/cmd/ospreycroft/crash_test.go
+++ b/cmd/ospreycroft/crash_test.go
@@ -15,36 +15,36 @@
 	"ospreycroft/internal/logging"
 )
 
-// TestEarlierCrashIsLogged: the next life tells what the runtime has left of the last one, once, and goes on where the
-// directory cannot be used.
+// TestEarlierCrashIsLogged: the next start logs the traceback that the runtime left behind, once, and a directory that
+// cannot be used does not prevent the start.
 func TestEarlierCrashIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	previous := slog.Default()
 	t.Cleanup(func() { slog.SetDefault(previous) })
 	slog.SetDefault(slog.New(logging.NewHandler(&out)))
 	dir := t.TempDir()
-	watchCrashes(dir, "n/1")
+	initCrashFile(dir, "n/1")
 	require.Empty(t, out.String())
 	require.NoError(t, os.WriteFile(crashPath(dir, "n/1"), []byte("panic: index out of range\n\ngoroutine 7"), 0o600))
-	watchCrashes(dir, "n/1")
+	initCrashFile(dir, "n/1")
 	require.Regexp(t, `level=ERROR event=earlier-crash at=\S+ text="panic: index out of range`, out.String())
 	out.Reset()
-	watchCrashes(dir, "n/1")
+	initCrashFile(dir, "n/1")
 	require.Empty(t, out.String())
-	watchCrashes(filepath.Join(dir, "missing"), "n")
+	initCrashFile(filepath.Join(dir, "missing"), "n")
 	require.Contains(t, out.String(), "event=crash-file-unwritten")
 }
 
-// TestTraceOnSignal: SIGUSR1 has the trace written, and the process goes on.
+// TestTraceOnSignal: SIGUSR1 makes the program log its trace, and does not end it.
 func TestTraceOnSignal(t *testing.T) {
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
 	defer func() { _ = log.Close() }()
-	e := begin(t, testbed.Listen(t).Address, log)
-	e.client.Say(t, testbed.Request("traced", "read", 3000))
-	line := e.counter.Accept(t)
-	line.Line(t)
-	require.NoError(t, e.program.Process.Signal(syscall.SIGUSR1))
+	h := startHarness(t, testbed.Listen(t).Address, log)
+	h.client.Say(t, testbed.Request("traced", "read", 3000))
+	counterConn := h.counter.Accept(t)
+	counterConn.Line(t)
+	require.NoError(t, h.program.Process.Signal(syscall.SIGUSR1))
 	require.Eventually(t, func() bool {
 		text, err := os.ReadFile(log.Name())
 		return err == nil && bytes.Contains(text, []byte("step=accepted request=traced"))
--- a/cmd/ospreycroft/stop_test.go
+++ b/cmd/ospreycroft/stop_test.go
@@ -25,7 +25,8 @@
 	"ospreycroft/internal/resp"
 )
 
-// TestMain lets the tests start the program itself: the test's own file, told so.
+// TestMain runs the program itself in place of the tests where OSPREYCROFT_IS_THE_PROGRAM is set, so that tests can
+// start the test binary as the program.
 func TestMain(m *testing.M) {
 	syscallshim.LaunchIfAsked()
 	if os.Getenv("OSPREYCROFT_IS_THE_PROGRAM") != "" {
@@ -36,32 +37,33 @@
 	os.Exit(m.Run())
 }
 
-// request is one that may take so many milliseconds.
-func request(id string, left int) []byte {
+// request returns a request with a timeout in milliseconds.
+func request(id string, timeoutMs int) []byte {
 	return resp.AppendCommand(nil, []byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id),
-		fmt.Appendf(nil, "c=c,t=p,d=%d,units=1,spread=1,first=0", left))
+		fmt.Appendf(nil, "c=c,t=p,d=%d,units=1,spread=1,first=0", timeoutMs))
 }
 
-// anyClass is the class of the requests, with no deadline told.
-const anyClass = `{"name":"c","aim":2,"effect":"free","group":"all"}`
+// defaultClass is the class of the requests, without a deadline.
+const defaultClass = `{"name":"c","aim":2,"effect":"free","group":"all"}`
 
-// start starts the program and waits until it listens.
-func start(
+// startProgram starts the program and waits until it accepts connections.
+func startProgram(
 	t *testing.T,
 	discovery string,
 	servers ...emulator.Instance,
-) (address string, program *exec.Cmd, ended chan error, log *strings.Builder) {
+) (address string, program *exec.Cmd, exited chan error, log *strings.Builder) {
 	t.Helper()
-	return startUnder(t, nil, anyClass, discovery, servers...)
+	return startProgramWithShim(t, nil, defaultClass, discovery, servers...)
 }
 
-// startUnder does so with the program's system calls decided on, nil for none, and the settings of the requests' class.
-func startUnder(
+// startProgramWithShim is startProgram with decide applied to the program's system calls, nil to run it without the
+// shim, and with the settings of the requests' class.
+func startProgramWithShim(
 	t *testing.T,
 	decide syscallshim.Decide,
 	class, discovery string,
 	servers ...emulator.Instance,
-) (address string, program *exec.Cmd, ended chan error, log *strings.Builder) {
+) (address string, program *exec.Cmd, exited chan error, log *strings.Builder) {
 	t.Helper()
 	address = testbed.KeepPort(t).Address()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -85,76 +87,79 @@
 	}
 	require.NoError(t, program.Start())
 	require.NoError(t, started())
-	ended = make(chan error, 1)
-	go func() { ended <- program.Wait() }()
+	exited = make(chan error, 1)
+	go func() { exited <- program.Wait() }()
 	t.Cleanup(func() { _ = program.Process.Kill() })
 	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		if c, err := net.Dial("tcp", address); err == nil {
 			_ = c.Close()
-			return address, program, ended, log
+			return address, program, exited, log
 		} else if time.Since(start) > 5*time.Second {
 			t.Fatal(err)
 		}
 	}
 }
 
-// TestStopUnderLoad ends a real process under clients that never let go. What it has sent on it answers, it ends
-// before it may be killed, and who comes in the first half second is served.
+// TestStopUnderLoad stops the program under clients that keep their connections open and always have a request in
+// flight. The program answers what it has forwarded and exits before it may be killed, and clients that connect in the
+// first half second are served.
 func TestStopUnderLoad(t *testing.T) {
 	all, entries := make([]*countingServer, 24), make([]emulator.Instance, 24)
 	for i := range all {
-		all[i] = startSlow(t, fmt.Sprint("s", i))
+		all[i] = startSlowServer(t, fmt.Sprint("s", i))
 		entries[i] = all[i].Instance
 	}
-	address, program, ended, log := start(t, "127.0.0.1:1", entries...)
-	callers := make([]loadgen.Holder, 8)
+	address, program, exited, log := startProgram(t, "127.0.0.1:1", entries...)
+	clients := make([]loadgen.Holder, 8)
 	var running sync.WaitGroup
-	call := func(i int, first time.Duration) {
-		callers[i] = loadgen.Holder{
+	startClient := func(i int, firstDelay time.Duration) {
+		clients[i] = loadgen.Holder{
 			Name:    fmt.Sprint("caller", i),
-			First:   first,
+			First:   firstDelay,
 			Second:  70 * time.Millisecond,
 			Patient: 8 * time.Second,
 		}
-		running.Go(func() { callers[i].Run(address, func(id string) []byte { return request(id, 2000) }) })
+		running.Go(func() { clients[i].Run(address, func(id string) []byte { return request(id, 2000) }) })
 	}
 	for i := range 5 {
-		call(i, 0)
+		startClient(i, 0)
 	}
 	time.Sleep(700 * time.Millisecond)
-	asked := time.Now()
+	stopSent := time.Now()
 	require.NoError(t, program.Process.Signal(syscall.SIGTERM))
 	time.Sleep(300 * time.Millisecond)
-	call(5, 0)
-	call(6, 100*time.Millisecond)
-	call(7, time.Second) // on a connection that it has had for long
+	startClient(5, 0)
+	startClient(6, 100*time.Millisecond)
+	startClient(7, time.Second) // on a connection that has been open for a second
 	select {
-	case err := <-ended:
-		if took := time.Since(asked); err != nil || took > 3700*time.Millisecond {
-			t.Errorf("it ended after %v, error %v\n%s", took, err, log)
+	case err := <-exited:
+		if took := time.Since(stopSent); err != nil || took > 3700*time.Millisecond {
+			t.Errorf("the program exited after %v, error %v\n%s", took, err, log)
 		} else {
-			t.Logf("it ended after %v", took)
+			t.Logf("the program exited after %v", took)
 		}
 	case <-time.After(8 * time.Second):
-		t.Errorf("it does not end")
+		t.Errorf("the program does not exit")
 		_ = program.Process.Kill()
 	}
 	running.Wait()
-	for i, c := range callers {
+	for i, c := range clients {
 		for _, id := range c.Lost {
 			for _, s := range all {
-				assert.Zero(t, s.times(id), "%s was sent on and has no answer", id)
+				assert.Zero(t, s.timesReceived(id), "%s was forwarded and has no answer", id)
 			}
 		}
 		assert.True(t, i >= 7 || c.Served != 0, "%s: %d answers, none served", c.Name, c.Answered)
-		t.Logf("%s: %d answered, %d served, %d crossed", c.Name, c.Answered, c.Served, len(c.Lost))
+		t.Logf("%s: %d answered, %d served, %d without an answer", c.Name, c.Answered, c.Served, len(c.Lost))
 	}
 }
 
-// TestStopBeforeEarliestKill: the kill comes as early as it may, at the longest deadline and 0.7 s after SIGTERM, while a server hangs
-// and clients send on open connections. The program has ended by then, and what it sent on, also to the server that hangs, has its
-// final answer. A client is served as soon as one of its requests has reached a server that answers: at the start both requests
-// that it keeps open may be with the server that hangs, which leaves it with failures alone.
+// TestStopBeforeEarliestKill: the kill comes as early as it may, the longest deadline plus 0.7 s after SIGTERM, while a
+// server hangs and clients send on open connections. By then the program has exited, and every request that it
+// forwarded, also to the hanging server, has its final answer.
+//
+// A client must be served only if one of its requests has reached a server that answers: at the start both requests
+// that it keeps in flight may be at the hanging server, and then all its answers are failures.
 func TestStopBeforeEarliestKill(t *testing.T) {
 	for _, deadline := range []time.Duration{400 * time.Millisecond, time.Second, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -164,60 +169,64 @@
 	}
 }
 
-// stopBeforeKill plays it with a longest deadline.
+// stopBeforeKill runs TestStopBeforeEarliestKill with one longest deadline.
 func stopBeforeKill(t *testing.T, deadline time.Duration) {
 	t.Helper()
-	kill := deadline + 700*time.Millisecond
-	hangs := startHanging(t, "hangs")
+	killAfter := deadline + 700*time.Millisecond
+	hangs := startHangingServer(t, "hangs")
 	all, entries := []*countingServer{hangs}, []emulator.Instance{hangs.Instance}
 	for i := range 7 {
-		answers := startSlow(t, fmt.Sprint("answers", i))
-		all, entries = append(all, answers), append(entries, answers.Instance)
+		answering := startSlowServer(t, fmt.Sprint("answers", i))
+		all, entries = append(all, answering), append(entries, answering.Instance)
 	}
 	class := fmt.Sprintf(`{"name":"c","aim":0.2,"deadline":%v,"effect":"free","group":"all"}`, deadline.Seconds())
-	address, program, ended, log := startUnder(t, nil, class, "127.0.0.1:1", entries...)
-	callers := make([]loadgen.Holder, 12)
+	address, program, exited, log := startProgramWithShim(t, nil, class, "127.0.0.1:1", entries...)
+	clients := make([]loadgen.Holder, 12)
 	var running sync.WaitGroup
-	for i := range callers {
-		callers[i] = loadgen.Holder{Name: fmt.Sprint("caller", i), Second: 40 * time.Millisecond, Patient: 8 * time.Second}
+	for i := range clients {
+		clients[i] = loadgen.Holder{
+			Name:    fmt.Sprint("caller", i),
+			Second:  40 * time.Millisecond,
+			Patient: 8 * time.Second,
+		}
 		running.Go(func() {
-			callers[i].Run(address, func(id string) []byte { return request(id, int(deadline.Milliseconds())) })
+			clients[i].Run(address, func(id string) []byte { return request(id, int(deadline.Milliseconds())) })
 		})
 	}
 	time.Sleep(time.Second)
-	asked := time.Now()
+	stopSent := time.Now()
 	require.NoError(t, program.Process.Signal(syscall.SIGTERM))
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		require.NoError(t, err, log)
-		t.Logf("it ended after %v, %d requests hung", time.Since(asked), hangs.total())
-	case <-time.After(kill):
+		t.Logf("the program exited after %v, %d requests hung", time.Since(stopSent), hangs.requestCount())
+	case <-time.After(killAfter):
 		_ = program.Process.Kill()
-		require.Error(t, <-ended)
-		t.Errorf("it has not ended when the kill may come\n%s", log)
+		require.Error(t, <-exited)
+		t.Errorf("the program has not exited by the earliest kill\n%s", log)
 	}
 	running.Wait()
-	require.Positive(t, hangs.total())
-	for _, c := range callers {
+	require.Positive(t, hangs.requestCount())
+	for _, c := range clients {
 		assert.Positive(t, c.Answered, c.Name)
 		if sent := c.Answered + len(c.Lost); reachedAny(all[1:], c.Name, sent) {
 			assert.Positive(t, c.Served, c.Name)
 		} else {
-			t.Logf("%s: the server that hangs has had all that was sent on of its %d requests", c.Name, sent)
+			t.Logf("%s: of its %d requests, all that were forwarded went to the hanging server", c.Name, sent)
 		}
 		for _, id := range c.Lost {
 			for _, s := range all {
-				assert.Zero(t, s.times(id), "%s was sent on and has no answer", id)
+				assert.Zero(t, s.timesReceived(id), "%s was forwarded and has no answer", id)
 			}
 		}
 	}
 }
 
-// reachedAny tells whether one of a client's requests, of which there are so many, has reached one of the servers.
+// reachedAny tells whether any of a client's requests, numbered from 1 to requests, has reached one of the servers.
 func reachedAny(servers []*countingServer, client string, requests int) bool {
 	for n := 1; n <= requests; n++ {
 		for _, s := range servers {
-			if s.times(fmt.Sprint(client, "-", n)) > 0 {
+			if s.timesReceived(fmt.Sprint(client, "-", n)) > 0 {
 				return true
 			}
 		}
@@ -225,18 +234,19 @@
 	return false
 }
 
-// TestWoken stops a real process while requests come and its list changes behind them: woken, it sends nothing to the
-// server that drains, though it reads the requests first, and serves them elsewhere.
-func TestWoken(t *testing.T) {
-	drains, stays := startSlow(t, "drains"), startSlow(t, "stays")
-	leaving, staying := drains.Instance, stays.Instance
+// TestListChangeWhileSuspended suspends the program while requests come and, after them, its endpoint list changes.
+// When it resumes it reads the requests first; it still sends nothing to the draining server, and serves them
+// elsewhere.
+func TestListChangeWhileSuspended(t *testing.T) {
+	draining, staying := startSlowServer(t, "drains"), startSlowServer(t, "stays")
+	drainingEntry, stayingEntry := draining.Instance, staying.Instance
 	list, err := emulator.NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
 	require.NoError(t, err)
 	require.NoError(t, list.Start())
 	defer list.Close()
-	list.Set(leaving)
-	list.Set(staying)
-	address, program, _, log := start(t, list.Address(0), leaving, staying)
+	list.Set(drainingEntry)
+	list.Set(stayingEntry)
+	address, program, _, log := startProgram(t, list.Address(0), drainingEntry, stayingEntry)
 	conns := make([]net.Conn, 8)
 	for i := range conns {
 		conns[i], err = net.Dial("tcp", address)
@@ -244,15 +254,15 @@
 		defer func() { _ = conns[i].Close() }()
 	}
 	time.Sleep(300 * time.Millisecond)
-	for i, c := range conns[:2] { // so that a connection to each server rests
+	for i, c := range conns[:2] { // so that there is an idle connection to each server
 		_, _ = c.Write(request(fmt.Sprint("early-", i), 9000))
 	}
-	early := make([]byte, 1024)
+	buffer := make([]byte, 1024)
 	for i, c := range conns[:2] {
-		n, err := c.Read(early)
-		require.True(t, err == nil && early[0] == '$', "request %d: %q, error %v", i, early[:n], err)
+		n, err := c.Read(buffer)
+		require.True(t, err == nil && buffer[0] == '$', "request %d: %q, error %v", i, buffer[:n], err)
 	}
-	require.Equal(t, []int{1, 1}, []int{drains.total(), stays.total()})
+	require.Equal(t, []int{1, 1}, []int{draining.requestCount(), staying.requestCount()})
 	time.Sleep(20 * time.Millisecond)
 	suspend(t, program.Process)
 	time.Sleep(10 * time.Millisecond)
@@ -260,8 +270,8 @@
 		_, _ = c.Write(request(fmt.Sprint("job-", i), 9000))
 	}
 	time.Sleep(100 * time.Millisecond)
-	leaving.Lifecycle = "terminating"
-	list.Set(leaving)
+	drainingEntry.Lifecycle = "terminating"
+	list.Set(drainingEntry)
 	time.Sleep(900 * time.Millisecond)
 	_ = program.Process.Signal(syscall.SIGCONT)
 	for i, c := range conns {
@@ -269,6 +279,6 @@
 		line, err := bufio.NewReader(c).ReadString('\n')
 		assert.NoError(t, err, "request %d: %q", i, line)
 	}
-	assert.Equal(t, 1, drains.total(), "the one that drains got more than the early request\n%s", log)
-	assert.Greater(t, stays.total(), 1, "%s", log)
+	assert.Equal(t, 1, draining.requestCount(), "the draining server got more than the early request\n%s", log)
+	assert.Greater(t, staying.requestCount(), 1, "%s", log)
 }
