--- a/cmd/configdist/configdist_test.go
+++ b/cmd/configdist/configdist_test.go
@@ -27,58 +27,58 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// programVariable tells the test's own file to be the program.
-const programVariable = "CONFIGDIST_IS_THE_PROGRAM"
+// runMainVariable tells the test's own file to be the program.
+const runMainVariable = "CONFIGDIST_IS_THE_PROGRAM"
 
 func TestMain(m *testing.M) {
 	syscallshim.LaunchIfAsked()
-	if os.Getenv(programVariable) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-const soon = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// programs are this test's own file.
-func programs(t *testing.T) distbench.Programs {
-	t.Setenv(programVariable, "1")
+// testPrograms are this test's own file.
+func testPrograms(t *testing.T) distbench.Programs {
+	t.Setenv(runMainVariable, "1")
 	return distbench.Programs{Distribution: os.Args[0]}
 }
 
-// run runs a command to its end, and gives what it wrote and whether it ended with 0.
-func run(t *testing.T, arguments ...string) (text string, ok bool) {
+// runCommand runs a command to its end, and gives what it wrote and whether it ended with 0.
+func runCommand(t *testing.T, arguments ...string) (text string, ok bool) {
 	t.Helper()
 	p, err := distbench.Start(os.Args[0], nil, arguments...)
 	require.NoError(t, err)
-	ended, err := p.Ended(soon)
+	ended, err := p.Ended(testTimeout)
 	require.True(t, ended, p.Log())
 	return p.Log(), err == nil
 }
 
-func startSource(t *testing.T, of distbench.Programs, dir string, more ...string) (*distbench.Process, string) {
+func startSource(t *testing.T, programs distbench.Programs, dir string, more ...string) (*distbench.Process, string) {
 	t.Helper()
 	port := testbed.KeepPort(t)
-	return startSourceAt(t, of, dir, port, more...), port.Address()
+	return startSourceAt(t, programs, dir, port, more...), port.Address()
 }
 
-func startSourceAt(t *testing.T, of distbench.Programs, dir string, port *ports.Kept, more ...string) *distbench.Process {
+func startSourceAt(t *testing.T, programs distbench.Programs, dir string, port *ports.Kept, more ...string) *distbench.Process {
 	t.Helper()
-	p, err := of.StartSource(dir, port, more...)
+	p, err := programs.StartSource(dir, port, more...)
 	require.NoError(t, err)
 	t.Cleanup(p.Kill)
 	return p
 }
 
-func startRelay(t *testing.T, of distbench.Programs, source, zone string) (*distbench.Process, string) {
+func startRelay(t *testing.T, programs distbench.Programs, source, zone string) (*distbench.Process, string) {
 	t.Helper()
 	port := testbed.KeepPort(t)
-	p, err := of.StartRelay(source, zone, "r", port)
+	p, err := programs.StartRelay(source, zone, "r", port)
 	require.NoError(t, err)
 	t.Cleanup(p.Kill)
 	// A limiter that finds it without a version changes over, and is counted at both relays for a while.
-	require.True(t, p.Wrote("event=config-version", 1, soon), p.Log())
+	require.True(t, p.Wrote("event=config-version", 1, testTimeout), p.Log())
 	return p, port.Address()
 }
 
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// has tells whether a version is the newest in force.
-func (r *recorder) has(epoch, number uint64) func() bool {
+// isNewest tells whether a version is the newest in force.
+func (r *recorder) isNewest(epoch, number uint64) func() bool {
 	return func() bool {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
@@ -105,11 +105,11 @@
 	}
 }
 
-// follow runs a subscriber until the test ends.
-func follow(t *testing.T, name string, relays ...string) *recorder {
-	r, clock := &recorder{}, monotonic()
-	f := transport.NewFollower(
-		distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: name, Applier: r}),
+// startFollower runs a subscriber until the test ends.
+func startFollower(t *testing.T, name string, relays ...string) *recorder {
+	applied, clock := &recorder{}, newMonotonicClock()
+	follower := transport.NewFollower(
+		distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: name, Applier: applied}),
 		transport.FollowerOptions{
 			Servers:     [2]string{relays[0], relays[len(relays)-1]},
 			DialTimeout: 250 * time.Millisecond,
@@ -118,22 +118,22 @@
 	)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { f.Run(ctx) })
+	running.Go(func() { follower.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		running.Wait()
 	})
-	return r
+	return applied
 }
 
 // TestPublish publishes by flags and by a file, and asks for the status until all limiters have it.
 func TestPublish(t *testing.T) {
-	of := programs(t)
-	_, source := startSource(t, of, t.TempDir())
-	_, first := startRelay(t, of, source, "a")
-	_, second := startRelay(t, of, source, "b")
-	one, two := follow(t, "one", first, second), follow(t, "two", second, first)
-	text, ok := run(t, "publish", "--source", source, "--kind", "plans", "--key", "gold", "--value", `{"rate":5}`)
+	programs := testPrograms(t)
+	_, source := startSource(t, programs, t.TempDir())
+	_, relayA := startRelay(t, programs, source, "a")
+	_, relayB := startRelay(t, programs, source, "b")
+	one, two := startFollower(t, "one", relayA, relayB), startFollower(t, "two", relayB, relayA)
+	text, ok := runCommand(t, "publish", "--source", source, "--kind", "plans", "--key", "gold", "--value", `{"rate":5}`)
 	require.True(t, ok, text)
 	require.Equal(t, "epoch=1 version=2\n", text)
 	file := filepath.Join(t.TempDir(), "change.json")
@@ -145,29 +145,29 @@
 			0o600,
 		),
 	)
-	text, ok = run(t, "publish", "--source", source, "--file", file)
+	text, ok = runCommand(t, "publish", "--source", source, "--file", file)
 	require.True(t, ok, text)
 	require.Equal(t, "epoch=1 version=3\n", text)
-	require.Eventually(t, one.has(1, 3), soon, 10*time.Millisecond)
-	require.Eventually(t, two.has(1, 3), soon, 10*time.Millisecond)
-	for end := time.Now().Add(soon); ; time.Sleep(100 * time.Millisecond) {
-		if text, ok = run(t, "status", "--source", source, "--limiters", "2"); ok {
+	require.Eventually(t, one.isNewest(1, 3), testTimeout, 10*time.Millisecond)
+	require.Eventually(t, two.isNewest(1, 3), testTimeout, 10*time.Millisecond)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(100 * time.Millisecond) {
+		if text, ok = runCommand(t, "status", "--source", source, "--limiters", "2"); ok {
 			break
 		}
 		require.True(t, time.Now().Before(end), text)
 	}
 	require.Contains(t, text, "version=1.3 in_force=2 limiters=2 unconfirmed=0 oldest=1.3\n")
 	require.Contains(t, text, "relay=a/r version=1.3 ")
-	text, ok = run(t, "status", "--source", source, "--limiters", "3")
+	text, ok = runCommand(t, "status", "--source", source, "--limiters", "3")
 	require.False(t, ok, "one limiter is missing")
 	require.Contains(t, text, "in force at 2 of 3 limiters")
 }
 
 // TestRefusedPublications publishes what cannot be: each is refused by its reason, and the head stays.
 func TestRefusedPublications(t *testing.T) {
-	of := programs(t)
-	_, source := startSource(t, of, t.TempDir())
-	_, relay := startRelay(t, of, source, "a")
+	programs := testPrograms(t)
+	_, source := startSource(t, programs, t.TempDir())
+	_, relay := startRelay(t, programs, source, "a")
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	require.NoError(t, os.WriteFile(bad, []byte(`[{"kind":"plans","nam":"x"}]`), 0o600))
 	for _, c := range []struct {
@@ -187,14 +187,14 @@
 		{"nobody there", "cannot be reached", []string{"--source", "127.0.0.1:1", "--kind", "plans", "--key", "k"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text, ok := run(t, append([]string{"publish", "--source", source}, c.arguments...)...)
+			text, ok := runCommand(t, append([]string{"publish", "--source", source}, c.arguments...)...)
 			require.False(t, ok, text)
 			require.Contains(t, text, c.want)
 			require.Contains(t, text, "hint=")
 			require.NotContains(t, text, "report it")
 		})
 	}
-	text, _ := run(t, "status", "--source", source)
+	text, _ := runCommand(t, "status", "--source", source)
 	require.Contains(t, text, "version=1.1 in_force=0")
 }
 
@@ -207,15 +207,15 @@
 // TestSourceRestart kills a source behind each publication: what was answered is there in its next life, which opens a
 // higher epoch, and limiters go on from it. The older epoch's writer is fenced.
 func TestSourceRestart(t *testing.T) {
-	of, dir := programs(t), t.TempDir()
+	programs, dir := testPrograms(t), t.TempDir()
 	port := testbed.KeepPort(t)
 	source := port.Address()
-	p := startSourceAt(t, of, dir, port)
-	_, relay := startRelay(t, of, source, "a")
-	limiter := follow(t, "one", relay)
+	p := startSourceAt(t, programs, dir, port)
+	_, relay := startRelay(t, programs, source, "a")
+	applied := startFollower(t, "one", relay)
 	number := uint64(1)
-	for life := uint64(1); life <= 3; life++ {
-		text, ok := run(
+	for incarnation := uint64(1); incarnation <= 3; incarnation++ {
+		text, ok := runCommand(
 			t,
 			"publish",
 			"--source",
@@ -223,24 +223,24 @@
 			"--kind",
 			"plans",
 			"--key",
-			fmt.Sprint("p", life),
+			fmt.Sprint("p", incarnation),
 			"--value",
 			"x",
 		)
 		require.True(t, ok, text)
 		number++
-		require.Equal(t, fmt.Sprintf("epoch=%d version=%d\n", life, number), text)
+		require.Equal(t, fmt.Sprintf("epoch=%d version=%d\n", incarnation, number), text)
 		p.Kill()
-		p = startSourceAt(t, of, dir, port)
+		p = startSourceAt(t, programs, dir, port)
 		number++
 		require.Contains(
 			t,
 			p.Log(),
-			fmt.Sprintf("event=source-started epoch=%d version=%d entries=%d", life+1, number, life),
+			fmt.Sprintf("event=source-started epoch=%d version=%d entries=%d", incarnation+1, number, incarnation),
 		)
-		require.Eventually(t, limiter.has(life+1, number), soon, 10*time.Millisecond, "life %d", life)
+		require.Eventually(t, applied.isNewest(incarnation+1, number), testTimeout, 10*time.Millisecond, "life %d", incarnation)
 	}
-	text, ok := run(
+	text, ok := runCommand(
 		t,
 		"publish",
 		"--source",
@@ -257,29 +257,29 @@
 	require.False(t, ok, text)
 	require.Contains(t, text, "epoch 3 is not the open one, which is 4")
 	p.Kill()
-	text, ok = run(t, "source", "--dir", dir, "--listen", "127.0.0.1:0", "--epoch", "4")
+	text, ok = runCommand(t, "source", "--dir", dir, "--listen", "127.0.0.1:0", "--epoch", "4")
 	require.False(t, ok, text)
 	require.Contains(t, text, "epoch 4 is not the open one, which is 4")
 }
 
 // TestStartsFromStateOfAnEarlierVersion has a source begin with the state that one of version f99e54e has left.
 func TestStartsFromStateOfAnEarlierVersion(t *testing.T) {
-	of, dir := programs(t), t.TempDir()
+	programs, dir := testPrograms(t), t.TempDir()
 	stored, err := os.ReadFile("../../internal/distribution/statefile/testdata/source.distribution")
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "source.distribution"), stored, 0o600))
-	p, _ := startSource(t, of, dir, "--installation", "east")
+	p, _ := startSource(t, programs, dir, "--installation", "east")
 	require.Contains(t, p.Log(), "event=source-started epoch=2 version=5 entries=4")
 }
 
 // TestReplacedSource has an older source that still runs beside a newer epoch's: a call from that epoch's version
 // fences it, and it publishes nothing more.
 func TestReplacedSource(t *testing.T) {
-	of := programs(t)
-	_, older := startSource(t, of, t.TempDir())
-	_, newer := startSource(t, of, t.TempDir(), "--epoch", "2")
-	_, relay := startRelay(t, of, newer, "a")
-	require.Eventually(t, follow(t, "one", relay).has(2, 1), soon, 10*time.Millisecond)
+	programs := testPrograms(t)
+	_, older := startSource(t, programs, t.TempDir())
+	_, newer := startSource(t, programs, t.TempDir(), "--epoch", "2")
+	_, relay := startRelay(t, programs, newer, "a")
+	require.Eventually(t, startFollower(t, "one", relay).isNewest(2, 1), testTimeout, 10*time.Millisecond)
 	client := transport.NewClient(older, time.Second)
 	defer client.Close()
 	_, _ = client.Changes(
@@ -288,36 +288,36 @@
 		0,
 		time.Second,
 	)
-	text, ok := run(t, "publish", "--source", older, "--kind", "plans", "--key", "k", "--value", "x")
+	text, ok := runCommand(t, "publish", "--source", older, "--kind", "plans", "--key", "k", "--value", "x")
 	require.False(t, ok, text)
 	require.Contains(t, text, "epoch 1 is not the open one, which is 2")
 }
 
-// TestUnusableState starts a source with files that it must not go on without.
-func TestUnusableState(t *testing.T) {
-	of, dir := programs(t), t.TempDir()
-	p, _ := startSource(t, of, dir)
+// TestCorruptedState starts a source with files that it must not go on without.
+func TestCorruptedState(t *testing.T) {
+	programs, dir := testPrograms(t), t.TempDir()
+	p, _ := startSource(t, programs, dir)
 	p.Kill()
 	path := filepath.Join(dir, "source.distribution")
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for name, spoilt := range map[string]string{"empty": "", "cut": string(text[:len(text)-3]), "changed": strings.Replace(string(text), "epoch", "eposh", 1)} {
+	for name, corrupted := range map[string]string{"empty": "", "cut": string(text[:len(text)-3]), "changed": strings.Replace(string(text), "epoch", "eposh", 1)} {
 		t.Run(name, func(t *testing.T) {
-			require.NoError(t, os.WriteFile(path, []byte(spoilt), 0o600))
-			text, ok := run(t, "source", "--dir", dir, "--listen", "127.0.0.1:0")
+			require.NoError(t, os.WriteFile(path, []byte(corrupted), 0o600))
+			text, ok := runCommand(t, "source", "--dir", dir, "--listen", "127.0.0.1:0")
 			require.False(t, ok, text)
 			require.Contains(t, text, "the source's state "+path+" cannot be used")
 		})
 	}
 }
 
-// TestUnwritable has a source whose disk takes nothing more: the publication is not answered as taken.
-func TestUnwritable(t *testing.T) {
-	of, dir := programs(t), filepath.Join(t.TempDir(), "state")
+// TestPublishWithoutStateDirectory has a source whose disk takes nothing more: the publication is not answered as taken.
+func TestPublishWithoutStateDirectory(t *testing.T) {
+	programs, dir := testPrograms(t), filepath.Join(t.TempDir(), "state")
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	_, source := startSource(t, of, dir)
+	_, source := startSource(t, programs, dir)
 	require.NoError(t, os.RemoveAll(dir))
-	text, ok := run(t, "publish", "--source", source, "--kind", "plans", "--key", "k", "--value", "x")
+	text, ok := runCommand(t, "publish", "--source", source, "--kind", "plans", "--key", "k", "--value", "x")
 	require.False(t, ok, text)
 	require.Contains(t, text, "status 500")
 }
@@ -325,58 +325,58 @@
 // TestDiskRefusesPublication: the disk refuses a state's write, or sync, as a change is published. The publisher is not told that
 // it is kept. The change stands, though, and so it is there behind a kill, once the disk has taken it; and so is the next.
 func TestDiskRefusesPublication(t *testing.T) {
-	for name, refused := range map[string]struct {
+	for name, failure := range map[string]struct {
 		number int
 		errno  unix.Errno
 	}{"full": {unix.SYS_WRITE, unix.ENOSPC}, "broken": {unix.SYS_FSYNC, unix.EIO}} {
 		t.Run(name, func(t *testing.T) {
-			of, dir, port := programs(t), t.TempDir(), testbed.KeepPort(t)
+			programs, dir, port := testPrograms(t), t.TempDir(), testbed.KeepPort(t)
 			source := port.Address()
-			var refuses atomic.Bool
+			var failing atomic.Bool
 			p, err := distbench.StartUnder(
 				func(c syscallshim.Call) syscallshim.Decision {
-					if c.Number != refused.number || !refuses.Load() || !strings.HasPrefix(c.Path(), dir) {
+					if c.Number != failure.number || !failing.Load() || !strings.HasPrefix(c.Path(), dir) {
 						return syscallshim.Decision{}
 					}
-					return syscallshim.Decision{Errno: refused.errno}
+					return syscallshim.Decision{Errno: failure.errno}
 				},
 				os.Args[0], nil, "source", "--listen", source, "--dir", dir,
 			)
 			require.NoError(t, err)
 			t.Cleanup(p.Kill)
-			require.True(t, p.Wrote("event=listening", 1, soon), p.Log())
+			require.True(t, p.Wrote("event=listening", 1, testTimeout), p.Log())
 			publish := func(key string) (string, bool) {
-				return run(t, "publish", "--source", source, "--kind", "plans", "--key", key, "--value", "x")
+				return runCommand(t, "publish", "--source", source, "--kind", "plans", "--key", key, "--value", "x")
 			}
-			refuses.Store(true)
+			failing.Store(true)
 			text, ok := publish("refused")
 			require.False(t, ok, text)
 			require.Contains(t, text, "status 500")
-			refuses.Store(false)
+			failing.Store(false)
 			require.Eventually(t, func() bool {
 				text, ok = publish("taken")
 				return ok
-			}, soon, 50*time.Millisecond, text)
+			}, testTimeout, 50*time.Millisecond, text)
 			p.Kill()
-			p = startSourceAt(t, of, dir, port)
+			p = startSourceAt(t, programs, dir, port)
 			require.Contains(t, p.Log(), "event=source-started epoch=2 version=4 entries=2")
 		})
 	}
 }
 
-// TestStartsOnPortThatIsHeldForAMoment: a source whose port its former life still holds waits for it.
-func TestStartsOnPortThatIsHeldForAMoment(t *testing.T) {
-	of, port := programs(t), testbed.KeepPort(t)
-	former, err := port.Listen()
+// TestSourceWaitsForPort: a source whose port its former life still holds waits for it.
+func TestSourceWaitsForPort(t *testing.T) {
+	programs, port := testPrograms(t), testbed.KeepPort(t)
+	earlier, err := port.Listen()
 	require.NoError(t, err)
-	time.AfterFunc(500*time.Millisecond, func() { _ = former.Close() })
-	p := startSourceAt(t, of, t.TempDir(), port)
+	time.AfterFunc(500*time.Millisecond, func() { _ = earlier.Close() })
+	p := startSourceAt(t, programs, t.TempDir(), port)
 	require.Contains(t, p.Log(), "event=start-retried")
 }
 
 // TestBadFlags starts with flags that cannot work.
 func TestBadFlags(t *testing.T) {
-	_ = programs(t)
+	_ = testPrograms(t)
 	for _, c := range []struct {
 		want      string
 		arguments []string
@@ -387,19 +387,19 @@
 		{"--dial-timeout is 0s", []string{"relay", "--source", "127.0.0.1:1", "--zone", "a", "--dial-timeout", "0"}},
 		{"cannot listen on 203.0.113.1:1", []string{"relay", "--source", "127.0.0.1:1", "--zone", "a", "--listen", "203.0.113.1:1"}},
 	} {
-		text, ok := run(t, c.arguments...)
+		text, ok := runCommand(t, c.arguments...)
 		require.False(t, ok, text)
 		require.Contains(t, text, c.want)
 	}
 }
 
-// TestStop ends a relay and a source that hold calls: each ends by itself, at once and without an error.
-func TestStop(t *testing.T) {
-	of := programs(t)
-	source, at := startSource(t, of, t.TempDir())
-	relay, second := startRelay(t, of, at, "a")
-	limiter := follow(t, "one", second)
-	require.Eventually(t, limiter.has(1, 1), soon, 10*time.Millisecond)
+// TestShutdown ends a relay and a source that hold calls: each ends by itself, at once and without an error.
+func TestShutdown(t *testing.T) {
+	programs := testPrograms(t)
+	source, sourceAddress := startSource(t, programs, t.TempDir())
+	relay, relayAddress := startRelay(t, programs, sourceAddress, "a")
+	applied := startFollower(t, "one", relayAddress)
+	require.Eventually(t, applied.isNewest(1, 1), testTimeout, 10*time.Millisecond)
 	for _, p := range []*distbench.Process{relay, source} {
 		require.NoError(t, p.Signal(syscall.SIGTERM))
 		ended, err := p.Ended(3 * time.Second)
@@ -408,14 +408,14 @@
 	}
 }
 
-// fake answers a client's calls with what it was given, and notes publications.
-type fake struct {
+// fakeSource answers a client's calls with what it was given, and notes publications.
+type fakeSource struct {
 	head      distribution.Version
 	overview  distribution.Overview
 	published []transport.Publication
 }
 
-func (f *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeSource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var answer any
 	switch r.URL.Path {
 	case "/v1/pieces":
@@ -431,7 +431,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func startFake(t *testing.T, f *fake) string {
+func startFakeSource(t *testing.T, f *fakeSource) string {
 	server := httptest.NewServer(f)
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
@@ -439,8 +439,8 @@
 
 // TestExpectedHead publishes for the head that was read, so that a repetition cannot be taken twice.
 func TestExpectedHead(t *testing.T) {
-	f := &fake{head: distribution.Version{Epoch: 3, Number: 7}}
-	o := &publishOptions{source: startFake(t, f), kind: "plans", key: "k", value: "x", timeout: soon}
+	f := &fakeSource{head: distribution.Version{Epoch: 3, Number: 7}}
+	o := &publishOptions{source: startFakeSource(t, f), kind: "plans", key: "k", value: "x", timeout: testTimeout}
 	require.NoError(t, publish(t.Context(), o, io.Discard))
 	require.Len(t, f.published, 1)
 	require.Equal(t, uint64(3), f.published[0].Epoch)
@@ -451,18 +451,18 @@
 func TestStatus(t *testing.T) {
 	head := distribution.Version{Epoch: 3, Number: 7}
 	older := distribution.Version{Epoch: 2, Number: 5}
-	has := func(version distribution.Version, limiters int) distribution.VersionCount {
+	versionCount := func(version distribution.Version, limiters int) distribution.VersionCount {
 		return distribution.VersionCount{Version: version, Limiters: limiters}
 	}
 	good := distribution.Summary{
 		Relay:    "a/r",
 		Version:  head,
 		Age:      5e8,
-		Versions: []distribution.VersionCount{has(head, 4)},
+		Versions: []distribution.VersionCount{versionCount(head, 4)},
 	}
 	behind, unconfirmed := good, good
-	behind.Relay, behind.Versions = "b/r", []distribution.VersionCount{has(head, 1), has(older, 2)}
-	behind.Refusals = []distribution.Refusal{{VersionCount: has(head, 2), Reason: "no address"}}
+	behind.Relay, behind.Versions = "b/r", []distribution.VersionCount{versionCount(head, 1), versionCount(older, 2)}
+	behind.Refusals = []distribution.Refusal{{VersionCount: versionCount(head, 2), Reason: "no address"}}
 	unconfirmed.Unconfirmed = 1
 	for _, c := range []struct {
 		name     string
@@ -484,7 +484,7 @@
 			var out strings.Builder
 			err := status(
 				t.Context(),
-				&statusOptions{source: startFake(t, &fake{head: head, overview: c.overview}), timeout: soon},
+				&statusOptions{source: startFakeSource(t, &fakeSource{head: head, overview: c.overview}), timeout: testTimeout},
 				&out,
 			)
 			if c.want == nil {
--- a/cmd/configdist/main.go
+++ b/cmd/configdist/main.go
@@ -21,7 +21,7 @@
 	signal.Ignore(syscall.SIGPIPE) // who reads the log may end first
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		slog.Error("failed", hint.Attrs(err)...)
 		cancel()
 		logging.Flush()
@@ -29,13 +29,13 @@
 	}
 }
 
-func root() *cobra.Command {
-	top := &cobra.Command{
+func rootCommand() *cobra.Command {
+	command := &cobra.Command{
 		Use:           "configdist",
 		Short:         "distributes configuration to limiters",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	top.AddCommand(sourceCommand(), relayCommand(), publishCommand(), statusCommand())
-	return top
+	command.AddCommand(sourceCommand(), relayCommand(), publishCommand(), statusCommand())
+	return command
 }
--- a/cmd/configdist/publish.go
+++ b/cmd/configdist/publish.go
@@ -53,7 +53,7 @@
 	}
 	client := transport.NewClient(o.source, o.timeout)
 	defer client.Close()
-	head, err := headOf(ctx, client, o.timeout)
+	head, err := fetchHead(ctx, client, o.timeout)
 	if err != nil {
 		return err
 	}
@@ -102,8 +102,8 @@
 	return mutations, nil
 }
 
-// headOf asks a server for its version, with the smallest piece of its state. Errors: as of transport.Client.Piece.
-func headOf(ctx context.Context, client *transport.Client, timeout time.Duration) (distribution.Version, error) {
+// fetchHead asks a server for its version, with the smallest piece of its state. Errors: as of transport.Client.Piece.
+func fetchHead(ctx context.Context, client *transport.Client, timeout time.Duration) (distribution.Version, error) {
 	piece, err := client.Piece(ctx, distribution.PieceRequest{}, timeout)
 	if err != nil {
 		return distribution.Version{}, err
--- a/cmd/configdist/relay.go
+++ b/cmd/configdist/relay.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	clock := monotonic()
+	clock := newMonotonicClock()
 	name := o.zone + "/" + o.name
 	relay := distribution.NewRelay(clock(), distribution.RelayOptions{Name: name})
 	server := transport.NewRelayServer(relay, clock)
@@ -55,7 +55,7 @@
 		relay,
 		server,
 		transport.FollowerOptions{Servers: [2]string{o.source, o.source},
-			DialTimeout: o.dialTimeout, Position: positionOf(name), Clock: clock, Report: reportCalls(clock),
+			DialTimeout: o.dialTimeout, Position: positionOf(name), Clock: clock, Report: newCallErrorLogger(clock),
 			Changed: func(s *distribution.Snapshot) {
 				slog.Info("config-version", "epoch", s.Version.Epoch, "version", s.Version.Number)
 			}},
@@ -69,25 +69,25 @@
 	return serve(ctx, server.HTTP(), listener)
 }
 
-// places are those among which relays spread their calls.
-const places = 4096
+// positionCount are those among which relays spread their calls.
+const positionCount = 4096
 
 // positionOf is a relay's place, by its name.
 func positionOf(name string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
-	return int(hash.Sum32() % places)
+	return int(hash.Sum32() % positionCount)
 }
 
-// reportEvery is after how long a failed call is logged again.
-const reportEvery = 10 * time.Second
+// errorLogInterval is after how long a failed call is logged again.
+const errorLogInterval = 10 * time.Second
 
-// reportCalls logs failed calls, not all of them. It is for one goroutine.
-func reportCalls(clock func() int64) func(error) {
-	next := int64(0)
+// newCallErrorLogger logs failed calls, not all of them. It is for one goroutine.
+func newCallErrorLogger(clock func() int64) func(error) {
+	nextLogAt := int64(0)
 	return func(err error) {
-		if now := clock(); now >= next {
-			next = now + int64(reportEvery)
+		if now := clock(); now >= nextLogAt {
+			nextLogAt = now + int64(errorLogInterval)
 			slog.Warn("config-call-failed", hint.Attrs(err)...)
 		}
 	}
--- a/cmd/configdist/serve.go
+++ b/cmd/configdist/serve.go
@@ -11,11 +11,11 @@
 	"ospreycroft/internal/transient"
 )
 
-// endWithin is how long calls may take to end when the process is told to.
-const endWithin = time.Second
+// shutdownTimeout is how long calls may take to end when the process is told to.
+const shutdownTimeout = time.Second
 
-// monotonic makes a clock of nanoseconds that begins as the system's and never goes back.
-func monotonic() func() int64 {
+// newMonotonicClock makes a clock of nanoseconds that begins as the system's and never goes back.
+func newMonotonicClock() func() int64 {
 	start := time.Now()
 	return func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 }
@@ -35,16 +35,16 @@
 // serve serves until the context ends. Held calls are broken off: their callers ask again.
 func serve(ctx context.Context, server *http.Server, listener net.Listener) error {
 	slog.Info("listening", "address", listener.Addr().String())
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(listener) }()
+	serveError := make(chan error, 1)
+	go func() { serveError <- server.Serve(listener) }()
 	select {
-	case err := <-ended:
+	case err := <-serveError:
 		return err
 	case <-ctx.Done():
 	}
-	end, cancel := context.WithTimeout(context.Background(), endWithin)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := server.Shutdown(end); errors.Is(err, context.DeadlineExceeded) {
+	if err := server.Shutdown(shutdownCtx); errors.Is(err, context.DeadlineExceeded) {
 		return server.Close()
 	} else if err != nil {
 		return err
--- a/cmd/configdist/source.go
+++ b/cmd/configdist/source.go
@@ -34,12 +34,12 @@
 	if o.dir == "" {
 		return &FlagError{Name: "--dir", Value: "empty", Want: "a directory for the state"}
 	}
-	clock := monotonic()
-	journal, held, err := openJournal(o, clock)
+	clock := newMonotonicClock()
+	handler, log, err := newPersistingHandler(o, clock)
 	if err != nil {
 		return err
 	}
-	source := distribution.NewSource(held, distribution.Budget{})
+	source := distribution.NewSource(log, distribution.Budget{})
 	epoch := o.epoch
 	if epoch == 0 {
 		epoch = source.Head().Epoch + 1
@@ -48,10 +48,10 @@
 	if err != nil {
 		return err
 	}
-	if err := journal.open(ctx, change); err != nil {
-		return &SourceStateError{Path: journal.place.Path(), Cause: err}
+	if err := handler.persistWithRetries(ctx, change); err != nil {
+		return &SourceStateError{Path: handler.stateFile.Path(), Cause: err}
 	}
-	go journal.keepSaving(ctx)
+	go handler.retrySaves(ctx)
 	listener, err := listen(o.listen)
 	if err != nil {
 		return err
@@ -65,9 +65,9 @@
 		"entries",
 		source.State().Len(),
 	)
-	served := transport.NewSourceServer(source, clock)
-	journal.next = served
-	server := served.HTTP()
-	server.Handler = journal
+	sourceServer := transport.NewSourceServer(source, clock)
+	handler.next = sourceServer
+	server := sourceServer.HTTP()
+	server.Handler = handler
 	return serve(ctx, server, listener)
 }
--- a/cmd/configdist/status.go
+++ b/cmd/configdist/status.go
@@ -35,7 +35,7 @@
 func status(ctx context.Context, o *statusOptions, out io.Writer) error {
 	client := transport.NewClient(o.source, o.timeout)
 	defer client.Close()
-	head, err := headOf(ctx, client, o.timeout)
+	head, err := fetchHead(ctx, client, o.timeout)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	report, text := reportOf(head, overview)
+	report, text := summarizeOverview(head, overview)
 	if _, err := io.WriteString(out, text); err != nil {
 		return err
 	}
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// reportOf sums an overview up, with a line for the whole, each relay, each refusal and the silent relays.
-func reportOf(head distribution.Version, overview distribution.Overview) (*NotInForceError, string) {
+// summarizeOverview sums an overview up, with a line for the whole, each relay, each refusal and the silent relays.
+func summarizeOverview(head distribution.Version, overview distribution.Overview) (*NotInForceError, string) {
 	report := &NotInForceError{Version: head, Silent: len(overview.Silent)}
 	report.InForce, report.Limiters = overview.InForce(head)
 	var lines strings.Builder
@@ -92,7 +92,7 @@
 	for _, name := range overview.Silent {
 		fmt.Fprintf(&lines, "silent=%s\n", name)
 	}
-	first := fmt.Sprintf(
+	totals := fmt.Sprintf(
 		"version=%v in_force=%d limiters=%d unconfirmed=%d oldest=%v\n",
 		head,
 		report.InForce,
@@ -100,5 +100,5 @@
 		report.Unconfirmed,
 		oldest,
 	)
-	return report, first + lines.String()
+	return report, totals + lines.String()
 }
--- a/internal/distribution/statefile/errors.go
+++ b/internal/distribution/statefile/errors.go
@@ -7,8 +7,8 @@
 	"ospreycroft/internal/distribution"
 )
 
-// replaced begins the hints of files that are replaced by themselves.
-const replaced = "nothing: the limiter reads the state from its relay, and the file is replaced"
+// recoveryHint begins the hints of files that are recoveryHint by themselves.
+const recoveryHint = "nothing: the limiter reads the state from its relay, and the file is replaced"
 
 // OwnerError is for the file of another subscriber, of another installation, or of another scope.
 type OwnerError struct{ Path, Installation, Subscriber, Scope string }
@@ -47,18 +47,18 @@
 
 // Hint is what to do.
 func (e *StaleError) Hint() string {
-	return replaced + "; if the limiter ran meanwhile, look at why it was not written; if it is from the future, set the machine's clock"
+	return recoveryHint + "; if the limiter ran meanwhile, look at why it was not written; if it is from the future, set the machine's clock"
 }
 
 // OlderError is for a snapshot that is older than the one in the file.
 type OlderError struct {
-	Path        string
-	Held, Given distribution.Version
+	Path          string
+	Stored, Given distribution.Version
 }
 
 // Error says what happened.
 func (e *OlderError) Error() string {
-	return fmt.Sprintf("the state file %s holds version %v, and %v is older", e.Path, e.Held, e.Given)
+	return fmt.Sprintf("the state file %s holds version %v, and %v is older", e.Path, e.Stored, e.Given)
 }
 
 // Hint is what to do.
--- a/internal/distribution/statefile/statefile.go
+++ b/internal/distribution/statefile/statefile.go
@@ -15,28 +15,28 @@
 	"ospreycroft/internal/machineclock"
 )
 
-// files are the files of states.
-var files = &atomicfile.Kind{
+// fileKind are the fileKind of states.
+var fileKind = &atomicfile.Kind{
 	Format:   atomicfile.Format{Name: "ospreycroft-distribution", Version: 1},
 	Name:     "the state file",
-	Replaced: replaced,
+	Replaced: recoveryHint,
 	Older:    "an older state",
 }
 
 // Place is where a subscriber keeps its state, and whose it is. It is for one goroutine.
 type Place struct {
-	Dir          string
-	Installation string
-	Subscriber   string
-	Scope        distribution.Scope
-	MaxAge       int64 // a state that was confirmed longer ago is refused, in nanoseconds, above 0
-	Files        atomicfile.Files
-	Clock        machineclock.Origin  // of the subscriber's present life; it may have been stepped since the life before
-	written      distribution.Version // the newest version that was loaded or saved
+	Dir           string
+	Installation  string
+	Subscriber    string
+	Scope         distribution.Scope
+	MaxAge        int64 // a state that was confirmed longer ago is refused, in nanoseconds, above 0
+	Files         atomicfile.Files
+	Clock         machineclock.Origin  // of the subscriber's present life; it may have been stepped since the life before
+	newestVersion distribution.Version // the newest version that was loaded or saved
 }
 
-// content is the JSON behind the header.
-type content struct {
+// fileContent is the JSON behind the header.
+type fileContent struct {
 	Installation string                `json:"installation"`
 	Subscriber   string                `json:"subscriber"`
 	Digest       distribution.Digest   `json:"digest"`
@@ -54,58 +54,58 @@
 // none. Errors: those of atomicfile.Kind, *OwnerError, *StaleError.
 func (p *Place) Load(now int64) (*distribution.Snapshot, error) {
 	path := p.Path()
-	c := &content{}
-	err := files.Load(p.Files, path, c)
+	content := &fileContent{}
+	err := fileKind.Load(p.Files, path, content)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if c.Installation != p.Installation || c.Subscriber != p.Subscriber || c.Snapshot.Scope != p.Scope.String() {
+	if content.Installation != p.Installation || content.Subscriber != p.Subscriber || content.Snapshot.Scope != p.Scope.String() {
 		return nil, &OwnerError{
 			Path:         path,
-			Installation: c.Installation,
-			Subscriber:   c.Subscriber,
-			Scope:        c.Snapshot.Scope,
+			Installation: content.Installation,
+			Subscriber:   content.Subscriber,
+			Scope:        content.Snapshot.Scope,
 		}
 	}
-	c.Snapshot.TakenAt += p.Clock.ShiftFrom(c.Clock)
-	if age := now - c.Snapshot.TakenAt; age > p.MaxAge || age < -p.MaxAge {
+	content.Snapshot.TakenAt += p.Clock.ShiftFrom(content.Clock)
+	if age := now - content.Snapshot.TakenAt; age > p.MaxAge || age < -p.MaxAge {
 		return nil, &StaleError{Path: path, Age: age, MaxAge: p.MaxAge}
 	}
-	state, err := distribution.NewStateOf(c.Snapshot.Entries)
+	state, err := distribution.NewStateOf(content.Snapshot.Entries)
 	if err != nil {
-		return nil, &atomicfile.ChecksumError{Kind: files, Path: path, Cause: err}
+		return nil, &atomicfile.ChecksumError{Kind: fileKind, Path: path, Cause: err}
 	}
-	if got := state.Digest(distribution.Scope{}); got != c.Digest {
+	if got := state.Digest(distribution.Scope{}); got != content.Digest {
 		return nil, &atomicfile.ChecksumError{
-			Kind:  files,
+			Kind:  fileKind,
 			Path:  path,
-			Cause: &distribution.DigestError{Version: c.Snapshot.Version, Want: c.Digest, Got: got},
+			Cause: &distribution.DigestError{Version: content.Snapshot.Version, Want: content.Digest, Got: got},
 		}
 	}
-	p.written = c.Snapshot.Version
-	return &c.Snapshot, nil
+	p.newestVersion = content.Snapshot.Version
+	return &content.Snapshot, nil
 }
 
 // Save writes a snapshot whole or leaves the one that is there. One that is older than what this place has loaded or
 // saved is refused. Errors: *OlderError, *atomicfile.WriteError.
-func (p *Place) Save(s *distribution.Snapshot) error {
+func (p *Place) Save(snapshot *distribution.Snapshot) error {
 	path := p.Path()
-	if s.Version.Less(p.written) {
-		return &OlderError{Path: path, Held: p.written, Given: s.Version}
+	if snapshot.Version.Less(p.newestVersion) {
+		return &OlderError{Path: path, Stored: p.newestVersion, Given: snapshot.Version}
 	}
-	state, err := distribution.NewStateOf(s.Entries)
+	state, err := distribution.NewStateOf(snapshot.Entries)
 	if err != nil {
-		return &atomicfile.WriteError{Kind: files, Path: path, Cause: err}
+		return &atomicfile.WriteError{Kind: fileKind, Path: path, Cause: err}
 	}
-	held := content{Installation: p.Installation, Subscriber: p.Subscriber, Digest: state.Digest(distribution.Scope{}),
-		Snapshot: *s, Clock: p.Clock}
-	if err := files.Save(p.Files, path, held); err != nil {
+	content := fileContent{Installation: p.Installation, Subscriber: p.Subscriber, Digest: state.Digest(distribution.Scope{}),
+		Snapshot: *snapshot, Clock: p.Clock}
+	if err := fileKind.Save(p.Files, path, content); err != nil {
 		return err
 	}
-	p.written = s.Version
+	p.newestVersion = snapshot.Version
 	return nil
 }
 
--- a/internal/distribution/transport/client.go
+++ b/internal/distribution/transport/client.go
@@ -14,9 +14,9 @@
 	"ospreycroft/internal/distribution"
 )
 
-// MaxAnswerBytes bounds the body of an answer: MaxDeltaBytes or MaxPieceBytes of content, every character of which may
+// MaxResponseBytes bounds the body of an answer: MaxDeltaBytes or MaxPieceBytes of content, every character of which may
 // be escaped.
-const MaxAnswerBytes = 4 << 20
+const MaxResponseBytes = 4 << 20
 
 // Client calls one server. It is safe for concurrent use.
 type Client struct {
@@ -33,7 +33,7 @@
 			DialContext:            dialer.DialContext,
 			MaxIdleConnsPerHost:    2,
 			IdleConnTimeout:        idleTimeout / 2,
-			MaxResponseHeaderBytes: maxHead,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 			DisableCompression:     true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -53,7 +53,7 @@
 	delta := &distribution.Delta{}
 	err := c.call(ctx, timeout, http.MethodGet, "/v1/changes?"+changesQuery(request, int64(hold)).Encode(), nil, delta)
 	if err == nil && delta.To == (distribution.Version{}) {
-		err = c.noVersion()
+		err = c.missingVersionError()
 	}
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	piece := &distribution.Piece{}
 	err := c.call(ctx, timeout, http.MethodGet, "/v1/pieces?"+pieceQuery(request).Encode(), nil, piece)
 	if err == nil && piece.Version == (distribution.Version{}) {
-		err = c.noVersion()
+		err = c.missingVersionError()
 	}
 	if err != nil {
 		return nil, err
@@ -78,14 +78,14 @@
 	return piece, nil
 }
 
-// noVersion is the error of an answer that says no version: it is JSON of something else.
-func (c *Client) noVersion() error {
+// missingVersionError is the error of an answer that says no version: it is JSON of something else.
+func (c *Client) missingVersionError() error {
 	return &distribution.MalformedError{What: "the answer of " + c.address, Cause: errors.New("it has no version")}
 }
 
 // Acknowledge tells what is in force. Errors: as of Changes.
-func (c *Client) Acknowledge(ctx context.Context, a distribution.Acknowledgement, timeout time.Duration) error {
-	return c.call(ctx, timeout, http.MethodPost, "/v1/acknowledgements", a, nil)
+func (c *Client) Acknowledge(ctx context.Context, acknowledgement distribution.Acknowledgement, timeout time.Duration) error {
+	return c.call(ctx, timeout, http.MethodPost, "/v1/acknowledgements", acknowledgement, nil)
 }
 
 // Open opens an epoch at a source. Errors: as of Changes.
@@ -94,7 +94,7 @@
 	epoch uint64,
 	timeout time.Duration,
 ) (change distribution.Change, err error) {
-	err = c.call(ctx, timeout, http.MethodPost, "/v1/epochs", Opening{Epoch: epoch}, &change)
+	err = c.call(ctx, timeout, http.MethodPost, "/v1/epochs", EpochOpening{Epoch: epoch}, &change)
 	return change, err
 }
 
@@ -102,57 +102,57 @@
 // been published: with Expected set it is safe to repeat.
 func (c *Client) Publish(
 	ctx context.Context,
-	p Publication,
+	publication Publication,
 	timeout time.Duration,
 ) (change distribution.Change, err error) {
-	err = c.call(ctx, timeout, http.MethodPost, "/v1/changes", p, &change)
+	err = c.call(ctx, timeout, http.MethodPost, "/v1/changes", publication, &change)
 	return change, err
 }
 
 // Summarize gives a source a relay's summary. Errors: as of Changes.
-func (c *Client) Summarize(ctx context.Context, s distribution.Summary, timeout time.Duration) error {
-	return c.call(ctx, timeout, http.MethodPost, "/v1/summaries", s, nil)
+func (c *Client) Summarize(ctx context.Context, summary distribution.Summary, timeout time.Duration) error {
+	return c.call(ctx, timeout, http.MethodPost, "/v1/summaries", summary, nil)
 }
 
 // Overview asks a source what is in force where. Errors: as of Changes.
-func (c *Client) Overview(ctx context.Context, timeout time.Duration) (o distribution.Overview, err error) {
-	err = c.call(ctx, timeout, http.MethodGet, "/v1/overview", nil, &o)
-	return o, err
+func (c *Client) Overview(ctx context.Context, timeout time.Duration) (overview distribution.Overview, err error) {
+	err = c.call(ctx, timeout, http.MethodGet, "/v1/overview", nil, &overview)
+	return overview, err
 }
 
 // call makes one call and reads its answer, whole or not at all.
-func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body, into any) error {
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := c.request(ctx, method, path, body)
+	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return c.broken(ctx, timeout, &UnreachableError{Address: c.address, Cause: err})
+		return c.callError(ctx, timeout, &UnreachableError{Address: c.address, Cause: err})
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes+1))
+	text, err := io.ReadAll(io.LimitReader(response.Body, MaxResponseBytes+1))
 	switch {
 	case err != nil:
-		return c.broken(ctx, timeout, &TruncatedError{Address: c.address, Cause: err})
-	case len(text) > MaxAnswerBytes:
-		return &TooLongError{Address: c.address, Max: MaxAnswerBytes}
+		return c.callError(ctx, timeout, &TruncatedError{Address: c.address, Cause: err})
+	case len(text) > MaxResponseBytes:
+		return &TooLongError{Address: c.address, Max: MaxResponseBytes}
 	case response.StatusCode >= http.StatusBadRequest:
-		return c.failure(response.StatusCode, text)
-	case into == nil && response.StatusCode == http.StatusNoContent:
+		return c.responseError(response.StatusCode, text)
+	case result == nil && response.StatusCode == http.StatusNoContent:
 		return nil
-	case response.StatusCode != http.StatusOK || into == nil:
+	case response.StatusCode != http.StatusOK || result == nil:
 		return &StatusError{Address: c.address, Status: response.StatusCode}
 	}
-	if err := json.Unmarshal(text, into); err != nil {
+	if err := json.Unmarshal(text, result); err != nil {
 		return &distribution.MalformedError{What: "the answer of " + c.address, Cause: err}
 	}
 	return nil
 }
 
-func (c *Client) request(ctx context.Context, method, path string, body any) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	var text []byte
 	if body != nil {
 		var err error
@@ -161,8 +161,8 @@
 			return nil, &distribution.MalformedError{What: "the call", Cause: err}
 		}
 	}
-	at := (&url.URL{Scheme: "http", Host: c.address}).String()
-	request, err := http.NewRequestWithContext(ctx, method, at+path, bytes.NewReader(text))
+	baseURL := (&url.URL{Scheme: "http", Host: c.address}).String()
+	request, err := http.NewRequestWithContext(ctx, method, baseURL+path, bytes.NewReader(text))
 	if err != nil {
 		return nil, &UnreachableError{Address: c.address, Cause: err}
 	}
@@ -172,16 +172,16 @@
 	return request, nil
 }
 
-// broken is the error of a call that came to no answer: that it was given up, or another.
-func (c *Client) broken(ctx context.Context, timeout time.Duration, other error) error {
+// callError is the error of a call that came to no answer: that it was given up, or another.
+func (c *Client) callError(ctx context.Context, timeout time.Duration, otherwise error) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return &UnansweredError{Address: c.address, After: int64(timeout)}
 	}
-	return other
+	return otherwise
 }
 
-// failure is the error that an answer with such a status stands for.
-func (c *Client) failure(status int, text []byte) error {
+// responseError is the error that an answer with such a status stands for.
+func (c *Client) responseError(status int, text []byte) error {
 	var f Failure
 	if json.Unmarshal(text, &f) == nil {
 		if err := errorOf(f); err != nil {
--- a/internal/distribution/transport/failure.go
+++ b/internal/distribution/transport/failure.go
@@ -55,12 +55,12 @@
 
 // failureOf is the answer that stands for an error.
 func failureOf(err error) (status int, failure Failure) {
-	status, failure = translate(err)
+	status, failure = statusAndFailure(err)
 	failure.Message, failure.Hint = err.Error(), hint.For(err)
 	return status, failure
 }
 
-func translate(err error) (int, Failure) {
+func statusAndFailure(err error) (int, Failure) {
 	var (
 		compacted *distribution.CompactedError
 		behind    *distribution.BehindError
@@ -116,10 +116,10 @@
 }
 
 // errorOf is the typed error that a failure stands for, nil where it names none that is known.
-func errorOf(f Failure) error {
-	from := f.From
-	head := f.Head
-	key := f.Key
+func errorOf(failure Failure) error {
+	from := failure.From
+	head := failure.Head
+	key := failure.Key
 	if from == nil {
 		from = &distribution.Version{}
 	}
@@ -129,7 +129,7 @@
 	if key == nil {
 		key = &distribution.Key{}
 	}
-	switch f.Code {
+	switch failure.Code {
 	case codeCompacted:
 		return &distribution.CompactedError{From: *from, Oldest: *head}
 	case codeBehind:
@@ -137,27 +137,27 @@
 	case codeNotReady:
 		return &distribution.NotReadyError{}
 	case codeThrottled:
-		return &distribution.ThrottledError{RetryAfter: min(max(f.RetryAfter, 0), maxRetryAfter)}
+		return &distribution.ThrottledError{RetryAfter: min(max(failure.RetryAfter, 0), maxRetryAfter)}
 	case codeFenced:
-		return &distribution.FencedError{Open: f.Epoch, Given: f.Given}
+		return &distribution.FencedError{Open: failure.Epoch, Given: failure.Given}
 	case codeEpochStep:
-		return &distribution.EpochStepError{Open: f.Epoch, Given: f.Given}
+		return &distribution.EpochStepError{Open: failure.Epoch, Given: failure.Given}
 	case codeConflict:
 		return &distribution.ConflictError{Expected: *from, Head: *head}
 	case codeEmpty:
 		return &distribution.EmptyChangeError{}
 	case codeKind:
-		return &distribution.KindError{Kind: f.Why}
+		return &distribution.KindError{Kind: failure.Why}
 	case codeKey:
-		return &distribution.KeyError{Key: *key, Why: f.Why}
+		return &distribution.KeyError{Key: *key, Why: failure.Why}
 	case codeScope:
-		return &distribution.ScopeError{Why: f.Why}
+		return &distribution.ScopeError{Why: failure.Why}
 	case codeTooLarge:
-		return &distribution.TooLargeError{What: f.What, Bytes: f.Bytes, Max: f.Max}
+		return &distribution.TooLargeError{What: failure.What, Bytes: failure.Bytes, Max: failure.Max}
 	case codeReadOnly:
 		return &distribution.ReadOnlyError{}
 	case codeMalformed:
-		return &distribution.MalformedError{What: f.What, Cause: errors.New(f.Why)}
+		return &distribution.MalformedError{What: failure.What, Cause: errors.New(failure.Why)}
 	}
 	return nil
 }
--- a/internal/distribution/transport/follower.go
+++ b/internal/distribution/transport/follower.go
@@ -28,18 +28,18 @@
 
 // Follower keeps a subscriber up to date on goroutines of its own. The applier runs on one of them.
 type Follower struct {
-	options FollowerOptions
-	poller  *distribution.Poller
-	clients [2]*Client
-	do      func(func(now int64)) // runs something under the lock over the subscriber
-	say     chan saying           // the newest acknowledgement, for the goroutine that sends it
-	said    distribution.Acknowledgement
-	saidAt  int64
-	summary func(now int64) distribution.Summary // of a relay; nil for a limiter
+	options  FollowerOptions
+	poller   *distribution.Poller
+	clients  [2]*Client
+	withLock func(func(now int64))       // runs something under the lock over the subscriber
+	pending  chan pendingAcknowledgement // the newest acknowledgement, for the goroutine that sends it
+	last     distribution.Acknowledgement
+	lastAt   int64
+	summary  func(now int64) distribution.Summary // of a relay; nil for a limiter
 }
 
-// saying is an acknowledgement on its way to a server.
-type saying struct {
+// pendingAcknowledgement is an acknowledgement on its way to a server.
+type pendingAcknowledgement struct {
 	distribution.Acknowledgement
 	server int
 }
@@ -48,7 +48,7 @@
 func NewFollower(subscriber *distribution.Subscriber, options FollowerOptions) *Follower {
 	f := newFollower(subscriber, options, distribution.LimiterHold)
 	var mutex sync.Mutex
-	f.do = func(run func(now int64)) {
+	f.withLock = func(run func(now int64)) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		run(f.options.Clock())
@@ -59,16 +59,16 @@
 // NewRelayFollower makes the follower of a relay, which its server serves meanwhile.
 func NewRelayFollower(relay *distribution.Relay, server *Server, options FollowerOptions) *Follower {
 	f := newFollower(relay.Subscriber, options, distribution.RelayHold)
-	f.do = server.do
+	f.withLock = server.withLock
 	f.summary = relay.Summary
 	return f
 }
 
-func newFollower(subscriber *distribution.Subscriber, options FollowerOptions, hold int64) *Follower {
+func newFollower(subscriber *distribution.Subscriber, options FollowerOptions, defaultHold int64) *Follower {
 	if options.Hold == 0 {
-		options.Hold = time.Duration(hold)
+		options.Hold = time.Duration(defaultHold)
 	}
-	f := &Follower{options: options, say: make(chan saying, 1)}
+	f := &Follower{options: options, pending: make(chan pendingAcknowledgement, 1)}
 	f.poller = distribution.NewPoller(options.Clock(), subscriber, distribution.PollerOptions{
 		DialTimeout: int64(options.DialTimeout), Hold: int64(options.Hold), Position: options.Position})
 	for i, address := range options.Servers {
@@ -79,21 +79,21 @@
 
 // Do runs something that uses the subscriber while the follower runs.
 func (f *Follower) Do(run func(now int64, subscriber *distribution.Subscriber)) {
-	f.do(func(now int64) { run(now, f.poller.Subscriber) })
+	f.withLock(func(now int64) { run(now, f.poller.Subscriber) })
 }
 
 // Run follows until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	var side sync.WaitGroup
+	var reporting sync.WaitGroup
 	if f.summary == nil {
-		side.Go(func() { f.sendAcknowledgements(ctx) })
+		reporting.Go(func() { f.sendAcknowledgements(ctx) })
 	} else {
-		side.Go(func() { f.sendSummaries(ctx) })
+		reporting.Go(func() { f.sendSummaries(ctx) })
 	}
 	for wait := f.poller.First(); sleep(ctx, wait); {
-		wait = f.step(ctx)
+		wait = f.pollOnce(ctx)
 	}
-	side.Wait()
+	reporting.Wait()
 	for _, client := range f.clients {
 		client.Close()
 	}
@@ -114,10 +114,10 @@
 	}
 }
 
-// step makes one call, and tells how long to wait before the next one.
-func (f *Follower) step(ctx context.Context) (wait int64) {
+// pollOnce makes one call, and tells how long to wait before the next one.
+func (f *Follower) pollOnce(ctx context.Context) (wait int64) {
 	var call distribution.Call
-	f.do(func(now int64) { call = f.poller.Call(now) })
+	f.withLock(func(now int64) { call = f.poller.Call(now) })
 	client, timeout := f.clients[call.Server], time.Duration(call.Timeout)
 	var delta *distribution.Delta
 	var piece *distribution.Piece
@@ -131,7 +131,7 @@
 		return 0
 	}
 	var snapshot *distribution.Snapshot
-	f.do(func(now int64) {
+	f.withLock(func(now int64) {
 		before := f.poller.Version()
 		switch {
 		case err != nil:
@@ -144,7 +144,7 @@
 		if f.poller.Version() != before && f.options.Changed != nil {
 			snapshot = f.poller.Snapshot(now)
 		}
-		f.acknowledge(now)
+		f.queueAcknowledgement(now)
 	})
 	if err != nil && f.options.Report != nil {
 		f.options.Report(err)
@@ -155,26 +155,26 @@
 	return wait
 }
 
-// acknowledge hands an acknowledgement over where it is new, or the last was long ago. It does not wait.
-func (f *Follower) acknowledge(now int64) {
+// queueAcknowledgement hands an acknowledgement over where it is new, or the last was long ago. It does not wait.
+func (f *Follower) queueAcknowledgement(now int64) {
 	if f.summary != nil {
 		return
 	}
-	a := f.poller.Acknowledgement(now)
-	if sameNews(a, f.said) && now-f.saidAt < distribution.AcknowledgementEvery {
+	acknowledgement := f.poller.Acknowledgement(now)
+	if equalExceptAge(acknowledgement, f.last) && now-f.lastAt < distribution.AcknowledgementEvery {
 		return
 	}
-	f.said = a
-	f.saidAt = now
+	f.last = acknowledgement
+	f.lastAt = now
 	select {
-	case <-f.say: // the newest takes the place of one that waits
+	case <-f.pending: // the newest takes the place of one that waits
 	default:
 	}
-	f.say <- saying{a, f.poller.Server(now)}
+	f.pending <- pendingAcknowledgement{acknowledgement, f.poller.Server(now)}
 }
 
-// sameNews tells whether two acknowledgements differ in their ages at most.
-func sameNews(a, b distribution.Acknowledgement) bool {
+// equalExceptAge tells whether two acknowledgements differ in their ages at most.
+func equalExceptAge(a, b distribution.Acknowledgement) bool {
 	if a.Version != b.Version || a.Condition != b.Condition || (a.Refused == nil) != (b.Refused == nil) {
 		return false
 	}
@@ -184,9 +184,9 @@
 func (f *Follower) sendAcknowledgements(ctx context.Context) {
 	for {
 		select {
-		case s := <-f.say:
+		case next := <-f.pending:
 			// What is lost is said again; errors show in the calls for changes.
-			_ = f.clients[s.server].Acknowledge(ctx, s.Acknowledgement, reportTimeout)
+			_ = f.clients[next.server].Acknowledge(ctx, next.Acknowledgement, reportTimeout)
 		case <-ctx.Done():
 			return
 		}
@@ -200,7 +200,7 @@
 	for sleep(ctx, distribution.SummaryEvery) {
 		var summary distribution.Summary
 		var server int
-		f.do(func(now int64) { summary, server = f.summary(now), f.poller.Server(now) })
+		f.withLock(func(now int64) { summary, server = f.summary(now), f.poller.Server(now) })
 		_ = f.clients[server].Summarize(ctx, summary, reportTimeout)
 	}
 }
--- a/internal/distribution/transport/query.go
+++ b/internal/distribution/transport/query.go
@@ -31,7 +31,7 @@
 
 // readChangesQuery reads it. Errors: *MalformedError, *ScopeError.
 func readChangesQuery(q url.Values) (request distribution.ChangesRequest, hold time.Duration, err error) {
-	r := reader{query: q}
+	r := queryReader{query: q}
 	request.From = distribution.Version{Epoch: r.number("epoch"), Number: r.number("from")}
 	request.Seen = distribution.Version{Epoch: r.number("seen_epoch"), Number: r.number("seen")}
 	milliseconds := min(r.number("hold_ms"), uint64(MaxHold/time.Millisecond))
@@ -56,7 +56,7 @@
 
 // readPieceQuery reads it. Errors: *MalformedError, *ScopeError.
 func readPieceQuery(q url.Values) (request distribution.PieceRequest, err error) {
-	r := reader{query: q}
+	r := queryReader{query: q}
 	if q.Has("after_kind") {
 		request.After = &distribution.Key{
 			Kind:  distribution.Kind(q.Get("after_kind")),
@@ -69,14 +69,14 @@
 	return request, r.err
 }
 
-// reader reads values of a query and keeps the first error.
-type reader struct {
+// queryReader reads values of a query and keeps the first error.
+type queryReader struct {
 	query url.Values
 	err   error
 }
 
 // number is a value, 0 where it is missing.
-func (r *reader) number(name string) uint64 {
+func (r *queryReader) number(name string) uint64 {
 	text := r.query.Get(name)
 	if text == "" {
 		return 0
@@ -88,7 +88,7 @@
 	return n
 }
 
-func (r *reader) scope() distribution.Scope {
+func (r *queryReader) scope() distribution.Scope {
 	scope, err := distribution.ParseScope(r.query.Get("scope"))
 	if err != nil && r.err == nil {
 		r.err = err
