--- a/cmd/configdist/configdist_test.go
+++ b/cmd/configdist/configdist_test.go
@@ -27,7 +27,7 @@
 	"ospreycroft/internal/lab/testbed"
 )
 
-// runMainVariable tells the test's own file to be the program.
+// runMainVariable is an environment variable that makes the test binary run main instead of the tests.
 const runMainVariable = "CONFIGDIST_IS_THE_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -41,13 +41,13 @@
 
 const testTimeout = 10 * time.Second
 
-// testPrograms are this test's own file.
+// testPrograms returns the test binary as the program to start, and sets runMainVariable for its child processes.
 func testPrograms(t *testing.T) distbench.Programs {
 	t.Setenv(runMainVariable, "1")
 	return distbench.Programs{Distribution: os.Args[0]}
 }
 
-// runCommand runs a command to its end, and gives what it wrote and whether it ended with 0.
+// runCommand runs a command until it exits. It returns its output and whether its exit status was 0.
 func runCommand(t *testing.T, arguments ...string) (text string, ok bool) {
 	t.Helper()
 	p, err := distbench.Start(os.Args[0], nil, arguments...)
@@ -63,7 +63,9 @@
 	return startSourceAt(t, programs, dir, port, more...), port.Address()
 }
 
-func startSourceAt(t *testing.T, programs distbench.Programs, dir string, port *ports.Kept, more ...string) *distbench.Process {
+func startSourceAt(
+	t *testing.T, programs distbench.Programs, dir string, port *ports.Kept, more ...string,
+) *distbench.Process {
 	t.Helper()
 	p, err := programs.StartSource(dir, port, more...)
 	require.NoError(t, err)
@@ -77,12 +79,12 @@
 	p, err := programs.StartRelay(source, zone, "r", port)
 	require.NoError(t, err)
 	t.Cleanup(p.Kill)
-	// A limiter that finds it without a version changes over, and is counted at both relays for a while.
+	// A limiter that calls a relay without a version switches to its other relay, and both would count it for a while.
 	require.True(t, p.Wrote("event=config-version", 1, testTimeout), p.Log())
 	return p, port.Address()
 }
 
-// recorder is an applier that notes what came in force.
+// recorder is an applier that records the versions that came into force.
 type recorder struct {
 	mutex    sync.Mutex
 	versions []distribution.Version
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// isNewest tells whether a version is the newest in force.
+// isNewest returns a condition: the given version is the last one that came into force.
 func (r *recorder) isNewest(epoch, number uint64) func() bool {
 	return func() bool {
 		r.mutex.Lock()
@@ -105,7 +107,7 @@
 	}
 }
 
-// startFollower runs a subscriber until the test ends.
+// startFollower runs a follower of a new subscriber until the test ends, and returns its applier.
 func startFollower(t *testing.T, name string, relays ...string) *recorder {
 	applied, clock := &recorder{}, newMonotonicClock()
 	follower := transport.NewFollower(
@@ -126,14 +128,16 @@
 	return applied
 }
 
-// TestPublish publishes by flags and by a file, and asks for the status until all limiters have it.
+// TestPublish publishes a change given by flags and one given by a file, and polls the status until both limiters have
+// the second version in force. A third limiter that is expected but missing makes status fail.
 func TestPublish(t *testing.T) {
 	programs := testPrograms(t)
 	_, source := startSource(t, programs, t.TempDir())
 	_, relayA := startRelay(t, programs, source, "a")
 	_, relayB := startRelay(t, programs, source, "b")
 	one, two := startFollower(t, "one", relayA, relayB), startFollower(t, "two", relayB, relayA)
-	text, ok := runCommand(t, "publish", "--source", source, "--kind", "plans", "--key", "gold", "--value", `{"rate":5}`)
+	text, ok := runCommand(t, "publish", "--source", source, "--kind", "plans", "--key", "gold",
+		"--value", `{"rate":5}`)
 	require.True(t, ok, text)
 	require.Equal(t, "epoch=1 version=2\n", text)
 	file := filepath.Join(t.TempDir(), "change.json")
@@ -163,7 +167,8 @@
 	require.Contains(t, text, "in force at 2 of 3 limiters")
 }
 
-// TestRefusedPublications publishes what cannot be: each is refused by its reason, and the head stays.
+// TestRefusedPublications checks that each invalid publication is refused with its reason and a hint, and that the head
+// does not change.
 func TestRefusedPublications(t *testing.T) {
 	programs := testPrograms(t)
 	_, source := startSource(t, programs, t.TempDir())
@@ -176,15 +181,18 @@
 	}{
 		{"an unknown kind", `kind \"x\" is not known`, []string{"--kind", "x", "--key", "k"}},
 		{"no key", "--kind and --key is empty", []string{"--kind", "plans"}},
-		{"a deletion of what is not held", "is not held", []string{"--kind", "plans", "--key", "k", "--delete"}},
-		{"a value of 65 KiB", "too large", []string{"--kind", "plans", "--key", "k", "--value", strings.Repeat("x", 65<<10)}},
-		{"a file with another key", `unknown field \"nam\"`, []string{"--file", bad}},
-		{"no file", "no such file", []string{"--file", bad + "x"}},
+		{"a deletion of a missing entry", "is not held", []string{"--kind", "plans", "--key", "k", "--delete"}},
+		{"a value of 65 KiB", "too large",
+			[]string{"--kind", "plans", "--key", "k", "--value", strings.Repeat("x", 65<<10)}},
+		{"a file with an unknown key", `unknown field \"nam\"`, []string{"--file", bad}},
+		{"a missing file", "no such file", []string{"--file", bad + "x"}},
 		{"a file and an entry", "alone", []string{"--file", bad, "--kind", "plans"}},
 		{"an empty change", "has no mutations", []string{"--file", emptyFile(t)}},
-		{"a writer of another epoch", "epoch 7 is not the open one, which is 1", []string{"--kind", "plans", "--key", "k", "--epoch", "7"}},
-		{"a relay", "takes no writes", []string{"--source", relay, "--kind", "plans", "--key", "k"}},
-		{"nobody there", "cannot be reached", []string{"--source", "127.0.0.1:1", "--kind", "plans", "--key", "k"}},
+		{"a writer of another epoch", "epoch 7 is not the open one, which is 1",
+			[]string{"--kind", "plans", "--key", "k", "--epoch", "7"}},
+		{"a publication at a relay", "takes no writes", []string{"--source", relay, "--kind", "plans", "--key", "k"}},
+		{"an unreachable source", "cannot be reached",
+			[]string{"--source", "127.0.0.1:1", "--kind", "plans", "--key", "k"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text, ok := runCommand(t, append([]string{"publish", "--source", source}, c.arguments...)...)
@@ -204,8 +212,9 @@
 	return path
 }
 
-// TestSourceRestart kills a source behind each publication: what was answered is there in its next life, which opens a
-// higher epoch, and limiters go on from it. The older epoch's writer is fenced.
+// TestSourceRestart kills a source after each publication. After its restart the source must have every publication
+// that it has confirmed and open a higher epoch, and limiters must follow it. A writer of an older epoch is fenced,
+// and a start with an epoch that has been used fails.
 func TestSourceRestart(t *testing.T) {
 	programs, dir := testPrograms(t), t.TempDir()
 	port := testbed.KeepPort(t)
@@ -238,7 +247,8 @@
 			p.Log(),
 			fmt.Sprintf("event=source-started epoch=%d version=%d entries=%d", incarnation+1, number, incarnation),
 		)
-		require.Eventually(t, applied.isNewest(incarnation+1, number), testTimeout, 10*time.Millisecond, "life %d", incarnation)
+		require.Eventually(t, applied.isNewest(incarnation+1, number), testTimeout, 10*time.Millisecond,
+			"incarnation %d", incarnation)
 	}
 	text, ok := runCommand(
 		t,
@@ -262,7 +272,7 @@
 	require.Contains(t, text, "epoch 4 is not the open one, which is 4")
 }
 
-// TestStartsFromStateOfAnEarlierVersion has a source begin with the state that one of version f99e54e has left.
+// TestStartsFromStateOfAnEarlierVersion checks that a source starts from a state file written by version f99e54e.
 func TestStartsFromStateOfAnEarlierVersion(t *testing.T) {
 	programs, dir := testPrograms(t), t.TempDir()
 	stored, err := os.ReadFile("../../internal/distribution/statefile/testdata/source.distribution")
@@ -272,8 +282,8 @@
 	require.Contains(t, p.Log(), "event=source-started epoch=2 version=5 entries=4")
 }
 
-// TestReplacedSource has an older source that still runs beside a newer epoch's: a call from that epoch's version
-// fences it, and it publishes nothing more.
+// TestReplacedSource runs an old source beside its replacement, which has opened a higher epoch. Once a call has shown
+// the old source a version of that epoch, it must refuse publications.
 func TestReplacedSource(t *testing.T) {
 	programs := testPrograms(t)
 	_, older := startSource(t, programs, t.TempDir())
@@ -293,7 +303,7 @@
 	require.Contains(t, text, "epoch 1 is not the open one, which is 2")
 }
 
-// TestCorruptedState starts a source with files that it must not go on without.
+// TestCorruptedState checks that a source does not start from an empty, truncated or changed state file.
 func TestCorruptedState(t *testing.T) {
 	programs, dir := testPrograms(t), t.TempDir()
 	p, _ := startSource(t, programs, dir)
@@ -301,7 +311,8 @@
 	path := filepath.Join(dir, "source.distribution")
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for name, corrupted := range map[string]string{"empty": "", "cut": string(text[:len(text)-3]), "changed": strings.Replace(string(text), "epoch", "eposh", 1)} {
+	for name, corrupted := range map[string]string{"empty": "", "cut": string(text[:len(text)-3]),
+		"changed": strings.Replace(string(text), "epoch", "eposh", 1)} {
 		t.Run(name, func(t *testing.T) {
 			require.NoError(t, os.WriteFile(path, []byte(corrupted), 0o600))
 			text, ok := runCommand(t, "source", "--dir", dir, "--listen", "127.0.0.1:0")
@@ -311,7 +322,8 @@
 	}
 }
 
-// TestPublishWithoutStateDirectory has a source whose disk takes nothing more: the publication is not answered as taken.
+// TestPublishWithoutStateDirectory checks that a source whose state directory has been removed does not confirm a
+// publication.
 func TestPublishWithoutStateDirectory(t *testing.T) {
 	programs, dir := testPrograms(t), filepath.Join(t.TempDir(), "state")
 	require.NoError(t, os.Mkdir(dir, 0o700))
@@ -322,8 +334,9 @@
 	require.Contains(t, text, "status 500")
 }
 
-// TestDiskRefusesPublication: the disk refuses a state's write, or sync, as a change is published. The publisher is not told that
-// it is kept. The change stands, though, and so it is there behind a kill, once the disk has taken it; and so is the next.
+// TestDiskRefusesPublication lets a write or a sync of the state file fail while a change is published. The publisher
+// must get an error. The change is in force at the source nevertheless, so the source must save it once the disk works
+// again. After a kill and a restart, both this change and the next one must be there.
 func TestDiskRefusesPublication(t *testing.T) {
 	for name, failure := range map[string]struct {
 		number int
@@ -364,7 +377,8 @@
 	}
 }
 
-// TestSourceWaitsForPort: a source whose port its former life still holds waits for it.
+// TestSourceWaitsForPort checks that a source retries to listen while another listener, such as its previous
+// incarnation, still has the port.
 func TestSourceWaitsForPort(t *testing.T) {
 	programs, port := testPrograms(t), testbed.KeepPort(t)
 	earlier, err := port.Listen()
@@ -374,7 +388,7 @@
 	require.Contains(t, p.Log(), "event=start-retried")
 }
 
-// TestBadFlags starts with flags that cannot work.
+// TestBadFlags checks that unusable flags are reported by name.
 func TestBadFlags(t *testing.T) {
 	_ = testPrograms(t)
 	for _, c := range []struct {
@@ -385,7 +399,8 @@
 		{"--source is empty", []string{"relay", "--zone", "a"}},
 		{"--zone is empty", []string{"relay", "--source", "127.0.0.1:1"}},
 		{"--dial-timeout is 0s", []string{"relay", "--source", "127.0.0.1:1", "--zone", "a", "--dial-timeout", "0"}},
-		{"cannot listen on 203.0.113.1:1", []string{"relay", "--source", "127.0.0.1:1", "--zone", "a", "--listen", "203.0.113.1:1"}},
+		{"cannot listen on 203.0.113.1:1",
+			[]string{"relay", "--source", "127.0.0.1:1", "--zone", "a", "--listen", "203.0.113.1:1"}},
 	} {
 		text, ok := runCommand(t, c.arguments...)
 		require.False(t, ok, text)
@@ -393,7 +408,8 @@
 	}
 }
 
-// TestShutdown ends a relay and a source that hold calls: each ends by itself, at once and without an error.
+// TestShutdown checks that a relay and a source that are holding calls exit within seconds of SIGTERM, without an
+// error.
 func TestShutdown(t *testing.T) {
 	programs := testPrograms(t)
 	source, sourceAddress := startSource(t, programs, t.TempDir())
@@ -408,7 +424,7 @@
 	}
 }
 
-// fakeSource answers a client's calls with what it was given, and notes publications.
+// fakeSource is a handler that responds with a fixed head and overview and records publications.
 type fakeSource struct {
 	head      distribution.Version
 	overview  distribution.Overview
@@ -437,7 +453,8 @@
 	return server.Listener.Addr().String()
 }
 
-// TestExpectedHead publishes for the head that was read, so that a repetition cannot be taken twice.
+// TestExpectedHead checks that a publication expects the head that was read before, so that a repeated one is not
+// applied twice.
 func TestExpectedHead(t *testing.T) {
 	f := &fakeSource{head: distribution.Version{Epoch: 3, Number: 7}}
 	o := &publishOptions{source: startFakeSource(t, f), kind: "plans", key: "k", value: "x", timeout: testTimeout}
@@ -447,7 +464,8 @@
 	require.Equal(t, &f.head, f.published[0].Expected)
 }
 
-// TestStatus judges overviews: all have the head, one is behind, one is unconfirmed, a relay is silent.
+// TestStatus checks the output and the error of status for several overviews: all limiters have the head, some are
+// behind, one is unconfirmed, and a relay is silent.
 func TestStatus(t *testing.T) {
 	head := distribution.Version{Epoch: 3, Number: 7}
 	older := distribution.Version{Epoch: 2, Number: 5}
@@ -471,10 +489,12 @@
 		lines    []string
 	}{
 		{"all", distribution.Overview{Relays: []distribution.Summary{good}}, nil,
-			[]string{"version=3.7 in_force=4 limiters=4 unconfirmed=0 oldest=3.7", "relay=a/r version=3.7 age_s=0.500 limiters=4"}},
+			[]string{"version=3.7 in_force=4 limiters=4 unconfirmed=0 oldest=3.7",
+				"relay=a/r version=3.7 age_s=0.500 limiters=4"}},
 		{"one behind", distribution.Overview{Relays: []distribution.Summary{good, behind}},
 			&NotInForceError{Version: head, InForce: 5, Limiters: 7},
-			[]string{"in_force=5 limiters=7 unconfirmed=0 oldest=2.5", `refused=3.7 relay=b/r limiters=2 reason="no address"`}},
+			[]string{"in_force=5 limiters=7 unconfirmed=0 oldest=2.5",
+				`refused=3.7 relay=b/r limiters=2 reason="no address"`}},
 		{"one unconfirmed", distribution.Overview{Relays: []distribution.Summary{unconfirmed}},
 			&NotInForceError{Version: head, InForce: 4, Limiters: 4, Unconfirmed: 1}, []string{"unconfirmed=1"}},
 		{"a silent relay", distribution.Overview{Relays: []distribution.Summary{good}, Silent: []string{"b/r"}},
@@ -484,7 +504,8 @@
 			var out strings.Builder
 			err := status(
 				t.Context(),
-				&statusOptions{source: startFakeSource(t, &fakeSource{head: head, overview: c.overview}), timeout: testTimeout},
+				&statusOptions{source: startFakeSource(t, &fakeSource{head: head, overview: c.overview}),
+					timeout: testTimeout},
 				&out,
 			)
 			if c.want == nil {
--- a/cmd/configdist/main.go
+++ b/cmd/configdist/main.go
@@ -1,5 +1,5 @@
-// Command configdist distributes configuration to limiters: it runs the source and the relays, publishes changes, and
-// tells which version is in force where. docs/distribution.md describes the design.
+// Command configdist distributes configuration to limiters. It runs the source and the relays, publishes changes, and
+// shows which version is in force at how many limiters. docs/distribution.md describes the design.
 package main
 
 import (
@@ -18,7 +18,7 @@
 func main() {
 	logging.Install(os.Stderr)
 	defer logging.Flush()
-	signal.Ignore(syscall.SIGPIPE) // who reads the log may end first
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may exit first
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	if err := rootCommand().ExecuteContext(ctx); err != nil {
--- a/cmd/configdist/persist.go
+++ b/cmd/configdist/persist.go
@@ -17,25 +17,30 @@
 	"ospreycroft/internal/transient"
 )
 
-// persistingHandler keeps a source's state on a disk: each write to the source is answered only once the state with it is there.
-// A change that a relay has read before the disk had it, and that a crash then loses, is taken back everywhere by the
-// next writer's epoch; its publisher had no answer. A state that the disk has refused is written again until it is there,
-// and no further write is taken before: its answer, a conflict with the first perhaps, would say that the first is kept.
+// persistingHandler wraps the handler of a source and stores the source's state on disk. It sends the response to a
+// write only after the state with that write has been saved.
+//
+// A relay may read a change before it is saved. If a crash then loses the change, the epoch that the next start opens
+// reverts it everywhere; its publisher has had no response.
+//
+// A failed save is retried until it succeeds, and further writes are refused until then: a response to a later write,
+// such as a conflict with the unsaved one, would imply that the unsaved one is stored.
 type persistingHandler struct {
-	mutex     sync.Mutex // over all writes, in their order
+	mutex     sync.Mutex // serializes writes
 	log       *distribution.Log
 	stateFile statefile.Place
 	clock     func() int64
 	next      http.Handler
-	// unsaved: the disk has refused the state at the log's head
+	// unsaved is set while the last save has failed.
 	unsaved bool
 }
 
-// saveRetryInterval is how often a state that the disk has refused is written again.
+// saveRetryInterval is the pause before a failed save is retried.
 const saveRetryInterval = 200 * time.Millisecond
 
-// newPersistingHandler reads what an earlier life has left; both are of the same state, one for the source and one for the
-// journal. Errors: *SourceStateError.
+// newPersistingHandler loads the state that the previous incarnation has stored, or starts with an empty one. The
+// returned log, which is for the source, and the handler's own have separate copies of that state. Errors:
+// *SourceStateError.
 func newPersistingHandler(options *sourceOptions, clock func() int64) (*persistingHandler, *distribution.Log, error) {
 	h := &persistingHandler{
 		clock: clock,
@@ -62,7 +67,7 @@
 	return h, distribution.NewLogAt(distribution.Retention{}, saved.Version, state), nil
 }
 
-// ServeHTTP hands calls on, and holds the answers of writes until they are on the disk.
+// ServeHTTP passes calls to the next handler and holds back the response to a write until the state is saved.
 func (h *persistingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	isWrite := r.Method == http.MethodPost && (r.URL.Path == "/v1/changes" || r.URL.Path == "/v1/epochs")
 	if !isWrite {
@@ -83,7 +88,7 @@
 		if err == nil {
 			err = h.persist(change)
 		}
-		if err != nil { // it is in force and may be lost with this process
+		if err != nil { // the change is in force but may be lost with this process
 			http.Error(w, hint.Line(err), http.StatusInternalServerError)
 			return
 		}
@@ -95,7 +100,7 @@
 	_, _ = w.Write(response.body.Bytes())
 }
 
-// persist puts a change that the source has taken on the disk.
+// persist adds a change that the source has accepted to the handler's log and saves the state.
 func (h *persistingHandler) persist(change distribution.Change) (err error) {
 	if change.Version.Epoch > h.log.Head().Epoch {
 		_, err = h.log.Open(change.Published, change.Version.Epoch)
@@ -108,10 +113,11 @@
 	return h.save()
 }
 
-// maxOpenAttempts is how often an epoch is put on a disk that refuses it, for ten seconds, before the source gives up.
+// maxOpenAttempts is how often a starting source tries to save the opening of its epoch, for ten seconds with
+// saveRetryInterval between the attempts, before the start fails.
 const maxOpenAttempts = 50
 
-// persistWithRetries puts the change that opens an epoch on the disk, which may refuse it for a while.
+// persistWithRetries persists the change that opens an epoch, with up to maxOpenAttempts attempts or until ctx is done.
 func (h *persistingHandler) persistWithRetries(ctx context.Context, change distribution.Change) error {
 	err := h.persist(change)
 	for attempt := 1; err != nil && attempt < maxOpenAttempts && ctx.Err() == nil; attempt++ {
@@ -121,7 +127,7 @@
 	return err
 }
 
-// save puts the state at the log's head on the disk.
+// save saves the state at the head of the log.
 func (h *persistingHandler) save() error {
 	err := h.stateFile.Save(
 		&distribution.Snapshot{Version: h.log.Head(), TakenAt: h.clock(), Entries: h.log.State().Entries()},
@@ -133,7 +139,7 @@
 	return err
 }
 
-// saveIfUnsaved saves the state if the disk has refused it.
+// saveIfUnsaved retries the last save if it has failed.
 func (h *persistingHandler) saveIfUnsaved() error {
 	if !h.unsaved {
 		return nil
@@ -141,7 +147,7 @@
 	return h.save()
 }
 
-// retrySaves saves a state that the disk has refused until it is there, and returns when the context ends.
+// retrySaves retries failed saves until ctx is done.
 func (h *persistingHandler) retrySaves(ctx context.Context) {
 	ticker := time.NewTicker(saveRetryInterval)
 	defer ticker.Stop()
@@ -157,7 +163,7 @@
 	}
 }
 
-// logSaveResult logs that the disk has begun to refuse the state, or takes it again.
+// logSaveResult logs the first failed save in a row, and the first successful one after it.
 func logSaveResult(err error) {
 	if err != nil {
 		slog.Warn("config-state-unwritten", hint.Attrs(err)...)
@@ -166,14 +172,14 @@
 	slog.Info("config-state-written")
 }
 
-// bufferedResponse is an answer that is not sent yet.
+// bufferedResponse is an http.ResponseWriter that keeps the response in memory.
 type bufferedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header is a method of http.ResponseWriter, as are WriteHeader and Write.
+// Header implements http.ResponseWriter, as do WriteHeader and Write.
 func (r *bufferedResponse) Header() http.Header            { return r.header }
 func (r *bufferedResponse) WriteHeader(status int)         { r.status = status }
 func (r *bufferedResponse) Write(text []byte) (int, error) { return r.body.Write(text) }
--- a/cmd/configdist/persist_test.go
+++ b/cmd/configdist/persist_test.go
@@ -14,7 +14,7 @@
 	"ospreycroft/internal/lab/memfs"
 )
 
-// newTestHandler is a source with its epoch open, whose state goes to a disk of the test's.
+// newTestHandler returns the handler of a source that has opened epoch 1 and saves its state to disk.
 func newTestHandler(t *testing.T, disk *memfs.Disk) *persistingHandler {
 	t.Helper()
 	now := int64(0)
@@ -31,7 +31,7 @@
 	return h
 }
 
-// publishTo publishes an address and gives the answer's status.
+// publishTo publishes the discovery service's address and returns the status of the response.
 func publishTo(h *persistingHandler, address string) int {
 	response := httptest.NewRecorder()
 	body := `{"epoch":1,"mutations":[{"kind":"endpoints","name":"discovery","value":"` + address + `"}]}`
@@ -39,8 +39,8 @@
 	return response.Code
 }
 
-// TestFailedSaveIsRetried: the disk refuses a publication's state for a while, at each step of writing it. The publisher is
-// told so, nothing else is taken meanwhile, and what is in force comes to the disk without another publication.
+// TestFailedSaveIsRetried lets each step of saving a published change fail for a while. The publisher must get an error,
+// further publications must be refused meanwhile, and the state must be saved later without another publication.
 func TestFailedSaveIsRetried(t *testing.T) {
 	for _, step := range []string{"write", "rename", "sync"} {
 		t.Run(step, func(t *testing.T) {
@@ -51,7 +51,7 @@
 			require.Equal(t, http.StatusInternalServerError, publishTo(h, "127.0.0.1:2"))
 			head := h.log.Head()
 			require.Equal(t, http.StatusInternalServerError, publishTo(h, "127.0.0.1:3"))
-			require.Equal(t, head, h.log.Head(), "a further change was taken on a disk that refuses")
+			require.Equal(t, head, h.log.Head(), "a further change was accepted while the disk failed")
 			disk.Fail = ""
 			require.NoError(t, h.saveIfUnsaved())
 			require.False(t, h.unsaved)
--- a/cmd/configdist/relay.go
+++ b/cmd/configdist/relay.go
@@ -14,7 +14,7 @@
 	"ospreycroft/internal/hint"
 )
 
-// relayOptions are the flags of a relay.
+// relayOptions are the flags of the relay command.
 type relayOptions struct {
 	listen, source, zone, name string
 	dialTimeout                time.Duration
@@ -24,16 +24,16 @@
 	o := &relayOptions{}
 	c := &cobra.Command{Use: "relay", Short: "run a relay, which serves the limiters of its zone", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return runRelay(c.Context(), o) }}
-	c.Flags().StringVar(&o.listen, "listen", "127.0.0.1:7400", "address to listen on; the calls are not authenticated")
+	c.Flags().StringVar(&o.listen, "listen", "127.0.0.1:7400", "address to listen on; calls are not authenticated")
 	c.Flags().StringVar(&o.source, "source", "", "address of the source")
-	c.Flags().StringVar(&o.zone, "zone", "", "zone that it serves")
+	c.Flags().StringVar(&o.zone, "zone", "", "zone that the relay serves")
 	c.Flags().StringVar(&o.name, "name", "relay", "name of the relay within its zone")
 	c.Flags().
-		DurationVar(&o.dialTimeout, "dial-timeout", 500*time.Millisecond, "a connection to the source that takes longer is given up")
+		DurationVar(&o.dialTimeout, "dial-timeout", 500*time.Millisecond, "timeout of a connection to the source")
 	return c
 }
 
-// runRelay serves a relay until the context ends. Errors: *FlagError, *ListenError.
+// runRelay runs a relay until ctx is done. Errors: *FlagError, *ListenError.
 func runRelay(ctx context.Context, o *relayOptions) error {
 	switch {
 	case o.source == "":
@@ -41,7 +41,7 @@
 	case o.zone == "":
 		return &FlagError{Name: "--zone", Value: "empty", Want: "the name of the relay's zone"}
 	case o.dialTimeout <= 0:
-		return &FlagError{Name: "--dial-timeout", Value: o.dialTimeout, Want: "a time above 0"}
+		return &FlagError{Name: "--dial-timeout", Value: o.dialTimeout, Want: "a duration above 0"}
 	}
 	listener, err := listen(o.listen)
 	if err != nil {
@@ -69,20 +69,21 @@
 	return serve(ctx, server.HTTP(), listener)
 }
 
-// positionCount are those among which relays spread their calls.
+// positionCount is how many positions there are among which relays spread their polls.
 const positionCount = 4096
 
-// positionOf is a relay's place, by its name.
+// positionOf returns the position of a relay, a hash of its name.
 func positionOf(name string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return int(hash.Sum32() % positionCount)
 }
 
-// errorLogInterval is after how long a failed call is logged again.
+// errorLogInterval is the least time between two logged call errors.
 const errorLogInterval = 10 * time.Second
 
-// newCallErrorLogger logs failed calls, not all of them. It is for one goroutine.
+// newCallErrorLogger returns a function that logs call errors, at most one per errorLogInterval. The function is not
+// safe for concurrent use.
 func newCallErrorLogger(clock func() int64) func(error) {
 	nextLogAt := int64(0)
 	return func(err error) {
--- a/cmd/configdist/serve.go
+++ b/cmd/configdist/serve.go
@@ -11,16 +11,17 @@
 	"ospreycroft/internal/transient"
 )
 
-// shutdownTimeout is how long calls may take to end when the process is told to.
+// shutdownTimeout is how long calls in progress may take to finish at a shutdown.
 const shutdownTimeout = time.Second
 
-// newMonotonicClock makes a clock of nanoseconds that begins as the system's and never goes back.
+// newMonotonicClock returns a clock that starts at the system's Unix time, in nanoseconds, and is not affected by
+// steps of the system's clock.
 func newMonotonicClock() func() int64 {
 	start := time.Now()
 	return func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 }
 
-// listen listens, and tries again where that fails by what passes by itself. Errors: *ListenError.
+// listen listens on address and retries transient errors, such as a port that is still in use. Errors: *ListenError.
 func listen(address string) (listener net.Listener, err error) {
 	err = transient.RetryStart(func() error {
 		listener, err = net.Listen("tcp", address)
@@ -32,7 +33,8 @@
 	return listener, err
 }
 
-// serve serves until the context ends. Held calls are broken off: their callers ask again.
+// serve serves until ctx is done. Calls that are still held after shutdownTimeout are aborted; their clients call
+// again.
 func serve(ctx context.Context, server *http.Server, listener net.Listener) error {
 	slog.Info("listening", "address", listener.Addr().String())
 	serveError := make(chan error, 1)
--- a/cmd/configdist/source.go
+++ b/cmd/configdist/source.go
@@ -10,7 +10,7 @@
 	"ospreycroft/internal/distribution/transport"
 )
 
-// sourceOptions are the flags of a source.
+// sourceOptions are the flags of the source command.
 type sourceOptions struct {
 	listen, dir, name, installation string
 	epoch                           uint64
@@ -18,17 +18,17 @@
 
 func sourceCommand() *cobra.Command {
 	o := &sourceOptions{}
-	c := &cobra.Command{Use: "source", Short: "run the source, at which changes are published", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return runSource(c.Context(), o) }}
-	c.Flags().StringVar(&o.listen, "listen", "127.0.0.1:7401", "address to listen on; the calls are not authenticated")
-	c.Flags().StringVar(&o.dir, "dir", "", "directory, there already, in which the state is kept")
-	c.Flags().StringVar(&o.name, "name", "source", "name of the state's file in the directory")
-	c.Flags().StringVar(&o.installation, "installation", "", "tells this fleet's state from another's")
-	c.Flags().Uint64Var(&o.epoch, "epoch", 0, "epoch to open, above all before; 0 for one above the state's")
+	c := &cobra.Command{Use: "source", Short: "run the source, which accepts and distributes changes",
+		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return runSource(c.Context(), o) }}
+	c.Flags().StringVar(&o.listen, "listen", "127.0.0.1:7401", "address to listen on; calls are not authenticated")
+	c.Flags().StringVar(&o.dir, "dir", "", "existing directory for the state file")
+	c.Flags().StringVar(&o.name, "name", "source", "name of the state file, without its extension")
+	c.Flags().StringVar(&o.installation, "installation", "", "name of the installation; the state of another is refused")
+	c.Flags().Uint64Var(&o.epoch, "epoch", 0, "epoch to open, above all earlier ones; 0 for one above the stored one")
 	return c
 }
 
-// runSource serves the source until the context ends. Errors: *FlagError, *ListenError, *SourceStateError,
+// runSource runs the source until ctx is done. Errors: *FlagError, *ListenError, *SourceStateError,
 // *distribution.FencedError, *distribution.EpochStepError.
 func runSource(ctx context.Context, o *sourceOptions) error {
 	if o.dir == "" {
--- a/cmd/configdist/status.go
+++ b/cmd/configdist/status.go
@@ -13,7 +13,7 @@
 	"ospreycroft/internal/distribution/transport"
 )
 
-// statusOptions are the flags of a status.
+// statusOptions are the flags of the status command.
 type statusOptions struct {
 	source   string
 	limiters int
@@ -22,16 +22,16 @@
 
 func statusCommand() *cobra.Command {
 	o := &statusOptions{}
-	c := &cobra.Command{Use: "status", Short: "tell which version is in force at how many limiters", Args: cobra.NoArgs,
-		Long: "It ends with 0 where the newest version is confirmed in force at all limiters that tell, else with 1.",
+	c := &cobra.Command{Use: "status", Short: "show which version is in force at how many limiters", Args: cobra.NoArgs,
+		Long: "The exit status is 0 if the newest version is confirmed in force at all limiters that report, else 1.",
 		RunE: func(c *cobra.Command, _ []string) error { return status(c.Context(), o, c.OutOrStdout()) }}
 	c.Flags().StringVar(&o.source, "source", "127.0.0.1:7401", "address of the source")
-	c.Flags().IntVar(&o.limiters, "limiters", 0, "how many limiters have to tell; 0 for as many as do")
-	c.Flags().DurationVar(&o.timeout, "timeout", 5*time.Second, "after how long a call is given up")
+	c.Flags().IntVar(&o.limiters, "limiters", 0, "how many limiters have to report; 0 for any number")
+	c.Flags().DurationVar(&o.timeout, "timeout", 5*time.Second, "timeout of each call to the source")
 	return c
 }
 
-// status prints the overview. Errors: *NotInForceError, and those of transport.Client.
+// status prints the overview of the fleet. Errors: *NotInForceError, and those of transport.Client.
 func status(ctx context.Context, o *statusOptions, out io.Writer) error {
 	client := transport.NewClient(o.source, o.timeout)
 	defer client.Close()
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// summarizeOverview sums an overview up, with a line for the whole, each relay, each refusal and the silent relays.
+// summarizeOverview returns the counts of an overview and its text: a line of totals, and one for each relay, each
+// refused version and each silent relay.
 func summarizeOverview(head distribution.Version, overview distribution.Overview) (*NotInForceError, string) {
 	report := &NotInForceError{Version: head, Silent: len(overview.Silent)}
 	report.InForce, report.Limiters = overview.InForce(head)
--- a/internal/distribution/statefile/statefile.go
+++ b/internal/distribution/statefile/statefile.go
@@ -1,7 +1,8 @@
-// Package statefile keeps the state that a subscriber has in force on a disk, so that a restarted limiter serves with
-// it at once, unconfirmed, until its relay answers. Whatever is wrong with the file, the start goes on without it.
+// Package statefile stores the state that a subscriber has in force on disk. After a restart a limiter serves with the
+// stored state at once, as unconfirmed, until its relay responds. If the file cannot be used, the limiter starts
+// without it.
 //
-// A file is one line of package atomicfile and then JSON.
+// A file consists of a header line, written by package atomicfile, and JSON.
 package statefile
 
 import (
@@ -15,7 +16,7 @@
 	"ospreycroft/internal/machineclock"
 )
 
-// fileKind are the fileKind of states.
+// fileKind is the atomicfile.Kind of state files.
 var fileKind = &atomicfile.Kind{
 	Format:   atomicfile.Format{Name: "ospreycroft-distribution", Version: 1},
 	Name:     "the state file",
@@ -23,35 +24,36 @@
 	Older:    "an older state",
 }
 
-// Place is where a subscriber keeps its state, and whose it is. It is for one goroutine.
+// Place loads and saves the state file of one subscriber. It is not safe for concurrent use.
 type Place struct {
-	Dir           string
-	Installation  string
-	Subscriber    string
-	Scope         distribution.Scope
-	MaxAge        int64 // a state that was confirmed longer ago is refused, in nanoseconds, above 0
-	Files         atomicfile.Files
-	Clock         machineclock.Origin  // of the subscriber's present life; it may have been stepped since the life before
-	newestVersion distribution.Version // the newest version that was loaded or saved
+	Dir          string
+	Installation string
+	Subscriber   string
+	Scope        distribution.Scope
+	MaxAge       int64 // nanoseconds, above 0; Load refuses a state that was confirmed longer ago
+	Files        atomicfile.Files
+	// Clock is the origin of the clock of this incarnation. The wall clock may have been stepped since the previous one.
+	Clock         machineclock.Origin
+	newestVersion distribution.Version // the newest version loaded or saved; Save refuses older ones
 }
 
-// fileContent is the JSON behind the header.
+// fileContent is the JSON that follows the header.
 type fileContent struct {
 	Installation string                `json:"installation"`
 	Subscriber   string                `json:"subscriber"`
 	Digest       distribution.Digest   `json:"digest"`
 	Snapshot     distribution.Snapshot `json:"snapshot"`
-	// Clock is that of the snapshot's time. Files of earlier versions do not tell.
+	// Clock is the origin of the clock that the snapshot's time was read from. Files of earlier versions lack it.
 	Clock machineclock.Origin `json:"clock,omitzero"`
 }
 
-// Path is the file. Subscribers of one machine may share a directory.
+// Path returns the path of the file. Its name is the subscriber's, so that subscribers may share a directory.
 func (p *Place) Path() string {
 	return filepath.Join(p.Dir, url.PathEscape(p.Subscriber)+".distribution")
 }
 
-// Load reads the snapshot at now, by the present life's clock as is then the snapshot's time; nil without an error where there is
-// none. Errors: those of atomicfile.Kind, *OwnerError, *StaleError.
+// Load reads the stored snapshot. It returns nil without an error if there is no file. now is the time by Clock, in
+// nanoseconds, and so is the TakenAt of the result. Errors: those of atomicfile.Kind, *OwnerError, *StaleError.
 func (p *Place) Load(now int64) (*distribution.Snapshot, error) {
 	path := p.Path()
 	content := &fileContent{}
@@ -62,7 +64,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if content.Installation != p.Installation || content.Subscriber != p.Subscriber || content.Snapshot.Scope != p.Scope.String() {
+	if content.Installation != p.Installation || content.Subscriber != p.Subscriber ||
+		content.Snapshot.Scope != p.Scope.String() {
 		return nil, &OwnerError{
 			Path:         path,
 			Installation: content.Installation,
@@ -89,8 +92,8 @@
 	return &content.Snapshot, nil
 }
 
-// Save writes a snapshot whole or leaves the one that is there. One that is older than what this place has loaded or
-// saved is refused. Errors: *OlderError, *atomicfile.WriteError.
+// Save replaces the stored snapshot. If that fails, the file keeps either the previous snapshot or the new one, each
+// complete. A snapshot older than the last one loaded or saved is refused. Errors: *OlderError, *atomicfile.WriteError.
 func (p *Place) Save(snapshot *distribution.Snapshot) error {
 	path := p.Path()
 	if snapshot.Version.Less(p.newestVersion) {
@@ -100,8 +103,8 @@
 	if err != nil {
 		return &atomicfile.WriteError{Kind: fileKind, Path: path, Cause: err}
 	}
-	content := fileContent{Installation: p.Installation, Subscriber: p.Subscriber, Digest: state.Digest(distribution.Scope{}),
-		Snapshot: *snapshot, Clock: p.Clock}
+	content := fileContent{Installation: p.Installation, Subscriber: p.Subscriber,
+		Digest: state.Digest(distribution.Scope{}), Snapshot: *snapshot, Clock: p.Clock}
 	if err := fileKind.Save(p.Files, path, content); err != nil {
 		return err
 	}
@@ -109,7 +112,8 @@
 	return nil
 }
 
-// NewWriter starts a writer of snapshots to a place, which is the writer's from then on; see atomicfile.NewWriter.
+// NewWriter starts a writer that saves snapshots to place on its own goroutine; see atomicfile.NewWriter. The caller
+// must not use place any more.
 func NewWriter(place *Place, report func(error)) *atomicfile.Writer[distribution.Snapshot] {
 	return atomicfile.NewWriter(place.Save, report)
 }
--- a/internal/distribution/statefile/statefile_test.go
+++ b/internal/distribution/statefile/statefile_test.go
@@ -33,12 +33,13 @@
 	}
 }
 
-// framed is a file with a body and a first line that fits.
+// framed returns the text of a file: a valid header line and the body.
 func framed(body string) string { return string(fileKind.Format.Frame([]byte(body))) }
 
 func snapshotNumbered(number uint64) *distribution.Snapshot {
 	key := distribution.Key{Kind: distribution.KindPlans, Scope: "eu", Name: "a"}
-	return &distribution.Snapshot{Version: distribution.Version{Epoch: 2, Number: number}, TakenAt: takenAt, Scope: "@eu",
+	return &distribution.Snapshot{Version: distribution.Version{Epoch: 2, Number: number}, TakenAt: takenAt,
+		Scope:   "@eu",
 		Entries: []distribution.Entry{{Key: key, Value: fmt.Sprint("value ", number)}}}
 }
 
@@ -47,12 +48,13 @@
 	return errors.As(err, &e) && e.Hint() != "" && e.Error() != ""
 }
 
-// TestLoad: what was saved is loaded; whatever else stands in the file is refused by its type.
+// TestLoad checks that Load returns what Save has written, and refuses any other content with the expected error:
+// another owner, a stale state, a truncated file, and a file with any single bit flipped.
 func TestLoad(t *testing.T) {
 	disk := memfs.New()
 	p := newPlace(disk)
 	s, err := p.Load(takenAt)
-	require.True(t, s == nil && err == nil, "with no file: %v, %v", s, err)
+	require.True(t, s == nil && err == nil, "without a file: %v, %v", s, err)
 	require.NoError(t, p.Save(snapshotNumbered(7)))
 	require.Equal(t, "read write rename sync", strings.Join(disk.Log, " "))
 	require.Len(t, disk.Held, 1)
@@ -67,17 +69,21 @@
 		matches    func(error) bool
 	}{
 		{"empty", "", takenAt, hasType[*atomicfile.TruncatedError]},
-		{"a byte more", saved + " ", takenAt, hasType[*atomicfile.ChecksumError]},
-		{"another value", strings.Replace(saved, "value 7", "value 8", 1), takenAt, hasType[*atomicfile.ChecksumError]},
-		{"another program's", "what\n", takenAt, hasType[*atomicfile.ChecksumError]},
-		{"another format", strings.Replace(saved, "distribution 1", "distribution 2", 1), takenAt, hasType[*atomicfile.FormatError]},
+		{"an extra byte", saved + " ", takenAt, hasType[*atomicfile.ChecksumError]},
+		{"a changed value", strings.Replace(saved, "value 7", "value 8", 1), takenAt,
+			hasType[*atomicfile.ChecksumError]},
+		{"a file of another program", "what\n", takenAt, hasType[*atomicfile.ChecksumError]},
+		{"another format", strings.Replace(saved, "distribution 1", "distribution 2", 1), takenAt,
+			hasType[*atomicfile.FormatError]},
 		{"too old", saved, takenAt + 3600e9 + 1, hasType[*StaleError]},
-		{"of the future", saved, takenAt - 3600e9 - 1, hasType[*StaleError]},
-		{"another installation's", framed(strings.Replace(body, "east", "west", 1)), takenAt, hasType[*OwnerError]},
-		{"another limiter's", framed(strings.Replace(body, "n/1", "n/2", 1)), takenAt, hasType[*OwnerError]},
+		{"from the future", saved, takenAt - 3600e9 - 1, hasType[*StaleError]},
+		{"of another installation", framed(strings.Replace(body, "east", "west", 1)), takenAt, hasType[*OwnerError]},
+		{"of another limiter", framed(strings.Replace(body, "n/1", "n/2", 1)), takenAt, hasType[*OwnerError]},
 		{"of another scope", framed(strings.Replace(body, "@eu", "@us", 1)), takenAt, hasType[*OwnerError]},
-		{"another digest", framed(strings.Replace(body, "value 7", "value 8", 1)), takenAt, hasType[*atomicfile.ChecksumError]},
-		{"an unknown kind", framed(strings.Replace(body, `"plans"`, `"wishes"`, 1)), takenAt, hasType[*atomicfile.ChecksumError]},
+		{"a value that does not match the digest", framed(strings.Replace(body, "value 7", "value 8", 1)), takenAt,
+			hasType[*atomicfile.ChecksumError]},
+		{"an unknown kind", framed(strings.Replace(body, `"plans"`, `"wishes"`, 1)), takenAt,
+			hasType[*atomicfile.ChecksumError]},
 		{"no JSON", framed("{"), takenAt, hasType[*atomicfile.ChecksumError]},
 	} {
 		disk.Held[p.Path()] = []byte(c.text)
@@ -94,7 +100,7 @@
 			flipped[i] ^= 1 << bit
 			disk.Held[p.Path()] = flipped
 			s, err := p.Load(takenAt)
-			require.True(t, s == nil && err != nil, "taken with bit %d of byte %d flipped: %q", bit, i, flipped)
+			require.True(t, s == nil && err != nil, "loaded with bit %d of byte %d flipped: %q", bit, i, flipped)
 		}
 	}
 	disk.Held[p.Path()] = []byte(saved)
@@ -103,7 +109,8 @@
 	require.True(t, hasType[*atomicfile.UnreadableError](err), "%v", err)
 }
 
-// TestFailedSaveKeepsState: a disk that fails at any step leaves the state before it or the new one, whole.
+// TestFailedSaveKeepsState checks that a disk error at any step of saving leaves a complete file: the previous state
+// or, if only the sync has failed, the new one.
 func TestFailedSaveKeepsState(t *testing.T) {
 	for _, step := range []string{"write", "rename", "sync"} {
 		for _, keep := range []int{0, 10, 200} {
@@ -131,13 +138,13 @@
 	require.True(t, hasType[*atomicfile.WriteError](p.Save(bad)))
 }
 
-// TestSaveRefusesOlderVersion: an older state does not take the place of a newer one, also after a restart.
+// TestSaveRefusesOlderVersion checks that an older state does not replace a newer one, also after a restart.
 func TestSaveRefusesOlderVersion(t *testing.T) {
 	disk := memfs.New()
 	p := newPlace(disk)
 	require.NoError(t, p.Save(snapshotNumbered(7)))
 	require.True(t, hasType[*OlderError](p.Save(snapshotNumbered(6))))
-	require.NoError(t, p.Save(snapshotNumbered(7)), "the same again, confirmed later")
+	require.NoError(t, p.Save(snapshotNumbered(7)), "the same version, confirmed later")
 	restarted := newPlace(disk)
 	_, err := restarted.Load(takenAt)
 	require.NoError(t, err)
@@ -145,7 +152,7 @@
 	require.NoError(t, restarted.Save(snapshotNumbered(8)))
 }
 
-// TestRestart: a subscriber that begins with a file serves at once, unconfirmed.
+// TestRestart checks that a subscriber restored from a file has its state in force at once, as unconfirmed.
 func TestRestart(t *testing.T) {
 	p := newPlace(atomicfile.Disk{})
 	p.Dir = t.TempDir()
@@ -173,14 +180,15 @@
 	require.Equal(t, snapshotNumbered(50).Entries, sub.State().Entries())
 }
 
-// TestWriter: a slow disk holds nothing up, the latest of what waits is written, and errors are reported once in a row.
+// TestWriter checks that Save does not wait for a slow disk, that only the latest of the waiting snapshots is written,
+// and that only the first of several errors in a row is reported.
 func TestWriter(t *testing.T) {
 	slowDisk := memfs.New()
 	slowDisk.Gate = make(chan bool)
 	p := newPlace(slowDisk)
 	w := NewWriter(p, func(err error) { t.Error(err) })
 	w.Save(snapshotNumbered(1))
-	slowDisk.Gate <- true // the first is being written, and the others wait
+	slowDisk.Gate <- true // the write of the first snapshot has begun, and the others wait
 	w.Save(snapshotNumbered(2))
 	w.Save(snapshotNumbered(3))
 	go func() { slowDisk.Gate <- true }()
@@ -195,17 +203,18 @@
 	require.True(t, hasType[*atomicfile.WriteError](<-reports))
 	w.Save(snapshotNumbered(2))
 	w.Close()
-	require.Empty(t, reports, "the second in a row")
+	require.Empty(t, reports, "the second error in a row was reported")
 	w = NewWriter(p, func(err error) { reports <- err })
 	w.Save(snapshotNumbered(1))
 	require.True(t, hasType[*atomicfile.WriteError](<-reports))
 	require.NoError(t, os.Mkdir(p.Dir, 0o755))
 	w.Save(snapshotNumbered(2))
-	require.NoError(t, <-reports, "where there is room again")
+	require.NoError(t, <-reports, "the directory exists again")
 	w.Close()
 }
 
-// TestAgeAfterClockStep: a state is as old as it is in real time, also where the wall clock was stepped between two lives.
+// TestAgeAfterClockStep checks that the age of a state is elapsed time, even if the wall clock was stepped between two
+// incarnations of the subscriber on the same boot of the machine.
 func TestAgeAfterClockStep(t *testing.T) {
 	const step = int64(7200e9)
 	disk := memfs.New()
--- a/internal/distribution/statefile/stored_test.go
+++ b/internal/distribution/statefile/stored_test.go
@@ -10,8 +10,8 @@
 	"ospreycroft/internal/distribution"
 )
 
-// TestLoadsFilesOfAnEarlierVersion: the files in testdata were written by a source and a limiter of version f99e54e,
-// and such files stay readable. A relay keeps no file.
+// TestLoadsFilesOfAnEarlierVersion checks that state files of earlier versions stay readable. The files in testdata
+// were written by a source and a limiter of version f99e54e; a relay keeps no file.
 func TestLoadsFilesOfAnEarlierVersion(t *testing.T) {
 	plans := func(name, value string) distribution.Entry {
 		return distribution.Entry{
@@ -27,7 +27,8 @@
 		entries           []distribution.Entry
 	}{
 		{"source", "", []distribution.Entry{discovery, plans("house", "rate=9"), plans("team", "rate=2"), route}},
-		{"limiter-a", "endpoints,plans@eu", []distribution.Entry{discovery, plans("house", "rate=9"), plans("team", "rate=2")}},
+		{"limiter-a", "endpoints,plans@eu", []distribution.Entry{discovery, plans("house", "rate=9"),
+			plans("team", "rate=2")}},
 	} {
 		t.Run(c.subscriber, func(t *testing.T) {
 			scope, err := distribution.ParseScope(c.scope)
--- a/internal/distribution/transport/client.go
+++ b/internal/distribution/transport/client.go
@@ -14,18 +14,18 @@
 	"ospreycroft/internal/distribution"
 )
 
-// MaxResponseBytes bounds the body of an answer: MaxDeltaBytes or MaxPieceBytes of content, every character of which may
-// be escaped.
+// MaxResponseBytes bounds the body of a response. It leaves room for MaxDeltaBytes or MaxPieceBytes of content with
+// every character escaped in JSON.
 const MaxResponseBytes = 4 << 20
 
-// Client calls one server. It is safe for concurrent use.
+// Client calls one server, a source or a relay. It is safe for concurrent use.
 type Client struct {
 	address string
 	http    *http.Client
 }
 
-// NewClient makes a client of the server at an address of host and port. A connection that has not come up after
-// dialTimeout is given up.
+// NewClient returns a client of the server at address, which is host:port. dialTimeout limits how long a connection may
+// take to be established; 0 means no limit.
 func NewClient(address string, dialTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{address: address, http: &http.Client{
@@ -40,11 +40,12 @@
 	}}
 }
 
-// Close closes connections that rest.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Changes asks for changes; the server may hold the call for hold. Errors: those of the answer, see Failure, and
-// *UnreachableError, *UnansweredError, *TruncatedError, *TooLongError, *StatusError, *MalformedError.
+// Changes requests changes. The server may hold the call for up to hold while it has nothing newer. Errors: those
+// restored from a Failure, and *UnreachableError, *UnansweredError, *TruncatedError, *TooLongError, *StatusError,
+// *MalformedError.
 func (c *Client) Changes(
 	ctx context.Context,
 	request distribution.ChangesRequest,
@@ -61,7 +62,7 @@
 	return delta, nil
 }
 
-// Piece asks for a piece of the state. Errors: as of Changes.
+// Piece requests a piece of the state. Errors: those of Changes.
 func (c *Client) Piece(
 	ctx context.Context,
 	request distribution.PieceRequest,
@@ -78,17 +79,21 @@
 	return piece, nil
 }
 
-// missingVersionError is the error of an answer that says no version: it is JSON of something else.
+// missingVersionError reports a response without a version: it is JSON, but of another kind than was requested.
 func (c *Client) missingVersionError() error {
 	return &distribution.MalformedError{What: "the answer of " + c.address, Cause: errors.New("it has no version")}
 }
 
-// Acknowledge tells what is in force. Errors: as of Changes.
-func (c *Client) Acknowledge(ctx context.Context, acknowledgement distribution.Acknowledgement, timeout time.Duration) error {
+// Acknowledge reports to the server which version a limiter has in force. Errors: those of Changes.
+func (c *Client) Acknowledge(
+	ctx context.Context,
+	acknowledgement distribution.Acknowledgement,
+	timeout time.Duration,
+) error {
 	return c.call(ctx, timeout, http.MethodPost, "/v1/acknowledgements", acknowledgement, nil)
 }
 
-// Open opens an epoch at a source. Errors: as of Changes.
+// Open opens an epoch at a source. Errors: those of Changes.
 func (c *Client) Open(
 	ctx context.Context,
 	epoch uint64,
@@ -98,8 +103,9 @@
 	return change, err
 }
 
-// Publish publishes a change at a source. Errors: as of Changes. After *UnansweredError or *TruncatedError it may have
-// been published: with Expected set it is safe to repeat.
+// Publish publishes a change at a source. Errors: those of Changes. After an error of the transport, such as
+// *UnansweredError or *TruncatedError, the change may have been published; with Expected set the call is safe to
+// repeat.
 func (c *Client) Publish(
 	ctx context.Context,
 	publication Publication,
@@ -109,18 +115,19 @@
 	return change, err
 }
 
-// Summarize gives a source a relay's summary. Errors: as of Changes.
+// Summarize sends a relay's summary to a source. Errors: those of Changes.
 func (c *Client) Summarize(ctx context.Context, summary distribution.Summary, timeout time.Duration) error {
 	return c.call(ctx, timeout, http.MethodPost, "/v1/summaries", summary, nil)
 }
 
-// Overview asks a source what is in force where. Errors: as of Changes.
+// Overview asks a source which versions are in force at the limiters of each relay. Errors: those of Changes.
 func (c *Client) Overview(ctx context.Context, timeout time.Duration) (overview distribution.Overview, err error) {
 	err = c.call(ctx, timeout, http.MethodGet, "/v1/overview", nil, &overview)
 	return overview, err
 }
 
-// call makes one call and reads its answer, whole or not at all.
+// call makes one call and decodes its response into result, but only if the whole body has arrived. A nil result
+// expects status 204.
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -172,7 +179,8 @@
 	return request, nil
 }
 
-// callError is the error of a call that came to no answer: that it was given up, or another.
+// callError returns the error of a call without a complete response: *UnansweredError if its timeout has passed, else
+// otherwise.
 func (c *Client) callError(ctx context.Context, timeout time.Duration, otherwise error) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return &UnansweredError{Address: c.address, After: int64(timeout)}
@@ -180,7 +188,7 @@
 	return otherwise
 }
 
-// responseError is the error that an answer with such a status stands for.
+// responseError returns the error of a response with a status of 400 or above.
 func (c *Client) responseError(status int, text []byte) error {
 	var f Failure
 	if json.Unmarshal(text, &f) == nil {
--- a/internal/distribution/transport/failure.go
+++ b/internal/distribution/transport/failure.go
@@ -8,22 +8,23 @@
 	"ospreycroft/internal/hint"
 )
 
-// Failure is the body of an answer with an error.
+// Failure is the body of an error response.
 type Failure struct {
-	// Code names the error's type; the other fields are those of that type.
+	// Code names the type of the error. Which of the fields below Hint are set depends on it.
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	Hint    string `json:"hint"`
-	// From is what compacted and behind were asked for, and what conflict expected; Head the server's version, and for
-	// compacted its oldest.
+	// From is the version that the caller has, for compacted and behind, or the head that the writer expected, for
+	// conflict. Head is the server's version; for compacted it is the oldest one in the server's log.
 	From *distribution.Version `json:"from,omitempty"`
 	Head *distribution.Version `json:"head,omitempty"`
-	// Epoch is the open one, and Given the writer's, of fenced and epoch_step.
+	// Epoch is the open epoch and Given the writer's, for fenced and epoch_step.
 	Epoch uint64 `json:"epoch,omitempty"`
 	Given uint64 `json:"given,omitempty"`
-	// RetryAfter is in nanoseconds, of throttled.
+	// RetryAfter is how long the caller has to wait, in nanoseconds, for throttled.
 	RetryAfter int64 `json:"retry_after_ns,omitempty"`
-	// Key, Why, What, Bytes and Max are of key, kind, scope, malformed and too_large.
+	// Key and Why are set for key, Why alone for kind (the kind itself) and scope, What and Why for malformed, and
+	// What, Bytes and Max for too_large.
 	Key   *distribution.Key `json:"key,omitempty"`
 	Why   string            `json:"why,omitempty"`
 	What  string            `json:"what,omitempty"`
@@ -31,7 +32,7 @@
 	Max   int               `json:"max,omitempty"`
 }
 
-// The codes of failures.
+// Values of Failure.Code.
 const (
 	codeCompacted = "compacted"
 	codeBehind    = "behind"
@@ -50,16 +51,18 @@
 	codeInternal  = "internal"
 )
 
-// maxRetryAfter bounds what a server may make a client wait, in nanoseconds.
+// maxRetryAfter bounds the RetryAfter that a client accepts from a server, in nanoseconds.
 const maxRetryAfter = int64(10e9)
 
-// failureOf is the answer that stands for an error.
+// failureOf returns the status and body of the response for an error.
 func failureOf(err error) (status int, failure Failure) {
 	status, failure = statusAndFailure(err)
 	failure.Message, failure.Hint = err.Error(), hint.For(err)
 	return status, failure
 }
 
+// statusAndFailure returns the status of the response for an error, and its body without message and hint. An error of
+// another type than those listed gives status 500 and code internal.
 func statusAndFailure(err error) (int, Failure) {
 	var (
 		compacted *distribution.CompactedError
@@ -115,7 +118,7 @@
 	return http.StatusInternalServerError, Failure{Code: codeInternal}
 }
 
-// errorOf is the typed error that a failure stands for, nil where it names none that is known.
+// errorOf restores the typed error from a failure. It returns nil if the code is unknown or internal.
 func errorOf(failure Failure) error {
 	from := failure.From
 	head := failure.Head
--- a/internal/distribution/transport/follower.go
+++ b/internal/distribution/transport/follower.go
@@ -8,43 +8,45 @@
 	"ospreycroft/internal/distribution"
 )
 
-// FollowerOptions are what a follower is made of.
+// FollowerOptions configure a follower.
 type FollowerOptions struct {
-	// Servers are the addresses of the two servers, host and port each; both the same where there is one.
+	// Servers are the addresses (host:port) of the two servers. Both are the same if there is only one.
 	Servers [2]string
-	// DialTimeout is that of a connection to a server, above 0.
+	// DialTimeout limits how long a connection to a server may take to be established. It must be above 0.
 	DialTimeout time.Duration
-	// Hold is how long a call for changes may be held; 0 for distribution.LimiterHold.
+	// Hold is how long a server may hold a call for changes. 0 means distribution.LimiterHold for a limiter and
+	// distribution.RelayHold for a relay.
 	Hold time.Duration
-	// Position is the subscriber's number among all, so that they ask apart.
+	// Position is the subscriber's number among all subscribers. It spreads their polls over time.
 	Position int
-	// Clock gives the time in nanoseconds and never goes back.
+	// Clock returns the time in nanoseconds. It must be monotonic.
 	Clock func() int64
-	// Report is told of each error, on the follower's goroutine; nil for nothing.
+	// Report is called with the error of each failed poll, on the follower's goroutine. It may be nil.
 	Report func(error)
-	// Changed is told of each new version with its snapshot, on the follower's goroutine; nil for nothing.
+	// Changed is called with a snapshot of each new version, on the follower's goroutine. It may be nil.
 	Changed func(*distribution.Snapshot)
 }
 
-// Follower keeps a subscriber up to date on goroutines of its own. The applier runs on one of them.
+// Follower keeps a subscriber up to date by polling its servers on its own goroutines. The subscriber's applier runs on
+// one of them.
 type Follower struct {
 	options  FollowerOptions
 	poller   *distribution.Poller
 	clients  [2]*Client
-	withLock func(func(now int64))       // runs something under the lock over the subscriber
-	pending  chan pendingAcknowledgement // the newest acknowledgement, for the goroutine that sends it
-	last     distribution.Acknowledgement
-	lastAt   int64
+	withLock func(func(now int64))                // runs a function that uses the subscriber, under its lock
+	pending  chan pendingAcknowledgement          // holds the newest unsent acknowledgement
+	last     distribution.Acknowledgement         // the last one queued
+	lastAt   int64                                // when it was queued
 	summary  func(now int64) distribution.Summary // of a relay; nil for a limiter
 }
 
-// pendingAcknowledgement is an acknowledgement on its way to a server.
+// pendingAcknowledgement is an acknowledgement and the index of the server to send it to.
 type pendingAcknowledgement struct {
 	distribution.Acknowledgement
 	server int
 }
 
-// NewFollower makes the follower of a limiter's subscriber. Nothing else may use the subscriber but through Do.
+// NewFollower returns a follower of a limiter's subscriber. Other code may use the subscriber only through Do.
 func NewFollower(subscriber *distribution.Subscriber, options FollowerOptions) *Follower {
 	f := newFollower(subscriber, options, distribution.LimiterHold)
 	var mutex sync.Mutex
@@ -56,7 +58,8 @@
 	return f
 }
 
-// NewRelayFollower makes the follower of a relay, which its server serves meanwhile.
+// NewRelayFollower returns a follower of a relay. It shares the lock of server, which serves the relay at the same
+// time.
 func NewRelayFollower(relay *distribution.Relay, server *Server, options FollowerOptions) *Follower {
 	f := newFollower(relay.Subscriber, options, distribution.RelayHold)
 	f.withLock = server.withLock
@@ -77,12 +80,12 @@
 	return f
 }
 
-// Do runs something that uses the subscriber while the follower runs.
+// Do calls run with the subscriber under the lock that the follower takes itself.
 func (f *Follower) Do(run func(now int64, subscriber *distribution.Subscriber)) {
 	f.withLock(func(now int64) { run(now, f.poller.Subscriber) })
 }
 
-// Run follows until the context ends.
+// Run polls the servers until the context is done. It returns when all goroutines of the follower have ended.
 func (f *Follower) Run(ctx context.Context) {
 	var reporting sync.WaitGroup
 	if f.summary == nil {
@@ -99,7 +102,7 @@
 	}
 }
 
-// sleep waits, and tells whether the context still holds.
+// sleep waits for the given time. It returns false if the context is done first.
 func sleep(ctx context.Context, nanoseconds int64) bool {
 	if nanoseconds <= 0 {
 		return ctx.Err() == nil
@@ -114,7 +117,7 @@
 	}
 }
 
-// pollOnce makes one call, and tells how long to wait before the next one.
+// pollOnce makes one call and returns how long to wait before the next one, in nanoseconds.
 func (f *Follower) pollOnce(ctx context.Context) (wait int64) {
 	var call distribution.Call
 	f.withLock(func(now int64) { call = f.poller.Call(now) })
@@ -155,7 +158,8 @@
 	return wait
 }
 
-// queueAcknowledgement hands an acknowledgement over where it is new, or the last was long ago. It does not wait.
+// queueAcknowledgement queues the subscriber's acknowledgement if it differs from the last one or AcknowledgementEvery
+// has passed since. It does not block. A relay queues none: it sends summaries.
 func (f *Follower) queueAcknowledgement(now int64) {
 	if f.summary != nil {
 		return
@@ -167,13 +171,13 @@
 	f.last = acknowledgement
 	f.lastAt = now
 	select {
-	case <-f.pending: // the newest takes the place of one that waits
+	case <-f.pending: // replace an acknowledgement that has not been sent yet
 	default:
 	}
 	f.pending <- pendingAcknowledgement{acknowledgement, f.poller.Server(now)}
 }
 
-// equalExceptAge tells whether two acknowledgements differ in their ages at most.
+// equalExceptAge reports whether two acknowledgements have the same version, condition and refused version.
 func equalExceptAge(a, b distribution.Acknowledgement) bool {
 	if a.Version != b.Version || a.Condition != b.Condition || (a.Refused == nil) != (b.Refused == nil) {
 		return false
@@ -185,7 +189,8 @@
 	for {
 		select {
 		case next := <-f.pending:
-			// What is lost is said again; errors show in the calls for changes.
+			// The error is ignored: a lost acknowledgement is repeated after AcknowledgementEvery, and a failing
+			// server also fails the calls for changes, whose errors are reported.
 			_ = f.clients[next.server].Acknowledge(ctx, next.Acknowledgement, reportTimeout)
 		case <-ctx.Done():
 			return
@@ -193,7 +198,7 @@
 	}
 }
 
-// reportTimeout is after how long an acknowledgement or a summary is given up.
+// reportTimeout limits the call that sends an acknowledgement or a summary.
 const reportTimeout = 2 * time.Second
 
 func (f *Follower) sendSummaries(ctx context.Context) {
--- a/internal/distribution/transport/query.go
+++ b/internal/distribution/transport/query.go
@@ -8,10 +8,10 @@
 	"ospreycroft/internal/distribution"
 )
 
-// MaxHold is how long a server holds a call at most.
+// MaxHold is the longest time for which a server holds a call.
 const MaxHold = 10 * time.Second
 
-// changesQuery writes a call for changes.
+// changesQuery encodes a request for changes as a URL query. hold is in nanoseconds; it is left out if it is 0.
 func changesQuery(request distribution.ChangesRequest, hold int64) url.Values {
 	q := url.Values{}
 	q.Set("epoch", strconv.FormatUint(request.From.Epoch, 10))
@@ -29,7 +29,8 @@
 	return q
 }
 
-// readChangesQuery reads it. Errors: *MalformedError, *ScopeError.
+// readChangesQuery decodes what changesQuery has encoded and limits hold to MaxHold. Errors: *MalformedError,
+// *ScopeError.
 func readChangesQuery(q url.Values) (request distribution.ChangesRequest, hold time.Duration, err error) {
 	r := queryReader{query: q}
 	request.From = distribution.Version{Epoch: r.number("epoch"), Number: r.number("from")}
@@ -39,7 +40,7 @@
 	return request, time.Duration(milliseconds) * time.Millisecond, r.err
 }
 
-// pieceQuery writes a call for a piece.
+// pieceQuery encodes a request for a piece as a URL query.
 func pieceQuery(request distribution.PieceRequest) url.Values {
 	q := url.Values{}
 	if request.After != nil {
@@ -54,7 +55,7 @@
 	return q
 }
 
-// readPieceQuery reads it. Errors: *MalformedError, *ScopeError.
+// readPieceQuery decodes what pieceQuery has encoded. Errors: *MalformedError, *ScopeError.
 func readPieceQuery(q url.Values) (request distribution.PieceRequest, err error) {
 	r := queryReader{query: q}
 	if q.Has("after_kind") {
@@ -69,13 +70,13 @@
 	return request, r.err
 }
 
-// queryReader reads values of a query and keeps the first error.
+// queryReader parses values of a URL query and keeps the first error.
 type queryReader struct {
 	query url.Values
 	err   error
 }
 
-// number is a value, 0 where it is missing.
+// number returns the named value, 0 if it is missing.
 func (r *queryReader) number(name string) uint64 {
 	text := r.query.Get(name)
 	if text == "" {
--- a/internal/distribution/transport/server.go
+++ b/internal/distribution/transport/server.go
@@ -12,13 +12,14 @@
 	"ospreycroft/internal/distribution"
 )
 
-// Bounds of a server.
+// Limits of a server.
 const (
-	// MaxPublicationBytes bounds the body of a publication: a change in JSON, every character of which may be escaped.
+	// MaxPublicationBytes bounds the body of a publication. It leaves room for a change with every character escaped
+	// in JSON.
 	MaxPublicationBytes = 2 << 20
-	// MaxReportBytes bounds the body of an acknowledgement, a summary and an opening.
+	// MaxReportBytes bounds the body of an acknowledgement, a summary or an EpochOpening.
 	MaxReportBytes = 64 << 10
-	// MaxHeldCalls is how many calls a server holds at once.
+	// MaxHeldCalls is how many calls a server holds at once. Further calls get *distribution.ThrottledError.
 	MaxHeldCalls = 4096
 
 	readHeaderTimeout = 5 * time.Second
@@ -30,7 +31,7 @@
 // Publication is the body of a call that publishes a change.
 type Publication struct {
 	Epoch uint64 `json:"epoch"`
-	// Expected is the head for which the change was made; nil for any.
+	// Expected is the head that the change was made for; another head refuses it. nil accepts any head.
 	Expected  *distribution.Version   `json:"expected,omitempty"`
 	Mutations []distribution.Mutation `json:"mutations"`
 }
@@ -40,18 +41,18 @@
 	Epoch uint64 `json:"epoch"`
 }
 
-// Server answers the calls of subscribers, and at a source those of writers and relays. It is an http.Handler.
+// Server is an http.Handler that serves the calls of subscribers and, at a source, those of writers and relays.
 type Server struct {
-	mutex          sync.Mutex // over all that is behind server
+	mutex          sync.Mutex // guards backend, source, versionChanged and heldCalls
 	backend        distribution.Server
-	source         *distribution.Source // nil at a relay
+	source         *distribution.Source // nil for a relay
 	clock          func() int64
-	versionChanged chan struct{} // closed and replaced with each new version
-	heldCalls      int
+	versionChanged chan struct{} // closed and replaced when the version changes
+	heldCalls      int           // calls waiting in awaitNewer
 	routes         *http.ServeMux
 }
 
-// NewSourceServer serves a source. clock gives the time in nanoseconds and never goes back.
+// NewSourceServer returns a server of a source. clock returns the time in nanoseconds and must be monotonic.
 func NewSourceServer(source *distribution.Source, clock func() int64) *Server {
 	s := newServer(source, clock)
 	s.source = source
@@ -62,7 +63,8 @@
 	return s
 }
 
-// NewRelayServer serves a relay. See NewRelayFollower for how it follows the source.
+// NewRelayServer returns a server of a relay. NewRelayFollower keeps the relay up to date with the source. clock
+// returns the time in nanoseconds and must be monotonic.
 func NewRelayServer(relay *distribution.Relay, clock func() int64) *Server {
 	s := newServer(relay, clock)
 	for _, route := range []string{"POST /v1/epochs", "POST /v1/changes", "POST /v1/summaries", "GET /v1/overview"} {
@@ -82,16 +84,16 @@
 	return s
 }
 
-// ServeHTTP is the method of http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.routes.ServeHTTP(w, r) }
 
-// HTTP is a net/http server with this one's bounds. Its address and listener are the caller's.
+// HTTP returns an http.Server with this handler, timeouts and a header limit. The caller provides the listener.
 func (s *Server) HTTP() *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, WriteTimeout: readTimeout,
-		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	return &http.Server{Handler: s, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
+		WriteTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// withLock runs something under the server's lock, and wakes held calls where the version has changed.
+// withLock calls run under the server's lock and wakes the held calls if the version has changed.
 func (s *Server) withLock(run func(now int64)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,7 +120,8 @@
 	writeResponse(w, delta, err)
 }
 
-// awaitNewer waits until there is something newer, or a time has passed, or the caller has gone.
+// awaitNewer waits until the server has something newer than the request, maxHold has passed, or the client has closed
+// the call. Errors: *distribution.ThrottledError if MaxHeldCalls are held.
 func (s *Server) awaitNewer(r *http.Request, request distribution.ChangesRequest, maxHold time.Duration) error {
 	if maxHold <= 0 {
 		return nil
@@ -206,7 +209,8 @@
 	writeResponse(w, overview, nil)
 }
 
-// readBody reads one JSON value with no key that is not known. Errors: *MalformedError, *TooLargeError.
+// readBody decodes a body of exactly one JSON value without unknown keys into result. Errors: *MalformedError,
+// *TooLargeError.
 func readBody(w http.ResponseWriter, r *http.Request, what string, maxBytes int64, result any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes))
 	decoder.DisallowUnknownFields()
--- a/internal/distribution/transport/transport_test.go
+++ b/internal/distribution/transport/transport_test.go
@@ -34,7 +34,7 @@
 
 func clock() int64 { return int64(time.Since(clockStart)) }
 
-// testServer serves a handler on loopback until it is closed.
+// testServer is an HTTP server on a loopback port.
 type testServer struct {
 	address string
 	port    *ports.Kept
@@ -42,7 +42,8 @@
 	done    chan struct{}
 }
 
-// startServer serves on a port that stays kept, so that another server can follow there.
+// startServer starts a server on a port that stays reserved after the server is closed, so that another server can be
+// started on it.
 func startServer(t *testing.T, server *http.Server) *testServer {
 	t.Helper()
 	return startServerAt(t, server, testbed.KeepPort(t))
@@ -61,13 +62,13 @@
 	return s
 }
 
-// close ends the server and breaks its connections.
+// close stops the server and closes its connections.
 func (s *testServer) close() {
 	_ = s.server.Close()
 	<-s.done
 }
 
-// startFollower runs a follower until it is stopped, at the latest at the end of the test.
+// startFollower runs a follower until stop is called or the test ends.
 func startFollower(t *testing.T, f *Follower) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -83,7 +84,7 @@
 	return stop
 }
 
-// testSource is a testSource that listens.
+// testSource is a running source and a client of it.
 type testSource struct {
 	*testServer
 	core   *distribution.Source
@@ -116,14 +117,20 @@
 	return change.Version
 }
 
-// testRelay is a testRelay that listens and follows.
+// testRelay is a running relay that follows a source.
 type testRelay struct {
 	*testServer
 	core *distribution.Relay
 	stop func()
 }
 
-func startRelay(t *testing.T, name string, port *ports.Kept, source string, middleware func(http.Handler) http.Handler) *testRelay {
+func startRelay(
+	t *testing.T,
+	name string,
+	port *ports.Kept,
+	source string,
+	middleware func(http.Handler) http.Handler,
+) *testRelay {
 	t.Helper()
 	core := distribution.NewRelay(clock(), distribution.RelayOptions{Name: name, UnconfirmedAfter: int64(time.Second)})
 	server := NewRelayServer(core, clock)
@@ -146,7 +153,8 @@
 	return r
 }
 
-// testLimiter is a subscriber with a follower; its applier holds both entries, which are always put together.
+// testLimiter is a subscriber with a follower. Its applier stores the entries first and second, which each publication
+// sets to the same value, and fails the test if they differ: then a change was applied in part.
 type testLimiter struct {
 	*Follower
 	mutex      sync.Mutex
@@ -175,7 +183,7 @@
 		}
 	}
 	if l.values["first"] != l.values["second"] {
-		l.t.Errorf("half a change is in force: %v", l.values)
+		l.t.Errorf("a change is in force only in part: %v", l.values)
 	}
 	return nil
 }
@@ -192,7 +200,7 @@
 	l.applyError = err
 }
 
-// reported tells whether an error that matches was reported.
+// reported tells whether the follower has reported a matching error.
 func (l *testLimiter) reported(match func(error) bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -243,7 +251,8 @@
 	return errors.As(err, &e) && e.Hint() != "" && e.Error() != ""
 }
 
-// TestFleet: what is published at the source is in force at all limiters, and the source is told so by sums.
+// TestFleet checks that each publication comes into force at all limiters behind two relays, and that the relays'
+// summaries let the source count how many limiters have it in force or have refused it.
 func TestFleet(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -275,7 +284,7 @@
 			}
 			reached, all := o.InForce(version)
 			return reached == 6 && all == 6
-		}, "the overview")
+		}, "all limiters in the overview")
 	}
 	limiters[3].setApplyError(errors.New("not this one"))
 	version := s.publish("five")
@@ -304,14 +313,15 @@
 	require.Len(t, last.Entries, 2)
 }
 
-// faultInjector stands before a relay and answers in its place once a fault is set.
+// faultInjector is middleware in front of a relay. Once a fault is set, the fault handles the calls instead of the
+// relay.
 type faultInjector struct {
 	mutex      sync.Mutex
 	fault      func(http.ResponseWriter, *http.Request, http.Handler)
-	faultCalls int // calls for changes since the fault was set
+	faultCalls int // GET calls since the fault was set
 }
 
-// faultCallCount is how many faultCallCount for changes have met the fault.
+// faultCallCount returns how many GET calls the fault has handled.
 func (f *faultInjector) faultCallCount() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -340,7 +350,7 @@
 	})
 }
 
-// rawResponse answers with bytes and ends the connection.
+// rawResponse returns a fault that writes text to the connection and closes it.
 func rawResponse(text string) func(http.ResponseWriter, *http.Request, http.Handler) {
 	return func(w http.ResponseWriter, _ *http.Request, _ http.Handler) {
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -352,7 +362,7 @@
 	}
 }
 
-// bodyResponse answers with a bodyResponse.
+// bodyResponse returns a fault that responds with a status and a body.
 func bodyResponse(status int, text string) func(http.ResponseWriter, *http.Request, http.Handler) {
 	return func(w http.ResponseWriter, _ *http.Request, _ http.Handler) {
 		w.WriteHeader(status)
@@ -360,7 +370,7 @@
 	}
 }
 
-// modifiedResponse lets the relay answer and changes the answer.
+// modifiedResponse returns a fault that passes the call to the relay and changes the body of its response.
 func modifiedResponse(change func(text string) string) func(http.ResponseWriter, *http.Request, http.Handler) {
 	return func(w http.ResponseWriter, r *http.Request, next http.Handler) {
 		recorder := httptest.NewRecorder()
@@ -370,22 +380,25 @@
 	}
 }
 
-// truncatedResponse lets the relay answer, and cuts the answer in its middle.
+// truncatedResponse is a fault that sends the first half of the relay's response and closes the connection.
 func truncatedResponse(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	recorder := httptest.NewRecorder()
 	next.ServeHTTP(recorder, r)
 	text := recorder.Body.String()
-	rawResponse(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)/2]))(w, r, next)
+	rawResponse(
+		fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)/2]),
+	)(w, r, next)
 }
 
-// stalledResponse reads the call and answers nothing for as long as the caller waits.
+// stalledResponse is a fault that reads the call and does not respond before the client closes it.
 func stalledResponse(_ http.ResponseWriter, r *http.Request, _ http.Handler) {
-	_, _ = io.Copy(io.Discard, r.Body) // net/http tells that a caller has left only once its body is read
+	_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body has been read
 	<-r.Context().Done()
 }
 
-// TestFaultyRelay: whatever a limiter's first relay answers, the last good version serves, nothing is half in force,
-// the error has its type, and the second relay brings what is new.
+// TestFaultyRelay checks a limiter whose first relay gives a faulty response or none. The limiter must keep its last
+// valid version, apply no change in part, report an error of the expected type, and get the new version from its second
+// relay.
 func TestFaultyRelay(t *testing.T) {
 	const oldDelta = `{"from":{"epoch":1,"number":1},"to":{"epoch":1,"number":2},"changes":[{"version":{"epoch":1,"number":2},` +
 		`"published":1,"mutations":[{"kind":"plans","name":"first","value":"zero"}]}],` +
@@ -396,24 +409,27 @@
 		matches func(error) bool
 	}{
 		{"garbage", rawResponse("\x00\x01what\r\n\r\n"), hasType[*UnreachableError]},
-		{"nothing and the end", rawResponse(""), hasType[*UnreachableError]},
-		{"no JSON", bodyResponse(200, "<html>"), hasType[*distribution.MalformedError]},
-		{"other JSON", bodyResponse(200, `{"from":7}`), hasType[*distribution.MalformedError]},
-		{"JSON that is no delta", bodyResponse(200, `{"generation":4}`), hasType[*distribution.MalformedError]},
-		{"half an answer", truncatedResponse, hasType[*TruncatedError]},
-		{"half JSON", modifiedResponse(func(text string) string { return text[:len(text)/2] }), hasType[*distribution.MalformedError]},
-		{"an hour old", bodyResponse(200, oldDelta), hasType[*distribution.StaleAnswerError]},
+		{"closed without a response", rawResponse(""), hasType[*UnreachableError]},
+		{"HTML", bodyResponse(200, "<html>"), hasType[*distribution.MalformedError]},
+		{"JSON of another type", bodyResponse(200, `{"from":7}`), hasType[*distribution.MalformedError]},
+		{"JSON without a version", bodyResponse(200, `{"generation":4}`), hasType[*distribution.MalformedError]},
+		{"truncated body", truncatedResponse, hasType[*TruncatedError]},
+		{"truncated JSON", modifiedResponse(func(text string) string { return text[:len(text)/2] }),
+			hasType[*distribution.MalformedError]},
+		{"stale delta", bodyResponse(200, oldDelta), hasType[*distribution.StaleAnswerError]},
 		{"too long", bodyResponse(200, strings.Repeat(" ", MaxResponseBytes+1)), hasType[*TooLongError]},
-		{"an error of no type", bodyResponse(500, "out of order"), hasType[*StatusError]},
-		{"an error of an unknown type", bodyResponse(500, `{"code":"wish"}`), hasType[*StatusError]},
-		{"elsewhere", func(w http.ResponseWriter, r *http.Request, _ http.Handler) {
+		{"error without a code", bodyResponse(500, "out of order"), hasType[*StatusError]},
+		{"error with an unknown code", bodyResponse(500, `{"code":"wish"}`), hasType[*StatusError]},
+		{"redirect", func(w http.ResponseWriter, r *http.Request, _ http.Handler) {
 			http.Redirect(w, r, "http://127.0.0.1:1/", http.StatusFound)
 		}, hasType[*StatusError]},
-		{"empty", bodyResponse(204, ""), hasType[*StatusError]},
+		{"status 204", bodyResponse(204, ""), hasType[*StatusError]},
 		{"not ready", bodyResponse(503, `{"code":"not_ready"}`), hasType[*distribution.NotReadyError]},
-		{"another value", modifiedResponse(func(text string) string { return strings.Replace(text, `"value":"two"`, `"value":"2"`, 1) }),
+		{"changed value",
+			modifiedResponse(func(text string) string { return strings.Replace(text, `"value":"two"`, `"value":"2"`, 1) }),
 			hasType[*distribution.DigestError]},
-		{"an unknown kind", modifiedResponse(func(text string) string { return strings.Replace(text, `"kind":"plans"`, `"kind":"wishes"`, 1) }),
+		{"unknown kind",
+			modifiedResponse(func(text string) string { return strings.Replace(text, `"kind":"plans"`, `"kind":"wishes"`, 1) }),
 			hasType[*distribution.KindError]},
 		{"stalled", stalledResponse, hasType[*UnansweredError]},
 	} {
@@ -426,19 +442,20 @@
 			a := startRelay(t, "a", testbed.KeepPort(t), s.address, f.wrap)
 			b := startRelay(t, "b", testbed.KeepPort(t), s.address, nil)
 			l := startLimiter(t, "n", [2]string{a.address, b.address})
-			eventually(t, func() bool { return l.value() == "one" }, "in force at first")
+			eventually(t, func() bool { return l.value() == "one" }, "the initial version in force")
 			f.setFault(c.fault)
-			eventually(t, func() bool { return f.faultCallCount() > 0 }, "a call that meets the fault")
+			eventually(t, func() bool { return f.faultCallCount() > 0 }, "a call handled by the fault")
 			s.publish("two")
-			eventually(t, func() bool { return l.value() == "two" }, "in force by the second relay")
-			eventually(t, func() bool { return l.reported(c.matches) }, "the error")
-			eventually(t, func() bool { return l.status().Condition == distribution.Current }, "current")
+			eventually(t, func() bool { return l.value() == "two" }, "the new version from the second relay")
+			eventually(t, func() bool { return l.reported(c.matches) }, "the expected error type")
+			eventually(t, func() bool { return l.status().Condition == distribution.Current }, "condition current")
 		})
 	}
 }
 
-// TestRelaysUnavailable: with one relay killed the other serves; with both gone the last version serves, unconfirmed, with
-// its age; the same where the relays are there and the source is gone. Nothing can be published at a relay.
+// TestRelaysUnavailable checks a limiter that loses its relays and the source one by one. With one relay stopped it
+// follows the other. With the source or both relays stopped it keeps its last version, which becomes unconfirmed and
+// ages. After a restart of the source and a relay it is current again. A relay refuses writes.
 func TestRelaysUnavailable(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -453,7 +470,8 @@
 	eventually(t, func() bool { return l.value() == "two" }, "two")
 
 	s.close()
-	eventually(t, func() bool { return l.status().Condition == distribution.Unconfirmed }, "unconfirmed behind a relay")
+	eventually(t, func() bool { return l.status().Condition == distribution.Unconfirmed },
+		"unconfirmed without the source")
 	require.GreaterOrEqual(t, l.status().Age, int64(time.Second))
 	client := NewClient(b.address, dialTimeout)
 	defer client.Close()
@@ -469,20 +487,22 @@
 	b.close()
 	b.stop()
 	age := l.status().Age
-	eventually(t, func() bool { return l.reported(hasType[*UnreachableError]) && l.status().Age > age }, "both gone")
+	eventually(t, func() bool { return l.reported(hasType[*UnreachableError]) && l.status().Age > age },
+		"both relays unreachable and a growing age")
 	require.Equal(t, "two", l.value())
 	require.Equal(t, distribution.Unconfirmed, l.status().Condition)
 
 	server := NewSourceServer(s.core, clock)
 	restarted := startServerAt(t, server.HTTP(), s.port)
-	startRelay(t, "b", b.port, restarted.address, nil) // a new process, with nothing
+	startRelay(t, "b", b.port, restarted.address, nil) // a restarted relay has no state
 	eventually(t, func() bool { return l.status().Condition == distribution.Current }, "current again")
 	s.publish("three")
 	eventually(t, func() bool { return l.value() == "three" }, "three")
 }
 
-// TestSourceReplaced: a source that lost its last changes opens a higher epoch, and all go to its state; the one that
-// it replaced publishes no more once a subscriber has told it.
+// TestSourceReplaced checks a source that is replaced by one restored from an older snapshot. The new source opens a
+// higher epoch, and limiters take over its state, although it lacks the last change. The old source, when it returns,
+// must refuse publications once a subscriber's call has shown it the higher epoch.
 func TestSourceReplaced(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -494,7 +514,7 @@
 	s.publish("lost")
 	eventually(t, func() bool { return l.value() == "lost" }, "lost")
 	s.close()
-	s.client.Close() // its connection is of the old process
+	s.client.Close() // close idle connections to the stopped server
 	state, err := distribution.NewStateOf(saved.Entries)
 	require.NoError(t, err)
 	replacement := distribution.NewSource(
@@ -519,7 +539,7 @@
 	require.Equal(t, "one", l.value())
 }
 
-// TestHold: a held call is answered by a publication, or at its hold's end with nothing new.
+// TestHold checks that a held call returns when a change is published, or without changes when its hold time ends.
 func TestHold(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -558,7 +578,8 @@
 	require.True(t, hasType[*UnansweredError](err), "%v", err)
 }
 
-// TestMaxHeldCalls: a server holds no more calls than it may, and one whose caller left is held no more.
+// TestMaxHeldCalls checks that a server rejects a call for changes while MaxHeldCalls are held, and that a call whose
+// client has closed it is held no longer.
 func TestMaxHeldCalls(t *testing.T) {
 	t.Parallel()
 	core := distribution.NewSource(distribution.NewLog(distribution.Retention{}), distribution.Budget{})
@@ -582,19 +603,19 @@
 		defer server.mutex.Unlock()
 		return server.heldCalls
 	}
-	eventually(t, func() bool { return held() == MaxHeldCalls }, "held")
+	eventually(t, func() bool { return held() == MaxHeldCalls }, "the call is held")
 	require.Equal(t, http.StatusTooManyRequests, call(context.Background()))
 	cancel()
 	select {
 	case <-done:
 	case <-time.After(MaxHold / 2):
-		t.Error("held though its caller left")
+		t.Error("the call is still held after its client has closed it")
 		<-done
 	}
 	require.Equal(t, MaxHeldCalls-1, held())
 }
 
-// TestPublishRefused: what a writer may not send is refused by its type, also over the wire.
+// TestPublishRefused checks that invalid calls are refused, and that the client restores the typed error of each.
 func TestPublishRefused(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -615,56 +636,69 @@
 		name, path, text string
 		matches          func(error) bool
 	}{
-		{"good", "/v1/changes", `{"epoch":1,"mutations":[` + entry + `]}`, func(err error) bool { return err == nil }},
-		{"an unknown key", "/v1/changes", `{"epoch":1,"colour":"red","mutations":[` + entry + `]}`, hasType[*distribution.MalformedError]},
-		{"an unknown key of an entry", "/v1/changes", `{"epoch":1,"mutations":[{"kind":"plans","name":"a","worth":"1"}]}`,
+		{"valid", "/v1/changes", `{"epoch":1,"mutations":[` + entry + `]}`, func(err error) bool { return err == nil }},
+		{"unknown key", "/v1/changes", `{"epoch":1,"colour":"red","mutations":[` + entry + `]}`,
+			hasType[*distribution.MalformedError]},
+		{"unknown key in an entry", "/v1/changes", `{"epoch":1,"mutations":[{"kind":"plans","name":"a","worth":"1"}]}`,
 			hasType[*distribution.MalformedError]},
-		{"an unknown kind", "/v1/changes", `{"epoch":1,"mutations":[{"kind":"wishes","name":"a","value":"1"}]}`, hasType[*distribution.KindError]},
-		{"half a change", "/v1/changes", `{"epoch":1,"mutations":[` + entry, hasType[*distribution.MalformedError]},
-		{"two changes", "/v1/changes", `{"epoch":1,"mutations":[` + entry + `]}{}`, hasType[*distribution.MalformedError]},
-		{"too long", "/v1/changes", `{"epoch":1,"mutations":[` + strings.Repeat(" ", MaxPublicationBytes) + entry + `]}`,
+		{"unknown kind", "/v1/changes", `{"epoch":1,"mutations":[{"kind":"wishes","name":"a","value":"1"}]}`,
+			hasType[*distribution.KindError]},
+		{"truncated JSON", "/v1/changes", `{"epoch":1,"mutations":[` + entry, hasType[*distribution.MalformedError]},
+		{"two JSON values", "/v1/changes", `{"epoch":1,"mutations":[` + entry + `]}{}`,
+			hasType[*distribution.MalformedError]},
+		{"body too long", "/v1/changes",
+			`{"epoch":1,"mutations":[` + strings.Repeat(" ", MaxPublicationBytes) + entry + `]}`,
 			hasType[*distribution.TooLargeError]},
-		{"an entry too large", "/v1/changes", `{"epoch":1,"mutations":[{"kind":"plans","name":"a","value":"` +
+		{"value too large", "/v1/changes", `{"epoch":1,"mutations":[{"kind":"plans","name":"a","value":"` +
 			strings.Repeat("v", distribution.MaxValueBytes+1) + `"}]}`, hasType[*distribution.TooLargeError]},
-		{"a stale epoch", "/v1/changes", `{"epoch":0,"mutations":[` + entry + `]}`, hasType[*distribution.FencedError]},
-		{"another head", "/v1/changes", `{"epoch":1,"expected":{"epoch":1,"number":1},"mutations":[` + entry + `]}`,
+		{"stale epoch", "/v1/changes", `{"epoch":0,"mutations":[` + entry + `]}`, hasType[*distribution.FencedError]},
+		{"unexpected head", "/v1/changes", `{"epoch":1,"expected":{"epoch":1,"number":1},"mutations":[` + entry + `]}`,
 			hasType[*distribution.ConflictError]},
 		{"no mutations", "/v1/changes", `{"epoch":1}`, hasType[*distribution.EmptyChangeError]},
-		{"a key that is not held", "/v1/changes", `{"epoch":1,"mutations":[{"kind":"plans","name":"b","delete":true}]}`,
+		{"deletion of a missing key", "/v1/changes",
+			`{"epoch":1,"mutations":[{"kind":"plans","name":"b","delete":true}]}`,
 			hasType[*distribution.KeyError]},
-		{"an epoch far above", "/v1/epochs", `{"epoch":18446744073709551615}`, hasType[*distribution.EpochStepError]},
-		{"an epoch twice", "/v1/epochs", `{"epoch":1}`, hasType[*distribution.FencedError]},
-		{"no limiter", "/v1/acknowledgements", `{}`, hasType[*distribution.KeyError]},
-		{"no relay", "/v1/summaries", `{}`, hasType[*distribution.KeyError]},
-		{"a long summary", "/v1/summaries", strings.Repeat(" ", MaxReportBytes+1), hasType[*distribution.TooLargeError]},
+		{"epoch above the next one", "/v1/epochs", `{"epoch":18446744073709551615}`,
+			hasType[*distribution.EpochStepError]},
+		{"epoch already open", "/v1/epochs", `{"epoch":1}`, hasType[*distribution.FencedError]},
+		{"acknowledgement without a limiter", "/v1/acknowledgements", `{}`, hasType[*distribution.KeyError]},
+		{"summary without a relay", "/v1/summaries", `{}`, hasType[*distribution.KeyError]},
+		{"summary too long", "/v1/summaries", strings.Repeat(" ", MaxReportBytes+1),
+			hasType[*distribution.TooLargeError]},
 	} {
 		err := post(c.path, c.text)
 		require.True(t, c.matches(err), "%s: %T: %v", c.name, err, err)
 	}
 	require.Equal(t, distribution.Version{Epoch: 1, Number: 2}, s.core.Head())
 	for query, matches := range map[string]func(error) bool{
-		"/v1/changes?from=x": hasType[*distribution.MalformedError], "/v1/changes?hold_ms=-1": hasType[*distribution.MalformedError],
-		"/v1/changes?scope=plans": hasType[*distribution.ScopeError], "/v1/pieces?max_bytes=x": hasType[*distribution.MalformedError],
-		"/v1/pieces?scope=wishes@": hasType[*distribution.ScopeError], "/v1/changes?epoch=1&from=9": hasType[*distribution.BehindError],
+		"/v1/changes?from=x":         hasType[*distribution.MalformedError],
+		"/v1/changes?hold_ms=-1":     hasType[*distribution.MalformedError],
+		"/v1/changes?scope=plans":    hasType[*distribution.ScopeError],
+		"/v1/pieces?max_bytes=x":     hasType[*distribution.MalformedError],
+		"/v1/pieces?scope=wishes@":   hasType[*distribution.ScopeError],
+		"/v1/changes?epoch=1&from=9": hasType[*distribution.BehindError],
 		"/v1/changes?epoch=0&from=0": hasType[*distribution.CompactedError], "/v1/other": hasType[*StatusError]} {
 		if query == "/v1/changes?epoch=0&from=0" {
-			continue // the whole log is there
+			continue // the log still starts at the first version, so nothing is compacted
 		}
 		err := s.client.call(context.Background(), testTimeout, http.MethodGet, query, nil, &distribution.Delta{})
 		require.True(t, matches(err), "%s: %T: %v", query, err, err)
 	}
 }
 
-// TestFailureRoundTrip: each error is the same on both sides of the wire.
+// TestFailureRoundTrip checks that each typed error survives encoding as a Failure and decoding.
 func TestFailureRoundTrip(t *testing.T) {
 	t.Parallel()
 	v, w := distribution.Version{Epoch: 2, Number: 3}, distribution.Version{Epoch: 4, Number: 5}
 	for _, err := range []error{
-		&distribution.CompactedError{From: v, Oldest: w}, &distribution.BehindError{From: w, Head: v}, &distribution.NotReadyError{},
+		&distribution.CompactedError{From: v, Oldest: w}, &distribution.BehindError{From: w, Head: v},
+		&distribution.NotReadyError{},
 		&distribution.ThrottledError{RetryAfter: 7e9}, &distribution.FencedError{Open: 4, Given: 3},
 		&distribution.EpochStepError{Open: 4, Given: 1 << 40},
-		&distribution.ConflictError{Expected: v, Head: w}, &distribution.EmptyChangeError{}, &distribution.KindError{Kind: "wishes"},
-		&distribution.KeyError{Key: planMutation("a", "").Key, Why: "is not held"}, &distribution.ScopeError{Why: "it is odd"},
+		&distribution.ConflictError{Expected: v, Head: w}, &distribution.EmptyChangeError{},
+		&distribution.KindError{Kind: "wishes"},
+		&distribution.KeyError{Key: planMutation("a", "").Key, Why: "is not held"},
+		&distribution.ScopeError{Why: "it is odd"},
 		&distribution.TooLargeError{What: "a change", Bytes: 9, Max: 8}, &distribution.ReadOnlyError{},
 		&distribution.MalformedError{What: "a change", Cause: errors.New("no JSON")},
 	} {
@@ -677,7 +711,7 @@
 		require.Equal(t, err, errorOf(decoded))
 		require.True(t, hasType[hint.Error](err))
 		require.NotEmpty(t, decoded.Hint)
-		require.NotNil(t, errorOf(Failure{Code: failure.Code}), "with its fields missing")
+		require.NotNil(t, errorOf(Failure{Code: failure.Code}), "a failure with its code alone")
 	}
 	long := errorOf(Failure{Code: codeThrottled, RetryAfter: 1 << 60})
 	require.Equal(t, &distribution.ThrottledError{RetryAfter: maxRetryAfter}, long)
@@ -685,7 +719,8 @@
 	require.Equal(t, 500, status)
 }
 
-// TestLargeState: a state of several pieces comes over, with names and values of any characters.
+// TestLargeState checks that a limiter receives a state of several pieces whose names and values contain characters
+// that JSON escapes.
 func TestLargeState(t *testing.T) {
 	t.Parallel()
 	s := startSource(t)
@@ -693,19 +728,20 @@
 	value := strings.Repeat(specialCharacters, 5000/len(specialCharacters))
 	for i := range 60 {
 		_, err := s.client.Publish(context.Background(), Publication{Epoch: 1, Mutations: []distribution.Mutation{
-			planMutation(fmt.Sprint(specialCharacters, i), value), planMutation(fmt.Sprint("n", i), strings.Repeat("\x01", 5000))}}, testTimeout)
+			planMutation(fmt.Sprint(specialCharacters, i), value),
+			planMutation(fmt.Sprint("n", i), strings.Repeat("\x01", 5000))}}, testTimeout)
 		require.NoError(t, err)
 	}
 	a := startRelay(t, "a", testbed.KeepPort(t), s.address, nil)
 	l := startLimiter(t, "n", [2]string{a.address, a.address})
-	eventually(t, func() bool { return l.status().Version == s.core.Head() }, "in force")
+	eventually(t, func() bool { return l.status().Version == s.core.Head() }, "the source's version in force")
 	l.Do(func(_ int64, sub *distribution.Subscriber) {
 		require.Equal(t, s.core.State().Entries(), sub.State().Entries())
 	})
 	require.Empty(t, l.matchingErrors(func(err error) bool { return !hasType[*distribution.NotReadyError](err) }))
 }
 
-// matchingErrors are the errors reported that match.
+// matchingErrors returns the reported errors that match.
 func (l *testLimiter) matchingErrors(match func(error) bool) (all []error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -717,12 +753,16 @@
 	return all
 }
 
-// TestQueryRoundTrip: a call means the same on both sides of the wire.
+// TestQueryRoundTrip checks that requests survive encoding as a query and decoding, with hold limited to MaxHold.
 func TestQueryRoundTrip(t *testing.T) {
 	t.Parallel()
 	scope := distribution.Scope{Kinds: []distribution.Kind{distribution.KindPlans}, Names: []string{"eu", "us-1"}}
 	for _, want := range []distribution.ChangesRequest{
-		{From: distribution.Version{Epoch: 1<<64 - 1, Number: 7}, Seen: distribution.Version{Epoch: 3, Number: 9}, Scope: scope}, {},
+		{
+			From:  distribution.Version{Epoch: 1<<64 - 1, Number: 7},
+			Seen:  distribution.Version{Epoch: 3, Number: 9},
+			Scope: scope,
+		}, {},
 	} {
 		got, hold, err := readChangesQuery(changesQuery(want, int64(5*time.Second)))
 		require.NoError(t, err)
@@ -740,7 +780,8 @@
 	}
 }
 
-// TestDialTimeout: a connection that does not come up in time is an unreachable server, not one that has not answered.
+// TestDialTimeout checks that a connection that is not established in time gives *UnreachableError and not
+// *UnansweredError.
 func TestDialTimeout(t *testing.T) {
 	t.Parallel()
 	unresponsive := testbed.Full(t)
@@ -750,7 +791,8 @@
 	require.True(t, hasType[*UnreachableError](err), "%T: %v", err, err)
 }
 
-// TestEqualExceptAge: an acknowledgement is news where something else than its age has changed.
+// TestEqualExceptAge checks that acknowledgements are equal only if version, condition and refused version are equal;
+// ages may differ.
 func TestEqualExceptAge(t *testing.T) {
 	t.Parallel()
 	one, two := distribution.Version{Epoch: 1, Number: 1}, distribution.Version{Epoch: 1, Number: 2}
@@ -772,8 +814,8 @@
 	require.True(t, equalExceptAge(older, base))
 }
 
-// TestAcknowledgementRepeated: a limiter says what it has in force again and again, so that its relay, or another, goes on counting
-// it.
+// TestAcknowledgementRepeated checks that an unchanged acknowledgement is queued again after AcknowledgementEvery.
+// Otherwise the relay would stop counting the limiter, and another relay would not begin to.
 func TestAcknowledgementRepeated(t *testing.T) {
 	t.Parallel()
 	now := int64(1)
