--- a/internal/distribution/statefile/statefile.go
+++ b/internal/distribution/statefile/statefile.go
@@ -1,7 +1,8 @@
-// Package statefile keeps the state that a subscriber has in force on a disk, so that a restarted limiter serves with
-// it at once, unconfirmed, until its relay answers. Whatever is wrong with the file, the start goes on without it.
+// Package statefile stores the state that a subscriber has in force on disk. After a restart a limiter serves with the
+// stored state at once, as unconfirmed, until its relay responds. If the file cannot be used, the limiter starts
+// without it.
 //
-// A file is one line of package atomicfile and then JSON.
+// A file consists of a header line, written by package atomicfile, and JSON.
 package statefile
 
 import (
@@ -15,101 +16,104 @@
 	"ospreycroft/internal/machineclock"
 )
 
-// files are the files of states.
-var files = &atomicfile.Kind{
+// fileKind is the atomicfile.Kind of state files.
+var fileKind = &atomicfile.Kind{
 	Format:   atomicfile.Format{Name: "ospreycroft-distribution", Version: 1},
 	Name:     "the state file",
-	Replaced: replaced,
+	Replaced: recoveryHint,
 	Older:    "an older state",
 }
 
-// Place is where a subscriber keeps its state, and whose it is. It is for one goroutine.
+// Place loads and saves the state file of one subscriber. It is not safe for concurrent use.
 type Place struct {
 	Dir          string
 	Installation string
 	Subscriber   string
 	Scope        distribution.Scope
-	MaxAge       int64 // a state that was confirmed longer ago is refused, in nanoseconds, above 0
+	MaxAge       int64 // nanoseconds, above 0; Load refuses a state that was confirmed longer ago
 	Files        atomicfile.Files
-	Clock        machineclock.Origin  // of the subscriber's present life; it may have been stepped since the life before
-	written      distribution.Version // the newest version that was loaded or saved
+	// Clock is the origin of the clock of this incarnation. The wall clock may have been stepped since the previous one.
+	Clock         machineclock.Origin
+	newestVersion distribution.Version // the newest version loaded or saved; Save refuses older ones
 }
 
-// content is the JSON behind the header.
-type content struct {
+// fileContent is the JSON that follows the header.
+type fileContent struct {
 	Installation string                `json:"installation"`
 	Subscriber   string                `json:"subscriber"`
 	Digest       distribution.Digest   `json:"digest"`
 	Snapshot     distribution.Snapshot `json:"snapshot"`
-	// Clock is that of the snapshot's time. Files of earlier versions do not tell.
+	// Clock is the origin of the clock that the snapshot's time was read from. Files of earlier versions lack it.
 	Clock machineclock.Origin `json:"clock,omitzero"`
 }
 
-// Path is the file. Subscribers of one machine may share a directory.
+// Path returns the path of the file. Its name is the subscriber's, so that subscribers may share a directory.
 func (p *Place) Path() string {
 	return filepath.Join(p.Dir, url.PathEscape(p.Subscriber)+".distribution")
 }
 
-// Load reads the snapshot at now, by the present life's clock as is then the snapshot's time; nil without an error where there is
-// none. Errors: those of atomicfile.Kind, *OwnerError, *StaleError.
+// Load reads the stored snapshot. It returns nil without an error if there is no file. now is the time by Clock, in
+// nanoseconds, and so is the TakenAt of the result. Errors: those of atomicfile.Kind, *OwnerError, *StaleError.
 func (p *Place) Load(now int64) (*distribution.Snapshot, error) {
 	path := p.Path()
-	c := &content{}
-	err := files.Load(p.Files, path, c)
+	content := &fileContent{}
+	err := fileKind.Load(p.Files, path, content)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if c.Installation != p.Installation || c.Subscriber != p.Subscriber || c.Snapshot.Scope != p.Scope.String() {
+	if content.Installation != p.Installation || content.Subscriber != p.Subscriber ||
+		content.Snapshot.Scope != p.Scope.String() {
 		return nil, &OwnerError{
 			Path:         path,
-			Installation: c.Installation,
-			Subscriber:   c.Subscriber,
-			Scope:        c.Snapshot.Scope,
+			Installation: content.Installation,
+			Subscriber:   content.Subscriber,
+			Scope:        content.Snapshot.Scope,
 		}
 	}
-	c.Snapshot.TakenAt += p.Clock.ShiftFrom(c.Clock)
-	if age := now - c.Snapshot.TakenAt; age > p.MaxAge || age < -p.MaxAge {
+	content.Snapshot.TakenAt += p.Clock.ShiftFrom(content.Clock)
+	if age := now - content.Snapshot.TakenAt; age > p.MaxAge || age < -p.MaxAge {
 		return nil, &StaleError{Path: path, Age: age, MaxAge: p.MaxAge}
 	}
-	state, err := distribution.NewStateOf(c.Snapshot.Entries)
+	state, err := distribution.NewStateOf(content.Snapshot.Entries)
 	if err != nil {
-		return nil, &atomicfile.ChecksumError{Kind: files, Path: path, Cause: err}
+		return nil, &atomicfile.ChecksumError{Kind: fileKind, Path: path, Cause: err}
 	}
-	if got := state.Digest(distribution.Scope{}); got != c.Digest {
+	if got := state.Digest(distribution.Scope{}); got != content.Digest {
 		return nil, &atomicfile.ChecksumError{
-			Kind:  files,
+			Kind:  fileKind,
 			Path:  path,
-			Cause: &distribution.DigestError{Version: c.Snapshot.Version, Want: c.Digest, Got: got},
+			Cause: &distribution.DigestError{Version: content.Snapshot.Version, Want: content.Digest, Got: got},
 		}
 	}
-	p.written = c.Snapshot.Version
-	return &c.Snapshot, nil
+	p.newestVersion = content.Snapshot.Version
+	return &content.Snapshot, nil
 }
 
-// Save writes a snapshot whole or leaves the one that is there. One that is older than what this place has loaded or
-// saved is refused. Errors: *OlderError, *atomicfile.WriteError.
-func (p *Place) Save(s *distribution.Snapshot) error {
+// Save replaces the stored snapshot. If that fails, the file keeps either the previous snapshot or the new one, each
+// complete. A snapshot older than the last one loaded or saved is refused. Errors: *OlderError, *atomicfile.WriteError.
+func (p *Place) Save(snapshot *distribution.Snapshot) error {
 	path := p.Path()
-	if s.Version.Less(p.written) {
-		return &OlderError{Path: path, Held: p.written, Given: s.Version}
+	if snapshot.Version.Less(p.newestVersion) {
+		return &OlderError{Path: path, Stored: p.newestVersion, Given: snapshot.Version}
 	}
-	state, err := distribution.NewStateOf(s.Entries)
+	state, err := distribution.NewStateOf(snapshot.Entries)
 	if err != nil {
-		return &atomicfile.WriteError{Kind: files, Path: path, Cause: err}
+		return &atomicfile.WriteError{Kind: fileKind, Path: path, Cause: err}
 	}
-	held := content{Installation: p.Installation, Subscriber: p.Subscriber, Digest: state.Digest(distribution.Scope{}),
-		Snapshot: *s, Clock: p.Clock}
-	if err := files.Save(p.Files, path, held); err != nil {
+	content := fileContent{Installation: p.Installation, Subscriber: p.Subscriber,
+		Digest: state.Digest(distribution.Scope{}), Snapshot: *snapshot, Clock: p.Clock}
+	if err := fileKind.Save(p.Files, path, content); err != nil {
 		return err
 	}
-	p.written = s.Version
+	p.newestVersion = snapshot.Version
 	return nil
 }
 
-// NewWriter starts a writer of snapshots to a place, which is the writer's from then on; see atomicfile.NewWriter.
+// NewWriter starts a writer that saves snapshots to place on its own goroutine; see atomicfile.NewWriter. The caller
+// must not use place any more.
 func NewWriter(place *Place, report func(error)) *atomicfile.Writer[distribution.Snapshot] {
 	return atomicfile.NewWriter(place.Save, report)
 }
--- a/internal/distribution/transport/failure.go
+++ b/internal/distribution/transport/failure.go
@@ -8,22 +8,23 @@
 	"ospreycroft/internal/hint"
 )
 
-// Failure is the body of an answer with an error.
+// Failure is the body of an error response.
 type Failure struct {
-	// Code names the error's type; the other fields are those of that type.
+	// Code names the type of the error. Which of the fields below Hint are set depends on it.
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	Hint    string `json:"hint"`
-	// From is what compacted and behind were asked for, and what conflict expected; Head the server's version, and for
-	// compacted its oldest.
+	// From is the version that the caller has, for compacted and behind, or the head that the writer expected, for
+	// conflict. Head is the server's version; for compacted it is the oldest one in the server's log.
 	From *distribution.Version `json:"from,omitempty"`
 	Head *distribution.Version `json:"head,omitempty"`
-	// Epoch is the open one, and Given the writer's, of fenced and epoch_step.
+	// Epoch is the open epoch and Given the writer's, for fenced and epoch_step.
 	Epoch uint64 `json:"epoch,omitempty"`
 	Given uint64 `json:"given,omitempty"`
-	// RetryAfter is in nanoseconds, of throttled.
+	// RetryAfter is how long the caller has to wait, in nanoseconds, for throttled.
 	RetryAfter int64 `json:"retry_after_ns,omitempty"`
-	// Key, Why, What, Bytes and Max are of key, kind, scope, malformed and too_large.
+	// Key and Why are set for key, Why alone for kind (the kind itself) and scope, What and Why for malformed, and
+	// What, Bytes and Max for too_large.
 	Key   *distribution.Key `json:"key,omitempty"`
 	Why   string            `json:"why,omitempty"`
 	What  string            `json:"what,omitempty"`
@@ -31,7 +32,7 @@
 	Max   int               `json:"max,omitempty"`
 }
 
-// The codes of failures.
+// Values of Failure.Code.
 const (
 	codeCompacted = "compacted"
 	codeBehind    = "behind"
@@ -50,17 +51,19 @@
 	codeInternal  = "internal"
 )
 
-// maxRetryAfter bounds what a server may make a client wait, in nanoseconds.
+// maxRetryAfter bounds the RetryAfter that a client accepts from a server, in nanoseconds.
 const maxRetryAfter = int64(10e9)
 
-// failureOf is the answer that stands for an error.
+// failureOf returns the status and body of the response for an error.
 func failureOf(err error) (status int, failure Failure) {
-	status, failure = translate(err)
+	status, failure = statusAndFailure(err)
 	failure.Message, failure.Hint = err.Error(), hint.For(err)
 	return status, failure
 }
 
-func translate(err error) (int, Failure) {
+// statusAndFailure returns the status of the response for an error, and its body without message and hint. An error of
+// another type than those listed gives status 500 and code internal.
+func statusAndFailure(err error) (int, Failure) {
 	var (
 		compacted *distribution.CompactedError
 		behind    *distribution.BehindError
@@ -115,11 +118,11 @@
 	return http.StatusInternalServerError, Failure{Code: codeInternal}
 }
 
-// errorOf is the typed error that a failure stands for, nil where it names none that is known.
-func errorOf(f Failure) error {
-	from := f.From
-	head := f.Head
-	key := f.Key
+// errorOf restores the typed error from a failure. It returns nil if the code is unknown or internal.
+func errorOf(failure Failure) error {
+	from := failure.From
+	head := failure.Head
+	key := failure.Key
 	if from == nil {
 		from = &distribution.Version{}
 	}
@@ -129,7 +132,7 @@
 	if key == nil {
 		key = &distribution.Key{}
 	}
-	switch f.Code {
+	switch failure.Code {
 	case codeCompacted:
 		return &distribution.CompactedError{From: *from, Oldest: *head}
 	case codeBehind:
@@ -137,27 +140,27 @@
 	case codeNotReady:
 		return &distribution.NotReadyError{}
 	case codeThrottled:
-		return &distribution.ThrottledError{RetryAfter: min(max(f.RetryAfter, 0), maxRetryAfter)}
+		return &distribution.ThrottledError{RetryAfter: min(max(failure.RetryAfter, 0), maxRetryAfter)}
 	case codeFenced:
-		return &distribution.FencedError{Open: f.Epoch, Given: f.Given}
+		return &distribution.FencedError{Open: failure.Epoch, Given: failure.Given}
 	case codeEpochStep:
-		return &distribution.EpochStepError{Open: f.Epoch, Given: f.Given}
+		return &distribution.EpochStepError{Open: failure.Epoch, Given: failure.Given}
 	case codeConflict:
 		return &distribution.ConflictError{Expected: *from, Head: *head}
 	case codeEmpty:
 		return &distribution.EmptyChangeError{}
 	case codeKind:
-		return &distribution.KindError{Kind: f.Why}
+		return &distribution.KindError{Kind: failure.Why}
 	case codeKey:
-		return &distribution.KeyError{Key: *key, Why: f.Why}
+		return &distribution.KeyError{Key: *key, Why: failure.Why}
 	case codeScope:
-		return &distribution.ScopeError{Why: f.Why}
+		return &distribution.ScopeError{Why: failure.Why}
 	case codeTooLarge:
-		return &distribution.TooLargeError{What: f.What, Bytes: f.Bytes, Max: f.Max}
+		return &distribution.TooLargeError{What: failure.What, Bytes: failure.Bytes, Max: failure.Max}
 	case codeReadOnly:
 		return &distribution.ReadOnlyError{}
 	case codeMalformed:
-		return &distribution.MalformedError{What: f.What, Cause: errors.New(f.Why)}
+		return &distribution.MalformedError{What: failure.What, Cause: errors.New(failure.Why)}
 	}
 	return nil
 }
--- a/internal/distribution/transport/follower.go
+++ b/internal/distribution/transport/follower.go
@@ -8,47 +8,49 @@
 	"ospreycroft/internal/distribution"
 )
 
-// FollowerOptions are what a follower is made of.
+// FollowerOptions configure a follower.
 type FollowerOptions struct {
-	// Servers are the addresses of the two servers, host and port each; both the same where there is one.
+	// Servers are the addresses (host:port) of the two servers. Both are the same if there is only one.
 	Servers [2]string
-	// DialTimeout is that of a connection to a server, above 0.
+	// DialTimeout limits how long a connection to a server may take to be established. It must be above 0.
 	DialTimeout time.Duration
-	// Hold is how long a call for changes may be held; 0 for distribution.LimiterHold.
+	// Hold is how long a server may hold a call for changes. 0 means distribution.LimiterHold for a limiter and
+	// distribution.RelayHold for a relay.
 	Hold time.Duration
-	// Position is the subscriber's number among all, so that they ask apart.
+	// Position is the subscriber's number among all subscribers. It spreads their polls over time.
 	Position int
-	// Clock gives the time in nanoseconds and never goes back.
+	// Clock returns the time in nanoseconds. It must be monotonic.
 	Clock func() int64
-	// Report is told of each error, on the follower's goroutine; nil for nothing.
+	// Report is called with the error of each failed poll, on the follower's goroutine. It may be nil.
 	Report func(error)
-	// Changed is told of each new version with its snapshot, on the follower's goroutine; nil for nothing.
+	// Changed is called with a snapshot of each new version, on the follower's goroutine. It may be nil.
 	Changed func(*distribution.Snapshot)
 }
 
-// Follower keeps a subscriber up to date on goroutines of its own. The applier runs on one of them.
+// Follower keeps a subscriber up to date by polling its servers on its own goroutines. The subscriber's applier runs on
+// one of them.
 type Follower struct {
-	options FollowerOptions
-	poller  *distribution.Poller
-	clients [2]*Client
-	do      func(func(now int64)) // runs something under the lock over the subscriber
-	say     chan saying           // the newest acknowledgement, for the goroutine that sends it
-	said    distribution.Acknowledgement
-	saidAt  int64
-	summary func(now int64) distribution.Summary // of a relay; nil for a limiter
+	options  FollowerOptions
+	poller   *distribution.Poller
+	clients  [2]*Client
+	withLock func(func(now int64))                // runs a function that uses the subscriber, under its lock
+	pending  chan pendingAcknowledgement          // holds the newest unsent acknowledgement
+	last     distribution.Acknowledgement         // the last one queued
+	lastAt   int64                                // when it was queued
+	summary  func(now int64) distribution.Summary // of a relay; nil for a limiter
 }
 
-// saying is an acknowledgement on its way to a server.
-type saying struct {
+// pendingAcknowledgement is an acknowledgement and the index of the server to send it to.
+type pendingAcknowledgement struct {
 	distribution.Acknowledgement
 	server int
 }
 
-// NewFollower makes the follower of a limiter's subscriber. Nothing else may use the subscriber but through Do.
+// NewFollower returns a follower of a limiter's subscriber. Other code may use the subscriber only through Do.
 func NewFollower(subscriber *distribution.Subscriber, options FollowerOptions) *Follower {
 	f := newFollower(subscriber, options, distribution.LimiterHold)
 	var mutex sync.Mutex
-	f.do = func(run func(now int64)) {
+	f.withLock = func(run func(now int64)) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		run(f.options.Clock())
@@ -56,19 +58,20 @@
 	return f
 }
 
-// NewRelayFollower makes the follower of a relay, which its server serves meanwhile.
+// NewRelayFollower returns a follower of a relay. It shares the lock of server, which serves the relay at the same
+// time.
 func NewRelayFollower(relay *distribution.Relay, server *Server, options FollowerOptions) *Follower {
 	f := newFollower(relay.Subscriber, options, distribution.RelayHold)
-	f.do = server.do
+	f.withLock = server.withLock
 	f.summary = relay.Summary
 	return f
 }
 
-func newFollower(subscriber *distribution.Subscriber, options FollowerOptions, hold int64) *Follower {
+func newFollower(subscriber *distribution.Subscriber, options FollowerOptions, defaultHold int64) *Follower {
 	if options.Hold == 0 {
-		options.Hold = time.Duration(hold)
+		options.Hold = time.Duration(defaultHold)
 	}
-	f := &Follower{options: options, say: make(chan saying, 1)}
+	f := &Follower{options: options, pending: make(chan pendingAcknowledgement, 1)}
 	f.poller = distribution.NewPoller(options.Clock(), subscriber, distribution.PollerOptions{
 		DialTimeout: int64(options.DialTimeout), Hold: int64(options.Hold), Position: options.Position})
 	for i, address := range options.Servers {
@@ -77,29 +80,29 @@
 	return f
 }
 
-// Do runs something that uses the subscriber while the follower runs.
+// Do calls run with the subscriber under the lock that the follower takes itself.
 func (f *Follower) Do(run func(now int64, subscriber *distribution.Subscriber)) {
-	f.do(func(now int64) { run(now, f.poller.Subscriber) })
+	f.withLock(func(now int64) { run(now, f.poller.Subscriber) })
 }
 
-// Run follows until the context ends.
+// Run polls the servers until the context is done. It returns when all goroutines of the follower have ended.
 func (f *Follower) Run(ctx context.Context) {
-	var side sync.WaitGroup
+	var reporting sync.WaitGroup
 	if f.summary == nil {
-		side.Go(func() { f.sendAcknowledgements(ctx) })
+		reporting.Go(func() { f.sendAcknowledgements(ctx) })
 	} else {
-		side.Go(func() { f.sendSummaries(ctx) })
+		reporting.Go(func() { f.sendSummaries(ctx) })
 	}
 	for wait := f.poller.First(); sleep(ctx, wait); {
-		wait = f.step(ctx)
+		wait = f.pollOnce(ctx)
 	}
-	side.Wait()
+	reporting.Wait()
 	for _, client := range f.clients {
 		client.Close()
 	}
 }
 
-// sleep waits, and tells whether the context still holds.
+// sleep waits for the given time. It returns false if the context is done first.
 func sleep(ctx context.Context, nanoseconds int64) bool {
 	if nanoseconds <= 0 {
 		return ctx.Err() == nil
@@ -114,10 +117,10 @@
 	}
 }
 
-// step makes one call, and tells how long to wait before the next one.
-func (f *Follower) step(ctx context.Context) (wait int64) {
+// pollOnce makes one call and returns how long to wait before the next one, in nanoseconds.
+func (f *Follower) pollOnce(ctx context.Context) (wait int64) {
 	var call distribution.Call
-	f.do(func(now int64) { call = f.poller.Call(now) })
+	f.withLock(func(now int64) { call = f.poller.Call(now) })
 	client, timeout := f.clients[call.Server], time.Duration(call.Timeout)
 	var delta *distribution.Delta
 	var piece *distribution.Piece
@@ -131,7 +134,7 @@
 		return 0
 	}
 	var snapshot *distribution.Snapshot
-	f.do(func(now int64) {
+	f.withLock(func(now int64) {
 		before := f.poller.Version()
 		switch {
 		case err != nil:
@@ -144,7 +147,7 @@
 		if f.poller.Version() != before && f.options.Changed != nil {
 			snapshot = f.poller.Snapshot(now)
 		}
-		f.acknowledge(now)
+		f.queueAcknowledgement(now)
 	})
 	if err != nil && f.options.Report != nil {
 		f.options.Report(err)
@@ -155,26 +158,27 @@
 	return wait
 }
 
-// acknowledge hands an acknowledgement over where it is new, or the last was long ago. It does not wait.
-func (f *Follower) acknowledge(now int64) {
+// queueAcknowledgement queues the subscriber's acknowledgement if it differs from the last one or AcknowledgementEvery
+// has passed since. It does not block. A relay queues none: it sends summaries.
+func (f *Follower) queueAcknowledgement(now int64) {
 	if f.summary != nil {
 		return
 	}
-	a := f.poller.Acknowledgement(now)
-	if sameNews(a, f.said) && now-f.saidAt < distribution.AcknowledgementEvery {
+	acknowledgement := f.poller.Acknowledgement(now)
+	if equalExceptAge(acknowledgement, f.last) && now-f.lastAt < distribution.AcknowledgementEvery {
 		return
 	}
-	f.said = a
-	f.saidAt = now
+	f.last = acknowledgement
+	f.lastAt = now
 	select {
-	case <-f.say: // the newest takes the place of one that waits
+	case <-f.pending: // replace an acknowledgement that has not been sent yet
 	default:
 	}
-	f.say <- saying{a, f.poller.Server(now)}
+	f.pending <- pendingAcknowledgement{acknowledgement, f.poller.Server(now)}
 }
 
-// sameNews tells whether two acknowledgements differ in their ages at most.
-func sameNews(a, b distribution.Acknowledgement) bool {
+// equalExceptAge reports whether two acknowledgements have the same version, condition and refused version.
+func equalExceptAge(a, b distribution.Acknowledgement) bool {
 	if a.Version != b.Version || a.Condition != b.Condition || (a.Refused == nil) != (b.Refused == nil) {
 		return false
 	}
@@ -184,23 +188,24 @@
 func (f *Follower) sendAcknowledgements(ctx context.Context) {
 	for {
 		select {
-		case s := <-f.say:
-			// What is lost is said again; errors show in the calls for changes.
-			_ = f.clients[s.server].Acknowledge(ctx, s.Acknowledgement, reportTimeout)
+		case next := <-f.pending:
+			// The error is ignored: a lost acknowledgement is repeated after AcknowledgementEvery, and a failing
+			// server also fails the calls for changes, whose errors are reported.
+			_ = f.clients[next.server].Acknowledge(ctx, next.Acknowledgement, reportTimeout)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reportTimeout is after how long an acknowledgement or a summary is given up.
+// reportTimeout limits the call that sends an acknowledgement or a summary.
 const reportTimeout = 2 * time.Second
 
 func (f *Follower) sendSummaries(ctx context.Context) {
 	for sleep(ctx, distribution.SummaryEvery) {
 		var summary distribution.Summary
 		var server int
-		f.do(func(now int64) { summary, server = f.summary(now), f.poller.Server(now) })
+		f.withLock(func(now int64) { summary, server = f.summary(now), f.poller.Server(now) })
 		_ = f.clients[server].Summarize(ctx, summary, reportTimeout)
 	}
 }
--- a/internal/distribution/transport/query.go
+++ b/internal/distribution/transport/query.go
@@ -8,10 +8,10 @@
 	"ospreycroft/internal/distribution"
 )
 
-// MaxHold is how long a server holds a call at most.
+// MaxHold is the longest time for which a server holds a call.
 const MaxHold = 10 * time.Second
 
-// changesQuery writes a call for changes.
+// changesQuery encodes a request for changes as a URL query. hold is in nanoseconds; it is left out if it is 0.
 func changesQuery(request distribution.ChangesRequest, hold int64) url.Values {
 	q := url.Values{}
 	q.Set("epoch", strconv.FormatUint(request.From.Epoch, 10))
@@ -29,9 +29,10 @@
 	return q
 }
 
-// readChangesQuery reads it. Errors: *MalformedError, *ScopeError.
+// readChangesQuery decodes what changesQuery has encoded and limits hold to MaxHold. Errors: *MalformedError,
+// *ScopeError.
 func readChangesQuery(q url.Values) (request distribution.ChangesRequest, hold time.Duration, err error) {
-	r := reader{query: q}
+	r := queryReader{query: q}
 	request.From = distribution.Version{Epoch: r.number("epoch"), Number: r.number("from")}
 	request.Seen = distribution.Version{Epoch: r.number("seen_epoch"), Number: r.number("seen")}
 	milliseconds := min(r.number("hold_ms"), uint64(MaxHold/time.Millisecond))
@@ -39,7 +40,7 @@
 	return request, time.Duration(milliseconds) * time.Millisecond, r.err
 }
 
-// pieceQuery writes a call for a piece.
+// pieceQuery encodes a request for a piece as a URL query.
 func pieceQuery(request distribution.PieceRequest) url.Values {
 	q := url.Values{}
 	if request.After != nil {
@@ -54,9 +55,9 @@
 	return q
 }
 
-// readPieceQuery reads it. Errors: *MalformedError, *ScopeError.
+// readPieceQuery decodes what pieceQuery has encoded. Errors: *MalformedError, *ScopeError.
 func readPieceQuery(q url.Values) (request distribution.PieceRequest, err error) {
-	r := reader{query: q}
+	r := queryReader{query: q}
 	if q.Has("after_kind") {
 		request.After = &distribution.Key{
 			Kind:  distribution.Kind(q.Get("after_kind")),
@@ -69,14 +70,14 @@
 	return request, r.err
 }
 
-// reader reads values of a query and keeps the first error.
-type reader struct {
+// queryReader parses values of a URL query and keeps the first error.
+type queryReader struct {
 	query url.Values
 	err   error
 }
 
-// number is a value, 0 where it is missing.
-func (r *reader) number(name string) uint64 {
+// number returns the named value, 0 if it is missing.
+func (r *queryReader) number(name string) uint64 {
 	text := r.query.Get(name)
 	if text == "" {
 		return 0
@@ -88,7 +89,7 @@
 	return n
 }
 
-func (r *reader) scope() distribution.Scope {
+func (r *queryReader) scope() distribution.Scope {
 	scope, err := distribution.ParseScope(r.query.Get("scope"))
 	if err != nil && r.err == nil {
 		r.err = err
