--- a/internal/distribution/acknowledgement.go
+++ b/internal/distribution/acknowledgement.go
@@ -9,10 +9,10 @@
 // Bounds of acknowledgements and their sums.
 const (
 	MaxReasonBytes       = 200
-	MaxTallyLimiters     = 4096
+	MaxRelayLimiters     = 4096
 	MaxSummaryVersions   = 8
 	MaxSummaryRefusals   = 4
-	AcknowledgementLife  = 15 * second // after which a limiter that says nothing is counted no more
+	AcknowledgementTTL   = 15 * second // after which a limiter that says nothing is counted no more
 	AcknowledgementEvery = 5 * second  // after which a limiter says it again
 	SummaryEvery         = second      // a relay sums up no more often
 )
@@ -38,7 +38,7 @@
 	case len(a.Reason) > MaxReasonBytes:
 		return &TooLargeError{What: "the reason of a refusal", Bytes: len(a.Reason), Max: MaxReasonBytes}
 	case a.Condition != Current && a.Condition != Syncing && a.Condition != Unconfirmed:
-		return &KeyError{Why: "of an acknowledgement has the condition " + shorten(string(a.Condition), 20)}
+		return &KeyError{Why: "of an acknowledgement has the condition " + truncate(string(a.Condition), 20)}
 	}
 	return nil
 }
@@ -109,52 +109,52 @@
 	return nil
 }
 
-// noted is something that was said at a time.
-type noted[T any] struct {
+// received is something that was said at a time.
+type received[T any] struct {
 	value T
 	at    int64
 }
 
-// tally holds the newest acknowledgement of each limiter of a relay.
-type tally struct {
-	limiters map[string]noted[Acknowledgement]
+// ackTable holds the newest acknowledgement of each limiter of a relay.
+type ackTable struct {
+	limiters map[string]received[Acknowledgement]
 }
 
-func newTally() tally { return tally{map[string]noted[Acknowledgement]{}} }
+func newAckTable() ackTable { return ackTable{map[string]received[Acknowledgement]{}} }
 
-// take notes an acknowledgement. Errors: *KeyError, *TooLargeError.
-func (t *tally) take(now int64, a Acknowledgement) error {
+// record notes an acknowledgement. Errors: *KeyError, *TooLargeError.
+func (acks *ackTable) record(now int64, a Acknowledgement) error {
 	if err := a.check(); err != nil {
 		return err
 	}
-	_, held := t.limiters[a.Limiter]
-	if !held && len(t.limiters) >= MaxTallyLimiters {
-		t.forget(now)
+	_, exists := acks.limiters[a.Limiter]
+	if !exists && len(acks.limiters) >= MaxRelayLimiters {
+		acks.removeExpired(now)
 	}
-	if !held && len(t.limiters) >= MaxTallyLimiters {
+	if !exists && len(acks.limiters) >= MaxRelayLimiters {
 		return &TooLargeError{
 			What:  "the number of limiters at a relay",
-			Bytes: len(t.limiters) + 1,
-			Max:   MaxTallyLimiters,
+			Bytes: len(acks.limiters) + 1,
+			Max:   MaxRelayLimiters,
 		}
 	}
-	t.limiters[a.Limiter] = noted[Acknowledgement]{a, now}
+	acks.limiters[a.Limiter] = received[Acknowledgement]{a, now}
 	return nil
 }
 
-// forget drops the limiters that have said nothing for long.
-func (t *tally) forget(now int64) {
-	maps.DeleteFunc(t.limiters, func(_ string, n noted[Acknowledgement]) bool { return now-n.at > AcknowledgementLife })
+// removeExpired drops the limiters that have said nothing for long.
+func (acks *ackTable) removeExpired(now int64) {
+	maps.DeleteFunc(acks.limiters, func(_ string, n received[Acknowledgement]) bool { return now-n.at > AcknowledgementTTL })
 }
 
-// sum sums up what the limiters said lately.
-func (t *tally) sum(now int64, relay string) Summary {
-	t.forget(now)
+// summarize sums up what the limiters said lately.
+func (acks *ackTable) summarize(now int64, relay string) Summary {
+	acks.removeExpired(now)
 	s := Summary{Relay: relay}
 	versions := map[Version]int{}
 	refusals := map[Version]Refusal{}
-	for _, name := range slices.Sorted(maps.Keys(t.limiters)) {
-		a := t.limiters[name].value
+	for _, name := range slices.Sorted(maps.Keys(acks.limiters)) {
+		a := acks.limiters[name].value
 		versions[a.Version]++
 		switch a.Condition {
 		case Syncing:
@@ -163,22 +163,22 @@
 			s.Unconfirmed++
 		}
 		if a.Refused != nil {
-			r, held := refusals[*a.Refused]
-			if !held {
+			r, exists := refusals[*a.Refused]
+			if !exists {
 				r = Refusal{VersionCount: VersionCount{Version: *a.Refused}, Reason: a.Reason}
 			}
 			r.Limiters++
 			refusals[*a.Refused] = r
 		}
 	}
-	for i, version := range newestFirst(versions) {
+	for i, version := range versionsNewestFirst(versions) {
 		if i < MaxSummaryVersions {
 			s.Versions = append(s.Versions, VersionCount{version, versions[version]})
 		} else {
 			s.Older += versions[version]
 		}
 	}
-	for i, version := range newestFirst(refusals) {
+	for i, version := range versionsNewestFirst(refusals) {
 		if i < MaxSummaryRefusals {
 			s.Refusals = append(s.Refusals, refusals[version])
 		}
@@ -186,8 +186,8 @@
 	return s
 }
 
-func newestFirst[T any](of map[Version]T) []Version {
-	return slices.SortedFunc(maps.Keys(of), func(a, b Version) int {
+func versionsNewestFirst[T any](byVersion map[Version]T) []Version {
+	return slices.SortedFunc(maps.Keys(byVersion), func(a, b Version) int {
 		return cmp.Or(cmp.Compare(b.Epoch, a.Epoch), cmp.Compare(b.Number, a.Number))
 	})
 }
@@ -215,25 +215,25 @@
 }
 
 // summaries holds the newest summary of each relay.
-type summaries map[string]noted[Summary]
+type summaries map[string]received[Summary]
 
 const maxRelays = 256
 
-// take notes a summary. Errors: *KeyError, *TooLargeError.
-func (all summaries) take(now int64, s Summary) error {
+// record notes a summary. Errors: *KeyError, *TooLargeError.
+func (all summaries) record(now int64, s Summary) error {
 	if err := s.check(); err != nil {
 		return err
 	}
-	if _, held := all[s.Relay]; !held && len(all) >= maxRelays {
+	if _, exists := all[s.Relay]; !exists && len(all) >= maxRelays {
 		return &TooLargeError{What: "the number of relays", Bytes: len(all) + 1, Max: maxRelays}
 	}
-	all[s.Relay] = noted[Summary]{s, now}
+	all[s.Relay] = received[Summary]{s, now}
 	return nil
 }
 
 func (all summaries) overview(now int64) (o Overview) {
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if n := all[name]; now-n.at > AcknowledgementLife {
+		if n := all[name]; now-n.at > AcknowledgementTTL {
 			o.Silent = append(o.Silent, name)
 		} else {
 			o.Relays = append(o.Relays, n.value)
@@ -242,8 +242,8 @@
 	return o
 }
 
-// shorten cuts a text to at most so many bytes.
-func shorten(text string, maxBytes int) string {
+// truncate cuts a text to at most so many bytes.
+func truncate(text string, maxBytes int) string {
 	if len(text) <= maxBytes {
 		return text
 	}
--- a/internal/distribution/budget.go
+++ b/internal/distribution/budget.go
@@ -9,7 +9,7 @@
 const (
 	defaultPieceRate  = 4 << 20
 	defaultPieceBurst = 1 << 20
-	maxBudget         = 1 << 32 // so that no product with a second passes an int64
+	maxBudgetBytes    = 1 << 32 // so that no product with a second passes an int64
 	second            = int64(1e9)
 )
 
@@ -20,36 +20,36 @@
 	if b.Burst <= 0 {
 		b.Burst = defaultPieceBurst
 	}
-	b.Rate = min(b.Rate, maxBudget)
-	b.Burst = min(max(b.Burst, MaxPieceBytes), maxBudget)
+	b.Rate = min(b.Rate, maxBudgetBytes)
+	b.Burst = min(max(b.Burst, MaxPieceBytes), maxBudgetBytes)
 	return b
 }
 
-// spending is a budget in use.
-type spending struct {
+// byteBudget is a budget in use.
+type byteBudget struct {
 	Budget
-	spent int64 // bytes that are not yet refilled
-	at    int64 // when spent was true
+	spent     int64 // bytes that are not yet refilled
+	updatedAt int64 // when spent was true
 }
 
 // wait is how long until so many bytes, at most the burst, may be spent; 0 where they may be now.
-func (s *spending) wait(now, bytes int64) int64 {
-	if now > s.at {
+func (s *byteBudget) wait(now, bytes int64) int64 {
+	if now > s.updatedAt {
 		refill := s.spent
-		if elapsed := now - s.at; elapsed < (s.spent*second)/s.Rate+1 {
+		if elapsed := now - s.updatedAt; elapsed < (s.spent*second)/s.Rate+1 {
 			refill = elapsed * s.Rate / second
-			s.at += refill * second / s.Rate // what is less than a byte is kept for the next time
+			s.updatedAt += refill * second / s.Rate // what is less than a byte is kept for the next time
 		} else {
-			s.at = now
+			s.updatedAt = now
 		}
 		s.spent -= min(refill, s.spent)
 	}
-	over := s.spent + bytes - s.Burst
-	if over <= 0 {
+	excess := s.spent + bytes - s.Burst
+	if excess <= 0 {
 		return 0
 	}
-	return (over*second + s.Rate - 1) / s.Rate
+	return (excess*second + s.Rate - 1) / s.Rate
 }
 
 // spend notes bytes that were given.
-func (s *spending) spend(bytes int64) { s.spent += bytes }
+func (s *byteBudget) spend(bytes int64) { s.spent += bytes }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -17,12 +17,12 @@
 	return Mutation{Entry: Entry{Key{kind, scope, name}, value}}
 }
 
-func drop(kind Kind, scope, name string) Mutation {
+func deletion(kind Kind, scope, name string) Mutation {
 	return Mutation{Entry: Entry{Key: Key{kind, scope, name}}, Delete: true}
 }
 
-// opened is a source whose first epoch is open, with some entries.
-func opened(t *testing.T, mutations ...Mutation) *Source {
+// newOpenSource is a source whose first epoch is open, with some entries.
+func newOpenSource(t *testing.T, mutations ...Mutation) *Source {
 	t.Helper()
 	s := NewSource(NewLog(Retention{}), Budget{})
 	_, err := s.Open(1, 1)
@@ -34,18 +34,18 @@
 	return s
 }
 
-// synced is a subscriber that has a source's state.
-func synced(t *testing.T, s *Source, applier Applier) *Subscriber {
+// newSyncedSubscriber is a subscriber that has a source's state.
+func newSyncedSubscriber(t *testing.T, s *Source, applier Applier) *Subscriber {
 	t.Helper()
 	sub := NewSubscriber(1, SubscriberOptions{Name: "limiter", Applier: applier})
-	ask(t, sub, s, 1)
-	ask(t, sub, s, 1)
+	poll(t, sub, s, 1)
+	poll(t, sub, s, 1)
 	require.Equal(t, s.log.Head(), sub.Version())
 	return sub
 }
 
-// ask makes one call.
-func ask(t *testing.T, sub *Subscriber, s Server, now int64) {
+// poll makes one call.
+func poll(t *testing.T, sub *Subscriber, s Server, now int64) {
 	t.Helper()
 	request := sub.Next(now)
 	if request.Piece != nil {
@@ -59,13 +59,13 @@
 	require.NoError(t, sub.TakeChanges(now, delta))
 }
 
-func is[E hint.Error](err error) bool {
+func isHintedError[E hint.Error](err error) bool {
 	var e E
 	return errors.As(fmt.Errorf("above: %w", err), &e) && e.Hint() != "" && e.Error() != ""
 }
 
-// TestPublishRefused: each change that cannot be is refused by its type, and the log stays as it was.
-func TestPublishRefused(t *testing.T) {
+// TestInvalidPublishRejected: each change that cannot be is refused by its type, and the log stays as it was.
+func TestInvalidPublishRejected(t *testing.T) {
 	fill := func(n int, value string) (all []Mutation) {
 		for i := range n {
 			all = append(all, put(KindPlans, "", fmt.Sprint(i), value))
@@ -78,50 +78,50 @@
 		epoch     uint64
 		expected  *Version
 		mutations []Mutation
-		is        func(error) bool
+		matches   func(error) bool
 		want      string
 	}{
-		{"an unknown kind", 1, nil, []Mutation{put("wishes", "", "a", "")}, is[*KindError], "wishes"},
-		{"no name", 1, nil, []Mutation{put(KindPlans, "", "", "")}, is[*KeyError], "no name"},
-		{"a name that is not UTF-8", 1, nil, []Mutation{put(KindPlans, "", "\xff", "")}, is[*KeyError], "UTF-8"},
-		{"a value that is not UTF-8", 1, nil, []Mutation{put(KindPlans, "", "a", "\xff")}, is[*KeyError], "UTF-8"},
-		{"a scope with a comma", 1, nil, []Mutation{put(KindPlans, "a,b", "a", "")}, is[*KeyError], "scope"},
-		{"a scope with a comma within", 1, nil, []Mutation{put(KindPlans, "a@b", "a", "")}, is[*KeyError], "scope"},
-		{"a long name", 1, nil, []Mutation{put(KindPlans, "", strings.Repeat("n", 257), "")}, is[*TooLargeError], "257"},
-		{"a long scope", 1, nil, []Mutation{put(KindPlans, strings.Repeat("n", 65), "a", "")}, is[*TooLargeError], "65"},
-		{"an entry too large", 1, nil, []Mutation{put(KindPlans, "", "a", strings.Repeat("v", 65537))}, is[*TooLargeError], "65537"},
-		{"an unknown key deleted", 1, nil, []Mutation{drop(KindPlans, "", "none")}, is[*KeyError], "not held"},
-		{"a deletion with a value", 1, nil, []Mutation{{Entry: Entry{Key{KindPlans, "", "a"}, "x"}, Delete: true}}, is[*KeyError], "value"},
-		{"a key twice", 1, nil, []Mutation{put(KindPlans, "", "a", "1"), put(KindPlans, "", "a", "2")}, is[*KeyError], "twice"},
-		{"nothing", 1, nil, nil, is[*EmptyChangeError], "no mutations"},
-		{"too many", 1, nil, fill(257, ""), is[*TooLargeError], "257"},
-		{"too much", 1, nil, fill(5, strings.Repeat("v", 60000)), is[*TooLargeError], "a change"},
-		{"an epoch that went back", 0, nil, fill(1, ""), is[*FencedError], "0"},
-		{"an epoch that is not open", 2, nil, fill(1, ""), is[*FencedError], "2"},
-		{"another head expected", 1, &old, fill(1, ""), is[*ConflictError], "1.1"},
+		{"an unknown kind", 1, nil, []Mutation{put("wishes", "", "a", "")}, isHintedError[*KindError], "wishes"},
+		{"no name", 1, nil, []Mutation{put(KindPlans, "", "", "")}, isHintedError[*KeyError], "no name"},
+		{"a name that is not UTF-8", 1, nil, []Mutation{put(KindPlans, "", "\xff", "")}, isHintedError[*KeyError], "UTF-8"},
+		{"a value that is not UTF-8", 1, nil, []Mutation{put(KindPlans, "", "a", "\xff")}, isHintedError[*KeyError], "UTF-8"},
+		{"a scope with a comma", 1, nil, []Mutation{put(KindPlans, "a,b", "a", "")}, isHintedError[*KeyError], "scope"},
+		{"a scope with a comma within", 1, nil, []Mutation{put(KindPlans, "a@b", "a", "")}, isHintedError[*KeyError], "scope"},
+		{"a long name", 1, nil, []Mutation{put(KindPlans, "", strings.Repeat("n", 257), "")}, isHintedError[*TooLargeError], "257"},
+		{"a long scope", 1, nil, []Mutation{put(KindPlans, strings.Repeat("n", 65), "a", "")}, isHintedError[*TooLargeError], "65"},
+		{"an entry too large", 1, nil, []Mutation{put(KindPlans, "", "a", strings.Repeat("v", 65537))}, isHintedError[*TooLargeError], "65537"},
+		{"an unknown key deleted", 1, nil, []Mutation{deletion(KindPlans, "", "none")}, isHintedError[*KeyError], "not held"},
+		{"a deletion with a value", 1, nil, []Mutation{{Entry: Entry{Key{KindPlans, "", "a"}, "x"}, Delete: true}}, isHintedError[*KeyError], "value"},
+		{"a key twice", 1, nil, []Mutation{put(KindPlans, "", "a", "1"), put(KindPlans, "", "a", "2")}, isHintedError[*KeyError], "twice"},
+		{"nothing", 1, nil, nil, isHintedError[*EmptyChangeError], "no mutations"},
+		{"too many", 1, nil, fill(257, ""), isHintedError[*TooLargeError], "257"},
+		{"too much", 1, nil, fill(5, strings.Repeat("v", 60000)), isHintedError[*TooLargeError], "a change"},
+		{"an epoch that went back", 0, nil, fill(1, ""), isHintedError[*FencedError], "0"},
+		{"an epoch that is not open", 2, nil, fill(1, ""), isHintedError[*FencedError], "2"},
+		{"another head expected", 1, &old, fill(1, ""), isHintedError[*ConflictError], "1.1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := opened(t, put(KindPlans, "", "a", "0"))
+			s := newOpenSource(t, put(KindPlans, "", "a", "0"))
 			_, err := s.Publish(1, c.epoch, c.expected, c.mutations)
-			require.True(t, c.is(err), "%T: %v", err, err)
+			require.True(t, c.matches(err), "%T: %v", err, err)
 			require.ErrorContains(t, err, c.want)
 			require.Equal(t, Version{1, 2}, s.log.Head())
 			require.Equal(t, 1, s.log.State().Len())
 		})
 	}
-	s := opened(t)
+	s := newOpenSource(t)
 	_, err := s.Open(1, 1)
-	require.True(t, is[*FencedError](err), "an epoch opened twice: %v", err)
+	require.True(t, isHintedError[*FencedError](err), "an epoch opened twice: %v", err)
 	head := s.log.Head()
 	_, err = s.Publish(1, 1, &head, fill(1, ""))
 	require.NoError(t, err)
 	_, err = s.Publish(1, 1, &head, fill(1, ""))
-	require.True(t, is[*ConflictError](err), "published again after a lost answer: %v", err)
+	require.True(t, isHintedError[*ConflictError](err), "published again after a lost answer: %v", err)
 }
 
-// TestStateBound: the whole state is bounded, at the writer and at a subscriber that reads it in pieces.
-func TestStateBound(t *testing.T) {
-	s := opened(t)
+// TestMaxStateBytes: the whole state is bounded, at the writer and at a subscriber that reads it in pieces.
+func TestMaxStateBytes(t *testing.T) {
+	s := newOpenSource(t)
 	value := strings.Repeat("v", MaxValueBytes)
 	var err error
 	for i := 0; err == nil; i += 3 {
@@ -134,10 +134,10 @@
 				put(KindPlans, "", fmt.Sprint(i+2), value)},
 		)
 	}
-	require.True(t, is[*TooLargeError](err), "%v", err)
+	require.True(t, isHintedError[*TooLargeError](err), "%v", err)
 	require.LessOrEqual(t, s.log.State().bytes, MaxStateBytes)
 	require.Greater(t, s.log.State().bytes, MaxStateBytes-4*MaxValueBytes)
-	sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: &inForce{}})
+	sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: &recordingApplier{}})
 	for i := range 2000 {
 		piece := &Piece{Version: Version{1, 9}, Entries: []Entry{{Key{KindPlans, "", fmt.Sprintf("%09d", i)}, value}}}
 		if err = sub.TakePiece(1, piece); err != nil {
@@ -145,72 +145,72 @@
 			break
 		}
 	}
-	require.True(t, is[*TooLargeError](err), "%v", err)
+	require.True(t, isHintedError[*TooLargeError](err), "%v", err)
 }
 
-// TestAnswerRefused: each answer that cannot be leaves what is in force as it was, and says by its type what is wrong.
-func TestAnswerRefused(t *testing.T) {
+// TestInvalidDeltaRejected: each answer that cannot be leaves what is in force as it was, and says by its type what is wrong.
+func TestInvalidDeltaRejected(t *testing.T) {
 	good := func(d *Delta) *Delta { return d }
 	for _, c := range []struct {
-		name  string
-		spoil func(*Delta) *Delta
-		is    func(error) bool
-		after Condition
+		name    string
+		alter   func(*Delta) *Delta
+		matches func(error) bool
+		after   Condition
 	}{
 		{"good", good, func(err error) bool { return err == nil }, Current},
 		{"a version that skips", func(d *Delta) *Delta {
 			d.Changes = d.Changes[1:]
 			return d
-		}, is[*SkipError], Current},
+		}, isHintedError[*SkipError], Current},
 		{"changes end too early", func(d *Delta) *Delta {
 			d.Changes = d.Changes[:1]
 			return d
-		}, is[*SkipError], Current},
+		}, isHintedError[*SkipError], Current},
 		{"from elsewhere", func(d *Delta) *Delta {
 			d.From.Number--
 			return d
-		}, is[*SkipError], Current},
+		}, isHintedError[*SkipError], Current},
 		{"an epoch that goes back", func(d *Delta) *Delta {
 			d.To.Epoch--
 			return d
-		}, is[*StaleAnswerError], Current},
+		}, isHintedError[*StaleAnswerError], Current},
 		{"an epoch that goes back on the way", func(d *Delta) *Delta {
 			d.Changes[0].Version.Epoch--
 			return d
-		}, is[*SkipError], Current},
+		}, isHintedError[*SkipError], Current},
 		{"an hour old", func(d *Delta) *Delta {
 			return &Delta{From: Version{1, 1}, To: Version{1, 2}, Changes: []Change{{Version: Version{1, 2}}}}
-		}, is[*StaleAnswerError], Current},
+		}, isHintedError[*StaleAnswerError], Current},
 		{"a digest that does not match", func(d *Delta) *Delta {
 			d.Digest[0]++
 			return d
-		}, is[*DigestError], Syncing},
+		}, isHintedError[*DigestError], Syncing},
 		{"an epoch that was changed on the way", func(d *Delta) *Delta {
 			d.To.Epoch++
 			d.Changes[len(d.Changes)-1].Version.Epoch++
 			return d
-		}, is[*DigestError], Syncing},
+		}, isHintedError[*DigestError], Syncing},
 		{"an entry of an unknown kind", func(d *Delta) *Delta {
 			d.Changes[0].Mutations[0].Kind = "wishes"
 			return d
-		}, is[*KindError], Current},
+		}, isHintedError[*KindError], Current},
 		{"an entry too large", func(d *Delta) *Delta {
 			d.Changes[0].Mutations[0].Value = strings.Repeat("v", MaxValueBytes+1)
 			return d
-		}, is[*TooLargeError], Current},
+		}, isHintedError[*TooLargeError], Current},
 		{"an entry outside the scope", func(d *Delta) *Delta {
 			d.Changes[0].Mutations[0].Scope = "us"
 			return d
-		}, is[*KeyError], Current},
+		}, isHintedError[*KeyError], Current},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := opened(t, put(KindPlans, "", "a", "0"))
+			s := newOpenSource(t, put(KindPlans, "", "a", "0"))
 			_, err := s.Open(1, 2)
 			require.NoError(t, err)
-			f := &inForce{state: entries{}}
+			f := &recordingApplier{state: modelState{}}
 			sub := NewSubscriber(1, SubscriberOptions{Name: "limiter", Scope: Scope{Names: []string{"eu"}}, Applier: f})
-			ask(t, sub, s, 1)
-			ask(t, sub, s, 1)
+			poll(t, sub, s, 1)
+			poll(t, sub, s, 1)
 			before := sub.Version()
 			for _, value := range []string{"1", "2"} {
 				_, err = s.Publish(
@@ -227,16 +227,16 @@
 			require.NoError(t, err)
 			copied := &Delta{}
 			require.NoError(t, json.Unmarshal(text, copied))
-			err = sub.TakeChanges(2, c.spoil(copied))
-			require.True(t, c.is(err), "%T: %v", err, err)
+			err = sub.TakeChanges(2, c.alter(copied))
+			require.True(t, c.matches(err), "%T: %v", err, err)
 			require.Equal(t, c.after, sub.Status(2).Condition)
 			if err != nil {
 				require.Equal(t, before, sub.Version())
-				require.Equal(t, entries{{KindPlans, "", "a"}: "0"}, f.state)
-				require.Equal(t, f.state, entries(sub.State().values))
+				require.Equal(t, modelState{{KindPlans, "", "a"}: "0"}, f.state)
+				require.Equal(t, f.state, modelState(sub.State().values))
 			}
 			for range 3 { // and the next honest answers bring it up to date
-				ask(t, sub, s, 3)
+				poll(t, sub, s, 3)
 			}
 			require.Equal(t, s.log.Head(), sub.Version())
 			require.Equal(t, "2", f.state[Key{KindPlans, "eu", "a"}])
@@ -244,37 +244,37 @@
 	}
 }
 
-// TestPieceRefused: the same for pieces.
-func TestPieceRefused(t *testing.T) {
+// TestInvalidPieceRejected: the same for pieces.
+func TestInvalidPieceRejected(t *testing.T) {
 	at := Version{3, 9}
 	first := func() *Piece {
 		return &Piece{Version: at, Entries: []Entry{{Key{KindPlans, "", "a"}, "1"}, {Key{KindPlans, "", "b"}, "1"}}}
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(*Piece)
-		is    func(error) bool
+		name    string
+		alter   func(*Piece)
+		matches func(error) bool
 	}{
-		{"an epoch that goes back", func(p *Piece) { p.Version.Epoch = 1 }, is[*StaleAnswerError]},
-		{"another epoch on the way", func(p *Piece) { p.Version.Epoch = 4 }, is[*SkipError]},
-		{"an entry again", func(p *Piece) {}, is[*KeyError]},
-		{"nothing, and not the last", func(p *Piece) { p.Entries = nil }, is[*SkipError]},
-		{"an unknown kind", func(p *Piece) { p.Entries[0].Kind = "wishes" }, is[*KindError]},
-		{"outside the scope", func(p *Piece) { p.Entries = []Entry{{Key{KindPlans, "us", "z"}, "1"}} }, is[*KeyError]},
+		{"an epoch that goes back", func(p *Piece) { p.Version.Epoch = 1 }, isHintedError[*StaleAnswerError]},
+		{"another epoch on the way", func(p *Piece) { p.Version.Epoch = 4 }, isHintedError[*SkipError]},
+		{"an entry again", func(p *Piece) {}, isHintedError[*KeyError]},
+		{"nothing, and not the last", func(p *Piece) { p.Entries = nil }, isHintedError[*SkipError]},
+		{"an unknown kind", func(p *Piece) { p.Entries[0].Kind = "wishes" }, isHintedError[*KindError]},
+		{"outside the scope", func(p *Piece) { p.Entries = []Entry{{Key{KindPlans, "us", "z"}, "1"}} }, isHintedError[*KeyError]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sub := NewSubscriber(
 				1,
-				SubscriberOptions{Name: "n", Scope: Scope{Names: []string{"eu"}}, Applier: &inForce{}},
+				SubscriberOptions{Name: "n", Scope: Scope{Names: []string{"eu"}}, Applier: &recordingApplier{}},
 			)
 			require.NoError(t, sub.Restore(Version{2, 3}, NewState(), 0))
 			sub.TakeError(&CompactedError{})
 			require.NoError(t, sub.TakePiece(1, first()))
 			require.NotNil(t, sub.Next(1).Piece.After)
 			piece := first()
-			c.spoil(piece)
+			c.alter(piece)
 			err := sub.TakePiece(1, piece)
-			require.True(t, c.is(err), "%T: %v", err, err)
+			require.True(t, c.matches(err), "%T: %v", err, err)
 			require.Equal(t, Version{2, 3}, sub.Version())
 			if next := sub.Next(1); next.Piece != nil {
 				require.Nil(t, next.Piece.After, "it begins anew")
@@ -283,24 +283,24 @@
 	}
 }
 
-// TestStates: a subscriber is syncing until it has a version, current while the source is heard, and unconfirmed with
+// TestSubscriberConditions: a subscriber is syncing until it has a version, current while the source is heard, and unconfirmed with
 // its age behind a relay that is cut off; it goes on serving what it has.
-func TestStates(t *testing.T) {
-	s := opened(t, put(KindPlans, "", "a", "0"))
+func TestSubscriberConditions(t *testing.T) {
+	s := newOpenSource(t, put(KindPlans, "", "a", "0"))
 	r := NewRelay(1, RelayOptions{Name: "r"})
-	sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: &inForce{}})
+	sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: &recordingApplier{}})
 	_, err := r.Piece(1, *sub.Next(1).Piece)
-	require.True(t, is[*NotReadyError](err), "%v", err)
+	require.True(t, isHintedError[*NotReadyError](err), "%v", err)
 	_, err = r.Changes(1, ChangesRequest{})
-	require.True(t, is[*NotReadyError](err), "%v", err)
+	require.True(t, isHintedError[*NotReadyError](err), "%v", err)
 	require.Equal(t, Status{Condition: Syncing, Age: 2 * second}, sub.Status(1+2*second))
-	ask(t, r.Subscriber, s, second)
-	ask(t, r.Subscriber, s, second)
-	ask(t, sub, r, 3*second)
-	ask(t, sub, r, 3*second)
+	poll(t, r.Subscriber, s, second)
+	poll(t, r.Subscriber, s, second)
+	poll(t, sub, r, 3*second)
+	poll(t, sub, r, 3*second)
 	require.Equal(t, Status{Condition: Current, Version: Version{1, 2}, Age: 2 * second}, sub.Status(3*second))
 	for now := 4 * second; now < 60*second; now += second { // the relay hears nothing more
-		ask(t, sub, r, now)
+		poll(t, sub, r, now)
 		want := Status{Condition: Current, Version: Version{1, 2}, Age: now - second}
 		if want.Age >= DefaultUnconfirmedAfter {
 			want.Condition = Unconfirmed
@@ -309,37 +309,37 @@
 		require.Equal(t, want, r.Status(now))
 	}
 	require.Equal(t, 1, sub.State().Len())
-	ask(t, r.Subscriber, s, 60*second)
-	ask(t, sub, r, 61*second)
+	poll(t, r.Subscriber, s, 60*second)
+	poll(t, sub, r, 61*second)
 	require.Equal(t, Status{Condition: Current, Version: Version{1, 2}, Age: second}, sub.Status(61*second))
 }
 
-// TestRestored: a restored state is in force at once, unconfirmed with the age that it had; one of another scope is
+// TestRestore: a restored state is in force at once, unconfirmed with the age that it had; one of another scope is
 // not.
-func TestRestored(t *testing.T) {
+func TestRestore(t *testing.T) {
 	state, err := NewStateOf([]Entry{{Key{KindPlans, "us", "a"}, "1"}})
 	require.NoError(t, err)
-	f := &inForce{}
+	f := &recordingApplier{}
 	sub := NewSubscriber(5*second, SubscriberOptions{Applier: f})
 	require.NoError(t, sub.Restore(Version{1, 7}, state, 3600*second))
 	require.Equal(t, Status{Condition: Unconfirmed, Version: Version{1, 7}, Age: 3601 * second}, sub.Status(6*second))
-	require.Equal(t, entries{{KindPlans, "us", "a"}: "1"}, f.state)
+	require.Equal(t, modelState{{KindPlans, "us", "a"}: "1"}, f.state)
 	saved := sub.Snapshot(6 * second)
 	require.Equal(
 		t,
 		Snapshot{Version: Version{1, 7}, TakenAt: 6*second - 3601*second, Entries: state.Entries()},
 		*saved,
 	)
-	f = &inForce{}
+	f = &recordingApplier{}
 	sub = NewSubscriber(1, SubscriberOptions{Applier: f, Scope: Scope{Names: []string{"eu"}}})
-	require.True(t, is[*KeyError](sub.Restore(Version{1, 7}, state, 0)))
+	require.True(t, isHintedError[*KeyError](sub.Restore(Version{1, 7}, state, 0)))
 	require.Zero(t, f.applied)
 	require.Nil(t, sub.Snapshot(1))
-	sub = NewSubscriber(1, SubscriberOptions{Applier: &inForce{refuses: true}})
-	require.True(t, is[*RefusedError](sub.Restore(Version{1, 7}, state, 0)))
+	sub = NewSubscriber(1, SubscriberOptions{Applier: &recordingApplier{refuses: true}})
+	require.True(t, isHintedError[*RefusedError](sub.Restore(Version{1, 7}, state, 0)))
 	require.Equal(t, Version{}, sub.Version())
 	_, err = NewStateOf(append(state.Entries(), state.Entries()...))
-	require.True(t, is[*KeyError](err))
+	require.True(t, isHintedError[*KeyError](err))
 }
 
 // TestApplierRefuses: a version that the applier refuses is told with its reason, not sent again until its retry, and a
@@ -347,19 +347,19 @@
 func TestApplierRefuses(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		t.Run(fmt.Sprint("whole=", whole), func(t *testing.T) {
-			s := opened(t, put(KindPlans, "", "a", "0"))
-			f := &inForce{state: entries{}}
-			sub := synced(t, s, f)
+			s := newOpenSource(t, put(KindPlans, "", "a", "0"))
+			f := &recordingApplier{state: modelState{}}
+			sub := newSyncedSubscriber(t, s, f)
 			_, err := s.Publish(2, 1, nil, []Mutation{put(KindPlans, "", "a", "1")})
 			require.NoError(t, err)
 			f.refuses = true
 			if whole {
 				sub.TakeError(&CompactedError{})
-				ask(t, sub, s, 2)
+				poll(t, sub, s, 2)
 			}
 			delta, err := s.Changes(2, *sub.Next(2).Changes)
 			require.NoError(t, err)
-			require.True(t, is[*RefusedError](sub.TakeChanges(2, delta)))
+			require.True(t, isHintedError[*RefusedError](sub.TakeChanges(2, delta)))
 			require.Equal(t, Version{1, 2}, sub.Version())
 			require.Equal(t, "0", f.state[Key{KindPlans, "", "a"}])
 			a := sub.Acknowledgement(2)
@@ -368,14 +368,14 @@
 			f.refuses, f.applied = false, 0
 			next := sub.Next(3)
 			require.True(t, next.Hold && !s.Newer(*next.Changes), "%+v", next.Changes)
-			ask(t, sub, s, 3) // held in vain
+			poll(t, sub, s, 3) // held in vain
 			require.Zero(t, f.applied, "tried again too early")
 			require.Equal(t, Version{1, 2}, sub.Version())
 			require.Equal(t, int64(0), sub.Status(3).Age, "the source was heard all the same")
 			again := 2 + DefaultRefusedRetry
 			next = sub.Next(again)
 			require.True(t, !next.Hold || s.Newer(*next.Changes), "%+v", next.Changes)
-			ask(t, sub, s, again)
+			poll(t, sub, s, again)
 			require.Equal(t, 1, f.applied)
 			require.Equal(t, Version{1, 3}, sub.Version())
 			require.Nil(t, sub.Acknowledgement(again).Refused)
@@ -389,14 +389,14 @@
 			require.NoError(t, err)
 			f.refuses = false
 			require.True(t, s.Newer(*sub.Next(again).Changes))
-			ask(t, sub, s, again)
+			poll(t, sub, s, again)
 			require.Equal(t, "3", f.state[Key{KindPlans, "", "a"}])
 		})
 	}
 }
 
-// TestBehind: a server that is older than its subscriber, or whose log lacks the subscriber's version, says so.
-func TestBehind(t *testing.T) {
+// TestChangesFromUnavailableVersion: a server that is older than its subscriber, or whose log lacks the subscriber's version, says so.
+func TestChangesFromUnavailableVersion(t *testing.T) {
 	s := NewSource(NewLog(Retention{Changes: 2}), Budget{})
 	_, err := s.Open(1, 4)
 	require.NoError(t, err)
@@ -406,46 +406,46 @@
 	}
 	require.Equal(t, Version{4, 8}, s.log.Oldest())
 	for _, c := range []struct {
-		from Version
-		is   func(error) bool
+		from    Version
+		matches func(error) bool
 	}{
 		{Version{4, 8}, func(err error) bool { return err == nil }}, {Version{4, 10}, func(err error) bool { return err == nil }},
-		{Version{4, 7}, is[*CompactedError]}, {Version{3, 9}, is[*CompactedError]}, {Version{3, 99}, is[*CompactedError]},
-		{Version{}, is[*CompactedError]}, {Version{4, 11}, is[*BehindError]}, {Version{5, 2}, is[*BehindError]},
+		{Version{4, 7}, isHintedError[*CompactedError]}, {Version{3, 9}, isHintedError[*CompactedError]}, {Version{3, 99}, isHintedError[*CompactedError]},
+		{Version{}, isHintedError[*CompactedError]}, {Version{4, 11}, isHintedError[*BehindError]}, {Version{5, 2}, isHintedError[*BehindError]},
 	} {
 		_, err := s.Changes(1, ChangesRequest{From: c.from})
-		require.True(t, c.is(err), "%v: %v", c.from, err)
+		require.True(t, c.matches(err), "%v: %v", c.from, err)
 	}
 	_, err = s.Changes(1, ChangesRequest{From: Version{4, 9}, Scope: Scope{Kinds: []Kind{"wishes"}}})
-	require.True(t, is[*ScopeError](err))
+	require.True(t, isHintedError[*ScopeError](err))
 	_, err = s.Piece(1, PieceRequest{Scope: Scope{Kinds: []Kind{"wishes"}}})
-	require.True(t, is[*ScopeError](err))
+	require.True(t, isHintedError[*ScopeError](err))
 }
 
-// TestFencedByASubscriber: a source that hears of a higher epoch publishes no more, until it opens one above that.
-func TestFencedByASubscriber(t *testing.T) {
-	s := opened(t)
+// TestHigherEpochInRequestFencesSource: a source that hears of a higher epoch publishes no more, until it opens one above that.
+func TestHigherEpochInRequestFencesSource(t *testing.T) {
+	s := newOpenSource(t)
 	_, err := s.Changes(1, ChangesRequest{From: Version{7, 1}})
-	require.True(t, is[*BehindError](err))
+	require.True(t, isHintedError[*BehindError](err))
 	_, err = s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", "a", "1")})
-	require.True(t, is[*FencedError](err), "%v", err)
+	require.True(t, isHintedError[*FencedError](err), "%v", err)
 	_, err = s.Open(1, 7)
-	require.True(t, is[*FencedError](err), "%v", err)
+	require.True(t, isHintedError[*FencedError](err), "%v", err)
 	_, err = s.Open(1, 8)
 	require.NoError(t, err)
 	_, err = s.Publish(1, 8, nil, []Mutation{put(KindPlans, "", "a", "1")})
 	require.NoError(t, err)
 	_, err = s.Changes(1, ChangesRequest{From: Version{1<<64 - 1, 1}})
-	require.True(t, is[*BehindError](err))
+	require.True(t, isHintedError[*BehindError](err))
 	_, err = s.Publish(1, 8, nil, []Mutation{put(KindPlans, "", "a", "2")})
 	require.NoError(t, err, "an epoch that no writer has fences nothing")
 }
 
-// TestDeltaBytes: a long way is led in several answers, each with the digest at its end.
-func TestDeltaBytes(t *testing.T) {
-	s := opened(t)
-	f := &inForce{state: entries{}}
-	sub := synced(t, s, f)
+// TestMaxDeltaBytes: a long way is led in several answers, each with the digest at its end.
+func TestMaxDeltaBytes(t *testing.T) {
+	s := newOpenSource(t)
+	f := &recordingApplier{state: modelState{}}
+	sub := newSyncedSubscriber(t, s, f)
 	for i := range 20 {
 		_, err := s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", fmt.Sprint(i), strings.Repeat("v", 60000))})
 		require.NoError(t, err)
@@ -468,8 +468,8 @@
 	require.Len(t, f.state, 20)
 }
 
-// TestThrottled: pieces are given as far as the budget goes, and the wait that is told is enough.
-func TestThrottled(t *testing.T) {
+// TestPieceBudget: pieces are given as far as the budget goes, and the wait that is told is enough.
+func TestPieceBudget(t *testing.T) {
 	s := NewSource(NewLog(Retention{}), Budget{Rate: 100 << 10, Burst: MaxPieceBytes})
 	_, err := s.Open(1, 1)
 	require.NoError(t, err)
@@ -486,7 +486,7 @@
 	require.ErrorAs(t, err, &throttled)
 	require.NotEmpty(t, throttled.Hint())
 	_, err = s.Piece(throttled.RetryAfter, request)
-	require.True(t, is[*ThrottledError](err), "a nanosecond too early")
+	require.True(t, isHintedError[*ThrottledError](err), "a nanosecond too early")
 	_, err = s.Piece(1+throttled.RetryAfter, request)
 	require.NoError(t, err)
 }
@@ -501,7 +501,7 @@
 	})
 	for _, text := range []string{"plans", "wishes@", "@a b", "@a,,b", "@" + strings.Repeat("n,", 16) + "n", "@" + strings.Repeat("n", 65)} {
 		_, err := ParseScope(text)
-		require.True(t, is[*ScopeError](err), "%s: %v", text, err)
+		require.True(t, isHintedError[*ScopeError](err), "%s: %v", text, err)
 	}
 	s, err := ParseScope("plans,routes@eu")
 	require.NoError(t, err)
@@ -541,7 +541,7 @@
 // TestAcknowledgements: relays sum up what their limiters said lately, in bounded messages, and the source tells from
 // these in how many limiters a version is in force.
 func TestAcknowledgements(t *testing.T) {
-	s := opened(t)
+	s := newOpenSource(t)
 	relays := []*Relay{NewRelay(1, RelayOptions{Name: "a"}), NewRelay(1, RelayOptions{Name: "b"})}
 	refused := Version{2, 9}
 	for i := range 550 {
@@ -570,8 +570,8 @@
 		require.NoError(t, err)
 		require.Less(t, len(text), 1<<10)
 	}
-	ask(t, relays[1].Subscriber, s, 2)
-	ask(t, relays[1].Subscriber, s, 2)
+	poll(t, relays[1].Subscriber, s, 2)
+	poll(t, relays[1].Subscriber, s, 2)
 	require.Equal(t, s.log.Head(), relays[1].Summary(5).Version)
 	require.Equal(t, int64(3), relays[1].Summary(5).Age)
 	o := s.Overview(3)
@@ -585,26 +585,26 @@
 	require.Equal(t, []Refusal{{VersionCount{refused, 55}, strings.Repeat("é", 100)}}, o.Relays[0].Refusals)
 	require.Empty(
 		t,
-		relays[1].Summary(2+AcknowledgementLife).Versions,
+		relays[1].Summary(2+AcknowledgementTTL).Versions,
 		"limiters that say nothing are not counted for long",
 	)
-	o = s.Overview(3 + AcknowledgementLife)
+	o = s.Overview(3 + AcknowledgementTTL)
 	require.Equal(t, []string{"a", "b"}, o.Silent)
 	require.NoError(t, s.Acknowledge(3, Acknowledgement{Limiter: "direct", Version: Version{2, 9}, Condition: Current}))
 	inForce, _ = s.Overview(3).InForce(Version{2, 9})
 	require.Equal(t, 1+55, inForce)
-	many := newTally()
+	many := newAckTable()
 	for i := range 20 {
 		version := Version{1, uint64(i)}
 		require.NoError(
 			t,
-			many.take(
+			many.record(
 				1,
 				Acknowledgement{Limiter: fmt.Sprint(i), Version: version, Condition: Current, Refused: &version},
 			),
 		)
 	}
-	sum := many.sum(1, "r")
+	sum := many.summarize(1, "r")
 	require.Len(t, sum.Versions, MaxSummaryVersions)
 	require.Equal(t, 12, sum.Older)
 	require.Len(t, sum.Refusals, MaxSummaryRefusals)
@@ -613,30 +613,30 @@
 	require.NoError(t, sum.check())
 }
 
-func TestAcknowledgementRefused(t *testing.T) {
+func TestInvalidAcknowledgementRejected(t *testing.T) {
 	r := NewRelay(1, RelayOptions{Name: "r"})
 	for _, a := range []Acknowledgement{{Condition: Current}, {Limiter: "n", Condition: "glad"}, {Limiter: "n"},
 		{Limiter: strings.Repeat("n", 257), Condition: Current},
 		{Limiter: "n", Condition: Current, Reason: strings.Repeat("r", MaxReasonBytes+1)}} {
 		err := r.Acknowledge(1, a)
-		require.True(t, is[*KeyError](err) || is[*TooLargeError](err), "%+v: %v", a, err)
+		require.True(t, isHintedError[*KeyError](err) || isHintedError[*TooLargeError](err), "%+v: %v", a, err)
 	}
-	for i := range MaxTallyLimiters {
+	for i := range MaxRelayLimiters {
 		require.NoError(t, r.Acknowledge(1, Acknowledgement{Limiter: fmt.Sprint(i), Condition: Current}))
 	}
 	more := Acknowledgement{Limiter: "more", Condition: Current}
-	require.True(t, is[*TooLargeError](r.Acknowledge(1, more)))
-	require.NoError(t, r.Acknowledge(2+AcknowledgementLife, more), "room again")
-	s := opened(t)
+	require.True(t, isHintedError[*TooLargeError](r.Acknowledge(1, more)))
+	require.NoError(t, r.Acknowledge(2+AcknowledgementTTL, more), "room again")
+	s := newOpenSource(t)
 	for _, summary := range []Summary{{}, {Relay: "r", Versions: make([]VersionCount, 9)}, {Relay: "r", Refusals: make([]Refusal, 5)},
 		{Relay: "r", Older: -1}, {Relay: "r", Versions: []VersionCount{{Limiters: -1}}}} {
 		err := s.Summarize(1, summary)
-		require.True(t, is[*KeyError](err) || is[*TooLargeError](err), "%+v: %v", summary, err)
+		require.True(t, isHintedError[*KeyError](err) || isHintedError[*TooLargeError](err), "%+v: %v", summary, err)
 	}
 	for i := range maxRelays {
 		require.NoError(t, s.Summarize(1, Summary{Relay: fmt.Sprint(i)}))
 	}
-	require.True(t, is[*TooLargeError](s.Summarize(1, Summary{Relay: "more"})))
+	require.True(t, isHintedError[*TooLargeError](s.Summarize(1, Summary{Relay: "more"})))
 }
 
 // TestChooseRelays: the first is of the own zone, the second of another one, and those of a lost relay are shared
@@ -676,31 +676,31 @@
 	require.NotEqual(t, two[0], two[1])
 	for _, bad := range [][]RelayAddress{nil, {{"", "z", "h:1"}}, {{"1", "z", ""}}, {{"1", "z", "h:1"}, {"1", "y", "h:2"}}} {
 		_, err := ChooseRelays(bad, "z", 0)
-		require.True(t, is[*NoRelayError](err), "%v", err)
+		require.True(t, isHintedError[*NoRelayError](err), "%v", err)
 	}
 	_, err = ChooseRelays(relays, "a", -1)
-	require.True(t, is[*NoRelayError](err), "%v", err)
+	require.True(t, isHintedError[*NoRelayError](err), "%v", err)
 }
 
 func TestSelector(t *testing.T) {
 	var s Selector
 	require.Equal(t, 0, s.Selected(1))
-	s.Failed(1)
-	require.Equal(t, 1, s.Selected(ReturnAfter))
-	require.Equal(t, 0, s.Selected(1+ReturnAfter), "it returns")
-	s.Failed(2 + ReturnAfter)
-	s.Failed(3 + ReturnAfter)
-	require.Equal(t, 0, s.Selected(4+ReturnAfter), "both failed")
+	s.ReportFailure(1)
+	require.Equal(t, 1, s.Selected(FirstRelayRetryDelay))
+	require.Equal(t, 0, s.Selected(1+FirstRelayRetryDelay), "it returns")
+	s.ReportFailure(2 + FirstRelayRetryDelay)
+	s.ReportFailure(3 + FirstRelayRetryDelay)
+	require.Equal(t, 0, s.Selected(4+FirstRelayRetryDelay), "both failed")
 }
 
 // TestLimiterApplier: addresses move together or not at all, whatever else cannot change is named, and the rest is
 // carried.
 func TestLimiterApplier(t *testing.T) {
 	var moved []Addresses
-	var fails error
+	var moveError error
 	a := &LimiterApplier{Move: func(to Addresses) error {
-		if fails != nil {
-			return fails
+		if moveError != nil {
+			return moveError
 		}
 		moved = append(moved, to)
 		return nil
@@ -721,24 +721,24 @@
 	fixed := put(KindEndpoints, "", "listen", "127.0.0.1:9")
 	for name, err := range map[string]error{
 		"a fixed key behind one that moves":   apply(counter("127.0.0.1:4"), fixed),
-		"the counter taken away":              apply(drop(KindEndpoints, "", EndpointCounter)),
-		"discovery is not in a whole state":   a.Apply(&Update{Whole: whole(t, counter("127.0.0.1:4"))}),
-		"a fixed key in a whole state":        a.Apply(&Update{Whole: whole(t, discovery("127.0.0.1:4"), counter("127.0.0.1:4"), fixed)}),
-		"the counter is not in a whole state": a.Apply(&Update{Whole: whole(t, discovery("127.0.0.1:4"))}),
+		"the counter taken away":              apply(deletion(KindEndpoints, "", EndpointCounter)),
+		"discovery is not in a whole state":   a.Apply(&Update{Whole: stateOf(t, counter("127.0.0.1:4"))}),
+		"a fixed key in a whole state":        a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"), counter("127.0.0.1:4"), fixed)}),
+		"the counter is not in a whole state": a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"))}),
 	} {
-		require.True(t, is[*FixedKeyError](err), "%s: %v", name, err)
+		require.True(t, isHintedError[*FixedKeyError](err), "%s: %v", name, err)
 	}
 	require.ErrorContains(t, apply(fixed), "endpoints//listen")
 	for _, address := range []string{"", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:70000", ":1", "127.0.0.1:x"} {
 		err := apply(counter("127.0.0.1:4"), discovery(address))
-		require.True(t, is[*KeyError](err), "%s: %v", address, err)
+		require.True(t, isHintedError[*KeyError](err), "%s: %v", address, err)
 	}
-	fails = errors.New("no room")
-	require.ErrorIs(t, apply(counter("127.0.0.1:5")), fails)
-	fails = nil
+	moveError = errors.New("no room")
+	require.ErrorIs(t, apply(counter("127.0.0.1:5")), moveError)
+	moveError = nil
 	require.Equal(t, want, moved, "none of these moved anything")
-	require.NoError(t, apply(drop(KindEndpoints, "eu", EndpointDiscovery)), "the one for every limiter counts again")
-	require.NoError(t, a.Apply(&Update{Whole: whole(t, discovery("127.0.0.1:7"), counter("127.0.0.1:8"))}))
+	require.NoError(t, apply(deletion(KindEndpoints, "eu", EndpointDiscovery)), "the one for every limiter counts again")
+	require.NoError(t, a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:7"), counter("127.0.0.1:8"))}))
 	require.Equal(
 		t,
 		append(want, Addresses{"127.0.0.1:1", "127.0.0.1:2"}, Addresses{"127.0.0.1:7", "127.0.0.1:8"}),
@@ -746,7 +746,7 @@
 	)
 }
 
-func whole(t *testing.T, mutations ...Mutation) *State {
+func stateOf(t *testing.T, mutations ...Mutation) *State {
 	t.Helper()
 	s := NewState()
 	for _, m := range mutations {
--- a/internal/distribution/errors_test.go
+++ b/internal/distribution/errors_test.go
@@ -23,8 +23,8 @@
 				continue
 			}
 			name := regexp.MustCompile(`(?m)^package (\w+)`).FindSubmatch(text)[1]
-			for _, of := range regexp.MustCompile(`(?m)^func \((?:\w+ )?\*?(\w+)\) Hint\(`).FindAllSubmatch(text, -1) {
-				types = append(types, string(name)+"."+string(of[1]))
+			for _, receiver := range regexp.MustCompile(`(?m)^func \((?:\w+ )?\*?(\w+)\) Hint\(`).FindAllSubmatch(text, -1) {
+				types = append(types, string(name)+"."+string(receiver[1]))
 			}
 		}
 	}
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -1,22 +1,22 @@
 package distribution
 
-// feed answers subscribers from a log. Source and Relay are feeds.
-type feed struct {
-	log      *Log
-	spending spending
+// logServer answers subscribers from a log. Source and Relay are feeds.
+type logServer struct {
+	log         *Log
+	pieceBudget byteBudget
 }
 
-func newFeed(log *Log, budget Budget) feed {
-	return feed{log: log, spending: spending{Budget: budget.orDefault()}}
+func newLogServer(log *Log, budget Budget) logServer {
+	return logServer{log: log, pieceBudget: byteBudget{Budget: budget.orDefault()}}
 }
 
-func (f *feed) ready() bool { return f.log.head != Version{} }
+func (f *logServer) ready() bool { return f.log.head != Version{} }
 
 // Head is the version up to which this server leads.
-func (f *feed) Head() Version { return f.log.Head() }
+func (f *logServer) Head() Version { return f.log.Head() }
 
 // Newer is a method of Server.
-func (f *feed) Newer(request ChangesRequest) bool {
+func (f *logServer) Newer(request ChangesRequest) bool {
 	known := request.From
 	if known.Less(request.Seen) {
 		known = request.Seen
@@ -24,7 +24,7 @@
 	return known.Less(f.log.head)
 }
 
-func (f *feed) changes(age int64, request ChangesRequest) (*Delta, error) {
+func (f *logServer) changes(age int64, request ChangesRequest) (*Delta, error) {
 	if err := request.Scope.Check(); err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 	return delta, nil
 }
 
-func (f *feed) piece(now, age int64, request PieceRequest) (*Piece, error) {
+func (f *logServer) piece(now, age int64, request PieceRequest) (*Piece, error) {
 	if err := request.Scope.Check(); err != nil {
 		return nil, err
 	}
@@ -51,12 +51,12 @@
 		return nil, &NotReadyError{}
 	}
 	maxBytes := min(max(request.MaxBytes, MinPieceBytes), MaxPieceBytes)
-	if wait := f.spending.wait(now, int64(maxBytes)); wait > 0 {
+	if wait := f.pieceBudget.wait(now, int64(maxBytes)); wait > 0 {
 		return nil, &ThrottledError{RetryAfter: wait}
 	}
-	entries, last := f.log.state.after(request.After, request.Scope, maxBytes)
+	entries, last := f.log.state.entriesAfter(request.After, request.Scope, maxBytes)
 	for _, e := range entries {
-		f.spending.spend(int64(e.size()))
+		f.pieceBudget.spend(int64(e.size()))
 	}
 	return &Piece{Version: f.log.head, Entries: entries, Last: last, Age: age}, nil
 }
--- a/internal/distribution/limiterapplier.go
+++ b/internal/distribution/limiterapplier.go
@@ -26,12 +26,12 @@
 	// is not called where they stay the same.
 	Move      func(Addresses) error
 	endpoints map[Key]string
-	held      Addresses
+	current   Addresses
 }
 
 // Apply is a method of Applier. Errors: *FixedKeyError, *KeyError, and those of Move.
 func (a *LimiterApplier) Apply(update *Update) error {
-	endpoints, err := a.after(update)
+	endpoints, err := a.resultingEndpoints(update)
 	if err != nil {
 		return err
 	}
@@ -39,18 +39,18 @@
 	if err != nil {
 		return err
 	}
-	if next != a.held {
+	if next != a.current {
 		if err := a.Move(next); err != nil {
 			return err
 		}
 	}
 	a.endpoints = endpoints
-	a.held = next
+	a.current = next
 	return nil
 }
 
-// after is what an update makes of the endpoints. Only the outcome has to be usable: a change may mend one before it.
-func (a *LimiterApplier) after(update *Update) (map[Key]string, error) {
+// resultingEndpoints is what an update makes of the endpoints. Only the outcome has to be usable: a change may mend one before it.
+func (a *LimiterApplier) resultingEndpoints(update *Update) (map[Key]string, error) {
 	endpoints := map[Key]string{}
 	mutations := []Mutation{}
 	if update.Whole != nil {
@@ -92,10 +92,10 @@
 			next.Counter = endpoints[key]
 		}
 	}
-	if a.held.Discovery != "" && next.Discovery == "" {
+	if a.current.Discovery != "" && next.Discovery == "" {
 		return next, &FixedKeyError{Key: Key{Kind: KindEndpoints, Name: EndpointDiscovery}}
 	}
-	if a.held.Counter != "" && next.Counter == "" {
+	if a.current.Counter != "" && next.Counter == "" {
 		return next, &FixedKeyError{Key: Key{Kind: KindEndpoints, Name: EndpointCounter}}
 	}
 	return next, nil
@@ -105,7 +105,7 @@
 func checkAddress(e Entry) error {
 	host, port, err := net.SplitHostPort(e.Value)
 	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || n == 0 || host == "" {
-		return &KeyError{Key: e.Key, Why: fmt.Sprintf("is %q, which is no address", shorten(e.Value, MaxNameBytes))}
+		return &KeyError{Key: e.Key, Why: fmt.Sprintf("is %q, which is no address", truncate(e.Value, MaxNameBytes))}
 	}
 	return nil
 }
--- a/internal/distribution/log.go
+++ b/internal/distribution/log.go
@@ -26,8 +26,8 @@
 // record is a change with what is needed to step back over it.
 type record struct {
 	Change
-	digests map[bucket]Digest // what the change added to the digest of each bucket
-	bytes   int
+	digestChanges map[bucket]Digest // what the change added to the digest of each bucket
+	bytes         int
 }
 
 // Log is the numbered changes and the state at the newest of them. Older changes are compacted away; the state stands
@@ -35,7 +35,7 @@
 type Log struct {
 	retention Retention
 	head      Version
-	base      Version // of the change directly before the oldest that is kept
+	oldest    Version // of the change directly before the oldest that is kept
 	records   []record
 	bytes     int // of the records
 	state     *State
@@ -48,14 +48,14 @@
 
 // NewLogAt makes a log that goes on from a snapshot, which it takes over.
 func NewLogAt(retention Retention, version Version, state *State) *Log {
-	return &Log{retention: retention.orDefault(), head: version, base: version, state: state}
+	return &Log{retention: retention.orDefault(), head: version, oldest: version, state: state}
 }
 
 // Head is the version of the newest change.
 func (l *Log) Head() Version { return l.head }
 
 // Oldest is the oldest version from which the log can lead on.
-func (l *Log) Oldest() Version { return l.base }
+func (l *Log) Oldest() Version { return l.oldest }
 
 // State is the state at the head, to read only.
 func (l *Log) State() *State { return l.state }
@@ -98,7 +98,7 @@
 		return err
 	}
 	for _, m := range mutations {
-		if _, held := l.state.values[m.Key]; m.Delete && !held {
+		if _, exists := l.state.values[m.Key]; m.Delete && !exists {
 			return &KeyError{Key: m.Key, Why: "is not held and cannot be deleted"}
 		}
 	}
@@ -108,11 +108,11 @@
 	return nil
 }
 
-// follow takes an update that a subscriber has checked: the log of a relay.
-func (l *Log) follow(update *Update) {
+// applyUpdate takes an update that a subscriber has checked: the log of a relay.
+func (l *Log) applyUpdate(update *Update) {
 	if update.Whole != nil {
 		l.head = update.To
-		l.base = update.To
+		l.oldest = update.To
 		l.records = nil
 		l.bytes = 0
 		l.state = update.Whole.Clone()
@@ -124,14 +124,14 @@
 }
 
 func (l *Log) append(change Change) {
-	r := record{Change: change, digests: map[bucket]Digest{}, bytes: change.size()}
+	r := record{Change: change, digestChanges: map[bucket]Digest{}, bytes: change.size()}
 	for _, m := range change.Mutations {
 		b := bucketOf(m.Key)
-		r.digests[b] = l.state.digests[b]
+		r.digestChanges[b] = l.state.digests[b]
 	}
 	l.state.apply([]Change{change})
-	for b, before := range r.digests {
-		r.digests[b] = l.state.digests[b].minus(before)
+	for b, before := range r.digestChanges {
+		r.digestChanges[b] = l.state.digests[b].minus(before)
 	}
 	l.records = append(l.records, r)
 	l.bytes += r.bytes
@@ -144,7 +144,7 @@
 	drop := 0
 	for len(l.records)-drop > 1 && (len(l.records)-drop > l.retention.Changes || l.bytes > l.retention.Bytes) {
 		l.bytes -= l.records[drop].bytes
-		l.base = l.records[drop].Version
+		l.oldest = l.records[drop].Version
 		drop++
 	}
 	if drop > 0 {
@@ -152,34 +152,34 @@
 	}
 }
 
-// position is the index of the first change behind a version. Errors: *BehindError, *CompactedError.
-func (l *Log) position(from Version) (int, error) {
+// indexAfter is the index of the first change behind a version. Errors: *BehindError, *CompactedError.
+func (l *Log) indexAfter(from Version) (int, error) {
 	if l.head.Less(from) {
 		return 0, &BehindError{From: from, Head: l.head}
 	}
-	if from == l.base {
+	if from == l.oldest {
 		return 0, nil
 	}
-	if from.Number <= l.base.Number || from.Number > l.head.Number {
-		return 0, &CompactedError{From: from, Oldest: l.base}
+	if from.Number <= l.oldest.Number || from.Number > l.head.Number {
+		return 0, &CompactedError{From: from, Oldest: l.oldest}
 	}
-	at := int(from.Number - l.base.Number)
-	if l.records[at-1].Version != from {
-		return 0, &CompactedError{From: from, Oldest: l.base}
+	index := int(from.Number - l.oldest.Number)
+	if l.records[index-1].Version != from {
+		return 0, &CompactedError{From: from, Oldest: l.oldest}
 	}
-	return at, nil
+	return index, nil
 }
 
 // changes leads on from a version, to another or as far as MaxDeltaBytes go. Errors: *BehindError, *CompactedError.
 func (l *Log) changes(from, until Version, scope Scope) (*Delta, error) {
-	at, err := l.position(from)
+	index, err := l.indexAfter(from)
 	if err != nil {
 		return nil, err
 	}
 	d := &Delta{From: from, To: from}
 	bytes := 0
-	for ; at < len(l.records) && d.To.Less(until); at++ {
-		change := scoped(l.records[at].Change, scope)
+	for ; index < len(l.records) && d.To.Less(until); index++ {
+		change := filterChange(l.records[index].Change, scope)
 		bytes += change.size()
 		if bytes > MaxDeltaBytes && len(d.Changes) > 0 {
 			break
@@ -187,15 +187,15 @@
 		d.Changes = append(d.Changes, change)
 		d.To = change.Version
 	}
-	d.Digest = l.digestAt(at, scope).at(d.To)
+	d.Digest = l.digestBefore(index, scope).at(d.To)
 	return d, nil
 }
 
-// digestAt is the digest of the state before the change with an index.
-func (l *Log) digestAt(at int, scope Scope) Digest {
+// digestBefore is the digest of the state before the change with an index.
+func (l *Log) digestBefore(index int, scope Scope) Digest {
 	digest := l.state.Digest(scope)
-	for _, r := range l.records[at:] {
-		for b, added := range r.digests {
+	for _, r := range l.records[index:] {
+		for b, added := range r.digestChanges {
 			if scope.contains(b) {
 				digest = digest.minus(added)
 			}
@@ -204,8 +204,8 @@
 	return digest
 }
 
-// scoped is a change with only those mutations that are in a scope.
-func scoped(change Change, scope Scope) Change {
+// filterChange is a change with only those mutations that are in a scope.
+func filterChange(change Change, scope Scope) Change {
 	var mutations []Mutation
 	for _, m := range change.Mutations {
 		if scope.Contains(m.Key) {
--- a/internal/distribution/poller.go
+++ b/internal/distribution/poller.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	throttledFirst = second / 20 // the spread of calls that come again after a ThrottledError,
-	throttledMost  = 2 * second  // which doubles with each in a row up to this
+	minThrottleSpread = second / 20 // the spread of calls that come again after a ThrottledError,
+	maxThrottleSpread = 2 * second  // which doubles with each in a row up to this
 )
 
 // PollerOptions are what a poller is made of.
@@ -29,17 +29,17 @@
 // the pauses, so that subscribers that start or fail together spare their servers. It is not safe for concurrent use.
 type Poller struct {
 	*Subscriber
-	selector  Selector
-	pacer     *pollpacer.Pacer
-	dial      int64
-	place     float64 // among all, in [0, 1)
-	throttled int     // in a row
+	selector       Selector
+	pacer          *pollpacer.Pacer
+	dialTimeout    int64
+	spreadFraction float64 // among all, in [0, 1)
+	throttledInRow int     // in a row
 }
 
 // NewPoller makes the poller of a subscriber.
 func NewPoller(now int64, subscriber *Subscriber, options PollerOptions) *Poller {
-	_, place := math.Modf(float64(options.Position) * math.Phi)
-	return &Poller{Subscriber: subscriber, dial: options.DialTimeout, place: place,
+	_, spreadFraction := math.Modf(float64(options.Position) * math.Phi)
+	return &Poller{Subscriber: subscriber, dialTimeout: options.DialTimeout, spreadFraction: spreadFraction,
 		pacer: pollpacer.New(now, options.DialTimeout, options.Position, options.Hold)}
 }
 
@@ -70,7 +70,7 @@
 	if err := p.Subscriber.TakeChanges(now, delta); err != nil {
 		return p.TakeError(now, err), err
 	}
-	p.answered(now, delta.Age)
+	p.recordAnswer(now, delta.Age)
 	return 0, nil
 }
 
@@ -79,16 +79,16 @@
 	if err := p.Subscriber.TakePiece(now, piece); err != nil {
 		return p.TakeError(now, err), err
 	}
-	p.answered(now, piece.Age)
+	p.recordAnswer(now, piece.Age)
 	return 0, nil
 }
 
-// answered notes an answer of use. One of a relay that is cut off is of use, but the other relay may know more.
-func (p *Poller) answered(now, age int64) {
+// recordAnswer notes an answer of use. One of a relay that is cut off is of use, but the other relay may know more.
+func (p *Poller) recordAnswer(now, age int64) {
 	p.pacer.ResponseReceived(now)
-	p.throttled = 0
+	p.throttledInRow = 0
 	if age >= p.options.UnconfirmedAfter {
-		p.selector.Failed(now)
+		p.selector.ReportFailure(now)
 	}
 }
 
@@ -107,22 +107,22 @@
 		return 0 // the next call is held
 	case errors.As(err, &throttled):
 		p.pacer.ResponseReceived(now)
-		return throttled.RetryAfter + p.spread()
+		return throttled.RetryAfter + p.throttleSpread()
 	}
-	p.selector.Failed(now)
+	p.selector.ReportFailure(now)
 	return p.pacer.RetryDelay(now, pollpacer.Failed)
 }
 
-// spread is a wait that is another for each subscriber and longer with each call that was throttled in a row.
-func (p *Poller) spread() int64 {
-	span := throttledFirst
-	for range p.throttled {
-		span = min(2*span, throttledMost)
-		if span == throttledMost {
+// throttleSpread is a wait that is another for each subscriber and longer with each call that was throttled in a row.
+func (p *Poller) throttleSpread() int64 {
+	span := minThrottleSpread
+	for range p.throttledInRow {
+		span = min(2*span, maxThrottleSpread)
+		if span == maxThrottleSpread {
 			break
 		}
 	}
-	p.throttled++
-	_, part := math.Modf(p.place + float64(p.throttled)*math.Phi)
-	return int64(part * float64(span))
+	p.throttledInRow++
+	_, fraction := math.Modf(p.spreadFraction + float64(p.throttledInRow)*math.Phi)
+	return int64(fraction * float64(span))
 }
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -14,24 +14,24 @@
 // concurrent use.
 type Relay struct {
 	*Subscriber
-	feed
-	tally tally
-	name  string
+	logServer
+	acks ackTable
+	name string
 }
 
 // NewRelay makes a relay that has no version.
 func NewRelay(now int64, options RelayOptions) *Relay {
-	r := &Relay{feed: newFeed(NewLog(options.Retention), options.Budget), tally: newTally(), name: options.Name}
-	r.Subscriber = NewSubscriber(now, SubscriberOptions{Name: options.Name, Applier: follower{r.log},
+	r := &Relay{logServer: newLogServer(NewLog(options.Retention), options.Budget), acks: newAckTable(), name: options.Name}
+	r.Subscriber = NewSubscriber(now, SubscriberOptions{Name: options.Name, Applier: logApplier{r.log},
 		UnconfirmedAfter: options.UnconfirmedAfter, PieceBytes: MaxPieceBytes})
 	return r
 }
 
-// follower puts updates in a relay's log.
-type follower struct{ log *Log }
+// logApplier puts updates in a relay's log.
+type logApplier struct{ log *Log }
 
-func (f follower) Apply(update *Update) error {
-	f.log.follow(update)
+func (f logApplier) Apply(update *Update) error {
+	f.log.applyUpdate(update)
 	return nil
 }
 
@@ -46,11 +46,11 @@
 }
 
 // Acknowledge is a method of Server.
-func (r *Relay) Acknowledge(now int64, a Acknowledgement) error { return r.tally.take(now, a) }
+func (r *Relay) Acknowledge(now int64, a Acknowledgement) error { return r.acks.record(now, a) }
 
 // Summary is what the relay tells the source.
 func (r *Relay) Summary(now int64) Summary {
-	s := r.tally.sum(now, r.name)
+	s := r.acks.summarize(now, r.name)
 	s.Version, s.Age = r.Version(), r.age(now)
 	return s
 }
--- a/internal/distribution/relaychoice.go
+++ b/internal/distribution/relaychoice.go
@@ -25,36 +25,36 @@
 	sorted := slices.SortedFunc(slices.Values(relays), func(a, b RelayAddress) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
 	})
-	var near, far []RelayAddress
+	var sameZone, otherZones []RelayAddress
 	for _, r := range sorted {
 		if r.Zone == zone {
-			near = append(near, r)
+			sameZone = append(sameZone, r)
 		} else {
-			far = append(far, r)
+			otherZones = append(otherZones, r)
 		}
 	}
 	switch {
-	case len(near) == 0 && len(far) == 1:
-		return [2]RelayAddress{far[0], far[0]}, nil
-	case len(near) == 0:
-		return pair(far, position), nil
-	case len(far) == 0 && len(near) == 1:
-		return [2]RelayAddress{near[0], near[0]}, nil
-	case len(far) == 0:
-		return pair(near, position), nil
+	case len(sameZone) == 0 && len(otherZones) == 1:
+		return [2]RelayAddress{otherZones[0], otherZones[0]}, nil
+	case len(sameZone) == 0:
+		return choosePair(otherZones, position), nil
+	case len(otherZones) == 0 && len(sameZone) == 1:
+		return [2]RelayAddress{sameZone[0], sameZone[0]}, nil
+	case len(otherZones) == 0:
+		return choosePair(sameZone, position), nil
 	}
-	first := position % len(near)
-	return [2]RelayAddress{near[first], far[position/len(near)%len(far)]}, nil
+	first := position % len(sameZone)
+	return [2]RelayAddress{sameZone[first], otherZones[position/len(sameZone)%len(otherZones)]}, nil
 }
 
-// pair gives two different ones of at least two.
-func pair(of []RelayAddress, position int) [2]RelayAddress {
-	first := position % len(of)
-	second := position / len(of) % (len(of) - 1)
+// choosePair gives two different ones of at least two.
+func choosePair(relays []RelayAddress, position int) [2]RelayAddress {
+	first := position % len(relays)
+	second := position / len(relays) % (len(relays) - 1)
 	if second >= first {
 		second++
 	}
-	return [2]RelayAddress{of[first], of[second]}
+	return [2]RelayAddress{relays[first], relays[second]}
 }
 
 func checkRelays(relays []RelayAddress) error {
@@ -74,28 +74,28 @@
 	return nil
 }
 
-// ReturnAfter is after how long on its second relay a subscriber tries its first one again.
-const ReturnAfter = 30 * second
+// FirstRelayRetryDelay is after how long on its second relay a subscriber tries its first one again.
+const FirstRelayRetryDelay = 30 * second
 
 // Selector tells which of two relays to ask. The zero value begins with the first.
 type Selector struct {
-	second bool
-	since  int64 // when it went to the second
+	useSecond  bool
+	switchedAt int64 // when it went to the second
 }
 
 // Selected is 0 for the first relay, 1 for the second.
 func (s *Selector) Selected(now int64) int {
-	if s.second && now-s.since >= ReturnAfter {
-		s.second = false
+	if s.useSecond && now-s.switchedAt >= FirstRelayRetryDelay {
+		s.useSecond = false
 	}
-	if s.second {
+	if s.useSecond {
 		return 1
 	}
 	return 0
 }
 
-// Failed notes that the selected relay did not answer with something of use: the other one is next.
-func (s *Selector) Failed(now int64) {
-	s.second = !s.second
-	s.since = now
+// ReportFailure notes that the selected relay did not answer with something of use: the other one is next.
+func (s *Selector) ReportFailure(now int64) {
+	s.useSecond = !s.useSecond
+	s.switchedAt = now
 }
--- a/internal/distribution/resync.go
+++ b/internal/distribution/resync.go
@@ -4,12 +4,12 @@
 // behind the oldest of these versions are then applied over the entries, up to the newest at least. As each change
 // says the whole value of its keys, the outcome is the state at the version reached, which its digest confirms.
 type resync struct {
-	state  *State
-	after  *Key // the last key held, nil before the first piece
-	whole  bool // the last piece is there
-	oldest Version
-	newest Version
-	at     Version // reached by changes, from oldest on
+	state          *State
+	lastKey        *Key // the last key held, nil before the first piece
+	piecesComplete bool // the last piece is there
+	oldest         Version
+	newest         Version
+	reached        Version // reached by changes, from oldest on
 }
 
 func newResync() *resync { return &resync{state: NewState()} }
@@ -17,7 +17,7 @@
 // takePiece adds a piece. After an error the resync is void. Errors: *SkipError, *KeyError, *KindError, *TooLargeError.
 func (r *resync) takePiece(piece *Piece, scope Scope) error {
 	switch {
-	case r.after == nil:
+	case r.lastKey == nil:
 		r.oldest = piece.Version
 		r.newest = piece.Version
 	case piece.Version.Epoch != r.newest.Epoch: // another writer, whose changes may not follow these entries
@@ -37,26 +37,26 @@
 		if !scope.Contains(e.Key) {
 			return &KeyError{Key: e.Key, Why: "is outside the subscriber's scope"}
 		}
-		if r.after != nil && e.compare(*r.after) <= 0 {
+		if r.lastKey != nil && e.compare(*r.lastKey) <= 0 {
 			return &KeyError{Key: e.Key, Why: "stands out of order in a piece of the state"}
 		}
 		key := e.Key
-		r.after = &key
+		r.lastKey = &key
 		r.state.put(e)
 	}
 	if r.state.bytes > MaxStateBytes {
 		return &TooLargeError{What: "the state", Bytes: r.state.bytes, Max: MaxStateBytes}
 	}
-	r.whole = piece.Last
-	r.at = r.oldest
+	r.piecesComplete = piece.Last
+	r.reached = r.oldest
 	return nil
 }
 
 // takeChanges applies changes that were checked, and tells whether the state is complete.
 func (r *resync) takeChanges(delta *Delta) (complete bool, err error) {
 	r.state.apply(delta.Changes)
-	r.at = delta.To
-	if r.at.Less(r.newest) {
+	r.reached = delta.To
+	if r.reached.Less(r.newest) {
 		return false, nil
 	}
 	if got := r.state.Digest(Scope{}).at(delta.To); got != delta.Digest {
--- a/internal/distribution/resync_test.go
+++ b/internal/distribution/resync_test.go
@@ -20,7 +20,7 @@
 		publish := func() {
 			key := Key{KindPlans, "", fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "name"))}
 			m := Mutation{Entry: Entry{Key: key}, Delete: true}
-			if _, held := source.log.State().Value(key); !held || rapid.Bool().Draw(t, "put") {
+			if _, exists := source.log.State().Value(key); !exists || rapid.Bool().Draw(t, "put") {
 				value := rapid.StringMatching("[a-z]{4}").Draw(t, "value") + strings.Repeat("v", 40000)
 				m = Mutation{Entry: Entry{key, value}}
 			}
@@ -36,7 +36,7 @@
 				return
 			}
 			delta, err := server.Changes(1, *request.Changes)
-			if is[*BehindError](err) {
+			if isHintedError[*BehindError](err) {
 				return
 			}
 			require.NoError(t, err)
@@ -51,7 +51,7 @@
 			publish()
 		}
 		follow()
-		f := &inForce{}
+		f := &recordingApplier{}
 		sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: f})
 		for calls := 0; sub.Version() == (Version{}); calls++ {
 			require.Less(t, calls, 60)
@@ -68,62 +68,62 @@
 		for sub.Version() != source.log.Head() {
 			call(sub, source)
 		}
-		require.Equal(t, f.state, entries(source.log.State().values))
+		require.Equal(t, f.state, modelState(source.log.State().values))
 	})
 }
 
-// TestResyncFromBehind: a state that is older than the one in force does not take its place, though that one has
+// TestResyncFromOlderState: a state that is older than the one in force does not take its place, though that one has
 // diverged.
-func TestResyncFromBehind(t *testing.T) {
-	s := opened(t)
+func TestResyncFromOlderState(t *testing.T) {
+	s := newOpenSource(t)
 	r := NewRelay(1, RelayOptions{Name: "r"})
-	ask(t, r.Subscriber, s, 1)
-	ask(t, r.Subscriber, s, 1)
+	poll(t, r.Subscriber, s, 1)
+	poll(t, r.Subscriber, s, 1)
 	require.NotSame(t, r.log.State(), r.State())
 	_, err := s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", "a", "1")})
 	require.NoError(t, err)
-	f := &inForce{}
-	sub := synced(t, s, f)
+	f := &recordingApplier{}
+	sub := newSyncedSubscriber(t, s, f)
 	sub.state.put(Entry{Key{KindPlans, "", "diverged"}, "x"})
 	delta, err := s.Changes(1, *sub.Next(1).Changes)
 	require.NoError(t, err)
-	require.True(t, is[*DigestError](sub.TakeChanges(1, delta)))
-	ask(t, sub, r, 1)
+	require.True(t, isHintedError[*DigestError](sub.TakeChanges(1, delta)))
+	poll(t, sub, r, 1)
 	delta, err = r.Changes(1, *sub.Next(1).Changes)
 	require.NoError(t, err)
 	err = sub.TakeChanges(1, delta)
-	require.True(t, is[*StaleAnswerError](err), "%v", err)
+	require.True(t, isHintedError[*StaleAnswerError](err), "%v", err)
 	require.Equal(t, Version{1, 2}, sub.Version())
 	require.Equal(t, 1, f.applied)
 }
 
-// TestCompacted: a subscriber whose version is no longer in the log reads the whole state.
-func TestCompacted(t *testing.T) {
+// TestResyncAfterCompaction: a subscriber whose version is no longer in the log reads the whole state.
+func TestResyncAfterCompaction(t *testing.T) {
 	s := NewSource(NewLog(Retention{Changes: 1}), Budget{})
 	_, err := s.Open(1, 1)
 	require.NoError(t, err)
-	sub := synced(t, s, &inForce{})
+	sub := newSyncedSubscriber(t, s, &recordingApplier{})
 	for _, value := range []string{"1", "2"} {
 		_, err = s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", "a", value)})
 		require.NoError(t, err)
 	}
 	_, err = s.Changes(1, *sub.Next(1).Changes)
-	require.True(t, is[*CompactedError](err), "%v", err)
+	require.True(t, isHintedError[*CompactedError](err), "%v", err)
 	sub.TakeError(&BehindError{})
 	require.Nil(t, sub.Next(1).Piece)
 	sub.TakeError(fmt.Errorf("over a wire: %w", err))
 	require.NotNil(t, sub.Next(1).Piece)
 	require.Equal(t, Syncing, sub.Status(1).Condition)
-	ask(t, sub, s, 1)
-	ask(t, sub, s, 1)
+	poll(t, sub, s, 1)
+	poll(t, sub, s, 1)
 	require.Equal(t, s.log.Head(), sub.Version())
 }
 
-// TestKeysInOrder: pieces follow the order of keys while entries come and go.
-func TestKeysInOrder(t *testing.T) {
-	s := whole(t, put(KindPlans, "", "a", "1"), put(KindPlans, "", "c", "3"))
+// TestPieceKeyOrder: pieces follow the order of keys while entries come and go.
+func TestPieceKeyOrder(t *testing.T) {
+	s := stateOf(t, put(KindPlans, "", "a", "1"), put(KindPlans, "", "c", "3"))
 	names := func(after *Key, maxBytes int) (all string) {
-		found, _ := s.after(after, Scope{}, maxBytes)
+		found, _ := s.entriesAfter(after, Scope{}, maxBytes)
 		for _, e := range found {
 			all += e.Name + e.Value
 		}
@@ -144,7 +144,7 @@
 // TestBudgetRefill: however often it is asked, what is given keeps to the rate, and reaches it.
 func TestBudgetRefill(t *testing.T) {
 	for _, step := range []int64{1, 7, 999, second / 3, second} {
-		s := spending{Budget: Budget{Rate: 3 << 20, Burst: MaxPieceBytes}}
+		s := byteBudget{Budget: Budget{Rate: 3 << 20, Burst: MaxPieceBytes}}
 		given, now := int64(0), int64(0)
 		for range 100000 {
 			now += step
@@ -153,28 +153,28 @@
 				given += 1000
 			}
 		}
-		most := s.Burst + int64(float64(s.Rate)*float64(now)/float64(second))
-		require.LessOrEqual(t, given, most, "every %d ns", step)
-		require.GreaterOrEqual(t, given, min(most-3000, 100000*1000), "every %d ns", step)
+		maxBytes := s.Burst + int64(float64(s.Rate)*float64(now)/float64(second))
+		require.LessOrEqual(t, given, maxBytes, "every %d ns", step)
+		require.GreaterOrEqual(t, given, min(maxBytes-3000, 100000*1000), "every %d ns", step)
 	}
 }
 
-// TestShorten: a text is cut between characters.
-func TestShorten(t *testing.T) {
-	require.Equal(t, "aé", shorten("aéé", 4))
-	require.Equal(t, "aéé", shorten("aéé", 5))
-	require.Equal(t, "", shorten("é", 1))
+// TestTruncate: a text is cut between characters.
+func TestTruncate(t *testing.T) {
+	require.Equal(t, "aé", truncate("aéé", 4))
+	require.Equal(t, "aéé", truncate("aéé", 5))
+	require.Equal(t, "", truncate("é", 1))
 }
 
-// TestOpenTwice: a log opens no epoch that it has had.
-func TestOpenTwice(t *testing.T) {
+// TestLogOpenRejectsEpoch: a log opens no epoch that it has had.
+func TestLogOpenRejectsEpoch(t *testing.T) {
 	l := NewLogAt(Retention{}, Version{3, 7}, NewState())
 	for _, epoch := range []uint64{0, 2, 3} {
 		_, err := l.Open(1, epoch)
-		require.True(t, is[*FencedError](err), "%v", err)
+		require.True(t, isHintedError[*FencedError](err), "%v", err)
 	}
 	_, err := l.Open(1, 3+MaxEpochStep+1)
-	require.True(t, is[*EpochStepError](err), "%v", err)
+	require.True(t, isHintedError[*EpochStepError](err), "%v", err)
 	change, err := l.Open(1, 9)
 	require.NoError(t, err)
 	require.Equal(t, Version{9, 8}, change.Version)
--- a/internal/distribution/state.go
+++ b/internal/distribution/state.go
@@ -31,7 +31,7 @@
 		if err := e.check(); err != nil {
 			return nil, err
 		}
-		if _, held := s.values[e.Key]; held {
+		if _, exists := s.values[e.Key]; exists {
 			return nil, &KeyError{Key: e.Key, Why: "stands twice in a state"}
 		}
 		s.put(e)
@@ -46,9 +46,9 @@
 func (s *State) Len() int { return len(s.values) }
 
 // Value is the value of a key.
-func (s *State) Value(key Key) (value string, held bool) {
-	value, held = s.values[key]
-	return value, held
+func (s *State) Value(key Key) (value string, found bool) {
+	value, found = s.values[key]
+	return value, found
 }
 
 // Entries are all entries in the order of their keys.
@@ -84,32 +84,32 @@
 
 // put puts an entry.
 func (s *State) put(e Entry) {
-	old, held := s.values[e.Key]
-	if held {
-		s.add(bucketOf(e.Key), Digest{}.minus(digestOf(e.Key, old)))
+	old, exists := s.values[e.Key]
+	if exists {
+		s.addDigest(bucketOf(e.Key), Digest{}.minus(digestOf(e.Key, old)))
 		s.bytes -= Entry{Key: e.Key, Value: old}.size()
 	} else {
 		s.sorted = nil
 	}
 	s.values[e.Key] = e.Value
 	s.bytes += e.size()
-	s.add(bucketOf(e.Key), digestOf(e.Key, e.Value))
+	s.addDigest(bucketOf(e.Key), digestOf(e.Key, e.Value))
 }
 
 // remove takes an entry out; it does nothing where there is none.
 func (s *State) remove(key Key) {
-	old, held := s.values[key]
-	if !held {
+	old, exists := s.values[key]
+	if !exists {
 		return
 	}
 	delete(s.values, key)
 	s.sorted = nil
 	s.bytes -= Entry{Key: key, Value: old}.size()
-	s.add(bucketOf(key), Digest{}.minus(digestOf(key, old)))
+	s.addDigest(bucketOf(key), Digest{}.minus(digestOf(key, old)))
 }
 
-// add adds to the digest of a bucket.
-func (s *State) add(b bucket, change Digest) {
+// addDigest adds to the digest of a bucket.
+func (s *State) addDigest(b bucket, change Digest) {
 	sum := s.digests[b].plus(change)
 	if sum == (Digest{}) {
 		delete(s.digests, b)
@@ -133,15 +133,15 @@
 
 // preview is what changes would make of the whole state, without changing it.
 func (s *State) preview(changes []Change) (digest Digest, bytes int) {
-	last := map[Key]Mutation{}
+	lastByKey := map[Key]Mutation{}
 	for _, change := range changes {
 		for _, m := range change.Mutations {
-			last[m.Key] = m
+			lastByKey[m.Key] = m
 		}
 	}
 	digest, bytes = s.Digest(Scope{}), s.bytes
-	for key, m := range last { // sums do not depend on the order
-		if old, held := s.values[key]; held {
+	for key, m := range lastByKey { // sums do not depend on the order
+		if old, exists := s.values[key]; exists {
 			digest = digest.minus(digestOf(key, old))
 			bytes -= Entry{Key: key, Value: old}.size()
 		}
@@ -153,8 +153,8 @@
 	return digest, bytes
 }
 
-// after are entries in a scope behind a key, of at most so many bytes, and whether they are the last.
-func (s *State) after(key *Key, scope Scope, maxBytes int) (entries []Entry, last bool) {
+// entriesAfter are entries in a scope behind a key, of at most so many bytes, and whether they are the last.
+func (s *State) entriesAfter(key *Key, scope Scope, maxBytes int) (entries []Entry, last bool) {
 	keys := s.keys()
 	from := 0
 	if key != nil {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -44,16 +44,16 @@
 // Subscriber is the state of one limiter or relay, and decides what it asks for next. It is not safe for concurrent
 // use.
 type Subscriber struct {
-	options   SubscriberOptions
-	version   Version
-	state     *State
-	resync    *resync // nil where none is under way
-	heard     bool    // the source was heard in this life,
-	confirmed int64   // and no longer ago than then
-	started   int64   // when this life began,
-	carried   int64   // with a state of that age, in nanoseconds
-	refused   *RefusedError
-	refusedAt int64
+	options         SubscriberOptions
+	version         Version
+	state           *State
+	resync          *resync // nil where none is under way
+	hasConfirmation bool    // the source was heard in this life,
+	confirmedAt     int64   // and no longer ago than then
+	startedAt       int64   // when this life began,
+	restoredAge     int64   // with a state of that age, in nanoseconds
+	refused         *RefusedError
+	refusedAt       int64
 }
 
 // NewSubscriber makes a subscriber that has no version.
@@ -67,7 +67,7 @@
 	if options.RefusedRetry == 0 {
 		options.RefusedRetry = DefaultRefusedRetry
 	}
-	return &Subscriber{options: options, state: NewState(), started: now}
+	return &Subscriber{options: options, state: NewState(), startedAt: now}
 }
 
 // Restore begins with a state that an earlier life left, of an age in nanoseconds. It is put in force unconfirmed.
@@ -82,7 +82,7 @@
 	if err := s.options.Applier.Apply(update); err != nil {
 		return &RefusedError{Version: version, Cause: err}
 	}
-	s.version, s.state, s.carried = version, state, age
+	s.version, s.state, s.restoredAge = version, state, age
 	return nil
 }
 
@@ -116,10 +116,10 @@
 }
 
 func (s *Subscriber) age(now int64) int64 {
-	if !s.heard {
-		return now - s.started + s.carried
+	if !s.hasConfirmation {
+		return now - s.startedAt + s.restoredAge
 	}
-	return max(now-s.confirmed, 0)
+	return max(now-s.confirmedAt, 0)
 }
 
 // Request is what a subscriber asks for next: one of the two.
@@ -133,27 +133,27 @@
 // Next tells what to ask for.
 func (s *Subscriber) Next(now int64) Request {
 	switch {
-	case s.resync != nil && s.resync.whole:
+	case s.resync != nil && s.resync.piecesComplete:
 		return Request{
-			Changes: &ChangesRequest{From: s.resync.at, Scope: s.options.Scope},
-			Hold:    s.waitsAt(now, s.resync.at),
+			Changes: &ChangesRequest{From: s.resync.reached, Scope: s.options.Scope},
+			Hold:    s.refusedRecently(now, s.resync.reached),
 		}
 	case s.resync != nil:
 		return Request{
-			Piece: &PieceRequest{After: s.resync.after, Scope: s.options.Scope, MaxBytes: s.options.PieceBytes},
+			Piece: &PieceRequest{After: s.resync.lastKey, Scope: s.options.Scope, MaxBytes: s.options.PieceBytes},
 		}
 	case s.version == Version{}:
 		return Request{Piece: &PieceRequest{Scope: s.options.Scope, MaxBytes: s.options.PieceBytes}}
 	}
 	request := &ChangesRequest{From: s.version, Scope: s.options.Scope}
-	if s.refused != nil && s.waitsAt(now, s.refused.Version) {
+	if s.refused != nil && s.refusedRecently(now, s.refused.Version) {
 		request.Seen = s.refused.Version
 	}
 	return Request{Changes: request, Hold: true}
 }
 
-// waitsAt tells whether a version was refused and is not to be tried again yet.
-func (s *Subscriber) waitsAt(now int64, version Version) bool {
+// refusedRecently tells whether a version was refused and is not to be tried again yet.
+func (s *Subscriber) refusedRecently(now int64, version Version) bool {
 	return s.refused != nil && s.refused.Version == version && now-s.refusedAt < s.options.RefusedRetry
 }
 
@@ -179,7 +179,7 @@
 func (s *Subscriber) TakeChanges(now int64, delta *Delta) error {
 	from := s.version
 	if s.resync != nil {
-		from = s.resync.at
+		from = s.resync.reached
 	}
 	if err := s.checkDelta(from, delta); err != nil {
 		return err
@@ -200,7 +200,7 @@
 	if len(delta.Changes) > 0 {
 		update := &Update{From: s.version, To: delta.To, Changes: delta.Changes}
 		if err := s.options.Applier.Apply(update); err != nil {
-			return s.refuse(now, delta.To, err)
+			return s.recordRefusal(now, delta.To, err)
 		}
 		s.state.apply(delta.Changes)
 		s.version = delta.To
@@ -217,12 +217,12 @@
 		}
 		return &SkipError{Held: from, Given: delta.From}
 	}
-	at := from
+	reached := from
 	for _, change := range delta.Changes {
-		if !change.Version.follows(at) {
-			return &SkipError{Held: at, Given: change.Version}
+		if !change.Version.follows(reached) {
+			return &SkipError{Held: reached, Given: change.Version}
 		}
-		at = change.Version
+		reached = change.Version
 		if err := checkMutations(change.Mutations); err != nil {
 			return err
 		}
@@ -232,8 +232,8 @@
 			}
 		}
 	}
-	if at != delta.To {
-		return &SkipError{Held: at, Given: delta.To}
+	if reached != delta.To {
+		return &SkipError{Held: reached, Given: delta.To}
 	}
 	return nil
 }
@@ -253,20 +253,20 @@
 		return &StaleAnswerError{Held: s.version, Given: delta.To}
 	}
 	s.confirm(now, delta.Age)
-	if s.waitsAt(now, delta.To) {
+	if s.refusedRecently(now, delta.To) {
 		return nil
 	}
 	// A state that is refused is kept: the changes behind it may mend it.
 	state := s.resync.state
 	if err := s.options.Applier.Apply(&Update{From: s.version, To: delta.To, Whole: state}); err != nil {
-		return s.refuse(now, delta.To, err)
+		return s.recordRefusal(now, delta.To, err)
 	}
 	s.version, s.state, s.refused, s.resync = delta.To, state, nil, nil
 	return nil
 }
 
-// refuse notes that the applier did not put a version in force.
-func (s *Subscriber) refuse(now int64, version Version, cause error) error {
+// recordRefusal notes that the applier did not put a version in force.
+func (s *Subscriber) recordRefusal(now int64, version Version, cause error) error {
 	s.refused = &RefusedError{Version: version, Cause: cause}
 	s.refusedAt = now
 	return s.refused
@@ -275,8 +275,8 @@
 // confirm notes that the source was heard an age ago.
 func (s *Subscriber) confirm(now, age int64) {
 	confirmed := now - max(age, 0)
-	if !s.heard || confirmed > s.confirmed {
-		s.heard, s.confirmed = true, confirmed
+	if !s.hasConfirmation || confirmed > s.confirmedAt {
+		s.hasConfirmation, s.confirmedAt = true, confirmed
 	}
 }
 
@@ -294,7 +294,7 @@
 	status := s.Status(now)
 	a := Acknowledgement{Limiter: s.options.Name, Version: status.Version, Condition: status.Condition, Age: status.Age}
 	if status.Refused != nil {
-		a.Refused, a.Reason = &status.Refused.Version, shorten(status.Refused.Cause.Error(), MaxReasonBytes)
+		a.Refused, a.Reason = &status.Refused.Version, truncate(status.Refused.Cause.Error(), MaxReasonBytes)
 	}
 	return a
 }
