--- a/internal/distribution/acknowledgement.go
+++ b/internal/distribution/acknowledgement.go
@@ -6,29 +6,30 @@
 	"slices"
 )
 
-// Bounds of acknowledgements and their sums.
+// Limits and intervals of acknowledgements and summaries. Times are in nanoseconds.
 const (
 	MaxReasonBytes       = 200
 	MaxRelayLimiters     = 4096
 	MaxSummaryVersions   = 8
 	MaxSummaryRefusals   = 4
-	AcknowledgementTTL   = 15 * second // after which a limiter that says nothing is counted no more
-	AcknowledgementEvery = 5 * second  // after which a limiter says it again
-	SummaryEvery         = second      // a relay sums up no more often
+	AcknowledgementTTL   = 15 * second // how long an acknowledgement or a summary counts
+	AcknowledgementEvery = 5 * second  // interval at which a limiter repeats its acknowledgement
+	SummaryEvery         = second      // minimum interval between the summaries of a relay
 )
 
-// Acknowledgement is which version a limiter has in force, and which one it refused.
+// Acknowledgement tells which version a limiter has applied, and which one it refused.
 type Acknowledgement struct {
 	Limiter   string    `json:"limiter"`
 	Version   Version   `json:"version"`
 	Condition Condition `json:"condition"`
-	Age       int64     `json:"age_ns"` // as in Status
-	// Refused is the newest version that the limiter did not put in force, and Reason why, of MaxReasonBytes at most.
+	Age       int64     `json:"age_ns"` // as Status.Age
+	// Refused is the newest version that the limiter refused to apply. It is nil if none was refused, or if a version was
+	// applied since. Reason is the cause, truncated to MaxReasonBytes.
 	Refused *Version `json:"refused,omitempty"`
 	Reason  string   `json:"reason,omitempty"`
 }
 
-// check refuses an acknowledgement that cannot be. Errors: *KeyError, *TooLargeError.
+// check validates the acknowledgement. Errors: *KeyError, *TooLargeError.
 func (a Acknowledgement) check() error {
 	switch {
 	case a.Limiter == "":
@@ -43,36 +44,37 @@
 	return nil
 }
 
-// VersionCount is how many limiters have a version in force.
+// VersionCount is the number of limiters that have applied a version, or for a Refusal have refused it.
 type VersionCount struct {
 	Version  Version `json:"version"`
 	Limiters int     `json:"limiters"`
 }
 
-// Refusal is how many limiters refused a version, and the reason of the first of them by name.
+// Refusal is the number of limiters that refused a version, and the reason of the one whose name sorts first.
 type Refusal struct {
 	VersionCount
 	Reason string `json:"reason"`
 }
 
-// Summary sums up the acknowledgements of one relay's limiters.
+// Summary aggregates the acknowledgements of the limiters of one relay.
 type Summary struct {
 	Relay string `json:"relay"`
-	// Version is the relay's own, and Age how long ago it heard the source, in nanoseconds.
+	// Version is the version of the relay itself. Age is the time since the relay last heard from the source, in
+	// nanoseconds.
 	Version Version `json:"version"`
 	Age     int64   `json:"age_ns"`
-	// Versions are the newest MaxSummaryVersions versions in force, the newest first.
+	// Versions are the newest versions that limiters have applied, at most MaxSummaryVersions, newest first.
 	Versions []VersionCount `json:"versions,omitempty"`
-	// Older is how many limiters have one older than these in force.
+	// Older is the number of limiters whose version is older than those in Versions.
 	Older int `json:"older,omitempty"`
-	// Syncing and Unconfirmed are how many of all these limiters are in that condition.
+	// Syncing and Unconfirmed are the numbers of limiters in these conditions.
 	Syncing     int `json:"syncing,omitempty"`
 	Unconfirmed int `json:"unconfirmed,omitempty"`
-	// Refusals are those of the newest MaxSummaryRefusals versions that were refused, the newest first.
+	// Refusals are the refusals of the newest refused versions, at most MaxSummaryRefusals, newest first.
 	Refusals []Refusal `json:"refusals,omitempty"`
 }
 
-// Limiters is how many limiters a summary counts.
+// Limiters returns the number of limiters that the summary counts.
 func (s Summary) Limiters() int {
 	n := s.Older
 	for _, v := range s.Versions {
@@ -81,7 +83,7 @@
 	return n
 }
 
-// check refuses a summary that cannot be. Errors: *KeyError, *TooLargeError.
+// check validates the summary. Errors: *KeyError, *TooLargeError.
 func (s Summary) check() error {
 	switch {
 	case s.Relay == "" || len(s.Relay) > MaxNameBytes:
@@ -109,20 +111,20 @@
 	return nil
 }
 
-// received is something that was said at a time.
+// received is a message with the time of its receipt.
 type received[T any] struct {
 	value T
-	at    int64
+	at    int64 // nanoseconds
 }
 
-// ackTable holds the newest acknowledgement of each limiter of a relay.
+// ackTable holds the newest acknowledgement of each limiter of a relay, by the limiter's name.
 type ackTable struct {
 	limiters map[string]received[Acknowledgement]
 }
 
 func newAckTable() ackTable { return ackTable{map[string]received[Acknowledgement]{}} }
 
-// record notes an acknowledgement. Errors: *KeyError, *TooLargeError.
+// record stores an acknowledgement. Errors: *KeyError, *TooLargeError.
 func (acks *ackTable) record(now int64, a Acknowledgement) error {
 	if err := a.check(); err != nil {
 		return err
@@ -142,12 +144,13 @@
 	return nil
 }
 
-// removeExpired drops the limiters that have said nothing for long.
+// removeExpired removes acknowledgements older than AcknowledgementTTL.
 func (acks *ackTable) removeExpired(now int64) {
-	maps.DeleteFunc(acks.limiters, func(_ string, n received[Acknowledgement]) bool { return now-n.at > AcknowledgementTTL })
+	maps.DeleteFunc(acks.limiters,
+		func(_ string, n received[Acknowledgement]) bool { return now-n.at > AcknowledgementTTL })
 }
 
-// summarize sums up what the limiters said lately.
+// summarize returns the summary of the acknowledgements that have not expired.
 func (acks *ackTable) summarize(now int64, relay string) Summary {
 	acks.removeExpired(now)
 	s := Summary{Relay: relay}
@@ -192,16 +195,17 @@
 	})
 }
 
-// Overview is what the source knows of all relays' limiters.
+// Overview is what the source knows about the limiters of all relays.
 type Overview struct {
-	// Relays are the newest summaries, in the order of the relays' names.
+	// Relays are the newest summaries, sorted by the name of the relay.
 	Relays []Summary `json:"relays,omitempty"`
-	// Silent are the relays that have sent none for AcknowledgementLife, by name.
+	// Silent are the names of the relays that have sent no summary for AcknowledgementTTL, sorted.
 	Silent []string `json:"silent,omitempty"`
 }
 
-// InForce is how many limiters have a version or a newer one in force, and how many there are in all. A limiter that
-// has just changed its relay may be counted at both for AcknowledgementLife. Those of silent relays are not counted.
+// InForce returns the number of limiters that have applied version or a newer one, and the total number of limiters. A
+// limiter that has just switched to another relay may be counted at both for AcknowledgementTTL. Limiters of silent
+// relays are not counted.
 func (o Overview) InForce(version Version) (inForce, limiters int) {
 	for _, s := range o.Relays {
 		limiters += s.Limiters()
@@ -214,12 +218,12 @@
 	return inForce, limiters
 }
 
-// summaries holds the newest summary of each relay.
+// summaries holds the newest summary of each relay, by the relay's name.
 type summaries map[string]received[Summary]
 
 const maxRelays = 256
 
-// record notes a summary. Errors: *KeyError, *TooLargeError.
+// record stores a summary. Errors: *KeyError, *TooLargeError.
 func (all summaries) record(now int64, s Summary) error {
 	if err := s.check(); err != nil {
 		return err
@@ -242,12 +246,12 @@
 	return o
 }
 
-// truncate cuts a text to at most so many bytes.
+// truncate cuts a text to at most maxBytes, without splitting a UTF-8 character.
 func truncate(text string, maxBytes int) string {
 	if len(text) <= maxBytes {
 		return text
 	}
-	for maxBytes > 0 && text[maxBytes]&0xC0 == 0x80 { // not within a character
+	for maxBytes > 0 && text[maxBytes]&0xC0 == 0x80 { // continuation byte of a UTF-8 character
 		maxBytes--
 	}
 	return text[:maxBytes]
--- a/internal/distribution/budget.go
+++ b/internal/distribution/budget.go
@@ -1,15 +1,15 @@
 package distribution
 
-// Budget bounds the bytes of pieces that a server gives: a token bucket. Zero fields take the defaults.
+// Budget is the rate limit of the pieces that a server sends: a token bucket of bytes. Zero fields mean the defaults.
 type Budget struct {
-	Rate  int64 // bytes a second
-	Burst int64 // bytes at once, at least MaxPieceBytes
+	Rate  int64 // bytes per second, 0 for 4 MiB
+	Burst int64 // bytes that may be sent at once, 0 for 1 MiB; raised to MaxPieceBytes if lower
 }
 
 const (
 	defaultPieceRate  = 4 << 20
 	defaultPieceBurst = 1 << 20
-	maxBudgetBytes    = 1 << 32 // so that no product with a second passes an int64
+	maxBudgetBytes    = 1 << 32 // so that its product with second does not overflow an int64
 	second            = int64(1e9)
 )
 
@@ -25,20 +25,21 @@
 	return b
 }
 
-// byteBudget is a budget in use.
+// byteBudget is the state of a Budget's token bucket.
 type byteBudget struct {
 	Budget
-	spent     int64 // bytes that are not yet refilled
-	updatedAt int64 // when spent was true
+	spent     int64 // bytes sent that the rate has not yet refilled
+	updatedAt int64 // the time to which spent applies, in nanoseconds
 }
 
-// wait is how long until so many bytes, at most the burst, may be spent; 0 where they may be now.
+// wait returns the time in nanoseconds until bytes may be spent, 0 if they may be spent now. bytes must not exceed the
+// burst.
 func (s *byteBudget) wait(now, bytes int64) int64 {
 	if now > s.updatedAt {
 		refill := s.spent
 		if elapsed := now - s.updatedAt; elapsed < (s.spent*second)/s.Rate+1 {
 			refill = elapsed * s.Rate / second
-			s.updatedAt += refill * second / s.Rate // what is less than a byte is kept for the next time
+			s.updatedAt += refill * second / s.Rate // a fraction of a byte carries over to the next call
 		} else {
 			s.updatedAt = now
 		}
@@ -51,5 +52,5 @@
 	return (excess*second + s.Rate - 1) / s.Rate
 }
 
-// spend notes bytes that were given.
+// spend takes bytes from the budget.
 func (s *byteBudget) spend(bytes int64) { s.spent += bytes }
--- a/internal/distribution/digest.go
+++ b/internal/distribution/digest.go
@@ -7,13 +7,12 @@
 	"fmt"
 )
 
-// Digest stands for a set of entries, whatever their order: the sum of the SHA-256 hashes of its entries, word by
-// word, modulo 2^64. So it is kept up to date by one addition or subtraction an entry. It finds states that have
-// diverged; it is no signature, and proves nothing against a server that means harm. The zero value is that of no
-// entries.
+// Digest is an order-independent hash of a set of entries: the sum of the entries' SHA-256 hashes, word by word, modulo
+// 2^64. One addition or subtraction per changed entry keeps it up to date. It detects states that have diverged by
+// accident; it does not protect against a malicious server. The zero value is the digest of the empty set.
 type Digest [sha256.Size / 8]uint64
 
-// digestOf is the digest of one entry.
+// digestOf returns the digest of one entry.
 func digestOf(key Key, value string) (d Digest) {
 	hash := sha256.New()
 	var length [8]byte
@@ -43,8 +42,8 @@
 	return d
 }
 
-// at is the digest of a state at a version: it tells the same state at two versions apart, so that a version that was
-// changed on its way is found as well.
+// at combines the digest of a state with its version. Equal states at different versions then have different digests,
+// so a version that was corrupted in transit is detected too.
 func (d Digest) at(v Version) Digest {
 	return d.plus(digestOf(Key{Kind: "version", Name: v.String()}, ""))
 }
@@ -57,13 +56,13 @@
 	return b
 }
 
-// String gives the word for log lines.
+// String returns 64 hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d.bytes()) }
 
-// MarshalText writes 64 hexadecimal digits.
+// MarshalText implements encoding.TextMarshaler. It writes 64 hexadecimal digits.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads 64 hexadecimal digits.
+// UnmarshalText implements encoding.TextUnmarshaler. It reads 64 hexadecimal digits.
 func (d *Digest) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil {
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -21,7 +21,7 @@
 	return Mutation{Entry: Entry{Key: Key{kind, scope, name}}, Delete: true}
 }
 
-// newOpenSource is a source whose first epoch is open, with some entries.
+// newOpenSource returns a source whose first epoch is open. It publishes each mutation as a change of its own.
 func newOpenSource(t *testing.T, mutations ...Mutation) *Source {
 	t.Helper()
 	s := NewSource(NewLog(Retention{}), Budget{})
@@ -34,7 +34,7 @@
 	return s
 }
 
-// newSyncedSubscriber is a subscriber that has a source's state.
+// newSyncedSubscriber returns a subscriber that has read the state of a source.
 func newSyncedSubscriber(t *testing.T, s *Source, applier Applier) *Subscriber {
 	t.Helper()
 	sub := NewSubscriber(1, SubscriberOptions{Name: "limiter", Applier: applier})
@@ -44,7 +44,7 @@
 	return sub
 }
 
-// poll makes one call.
+// poll makes the subscriber's next call to a server and passes the answer back.
 func poll(t *testing.T, sub *Subscriber, s Server, now int64) {
 	t.Helper()
 	request := sub.Next(now)
@@ -59,12 +59,14 @@
 	require.NoError(t, sub.TakeChanges(now, delta))
 }
 
+// isHintedError reports whether err wraps an E with an error text and a hint.
 func isHintedError[E hint.Error](err error) bool {
 	var e E
 	return errors.As(fmt.Errorf("above: %w", err), &e) && e.Hint() != "" && e.Error() != ""
 }
 
-// TestInvalidPublishRejected: each change that cannot be is refused by its type, and the log stays as it was.
+// TestInvalidPublishRejected checks that each kind of invalid change is rejected with its error type and leaves the log
+// unchanged.
 func TestInvalidPublishRejected(t *testing.T) {
 	fill := func(n int, value string) (all []Mutation) {
 		for i := range n {
@@ -86,17 +88,22 @@
 		{"a name that is not UTF-8", 1, nil, []Mutation{put(KindPlans, "", "\xff", "")}, isHintedError[*KeyError], "UTF-8"},
 		{"a value that is not UTF-8", 1, nil, []Mutation{put(KindPlans, "", "a", "\xff")}, isHintedError[*KeyError], "UTF-8"},
 		{"a scope with a comma", 1, nil, []Mutation{put(KindPlans, "a,b", "a", "")}, isHintedError[*KeyError], "scope"},
-		{"a scope with a comma within", 1, nil, []Mutation{put(KindPlans, "a@b", "a", "")}, isHintedError[*KeyError], "scope"},
-		{"a long name", 1, nil, []Mutation{put(KindPlans, "", strings.Repeat("n", 257), "")}, isHintedError[*TooLargeError], "257"},
-		{"a long scope", 1, nil, []Mutation{put(KindPlans, strings.Repeat("n", 65), "a", "")}, isHintedError[*TooLargeError], "65"},
-		{"an entry too large", 1, nil, []Mutation{put(KindPlans, "", "a", strings.Repeat("v", 65537))}, isHintedError[*TooLargeError], "65537"},
+		{"a scope with an at sign", 1, nil, []Mutation{put(KindPlans, "a@b", "a", "")}, isHintedError[*KeyError], "scope"},
+		{"a long name", 1, nil, []Mutation{put(KindPlans, "", strings.Repeat("n", 257), "")},
+			isHintedError[*TooLargeError], "257"},
+		{"a long scope", 1, nil, []Mutation{put(KindPlans, strings.Repeat("n", 65), "a", "")},
+			isHintedError[*TooLargeError], "65"},
+		{"an entry too large", 1, nil, []Mutation{put(KindPlans, "", "a", strings.Repeat("v", 65537))},
+			isHintedError[*TooLargeError], "65537"},
 		{"an unknown key deleted", 1, nil, []Mutation{deletion(KindPlans, "", "none")}, isHintedError[*KeyError], "not held"},
-		{"a deletion with a value", 1, nil, []Mutation{{Entry: Entry{Key{KindPlans, "", "a"}, "x"}, Delete: true}}, isHintedError[*KeyError], "value"},
-		{"a key twice", 1, nil, []Mutation{put(KindPlans, "", "a", "1"), put(KindPlans, "", "a", "2")}, isHintedError[*KeyError], "twice"},
-		{"nothing", 1, nil, nil, isHintedError[*EmptyChangeError], "no mutations"},
-		{"too many", 1, nil, fill(257, ""), isHintedError[*TooLargeError], "257"},
-		{"too much", 1, nil, fill(5, strings.Repeat("v", 60000)), isHintedError[*TooLargeError], "a change"},
-		{"an epoch that went back", 0, nil, fill(1, ""), isHintedError[*FencedError], "0"},
+		{"a deletion with a value", 1, nil, []Mutation{{Entry: Entry{Key{KindPlans, "", "a"}, "x"}, Delete: true}},
+			isHintedError[*KeyError], "value"},
+		{"a key twice", 1, nil, []Mutation{put(KindPlans, "", "a", "1"), put(KindPlans, "", "a", "2")},
+			isHintedError[*KeyError], "twice"},
+		{"no mutations", 1, nil, nil, isHintedError[*EmptyChangeError], "no mutations"},
+		{"too many mutations", 1, nil, fill(257, ""), isHintedError[*TooLargeError], "257"},
+		{"a change too large", 1, nil, fill(5, strings.Repeat("v", 60000)), isHintedError[*TooLargeError], "a change"},
+		{"an epoch below the open one", 0, nil, fill(1, ""), isHintedError[*FencedError], "0"},
 		{"an epoch that is not open", 2, nil, fill(1, ""), isHintedError[*FencedError], "2"},
 		{"another head expected", 1, &old, fill(1, ""), isHintedError[*ConflictError], "1.1"},
 	} {
@@ -119,7 +126,7 @@
 	require.True(t, isHintedError[*ConflictError](err), "published again after a lost answer: %v", err)
 }
 
-// TestMaxStateBytes: the whole state is bounded, at the writer and at a subscriber that reads it in pieces.
+// TestMaxStateBytes checks that both the writer and a subscriber that reads the state in pieces enforce MaxStateBytes.
 func TestMaxStateBytes(t *testing.T) {
 	s := newOpenSource(t)
 	value := strings.Repeat("v", MaxValueBytes)
@@ -148,7 +155,8 @@
 	require.True(t, isHintedError[*TooLargeError](err), "%v", err)
 }
 
-// TestInvalidDeltaRejected: each answer that cannot be leaves what is in force as it was, and says by its type what is wrong.
+// TestInvalidDeltaRejected checks that each kind of invalid answer leaves the applied state unchanged and returns the
+// matching error type. The valid answers that follow must bring the subscriber up to date.
 func TestInvalidDeltaRejected(t *testing.T) {
 	good := func(d *Delta) *Delta { return d }
 	for _, c := range []struct {
@@ -157,35 +165,35 @@
 		matches func(error) bool
 		after   Condition
 	}{
-		{"good", good, func(err error) bool { return err == nil }, Current},
-		{"a version that skips", func(d *Delta) *Delta {
+		{"valid", good, func(err error) bool { return err == nil }, Current},
+		{"the first change is missing", func(d *Delta) *Delta {
 			d.Changes = d.Changes[1:]
 			return d
 		}, isHintedError[*SkipError], Current},
-		{"changes end too early", func(d *Delta) *Delta {
+		{"the last change is missing", func(d *Delta) *Delta {
 			d.Changes = d.Changes[:1]
 			return d
 		}, isHintedError[*SkipError], Current},
-		{"from elsewhere", func(d *Delta) *Delta {
+		{"from another version than requested", func(d *Delta) *Delta {
 			d.From.Number--
 			return d
 		}, isHintedError[*SkipError], Current},
-		{"an epoch that goes back", func(d *Delta) *Delta {
+		{"to an older epoch", func(d *Delta) *Delta {
 			d.To.Epoch--
 			return d
 		}, isHintedError[*StaleAnswerError], Current},
-		{"an epoch that goes back on the way", func(d *Delta) *Delta {
+		{"a change of an older epoch", func(d *Delta) *Delta {
 			d.Changes[0].Version.Epoch--
 			return d
 		}, isHintedError[*SkipError], Current},
-		{"an hour old", func(d *Delta) *Delta {
+		{"an answer of an earlier request", func(d *Delta) *Delta {
 			return &Delta{From: Version{1, 1}, To: Version{1, 2}, Changes: []Change{{Version: Version{1, 2}}}}
 		}, isHintedError[*StaleAnswerError], Current},
 		{"a digest that does not match", func(d *Delta) *Delta {
 			d.Digest[0]++
 			return d
 		}, isHintedError[*DigestError], Syncing},
-		{"an epoch that was changed on the way", func(d *Delta) *Delta {
+		{"an epoch corrupted in transit", func(d *Delta) *Delta {
 			d.To.Epoch++
 			d.Changes[len(d.Changes)-1].Version.Epoch++
 			return d
@@ -223,7 +231,7 @@
 			}
 			delta, err := s.Changes(2, *sub.Next(2).Changes)
 			require.NoError(t, err)
-			text, err := json.Marshal(delta) // as it comes over a wire, and apart from the log's own slices
+			text, err := json.Marshal(delta) // encoded as on the wire, so that the copy shares no slices with the log
 			require.NoError(t, err)
 			copied := &Delta{}
 			require.NoError(t, json.Unmarshal(text, copied))
@@ -235,7 +243,7 @@
 				require.Equal(t, modelState{{KindPlans, "", "a"}: "0"}, f.state)
 				require.Equal(t, f.state, modelState(sub.State().values))
 			}
-			for range 3 { // and the next honest answers bring it up to date
+			for range 3 { // valid answers
 				poll(t, sub, s, 3)
 			}
 			require.Equal(t, s.log.Head(), sub.Version())
@@ -244,7 +252,8 @@
 	}
 }
 
-// TestInvalidPieceRejected: the same for pieces.
+// TestInvalidPieceRejected checks that each kind of invalid piece returns the matching error type, leaves the applied
+// version unchanged and makes the resync start over.
 func TestInvalidPieceRejected(t *testing.T) {
 	at := Version{3, 9}
 	first := func() *Piece {
@@ -255,12 +264,13 @@
 		alter   func(*Piece)
 		matches func(error) bool
 	}{
-		{"an epoch that goes back", func(p *Piece) { p.Version.Epoch = 1 }, isHintedError[*StaleAnswerError]},
-		{"another epoch on the way", func(p *Piece) { p.Version.Epoch = 4 }, isHintedError[*SkipError]},
-		{"an entry again", func(p *Piece) {}, isHintedError[*KeyError]},
-		{"nothing, and not the last", func(p *Piece) { p.Entries = nil }, isHintedError[*SkipError]},
+		{"an epoch older than the applied one", func(p *Piece) { p.Version.Epoch = 1 }, isHintedError[*StaleAnswerError]},
+		{"another epoch than the first piece", func(p *Piece) { p.Version.Epoch = 4 }, isHintedError[*SkipError]},
+		{"the same entries again", func(p *Piece) {}, isHintedError[*KeyError]},
+		{"no entries, but not the last piece", func(p *Piece) { p.Entries = nil }, isHintedError[*SkipError]},
 		{"an unknown kind", func(p *Piece) { p.Entries[0].Kind = "wishes" }, isHintedError[*KindError]},
-		{"outside the scope", func(p *Piece) { p.Entries = []Entry{{Key{KindPlans, "us", "z"}, "1"}} }, isHintedError[*KeyError]},
+		{"outside the scope", func(p *Piece) { p.Entries = []Entry{{Key{KindPlans, "us", "z"}, "1"}} },
+			isHintedError[*KeyError]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sub := NewSubscriber(
@@ -277,14 +287,15 @@
 			require.True(t, c.matches(err), "%T: %v", err, err)
 			require.Equal(t, Version{2, 3}, sub.Version())
 			if next := sub.Next(1); next.Piece != nil {
-				require.Nil(t, next.Piece.After, "it begins anew")
+				require.Nil(t, next.Piece.After, "the resync starts over")
 			}
 		})
 	}
 }
 
-// TestSubscriberConditions: a subscriber is syncing until it has a version, current while the source is heard, and unconfirmed with
-// its age behind a relay that is cut off; it goes on serving what it has.
+// TestSubscriberConditions checks a subscriber's status: Syncing until it has a version, Current while its relay hears
+// from the source, and Unconfirmed with a growing age once the relay has lost the source for DefaultUnconfirmedAfter.
+// It keeps its state throughout.
 func TestSubscriberConditions(t *testing.T) {
 	s := newOpenSource(t, put(KindPlans, "", "a", "0"))
 	r := NewRelay(1, RelayOptions{Name: "r"})
@@ -299,7 +310,7 @@
 	poll(t, sub, r, 3*second)
 	poll(t, sub, r, 3*second)
 	require.Equal(t, Status{Condition: Current, Version: Version{1, 2}, Age: 2 * second}, sub.Status(3*second))
-	for now := 4 * second; now < 60*second; now += second { // the relay hears nothing more
+	for now := 4 * second; now < 60*second; now += second { // the relay does not reach the source
 		poll(t, sub, r, now)
 		want := Status{Condition: Current, Version: Version{1, 2}, Age: now - second}
 		if want.Age >= DefaultUnconfirmedAfter {
@@ -314,8 +325,8 @@
 	require.Equal(t, Status{Condition: Current, Version: Version{1, 2}, Age: second}, sub.Status(61*second))
 }
 
-// TestRestore: a restored state is in force at once, unconfirmed with the age that it had; one of another scope is
-// not.
+// TestRestore checks that a restored state is applied at once, with its age, and that a state with entries outside the
+// scope, or one that the Applier refuses, is not applied.
 func TestRestore(t *testing.T) {
 	state, err := NewStateOf([]Entry{{Key{KindPlans, "us", "a"}, "1"}})
 	require.NoError(t, err)
@@ -342,8 +353,9 @@
 	require.True(t, isHintedError[*KeyError](err))
 }
 
-// TestApplierRefuses: a version that the applier refuses is told with its reason, not sent again until its retry, and a
-// newer one is tried at once; the same where a whole state is refused.
+// TestApplierRefuses checks a version that the Applier refuses, as changes and as a complete state: the subscriber
+// acknowledges it with the reason, does not get it again until DefaultRefusedRetry has passed, and tries a newer
+// version at once.
 func TestApplierRefuses(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		t.Run(fmt.Sprint("whole=", whole), func(t *testing.T) {
@@ -368,10 +380,10 @@
 			f.refuses, f.applied = false, 0
 			next := sub.Next(3)
 			require.True(t, next.Hold && !s.Newer(*next.Changes), "%+v", next.Changes)
-			poll(t, sub, s, 3) // held in vain
-			require.Zero(t, f.applied, "tried again too early")
+			poll(t, sub, s, 3) // the server holds the call and then answers without changes
+			require.Zero(t, f.applied, "retried before RefusedRetry")
 			require.Equal(t, Version{1, 2}, sub.Version())
-			require.Equal(t, int64(0), sub.Status(3).Age, "the source was heard all the same")
+			require.Equal(t, int64(0), sub.Status(3).Age, "the answer without changes still confirms the state")
 			again := 2 + DefaultRefusedRetry
 			next = sub.Next(again)
 			require.True(t, !next.Hold || s.Newer(*next.Changes), "%+v", next.Changes)
@@ -395,7 +407,8 @@
 	}
 }
 
-// TestChangesFromUnavailableVersion: a server that is older than its subscriber, or whose log lacks the subscriber's version, says so.
+// TestChangesFromUnavailableVersion checks the errors of a server whose head is older than the subscriber's version, or
+// whose log no longer has that version, and of one that is given an invalid scope.
 func TestChangesFromUnavailableVersion(t *testing.T) {
 	s := NewSource(NewLog(Retention{Changes: 2}), Budget{})
 	_, err := s.Open(1, 4)
@@ -409,9 +422,12 @@
 		from    Version
 		matches func(error) bool
 	}{
-		{Version{4, 8}, func(err error) bool { return err == nil }}, {Version{4, 10}, func(err error) bool { return err == nil }},
-		{Version{4, 7}, isHintedError[*CompactedError]}, {Version{3, 9}, isHintedError[*CompactedError]}, {Version{3, 99}, isHintedError[*CompactedError]},
-		{Version{}, isHintedError[*CompactedError]}, {Version{4, 11}, isHintedError[*BehindError]}, {Version{5, 2}, isHintedError[*BehindError]},
+		{Version{4, 8}, func(err error) bool { return err == nil }},
+		{Version{4, 10}, func(err error) bool { return err == nil }},
+		{Version{4, 7}, isHintedError[*CompactedError]}, {Version{3, 9}, isHintedError[*CompactedError]},
+		{Version{3, 99}, isHintedError[*CompactedError]},
+		{Version{}, isHintedError[*CompactedError]}, {Version{4, 11}, isHintedError[*BehindError]},
+		{Version{5, 2}, isHintedError[*BehindError]},
 	} {
 		_, err := s.Changes(1, ChangesRequest{From: c.from})
 		require.True(t, c.matches(err), "%v: %v", c.from, err)
@@ -422,7 +438,8 @@
 	require.True(t, isHintedError[*ScopeError](err))
 }
 
-// TestHigherEpochInRequestFencesSource: a source that hears of a higher epoch publishes no more, until it opens one above that.
+// TestHigherEpochInRequestFencesSource checks that a source stops publishing once a request has a version of a higher
+// epoch, until it opens an epoch above that one.
 func TestHigherEpochInRequestFencesSource(t *testing.T) {
 	s := newOpenSource(t)
 	_, err := s.Changes(1, ChangesRequest{From: Version{7, 1}})
@@ -438,10 +455,11 @@
 	_, err = s.Changes(1, ChangesRequest{From: Version{1<<64 - 1, 1}})
 	require.True(t, isHintedError[*BehindError](err))
 	_, err = s.Publish(1, 8, nil, []Mutation{put(KindPlans, "", "a", "2")})
-	require.NoError(t, err, "an epoch that no writer has fences nothing")
+	require.NoError(t, err, "an epoch more than MaxEpochStep above must not fence")
 }
 
-// TestMaxDeltaBytes: a long way is led in several answers, each with the digest at its end.
+// TestMaxDeltaBytes checks that changes above MaxDeltaBytes are split into several answers, each with the digest at its
+// own end.
 func TestMaxDeltaBytes(t *testing.T) {
 	s := newOpenSource(t)
 	f := &recordingApplier{state: modelState{}}
@@ -468,7 +486,8 @@
 	require.Len(t, f.state, 20)
 }
 
-// TestPieceBudget: pieces are given as far as the budget goes, and the wait that is told is enough.
+// TestPieceBudget checks that pieces above the budget are rejected, and that RetryAfter is long enough and not a
+// nanosecond too long.
 func TestPieceBudget(t *testing.T) {
 	s := NewSource(NewLog(Retention{}), Budget{Rate: 100 << 10, Burst: MaxPieceBytes})
 	_, err := s.Open(1, 1)
@@ -499,19 +518,22 @@
 		require.NoError(t, err)
 		require.Equal(t, s.String(), again.String())
 	})
-	for _, text := range []string{"plans", "wishes@", "@a b", "@a,,b", "@" + strings.Repeat("n,", 16) + "n", "@" + strings.Repeat("n", 65)} {
+	for _, text := range []string{"plans", "wishes@", "@a b", "@a,,b",
+		"@" + strings.Repeat("n,", 16) + "n", "@" + strings.Repeat("n", 65)} {
 		_, err := ParseScope(text)
 		require.True(t, isHintedError[*ScopeError](err), "%s: %v", text, err)
 	}
 	s, err := ParseScope("plans,routes@eu")
 	require.NoError(t, err)
-	for key, want := range map[Key]bool{{KindPlans, "eu", "a"}: true, {KindPlans, "", "a"}: true, {KindPlans, "us", "a"}: false,
+	for key, want := range map[Key]bool{{KindPlans, "eu", "a"}: true, {KindPlans, "", "a"}: true,
+		{KindPlans, "us", "a"}:   false,
 		{KindTenants, "eu", "a"}: false} {
 		require.Equal(t, want, s.Contains(key), key)
 	}
 }
 
-// TestDigest: it does not depend on the order, and tells values, keys and their borders apart.
+// TestDigest checks that a digest does not depend on the order of entries, that it differs between values, keys and
+// the divisions between the parts of a key, and that its text form can be read back.
 func TestDigest(t *testing.T) {
 	a, b := NewState(), NewState()
 	one, two := Entry{Key{KindPlans, "", "one"}, "1"}, Entry{Key{KindPlans, "eu", "two"}, "2"}
@@ -538,8 +560,8 @@
 	require.Error(t, again.UnmarshalText([]byte("x")))
 }
 
-// TestAcknowledgements: relays sum up what their limiters said lately, in bounded messages, and the source tells from
-// these in how many limiters a version is in force.
+// TestAcknowledgements checks that relays summarize the acknowledgements that have not expired in messages of limited
+// size, and that the source counts from these how many limiters have applied a version.
 func TestAcknowledgements(t *testing.T) {
 	s := newOpenSource(t)
 	relays := []*Relay{NewRelay(1, RelayOptions{Name: "a"}), NewRelay(1, RelayOptions{Name: "b"})}
@@ -557,7 +579,7 @@
 			a.Refused, a.Reason = &refused, strings.Repeat("é", 100)
 		}
 		require.NoError(t, relays[i%2].Acknowledge(1, a))
-		require.NoError(t, relays[i%2].Acknowledge(1, a), "said twice")
+		require.NoError(t, relays[i%2].Acknowledge(1, a), "repeated")
 	}
 	require.NoError(
 		t,
@@ -586,7 +608,7 @@
 	require.Empty(
 		t,
 		relays[1].Summary(2+AcknowledgementTTL).Versions,
-		"limiters that say nothing are not counted for long",
+		"acknowledgements expire",
 	)
 	o = s.Overview(3 + AcknowledgementTTL)
 	require.Equal(t, []string{"a", "b"}, o.Silent)
@@ -626,9 +648,10 @@
 	}
 	more := Acknowledgement{Limiter: "more", Condition: Current}
 	require.True(t, isHintedError[*TooLargeError](r.Acknowledge(1, more)))
-	require.NoError(t, r.Acknowledge(2+AcknowledgementTTL, more), "room again")
+	require.NoError(t, r.Acknowledge(2+AcknowledgementTTL, more), "expired acknowledgements make room")
 	s := newOpenSource(t)
-	for _, summary := range []Summary{{}, {Relay: "r", Versions: make([]VersionCount, 9)}, {Relay: "r", Refusals: make([]Refusal, 5)},
+	for _, summary := range []Summary{{}, {Relay: "r", Versions: make([]VersionCount, 9)},
+		{Relay: "r", Refusals: make([]Refusal, 5)},
 		{Relay: "r", Older: -1}, {Relay: "r", Versions: []VersionCount{{Limiters: -1}}}} {
 		err := s.Summarize(1, summary)
 		require.True(t, isHintedError[*KeyError](err) || isHintedError[*TooLargeError](err), "%+v: %v", summary, err)
@@ -639,8 +662,8 @@
 	require.True(t, isHintedError[*TooLargeError](s.Summarize(1, Summary{Relay: "more"})))
 }
 
-// TestChooseRelays: the first is of the own zone, the second of another one, and those of a lost relay are shared
-// evenly.
+// TestChooseRelays checks that the first relay is in the limiter's zone and the second in another, that the second ones
+// are distributed evenly, and that invalid lists are rejected.
 func TestChooseRelays(t *testing.T) {
 	var relays []RelayAddress
 	for _, zone := range []string{"c", "a", "d", "b"} {
@@ -665,7 +688,7 @@
 	same, err := ChooseRelays([]RelayAddress{relays[2], relays[0], relays[3], relays[1]}, "b", 7)
 	require.NoError(t, err)
 	again, _ := ChooseRelays(relays, "b", 7)
-	require.Equal(t, again, same, "it does not depend on the order")
+	require.Equal(t, again, same, "the order of the list must not matter")
 	for _, zone := range []string{"c", "x"} {
 		two, err := ChooseRelays(relays[:1], zone, 5)
 		require.NoError(t, err)
@@ -674,7 +697,8 @@
 	two, err := ChooseRelays([]RelayAddress{{"1", "z", "h:1"}, {"2", "z", "h:2"}}, "z", 5)
 	require.NoError(t, err)
 	require.NotEqual(t, two[0], two[1])
-	for _, bad := range [][]RelayAddress{nil, {{"", "z", "h:1"}}, {{"1", "z", ""}}, {{"1", "z", "h:1"}, {"1", "y", "h:2"}}} {
+	for _, bad := range [][]RelayAddress{nil, {{"", "z", "h:1"}}, {{"1", "z", ""}},
+		{{"1", "z", "h:1"}, {"1", "y", "h:2"}}} {
 		_, err := ChooseRelays(bad, "z", 0)
 		require.True(t, isHintedError[*NoRelayError](err), "%v", err)
 	}
@@ -687,14 +711,14 @@
 	require.Equal(t, 0, s.Selected(1))
 	s.ReportFailure(1)
 	require.Equal(t, 1, s.Selected(FirstRelayRetryDelay))
-	require.Equal(t, 0, s.Selected(1+FirstRelayRetryDelay), "it returns")
+	require.Equal(t, 0, s.Selected(1+FirstRelayRetryDelay), "returns to the first relay")
 	s.ReportFailure(2 + FirstRelayRetryDelay)
 	s.ReportFailure(3 + FirstRelayRetryDelay)
 	require.Equal(t, 0, s.Selected(4+FirstRelayRetryDelay), "both failed")
 }
 
-// TestLimiterApplier: addresses move together or not at all, whatever else cannot change is named, and the rest is
-// carried.
+// TestLimiterApplier checks that both addresses change or neither, that the error names an endpoint that cannot change,
+// and that entries of other kinds are accepted.
 func TestLimiterApplier(t *testing.T) {
 	var moved []Addresses
 	var moveError error
@@ -720,11 +744,12 @@
 	require.Equal(t, want, moved)
 	fixed := put(KindEndpoints, "", "listen", "127.0.0.1:9")
 	for name, err := range map[string]error{
-		"a fixed key behind one that moves":   apply(counter("127.0.0.1:4"), fixed),
-		"the counter taken away":              apply(deletion(KindEndpoints, "", EndpointCounter)),
-		"discovery is not in a whole state":   a.Apply(&Update{Whole: stateOf(t, counter("127.0.0.1:4"))}),
-		"a fixed key in a whole state":        a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"), counter("127.0.0.1:4"), fixed)}),
-		"the counter is not in a whole state": a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"))}),
+		"a fixed key after a changed one":  apply(counter("127.0.0.1:4"), fixed),
+		"the counter deleted":              apply(deletion(KindEndpoints, "", EndpointCounter)),
+		"no discovery in a complete state": a.Apply(&Update{Whole: stateOf(t, counter("127.0.0.1:4"))}),
+		"a fixed key in a complete state": a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"),
+			counter("127.0.0.1:4"), fixed)}),
+		"no counter in a complete state": a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"))}),
 	} {
 		require.True(t, isHintedError[*FixedKeyError](err), "%s: %v", name, err)
 	}
@@ -736,8 +761,8 @@
 	moveError = errors.New("no room")
 	require.ErrorIs(t, apply(counter("127.0.0.1:5")), moveError)
 	moveError = nil
-	require.Equal(t, want, moved, "none of these moved anything")
-	require.NoError(t, apply(deletion(KindEndpoints, "eu", EndpointDiscovery)), "the one for every limiter counts again")
+	require.Equal(t, want, moved, "a rejected update must not change an address")
+	require.NoError(t, apply(deletion(KindEndpoints, "eu", EndpointDiscovery)), "the entry for all limiters applies again")
 	require.NoError(t, a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:7"), counter("127.0.0.1:8"))}))
 	require.Equal(
 		t,
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -5,10 +5,10 @@
 	"unicode/utf8"
 )
 
-// Kind is a kind of entries.
+// Kind is the kind of an entry.
 type Kind string
 
-// The kinds of entries.
+// The known kinds.
 const (
 	KindRoutes    Kind = "routes"
 	KindTenants   Kind = "tenants"
@@ -16,7 +16,7 @@
 	KindEndpoints Kind = "endpoints"
 )
 
-// Kinds are all kinds, in the order of their names.
+// Kinds lists all known kinds in alphabetical order.
 var Kinds = []Kind{KindEndpoints, KindPlans, KindRoutes, KindTenants}
 
 func (k Kind) known() bool {
@@ -27,7 +27,7 @@
 	return false
 }
 
-// Bounds of entries and changes, in bytes of content (not of JSON) where they count bytes.
+// Limits of entries, changes and states. Byte limits count the content and entryOverhead, not the JSON encoding.
 const (
 	MaxNameBytes      = 256
 	MaxScopeBytes     = 64
@@ -35,24 +35,25 @@
 	MaxChangeBytes    = 256 << 10
 	MaxMutations      = 256
 	MaxStateBytes     = 64 << 20
-	entryOverhead     = 64 // bytes that an entry costs beside its texts
+	entryOverhead     = 64 // bytes counted for each entry in addition to its strings
 	maxEntryBytes     = entryOverhead + MaxNameBytes + MaxScopeBytes + MaxValueBytes + 16
 	scopeNameAlphabet = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-"
 )
 
-// Key names an entry.
+// Key identifies an entry.
 type Key struct {
 	Kind Kind `json:"kind"`
-	// Scope is the part of the fleet that the entry is for: a region, a tier or another group. Empty for every limiter.
-	// It is part of the key: an entry moves to another scope by a deletion and a put in one change.
+	// Scope is the group of limiters that the entry applies to, such as a region or a tier. If empty, the entry applies
+	// to all limiters. Since the scope is part of the key, an entry is moved to another scope by a change that deletes
+	// it in the old scope and puts it in the new one.
 	Scope string `json:"scope,omitempty"`
 	Name  string `json:"name"`
 }
 
-// String gives the word for log lines.
+// String returns the kind, the scope and the name, separated by slashes.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Scope + "/" + k.Name }
 
-// compare orders keys by kind, scope and name.
+// compare compares two keys by kind, then scope, then name.
 func (k Key) compare(other Key) int {
 	if c := strings.Compare(string(k.Kind), string(other.Kind)); c != 0 {
 		return c
@@ -63,7 +64,7 @@
 	return strings.Compare(k.Name, other.Name)
 }
 
-// check refuses a key that cannot be. Errors: *KindError, *KeyError, *TooLargeError.
+// check validates the key. Errors: *KindError, *KeyError, *TooLargeError.
 func (k Key) check() error {
 	switch {
 	case !k.Kind.known():
@@ -89,16 +90,16 @@
 // Entry is a key with its value.
 type Entry struct {
 	Key
-	// Value is the content: any text in UTF-8, JSON by convention.
+	// Value is any UTF-8 text; JSON by convention.
 	Value string `json:"value"`
 }
 
-// size is what an entry counts for in all byte bounds.
+// size is the size of the entry that all byte limits count.
 func (e Entry) size() int {
 	return entryOverhead + len(e.Kind) + len(e.Scope) + len(e.Name) + len(e.Value)
 }
 
-// check refuses an entry that cannot be. Errors: *KindError, *KeyError, *TooLargeError.
+// check validates the entry. Errors: *KindError, *KeyError, *TooLargeError.
 func (e Entry) check() error {
 	if err := e.Key.check(); err != nil {
 		return err
@@ -112,13 +113,13 @@
 	return nil
 }
 
-// Mutation puts an entry, or deletes the one with its key.
+// Mutation adds or replaces an entry, or deletes the entry with its key if Delete is set.
 type Mutation struct {
 	Entry
 	Delete bool `json:"delete,omitempty"`
 }
 
-// check refuses a mutation that cannot be. Errors: *KindError, *KeyError, *TooLargeError.
+// check validates the mutation. Errors: *KindError, *KeyError, *TooLargeError.
 func (m Mutation) check() error {
 	if m.Delete && m.Value != "" {
 		return &KeyError{Key: m.Key, Why: "is deleted and has a value"}
@@ -129,14 +130,14 @@
 // Change is one numbered change of the log.
 type Change struct {
 	Version Version `json:"version"`
-	// Published is when the writer took it, in nanoseconds of Unix time by the writer's clock.
+	// Published is when the writer accepted the change, in nanoseconds of Unix time by the writer's clock.
 	Published int64 `json:"published"`
-	// Mutations are in force together or not at all; each key stands in at most one of them. Empty for a change that
-	// opens an epoch, and for one that is outside the subscriber's scope.
+	// Mutations are applied atomically. No two of them have the same key. Empty for a change that opens an epoch, and
+	// for a change of which no mutation is in the subscriber's scope.
 	Mutations []Mutation `json:"mutations,omitempty"`
 }
 
-// size is what a change counts for in all byte bounds.
+// size is the size of the change that all byte limits count.
 func (c Change) size() int {
 	bytes := entryOverhead
 	for _, m := range c.Mutations {
@@ -145,7 +146,7 @@
 	return bytes
 }
 
-// checkMutations refuses mutations that cannot be one change. Errors: *KindError, *KeyError, *TooLargeError.
+// checkMutations validates the mutations of one change. Errors: *KindError, *KeyError, *TooLargeError.
 func checkMutations(mutations []Mutation) error {
 	if len(mutations) > MaxMutations {
 		return &TooLargeError{What: "the number of mutations in a change", Bytes: len(mutations), Max: MaxMutations}
--- a/internal/distribution/errors_test.go
+++ b/internal/distribution/errors_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestErrorsOnPage: the page lists each error with a hint of these packages, and no other.
+// TestErrorsOnPage checks that docs/distribution.md lists exactly the error types of these packages that have a Hint
+// method.
 func TestErrorsOnPage(t *testing.T) {
 	var types []string
 	for _, pattern := range []string{"*.go", "*/*.go"} {
@@ -31,7 +32,8 @@
 	page, err := os.ReadFile("../../docs/distribution.md")
 	require.NoError(t, err)
 	var listed []string
-	for _, row := range regexp.MustCompile("(?m)^\\| `([a-z]+\\.[A-Z]\\w+)` \\| .+ \\| .+ \\|$").FindAllSubmatch(page, -1) {
+	for _, row := range regexp.MustCompile("(?m)^\\| `([a-z]+\\.[A-Z]\\w+)` \\| .+ \\| .+ \\|$").
+		FindAllSubmatch(page, -1) {
 		listed = append(listed, string(row[1]))
 	}
 	require.ElementsMatch(t, types, listed)
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -1,6 +1,6 @@
 package distribution
 
-// logServer answers subscribers from a log. Source and Relay are feeds.
+// logServer answers subscribers from a log. Source and Relay embed it.
 type logServer struct {
 	log         *Log
 	pieceBudget byteBudget
@@ -12,10 +12,10 @@
 
 func (f *logServer) ready() bool { return f.log.head != Version{} }
 
-// Head is the version up to which this server leads.
+// Head implements Server.
 func (f *logServer) Head() Version { return f.log.Head() }
 
-// Newer is a method of Server.
+// Newer implements Server.
 func (f *logServer) Newer(request ChangesRequest) bool {
 	known := request.From
 	if known.Less(request.Seen) {
@@ -33,7 +33,7 @@
 	}
 	until := f.log.head
 	if !f.Newer(request) {
-		until = request.From // what the subscriber has refused is not sent again
+		until = request.From // a change that the subscriber has refused is not sent again
 	}
 	delta, err := f.log.changes(request.From, until, request.Scope)
 	if err != nil {
--- a/internal/distribution/limiterapplier.go
+++ b/internal/distribution/limiterapplier.go
@@ -8,28 +8,30 @@
 	"strconv"
 )
 
-// Names of the entries of KindEndpoints that a limiter can change while it runs.
+// Names of the entries of KindEndpoints that a running limiter can change.
 const (
 	EndpointDiscovery = "discovery"
 	EndpointCounter   = "counter"
 )
 
-// Addresses are where a limiter finds what it asks; empty where the configuration file says it.
+// Addresses are the addresses (host and port) of discovery and of the shared counter. An empty one means that the
+// address in the configuration file applies.
 type Addresses struct{ Discovery, Counter string }
 
-// LimiterApplier puts updates in force at a limiter. Addresses of discovery and the counter move by the same path as on
-// SIGHUP. Routes, tenants and plans are carried and numbered; the limiter does not act on them yet.
+// LimiterApplier applies updates at a limiter. The addresses of discovery and the shared counter change by the same
+// code path as on SIGHUP. Routes, tenants and plans are distributed, but the limiter does not use them yet.
 //
-// An endpoint with a scope goes before the one for every limiter, and of several scopes the last by name goes first.
+// An endpoint entry with a scope takes precedence over the one for all limiters. Among several scopes, the one whose
+// name sorts last takes precedence.
 type LimiterApplier struct {
-	// Move makes the limiter use other addresses, both or neither, between two requests, without waiting for I/O. It
-	// is not called where they stay the same.
+	// Move makes the limiter use other addresses between two requests, without waiting for I/O. If it returns an error,
+	// neither address has changed. It is called only if an address differs.
 	Move      func(Addresses) error
 	endpoints map[Key]string
 	current   Addresses
 }
 
-// Apply is a method of Applier. Errors: *FixedKeyError, *KeyError, and those of Move.
+// Apply implements Applier. Errors: *FixedKeyError, *KeyError, and those of Move.
 func (a *LimiterApplier) Apply(update *Update) error {
 	endpoints, err := a.resultingEndpoints(update)
 	if err != nil {
@@ -49,7 +51,8 @@
 	return nil
 }
 
-// resultingEndpoints is what an update makes of the endpoints. Only the outcome has to be usable: a change may mend one before it.
+// resultingEndpoints returns the endpoints after an update. Only the result is validated, since a change may correct an
+// earlier one of the same update. Errors: *FixedKeyError, *KeyError.
 func (a *LimiterApplier) resultingEndpoints(update *Update) (map[Key]string, error) {
 	endpoints := map[Key]string{}
 	mutations := []Mutation{}
@@ -83,7 +86,8 @@
 	return endpoints, nil
 }
 
-// addresses are those that endpoints say. One that was said may not be unsaid.
+// addresses returns the addresses that endpoints specify. An address that an update has set can be changed, but not
+// removed: that is a *FixedKeyError.
 func (a *LimiterApplier) addresses(endpoints map[Key]string) (next Addresses, err error) {
 	for _, key := range slices.SortedFunc(maps.Keys(endpoints), Key.compare) {
 		if key.Name == EndpointDiscovery {
@@ -101,7 +105,7 @@
 	return next, nil
 }
 
-// checkAddress refuses a value that is no host and port.
+// checkAddress returns *KeyError if the value is not a host and a port.
 func checkAddress(e Entry) error {
 	host, port, err := net.SplitHostPort(e.Value)
 	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || n == 0 || host == "" {
--- a/internal/distribution/log.go
+++ b/internal/distribution/log.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Retention bounds the changes that a log keeps behind its state. Zero fields take the defaults.
+// Retention limits the changes that a log keeps besides its state. Zero fields mean the defaults.
 type Retention struct {
-	Changes int // how many
-	Bytes   int // of content
+	Changes int // maximum number of changes, 0 for 4096
+	Bytes   int // maximum size of the changes in bytes, 0 for 16 MiB
 }
 
 const (
@@ -23,44 +23,45 @@
 	return r
 }
 
-// record is a change with what is needed to step back over it.
+// record is a change of the log with what is needed to compute the digest of the state before it.
 type record struct {
 	Change
-	digestChanges map[bucket]Digest // what the change added to the digest of each bucket
+	digestChanges map[bucket]Digest // by how much the change altered the digest of each bucket
 	bytes         int
 }
 
-// Log is the numbered changes and the state at the newest of them. Older changes are compacted away; the state stands
-// for them. It is not safe for concurrent use.
+// Log holds the newest numbered changes and the state that results from all changes. Changes beyond the Retention are
+// compacted: they are dropped, and only the state contains their effect. It is not safe for concurrent use.
 type Log struct {
 	retention Retention
 	head      Version
-	oldest    Version // of the change directly before the oldest that is kept
+	oldest    Version // version of the change directly before the oldest kept one
 	records   []record
-	bytes     int // of the records
+	bytes     int // total size of records
 	state     *State
 }
 
-// NewLog makes an empty log.
+// NewLog returns an empty log.
 func NewLog(retention Retention) *Log {
 	return &Log{retention: retention.orDefault(), state: NewState()}
 }
 
-// NewLogAt makes a log that goes on from a snapshot, which it takes over.
+// NewLogAt returns a log that continues from the state of a snapshot. The log takes ownership of state.
 func NewLogAt(retention Retention, version Version, state *State) *Log {
 	return &Log{retention: retention.orDefault(), head: version, oldest: version, state: state}
 }
 
-// Head is the version of the newest change.
+// Head returns the version of the newest change.
 func (l *Log) Head() Version { return l.head }
 
-// Oldest is the oldest version from which the log can lead on.
+// Oldest returns the oldest version whose following changes are all in the log.
 func (l *Log) Oldest() Version { return l.oldest }
 
-// State is the state at the head, to read only.
+// State returns the state at the head. The caller must not modify it.
 func (l *Log) State() *State { return l.state }
 
-// Open is a method of Writer. The epoch begins with an empty change, so that no version of an older writer is above it.
+// Open implements Writer. It appends an empty change in the new epoch, so that the head is above all versions of older
+// writers.
 func (l *Log) Open(now int64, epoch uint64) (Change, error) {
 	if epoch <= l.head.Epoch {
 		return Change{}, &FencedError{Open: l.head.Epoch, Given: epoch}
@@ -73,7 +74,7 @@
 	return change, nil
 }
 
-// Append is a method of Writer.
+// Append implements Writer.
 func (l *Log) Append(now int64, epoch uint64, expected *Version, mutations []Mutation) (Change, error) {
 	if epoch != l.head.Epoch || epoch == 0 {
 		return Change{}, &FencedError{Open: l.head.Epoch, Given: epoch}
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// applyUpdate takes an update that a subscriber has checked: the log of a relay.
+// applyUpdate applies an update that a relay's subscriber has checked.
 func (l *Log) applyUpdate(update *Update) {
 	if update.Whole != nil {
 		l.head = update.To
@@ -139,7 +140,7 @@
 	l.compact()
 }
 
-// compact forgets the oldest changes where the log keeps more than it may. The newest is always kept.
+// compact drops the oldest changes until the log is within its retention. The newest change is always kept.
 func (l *Log) compact() {
 	drop := 0
 	for len(l.records)-drop > 1 && (len(l.records)-drop > l.retention.Changes || l.bytes > l.retention.Bytes) {
@@ -152,7 +153,7 @@
 	}
 }
 
-// indexAfter is the index of the first change behind a version. Errors: *BehindError, *CompactedError.
+// indexAfter returns the index of the first record after a version. Errors: *BehindError, *CompactedError.
 func (l *Log) indexAfter(from Version) (int, error) {
 	if l.head.Less(from) {
 		return 0, &BehindError{From: from, Head: l.head}
@@ -170,7 +171,8 @@
 	return index, nil
 }
 
-// changes leads on from a version, to another or as far as MaxDeltaBytes go. Errors: *BehindError, *CompactedError.
+// changes returns the changes after from, up to until or as many as fit in MaxDeltaBytes. Errors: *BehindError,
+// *CompactedError.
 func (l *Log) changes(from, until Version, scope Scope) (*Delta, error) {
 	index, err := l.indexAfter(from)
 	if err != nil {
@@ -191,7 +193,7 @@
 	return d, nil
 }
 
-// digestBefore is the digest of the state before the change with an index.
+// digestBefore returns the digest of the state before records[index], in a scope.
 func (l *Log) digestBefore(index int, scope Scope) Digest {
 	digest := l.state.Digest(scope)
 	for _, r := range l.records[index:] {
@@ -204,7 +206,7 @@
 	return digest
 }
 
-// filterChange is a change with only those mutations that are in a scope.
+// filterChange returns the change with only those mutations that are in the scope.
 func filterChange(change Change, scope Scope) Change {
 	var mutations []Mutation
 	for _, m := range change.Mutations {
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -1,53 +1,54 @@
 package distribution
 
-// Bounds of answers, in bytes of content.
+// Size limits of responses, in bytes as counted by Entry.size and Change.size.
 const (
-	// MaxDeltaBytes is where a Delta ends after its first change.
+	// MaxDeltaBytes is the maximum size of the changes in a Delta. The first change is sent even if it is larger.
 	MaxDeltaBytes = 256 << 10
-	// MinPieceBytes holds any one entry.
+	// MinPieceBytes is the smallest size limit of a piece. Every valid entry fits in it.
 	MinPieceBytes = maxEntryBytes
-	// MaxPieceBytes is the largest piece that a server gives.
+	// MaxPieceBytes is the largest piece that a server sends.
 	MaxPieceBytes = 256 << 10
 )
 
-// ChangesRequest asks for the changes behind a version.
+// ChangesRequest requests the changes that follow a version.
 type ChangesRequest struct {
 	From Version
-	// Seen is a version whose update the subscriber has refused: nothing up to it is news. Zero where there is none.
+	// Seen is a version that the subscriber's Applier has refused; the server treats everything up to it as known.
+	// The zero value means that none was refused.
 	Seen  Version
 	Scope Scope
 }
 
-// Delta leads from one version to another.
+// Delta is the response to a ChangesRequest: the changes from one version to another.
 type Delta struct {
 	From Version `json:"from"`
 	To   Version `json:"to"`
-	// Changes are all changes behind From up to To, with only those mutations that are in the subscriber's scope.
+	// Changes are all changes after From up to and including To. Mutations outside the requested scope are left out.
 	Changes []Change `json:"changes,omitempty"`
-	// Digest is that of the state at To, in the subscriber's scope, and of To itself.
+	// Digest covers the entries of the state at To that are in the requested scope, and To itself.
 	Digest Digest `json:"digest"`
-	// Age is how long ago the source was last heard, in nanoseconds: 0 from the source itself.
+	// Age is the time since the server last heard from the source, in nanoseconds. It is 0 if the source answers.
 	Age int64 `json:"age_ns"`
 }
 
-// PieceRequest asks for entries behind a key.
+// PieceRequest requests the entries that follow a key.
 type PieceRequest struct {
-	// After is the last key that is held, in the order of kind, scope and name; nil for the first piece.
+	// After is the last key already received, in the order of kind, scope and name. Nil requests the first piece.
 	After *Key
 	Scope Scope
-	// MaxBytes bounds the piece; it is taken as at least MinPieceBytes and at most MaxPieceBytes.
+	// MaxBytes is the maximum size of the piece. The server clamps it to [MinPieceBytes, MaxPieceBytes].
 	MaxBytes int
 }
 
-// Piece is a part of the state.
+// Piece is the response to a PieceRequest: a part of the state.
 type Piece struct {
-	// Version is the server's when the piece was read. Pieces of one resync may be of several versions: the changes
-	// behind the oldest are applied over them.
+	// Version is the server's version when it read the piece. The pieces of one resync may have different versions;
+	// the subscriber then applies the changes that follow the oldest one.
 	Version Version `json:"version"`
-	// Entries are in the order of their keys, without a gap in the scope.
+	// Entries are sorted by key. No entry of the scope between two of them is left out.
 	Entries []Entry `json:"entries,omitempty"`
-	// Last is set where no entry follows.
+	// Last is set if no entry follows.
 	Last bool `json:"last,omitempty"`
-	// Age is as in Delta.
+	// Age has the same meaning as Delta.Age.
 	Age int64 `json:"age_ns"`
 }
--- a/internal/distribution/poller.go
+++ b/internal/distribution/poller.go
@@ -7,36 +7,37 @@
 	"ospreycroft/internal/pollpacer"
 )
 
-// Hold times of calls for changes, in nanoseconds.
+// Hold times of calls for changes (long polls), in nanoseconds.
 const (
-	LimiterHold = 5 * second // of limiters at relays
-	RelayHold   = 2 * second // of relays at the source
+	LimiterHold = 5 * second // calls of limiters to relays
+	RelayHold   = 2 * second // calls of relays to the source
 )
 
 const (
-	minThrottleSpread = second / 20 // the spread of calls that come again after a ThrottledError,
-	maxThrottleSpread = 2 * second  // which doubles with each in a row up to this
+	minThrottleSpread = second / 20 // range of the extra delay after a first ThrottledError;
+	maxThrottleSpread = 2 * second  // it doubles with each consecutive one up to this
 )
 
-// PollerOptions are what a poller is made of.
+// PollerOptions configure a Poller.
 type PollerOptions struct {
-	DialTimeout int64 // of a connection to a server, in nanoseconds, above 0
-	Hold        int64 // how long a call for changes may be held, in nanoseconds, above 0
-	Position    int   // of this subscriber among all: those that start together ask apart
+	DialTimeout int64 // timeout of connecting to a server, in nanoseconds, above 0
+	Hold        int64 // how long a server may hold a call for changes, in nanoseconds, above 0
+	Position    int   // index of this subscriber in the fleet; it spreads out the calls of those that start together
 }
 
-// Poller decides when a subscriber calls which of its two servers, and for how long it waits. Package pollpacer gives
-// the pauses, so that subscribers that start or fail together spare their servers. It is not safe for concurrent use.
+// Poller decides when a subscriber calls which of its two servers, and with which timeouts. Package pollpacer
+// determines the delays between calls, so that subscribers that start or fail together do not overload their servers.
+// It is not safe for concurrent use.
 type Poller struct {
 	*Subscriber
 	selector       Selector
 	pacer          *pollpacer.Pacer
 	dialTimeout    int64
-	spreadFraction float64 // among all, in [0, 1)
-	throttledInRow int     // in a row
+	spreadFraction float64 // in [0, 1); differs between positions, to spread out their calls
+	throttledInRow int     // number of consecutive ThrottledErrors
 }
 
-// NewPoller makes the poller of a subscriber.
+// NewPoller returns the poller of a subscriber.
 func NewPoller(now int64, subscriber *Subscriber, options PollerOptions) *Poller {
 	_, spreadFraction := math.Modf(float64(options.Position) * math.Phi)
 	return &Poller{Subscriber: subscriber, dialTimeout: options.DialTimeout, spreadFraction: spreadFraction,
@@ -47,25 +48,25 @@
 type Call struct {
 	Request
 	Server  int   // 0 for the first server, 1 for the second
-	Hold    int64 // how long the server may hold it, in nanoseconds, 0 where it is to answer at once
-	Timeout int64 // after how long it is given up, in nanoseconds
-	Dial    int64 // after how long a connection that has not come up is given up, in nanoseconds
+	Hold    int64 // how long the server may hold the call, in nanoseconds; 0 to answer at once
+	Timeout int64 // timeout of the whole call, in nanoseconds
+	Dial    int64 // timeout of connecting to the server, in nanoseconds
 }
 
-// First is how long to wait before the first call, in nanoseconds.
+// First returns the delay before the first call, in nanoseconds.
 func (p *Poller) First() int64 { return p.pacer.FirstDelay() }
 
-// Server is the server that is called now: 0 for the first, 1 for the second.
+// Server returns the server to call now: 0 for the first, 1 for the second.
 func (p *Poller) Server(now int64) int { return p.selector.Selected(now) }
 
-// Call is the call to make now.
+// Call returns the call to make now.
 func (p *Poller) Call(now int64) Call {
 	call := Call{Request: p.Next(now), Server: p.selector.Selected(now), Dial: p.pacer.DialTimeout()}
 	call.Hold, call.Timeout = p.pacer.NextPoll(now, !call.Request.Hold)
 	return call
 }
 
-// TakeChanges is as that of Subscriber, and tells how long to wait before the next call.
+// TakeChanges calls Subscriber.TakeChanges, and returns the delay before the next call in nanoseconds.
 func (p *Poller) TakeChanges(now int64, delta *Delta) (wait int64, err error) {
 	if err := p.Subscriber.TakeChanges(now, delta); err != nil {
 		return p.TakeError(now, err), err
@@ -74,7 +75,7 @@
 	return 0, nil
 }
 
-// TakePiece is as that of Subscriber, and tells how long to wait before the next call.
+// TakePiece calls Subscriber.TakePiece, and returns the delay before the next call in nanoseconds.
 func (p *Poller) TakePiece(now int64, piece *Piece) (wait int64, err error) {
 	if err := p.Subscriber.TakePiece(now, piece); err != nil {
 		return p.TakeError(now, err), err
@@ -83,7 +84,8 @@
 	return 0, nil
 }
 
-// recordAnswer notes an answer of use. One of a relay that is cut off is of use, but the other relay may know more.
+// recordAnswer records an answer that the subscriber accepted. If the relay has not heard from the source for
+// UnconfirmedAfter, the other relay is called next, since it may have newer changes.
 func (p *Poller) recordAnswer(now, age int64) {
 	p.pacer.ResponseReceived(now)
 	p.throttledInRow = 0
@@ -92,8 +94,8 @@
 	}
 }
 
-// TakeError takes what came in place of an answer, be it a server's error or one of the way to it, and tells how long
-// to wait before the next call.
+// TakeError handles a failed call: an error that the server returned, a failure to reach the server, or an answer that
+// the subscriber did not accept. It returns the delay before the next call in nanoseconds.
 func (p *Poller) TakeError(now int64, err error) (wait int64) {
 	var throttled *ThrottledError
 	var compacted *CompactedError
@@ -101,10 +103,10 @@
 	switch {
 	case errors.As(err, &compacted):
 		p.Subscriber.TakeError(err)
-		return 0 // a call for a piece is next, and that is paced
+		return 0 // the next call requests a piece, which the server's byte budget paces
 	case errors.As(err, &refused):
 		p.pacer.ResponseReceived(now)
-		return 0 // the next call is held
+		return 0 // the server holds the next call
 	case errors.As(err, &throttled):
 		p.pacer.ResponseReceived(now)
 		return throttled.RetryAfter + p.throttleSpread()
@@ -113,7 +115,8 @@
 	return p.pacer.RetryDelay(now, pollpacer.Failed)
 }
 
-// throttleSpread is a wait that is another for each subscriber and longer with each call that was throttled in a row.
+// throttleSpread returns a delay in nanoseconds that differs between subscribers. Its range grows with the number of
+// consecutive ThrottledErrors.
 func (p *Poller) throttleSpread() int64 {
 	span := minThrottleSpread
 	for range p.throttledInRow {
--- a/internal/distribution/poller_test.go
+++ b/internal/distribution/poller_test.go
@@ -10,7 +10,7 @@
 
 const testDialTimeout = second / 4
 
-// newSyncedPoller is a poller whose subscriber has a source's state.
+// newSyncedPoller returns a poller whose subscriber has read the state of a source.
 func newSyncedPoller(t *testing.T, s *Source, applier Applier, position int) *Poller {
 	t.Helper()
 	return NewPoller(
@@ -20,7 +20,8 @@
 	)
 }
 
-// TestFirstCallsSpread: subscribers that start together make their first calls evenly over half of a hold.
+// TestFirstCallsSpread checks that the first calls of subscribers that start together are spread evenly over half a
+// hold time.
 func TestFirstCallsSpread(t *testing.T) {
 	var waits []int64
 	for i := range 550 {
@@ -37,7 +38,8 @@
 	}
 }
 
-// TestCallTimeouts: a call for changes waits for a hold and is given up some time after; one for a piece waits for nothing.
+// TestCallTimeouts checks the hold times and timeouts: a call for changes may be held, and times out some time after
+// that; a call for a piece is not held.
 func TestCallTimeouts(t *testing.T) {
 	s := newOpenSource(t)
 	p := newSyncedPoller(t, s, &recordingApplier{}, 0)
@@ -53,18 +55,18 @@
 	require.Less(t, call.Timeout, 6*second)
 }
 
-// TestRetryAfterError: what a failed call means for the next one.
+// TestRetryAfterError checks the delay before the call that follows a failed one, and which server that call goes to.
 func TestRetryAfterError(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		err              error
-		server           int // that is called next
+		server           int // called next
 		minWait, maxWait int64
 	}{
-		{"the way to it", errors.New("refused"), 1, 1, testDialTimeout},
-		{"a relay that is behind", &BehindError{}, 1, 1, testDialTimeout},
-		{"a relay that has nothing yet", &NotReadyError{}, 1, 1, testDialTimeout},
-		{"garbage", &MalformedError{Cause: errors.New("no JSON")}, 1, 1, testDialTimeout},
+		{"connection refused", errors.New("refused"), 1, 1, testDialTimeout},
+		{"relay behind", &BehindError{}, 1, 1, testDialTimeout},
+		{"relay not ready", &NotReadyError{}, 1, 1, testDialTimeout},
+		{"malformed answer", &MalformedError{Cause: errors.New("no JSON")}, 1, 1, testDialTimeout},
 		{"compacted", &CompactedError{}, 0, 0, 0},
 		{"throttled", &ThrottledError{RetryAfter: second}, 0, second, second + minThrottleSpread},
 		{"refused by the applier", &RefusedError{Cause: errors.New("no")}, 0, 0, 0},
@@ -83,12 +85,12 @@
 	for range 12 {
 		last = p.TakeError(2, errors.New("refused"))
 	}
-	require.Greater(t, last, second/2, "later and later")
+	require.Greater(t, last, second/2, "the delay grows")
 	require.Less(t, last, 2*second)
 }
 
-// TestInvalidAnswerSwitchesRelay: an answer that is refused sends the subscriber to its other relay; one that the applier refuses does
-// not.
+// TestInvalidAnswerSwitchesRelay checks that the subscriber switches to its other relay after an invalid answer, but
+// not after a valid answer that the Applier refuses.
 func TestInvalidAnswerSwitchesRelay(t *testing.T) {
 	s := newOpenSource(t)
 	f := &recordingApplier{state: modelState{}}
@@ -109,7 +111,8 @@
 	require.True(t, isHintedError[*SkipError](err) && wait > 0 && p.Server(1) == 0, "%d, %v", wait, err)
 }
 
-// TestUnconfirmedAnswerSwitchesRelay: behind a relay that is cut off the other relay is asked, while what the first answers is still of use.
+// TestUnconfirmedAnswerSwitchesRelay checks that the other relay is polled if the first has not heard from the source
+// for DefaultUnconfirmedAfter, and that the first one's answer is used nevertheless.
 func TestUnconfirmedAnswerSwitchesRelay(t *testing.T) {
 	s := newOpenSource(t)
 	p := newSyncedPoller(t, s, &recordingApplier{}, 3)
@@ -123,11 +126,11 @@
 	_, err = p.TakeChanges(1, delta)
 	require.NoError(t, err)
 	require.Equal(t, 1, p.Server(1))
-	require.Equal(t, Current, p.Status(1).Condition, "it was heard through the source itself before")
+	require.Equal(t, Current, p.Status(1).Condition, "the source was polled directly before")
 }
 
-// TestThrottledRetriesSpread: subscribers that are throttled together come again apart, and over a longer time with each call
-// in a row; an answer ends the row.
+// TestThrottledRetriesSpread checks that subscribers that are throttled at the same time retry at different times, over
+// a range that grows with each consecutive ThrottledError, and that an answer resets the range.
 func TestThrottledRetriesSpread(t *testing.T) {
 	s := newOpenSource(t)
 	var pollers []*Poller
--- a/internal/distribution/random_faults_test.go
+++ b/internal/distribution/random_faults_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelState is a state as the model holds it.
+// modelState is the model's form of a state.
 type modelState map[Key]string
 
 func (e modelState) inScope(scope Scope) modelState {
@@ -36,7 +36,7 @@
 	return next
 }
 
-// recordingApplier is an Applier that holds what it was told, and refuses what it is told to refuse.
+// recordingApplier is an Applier that keeps the applied state, or refuses all updates if refuses is set.
 type recordingApplier struct {
 	state   modelState
 	refuses bool
@@ -61,33 +61,33 @@
 	return nil
 }
 
-// member is a subscriber of the walk.
+// member is a subscriber of a testFleet: a limiter, or the subscriber side of a relay.
 type member struct {
 	*Subscriber
 	scope          Scope
 	applier        *recordingApplier
-	highestVersion Version // of this life
-	corrupted      bool    // the walk has spoilt its state
+	highestVersion Version // since the last start
+	corrupted      bool    // the test has altered the state without an update
 	savedSnapshot  *Snapshot
-	deltas         []*Delta // answers of earlier calls, which may come again
+	deltas         []*Delta // answers of earlier calls, which may be delivered again
 	pieces         []*Piece
 }
 
-// pieceServed is one piece that a server gave.
+// pieceServed is the time in nanoseconds and the size of a piece that a server has sent.
 type pieceServed struct{ at, bytes int64 }
 
-// testFleet is a source, relays and limiters under random steps, with a model of the log.
+// testFleet is a source with relays and limiters that a test takes through random steps, and a model of the log.
 type testFleet struct {
 	now          int64
 	source       *Source
-	history      map[Version]modelState // of every version that any writer published
+	history      map[Version]modelState // state at each version that any writer has published
 	retention    Retention
 	budget       Budget
 	relays       []*Relay
-	relayMembers []*member // the relays' subscriber sides
+	relayMembers []*member // subscriber sides of relays
 	limiters     []*member
 	piecesServed map[Server][]pieceServed
-	snapshot     *Snapshot // an older state of the source
+	snapshot     *Snapshot // older state of the source, nil if none was taken
 }
 
 var limiterScopes = []Scope{{}, {Names: []string{"eu"}}, {Kinds: []Kind{KindPlans, KindRoutes}, Names: []string{"us"}}}
@@ -108,7 +108,7 @@
 	}
 	for i, scope := range limiterScopes {
 		f.limiters = append(f.limiters, &member{scope: scope})
-		_ = f.startLimiter(i, nil) // with no kept state nothing can fail
+		_ = f.startLimiter(i, nil) // without a snapshot it returns no error
 	}
 	return f
 }
@@ -138,9 +138,9 @@
 
 func (f *testFleet) servers() []Server { return []Server{f.source, f.relays[0], f.relays[1]} }
 
-// recordChange notes a published change in the model.
+// recordChange adds a published change to the model.
 func (f *testFleet) recordChange(t require.TestingT, before Version, change Change) {
-	require.NotContains(t, f.history, change.Version, "two changes with one version")
+	require.NotContains(t, f.history, change.Version, "a version was published twice")
 	require.True(t, before.Less(change.Version), "%v after %v", change.Version, before)
 	f.history[change.Version] = f.history[before].withMutations(change.Mutations)
 	if f.history[before] == nil {
@@ -148,7 +148,8 @@
 	}
 }
 
-// call makes one call of a subscriber to a server; spoil may change the answer, or drop it by returning false.
+// call makes the subscriber's next call to a server. alterDelta or alterPiece gets the answer; it returns the answer to
+// deliver, or false to drop it.
 func (f *testFleet) call(
 	m *member,
 	server Server,
@@ -175,7 +176,7 @@
 		return m.TakePiece(f.now, piece)
 	}
 	if request.Hold && !server.Newer(*request.Changes) {
-		f.now += second / 10 // held in vain
+		f.now += second / 10 // the server holds the call and then answers without changes
 	}
 	delta, err := server.Changes(f.now, *request.Changes)
 	if err != nil {
@@ -190,12 +191,13 @@
 	return m.TakeChanges(f.now, delta)
 }
 
-func unaltered[T any](answer T) (T, bool) { return answer, true }
+func asIs[T any](answer T) (T, bool) { return answer, true }
 
-// callNoFault makes one call that nothing disturbs.
-func (f *testFleet) callNoFault(m *member, server Server) error { return f.call(m, server, unaltered, unaltered) }
+// callNoFault makes one call whose answer is delivered unaltered.
+func (f *testFleet) callNoFault(m *member, server Server) error { return f.call(m, server, asIs, asIs) }
 
-// callWithRandomFault makes one call whose answer may be lost, cut, changed or one of an earlier call.
+// callWithRandomFault makes one call whose answer may be lost, truncated, altered or replaced by that of an earlier
+// call.
 func (f *testFleet) callWithRandomFault(t *rapid.T, m *member, server Server) error {
 	fault := rapid.SampledFrom([]string{"none", "none", "none", "lost", "cut", "changed", "skips", "earlier"}).
 		Draw(t, "fault")
@@ -237,17 +239,18 @@
 	})
 }
 
-// check holds what is in force at every subscriber against the model.
+// check compares the applied state of every subscriber and the log of every relay with the model.
 func (f *testFleet) check(t require.TestingT) {
 	for i, m := range append(append([]*member{}, f.relayMembers...), f.limiters...) {
 		version := m.Version()
-		require.False(t, version.Less(m.highestVersion), "subscriber %d went back from %v to %v", i, m.highestVersion, version)
+		require.False(t, version.Less(m.highestVersion), "subscriber %d went back from %v to %v",
+			i, m.highestVersion, version)
 		m.highestVersion = version
 		if version == (Version{}) {
 			require.Zero(t, m.State().Len(), "subscriber %d has a state and no version", i)
 			continue
 		}
-		require.Contains(t, f.history, version, "subscriber %d has a version that nobody published", i)
+		require.Contains(t, f.history, version, "subscriber %d has a version that was never published", i)
 		want := f.history[version].inScope(m.scope)
 		if m.applier != nil {
 			require.Equal(t, want, m.applier.state, "in force at subscriber %d at %v", i, version)
@@ -267,7 +270,7 @@
 	}
 }
 
-// checkBudget holds the bytes of pieces in each span of time against the budget.
+// checkBudget checks that the pieces sent in each interval are within the byte budget.
 func (f *testFleet) checkBudget(t require.TestingT, server Server, all []pieceServed) {
 	for i := range all {
 		bytes := int64(0)
@@ -301,7 +304,7 @@
 	return mutations
 }
 
-// publish makes the source's writer publish; epochs that are not open are fenced.
+// publish publishes a random change. Sometimes it uses an epoch that is not open, which must be fenced.
 func (f *testFleet) publish(t *rapid.T) {
 	before := f.source.log.Head()
 	epoch := before.Epoch
@@ -327,7 +330,7 @@
 	f.recordChange(t, before, change)
 }
 
-// replaceSource makes a new source of an older state; what was published behind that is lost.
+// replaceSource replaces the source with one that continues from the snapshot. Later changes are lost.
 func (f *testFleet) replaceSource(t require.TestingT) {
 	if f.snapshot == nil {
 		return
@@ -341,7 +344,7 @@
 	f.recordChange(t, f.snapshot.Version, change)
 }
 
-// converge makes calls that nothing disturbs until all subscribers have the source's state.
+// converge makes 200 rounds of calls without faults and checks that all subscribers then have the source's state.
 func (f *testFleet) converge(t require.TestingT) {
 	f.open(t)
 	for _, m := range f.limiters {
@@ -359,7 +362,7 @@
 	}
 	head := f.source.log.Head()
 	for i, m := range append(append([]*member{}, f.relayMembers...), f.limiters...) {
-		require.Equal(t, head, m.Version(), "subscriber %d after the healing", i)
+		require.Equal(t, head, m.Version(), "subscriber %d after 200 rounds without faults", i)
 		require.Equal(t, f.source.log.State().Digest(m.scope), m.State().Digest(Scope{}), "subscriber %d", i)
 		require.Equal(t, f.history[head].inScope(m.scope), modelState(m.State().values), "subscriber %d", i)
 		status := m.Status(f.now)
@@ -367,9 +370,10 @@
 	}
 }
 
-// TestRandomFaultsConverge: whatever is lost, cut, changed, replayed, refused or restarted, no version is published twice or taken
-// back, every state in force is the log's at its version, pieces keep the byte budget, and undisturbed calls bring all
-// to the source's state.
+// TestRandomFaultsConverge runs random steps in which answers are lost, truncated, altered or replayed, updates are
+// refused, and servers and limiters restart. No version may be published twice or go back at a subscriber, every
+// applied state must be the log's at that version, pieces must stay within the byte budget, and calls without faults
+// must bring all subscribers to the source's state.
 func TestRandomFaultsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet(Retention{Changes: rapid.SampledFrom([]int{1, 3, 100}).Draw(t, "retained")})
--- a/internal/distribution/relaychoice.go
+++ b/internal/distribution/relaychoice.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// RelayAddress is where a relay is.
+// RelayAddress is the name, zone and network address of a relay.
 type RelayAddress struct {
 	Name    string
 	Zone    string
 	Address string // host and port
 }
 
-// ChooseRelays gives the two relays of a limiter: one of its own zone where there is one, and one of another zone
-// where there is one. Limiters of a zone are spread over the others by their positions, so that the loss of a relay is
-// shared. With one relay in all, both are that one. Errors: *NoRelayError.
+// ChooseRelays returns the two relays of a limiter: the first in its own zone and the second in another zone, as far as
+// there are such relays. The position distributes the limiters of a zone evenly over the relays of the other zones, so
+// that these share the load if the zone loses its relay. If there is only one relay, both are that one. Errors:
+// *NoRelayError.
 func ChooseRelays(relays []RelayAddress, zone string, position int) ([2]RelayAddress, error) {
 	if err := checkRelays(relays); err != nil {
 		return [2]RelayAddress{}, err
@@ -47,7 +48,7 @@
 	return [2]RelayAddress{sameZone[first], otherZones[position/len(sameZone)%len(otherZones)]}, nil
 }
 
-// choosePair gives two different ones of at least two.
+// choosePair returns two different relays. There must be at least two.
 func choosePair(relays []RelayAddress, position int) [2]RelayAddress {
 	first := position % len(relays)
 	second := position / len(relays) % (len(relays) - 1)
@@ -74,16 +75,17 @@
 	return nil
 }
 
-// FirstRelayRetryDelay is after how long on its second relay a subscriber tries its first one again.
+// FirstRelayRetryDelay is how long a subscriber uses its second relay before it tries the first one again, in
+// nanoseconds.
 const FirstRelayRetryDelay = 30 * second
 
-// Selector tells which of two relays to ask. The zero value begins with the first.
+// Selector decides which of two relays to poll. The zero value starts with the first.
 type Selector struct {
 	useSecond  bool
-	switchedAt int64 // when it went to the second
+	switchedAt int64 // when it last switched, in nanoseconds
 }
 
-// Selected is 0 for the first relay, 1 for the second.
+// Selected returns the relay to poll now: 0 for the first, 1 for the second.
 func (s *Selector) Selected(now int64) int {
 	if s.useSecond && now-s.switchedAt >= FirstRelayRetryDelay {
 		s.useSecond = false
@@ -94,7 +96,7 @@
 	return 0
 }
 
-// ReportFailure notes that the selected relay did not answer with something of use: the other one is next.
+// ReportFailure records that the selected relay gave no usable answer, and selects the other one.
 func (s *Selector) ReportFailure(now int64) {
 	s.useSecond = !s.useSecond
 	s.switchedAt = now
--- a/internal/distribution/resync.go
+++ b/internal/distribution/resync.go
@@ -1,26 +1,29 @@
 package distribution
 
-// resync collects the whole state in pieces. Each piece is of the server's version when it was read; the changes
-// behind the oldest of these versions are then applied over the entries, up to the newest at least. As each change
-// says the whole value of its keys, the outcome is the state at the version reached, which its digest confirms.
+// resync collects the complete state in pieces. A piece shows the state at the server's version at the time of reading,
+// so pieces may be of different versions. Once all pieces are there, the changes after the oldest of these versions are
+// applied, up to the newest one or further. Each change contains the complete values of its keys, so applying a change
+// that a piece already contains does no harm, and the result is the state at the version reached. Its digest confirms
+// this.
 type resync struct {
 	state          *State
-	lastKey        *Key // the last key held, nil before the first piece
-	piecesComplete bool // the last piece is there
-	oldest         Version
-	newest         Version
-	reached        Version // reached by changes, from oldest on
+	lastKey        *Key    // last key received, nil before the first piece
+	piecesComplete bool    // the last piece has been received
+	oldest         Version // oldest version of a piece
+	newest         Version // newest version of a piece
+	reached        Version // version reached by applying the changes after oldest
 }
 
 func newResync() *resync { return &resync{state: NewState()} }
 
-// takePiece adds a piece. After an error the resync is void. Errors: *SkipError, *KeyError, *KindError, *TooLargeError.
+// takePiece adds a piece. After an error the resync must not be used any more. Errors: *SkipError, *KeyError,
+// *KindError, *TooLargeError.
 func (r *resync) takePiece(piece *Piece, scope Scope) error {
 	switch {
 	case r.lastKey == nil:
 		r.oldest = piece.Version
 		r.newest = piece.Version
-	case piece.Version.Epoch != r.newest.Epoch: // another writer, whose changes may not follow these entries
+	case piece.Version.Epoch != r.newest.Epoch: // the changes of another writer need not follow from these entries
 		return &SkipError{Held: r.newest, Given: piece.Version}
 	case piece.Version.Less(r.oldest):
 		r.oldest = piece.Version
@@ -52,7 +55,8 @@
 	return nil
 }
 
-// takeChanges applies changes that were checked, and tells whether the state is complete.
+// takeChanges applies changes that checkDelta has accepted, and reports whether the state is complete. Errors:
+// *DigestError, *TooLargeError.
 func (r *resync) takeChanges(delta *Delta) (complete bool, err error) {
 	r.state.apply(delta.Changes)
 	r.reached = delta.To
--- a/internal/distribution/resync_test.go
+++ b/internal/distribution/resync_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestResyncWhilePublishing: while a state is read in pieces, from a source and a relay that lags, it goes on
-// changing. No honest answer is refused, and the outcome is the state at the version reached.
+// TestResyncWhilePublishing reads a state in pieces from a source and a lagging relay while it changes. No valid answer
+// may be rejected, and the result must be the state at the version reached.
 func TestResyncWhilePublishing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewSource(NewLog(Retention{}), Budget{Rate: 1 << 40, Burst: 1 << 40})
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestResyncFromOlderState: a state that is older than the one in force does not take its place, though that one has
-// diverged.
+// TestResyncFromOlderState checks that a resync from a lagging relay does not replace the applied state with an older
+// one, even if the applied one has diverged.
 func TestResyncFromOlderState(t *testing.T) {
 	s := newOpenSource(t)
 	r := NewRelay(1, RelayOptions{Name: "r"})
@@ -97,7 +97,7 @@
 	require.Equal(t, 1, f.applied)
 }
 
-// TestResyncAfterCompaction: a subscriber whose version is no longer in the log reads the whole state.
+// TestResyncAfterCompaction checks that a subscriber whose version is no longer in the log reads the complete state.
 func TestResyncAfterCompaction(t *testing.T) {
 	s := NewSource(NewLog(Retention{Changes: 1}), Budget{})
 	_, err := s.Open(1, 1)
@@ -119,7 +119,7 @@
 	require.Equal(t, s.log.Head(), sub.Version())
 }
 
-// TestPieceKeyOrder: pieces follow the order of keys while entries come and go.
+// TestPieceKeyOrder checks that entriesAfter follows the order of keys while entries are added and removed.
 func TestPieceKeyOrder(t *testing.T) {
 	s := stateOf(t, put(KindPlans, "", "a", "1"), put(KindPlans, "", "c", "3"))
 	names := func(after *Key, maxBytes int) (all string) {
@@ -134,14 +134,15 @@
 	require.Equal(t, "a1b2c3", names(nil, 1<<20))
 	s.remove(Key{KindPlans, "", "a"})
 	require.Equal(t, "b2c3", names(nil, 1<<20))
-	require.Equal(t, "b2c3", names(&Key{KindPlans, "", "a"}, 1<<20), "behind a key that is gone")
+	require.Equal(t, "b2c3", names(&Key{KindPlans, "", "a"}, 1<<20), "after a removed key")
 	require.Equal(t, "c3", names(&Key{KindPlans, "", "b"}, 1<<20))
 	require.Equal(t, "b2", names(nil, Entry{Key{KindPlans, "", "b"}, "2"}.size()))
 	s.remove(Key{KindPlans, "", "none"})
 	require.Equal(t, 2, s.Len())
 }
 
-// TestBudgetRefill: however often it is asked, what is given keeps to the rate, and reaches it.
+// TestBudgetRefill checks that the bytes spent stay within the rate and reach it, however often wait is called.
+// Rounding the refill down at each call would lose bytes.
 func TestBudgetRefill(t *testing.T) {
 	for _, step := range []int64{1, 7, 999, second / 3, second} {
 		s := byteBudget{Budget: Budget{Rate: 3 << 20, Burst: MaxPieceBytes}}
@@ -159,14 +160,14 @@
 	}
 }
 
-// TestTruncate: a text is cut between characters.
+// TestTruncate checks that a text is cut between UTF-8 characters.
 func TestTruncate(t *testing.T) {
 	require.Equal(t, "aé", truncate("aéé", 4))
 	require.Equal(t, "aéé", truncate("aéé", 5))
 	require.Equal(t, "", truncate("é", 1))
 }
 
-// TestLogOpenRejectsEpoch: a log opens no epoch that it has had.
+// TestLogOpenRejectsEpoch checks that a log rejects an epoch that is not above its head's, or too far above it.
 func TestLogOpenRejectsEpoch(t *testing.T) {
 	l := NewLogAt(Retention{}, Version{3, 7}, NewState())
 	for _, epoch := range []uint64{0, 2, 3} {
--- a/internal/distribution/scope.go
+++ b/internal/distribution/scope.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// MaxScopeNames is how many kinds, and how many names, a scope may list.
+// MaxScopeNames is the maximum number of kinds, and the maximum number of names, in a Scope.
 const MaxScopeNames = 16
 
-// Scope is what a subscriber wants of the state. The zero value is everything, which a relay takes.
+// Scope selects the entries that a subscriber receives. The zero value selects all entries; relays use it.
 type Scope struct {
-	// Kinds are the kinds wanted; all where it is empty.
+	// Kinds are the selected kinds. If empty, all kinds are selected.
 	Kinds []Kind
-	// Names are the scopes wanted beside entries for every limiter; all where it is empty.
+	// Names are the selected values of Key.Scope. Entries with an empty Key.Scope are always selected. If Names is
+	// empty, all scopes are selected.
 	Names []string
 }
 
-// Contains tells whether entries with this key are in the scope.
+// Contains reports whether an entry with this key is in the scope.
 func (s Scope) Contains(key Key) bool { return s.contains(bucket{key.Kind, key.Scope}) }
 
 func (s Scope) contains(b bucket) bool {
@@ -26,7 +27,8 @@
 	return len(s.Names) == 0 || b.scope == "" || slices.Contains(s.Names, b.scope)
 }
 
-// String is the form that ParseScope reads: kinds, '@' and names, each list with commas; empty for everything.
+// String returns the form that ParseScope reads: the kinds, '@' and the names, with commas within both lists. It is
+// empty for the zero value.
 func (s Scope) String() string {
 	if len(s.Kinds) == 0 && len(s.Names) == 0 {
 		return ""
@@ -38,7 +40,7 @@
 	return strings.Join(kinds, ",") + "@" + strings.Join(s.Names, ",")
 }
 
-// ParseScope reads what String writes. Errors: *ScopeError.
+// ParseScope parses the form that String returns. Errors: *ScopeError.
 func ParseScope(text string) (s Scope, err error) {
 	if text == "" {
 		return s, nil
@@ -58,7 +60,7 @@
 	return s, s.Check()
 }
 
-// Check refuses a scope that cannot be. Errors: *ScopeError.
+// Check validates the scope. Errors: *ScopeError.
 func (s Scope) Check() error {
 	if len(s.Kinds) > MaxScopeNames || len(s.Names) > MaxScopeNames {
 		return &ScopeError{Why: "it lists too many kinds or names"}
--- a/internal/distribution/snapshot.go
+++ b/internal/distribution/snapshot.go
@@ -1,16 +1,16 @@
 package distribution
 
-// Snapshot is a whole state, to be kept on a disk.
+// Snapshot is a complete state to be stored on disk.
 type Snapshot struct {
 	Version Version `json:"version"`
-	// TakenAt is when the source was last known to have this version or an older one in force, by the caller's clock in
-	// nanoseconds: the time of the snapshot less the state's age.
+	// TakenAt is the last time at which the state was confirmed by the source, in nanoseconds by the caller's clock:
+	// the time of the snapshot minus the age of the state.
 	TakenAt int64   `json:"taken"`
-	Scope   string  `json:"scope"` // as Scope.String writes it
+	Scope   string  `json:"scope"` // as returned by Scope.String
 	Entries []Entry `json:"entries"`
 }
 
-// Snapshot is what the subscriber has in force; nil where it has no version.
+// Snapshot returns the state that the subscriber has applied, or nil if it has no version.
 func (s *Subscriber) Snapshot(now int64) *Snapshot {
 	if (s.version == Version{}) {
 		return nil
--- a/internal/distribution/state.go
+++ b/internal/distribution/state.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// bucket is a group of entries that are in a scope together or not at all.
+// bucket identifies the entries with the same kind and scope. A Scope contains either all of them or none.
 type bucket struct {
 	kind  Kind
 	scope string
@@ -13,18 +13,18 @@
 
 func bucketOf(key Key) bucket { return bucket{key.Kind, key.Scope} }
 
-// State is a set of entries with its digests. It is not safe for concurrent use.
+// State is a set of entries and their digests. It is not safe for concurrent use.
 type State struct {
 	values  map[Key]string
-	digests map[bucket]Digest // of each bucket, and none of empty ones
-	bytes   int
-	sorted  []Key // all keys in order, nil where they have changed since it was made
+	digests map[bucket]Digest // by bucket; empty buckets have no element
+	bytes   int               // total size of the entries
+	sorted  []Key             // all keys in order; nil if it has to be computed again
 }
 
-// NewState makes a state with no entries.
+// NewState returns a state with no entries.
 func NewState() *State { return &State{values: map[Key]string{}, digests: map[bucket]Digest{}} }
 
-// NewStateOf makes a state of entries. Errors: *KindError, *KeyError, *TooLargeError.
+// NewStateOf returns a state with the given entries. Errors: *KindError, *KeyError, *TooLargeError.
 func NewStateOf(entries []Entry) (*State, error) {
 	s := NewState()
 	for _, e := range entries {
@@ -42,16 +42,16 @@
 	return s, nil
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (s *State) Len() int { return len(s.values) }
 
-// Value is the value of a key.
+// Value returns the value of a key, and whether there is an entry with that key.
 func (s *State) Value(key Key) (value string, found bool) {
 	value, found = s.values[key]
 	return value, found
 }
 
-// Entries are all entries in the order of their keys.
+// Entries returns all entries, sorted by key.
 func (s *State) Entries() []Entry {
 	entries := make([]Entry, 0, len(s.values))
 	for _, key := range s.keys() {
@@ -60,7 +60,7 @@
 	return entries
 }
 
-// Digest is the digest of the entries in a scope.
+// Digest returns the digest of the entries in a scope.
 func (s *State) Digest(scope Scope) (d Digest) {
 	for b, part := range s.digests {
 		if scope.contains(b) {
@@ -70,7 +70,7 @@
 	return d
 }
 
-// Clone is an independent copy.
+// Clone returns an independent copy.
 func (s *State) Clone() *State {
 	return &State{values: maps.Clone(s.values), digests: maps.Clone(s.digests), bytes: s.bytes}
 }
@@ -82,7 +82,7 @@
 	return s.sorted
 }
 
-// put puts an entry.
+// put adds an entry, or replaces the entry with the same key.
 func (s *State) put(e Entry) {
 	old, exists := s.values[e.Key]
 	if exists {
@@ -96,7 +96,7 @@
 	s.addDigest(bucketOf(e.Key), digestOf(e.Key, e.Value))
 }
 
-// remove takes an entry out; it does nothing where there is none.
+// remove deletes an entry. It does nothing if there is none with this key.
 func (s *State) remove(key Key) {
 	old, exists := s.values[key]
 	if !exists {
@@ -108,7 +108,7 @@
 	s.addDigest(bucketOf(key), Digest{}.minus(digestOf(key, old)))
 }
 
-// addDigest adds to the digest of a bucket.
+// addDigest adds a value to the digest of a bucket. The element of a bucket that has become empty is deleted.
 func (s *State) addDigest(b bucket, change Digest) {
 	sum := s.digests[b].plus(change)
 	if sum == (Digest{}) {
@@ -118,7 +118,7 @@
 	s.digests[b] = sum
 }
 
-// apply puts the mutations of changes in place, in their order.
+// apply applies the mutations of changes in order.
 func (s *State) apply(changes []Change) {
 	for _, change := range changes {
 		for _, m := range change.Mutations {
@@ -131,7 +131,7 @@
 	}
 }
 
-// preview is what changes would make of the whole state, without changing it.
+// preview returns the digest and the size in bytes that the state would have after changes, without applying them.
 func (s *State) preview(changes []Change) (digest Digest, bytes int) {
 	lastByKey := map[Key]Mutation{}
 	for _, change := range changes {
@@ -140,7 +140,7 @@
 		}
 	}
 	digest, bytes = s.Digest(Scope{}), s.bytes
-	for key, m := range lastByKey { // sums do not depend on the order
+	for key, m := range lastByKey { // sums do not depend on the order of iteration
 		if old, exists := s.values[key]; exists {
 			digest = digest.minus(digestOf(key, old))
 			bytes -= Entry{Key: key, Value: old}.size()
@@ -153,7 +153,8 @@
 	return digest, bytes
 }
 
-// entriesAfter are entries in a scope behind a key, of at most so many bytes, and whether they are the last.
+// entriesAfter returns the entries in a scope that follow a key, or all if key is nil, up to maxBytes in total. last
+// reports whether no further entry follows.
 func (s *State) entriesAfter(key *Key, scope Scope, maxBytes int) (entries []Entry, last bool) {
 	keys := s.keys()
 	from := 0
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -2,34 +2,35 @@
 
 import "errors"
 
-// Condition is how a subscriber stands.
+// Condition tells whether the version that a subscriber has applied is up to date.
 type Condition string
 
 // The conditions of a subscriber.
 const (
-	// Syncing: no version is in force yet, or the state has diverged or lost its place in the log and is read anew.
-	// What was in force stays so meanwhile.
+	// Syncing means that no version has been applied yet, or that the complete state is being read because it had
+	// diverged or its version was no longer in the log. The version applied before stays in force meanwhile.
 	Syncing Condition = "syncing"
-	// Current: the source was heard, through the relay, no longer ago than SubscriberOptions.UnconfirmedAfter.
+	// Current means that the subscriber has heard from the source, if only through its relay, less than
+	// SubscriberOptions.UnconfirmedAfter ago.
 	Current Condition = "current"
-	// Unconfirmed: the version in force may be old; Status.Age tells how old.
+	// Unconfirmed means that the applied version may be outdated; see Status.Age.
 	Unconfirmed Condition = "unconfirmed"
 )
 
-// SubscriberOptions are what a subscriber is made of.
+// SubscriberOptions configure a Subscriber.
 type SubscriberOptions struct {
-	// Name is the limiter's or the relay's, unique in the fleet.
+	// Name is the name of the limiter or relay, unique in the fleet.
 	Name string
-	// Scope is what it serves; the zero value is everything.
+	// Scope selects the entries to receive; the zero value selects all.
 	Scope Scope
-	// Applier puts versions in force.
+	// Applier applies the updates.
 	Applier Applier
-	// UnconfirmedAfter is the age from which on the version in force counts as unconfirmed, in nanoseconds; 0 for
+	// UnconfirmedAfter is the Status.Age at which the condition becomes Unconfirmed, in nanoseconds; 0 for
 	// DefaultUnconfirmedAfter.
 	UnconfirmedAfter int64
-	// PieceBytes is how large a piece is asked for; 0 for DefaultPieceBytes.
+	// PieceBytes is the maximum size of a requested piece; 0 for DefaultPieceBytes.
 	PieceBytes int
-	// RefusedRetry is after how long a version that the applier refused is tried again, in nanoseconds; 0 for
+	// RefusedRetry is the delay before a version that the Applier refused is tried again, in nanoseconds; 0 for
 	// DefaultRefusedRetry. A newer version is tried at once.
 	RefusedRetry int64
 }
@@ -41,22 +42,22 @@
 	DefaultRefusedRetry     = 30 * second
 )
 
-// Subscriber is the state of one limiter or relay, and decides what it asks for next. It is not safe for concurrent
-// use.
+// Subscriber holds the configuration state of one limiter or relay, and decides what it requests next. It is not safe
+// for concurrent use.
 type Subscriber struct {
 	options         SubscriberOptions
 	version         Version
 	state           *State
-	resync          *resync // nil where none is under way
-	hasConfirmation bool    // the source was heard in this life,
-	confirmedAt     int64   // and no longer ago than then
-	startedAt       int64   // when this life began,
-	restoredAge     int64   // with a state of that age, in nanoseconds
+	resync          *resync // nil if none is in progress
+	hasConfirmation bool    // the source was heard, directly or through a relay, since startedAt
+	confirmedAt     int64   // latest known time at which the source was heard, if hasConfirmation
+	startedAt       int64   // when this subscriber was created
+	restoredAge     int64   // age of the restored state at startedAt, in nanoseconds
 	refused         *RefusedError
 	refusedAt       int64
 }
 
-// NewSubscriber makes a subscriber that has no version.
+// NewSubscriber returns a subscriber that has no version yet.
 func NewSubscriber(now int64, options SubscriberOptions) *Subscriber {
 	if options.UnconfirmedAfter == 0 {
 		options.UnconfirmedAfter = DefaultUnconfirmedAfter
@@ -70,8 +71,8 @@
 	return &Subscriber{options: options, state: NewState(), startedAt: now}
 }
 
-// Restore begins with a state that an earlier life left, of an age in nanoseconds. It is put in force unconfirmed.
-// Errors: *RefusedError, *KeyError where it is of another scope.
+// Restore applies a state that an earlier process stored. age is the age of the state in nanoseconds; it adds to
+// Status.Age until the source is heard. Errors: *RefusedError, and *KeyError if an entry is outside the scope.
 func (s *Subscriber) Restore(version Version, state *State, age int64) error {
 	for key := range state.values {
 		if !s.options.Scope.Contains(key) {
@@ -86,24 +87,24 @@
 	return nil
 }
 
-// Version is the one in force, zero where there is none.
+// Version returns the applied version, or the zero value if there is none.
 func (s *Subscriber) Version() Version { return s.version }
 
-// State is the state in force, to read only.
+// State returns the applied state. The caller must not modify it.
 func (s *Subscriber) State() *State { return s.state }
 
-// Status is how a subscriber stands.
+// Status is a subscriber's version and how up to date it is.
 type Status struct {
 	Condition Condition
 	Version   Version
-	// Age is how long ago the source was last heard, in nanoseconds. It counts from the subscriber's start where the
-	// source was never heard, plus the age of the state that it started with.
+	// Age is the time since the source was last heard, in nanoseconds. If it was not heard since the subscriber was
+	// created, Age is the time since then plus the age of the restored state.
 	Age int64
-	// Refused is the newest version that the applier did not put in force, nil once a newer one is.
+	// Refused is the newest version that the Applier refused. It is nil if none was, or if a version was applied since.
 	Refused *RefusedError
 }
 
-// Status tells how the subscriber stands.
+// Status returns the subscriber's status.
 func (s *Subscriber) Status(now int64) Status {
 	status := Status{Condition: Current, Version: s.version, Age: s.age(now), Refused: s.refused}
 	switch {
@@ -122,15 +123,15 @@
 	return max(now-s.confirmedAt, 0)
 }
 
-// Request is what a subscriber asks for next: one of the two.
+// Request is what a subscriber requests next. Exactly one of Changes and Piece is not nil.
 type Request struct {
 	Changes *ChangesRequest
 	Piece   *PieceRequest
-	// Hold tells that a call for changes may be held until there is something newer.
+	// Hold permits the server to hold a call for changes until it has newer ones.
 	Hold bool
 }
 
-// Next tells what to ask for.
+// Next returns what to request next.
 func (s *Subscriber) Next(now int64) Request {
 	switch {
 	case s.resync != nil && s.resync.piecesComplete:
@@ -152,12 +153,12 @@
 	return Request{Changes: request, Hold: true}
 }
 
-// refusedRecently tells whether a version was refused and is not to be tried again yet.
+// refusedRecently reports whether a version was refused less than RefusedRetry ago, so that it is not tried again yet.
 func (s *Subscriber) refusedRecently(now int64, version Version) bool {
 	return s.refused != nil && s.refused.Version == version && now-s.refusedAt < s.options.RefusedRetry
 }
 
-// TakePiece takes the answer to a call for a piece. After an error the resync begins anew. Errors: *StaleAnswerError,
+// TakePiece handles the answer to a call for a piece. After an error the resync starts over. Errors: *StaleAnswerError,
 // *SkipError, *KeyError, *KindError, *TooLargeError.
 func (s *Subscriber) TakePiece(now int64, piece *Piece) error {
 	if s.resync == nil {
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// TakeChanges takes the answer to a call for changes. An error leaves what is in force as it was. Errors:
+// TakeChanges handles the answer to a call for changes. An error leaves the applied version unchanged. Errors:
 // *StaleAnswerError, *SkipError, *DigestError, *KeyError, *KindError, *TooLargeError, *RefusedError.
 func (s *Subscriber) TakeChanges(now int64, delta *Delta) error {
 	from := s.version
@@ -209,7 +210,8 @@
 	return nil
 }
 
-// checkDelta refuses a delta that does not lead on from a version, or holds what cannot be.
+// checkDelta validates a delta: its changes must be valid and in scope, and their versions must follow from one by one,
+// up to delta.To. Errors: *StaleAnswerError, *SkipError, *KeyError, *KindError, *TooLargeError.
 func (s *Subscriber) checkDelta(from Version, delta *Delta) error {
 	if delta.From != from || delta.To.Less(from) {
 		if delta.To.Less(s.version) {
@@ -238,7 +240,7 @@
 	return nil
 }
 
-// finishResync takes changes behind the pieces of a resync and puts the state in force once it is complete.
+// finishResync applies changes to the pieces of a resync, and passes the state to the Applier once it is complete.
 func (s *Subscriber) finishResync(now int64, delta *Delta) error {
 	complete, err := s.resync.takeChanges(delta)
 	if err != nil {
@@ -256,7 +258,7 @@
 	if s.refusedRecently(now, delta.To) {
 		return nil
 	}
-	// A state that is refused is kept: the changes behind it may mend it.
+	// If the Applier refuses the state, the resync is kept: later changes may correct the state.
 	state := s.resync.state
 	if err := s.options.Applier.Apply(&Update{From: s.version, To: delta.To, Whole: state}); err != nil {
 		return s.recordRefusal(now, delta.To, err)
@@ -265,14 +267,14 @@
 	return nil
 }
 
-// recordRefusal notes that the applier did not put a version in force.
+// recordRefusal records that the Applier refused a version, and returns the error to report.
 func (s *Subscriber) recordRefusal(now int64, version Version, cause error) error {
 	s.refused = &RefusedError{Version: version, Cause: cause}
 	s.refusedAt = now
 	return s.refused
 }
 
-// confirm notes that the source was heard an age ago.
+// confirm records an answer whose server last heard from the source age nanoseconds ago.
 func (s *Subscriber) confirm(now, age int64) {
 	confirmed := now - max(age, 0)
 	if !s.hasConfirmation || confirmed > s.confirmedAt {
@@ -280,8 +282,8 @@
 	}
 }
 
-// TakeError takes what a server answered in place of changes or a piece. A version that is not in its log makes the
-// subscriber read the whole state.
+// TakeError handles an error that a server returned. After *CompactedError the subscriber reads the complete state.
+// Other errors change nothing.
 func (s *Subscriber) TakeError(err error) {
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
@@ -289,7 +291,7 @@
 	}
 }
 
-// Acknowledgement is what the subscriber tells its relay.
+// Acknowledgement returns the message that the subscriber sends to its relay.
 func (s *Subscriber) Acknowledgement(now int64) Acknowledgement {
 	status := s.Status(now)
 	a := Acknowledgement{Limiter: s.options.Name, Version: status.Version, Condition: status.Condition, Age: status.Age}
