--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -68,7 +68,7 @@
 // TestInvalidPublishRejected checks that each kind of invalid change is rejected with its error type and leaves the log
 // unchanged.
 func TestInvalidPublishRejected(t *testing.T) {
-	fill := func(n int, value string) (all []Mutation) {
+	puts := func(n int, value string) (all []Mutation) {
 		for i := range n {
 			all = append(all, put(KindPlans, "", fmt.Sprint(i), value))
 		}
@@ -101,11 +101,11 @@
 		{"a key twice", 1, nil, []Mutation{put(KindPlans, "", "a", "1"), put(KindPlans, "", "a", "2")},
 			isHintedError[*KeyError], "twice"},
 		{"no mutations", 1, nil, nil, isHintedError[*EmptyChangeError], "no mutations"},
-		{"too many mutations", 1, nil, fill(257, ""), isHintedError[*TooLargeError], "257"},
-		{"a change too large", 1, nil, fill(5, strings.Repeat("v", 60000)), isHintedError[*TooLargeError], "a change"},
-		{"an epoch below the open one", 0, nil, fill(1, ""), isHintedError[*FencedError], "0"},
-		{"an epoch that is not open", 2, nil, fill(1, ""), isHintedError[*FencedError], "2"},
-		{"another head expected", 1, &old, fill(1, ""), isHintedError[*ConflictError], "1.1"},
+		{"too many mutations", 1, nil, puts(257, ""), isHintedError[*TooLargeError], "257"},
+		{"a change too large", 1, nil, puts(5, strings.Repeat("v", 60000)), isHintedError[*TooLargeError], "a change"},
+		{"an epoch below the open one", 0, nil, puts(1, ""), isHintedError[*FencedError], "0"},
+		{"an epoch that is not open", 2, nil, puts(1, ""), isHintedError[*FencedError], "2"},
+		{"another head expected", 1, &old, puts(1, ""), isHintedError[*ConflictError], "1.1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newOpenSource(t, put(KindPlans, "", "a", "0"))
@@ -120,9 +120,9 @@
 	_, err := s.Open(1, 1)
 	require.True(t, isHintedError[*FencedError](err), "an epoch opened twice: %v", err)
 	head := s.log.Head()
-	_, err = s.Publish(1, 1, &head, fill(1, ""))
+	_, err = s.Publish(1, 1, &head, puts(1, ""))
 	require.NoError(t, err)
-	_, err = s.Publish(1, 1, &head, fill(1, ""))
+	_, err = s.Publish(1, 1, &head, puts(1, ""))
 	require.True(t, isHintedError[*ConflictError](err), "published again after a lost answer: %v", err)
 }
 
@@ -158,14 +158,14 @@
 // TestInvalidDeltaRejected checks that each kind of invalid answer leaves the applied state unchanged and returns the
 // matching error type. The valid answers that follow must bring the subscriber up to date.
 func TestInvalidDeltaRejected(t *testing.T) {
-	good := func(d *Delta) *Delta { return d }
+	unaltered := func(d *Delta) *Delta { return d }
 	for _, c := range []struct {
 		name    string
 		alter   func(*Delta) *Delta
 		matches func(error) bool
 		after   Condition
 	}{
-		{"valid", good, func(err error) bool { return err == nil }, Current},
+		{"valid", unaltered, func(err error) bool { return err == nil }, Current},
 		{"the first change is missing", func(d *Delta) *Delta {
 			d.Changes = d.Changes[1:]
 			return d
@@ -215,8 +215,8 @@
 			s := newOpenSource(t, put(KindPlans, "", "a", "0"))
 			_, err := s.Open(1, 2)
 			require.NoError(t, err)
-			f := &recordingApplier{state: modelState{}}
-			sub := NewSubscriber(1, SubscriberOptions{Name: "limiter", Scope: Scope{Names: []string{"eu"}}, Applier: f})
+			applier := &recordingApplier{state: modelState{}}
+			sub := NewSubscriber(1, SubscriberOptions{Name: "limiter", Scope: Scope{Names: []string{"eu"}}, Applier: applier})
 			poll(t, sub, s, 1)
 			poll(t, sub, s, 1)
 			before := sub.Version()
@@ -240,14 +240,14 @@
 			require.Equal(t, c.after, sub.Status(2).Condition)
 			if err != nil {
 				require.Equal(t, before, sub.Version())
-				require.Equal(t, modelState{{KindPlans, "", "a"}: "0"}, f.state)
-				require.Equal(t, f.state, modelState(sub.State().values))
+				require.Equal(t, modelState{{KindPlans, "", "a"}: "0"}, applier.state)
+				require.Equal(t, applier.state, modelState(sub.State().values))
 			}
 			for range 3 { // valid answers
 				poll(t, sub, s, 3)
 			}
 			require.Equal(t, s.log.Head(), sub.Version())
-			require.Equal(t, "2", f.state[Key{KindPlans, "eu", "a"}])
+			require.Equal(t, "2", applier.state[Key{KindPlans, "eu", "a"}])
 		})
 	}
 }
@@ -330,21 +330,21 @@
 func TestRestore(t *testing.T) {
 	state, err := NewStateOf([]Entry{{Key{KindPlans, "us", "a"}, "1"}})
 	require.NoError(t, err)
-	f := &recordingApplier{}
-	sub := NewSubscriber(5*second, SubscriberOptions{Applier: f})
+	applier := &recordingApplier{}
+	sub := NewSubscriber(5*second, SubscriberOptions{Applier: applier})
 	require.NoError(t, sub.Restore(Version{1, 7}, state, 3600*second))
 	require.Equal(t, Status{Condition: Unconfirmed, Version: Version{1, 7}, Age: 3601 * second}, sub.Status(6*second))
-	require.Equal(t, modelState{{KindPlans, "us", "a"}: "1"}, f.state)
+	require.Equal(t, modelState{{KindPlans, "us", "a"}: "1"}, applier.state)
 	saved := sub.Snapshot(6 * second)
 	require.Equal(
 		t,
 		Snapshot{Version: Version{1, 7}, TakenAt: 6*second - 3601*second, Entries: state.Entries()},
 		*saved,
 	)
-	f = &recordingApplier{}
-	sub = NewSubscriber(1, SubscriberOptions{Applier: f, Scope: Scope{Names: []string{"eu"}}})
+	applier = &recordingApplier{}
+	sub = NewSubscriber(1, SubscriberOptions{Applier: applier, Scope: Scope{Names: []string{"eu"}}})
 	require.True(t, isHintedError[*KeyError](sub.Restore(Version{1, 7}, state, 0)))
-	require.Zero(t, f.applied)
+	require.Zero(t, applier.applied)
 	require.Nil(t, sub.Snapshot(1))
 	sub = NewSubscriber(1, SubscriberOptions{Applier: &recordingApplier{refuses: true}})
 	require.True(t, isHintedError[*RefusedError](sub.Restore(Version{1, 7}, state, 0)))
@@ -357,15 +357,15 @@
 // acknowledges it with the reason, does not get it again until DefaultRefusedRetry has passed, and tries a newer
 // version at once.
 func TestApplierRefuses(t *testing.T) {
-	for _, whole := range []bool{false, true} {
-		t.Run(fmt.Sprint("whole=", whole), func(t *testing.T) {
+	for _, complete := range []bool{false, true} {
+		t.Run(fmt.Sprint("complete=", complete), func(t *testing.T) {
 			s := newOpenSource(t, put(KindPlans, "", "a", "0"))
-			f := &recordingApplier{state: modelState{}}
-			sub := newSyncedSubscriber(t, s, f)
+			applier := &recordingApplier{state: modelState{}}
+			sub := newSyncedSubscriber(t, s, applier)
 			_, err := s.Publish(2, 1, nil, []Mutation{put(KindPlans, "", "a", "1")})
 			require.NoError(t, err)
-			f.refuses = true
-			if whole {
+			applier.refuses = true
+			if complete {
 				sub.TakeError(&CompactedError{})
 				poll(t, sub, s, 2)
 			}
@@ -373,25 +373,25 @@
 			require.NoError(t, err)
 			require.True(t, isHintedError[*RefusedError](sub.TakeChanges(2, delta)))
 			require.Equal(t, Version{1, 2}, sub.Version())
-			require.Equal(t, "0", f.state[Key{KindPlans, "", "a"}])
+			require.Equal(t, "0", applier.state[Key{KindPlans, "", "a"}])
 			a := sub.Acknowledgement(2)
 			require.Equal(t, Version{1, 3}, *a.Refused)
 			require.Equal(t, "refused by the test", a.Reason)
-			f.refuses, f.applied = false, 0
+			applier.refuses, applier.applied = false, 0
 			next := sub.Next(3)
 			require.True(t, next.Hold && !s.Newer(*next.Changes), "%+v", next.Changes)
 			poll(t, sub, s, 3) // the server holds the call and then answers without changes
-			require.Zero(t, f.applied, "retried before RefusedRetry")
+			require.Zero(t, applier.applied, "retried before RefusedRetry")
 			require.Equal(t, Version{1, 2}, sub.Version())
 			require.Equal(t, int64(0), sub.Status(3).Age, "the answer without changes still confirms the state")
 			again := 2 + DefaultRefusedRetry
 			next = sub.Next(again)
 			require.True(t, !next.Hold || s.Newer(*next.Changes), "%+v", next.Changes)
 			poll(t, sub, s, again)
-			require.Equal(t, 1, f.applied)
+			require.Equal(t, 1, applier.applied)
 			require.Equal(t, Version{1, 3}, sub.Version())
 			require.Nil(t, sub.Acknowledgement(again).Refused)
-			f.refuses = true
+			applier.refuses = true
 			_, err = s.Publish(2, 1, nil, []Mutation{put(KindPlans, "", "a", "2")})
 			require.NoError(t, err)
 			delta, err = s.Changes(again, *sub.Next(again).Changes)
@@ -399,10 +399,10 @@
 			require.Error(t, sub.TakeChanges(again, delta))
 			_, err = s.Publish(2, 1, nil, []Mutation{put(KindPlans, "", "a", "3")})
 			require.NoError(t, err)
-			f.refuses = false
+			applier.refuses = false
 			require.True(t, s.Newer(*sub.Next(again).Changes))
 			poll(t, sub, s, again)
-			require.Equal(t, "3", f.state[Key{KindPlans, "", "a"}])
+			require.Equal(t, "3", applier.state[Key{KindPlans, "", "a"}])
 		})
 	}
 }
@@ -462,8 +462,8 @@
 // own end.
 func TestMaxDeltaBytes(t *testing.T) {
 	s := newOpenSource(t)
-	f := &recordingApplier{state: modelState{}}
-	sub := newSyncedSubscriber(t, s, f)
+	applier := &recordingApplier{state: modelState{}}
+	sub := newSyncedSubscriber(t, s, applier)
 	for i := range 20 {
 		_, err := s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", fmt.Sprint(i), strings.Repeat("v", 60000))})
 		require.NoError(t, err)
@@ -483,7 +483,7 @@
 		require.True(t, before.Less(sub.Version()))
 	}
 	require.Equal(t, 5, answers)
-	require.Len(t, f.state, 20)
+	require.Len(t, applier.state, 20)
 }
 
 // TestPieceBudget checks that pieces above the budget are rejected, and that RetryAfter is long enough and not a
@@ -615,18 +615,18 @@
 	require.NoError(t, s.Acknowledge(3, Acknowledgement{Limiter: "direct", Version: Version{2, 9}, Condition: Current}))
 	inForce, _ = s.Overview(3).InForce(Version{2, 9})
 	require.Equal(t, 1+55, inForce)
-	many := newAckTable()
+	table := newAckTable()
 	for i := range 20 {
 		version := Version{1, uint64(i)}
 		require.NoError(
 			t,
-			many.record(
+			table.record(
 				1,
 				Acknowledgement{Limiter: fmt.Sprint(i), Version: version, Condition: Current, Refused: &version},
 			),
 		)
 	}
-	sum := many.summarize(1, "r")
+	sum := table.summarize(1, "r")
 	require.Len(t, sum.Versions, MaxSummaryVersions)
 	require.Equal(t, 12, sum.Older)
 	require.Len(t, sum.Refusals, MaxSummaryRefusals)
@@ -669,26 +669,26 @@
 	for _, zone := range []string{"c", "a", "d", "b"} {
 		relays = append(relays, RelayAddress{"relay-" + zone, zone, "127.0.0.1:1"})
 	}
-	second := map[string]int{}
+	secondZones := map[string]int{}
 	for position := range 300 {
 		two, err := ChooseRelays(relays, "b", position)
 		require.NoError(t, err)
 		require.Equal(t, "b", two[0].Zone)
-		second[two[1].Zone]++
+		secondZones[two[1].Zone]++
 	}
-	require.Equal(t, map[string]int{"a": 100, "c": 100, "d": 100}, second)
-	lost := map[string]int{}
+	require.Equal(t, map[string]int{"a": 100, "c": 100, "d": 100}, secondZones)
+	pairs := map[string]int{}
 	for position := range 120 {
 		two, err := ChooseRelays(relays, "nowhere", position)
 		require.NoError(t, err)
 		require.NotEqual(t, two[0], two[1])
-		lost[two[0].Zone+two[1].Zone]++
+		pairs[two[0].Zone+two[1].Zone]++
 	}
-	require.Len(t, lost, 12)
-	same, err := ChooseRelays([]RelayAddress{relays[2], relays[0], relays[3], relays[1]}, "b", 7)
+	require.Len(t, pairs, 12)
+	reordered, err := ChooseRelays([]RelayAddress{relays[2], relays[0], relays[3], relays[1]}, "b", 7)
 	require.NoError(t, err)
 	again, _ := ChooseRelays(relays, "b", 7)
-	require.Equal(t, again, same, "the order of the list must not matter")
+	require.Equal(t, again, reordered, "the order of the list must not matter")
 	for _, zone := range []string{"c", "x"} {
 		two, err := ChooseRelays(relays[:1], zone, 5)
 		require.NoError(t, err)
--- a/internal/distribution/poller_test.go
+++ b/internal/distribution/poller_test.go
@@ -93,16 +93,16 @@
 // not after a valid answer that the Applier refuses.
 func TestInvalidAnswerSwitchesRelay(t *testing.T) {
 	s := newOpenSource(t)
-	f := &recordingApplier{state: modelState{}}
-	p := newSyncedPoller(t, s, f, 3)
+	applier := &recordingApplier{state: modelState{}}
+	p := newSyncedPoller(t, s, applier, 3)
 	_, err := s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", "a", "1")})
 	require.NoError(t, err)
 	good, err := s.Changes(1, *p.Call(1).Changes)
 	require.NoError(t, err)
-	f.refuses = true
+	applier.refuses = true
 	wait, err := p.TakeChanges(1, good)
 	require.True(t, isHintedError[*RefusedError](err) && wait == 0 && p.Server(1) == 0, "%d, %v", wait, err)
-	f.refuses = false
+	applier.refuses = false
 	bad := *good
 	bad.Digest[0]++
 	wait, err = p.TakeChanges(1, &bad)
--- a/internal/distribution/resync_test.go
+++ b/internal/distribution/resync_test.go
@@ -51,8 +51,8 @@
 			publish()
 		}
 		follow()
-		f := &recordingApplier{}
-		sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: f})
+		applier := &recordingApplier{}
+		sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: applier})
 		for calls := 0; sub.Version() == (Version{}); calls++ {
 			require.Less(t, calls, 60)
 			switch {
@@ -68,7 +68,7 @@
 		for sub.Version() != source.log.Head() {
 			call(sub, source)
 		}
-		require.Equal(t, f.state, modelState(source.log.State().values))
+		require.Equal(t, applier.state, modelState(source.log.State().values))
 	})
 }
 
@@ -82,8 +82,8 @@
 	require.NotSame(t, r.log.State(), r.State())
 	_, err := s.Publish(1, 1, nil, []Mutation{put(KindPlans, "", "a", "1")})
 	require.NoError(t, err)
-	f := &recordingApplier{}
-	sub := newSyncedSubscriber(t, s, f)
+	applier := &recordingApplier{}
+	sub := newSyncedSubscriber(t, s, applier)
 	sub.state.put(Entry{Key{KindPlans, "", "diverged"}, "x"})
 	delta, err := s.Changes(1, *sub.Next(1).Changes)
 	require.NoError(t, err)
@@ -94,7 +94,7 @@
 	err = sub.TakeChanges(1, delta)
 	require.True(t, isHintedError[*StaleAnswerError](err), "%v", err)
 	require.Equal(t, Version{1, 2}, sub.Version())
-	require.Equal(t, 1, f.applied)
+	require.Equal(t, 1, applier.applied)
 }
 
 // TestResyncAfterCompaction checks that a subscriber whose version is no longer in the log reads the complete state.
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -48,8 +48,8 @@
 // Changes implements Server. If the request has a version of a higher epoch, another writer has taken over, so the
 // writer of this source is fenced. A step above MaxEpochStep is taken for a mistake and ignored.
 func (s *Source) Changes(_ int64, request ChangesRequest) (*Delta, error) {
-	if heard := request.From.Epoch; heard > s.highestEpoch && heard-s.highestEpoch <= MaxEpochStep {
-		s.highestEpoch = heard
+	if requestEpoch := request.From.Epoch; requestEpoch > s.highestEpoch && requestEpoch-s.highestEpoch <= MaxEpochStep {
+		s.highestEpoch = requestEpoch
 	}
 	return s.changes(0, request)
 }
