--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -35,7 +35,7 @@
 	require.True(t, l.Wrote(fmt.Sprintf("event=config-version epoch=1 version=%d\n", number), 1, eventTimeout), l.Log())
 	_ = n.publishAddress(t, distribution.EndpointDiscovery, "nowhere")
 	require.True(t, l.Wrote("event=config-refused", 1, eventTimeout), l.Log())
-	require.Contains(t, l.Log(), `is \"nowhere\", which is no address" hint="publish a change that mends`)
+	require.Contains(t, l.Log(), `is \"nowhere\", which is no address" hint="publish a change that corrects`)
 	l.awaitRequestsTo(t, second, eventTimeout)
 	require.NotContains(t, l.Log(), fmt.Sprintf("version=%d\n", number+1), "the refused version is not in force")
 	require.NoError(t, l.Signal(syscall.SIGHUP))
--- a/internal/distribution/budget.go
+++ b/internal/distribution/budget.go
@@ -1,15 +1,15 @@
 package distribution
 
-// Budget bounds the bytes of pieces that a server gives: a token bucket. Zero fields take the defaults.
+// Budget is the rate limit of the pieces that a server sends: a token bucket of bytes. Zero fields mean the defaults.
 type Budget struct {
-	Rate  int64 // bytes a second
-	Burst int64 // bytes at once, at least MaxPieceBytes
+	Rate  int64 // bytes per second, 0 for 4 MiB
+	Burst int64 // bytes that may be sent at once, 0 for 1 MiB; raised to MaxPieceBytes if lower
 }
 
 const (
 	defaultPieceRate  = 4 << 20
 	defaultPieceBurst = 1 << 20
-	maxBudget         = 1 << 32 // so that no product with a second passes an int64
+	maxBudgetBytes    = 1 << 32 // so that its product with second does not overflow an int64
 	second            = int64(1e9)
 )
 
@@ -20,36 +20,37 @@
 	if b.Burst <= 0 {
 		b.Burst = defaultPieceBurst
 	}
-	b.Rate = min(b.Rate, maxBudget)
-	b.Burst = min(max(b.Burst, MaxPieceBytes), maxBudget)
+	b.Rate = min(b.Rate, maxBudgetBytes)
+	b.Burst = min(max(b.Burst, MaxPieceBytes), maxBudgetBytes)
 	return b
 }
 
-// spending is a budget in use.
-type spending struct {
+// byteBudget is the state of a Budget's token bucket.
+type byteBudget struct {
 	Budget
-	spent int64 // bytes that are not yet refilled
-	at    int64 // when spent was true
+	spent     int64 // bytes sent that the rate has not yet refilled
+	updatedAt int64 // the time to which spent applies, in nanoseconds
 }
 
-// wait is how long until so many bytes, at most the burst, may be spent; 0 where they may be now.
-func (s *spending) wait(now, bytes int64) int64 {
-	if now > s.at {
+// wait returns the time in nanoseconds until bytes may be spent, 0 if they may be spent now. bytes must not exceed the
+// burst.
+func (s *byteBudget) wait(now, bytes int64) int64 {
+	if now > s.updatedAt {
 		refill := s.spent
-		if elapsed := now - s.at; elapsed < (s.spent*second)/s.Rate+1 {
+		if elapsed := now - s.updatedAt; elapsed < (s.spent*second)/s.Rate+1 {
 			refill = elapsed * s.Rate / second
-			s.at += refill * second / s.Rate // what is less than a byte is kept for the next time
+			s.updatedAt += refill * second / s.Rate // a fraction of a byte carries over to the next call
 		} else {
-			s.at = now
+			s.updatedAt = now
 		}
 		s.spent -= min(refill, s.spent)
 	}
-	over := s.spent + bytes - s.Burst
-	if over <= 0 {
+	excess := s.spent + bytes - s.Burst
+	if excess <= 0 {
 		return 0
 	}
-	return (over*second + s.Rate - 1) / s.Rate
+	return (excess*second + s.Rate - 1) / s.Rate
 }
 
-// spend notes bytes that were given.
-func (s *spending) spend(bytes int64) { s.spent += bytes }
+// spend takes bytes from the budget.
+func (s *byteBudget) spend(bytes int64) { s.spent += bytes }
--- a/internal/distribution/log.go
+++ b/internal/distribution/log.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Retention bounds the changes that a log keeps behind its state. Zero fields take the defaults.
+// Retention limits the changes that a log keeps besides its state. Zero fields mean the defaults.
 type Retention struct {
-	Changes int // how many
-	Bytes   int // of content
+	Changes int // maximum number of changes, 0 for 4096
+	Bytes   int // maximum size of the changes in bytes, 0 for 16 MiB
 }
 
 const (
@@ -23,44 +23,45 @@
 	return r
 }
 
-// record is a change with what is needed to step back over it.
+// record is a change of the log with what is needed to compute the digest of the state before it.
 type record struct {
 	Change
-	digests map[bucket]Digest // what the change added to the digest of each bucket
-	bytes   int
+	digestChanges map[bucket]Digest // by how much the change altered the digest of each bucket
+	bytes         int
 }
 
-// Log is the numbered changes and the state at the newest of them. Older changes are compacted away; the state stands
-// for them. It is not safe for concurrent use.
+// Log holds the newest numbered changes and the state that results from all changes. Changes beyond the Retention are
+// compacted: they are dropped, and only the state contains their effect. It is not safe for concurrent use.
 type Log struct {
 	retention Retention
 	head      Version
-	base      Version // of the change directly before the oldest that is kept
+	oldest    Version // version of the change directly before the oldest kept one
 	records   []record
-	bytes     int // of the records
+	bytes     int // total size of records
 	state     *State
 }
 
-// NewLog makes an empty log.
+// NewLog returns an empty log.
 func NewLog(retention Retention) *Log {
 	return &Log{retention: retention.orDefault(), state: NewState()}
 }
 
-// NewLogAt makes a log that goes on from a snapshot, which it takes over.
+// NewLogAt returns a log that continues from the state of a snapshot. The log takes ownership of state.
 func NewLogAt(retention Retention, version Version, state *State) *Log {
-	return &Log{retention: retention.orDefault(), head: version, base: version, state: state}
+	return &Log{retention: retention.orDefault(), head: version, oldest: version, state: state}
 }
 
-// Head is the version of the newest change.
+// Head returns the version of the newest change.
 func (l *Log) Head() Version { return l.head }
 
-// Oldest is the oldest version from which the log can lead on.
-func (l *Log) Oldest() Version { return l.base }
+// Oldest returns the oldest version whose following changes are all in the log.
+func (l *Log) Oldest() Version { return l.oldest }
 
-// State is the state at the head, to read only.
+// State returns the state at the head. The caller must not modify it.
 func (l *Log) State() *State { return l.state }
 
-// Open is a method of Writer. The epoch begins with an empty change, so that no version of an older writer is above it.
+// Open implements Writer. It appends an empty change in the new epoch, so that the head is above all versions of older
+// writers.
 func (l *Log) Open(now int64, epoch uint64) (Change, error) {
 	if epoch <= l.head.Epoch {
 		return Change{}, &FencedError{Open: l.head.Epoch, Given: epoch}
@@ -73,7 +74,7 @@
 	return change, nil
 }
 
-// Append is a method of Writer.
+// Append implements Writer.
 func (l *Log) Append(now int64, epoch uint64, expected *Version, mutations []Mutation) (Change, error) {
 	if epoch != l.head.Epoch || epoch == 0 {
 		return Change{}, &FencedError{Open: l.head.Epoch, Given: epoch}
@@ -98,7 +99,7 @@
 		return err
 	}
 	for _, m := range mutations {
-		if _, held := l.state.values[m.Key]; m.Delete && !held {
+		if _, exists := l.state.values[m.Key]; m.Delete && !exists {
 			return &KeyError{Key: m.Key, Why: "is not held and cannot be deleted"}
 		}
 	}
@@ -108,11 +109,11 @@
 	return nil
 }
 
-// follow takes an update that a subscriber has checked: the log of a relay.
-func (l *Log) follow(update *Update) {
+// applyUpdate applies an update that a relay's subscriber has checked.
+func (l *Log) applyUpdate(update *Update) {
 	if update.Whole != nil {
 		l.head = update.To
-		l.base = update.To
+		l.oldest = update.To
 		l.records = nil
 		l.bytes = 0
 		l.state = update.Whole.Clone()
@@ -124,14 +125,14 @@
 }
 
 func (l *Log) append(change Change) {
-	r := record{Change: change, digests: map[bucket]Digest{}, bytes: change.size()}
+	r := record{Change: change, digestChanges: map[bucket]Digest{}, bytes: change.size()}
 	for _, m := range change.Mutations {
 		b := bucketOf(m.Key)
-		r.digests[b] = l.state.digests[b]
+		r.digestChanges[b] = l.state.digests[b]
 	}
 	l.state.apply([]Change{change})
-	for b, before := range r.digests {
-		r.digests[b] = l.state.digests[b].minus(before)
+	for b, before := range r.digestChanges {
+		r.digestChanges[b] = l.state.digests[b].minus(before)
 	}
 	l.records = append(l.records, r)
 	l.bytes += r.bytes
@@ -139,12 +140,12 @@
 	l.compact()
 }
 
-// compact forgets the oldest changes where the log keeps more than it may. The newest is always kept.
+// compact drops the oldest changes until the log is within its retention. The newest change is always kept.
 func (l *Log) compact() {
 	drop := 0
 	for len(l.records)-drop > 1 && (len(l.records)-drop > l.retention.Changes || l.bytes > l.retention.Bytes) {
 		l.bytes -= l.records[drop].bytes
-		l.base = l.records[drop].Version
+		l.oldest = l.records[drop].Version
 		drop++
 	}
 	if drop > 0 {
@@ -152,34 +153,35 @@
 	}
 }
 
-// position is the index of the first change behind a version. Errors: *BehindError, *CompactedError.
-func (l *Log) position(from Version) (int, error) {
+// indexAfter returns the index of the first record after a version. Errors: *BehindError, *CompactedError.
+func (l *Log) indexAfter(from Version) (int, error) {
 	if l.head.Less(from) {
 		return 0, &BehindError{From: from, Head: l.head}
 	}
-	if from == l.base {
+	if from == l.oldest {
 		return 0, nil
 	}
-	if from.Number <= l.base.Number || from.Number > l.head.Number {
-		return 0, &CompactedError{From: from, Oldest: l.base}
+	if from.Number <= l.oldest.Number || from.Number > l.head.Number {
+		return 0, &CompactedError{From: from, Oldest: l.oldest}
 	}
-	at := int(from.Number - l.base.Number)
-	if l.records[at-1].Version != from {
-		return 0, &CompactedError{From: from, Oldest: l.base}
+	index := int(from.Number - l.oldest.Number)
+	if l.records[index-1].Version != from {
+		return 0, &CompactedError{From: from, Oldest: l.oldest}
 	}
-	return at, nil
+	return index, nil
 }
 
-// changes leads on from a version, to another or as far as MaxDeltaBytes go. Errors: *BehindError, *CompactedError.
+// changes returns the changes after from, up to until or as many as fit in MaxDeltaBytes. Errors: *BehindError,
+// *CompactedError.
 func (l *Log) changes(from, until Version, scope Scope) (*Delta, error) {
-	at, err := l.position(from)
+	index, err := l.indexAfter(from)
 	if err != nil {
 		return nil, err
 	}
 	d := &Delta{From: from, To: from}
 	bytes := 0
-	for ; at < len(l.records) && d.To.Less(until); at++ {
-		change := scoped(l.records[at].Change, scope)
+	for ; index < len(l.records) && d.To.Less(until); index++ {
+		change := filterChange(l.records[index].Change, scope)
 		bytes += change.size()
 		if bytes > MaxDeltaBytes && len(d.Changes) > 0 {
 			break
@@ -187,15 +189,15 @@
 		d.Changes = append(d.Changes, change)
 		d.To = change.Version
 	}
-	d.Digest = l.digestAt(at, scope).at(d.To)
+	d.Digest = l.digestBefore(index, scope).at(d.To)
 	return d, nil
 }
 
-// digestAt is the digest of the state before the change with an index.
-func (l *Log) digestAt(at int, scope Scope) Digest {
+// digestBefore returns the digest of the state before records[index], in a scope.
+func (l *Log) digestBefore(index int, scope Scope) Digest {
 	digest := l.state.Digest(scope)
-	for _, r := range l.records[at:] {
-		for b, added := range r.digests {
+	for _, r := range l.records[index:] {
+		for b, added := range r.digestChanges {
 			if scope.contains(b) {
 				digest = digest.minus(added)
 			}
@@ -204,8 +206,8 @@
 	return digest
 }
 
-// scoped is a change with only those mutations that are in a scope.
-func scoped(change Change, scope Scope) Change {
+// filterChange returns the change with only those mutations that are in the scope.
+func filterChange(change Change, scope Scope) Change {
 	var mutations []Mutation
 	for _, m := range change.Mutations {
 		if scope.Contains(m.Key) {
