--- a/internal/limiter/attempts_test.go
+++ b/internal/limiter/attempts_test.go
@@ -12,27 +12,27 @@
 		out  string
 	}{
 		{"before its last byte is written: it never ran", func(l *Limiter, w *fakeSockets, id ConnID) {
-			w.kernel[id] = int64(len(w.wrote[id])) - 1
+			w.kernelAccepted[id] = int64(len(w.wrote[id])) - 1
 			l.Step(0, ConnClosed{Conn: id, Reason: PeerReset})
 		}, "-BUSY 2"},
 		{"after it: it may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
 			l.Step(0, ConnClosed{Conn: id, Reason: PeerClosed})
 		}, "-ERR written off"},
 		{"turned away: the module words the answer", func(l *Limiter, w *fakeSockets, id ConnID) {
-			w.say(l, 0, id, "-BUSY 7777\r\n")
+			w.receive(l, 0, id, "-BUSY 7777\r\n")
 		}, "-BUSY 2"},
 		{"an error: it may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
-			w.say(l, 0, id, "-ERR failed\r\n")
+			w.receive(l, 0, id, "-ERR failed\r\n")
 		}, "-ERR written off"},
 		{"a null is no answer", func(l *Limiter, w *fakeSockets, id ConnID) {
-			w.say(l, 0, id, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
+			w.receive(l, 0, id, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 		}, "-ERR written off"},
 		{"not understood", func(l *Limiter, w *fakeSockets, id ConnID) {
-			w.say(l, 0, id, "what\r\n")
+			w.receive(l, 0, id, "what\r\n")
 		}, "-ERR written off"},
 		{"served", func(l *Limiter, w *fakeSockets, id ConnID) {
-			w.say(l, 0, id, "*3\r\n$1\r\n")
-			w.say(l, 0, id, "v\r\n$6\r\ncost=9\r\n$-1\r\n")
+			w.receive(l, 0, id, "*3\r\n$1\r\n")
+			w.receive(l, 0, id, "v\r\n$6\r\ncost=9\r\n$-1\r\n")
 		}, "$1\r\nv\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/limiter/bench_test.go
+++ b/internal/limiter/bench_test.go
@@ -17,9 +17,9 @@
 const benchConnections = 250 // to servers, about the subset of one limiter of 550 before 8,500 servers
 
 // benchList is a list of servers from one number to another, all in one state.
-func benchList(b *testing.B, from, to int, whole bool, state string) *discovery.List {
+func benchList(b *testing.B, from, to int, complete bool, state string) *discovery.List {
 	var text strings.Builder
-	fmt.Fprintf(&text, `{"generation":8,"reset":%v,"instances":[`, whole)
+	fmt.Fprintf(&text, `{"generation":8,"reset":%v,"instances":[`, complete)
 	for i := from; i < to; i++ {
 		if i > from {
 			text.WriteString(",")
@@ -39,7 +39,7 @@
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	b.Cleanup(func() { slog.SetDefault(previous) })
-	w := &fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
+	w := &fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernelAccepted: map[ConnID]int64{}}
 	l, err := New(
 		0,
 		&settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 1024, Known: []byte("null"),
@@ -65,7 +65,7 @@
 	return l
 }
 
-func BenchmarkApply(b *testing.B) {
+func BenchmarkApplyList(b *testing.B) {
 	for _, servers := range []int{20, 1000, 8500} {
 		for _, change := range []struct {
 			name string
@@ -88,7 +88,7 @@
 	}
 }
 
-func BenchmarkSweep(b *testing.B) {
+func BenchmarkMaintain(b *testing.B) {
 	for _, servers := range []int{20, 1000, 8500} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			l := benchLimiter(b, servers)
--- a/internal/limiter/clients_test.go
+++ b/internal/limiter/clients_test.go
@@ -28,16 +28,16 @@
 			if strings.HasPrefix(c.in, "done") {
 				var id ConnID
 				l, w, id = requestSent(t, "read")
-				w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+				w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 				if c.in != "done" {
-					w.say(l, 0, clientConn, "*1\r\n$4")
+					w.receive(l, 0, clientConn, "*1\r\n$4")
 				}
 			} else if c.in != "" {
-				w.say(l, 0, clientConn, c.in)
+				w.receive(l, 0, clientConn, c.in)
 			}
 			l.now = c.at
 			l.clients.reap()
-			w.pass(l, c.at)
+			w.advance(l, c.at)
 			requireText(t, w.wrote[clientConn], c.out)
 			if slices.Contains(w.closed, clientConn) != c.closed || c.closed && l.clients.count != 0 {
 				t.Fatalf("closed %v, %d clients", w.closed, l.clients.count)
@@ -48,12 +48,12 @@
 
 // Newcomers past the limit wait in the kernel, the usual clients among them; and where each client keeps its connection
 // after one request, they can open no more.
-func TestMakeRoom(t *testing.T) {
+func TestEvictIdle(t *testing.T) {
 	l, w, id := requestSent(t, "read")
-	w.say(l, 1, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	most := l.config.Sockets / evictionDivisor
+	w.receive(l, 1, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	limit := l.config.Sockets / evictionDivisor
 	newcomer := clientConn + 1
-	for i := range ConnID(most - 1) {
+	for i := range ConnID(limit - 1) {
 		l.Step(2, ClientAccepted{Conn: newcomer + i})
 	}
 	for _, c := range []struct {
@@ -67,12 +67,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if l.now = c.now; l.now == second {
-				for i := range ConnID(most) {
+				for i := range ConnID(limit) {
 					if conn := l.conns[newcomer+i]; conn != nil {
 						conn.handler.(*client).answers = []*answer{{}}
 					}
 				}
-				l.clients.accept(newcomer + ConnID(most))
+				l.clients.accept(newcomer + ConnID(limit))
 			}
 			if l.clients.evictIdle(); !slices.Equal(w.closed, c.want) {
 				t.Fatalf("closed %v, want %v", w.closed, c.want)
--- a/internal/limiter/close_reason_test.go
+++ b/internal/limiter/close_reason_test.go
@@ -8,8 +8,8 @@
 
 func TestCloseReasonOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		end         CloseReason
-		part, whole choice.Outcome
+		end               CloseReason
+		partial, complete choice.Outcome
 	}{
 		{ConnRefused, choice.ConnectFailed, choice.ConnectionLost}, {DialTimedOut, choice.ConnectFailed, choice.ConnectionLost},
 		{PeerClosed, choice.ConnectFailed, choice.ConnectionLost}, {PeerReset, choice.ConnectFailed, choice.ConnectionLost},
@@ -18,8 +18,8 @@
 		{LocalFailure, choice.NotAttempted, choice.ConnectionLost},
 	} {
 		t.Run(c.end.String(), func(t *testing.T) {
-			if part, whole := c.end.outcome(false), c.end.outcome(true); part != c.part || whole != c.whole {
-				t.Fatalf("outcome %d, of a whole attempt %d", part, whole)
+			if partial, complete := c.end.outcome(false), c.end.outcome(true); partial != c.partial || complete != c.complete {
+				t.Fatalf("outcome %d, of a whole attempt %d", partial, complete)
 			}
 			want := choice.TimedOut
 			if c.end == PeerClosed || c.end == PeerReset || c.end == ProtocolError {
--- a/internal/limiter/cold_start_test.go
+++ b/internal/limiter/cold_start_test.go
@@ -12,8 +12,8 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// asks are the calls that were written to discovery, on whatever connection.
-func asks(w *fakeSockets) (n int) {
+// pollCount are the calls that were written to discovery, on whatever connection.
+func pollCount(w *fakeSockets) (n int) {
 	for id, text := range w.wrote {
 		if strings.HasPrefix(w.dialed[id], "disco") {
 			n += strings.Count(text, "GET ")
@@ -22,88 +22,88 @@
 	return n
 }
 
-// stated is a limiter with what an operator states, the last by place of so many that discovery tells when they ask.
-func stated(t *testing.T, limiters int, s OperatorOptions) (*Limiter, *fakeSockets) {
+// newLimiterWithOptions is a limiter with what an operator states, the last by place of so many that discovery tells when they ask.
+func newLimiterWithOptions(t *testing.T, limiters int, options OperatorOptions) (*Limiter, *fakeSockets) {
 	t.Helper()
-	made, w := newPollingLimiter(t, 10*second, limiters-1)
-	made.settings.Limiters = limiters
-	*w = fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
-	l, err := NewWithOptions(0, made.config, s, w)
+	template, w := newPollingLimiter(t, 10*second, limiters-1)
+	template.settings.Limiters = limiters
+	*w = fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernelAccepted: map[ConnID]int64{}}
+	l, err := NewWithOptions(0, template.config, options, w)
 	require.NoError(t, err)
 	w.limiter = l
 	return l, w
 }
 
-// TestAsked: where calls are work for discovery a limiter makes one in each of its instants, whatever becomes of them.
-func TestAsked(t *testing.T) {
+// TestScheduledPolls: where calls are work for discovery a limiter makes one in each of its instants, whatever becomes of them.
+func TestScheduledPolls(t *testing.T) {
 	const at = 9 * second / 2 // the fourth of four limiters by place, in rounds of 6 s
-	// through takes it to a time, with each call to discovery coming up at once, and tells how many were made.
-	through := func(l *Limiter, w *fakeSockets, until int64) int {
+	// pollsUntil takes it to a time, with each call to discovery coming up at once, and tells how many were made.
+	pollsUntil := func(l *Limiter, w *fakeSockets, until int64) int {
 		for now := l.now; now <= until; now += second / 20 {
 			l.Step(now, TimersDue{})
 			if w.dialed[w.last] != "127.0.0.1:9" && l.conns[w.last] != nil && !l.conns[w.last].open {
 				l.Step(now, Connected{Conn: w.last})
 			}
 		}
-		return asks(w)
+		return pollCount(w)
 	}
-	asked := OperatorOptions{DiscoveryCallRate: 4.0 / 6}
-	l, w := stated(t, 4, asked)
+	options := OperatorOptions{DiscoveryCallRate: 4.0 / 6}
+	l, w := newLimiterWithOptions(t, 4, options)
 	l.Step(at+second*2, TimersDue{})
-	require.Equal(t, 0, through(l, w, at+6*second-second/20), "calls behind an instant that was slept through")
-	require.Equal(t, 1, through(l, w, at+6*second), "calls at the next one")
-	type act = func(l *Limiter, w *fakeSockets, id ConnID)
-	says := func(text string) act {
-		return func(l *Limiter, w *fakeSockets, id ConnID) { w.say(l, l.now, id, text) }
+	require.Equal(t, 0, pollsUntil(l, w, at+6*second-second/20), "calls behind an instant that was slept through")
+	require.Equal(t, 1, pollsUntil(l, w, at+6*second), "calls at the next one")
+	type action = func(l *Limiter, w *fakeSockets, id ConnID)
+	receives := func(text string) action {
+		return func(l *Limiter, w *fakeSockets, id ConnID) { w.receive(l, l.now, id, text) }
 	}
-	ends := func(l *Limiter, _ *fakeSockets, id ConnID) { l.Step(l.now, ConnClosed{Conn: id, Reason: PeerReset}) }
-	moves := func(l *Limiter, _ *fakeSockets, _ ConnID) {
+	reset := func(l *Limiter, _ *fakeSockets, id ConnID) { l.Step(l.now, ConnClosed{Conn: id, Reason: PeerReset}) }
+	changeAddress := func(l *Limiter, _ *fakeSockets, _ ConnID) {
 		config := *l.config
 		config.Discovery = "disco 2"
 		l.Step(l.now, ConfigReloaded{Config: &config})
 	}
 	for _, c := range []struct {
-		name string
-		then []act
-		late int // calls that may come at a later one of its instants
+		name      string
+		then      []action
+		tolerance int // calls that may come at a later one of its instants
 	}{
-		{"an answer", []act{says(httpAnswer(knownList))}, 0},
-		{"an answer behind which the connection ends", []act{says(httpAnswer(knownList)), ends}, 0},
-		{"an answer and another that nobody asked for", []act{says(httpAnswer(knownList) + httpAnswer(knownList))}, 0},
-		{"a call that is turned away", []act{says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")}, 1},
-		{"a reset", []act{ends}, 0},
-		{"a move", []act{moves}, 0},
-		{"a reset and then a move", []act{ends, moves}, 0},
+		{"an answer", []action{receives(httpAnswer(knownList))}, 0},
+		{"an answer behind which the connection ends", []action{receives(httpAnswer(knownList)), reset}, 0},
+		{"an answer and another that nobody asked for", []action{receives(httpAnswer(knownList) + httpAnswer(knownList))}, 0},
+		{"a call that is turned away", []action{receives("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")}, 1},
+		{"a reset", []action{reset}, 0},
+		{"a move", []action{changeAddress}, 0},
+		{"a reset and then a move", []action{reset, changeAddress}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, w := stated(t, 4, asked)
-			require.Equal(t, 0, through(l, w, at-second/20), "calls before its instant")
+			l, w := newLimiterWithOptions(t, 4, options)
+			require.Equal(t, 0, pollsUntil(l, w, at-second/20), "calls before its instant")
 			require.True(t, l.readiness.ready)
-			require.Equal(t, 1, through(l, w, at), "calls at its instant")
+			require.Equal(t, 1, pollsUntil(l, w, at), "calls at its instant")
 			id := w.last
 			for _, then := range c.then {
 				then(l, w, id)
 			}
-			require.Equal(t, 1, through(l, w, at+6*second-second/20), "calls before its second instant")
-			require.InDelta(t, 2, through(l, w, at+6*second), float64(c.late), "calls at its second instant")
+			require.Equal(t, 1, pollsUntil(l, w, at+6*second-second/20), "calls before its second instant")
+			require.InDelta(t, 2, pollsUntil(l, w, at+6*second), float64(c.tolerance), "calls at its second instant")
 			l.Step(l.now, ConnClosed{Conn: w.last, Reason: PeerReset})
 			require.InDelta(
 				t,
 				2,
-				through(l, w, at+12*second-second/20),
-				float64(c.late),
+				pollsUntil(l, w, at+12*second-second/20),
+				float64(c.tolerance),
 				"calls before its third instant",
 			)
-			require.InDelta(t, 3, through(l, w, at+12*second), float64(c.late), "calls at its third instant")
+			require.InDelta(t, 3, pollsUntil(l, w, at+12*second), float64(c.tolerance), "calls at its third instant")
 		})
 	}
 }
 
-// TestPhase: time alone makes a limiter ready that has no list, and ends its warming.
-func TestPhase(t *testing.T) {
-	made, w := newTestLimiter(t)
-	config, set := *made.config, *made.config.Settings
-	config.Known, config.Settings, set.PollInterval, w.last = nil, &set, 10*second, 0
+// TestPhasesEndByTimeAlone: time alone makes a limiter ready that has no list, and ends its warming.
+func TestPhasesEndByTimeAlone(t *testing.T) {
+	template, w := newTestLimiter(t)
+	config, configSettings := *template.config, *template.config.Settings
+	config.Known, config.Settings, configSettings.PollInterval, w.last = nil, &configSettings, 10*second, 0
 	l, _ := NewWithOptions(0, &config, OperatorOptions{DiscoveryCallRate: 1}, w)
 	for now := int64(0); now <= 20*second; now += second / 10 {
 		l.Step(now, TimersDue{})
@@ -113,7 +113,7 @@
 		l.Step(l.now+second/10, TimersDue{})
 	}
 	l.Step(l.now, Connected{Conn: l.discovery.conn.id})
-	w.say(
+	w.receive(
 		l,
 		l.now,
 		l.discovery.conn.id,
@@ -128,11 +128,11 @@
 
 // TestSnapshot: what one life has saved the next one begins with, where it is newer than the configuration's list.
 func TestSnapshot(t *testing.T) {
-	made, w := newTestLimiter(t)
-	config := *made.config
-	made.settings.DialTimeout = 6 * second // nothing told for 10 s is no standing still
+	template, w := newTestLimiter(t)
+	config := *template.config
+	template.settings.DialTimeout = 6 * second // nothing told for 10 s is no standing still
 	var saved []*snapshot.Snapshot
-	life := func(old *snapshot.Snapshot, known string) *Limiter {
+	newLimiter := func(old *snapshot.Snapshot, known string) *Limiter {
 		t.Helper()
 		config.Known, w.last = []byte(known), 0
 		l, err := NewWithOptions(
@@ -146,30 +146,30 @@
 		l.Step(second, Connected{Conn: discoveryConn})
 		return l
 	}
-	tell := func(l *Limiter, now int64, text string) { w.say(l, now, discoveryConn, httpAnswer(text)) }
-	l := life(nil, knownList)
-	tell(l, second, `{"generation":8,"instances":[{"instanceId":"t","hostPort":"127.0.0.1:8","zone":"b","cell":3,`+
+	answer := func(l *Limiter, now int64, text string) { w.receive(l, now, discoveryConn, httpAnswer(text)) }
+	l := newLimiter(nil, knownList)
+	answer(l, second, `{"generation":8,"instances":[{"instanceId":"t","hostPort":"127.0.0.1:8","zone":"b","cell":3,`+
 		`"lifecycle":"in_service","weight":2,"startedAtMs":900}]}`)
-	tell(l, 2*second, `{"generation":9,"instances":[{"instanceId":"t","lifecycle":"terminating","startedAtMs":0}]}`)
-	tell(l, 3*second, `{"generation":9,"instances":[]}`)
+	answer(l, 2*second, `{"generation":9,"instances":[{"instanceId":"t","lifecycle":"terminating","startedAtMs":0}]}`)
+	answer(l, 3*second, `{"generation":9,"instances":[]}`)
 	require.True(t, len(saved) == 2, "saved %d times", len(saved))
-	tell(l, 13*second, `{"generation":9,"instances":[]}`)
-	tell(l, 14*second, `{"generation":9,"instances":[]}`)
+	answer(l, 13*second, `{"generation":9,"instances":[]}`)
+	answer(l, 14*second, `{"generation":9,"instances":[]}`)
 	last := saved[len(saved)-1]
 	want := snapshot.Server{ID: "t", Address: "127.0.0.1:8", StartedAt: second * 9 / 10, Draining: true}
 	if len(saved) != 3 || last.TakenAt != 13*second || last.Generation != 9 || last.Discovery != "disco" ||
 		len(last.Servers) != 2 || last.Servers[1] != want {
 		t.Fatalf("saved %d times, at last %+v", len(saved), last)
 	}
-	tell(l, 14*second, `{"generation":10,"instances":[{"instanceId":"t","lifecycle":"terminated"}]}`)
-	n := len(saved[len(saved)-1].Servers)
-	require.True(t, n == 1, "%d servers after one has gone", n)
-	tell(l, 15*second, strings.Replace(knownList, `"s"`, `"u"`, 1))
+	answer(l, 14*second, `{"generation":10,"instances":[{"instanceId":"t","lifecycle":"terminated"}]}`)
+	serverCount := len(saved[len(saved)-1].Servers)
+	require.True(t, serverCount == 1, "%d servers after one has gone", serverCount)
+	answer(l, 15*second, strings.Replace(knownList, `"s"`, `"u"`, 1))
 	servers := saved[len(saved)-1].Servers
 	require.True(t, len(servers) == 1 && servers[0].ID == "u", "%v in place of a whole list", servers)
 	for _, c := range []struct {
-		name, known, disco, from string
-		servers                  int
+		name, known, discovery, request string
+		servers                         int
 	}{
 		{"newer than the configuration's list", knownList, "disco", "from=9&", 2},
 		{"older", strings.Replace(knownList, "7", "10", 1), "disco", "from=10&", 1},
@@ -178,22 +178,22 @@
 		{"the only one, of another discovery", "", "disco 2", "hosts HTTP", 2},
 	} {
 		old := *last
-		old.Discovery = c.disco
+		old.Discovery = c.discovery
 		w.wrote = map[ConnID]string{}
-		require.Len(t, life(&old, c.known).servers.pools, c.servers, c.name)
-		require.Contains(t, w.wrote[discoveryConn], c.from, c.name)
+		require.Len(t, newLimiter(&old, c.known).servers.pools, c.servers, c.name)
+		require.Contains(t, w.wrote[discoveryConn], c.request, c.name)
 	}
 	old := *last
 	old.Generation, old.Servers = 1, []snapshot.Server{{ID: "s", StartedAt: second / 2}}
-	l = life(&old, knownList)
+	l = newLimiter(&old, knownList)
 	require.True(t, l.coldStart.start.Share() == 1, "a share before it is ready")
 	l.Step(7*second, TimersDue{})
 	require.True(t, l.coldStart.start.Share() != 1, "a start that was known is forgotten")
 }
 
-// TestBucket: a limiter opens no more connections to a server than its part of what is stated.
-func TestBucket(t *testing.T) {
-	l, w := stated(t, 1, OperatorOptions{ConnectionRate: 2})
+// TestConnectionRate: a limiter opens no more connections to a server than its part of what is stated.
+func TestConnectionRate(t *testing.T) {
+	l, w := newLimiterWithOptions(t, 1, OperatorOptions{ConnectionRate: 2})
 	opened := 0
 	for now := int64(0); now < 7*second; now += second / 100 {
 		if l.now = now; l.servers.pools["s"].acquire() != nil {
@@ -207,83 +207,83 @@
 	}
 }
 
-func TestStartSettings(t *testing.T) {
+func TestColdStartSettings(t *testing.T) {
 	l, _ := newTestLimiter(t)
-	set := ColdStartSettings(
+	coldSettings := ColdStartSettings(
 		&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.settings.Settings}},
 		OperatorOptions{},
 	)
-	require.True(t, set.Check() == nil && set.Jitter >= 0.99, "%+v: %v", set, set.Check())
+	require.True(t, coldSettings.Check() == nil && coldSettings.Jitter >= 0.99, "%+v: %v", coldSettings, coldSettings.Check())
 }
 
-// TestNothingStated: without an operator's file a limiter has no start of its own: pollpacer's pace calls, at its own
+// TestNoOperatorOptions: without an operator's file a limiter has no start of its own: pollpacer's pace calls, at its own
 // hold, an answer is followed by the next call at once, and it is ready with discovery's first answer.
-func TestNothingStated(t *testing.T) {
-	for _, every := range []int64{0, 10 * second} {
-		l, w := newPollingLimiter(t, every, 0)
+func TestNoOperatorOptions(t *testing.T) {
+	for _, pollInterval := range []int64{0, 10 * second} {
+		l, w := newPollingLimiter(t, pollInterval, 0)
 		require.True(
 			t,
 			l.coldStart == nil && l.servers.pools["s"].newConnBucket == (coldstart.Bucket{}),
 			"a start, or a bound of connections",
 		)
 		hold, limit := l.discovery.pacer.NextPoll(0, false)
-		w.say(l, 0, discoveryConn, httpAnswer(knownList))
-		if asks(w) != 2 || !l.readiness.ready || l.discovery.responseTimer.at != limit {
-			t.Fatalf("%d calls, ready %v, given up at %d", asks(w), l.readiness.ready, l.discovery.responseTimer.at)
+		w.receive(l, 0, discoveryConn, httpAnswer(knownList))
+		if pollCount(w) != 2 || !l.readiness.ready || l.discovery.responseTimer.at != limit {
+			t.Fatalf("%d calls, ready %v, given up at %d", pollCount(w), l.readiness.ready, l.discovery.responseTimer.at)
 		}
 		requireText(t, w.wrote[discoveryConn], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
 	}
 }
 
-// TestStatedUnbudgeted: an operator's file that states no budget leaves the calls to pollpacer's pace.
-func TestStatedUnbudgeted(t *testing.T) {
-	plain, w := newPollingLimiter(t, 10*second, 0)
-	stated, v := stated(t, 1, OperatorOptions{ConnectionRate: 2})
+// TestOptionsWithoutCallRate: an operator's file that states no budget leaves the calls to pollpacer's pace.
+func TestOptionsWithoutCallRate(t *testing.T) {
+	plainLimiter, w := newPollingLimiter(t, 10*second, 0)
+	ratedLimiter, ratedSockets := newLimiterWithOptions(t, 1, OperatorOptions{ConnectionRate: 2})
 	for now := int64(0); now < 30*second; now += second / 20 {
-		for l, w := range map[*Limiter]*fakeSockets{plain: w, stated: v} {
+		for l, w := range map[*Limiter]*fakeSockets{plainLimiter: w, ratedLimiter: ratedSockets} {
 			l.Step(now, TimersDue{})
-			switch c := l.discovery.conn; {
-			case c == nil || l.conns[c.id] != c:
-			case !c.open:
-				l.Step(now, Connected{Conn: c.id})
+			switch dialled := l.discovery.conn; {
+			case dialled == nil || l.conns[dialled.id] != dialled:
+			case !dialled.open:
+				l.Step(now, Connected{Conn: dialled.id})
 			case now/second%7 == 3:
-				l.Step(now, ConnClosed{Conn: c.id, Reason: PeerReset})
+				l.Step(now, ConnClosed{Conn: dialled.id, Reason: PeerReset})
 			case now/second%7 == 5:
-				w.say(l, now, c.id, httpAnswer(knownList))
+				w.receive(l, now, dialled.id, httpAnswer(knownList))
 			}
 		}
 		require.True(
 			t,
-			asks(w) == asks(v),
+			pollCount(w) == pollCount(ratedSockets),
 			"%d calls after %d ns, %d where connections are stated",
-			asks(w),
+			pollCount(w),
 			now,
-			asks(v),
+			pollCount(ratedSockets),
 		)
 	}
-	require.True(t, asks(w) >= 5, "%d calls", asks(w))
+	require.True(t, pollCount(w) >= 5, "%d calls", pollCount(w))
 }
 
-// TestStoodStill: a limiter that stood still and goes on with all others makes no call out of its turn.
-func TestStoodStill(t *testing.T) {
-	l, w := stated(t, 1, OperatorOptions{DiscoveryCallRate: 1. / 30})
+// TestNoExtraPollAfterSuspension: a limiter that stood still and goes on with all others makes no call out of its turn.
+func TestNoExtraPollAfterSuspension(t *testing.T) {
+	l, w := newLimiterWithOptions(t, 1, OperatorOptions{DiscoveryCallRate: 1. / 30})
 	id := l.discovery.conn.id
 	l.Step(0, Connected{Conn: id})
-	w.pass(l, second)
+	w.advance(l, second)
 	require.True(
 		t,
-		asks(w) == 1 && l.discovery.responseTimer.at >= 29*second,
+		pollCount(w) == 1 && l.discovery.responseTimer.at >= 29*second,
 		"%d calls, given up at %d",
-		asks(w),
+		pollCount(w),
 		l.discovery.responseTimer.at,
 	)
 	l.Step(9*second, TimersDue{})
-	w.pass(l, 10*second)
+	w.advance(l, 10*second)
 	require.True(
 		t,
-		asks(w) == 1 && !l.suspension.listMayBeStale && l.conns[id] != nil,
+		pollCount(w) == 1 && !l.suspension.listMayBeStale && l.conns[id] != nil,
 		"%d calls, in doubt %v",
-		asks(w),
+		pollCount(w),
 		l.suspension.listMayBeStale,
 	)
 }
--- a/internal/limiter/counter_test.go
+++ b/internal/limiter/counter_test.go
@@ -11,8 +11,8 @@
 // A late answer of the counter must not be taken for the answer to the next call.
 func TestLateCounterReply(t *testing.T) {
 	l, w := newTestLimiter(t)
-	w.say(l, 0, clientConn, command("j", "read", "480"))
-	w.pass(l, second/20)
+	w.receive(l, 0, clientConn, command("j", "read", "480"))
+	w.advance(l, second/20)
 	first := l.counter.conns[0].calls[0]
 	if !first.answered {
 		t.Fatal("a call without an answer was not given up")
@@ -24,7 +24,7 @@
 	if calls := l.counter.conns[0].calls; len(calls) != 1 || calls[0].answered || calls[0].amount != 3 {
 		t.Fatalf("calls %+v", calls)
 	}
-	w.say(l, second/20, counterConnID, "ok 5\r\n")
+	w.receive(l, second/20, counterConnID, "ok 5\r\n")
 	if calls := l.counter.conns[0].calls; len(calls) != 0 {
 		t.Fatalf("calls %+v", calls)
 	}
@@ -35,27 +35,27 @@
 		l, w := newTestLimiter(t)
 		l.Step(0, ConnClosed{Conn: counterConnID, Reason: PeerClosed})
 		l.AddToCounter(1, 2, second)
-		line := w.last
-		w.pass(l, second/20)
-		l.Step(second/20, Connected{Conn: line})
-		requireText(t, w.wrote[line], "")
+		counterConn := w.last
+		w.advance(l, second/20)
+		l.Step(second/20, Connected{Conn: counterConn})
+		requireText(t, w.wrote[counterConn], "")
 	})
 	t.Run("calls on one name keep to one line, others spread", func(t *testing.T) {
 		l, _ := newTestLimiter(t)
 		for _, name := range []uint64{1, 1, 2} {
 			l.AddToCounter(name, 2, second)
 		}
-		if lines := l.counter.conns; len(lines) != 2 || len(lines[0].calls) != 2 {
-			t.Fatalf("%d lines, %d calls on the first", len(lines), len(lines[0].calls))
+		if counterConns := l.counter.conns; len(counterConns) != 2 || len(counterConns[0].calls) != 2 {
+			t.Fatalf("%d lines, %d calls on the first", len(counterConns), len(counterConns[0].calls))
 		}
 	})
 	t.Run("a silent one is given up, an idle one pinged", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.pass(l, 3*second)
+		w.advance(l, 3*second)
 		if !strings.HasSuffix(w.wrote[counterConnID], "ping\r\n") {
 			t.Fatalf("wrote %q", w.wrote[counterConnID])
 		}
-		w.pass(l, 5*second)
+		w.advance(l, 5*second)
 		if !slices.Contains(w.closed, counterConnID) {
 			t.Fatalf("closed %v", w.closed)
 		}
@@ -73,14 +73,14 @@
 			}
 		}
 		l.AddToCounter(1, 2, second)
-		if w.say(l, l.now, counterConnID, "ok 2\r\n"); l.counter.loggedDown {
+		if w.receive(l, l.now, counterConnID, "ok 2\r\n"); l.counter.loggedDown {
 			t.Fatal("it has answered")
 		}
 	})
 	t.Run("what the counter never writes ends it", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		l.AddToCounter(1, 2, second)
-		w.say(l, 0, counterConnID, "okay\r\n")
+		w.receive(l, 0, counterConnID, "okay\r\n")
 		if !slices.Contains(w.closed, counterConnID) || len(l.counter.conns) != 0 {
 			t.Fatalf("closed %v", w.closed)
 		}
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -10,26 +10,26 @@
 	"ospreycroft/choice"
 )
 
-// TestOneInstant: the answer of a server and the end of its request come in one instant, in either order. The client
+// TestAnswerAtDeadline: the answer of a server and the end of its request come in one instant, in either order. The client
 // gets one answer, whichever was first; the module's end is two ticks before the limiter's.
-func TestOneInstant(t *testing.T) {
+func TestAnswerAtDeadline(t *testing.T) {
 	const served, value = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "$1\r\nv\r\n"
 	for _, class := range []string{"read", "write"} {
 		for _, end := range []int64{472e6, 480e6} {
-			for _, first := range []bool{true, false} {
+			for _, answerFirst := range []bool{true, false} {
 				l, w, id := requestSent(t, class)
 				l.Step(end-1, TimersDue{})
-				if first {
-					w.say(l, end, id, served)
+				if answerFirst {
+					w.receive(l, end, id, served)
 				}
 				l.Step(end, TimersDue{})
 				if l.conns[id] != nil { // else its bytes are nobody's any more
-					w.say(l, end, id, served)
+					w.receive(l, end, id, served)
 				}
-				w.pass(l, second)
+				w.advance(l, second)
 				got := w.wrote[clientConn]
 				switch {
-				case first && end == 472e6:
+				case answerFirst && end == 472e6:
 					require.Equal(t, value, got)
 				case class == "write":
 					require.Equal(t, string(failedAnswer), got)
@@ -46,38 +46,38 @@
 func TestReadyInTime(t *testing.T) {
 	l, w := newTestLimiter(t)
 	l.settings.Plans["plain"].CeilingRate, l.settings.Plans["plain"].CeilingBurst, l.settings.SlowStartWindow = 0.01, 8, 60*second
-	w.say(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, "7", "8", 1)))
+	w.receive(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, "7", "8", 1)))
 	ping := func(at int64) string {
-		w.pass(l, at)
+		w.advance(l, at)
 		id := clientConn + ConnID(at)
 		l.Step(at, ClientAccepted{Conn: id})
-		w.say(l, at, id, "*1\r\n$4\r\nPING\r\n")
+		w.receive(l, at, id, "*1\r\n$4\r\nPING\r\n")
 		return w.wrote[id]
 	}
 	require.Equal(t, "-LOADING not ready yet\r\n", ping(8*second))
 	require.Equal(t, "+PONG\r\n", ping(10*second))
 }
 
-// lives does what a limiter's module asks for: the counter is down, and each attempt is answered at once.
-type lives struct {
+// fakeEffects does what a limiter's module asks for: the counter is down, and each attempt is answered at once.
+type fakeEffects struct {
 	choice.Effects
 	sent  []string
 	names []uint64
 }
 
-func (d *lives) Send(id, _ string)                            { d.sent = append(d.sent, id) }
-func (d *lives) Reject(string, int64, choice.RejectReason)    {}
-func (d *lives) AddToCounter(name uint64, _ float64, _ int64) { d.names = append(d.names, name) }
-func (d *lives) SetTimer(int64, int64)                        {}
-func (d *lives) Log(string)                                   {}
+func (d *fakeEffects) Send(id, _ string)                            { d.sent = append(d.sent, id) }
+func (d *fakeEffects) Reject(string, int64, choice.RejectReason)    {}
+func (d *fakeEffects) AddToCounter(name uint64, _ float64, _ int64) { d.names = append(d.names, name) }
+func (d *fakeEffects) SetTimer(int64, int64)                        {}
+func (d *fakeEffects) Log(string)                                   {}
 
-// restarted is what a limiter sends for one customer that starts again and again within a second while the counter is
+// unitsSentWithRestarts is what a limiter sends for one customer that starts again and again within a second while the counter is
 // down.
-func restarted(rate, burst, spread int, ceiling float64, starts int64) (total int) {
-	for k := range starts {
-		born, d := k*second/starts, &lives{}
-		logic := choice.New(
-			born,
+func unitsSentWithRestarts(rate, burst, spread int, ceiling float64, restarts int64) (total int) {
+	for k := range restarts {
+		startedAt, effects := k*second/restarts, &fakeEffects{}
+		controller := choice.New(
+			startedAt,
 			&choice.Settings{Classes: map[string]*choice.Class{"read": {LatencyObjective: second, PriorityWeight: 1}},
 				Plans: map[string]*choice.Plan{
 					"p": {Rate: float64(rate), Burst: float64(burst), CeilingRate: ceiling, CeilingBurst: 2 * ceiling},
@@ -85,13 +85,13 @@
 				CounterTimeout: second / 20, MaxRequestUnits: 1, MaxLease: 60 * second, Limiters: spread, ColdCapacity: 1, SlowStartWindow: 1,
 				DialTimeout: second / 4, MaxAttempts: 1, TimerResolution: 4e6},
 			1,
-			d,
+			effects,
 		)
-		logic.UpdateEndpoints(born, true, []choice.Endpoint{{ID: "s"}})
-		now := born + second/starts - 1
+		controller.UpdateEndpoints(startedAt, true, []choice.Endpoint{{ID: "s"}})
+		now := startedAt + second/restarts - 1
 		for i := range 4 * burst {
 			id := strconv.Itoa(i)
-			logic.RequestArrived(
+			controller.RequestArrived(
 				now,
 				choice.Arrival{
 					ID:       id,
@@ -103,39 +103,39 @@
 					Limiters: spread,
 				},
 			)
-			for ; len(d.names) > 0; d.names = d.names[1:] {
-				logic.CounterReplied(now, d.names[0], choice.ConnectFailed, 0)
+			for ; len(effects.names) > 0; effects.names = effects.names[1:] {
+				controller.CounterReplied(now, effects.names[0], choice.ConnectFailed, 0)
 			}
-			if len(d.sent) > 0 && d.sent[len(d.sent)-1] == id {
-				logic.AttemptDone(
+			if len(effects.sent) > 0 && effects.sent[len(effects.sent)-1] == id {
+				controller.AttemptDone(
 					now,
 					choice.AttemptResult{Request: id, Outcome: choice.Succeeded, Duration: 1e7, Final: true},
 				)
 			}
 		}
-		total += len(d.sent)
+		total += len(effects.sent)
 	}
 	return total
 }
 
-// TestRestartedAgain: under a ceiling a limiter that starts again and again sends what a single life sends at most;
+// TestRestartsWithCounterDown: under a ceiling a limiter that starts again and again sends what a single life sends at most;
 // without one each life sends the largest request and what it has filled by since it began, at two parts of the rate,
 // in whole units and no more.
-func TestRestartedAgain(t *testing.T) {
+func TestRestartsWithCounterDown(t *testing.T) {
 	const rate, burst, spread, ceiling, largest = 10, 40, 4, 20, 1
-	for _, starts := range []int64{1, 2, 10} {
-		total := restarted(rate, burst, spread, ceiling, starts)
+	for _, restarts := range []int64{1, 2, 10} {
+		total := unitsSentWithRestarts(rate, burst, spread, ceiling, restarts)
 		require.LessOrEqual(t, total, ceiling/spread)
-		require.True(t, starts > 2 || total > 0)
-		each := int((largest*starts*spread*second + 2*rate*(second-starts)) / (starts * spread * second))
-		require.Equal(t, int(starts)*each, restarted(rate, burst, spread, 0, starts))
+		require.True(t, restarts > 2 || total > 0)
+		perStart := int((largest*restarts*spread*second + 2*rate*(second-restarts)) / (restarts * spread * second))
+		require.Equal(t, int(restarts)*perStart, unitsSentWithRestarts(rate, burst, spread, 0, restarts))
 	}
 }
 
-// TestSlicesRestartedAgain: all lives together have one slice, and what it fills by meanwhile.
-func TestSlicesRestartedAgain(t *testing.T) {
+// TestRestartsShareOnePart: all lives together have one slice, and what it fills by meanwhile.
+func TestRestartsShareOnePart(t *testing.T) {
 	const rate, burst, spread = 10, 40, 4
-	require.LessOrEqual(t, restarted(rate, burst, spread, 0, 10), (2*burst+rate)/spread)
+	require.LessOrEqual(t, unitsSentWithRestarts(rate, burst, spread, 0, 10), (2*burst+rate)/spread)
 }
 
 // TestPipelinedDeadlines: a client has sent several requests on one connection, and one of them has less time than one
@@ -146,42 +146,42 @@
 	for _, class := range []string{"read", "write"} {
 		t.Run(class, func(t *testing.T) {
 			l, w, id := requestSentFor(t, class, "3000")
-			w.say(l, 0, clientConn, command("short", "read", "300"))
-			w.say(l, 0, clientConn, "*1\r\n$4\r\nPING\r\n")
-			w.pass(l, 3*second/10)
+			w.receive(l, 0, clientConn, command("short", "read", "300"))
+			w.receive(l, 0, clientConn, "*1\r\n$4\r\nPING\r\n")
+			w.advance(l, 3*second/10)
 			want := "^-BUSY [0-9]+\r\n-BUSY [0-9]+\r\n-LOADING not ready yet\r\n$"
 			if class == "write" {
 				want = "^-ERR written off\r\n-BUSY [0-9]+\r\n-LOADING not ready yet\r\n$"
 			}
 			require.Regexp(t, want, w.wrote[clientConn])
-			w.say(l, 3*second/10, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-			w.pass(l, 3*second)
+			w.receive(l, 3*second/10, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+			w.advance(l, 3*second)
 			require.Regexp(t, want, w.wrote[clientConn], "each has one answer")
 			require.Empty(t, l.requests.byID)
 		})
 	}
 }
 
-// TestPipelinedDeadlineBehindSuspension: behind a standstill a request is rejected at once where its client may have
+// TestPipelinedDeadlineAfterSuspension: behind a standstill a request is rejected at once where its client may have
 // waited for as long. Where it has not, its answer must not wait either.
-func TestPipelinedDeadlineBehindSuspension(t *testing.T) {
+func TestPipelinedDeadlineAfterSuspension(t *testing.T) {
 	l, w, _ := requestSentFor(t, "read", "3000")
-	w.say(l, second, clientConn, command("short", "read", "800"))
+	w.receive(l, second, clientConn, command("short", "read", "800"))
 	require.Empty(t, w.wrote[clientConn])
-	w.pass(l, 18*second/10)
+	w.advance(l, 18*second/10)
 	require.Regexp(t, "^-BUSY [0-9]+\r\n-BUSY [0-9]+\r\n$", w.wrote[clientConn])
 }
 
-// TestPipelinedDeadlinesCostLittle: a client sends as many requests as it may on one connection, each with less time than
+// TestPipelinedDeadlineTimers: a client sends as many requests as it may on one connection, each with less time than
 // the one before, and all wait for the counter. Timers are kept for each request, not for each pair of them.
-func TestPipelinedDeadlinesCostLittle(t *testing.T) {
+func TestPipelinedDeadlineTimers(t *testing.T) {
 	l, w := newTestLimiter(t)
 	const requests = maxPipelined - 1
 	var commands strings.Builder
 	for i := range requests {
 		commands.WriteString(command("r"+strconv.Itoa(i), "read", strconv.Itoa(3000-i)))
 	}
-	w.say(l, 0, clientConn, commands.String())
+	w.receive(l, 0, clientConn, commands.String())
 	require.Len(t, l.requests.byID, requests)
 	require.Less(t, len(l.timers.heap), 5*requests)
 }
--- a/internal/limiter/helper_test.go
+++ b/internal/limiter/helper_test.go
@@ -12,21 +12,21 @@
 
 // fakeSockets stands in for the sockets and writes down what was asked of them.
 type fakeSockets struct {
-	last   ConnID
-	dialed map[ConnID]string
-	wrote  map[ConnID]string
-	kernel map[ConnID]int64 // what the kernel takes, where that is not all
-	closed []ConnID
-	dead   map[ConnID]bool
-	gone   map[ConnID]bool // clients that have ended their connection, which no event has told
-	coming string
-	wake   int64
+	last           ConnID
+	dialed         map[ConnID]string
+	wrote          map[ConnID]string
+	kernelAccepted map[ConnID]int64 // what the kernel takes, where that is not all
+	closed         []ConnID
+	dead           map[ConnID]bool
+	gone           map[ConnID]bool // clients that have ended their connection, which no event has told
+	incoming       string
+	timerAt        int64
 
 	limiter  *Limiter // nil until it is made
 	wallStep int64    // by how much the wall clock has been stepped
 
-	full   bool            // clients wait to be let in
-	unread map[ConnID]bool // bytes have come that no event has told of
+	backlog bool            // clients wait to be let in
+	unread  map[ConnID]bool // bytes have come that no event has told of
 }
 
 func (w *fakeSockets) Dial(address string, _ int64) ConnID {
@@ -34,12 +34,12 @@
 	w.dialed[w.last] = address
 	return w.last
 }
-func (w *fakeSockets) Read(into []byte)             { copy(into, w.coming) }
+func (w *fakeSockets) Read(into []byte)             { copy(into, w.incoming) }
 func (w *fakeSockets) Write(id ConnID, text []byte) { w.wrote[id] += string(text) }
 func (w *fakeSockets) Alive(id ConnID) bool         { return !w.dead[id] }
 func (w *fakeSockets) Written(id ConnID) int64 {
-	if most, is := w.kernel[id]; is {
-		return most
+	if limit, limited := w.kernelAccepted[id]; limited {
+		return limit
 	}
 	return int64(len(w.wrote[id]))
 }
@@ -55,14 +55,14 @@
 	}
 	return w.limiter.now + w.wallStep
 }
-func (w *fakeSockets) SetTimer(at int64)                          { w.wake = at }
+func (w *fakeSockets) SetTimer(at int64)                          { w.timerAt = at }
 func (w *fakeSockets) CloseGracefully(id ConnID, _, _ int64) bool { return !w.unread[id] }
-func (w *fakeSockets) HasBacklog() bool                           { return w.full }
+func (w *fakeSockets) HasBacklog() bool                           { return w.backlog }
 
-// pass lets the time pass as it does on sockets: nothing is due for longer than a wake takes.
-func (w *fakeSockets) pass(l *Limiter, to int64) {
-	for w.wake < to {
-		l.Step(max(l.now, w.wake), TimersDue{})
+// advance lets the time advance as it does on sockets: nothing is due for longer than a wake takes.
+func (w *fakeSockets) advance(l *Limiter, to int64) {
+	for w.timerAt < to {
+		l.Step(max(l.now, w.timerAt), TimersDue{})
 	}
 	l.Step(to, TimersDue{})
 }
@@ -79,13 +79,13 @@
 func newTestLimiter(t *testing.T) (*Limiter, *fakeSockets) { return newPollingLimiter(t, 0, 0) }
 
 // newPollingLimiter makes the same where discovery tells only those that ask, every so often, or else all, for one of many limiters.
-func newPollingLimiter(t *testing.T, every int64, position int) (*Limiter, *fakeSockets) {
+func newPollingLimiter(t *testing.T, pollInterval int64, position int) (*Limiter, *fakeSockets) {
 	t.Helper()
-	w := &fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernel: map[ConnID]int64{}}
+	w := &fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernelAccepted: map[ConnID]int64{}}
 	l, err := New(
 		0,
 		&settings.Config{Discovery: "disco", Counter: "counter", Memory: 1 << 27, Sockets: 64, Known: []byte(knownList),
-			Settings: &settings.Settings{IdleClose: 15 * second, PollInterval: every, Settings: &choice.Settings{
+			Settings: &settings.Settings{IdleClose: 15 * second, PollInterval: pollInterval, Settings: &choice.Settings{
 				Classes: map[string]*choice.Class{
 					"read":  {LatencyObjective: second},
 					"write": {LatencyObjective: second, Idempotency: choice.NonIdempotent},
@@ -109,15 +109,15 @@
 	return l, w
 }
 
-func (w *fakeSockets) say(l *Limiter, now int64, id ConnID, text string) {
-	w.coming = text
+func (w *fakeSockets) receive(l *Limiter, now int64, id ConnID, text string) {
+	w.incoming = text
 	l.Step(now, DataReceived{Conn: id, Size: len(text)})
 }
 
 // command is a request with so many milliseconds left.
-func command(id, class, left string) string {
-	list := "c=" + class + ",t=plain,d=" + left + ",units=2,spread=1,first=0"
-	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(list)}
+func command(id, class, timeLeft string) string {
+	fields := "c=" + class + ",t=plain,d=" + timeLeft + ",units=2,spread=1,first=0"
+	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(fields)}
 	if class == "write" {
 		words = append(words, []byte("BODY"))
 		words[0] = []byte("SVC.SUBMIT")
@@ -130,11 +130,11 @@
 	return requestDiallingFor(t, class, "480")
 }
 
-func requestDiallingFor(t *testing.T, class, left string) (*Limiter, *fakeSockets, ConnID) {
+func requestDiallingFor(t *testing.T, class, timeLeft string) (*Limiter, *fakeSockets, ConnID) {
 	t.Helper()
 	l, w := newTestLimiter(t)
-	w.say(l, 0, clientConn, command("j", class, left))
-	w.say(l, 0, counterConnID, "ok 2\r\n")
+	w.receive(l, 0, clientConn, command("j", class, timeLeft))
+	w.receive(l, 0, counterConnID, "ok 2\r\n")
 	if w.dialed[w.last] != "127.0.0.1:9" {
 		t.Fatalf("dialled %v, wrote %v", w.dialed, w.wrote)
 	}
@@ -147,9 +147,9 @@
 	return requestSentFor(t, class, "480")
 }
 
-func requestSentFor(t *testing.T, class, left string) (*Limiter, *fakeSockets, ConnID) {
+func requestSentFor(t *testing.T, class, timeLeft string) (*Limiter, *fakeSockets, ConnID) {
 	t.Helper()
-	l, w, id := requestDiallingFor(t, class, left)
+	l, w, id := requestDiallingFor(t, class, timeLeft)
 	l.Step(0, Connected{Conn: id})
 	return l, w, id
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -11,7 +11,7 @@
 func TestStep(t *testing.T) {
 	t.Run("bytes that come before the word that a connection is up wait for it", func(t *testing.T) {
 		l, w, id := requestDialling(t, "write")
-		w.say(l, 0, id, "-BUSY\r\n")
+		w.receive(l, 0, id, "-BUSY\r\n")
 		requireText(t, w.wrote[clientConn], "")
 		l.Step(0, Connected{Conn: id})
 		if got := w.wrote[clientConn]; !strings.HasPrefix(got, "-BUSY ") || len(l.servers.pools["s"].idle) != 1 {
@@ -20,9 +20,9 @@
 	})
 	t.Run("the module hears that a client has left", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.say(l, 0, clientConn, command("j", "read", "480"))
+		w.receive(l, 0, clientConn, command("j", "read", "480"))
 		l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed})
-		w.say(l, 0, counterConnID, "ok 2\r\n")
+		w.receive(l, 0, counterConnID, "ok 2\r\n")
 		if w.last != counterConnID || !strings.Contains(w.wrote[counterConnID], " -2") {
 			t.Fatalf("dialled %v, counted %q", w.dialed, w.wrote[counterConnID])
 		}
@@ -30,8 +30,8 @@
 	t.Run("a spoilt answer ends its connection at once, or soon where it could still become whole", func(t *testing.T) {
 		for _, in := range []string{"*3\r\n*3\r\n", ":5\r\n", "*2\r\n", "*3\r\n$-7\r\n", "*3\r\n$3000000000\r\n", "*3\r\n$9\r\nv\r\n"} {
 			l, w, id := requestSent(t, "write")
-			w.say(l, 0, id, in)
-			w.pass(l, l.settings.DialTimeout)
+			w.receive(l, 0, id, in)
+			w.advance(l, l.settings.DialTimeout)
 			requireText(t, w.wrote[clientConn], string(failedAnswer))
 			if !slices.Contains(w.closed, id) || l.stats.inputErrors.malformedAnswers != 1 {
 				t.Fatalf("closed %v after %q", w.closed, in)
@@ -40,7 +40,7 @@
 	})
 	t.Run("the next command does not go behind an answer at once: more may be coming", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
-		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		p := l.servers.pools["s"]
 		for ; l.now < reuseDelayTicks*l.settings.TimerResolution; l.now += l.settings.TimerResolution {
 			if b := p.acquire(); b.conn != nil || len(p.idle) != 1 {
@@ -54,7 +54,7 @@
 	})
 	t.Run("more than was asked for ends a server's connection", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
-		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n+OK\r\n")
+		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n+OK\r\n")
 		requireText(t, w.wrote[clientConn], "$1\r\nv\r\n")
 		if !slices.Contains(w.closed, id) || len(l.servers.pools["s"].idle) != 0 {
 			t.Fatalf("closed %v", w.closed)
@@ -63,29 +63,29 @@
 	t.Run("commands past the memory for them are turned away", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		l.requests.heldBytes = l.config.Memory/bufferMemoryDivisor + 1
-		w.say(l, 0, clientConn, command("j", "read", "480"))
+		w.receive(l, 0, clientConn, command("j", "read", "480"))
 		requireText(t, w.wrote[clientConn], "-BUSY\r\n")
 	})
 	t.Run("parts of commands past the memory for them too", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.say(l, 0, clientConn, strings.Repeat("*1\r\n$4\r\nECHO\r\n", 1000)) // used up at once, it takes nothing
+		w.receive(l, 0, clientConn, strings.Repeat("*1\r\n$4\r\nECHO\r\n", 1000)) // used up at once, it takes nothing
 		if l.bufferedBytes > buffer.MinCapacity*3 {
 			t.Fatalf("%d bytes are held", l.bufferedBytes)
 		}
 		l.bufferedBytes = l.config.Memory/bufferMemoryDivisor + 1
-		w.say(l, 0, clientConn, "*1\r\n$4\r\nECHO\r\n*1\r\n$9000\r\n")
+		w.receive(l, 0, clientConn, "*1\r\n$4\r\nECHO\r\n*1\r\n$9000\r\n")
 		if strings.HasSuffix(w.wrote[clientConn], "-ERR too long\r\n") {
 			t.Fatal("a small part was turned away")
 		}
-		w.say(l, 0, clientConn, strings.Repeat("x", buffer.MinCapacity))
+		w.receive(l, 0, clientConn, strings.Repeat("x", buffer.MinCapacity))
 		if !strings.HasSuffix(w.wrote[clientConn], "-ERR unknown command\r\n-ERR too long\r\n") {
 			t.Fatalf("client got %q", w.wrote[clientConn][len(w.wrote[clientConn])-60:])
 		}
 	})
 	t.Run("a client that does not read is closed", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.kernel[clientConn], l.conns[clientConn].bytesSent = 0, l.config.Memory
-		w.say(l, 0, clientConn, "*1\r\n$4\r\nECHO\r\n")
+		w.kernelAccepted[clientConn], l.conns[clientConn].bytesSent = 0, l.config.Memory
+		w.receive(l, 0, clientConn, "*1\r\n$4\r\nECHO\r\n")
 		if !slices.Contains(w.closed, clientConn) {
 			t.Fatalf("closed %v", w.closed)
 		}
@@ -94,7 +94,7 @@
 
 func TestMaintain(t *testing.T) {
 	l, w, id := requestSent(t, "read")
-	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	l.now = l.settings.IdleClose/idleCloseDivisor + 1
 	l.servers.closeExpiredIdle()
 	if !slices.Contains(w.closed, id) {
--- a/internal/limiter/log_hints_test.go
+++ b/internal/limiter/log_hints_test.go
@@ -25,9 +25,9 @@
 // What discovery and the counter do wrong is logged with what to do about it.
 func TestHints(t *testing.T) {
 	for _, c := range []struct {
-		name, event, says string
-		from              ConnID
-		err               hint.Error
+		name, event, answer string
+		conn                ConnID
+		err                 hint.Error
 	}{
 		{"a list too many", "event=list-throttled status=503 ", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", discoveryConn,
 			&discovery.ThrottledError{Status: 503}},
@@ -44,7 +44,7 @@
 			l.AddToCounter(5, 1, second)
 			var out bytes.Buffer
 			captureLog(t, &out)
-			w.say(l, second/100, c.from, c.says)
+			w.receive(l, second/100, c.conn, c.answer)
 			require.Contains(t, out.String(), c.event+hint.Line(c.err)+"\n")
 			require.Contains(t, out.String(), c.err.Hint())
 		})
@@ -52,7 +52,7 @@
 }
 
 // A configuration that knows of no server yet ends no start, and the whole list is asked for.
-func TestKnowsNone(t *testing.T) {
+func TestRestoreEmptyList(t *testing.T) {
 	l, _ := newTestLimiter(t)
 	l.discovery.versionKnown = false
 	require.NoError(t, l.discovery.restore([]byte(`{"generation":0,"reset":true,"instances":null}`)))
--- a/internal/limiter/reload_test.go
+++ b/internal/limiter/reload_test.go
@@ -7,15 +7,15 @@
 
 // Under load, discovery and the counter move to other addresses, and the old ones soon close what is open.
 func TestReload(t *testing.T) {
-	moved := func(l *Limiter) Event {
+	changeAddresses := func(l *Limiter) Event {
 		config := *l.config
 		config.Discovery, config.Counter = "disco 2", "counter 2"
 		return ConfigReloaded{Config: &config}
 	}
 	t.Run("the whole list is asked for at discovery's new address", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.say(l, 0, discoveryConn, httpAnswer(knownList))
-		l.Step(0, moved(l))
+		w.receive(l, 0, discoveryConn, httpAnswer(knownList))
+		l.Step(0, changeAddresses(l))
 		watch := l.discovery.conn.id
 		l.Step(0, Connected{Conn: watch})
 		if w.dialed[watch] != "disco 2" || !slices.Contains(w.closed, discoveryConn) || len(l.servers.pools) != 1 {
@@ -25,36 +25,36 @@
 	})
 	t.Run("a call that is out is answered on its old line, the next goes to the new one", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.say(l, 0, clientConn, command("j", "read", "480"))
+		w.receive(l, 0, clientConn, command("j", "read", "480"))
 		before := w.wrote[counterConnID]
-		l.Step(0, moved(l))
-		line := w.last
-		l.Step(0, Connected{Conn: line})
+		l.Step(0, changeAddresses(l))
+		counterConn := w.last
+		l.Step(0, Connected{Conn: counterConn})
 		l.AddToCounter(1, 2, second)
-		w.say(l, 0, counterConnID, "ok 2\r\n")
+		w.receive(l, 0, counterConnID, "ok 2\r\n")
 		if w.dialed[w.last] != "127.0.0.1:9" || w.wrote[counterConnID] != before ||
 			!slices.Contains(w.closed, counterConnID) {
 			t.Fatalf("dialled %v, wrote %v, closed %v", w.dialed, w.wrote, w.closed)
 		}
-		if w.dialed[line] != "counter 2" || w.wrote[line] != "tally 1 2 1000\r\n" {
-			t.Fatalf("dialled %v, wrote %q", w.dialed, w.wrote[line])
+		if w.dialed[counterConn] != "counter 2" || w.wrote[counterConn] != "tally 1 2 1000\r\n" {
+			t.Fatalf("dialled %v, wrote %q", w.dialed, w.wrote[counterConn])
 		}
 	})
 	t.Run("a call that was not written moves, once, and on to where the next one says", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		l.Step(0, ConnClosed{Conn: counterConnID, Reason: PeerClosed})
 		l.AddToCounter(1, 2, second)
-		line := w.last
+		counterConn := w.last
 		for range 2 {
-			l.Step(0, moved(l))
+			l.Step(0, changeAddresses(l))
 			l.config.Counter = "counter" // so that the next one moves it again
 		}
-		if !slices.Contains(w.closed, line) || len(l.results) > 0 || len(l.counter.conns) != 1 {
+		if !slices.Contains(w.closed, counterConn) || len(l.results) > 0 || len(l.counter.conns) != 1 {
 			t.Fatalf("closed %v, the module is owed %+v, %d lines", w.closed, l.results, len(l.counter.conns))
 		}
 		l.Step(0, Connected{Conn: l.counter.conns[0].conn.id})
 		requireText(t, w.wrote[l.counter.conns[0].conn.id], "tally 1 2 1000\r\n")
-		w.pass(l, second/20)
+		w.advance(l, second/20)
 		if !l.counter.conns[0].calls[0].answered {
 			t.Fatal("its time is over, and the module has not heard so")
 		}
--- a/internal/limiter/requests_test.go
+++ b/internal/limiter/requests_test.go
@@ -11,10 +11,10 @@
 	requireText(t, w.wrote[id], command("j", "read", "380")) // all as the client sent it, but for the time that is left
 }
 
-func TestMove(t *testing.T) {
+func TestEndRequest(t *testing.T) {
 	t.Run("what is only partly in the kernel is not finished for a request that has ended", func(t *testing.T) {
 		l, w, id := requestSent(t, "write")
-		w.kernel[id] = 5
+		w.kernelAccepted[id] = 5
 		l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed})
 		if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 {
 			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests.byID))
@@ -23,7 +23,7 @@
 	t.Run("what is whole may come to its end", func(t *testing.T) {
 		l, w, id := requestSent(t, "write")
 		l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed})
-		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		if slices.Contains(w.closed, id) || len(l.servers.pools["s"].idle) != 1 || len(l.requests.byID) > 0 {
 			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests.byID))
 		}
@@ -32,7 +32,7 @@
 
 func TestDeadline(t *testing.T) {
 	l, w, id := requestSent(t, "write")
-	w.pass(l, second/2)
+	w.advance(l, second/2)
 	requireText(t, w.wrote[clientConn], string(failedAnswer))
 	if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 || l.servers.connCount != 0 {
 		t.Fatalf("closed %v, %d requests, %d connections", w.closed, len(l.requests.byID), l.servers.connCount)
--- a/internal/limiter/restarts_test.go
+++ b/internal/limiter/restarts_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLivesWithoutTheCounter: each life that the counter has not answered in sends one largest request, here a unit,
+// TestUnitsSentWithCounterDown: each life that the counter has not answered in sends one largest request, here a unit,
 // and what its slice has filled by since it began, here 5 units a second: whole units alone are sent.
-func TestLivesWithoutTheCounter(t *testing.T) {
+func TestUnitsSentWithCounterDown(t *testing.T) {
 	const rate, burst, spread = 10, 40, 4
 	for _, c := range []struct {
-		lives int64
-		units int
+		restarts int64
+		units    int
 	}{{1, 1 + 4}, {2, 2 * (1 + 2)}, {5, 5 * (1 + 0)}, {10, 10 * (1 + 0)}} {
-		require.Equal(t, c.units, restarted(rate, burst, spread, 0, c.lives), "%d lives", c.lives)
+		require.Equal(t, c.units, unitsSentWithRestarts(rate, burst, spread, 0, c.restarts), "%d lives", c.restarts)
 	}
 }
--- a/internal/limiter/server_answer_test.go
+++ b/internal/limiter/server_answer_test.go
@@ -11,9 +11,9 @@
 
 func TestDecodeAnswer(t *testing.T) {
 	for _, c := range []struct {
-		in                string
-		outcome           choice.Outcome
-		units, held, pace float64
+		in                          string
+		outcome                     choice.Outcome
+		units, inFlight, throughput float64
 	}{
 		{"*3\r\n$1\r\nv\r\n$14\r\nused=86,cost=3\r\n$-1\r\n", choice.Succeeded, 3, 0, 0},
 		{"*3\r\n$1\r\nv\r\n$8\r\ncost=Inf\r\n$-1\r\n", choice.Succeeded, 0, 0, 0},
@@ -31,8 +31,8 @@
 		t.Run(strconv.Quote(c.in), func(t *testing.T) {
 			v, _, err := resp.ReadAnswer([]byte(c.in))
 			r, _ := decodeAnswer(v, 8)
-			if err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.held ||
-				r.Load.Throughput != c.pace ||
+			if err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.inFlight ||
+				r.Load.Throughput != c.throughput ||
 				strings.Contains(c.in, "backlog") && (r.Load.Queued != 3 || r.Load.ServiceTime != 135500000) {
 				t.Fatalf("%+v, error %v", r, err)
 			}
--- a/internal/limiter/server_conn_test.go
+++ b/internal/limiter/server_conn_test.go
@@ -19,8 +19,8 @@
 			c.end(l)
 			l.Step(c.now, Connected{Conn: id})
 			requireText(t, w.wrote[id], "")
-			if b := l.servers.pools["s"]; len(b.idle) != 1 || len(l.requests.byID) > 1 {
-				t.Fatalf("%d idle connections, %d requests", len(b.idle), len(l.requests.byID))
+			if p := l.servers.pools["s"]; len(p.idle) != 1 || len(l.requests.byID) > 1 {
+				t.Fatalf("%d idle connections, %d requests", len(p.idle), len(l.requests.byID))
 			}
 		})
 	}
--- a/internal/limiter/server_pools_test.go
+++ b/internal/limiter/server_pools_test.go
@@ -10,14 +10,14 @@
 
 // On a day on which all servers are replaced, again and again, those that are gone must not be kept.
 func TestForgetIfEmpty(t *testing.T) {
-	gone := httpAnswer(`{"generation":8,"instances":[{"instanceId":"s","lifecycle":"terminated"}]}`)
+	removed := httpAnswer(`{"generation":8,"instances":[{"instanceId":"s","lifecycle":"terminated"}]}`)
 	t.Run("idle connections go at once, one in use once it is answered", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
-		w.say(l, 0, discoveryConn, gone)
+		w.receive(l, 0, discoveryConn, removed)
 		if len(l.servers.pools) != 1 || slices.Contains(w.closed, id) {
 			t.Fatalf("%d servers, closed %v", len(l.servers.pools), w.closed)
 		}
-		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		requireText(t, w.wrote[clientConn], "$1\r\nv\r\n")
 		if len(l.servers.pools) != 0 || !slices.Contains(w.closed, id) || l.servers.connCount != 0 {
 			t.Fatalf("%d servers, closed %v, %d connections", len(l.servers.pools), w.closed, l.servers.connCount)
@@ -25,15 +25,15 @@
 	})
 	t.Run("at another address the same server gets connections of its own", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
-		w.say(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, ":9", ":10", 1)))
-		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		w.receive(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, ":9", ":10", 1)))
+		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		if !slices.Contains(w.closed, id) || len(l.servers.pools["s"].idle) != 0 {
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
 	t.Run("a list that does not name it", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.say(l, 0, discoveryConn, httpAnswer(`{"generation":8,"reset":true,"instances":[]}`))
+		w.receive(l, 0, discoveryConn, httpAnswer(`{"generation":8,"reset":true,"instances":[]}`))
 		if len(l.servers.pools)+len(l.servers.pools) > 0 {
 			t.Fatalf("%d servers", len(l.servers.pools))
 		}
@@ -48,7 +48,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := requestDialling(t, "write")
-			w.say(l, 0, discoveryConn, httpAnswer(c.list))
+			w.receive(l, 0, discoveryConn, httpAnswer(c.list))
 			if !slices.Contains(w.closed, id) || len(l.requests.byID) > 0 ||
 				!strings.HasPrefix(w.wrote[clientConn], "-BUSY") {
 				t.Fatalf("closed %v, %d requests, client got %q", w.closed, len(l.requests.byID), w.wrote[clientConn])
@@ -66,7 +66,7 @@
 		}
 	})
 	t.Run("an idle connection makes room", func(t *testing.T) {
-		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorDivisor-1 ||
 			!slices.Contains(w.closed, id) {
 			t.Fatalf("closed %v, %d connections", w.closed, l.servers.connCount)
@@ -101,7 +101,7 @@
 
 func TestWithConn(t *testing.T) {
 	l, w, id := requestSent(t, "write")
-	w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	w.dead = map[ConnID]bool{id: true}
 	l.now = reuseDelayTicks * l.settings.TimerResolution
 	p := l.servers.pools["s"]
@@ -112,11 +112,11 @@
 }
 
 // A machine may close an idle connection long before its time and say nothing: the next command on it is lost.
-func TestKeepIdle(t *testing.T) {
+func TestMaxReuseIdle(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		idle, after int64 // before the command, and from it to the end
-		shorter     bool
+		idle, delay int64 // before the command, and from it to the end
+		lowered     bool
 	}{
 		{"an end at once, on one that was kept", second, 0, true},
 		{"a late one: the server had begun", second, second / 8, false},
@@ -125,25 +125,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := requestSent(t, "read")
 			if c.idle > 0 {
-				w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-				w.pass(l, c.idle)
-				w.say(l, c.idle, clientConn, command("k", "write", "480"))
-				w.say(l, c.idle, counterConnID, "ok 4\r\n")
+				w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+				w.advance(l, c.idle)
+				w.receive(l, c.idle, clientConn, command("k", "write", "480"))
+				w.receive(l, c.idle, counterConnID, "ok 4\r\n")
 			}
 			before := l.servers.maxReuseIdle
-			l.Step(c.idle+c.after, ConnClosed{Conn: id, Reason: PeerReset})
-			if l.servers.maxReuseIdle > before || (l.servers.maxReuseIdle < before) != c.shorter {
+			l.Step(c.idle+c.delay, ConnClosed{Conn: id, Reason: PeerReset})
+			if l.servers.maxReuseIdle > before || (l.servers.maxReuseIdle < before) != c.lowered {
 				t.Fatalf("kept for %d before and %d now", before, l.servers.maxReuseIdle)
 			}
-			short := l.servers.maxReuseIdle
-			if l.maintain(); c.shorter && l.servers.maxReuseIdle <= short {
+			loweredTo := l.servers.maxReuseIdle
+			if l.maintain(); c.lowered && l.servers.maxReuseIdle <= loweredTo {
 				t.Fatal("it does not come back")
 			}
 		})
 	}
 	t.Run("one that was idle for longer is not used again", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
-		w.say(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		l.servers.maxReuseIdle, l.now = second, second+1
 		if b := l.servers.pools["s"].acquire(); b.conn != nil {
 			t.Fatal("it was")
--- a/internal/limiter/trace_test.go
+++ b/internal/limiter/trace_test.go
@@ -30,15 +30,15 @@
 
 // TestTraceKeepsTheLatest: the oldest records make room, and no more are logged than were asked for.
 func TestTraceKeepsTheLatest(t *testing.T) {
-	var kept trace
-	require.Empty(t, kept.latest(AllTrace))
+	var records trace
+	require.Empty(t, records.latest(AllTrace))
 	for i := range traceSize + 10 {
-		kept.add(traceRecord{at: int64(i)})
+		records.add(traceRecord{at: int64(i)})
 	}
-	all := kept.latest(AllTrace)
+	all := records.latest(AllTrace)
 	require.Len(t, all, traceSize)
 	require.Equal(t, int64(10), all[0].at)
-	two := kept.latest(2)
+	two := records.latest(2)
 	require.Equal(t, []int64{traceSize + 8, traceSize + 9}, []int64{two[0].at, two[1].at})
 }
 
@@ -55,8 +55,8 @@
 	require.Empty(t, out.String())
 }
 
-// TestWords: each reason, state and outcome has a word of its own.
-func TestWords(t *testing.T) {
+// TestCloseReasonWords: each reason, state and outcome has a word of its own.
+func TestCloseReasonWords(t *testing.T) {
 	seen := map[string]bool{}
 	for reason := range closeReasonCount {
 		require.False(t, seen[reason.String()], reason)
--- a/internal/limiter/walk_test.go
+++ b/internal/limiter/walk_test.go
@@ -28,36 +28,36 @@
 // still and steps, and the process's end. It must not panic, each command has one answer in time, nothing runs twice
 // or for nobody, and nothing is left over.
 func TestWalk(t *testing.T) {
-	silence(t)
+	discardLog(t)
 	for seed := *walkFirst; seed < *walkFirst+uint64(*walkSeeds); seed++ {
 		w := newWalk(seed)
-		w.play()
-		if len(w.faults) > 0 {
-			w.noteOwed()
-			t.Errorf("seed %d: %s\n%s", seed, strings.Join(w.faults, "\n"), strings.Join(w.history, "\n"))
+		w.run()
+		if len(w.violations) > 0 {
+			w.noteUnanswered()
+			t.Errorf("seed %d: %s\n%s", seed, strings.Join(w.violations, "\n"), strings.Join(w.history, "\n"))
 			return
 		}
 	}
 }
 
-// silence keeps the limiter's log out of the test's output.
-func silence(t *testing.T) {
+// discardLog keeps the limiter's log out of the test's output.
+func discardLog(t *testing.T) {
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	t.Cleanup(func() { slog.SetDefault(previous) })
 }
 
 // newWalk makes a world with a limiter in it.
-func newWalk(seed uint64) *walkWorld {
-	w := &walkWorld{
-		random:   rand.New(rand.NewPCG(seed, 0)),
-		now:      second,
-		conns:    map[ConnID]*walkConn{},
-		requests: map[string]*walkRequest{},
-		states:   map[string]string{"a": "in_service", "b": "in_service", "c": "in_service"},
-		draining: map[string]int64{},
+func newWalk(seed uint64) *walkEnvironment {
+	w := &walkEnvironment{
+		random:     rand.New(rand.NewPCG(seed, 0)),
+		now:        second,
+		conns:      map[ConnID]*walkConn{},
+		requests:   map[string]*walkRequest{},
+		lifecycles: map[string]string{"a": "in_service", "b": "in_service", "c": "in_service"},
+		draining:   map[string]int64{},
 	}
-	w.drawMoves()
+	w.drawEvents()
 	var err error
 	options := OperatorOptions{DiscoveryCallRate: float64(5 * w.random.IntN(2)), ConnectionRate: float64(20 * w.random.IntN(2))}
 	w.limiter, err = NewWithOptions(w.now, w.config(), options, w)
@@ -68,11 +68,11 @@
 }
 
 // config is a configuration; that of the start, or one that has moved discovery and the counter.
-func (w *walkWorld) config() *settings.Config {
+func (w *walkEnvironment) config() *settings.Config {
 	at := fmt.Sprint(w.random.IntN(3))
 	var known []byte
 	if w.knowsList {
-		known = []byte(w.list(true))
+		known = []byte(w.nextList(true))
 	}
 	return &settings.Config{Discovery: walkDiscovery + at, Counter: walkCounter + at, Memory: 1 << 27, Sockets: 64,
 		Known: known,
@@ -84,7 +84,7 @@
 					"read":  {LatencyObjective: second / 2, PriorityWeight: 1},
 					"write": {LatencyObjective: second, Idempotency: choice.NonIdempotent, PriorityWeight: 1},
 					"keyed": {LatencyObjective: second, Idempotency: choice.IdempotentWithKey, PriorityWeight: 1,
-						DeduplicationScope: choice.ScopeAll, DeduplicationWindow: walkDeduplication},
+						DeduplicationScope: choice.ScopeAll, DeduplicationWindow: walkDeduplicationWindow},
 				},
 				Plans: map[string]*choice.Plan{
 					"open":   {Rate: 50, Burst: 1000, PriorityWeight: 1},
@@ -97,55 +97,55 @@
 		}}
 }
 
-// play makes the steps and the end.
-func (w *walkWorld) play() {
+// run makes the steps and the end.
+func (w *walkEnvironment) run() {
 	defer func() {
 		if cause := recover(); cause != nil {
 			w.fail("panic: %v\n%s", cause, debug.Stack())
 		}
 	}()
-	stopsAt := walkSteps/2 + w.random.IntN(walkSteps)
+	shutdownStep := walkSteps/2 + w.random.IntN(walkSteps)
 	for i := range walkSteps {
-		if i == stopsAt {
+		if i == shutdownStep {
 			w.step(ShutdownRequested{})
 		}
-		w.move()
+		w.randomEvent()
 		w.noteDraining()
-		if len(w.faults) > 0 {
+		if len(w.violations) > 0 {
 			return
 		}
 	}
 	w.finish()
 }
 
-// drawMoves draws how likely each thing that may happen is in this walk. Walks in which some things happen often and
+// drawEvents draws how likely each thing that may happen is in this walk. Walks in which some things happen often and
 // others seldom meet more coincidences than walks that are all alike.
-func (w *walkWorld) drawMoves() {
-	w.badCounter, w.badServers = w.chance(2), w.chance(2)
-	w.knowsList = !w.chance(4)
+func (w *walkEnvironment) drawEvents() {
+	w.badCounter, w.badServers = w.oneIn(2), w.oneIn(2)
+	w.knowsList = !w.oneIn(4)
 	w.pollInterval = []int64{0, 0, second}[w.random.IntN(3)]
 	w.counterTimeout = []int64{0, second / 20, second / 5, second / 5}[w.random.IntN(4)]
 	for _, draw := range []struct {
-		move        func()
+		event       func()
 		least, most int
 	}{
-		{w.accept, 1, 3}, {w.send, 1, 6}, {w.leave, 0, 4}, {w.sendNonsense, 0, 1},
-		{w.connect, 2, 5}, {w.refuse, 0, 2}, {w.kernelTakes, 1, 3},
-		{w.otherAnswers, 2, 8}, {w.otherAnswersEarly, 0, 2}, {w.otherEnds, 0, 3}, {w.endIsTold, 1, 3},
-		{w.deliver, 4, 10}, {w.pass, 1, 4}, {w.standStill, 0, 1}, {w.reload, 0, 1}, {w.stepClock, 0, 1},
+		{w.acceptClient, 1, 3}, {w.sendCommands, 1, 6}, {w.disconnectClient, 0, 4}, {w.sendMalformed, 0, 1},
+		{w.completeDial, 2, 5}, {w.failDial, 0, 2}, {w.acceptWritten, 1, 3},
+		{w.peerAnswers, 2, 8}, {w.serverRejectsEarly, 0, 2}, {w.peerCloses, 0, 3}, {w.deliverSomeClose, 1, 3},
+		{w.deliverSome, 4, 10}, {w.advanceTime, 1, 4}, {w.suspend, 0, 1}, {w.reload, 0, 1}, {w.stepWallClock, 0, 1},
 	} {
 		for range draw.least + w.random.IntN(draw.most-draw.least+1) {
-			w.moves = append(w.moves, draw.move)
+			w.events = append(w.events, draw.event)
 		}
 	}
 }
 
-// move is one random thing that happens.
-func (w *walkWorld) move() { w.moves[w.random.IntN(len(w.moves))]() }
+// randomEvent is one random thing that happens.
+func (w *walkEnvironment) randomEvent() { w.events[w.random.IntN(len(w.events))]() }
 
-// standStill is a time in which the process stands still, with all that comes meanwhile.
-func (w *walkWorld) standStill() {
-	if !w.chance(4) {
+// suspend is a time in which the process stands still, with all that comes meanwhile.
+func (w *walkEnvironment) suspend() {
+	if !w.oneIn(4) {
 		return
 	}
 	w.now += second/2 + w.random.Int64N(4*second)
@@ -153,27 +153,27 @@
 	w.step(TimersDue{}) // before the kernel takes more: what it lacks is with the process
 }
 
-func (w *walkWorld) reload() {
-	if w.chance(4) {
+func (w *walkEnvironment) reload() {
+	if w.oneIn(4) {
 		w.step(ConfigReloaded{Config: w.config()})
 	}
 }
 
-func (w *walkWorld) stepClock() { w.wallStep += w.random.Int64N(7200*second) - 3600*second }
+func (w *walkEnvironment) stepWallClock() { w.wallStep += w.random.Int64N(7200*second) - 3600*second }
 
-func (w *walkWorld) accept() {
+func (w *walkEnvironment) acceptClient() {
 	w.last++
 	w.conns[w.last] = &walkConn{id: w.last, open: true}
 	w.step(ClientAccepted{Conn: w.last})
 }
 
-// aClient is a client that is there and has sent nothing but commands.
-func (w *walkWorld) aClient() *walkConn {
-	return w.pick(func(c *walkConn) bool { return c.address == "" && !c.ended && !c.refused })
+// pickClient is a client that is there and has sent nothing but commands.
+func (w *walkEnvironment) pickClient() *walkConn {
+	return w.pickConn(func(c *walkConn) bool { return c.address == "" && !c.ended && !c.inputRejected })
 }
 
-func (w *walkWorld) send() {
-	c := w.aClient()
+func (w *walkEnvironment) sendCommands() {
+	c := w.pickClient()
 	if c == nil {
 		return
 	}
@@ -182,20 +182,20 @@
 	}
 }
 
-func (w *walkWorld) sendCommand(c *walkConn) {
+func (w *walkEnvironment) sendCommand(c *walkConn) {
 	command := &walkCommand{}
 	text := "*1\r\n$4\r\nPING\r\n"
-	if !w.chance(12) {
-		text = w.request(c, command)
+	if !w.oneIn(12) {
+		text = w.newRequest(c, command)
 	}
-	c.sent += len(text)
-	command.end = c.sent
-	c.coming = append(c.coming, text...)
+	c.sentBytes += len(text)
+	command.endOffset = c.sentBytes
+	c.incoming = append(c.incoming, text...)
 	c.commands = append(c.commands, command)
 }
 
-// request makes a request of a client.
-func (w *walkWorld) request(c *walkConn, command *walkCommand) string {
+// newRequest makes a newRequest of a client.
+func (w *walkEnvironment) newRequest(c *walkConn, command *walkCommand) string {
 	q := &walkRequest{
 		id:      fmt.Sprint("r", len(w.requests)),
 		class:   []string{"read", "write", "keyed"}[w.random.IntN(3)],
@@ -218,139 +218,139 @@
 	return string(resp.AppendCommand(nil, words...))
 }
 
-func (w *walkWorld) sendNonsense() {
-	if c := w.aClient(); c != nil && w.chance(4) {
-		c.refused = true
-		c.coming = append(c.coming, "nonsense\r\n"...)
+func (w *walkEnvironment) sendMalformed() {
+	if c := w.pickClient(); c != nil && w.oneIn(4) {
+		c.inputRejected = true
+		c.incoming = append(c.incoming, "nonsense\r\n"...)
 	}
 }
 
-// leave is the end of a client, which the limiter may find before it is told.
-func (w *walkWorld) leave() {
-	if c := w.aClient(); c != nil && w.chance(2) {
+// disconnectClient is the end of a client, which the limiter may find before it is told.
+func (w *walkEnvironment) disconnectClient() {
+	if c := w.pickClient(); c != nil && w.oneIn(2) {
 		w.note("client %d leaves", c.id)
-		c.ended, c.reset = true, w.chance(2)
+		c.ended, c.reset = true, w.oneIn(2)
 	}
 }
 
-func (w *walkWorld) isDialled(c *walkConn) bool { return !c.open && !c.ended }
+func (w *walkEnvironment) isDialling(c *walkConn) bool { return !c.open && !c.ended }
 
-func (w *walkWorld) connect() {
-	if c := w.pick(w.isDialled); c != nil {
+func (w *walkEnvironment) completeDial() {
+	if c := w.pickConn(w.isDialling); c != nil {
 		c.open = true
 		w.step(Connected{Conn: c.id})
 	}
 }
 
-func (w *walkWorld) refuse() {
-	if c := w.pick(w.isDialled); c != nil && w.chance(3) {
+func (w *walkEnvironment) failDial() {
+	if c := w.pickConn(w.isDialling); c != nil && w.oneIn(3) {
 		c.ended = true
 		w.step(ConnClosed{Conn: c.id, Reason: []CloseReason{ConnRefused, DialTimedOut, LocalFailure, NoConnection}[w.random.IntN(4)]})
 	}
 }
 
-func (w *walkWorld) kernelTakes() {
-	if c := w.pick(func(c *walkConn) bool { return !c.ended && c.taken < len(c.written) }); c != nil {
-		w.takes(c)
+func (w *walkEnvironment) acceptWritten() {
+	if c := w.pickConn(func(c *walkConn) bool { return !c.ended && c.accepted < len(c.written) }); c != nil {
+		w.accept(c)
 	}
 }
 
-func (w *walkWorld) otherAnswersEarly() {
-	c := w.pick(func(c *walkConn) bool {
-		return c.isServer() && !c.ended && c.read < c.taken && c.taken < len(c.written)
+func (w *walkEnvironment) serverRejectsEarly() {
+	c := w.pickConn(func(c *walkConn) bool {
+		return c.isServer() && !c.ended && c.read < c.accepted && c.accepted < len(c.written)
 	})
 	if c != nil {
-		w.answersEarly(c)
+		w.rejectEarly(c)
 	}
 }
 
-func (w *walkWorld) otherAnswers() {
-	c := w.pick(func(c *walkConn) bool { return !c.ended && len(c.working)+len(c.calls) > 0 })
+func (w *walkEnvironment) peerAnswers() {
+	c := w.pickConn(func(c *walkConn) bool { return !c.ended && len(c.pending)+len(c.calls) > 0 })
 	if c == nil {
 		return
 	}
 	for range 1 + w.random.IntN(6) {
-		if len(c.working) > 0 {
-			w.answersCommand(c)
+		if len(c.pending) > 0 {
+			w.answerCommand(c)
 		} else if len(c.calls) > 0 {
-			w.answersCall(c)
+			w.answerCall(c)
 		}
 	}
 }
 
-// deliver tells the limiter what has come on a connection, all or a part of it.
-func (w *walkWorld) deliver() {
-	c := w.pick(func(c *walkConn) bool { return c.open && !c.reset && len(c.coming) > 0 })
+// deliverSome tells the limiter what has come on a connection, all or a part of it.
+func (w *walkEnvironment) deliverSome() {
+	c := w.pickConn(func(c *walkConn) bool { return c.open && !c.reset && len(c.incoming) > 0 })
 	if c == nil {
 		return
 	}
-	size, age := len(c.coming), int64(0)
-	if w.chance(6) {
+	size, age := len(c.incoming), int64(0)
+	if w.oneIn(6) {
 		size = 1 + w.random.IntN(size)
 	}
-	if c.address == "" && w.chance(6) {
+	if c.address == "" && w.oneIn(6) {
 		age = w.random.Int64N(second / 10)
 	}
-	w.tell(c, size, age)
+	w.deliver(c, size, age)
 }
 
-// otherEnds is the end of a server's, the counter's or discovery's connection, which the limiter is told later.
-func (w *walkWorld) otherEnds() {
-	c := w.pick(func(c *walkConn) bool { return c.address != "" && c.open && !c.ended })
-	if c != nil && w.chance(3) {
+// peerCloses is the end of a server's, the counter's or discovery's connection, which the limiter is told later.
+func (w *walkEnvironment) peerCloses() {
+	c := w.pickConn(func(c *walkConn) bool { return c.address != "" && c.open && !c.ended })
+	if c != nil && w.oneIn(3) {
 		w.note("%s ends %d", c.address, c.id)
-		c.ended, c.reset = true, w.chance(2)
+		c.ended, c.reset = true, w.oneIn(2)
 	}
 }
 
-func (w *walkWorld) endIsTold() {
-	if c := w.pick(func(c *walkConn) bool { return c.open && c.ended }); c != nil {
-		w.tellEnd(c, []CloseReason{PeerClosed, PeerReset}[w.random.IntN(2)])
+func (w *walkEnvironment) deliverSomeClose() {
+	if c := w.pickConn(func(c *walkConn) bool { return c.open && c.ended }); c != nil {
+		w.deliverClose(c, []CloseReason{PeerClosed, PeerReset}[w.random.IntN(2)])
 	}
 }
 
-// pass lets some time pass, with the timers that are due meanwhile.
-func (w *walkWorld) pass() {
-	w.passFor([]int64{1e6, 1e6, 4e6, 4e6, 2e7, 1e8}[w.random.IntN(6)])
+// advanceTime lets some time advanceTime, with the timers that are due meanwhile.
+func (w *walkEnvironment) advanceTime() {
+	w.advanceBy([]int64{1e6, 1e6, 4e6, 4e6, 2e7, 1e8}[w.random.IntN(6)])
 }
 
-func (w *walkWorld) passFor(time int64) {
-	until := w.now + time
-	for w.wake < until {
-		w.now = max(w.now, w.wake)
+func (w *walkEnvironment) advanceBy(duration int64) {
+	until := w.now + duration
+	for w.timerAt < until {
+		w.now = max(w.now, w.timerAt)
 		w.step(TimersDue{})
-		w.overdue()
+		w.checkOverdue()
 	}
 	w.now = until
 	w.step(TimersDue{})
-	w.overdue()
+	w.checkOverdue()
 }
 
 // finish lets all that is out come to its end.
-func (w *walkWorld) finish() {
+func (w *walkEnvironment) finish() {
 	w.step(ShutdownRequested{})
 	for range 100 {
-		for _, c := range w.sorted(w.isDialled) {
+		for _, c := range w.connsWhere(w.isDialling) {
 			if !c.closed && !c.ended {
 				c.open = true
 				w.step(Connected{Conn: c.id})
 			}
 		}
-		for _, c := range w.sorted(func(*walkConn) bool { return true }) {
+		for _, c := range w.connsWhere(func(*walkConn) bool { return true }) {
 			if c.ended && !c.closed {
-				w.tellEnd(c, PeerClosed)
+				w.deliverClose(c, PeerClosed)
 			} else if !c.closed {
-				w.takes(c)
-				w.tell(c, len(c.coming), 0)
+				w.accept(c)
+				w.deliver(c, len(c.incoming), 0)
 			}
 		}
-		w.passFor(second / 20)
+		w.advanceBy(second / 20)
 		w.noteDraining()
-		if len(w.faults) > 0 {
+		if len(w.violations) > 0 {
 			return
 		}
 	}
-	w.rejected()
+	w.checkRejections()
 	l := w.limiter
 	if len(l.requests.byID) > 0 || l.requests.heldBytes != 0 || len(l.results) > 0 || l.clients.count != 0 || !l.Finished() {
 		w.fail("left over: %d requests of %d bytes, %d results, %d clients; finished: %t",
--- a/internal/limiter/wall_clock_test.go
+++ b/internal/limiter/wall_clock_test.go
@@ -17,29 +17,29 @@
 // hour ago, and not for an hour.
 func TestServerStartAfterWallClockStep(t *testing.T) {
 	for _, step := range []int64{0, -hour, hour, -5 * second, 5 * second} {
-		for _, stampedBehind := range []bool{true, false} {
-			t.Run(fmt.Sprintf("step %d s, stamped behind it %v", step/second, stampedBehind), func(t *testing.T) {
+		for _, stampedAfterStep := range []bool{true, false} {
+			t.Run(fmt.Sprintf("step %d s, stamped behind it %v", step/second, stampedAfterStep), func(t *testing.T) {
 				l, w := newTestLimiter(t)
 				const now = 2 * hour
 				l.now = now
 				w.wallStep = step
 				started := now - second
-				if stampedBehind {
+				if stampedAfterStep {
 					started += step
 				}
-				told := func() int64 {
+				applyStart := func() int64 {
 					list := &discovery.List{Version: 9, Endpoints: []discovery.Endpoint{{Address: "127.0.0.1:8"}}}
 					list.Endpoints[0].ID = "new"
 					list.Endpoints[0].StartedAt = started
 					l.discovery.applyList(list, coldstart.ListReceived)
 					return l.servers.pools["new"].startedAt
 				}
-				at := told()
+				at := applyStart()
 				require.LessOrEqual(t, at, now)
 				require.GreaterOrEqual(t, at, now-6*second, "it is taken for warmer than it is")
 				l.now += 5 * second
 				w.wallStep = 0
-				require.Equal(t, at, told(), "the same start, told again, is no new one")
+				require.Equal(t, at, applyStart(), "the same start, told again, is no new one")
 			})
 		}
 	}
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestStepThatShowsLate: the first list is the configuration's, and the list service's answer shows only then that the
+// TestClockStepDetectedLater: the first list is the configuration's, and the list service's answer shows only then that the
 // limiter's clock is an hour ahead. A start that was taken for an old one is corrected.
-func TestStepThatShowsLate(t *testing.T) {
+func TestClockStepDetectedLater(t *testing.T) {
 	l, _ := newTestLimiter(t)
 	l.now = 2 * hour
 	p := &serverPool{}
@@ -83,9 +83,9 @@
 	require.Equal(t, l.now-3*second, p.observeStart(told, &clock))
 }
 
-// TestStartIsTakenAsToldWhereClocksAgree: without a step a start keeps the time that was told, however late the list tells
+// TestServerStartWithoutClockStep: without a step a start keeps the time that was told, however late the list tells
 // it, and 0 means long ago.
-func TestStartIsTakenAsToldWhereClocksAgree(t *testing.T) {
+func TestServerStartWithoutClockStep(t *testing.T) {
 	l, _ := newTestLimiter(t)
 	l.now = 2 * hour
 	l.discovery.confirmedAt = l.now - second
