--- a/internal/limiter/arrival_test.go
+++ b/internal/limiter/arrival_test.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// commandWith is a command in which one thing is otherwise.
+// commandWith returns the command of a read request with old replaced by new.
 func commandWith(old, new string) string {
 	return strings.Replace(command("j", "read", "480"), old, new, 1)
 }
--- a/internal/limiter/attempts_test.go
+++ b/internal/limiter/attempts_test.go
@@ -5,29 +5,31 @@
 	"testing"
 )
 
+// TestAttemptEnds checks what the client gets for each way in which the attempt of a non-idempotent request ends. It is
+// rejected only if the server cannot have run it; otherwise the request fails.
 func TestAttemptEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(l *Limiter, w *fakeSockets, id ConnID)
 		out  string
 	}{
-		{"before its last byte is written: it never ran", func(l *Limiter, w *fakeSockets, id ConnID) {
+		{"connection reset before the last byte was written: not run", func(l *Limiter, w *fakeSockets, id ConnID) {
 			w.kernelAccepted[id] = int64(len(w.wrote[id])) - 1
 			l.Step(0, ConnClosed{Conn: id, Reason: PeerReset})
 		}, "-BUSY 2"},
-		{"after it: it may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
+		{"connection closed after the last byte was written: may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
 			l.Step(0, ConnClosed{Conn: id, Reason: PeerClosed})
 		}, "-ERR written off"},
-		{"turned away: the module words the answer", func(l *Limiter, w *fakeSockets, id ConnID) {
+		{"rejected by the server: the controller sets the answer", func(l *Limiter, w *fakeSockets, id ConnID) {
 			w.receive(l, 0, id, "-BUSY 7777\r\n")
 		}, "-BUSY 2"},
-		{"an error: it may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
+		{"server error: may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
 			w.receive(l, 0, id, "-ERR failed\r\n")
 		}, "-ERR written off"},
-		{"a null is no answer", func(l *Limiter, w *fakeSockets, id ConnID) {
+		{"null answer: may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
 			w.receive(l, 0, id, "*3\r\n$-1\r\n$-1\r\n$-1\r\n")
 		}, "-ERR written off"},
-		{"not understood", func(l *Limiter, w *fakeSockets, id ConnID) {
+		{"malformed answer: may have run", func(l *Limiter, w *fakeSockets, id ConnID) {
 			w.receive(l, 0, id, "what\r\n")
 		}, "-ERR written off"},
 		{"served", func(l *Limiter, w *fakeSockets, id ConnID) {
@@ -43,7 +45,7 @@
 				t.Fatalf("client got %q, want %q", got, c.out)
 			}
 			if len(l.requests.byID) > 0 || l.requests.heldBytes != 0 {
-				t.Fatalf("%d requests and %d bytes are held", len(l.requests.byID), l.requests.heldBytes)
+				t.Fatalf("%d requests with %d bytes are left", len(l.requests.byID), l.requests.heldBytes)
 			}
 		})
 	}
--- a/internal/limiter/bench_test.go
+++ b/internal/limiter/bench_test.go
@@ -12,11 +12,14 @@
 	"ospreycroft/internal/settings"
 )
 
-// The benchmarks measure what lists and idle connections cost the reducer, by how many servers there are.
+// The benchmarks measure how the costs of applying an endpoint list and of maintenance grow with the number of servers.
 
-const benchConnections = 250 // to servers, about the subset of one limiter of 550 before 8,500 servers
+// benchConnections is the number of idle connections to servers: about the subset that one of 550 limiters uses of
+// 8,500 servers.
+const benchConnections = 250
 
-// benchList is a list of servers from one number to another, all in one state.
+// benchList returns a list of the servers numbered from "from" up to but not including "to", all in one lifecycle
+// state.
 func benchList(b *testing.B, from, to int, complete bool, state string) *discovery.List {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"generation":8,"reset":%v,"instances":[`, complete)
@@ -34,7 +37,8 @@
 	return list
 }
 
-// benchLimiter is a limiter before so many servers, with idle connections to some of them.
+// benchLimiter returns a limiter that knows the given number of servers and has idle connections to benchConnections of
+// them, or to all if there are fewer.
 func benchLimiter(b *testing.B, servers int) *Limiter {
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -47,8 +51,9 @@
 				Classes: map[string]*choice.Class{
 					"read": {LatencyObjective: second},
 				}, Plans: map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
-				CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 550, Position: 3, ColdCapacity: 0.25,
-				SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
+				CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 550, Position: 3,
+				ColdCapacity: 0.25, SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3,
+				MaxRetryAfter: second, TimerResolution: second / 250,
 			}}},
 		w,
 	)
--- a/internal/limiter/clients_test.go
+++ b/internal/limiter/clients_test.go
@@ -6,22 +6,24 @@
 	"testing"
 )
 
-// A client that says nothing, or half a command, is closed soon: it would hold its place for good.
+// TestReapClients: a client that sends nothing, or only part of a command, is closed after minClientIdle. Otherwise it
+// would occupy its descriptor forever.
 func TestReapClients(t *testing.T) {
 	for _, c := range []struct {
 		name, in, out string
-		at            int64 // when it is visited
+		at            int64 // when clients are checked
 		closed        bool
 	}{
-		{"nothing, for a while", "", "", minClientIdle / 2, false},
-		{"nothing", "", "", minClientIdle, true},
-		{"half a command", "*1\r\n$4\r\nPI", "-ERR too slow\r\n", minClientIdle, true},
-		{"no request", "*1\r\n$4\r\nECHO\r\n", "-ERR unknown command\r\n", minClientIdle, true},
-		{"a request, and its answer is not there yet", command("j", "read", "9000"), "", 3 * minClientIdle, false},
-		{"a request, and nonsense", command("j", "read", "9000") + "?", "-ERR written off\r\n-ERR malformed\r\n", minClientIdle, true},
+		{"nothing sent, for a short time", "", "", minClientIdle / 2, false},
+		{"nothing sent", "", "", minClientIdle, true},
+		{"part of a command", "*1\r\n$4\r\nPI", "-ERR too slow\r\n", minClientIdle, true},
+		{"a command that is not a request", "*1\r\n$4\r\nECHO\r\n", "-ERR unknown command\r\n", minClientIdle, true},
+		{"a request that is not answered yet", command("j", "read", "9000"), "", 3 * minClientIdle, false},
+		{"a request and malformed input", command("j", "read", "9000") + "?",
+			"-ERR written off\r\n-ERR malformed\r\n", minClientIdle, true},
 		{"a request that was answered", "done", "$1\r\nv\r\n", minClientIdle, false},
-		{"the same, long ago", "done", "$1\r\nv\r\n", 15 * second, true},
-		{"half a command behind it", "done half", "$1\r\nv\r\n-ERR too slow\r\n", minClientIdle, true},
+		{"a request that was answered long ago", "done", "$1\r\nv\r\n", 15 * second, true},
+		{"part of a command after an answered request", "done half", "$1\r\nv\r\n-ERR too slow\r\n", minClientIdle, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := newTestLimiter(t)
@@ -46,8 +48,8 @@
 	}
 }
 
-// Newcomers past the limit wait in the kernel, the usual clients among them; and where each client keeps its connection
-// after one request, they can open no more.
+// TestEvictIdle: at the descriptor limit new connections wait in the kernel, also those of regular clients. If every
+// client kept its connection open after one request, no other client could connect, so idle ones are closed.
 func TestEvictIdle(t *testing.T) {
 	l, w, id := requestSent(t, "read")
 	w.receive(l, 1, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
@@ -61,9 +63,10 @@
 		now  int64
 		want []ConnID
 	}{
-		{"nobody who has just come", 3, nil},
-		{"the new client that came first", 2 + l.settings.DialTimeout/newClientGraceDivisor, []ConnID{newcomer}},
-		{"and, once they are all in use, the one that was idle longest", second, []ConnID{newcomer, clientConn}},
+		{"no client that has just connected", 3, nil},
+		{"the client without a request that connected first",
+			2 + l.settings.DialTimeout/newClientGraceDivisor, []ConnID{newcomer}},
+		{"once all others have open requests, the one that was idle longest", second, []ConnID{newcomer, clientConn}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if l.now = c.now; l.now == second {
--- a/internal/limiter/cold_start_test.go
+++ b/internal/limiter/cold_start_test.go
@@ -12,7 +12,7 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// pollCount are the calls that were written to discovery, on whatever connection.
+// pollCount returns the number of calls that were written to discovery, over all connections.
 func pollCount(w *fakeSockets) (n int) {
 	for id, text := range w.wrote {
 		if strings.HasPrefix(w.dialed[id], "disco") {
@@ -22,7 +22,8 @@
 	return n
 }
 
-// newLimiterWithOptions is a limiter with what an operator states, the last by place of so many that discovery tells when they ask.
+// newLimiterWithOptions returns a limiter with the operator's options: the one with the last position of the given
+// number of limiters, which poll discovery.
 func newLimiterWithOptions(t *testing.T, limiters int, options OperatorOptions) (*Limiter, *fakeSockets) {
 	t.Helper()
 	template, w := newPollingLimiter(t, 10*second, limiters-1)
@@ -34,10 +35,11 @@
 	return l, w
 }
 
-// TestScheduledPolls: where calls are work for discovery a limiter makes one in each of its instants, whatever becomes of them.
+// TestScheduledPolls: with a discovery call rate a limiter makes one call at each of its scheduled times, whatever the
+// result of its calls.
 func TestScheduledPolls(t *testing.T) {
-	const at = 9 * second / 2 // the fourth of four limiters by place, in rounds of 6 s
-	// pollsUntil takes it to a time, with each call to discovery coming up at once, and tells how many were made.
+	const at = 9 * second / 2 // first scheduled poll of the fourth of four limiters, in rounds of 6 s
+	// pollsUntil advances the limiter, opens each dialled connection to discovery at once and returns pollCount.
 	pollsUntil := func(l *Limiter, w *fakeSockets, until int64) int {
 		for now := l.now; now <= until; now += second / 20 {
 			l.Step(now, TimersDue{})
@@ -50,8 +52,13 @@
 	options := OperatorOptions{DiscoveryCallRate: 4.0 / 6}
 	l, w := newLimiterWithOptions(t, 4, options)
 	l.Step(at+second*2, TimersDue{})
-	require.Equal(t, 0, pollsUntil(l, w, at+6*second-second/20), "calls behind an instant that was slept through")
-	require.Equal(t, 1, pollsUntil(l, w, at+6*second), "calls at the next one")
+	require.Equal(
+		t,
+		0,
+		pollsUntil(l, w, at+6*second-second/20),
+		"calls after a scheduled time that fell into a suspension",
+	)
+	require.Equal(t, 1, pollsUntil(l, w, at+6*second), "calls at the next scheduled time")
 	type action = func(l *Limiter, w *fakeSockets, id ConnID)
 	receives := func(text string) action {
 		return func(l *Limiter, w *fakeSockets, id ConnID) { w.receive(l, l.now, id, text) }
@@ -65,41 +72,44 @@
 	for _, c := range []struct {
 		name      string
 		then      []action
-		tolerance int // calls that may come at a later one of its instants
+		tolerance int // by how many calls the count may differ, as a throttled call may be repeated later
 	}{
 		{"an answer", []action{receives(httpAnswer(knownList))}, 0},
-		{"an answer behind which the connection ends", []action{receives(httpAnswer(knownList)), reset}, 0},
-		{"an answer and another that nobody asked for", []action{receives(httpAnswer(knownList) + httpAnswer(knownList))}, 0},
-		{"a call that is turned away", []action{receives("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")}, 1},
+		{"an answer after which the connection is closed", []action{receives(httpAnswer(knownList)), reset}, 0},
+		{"an answer and an unrequested one",
+			[]action{receives(httpAnswer(knownList) + httpAnswer(knownList))}, 0},
+		{"a throttled call",
+			[]action{receives("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")}, 1},
 		{"a reset", []action{reset}, 0},
-		{"a move", []action{changeAddress}, 0},
-		{"a reset and then a move", []action{reset, changeAddress}, 0},
+		{"a change of address", []action{changeAddress}, 0},
+		{"a reset and then a change of address", []action{reset, changeAddress}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := newLimiterWithOptions(t, 4, options)
-			require.Equal(t, 0, pollsUntil(l, w, at-second/20), "calls before its instant")
+			require.Equal(t, 0, pollsUntil(l, w, at-second/20), "calls before its first scheduled time")
 			require.True(t, l.readiness.ready)
-			require.Equal(t, 1, pollsUntil(l, w, at), "calls at its instant")
+			require.Equal(t, 1, pollsUntil(l, w, at), "calls at its first scheduled time")
 			id := w.last
 			for _, then := range c.then {
 				then(l, w, id)
 			}
-			require.Equal(t, 1, pollsUntil(l, w, at+6*second-second/20), "calls before its second instant")
-			require.InDelta(t, 2, pollsUntil(l, w, at+6*second), float64(c.tolerance), "calls at its second instant")
+			require.Equal(t, 1, pollsUntil(l, w, at+6*second-second/20), "calls before its second scheduled time")
+			require.InDelta(t, 2, pollsUntil(l, w, at+6*second), float64(c.tolerance), "calls at its second scheduled time")
 			l.Step(l.now, ConnClosed{Conn: w.last, Reason: PeerReset})
 			require.InDelta(
 				t,
 				2,
 				pollsUntil(l, w, at+12*second-second/20),
 				float64(c.tolerance),
-				"calls before its third instant",
+				"calls before its third scheduled time",
 			)
-			require.InDelta(t, 3, pollsUntil(l, w, at+12*second), float64(c.tolerance), "calls at its third instant")
+			require.InDelta(t, 3, pollsUntil(l, w, at+12*second), float64(c.tolerance), "calls at its third scheduled time")
 		})
 	}
 }
 
-// TestPhasesEndByTimeAlone: time alone makes a limiter ready that has no list, and ends its warming.
+// TestPhasesEndByTimeAlone: without a list a limiter becomes ready by the passing of time alone, and its warming phase
+// ends the same way.
 func TestPhasesEndByTimeAlone(t *testing.T) {
 	template, w := newTestLimiter(t)
 	config, configSettings := *template.config, *template.config.Settings
@@ -126,11 +136,12 @@
 	require.True(t, l.coldStart.phase == coldstart.Steady, "%v", l.coldStart.phase)
 }
 
-// TestSnapshot: what one life has saved the next one begins with, where it is newer than the configuration's list.
+// TestSnapshot: a limiter starts with the snapshot that its previous incarnation saved, if that is newer than the
+// configuration's list.
 func TestSnapshot(t *testing.T) {
 	template, w := newTestLimiter(t)
 	config := *template.config
-	template.settings.DialTimeout = 6 * second // nothing told for 10 s is no standing still
+	template.settings.DialTimeout = 6 * second // so that 10 s without an event are not taken for a suspension
 	var saved []*snapshot.Snapshot
 	newLimiter := func(old *snapshot.Snapshot, known string) *Limiter {
 		t.Helper()
@@ -163,19 +174,19 @@
 	}
 	answer(l, 14*second, `{"generation":10,"instances":[{"instanceId":"t","lifecycle":"terminated"}]}`)
 	serverCount := len(saved[len(saved)-1].Servers)
-	require.True(t, serverCount == 1, "%d servers after one has gone", serverCount)
+	require.True(t, serverCount == 1, "%d servers after one was removed", serverCount)
 	answer(l, 15*second, strings.Replace(knownList, `"s"`, `"u"`, 1))
 	servers := saved[len(saved)-1].Servers
-	require.True(t, len(servers) == 1 && servers[0].ID == "u", "%v in place of a whole list", servers)
+	require.True(t, len(servers) == 1 && servers[0].ID == "u", "got %v, want the servers of the complete list", servers)
 	for _, c := range []struct {
 		name, known, discovery, request string
 		servers                         int
 	}{
 		{"newer than the configuration's list", knownList, "disco", "from=9&", 2},
-		{"older", strings.Replace(knownList, "7", "10", 1), "disco", "from=10&", 1},
-		{"of another discovery", knownList, "disco 2", "from=7&", 1},
-		{"the only one there is", "null", "disco", "from=9&", 2},
-		{"the only one, of another discovery", "", "disco 2", "hosts HTTP", 2},
+		{"older than the configuration's list", strings.Replace(knownList, "7", "10", 1), "disco", "from=10&", 1},
+		{"from another discovery", knownList, "disco 2", "from=7&", 1},
+		{"without a list in the configuration", "null", "disco", "from=9&", 2},
+		{"from another discovery, without a list in the configuration", "", "disco 2", "hosts HTTP", 2},
 	} {
 		old := *last
 		old.Discovery = c.discovery
@@ -186,12 +197,12 @@
 	old := *last
 	old.Generation, old.Servers = 1, []snapshot.Server{{ID: "s", StartedAt: second / 2}}
 	l = newLimiter(&old, knownList)
-	require.True(t, l.coldStart.start.Share() == 1, "a share before it is ready")
+	require.True(t, l.coldStart.start.Share() == 1, "a reduced share before the limiter is ready")
 	l.Step(7*second, TimersDue{})
-	require.True(t, l.coldStart.start.Share() != 1, "a start that was known is forgotten")
+	require.True(t, l.coldStart.start.Share() != 1, "the start time from the snapshot was lost")
 }
 
-// TestConnectionRate: a limiter opens no more connections to a server than its part of what is stated.
+// TestConnectionRate: a limiter opens connections to a server at its part of the operator's connection rate at most.
 func TestConnectionRate(t *testing.T) {
 	l, w := newLimiterWithOptions(t, 1, OperatorOptions{ConnectionRate: 2})
 	opened := 0
@@ -200,42 +211,49 @@
 			opened++
 		}
 	}
-	require.True(t, opened >= 12 && opened <= 15, "%d connections in 7 s, 2 a second are stated", opened)
+	require.True(t, opened >= 12 && opened <= 15, "%d connections in 7 s at a rate of 2 per second", opened)
 	l, _ = New(0, l.config, w)
 	for range 2 {
-		require.NotNil(t, l.servers.pools["s"].acquire(), "held back where nothing is stated")
+		require.NotNil(t, l.servers.pools["s"].acquire(), "a connection was refused without a connection rate")
 	}
 }
 
+// TestColdStartSettings: a negative seed gives valid settings.
 func TestColdStartSettings(t *testing.T) {
 	l, _ := newTestLimiter(t)
 	coldSettings := ColdStartSettings(
 		&settings.Config{Seed: -1, Settings: &settings.Settings{Settings: l.settings.Settings}},
 		OperatorOptions{},
 	)
-	require.True(t, coldSettings.Check() == nil && coldSettings.Jitter >= 0.99, "%+v: %v", coldSettings, coldSettings.Check())
+	require.True(
+		t,
+		coldSettings.Check() == nil && coldSettings.Jitter >= 0.99,
+		"%+v: %v",
+		coldSettings,
+		coldSettings.Check(),
+	)
 }
 
-// TestNoOperatorOptions: without an operator's file a limiter has no start of its own: pollpacer's pace calls, at its own
-// hold, an answer is followed by the next call at once, and it is ready with discovery's first answer.
+// TestNoOperatorOptions: without an operator's file there is no cold start. Package pollpacer sets the pace and the
+// hold time of calls, each answer is followed by the next call at once, and the first answer makes the limiter ready.
 func TestNoOperatorOptions(t *testing.T) {
 	for _, pollInterval := range []int64{0, 10 * second} {
 		l, w := newPollingLimiter(t, pollInterval, 0)
 		require.True(
 			t,
 			l.coldStart == nil && l.servers.pools["s"].newConnBucket == (coldstart.Bucket{}),
-			"a start, or a bound of connections",
+			"there is a cold start or a connection limit",
 		)
 		hold, limit := l.discovery.pacer.NextPoll(0, false)
 		w.receive(l, 0, discoveryConn, httpAnswer(knownList))
 		if pollCount(w) != 2 || !l.readiness.ready || l.discovery.responseTimer.at != limit {
-			t.Fatalf("%d calls, ready %v, given up at %d", pollCount(w), l.readiness.ready, l.discovery.responseTimer.at)
+			t.Fatalf("%d calls, ready %v, response timeout at %d", pollCount(w), l.readiness.ready, l.discovery.responseTimer.at)
 		}
 		requireText(t, w.wrote[discoveryConn], strings.Repeat(string(discovery.AppendWatch(nil, "disco", 7, hold)), 2))
 	}
 }
 
-// TestOptionsWithoutCallRate: an operator's file that states no budget leaves the calls to pollpacer's pace.
+// TestOptionsWithoutCallRate: an operator's file without a discovery call rate leaves the pace of calls to pollpacer.
 func TestOptionsWithoutCallRate(t *testing.T) {
 	plainLimiter, w := newPollingLimiter(t, 10*second, 0)
 	ratedLimiter, ratedSockets := newLimiterWithOptions(t, 1, OperatorOptions{ConnectionRate: 2})
@@ -255,7 +273,7 @@
 		require.True(
 			t,
 			pollCount(w) == pollCount(ratedSockets),
-			"%d calls after %d ns, %d where connections are stated",
+			"%d calls after %d ns, %d with a connection rate",
 			pollCount(w),
 			now,
 			pollCount(ratedSockets),
@@ -264,7 +282,8 @@
 	require.True(t, pollCount(w) >= 5, "%d calls", pollCount(w))
 }
 
-// TestNoExtraPollAfterSuspension: a limiter that stood still and goes on with all others makes no call out of its turn.
+// TestNoExtraPollAfterSuspension: a limiter that resumes from a suspension makes no call outside its schedule. If all
+// limiters were suspended together, such calls would arrive at once.
 func TestNoExtraPollAfterSuspension(t *testing.T) {
 	l, w := newLimiterWithOptions(t, 1, OperatorOptions{DiscoveryCallRate: 1. / 30})
 	id := l.discovery.conn.id
@@ -273,7 +292,7 @@
 	require.True(
 		t,
 		pollCount(w) == 1 && l.discovery.responseTimer.at >= 29*second,
-		"%d calls, given up at %d",
+		"%d calls, response timeout at %d",
 		pollCount(w),
 		l.discovery.responseTimer.at,
 	)
@@ -282,7 +301,7 @@
 	require.True(
 		t,
 		pollCount(w) == 1 && !l.suspension.listMayBeStale && l.conns[id] != nil,
-		"%d calls, in doubt %v",
+		"%d calls, list may be stale: %v",
 		pollCount(w),
 		l.suspension.listMayBeStale,
 	)
--- a/internal/limiter/counter_test.go
+++ b/internal/limiter/counter_test.go
@@ -8,18 +8,18 @@
 	"ospreycroft/choice"
 )
 
-// A late answer of the counter must not be taken for the answer to the next call.
+// TestLateCounterReply: a late answer of the counter must not be matched to the next call.
 func TestLateCounterReply(t *testing.T) {
 	l, w := newTestLimiter(t)
 	w.receive(l, 0, clientConn, command("j", "read", "480"))
 	w.advance(l, second/20)
 	first := l.counter.conns[0].calls[0]
 	if !first.answered {
-		t.Fatal("a call without an answer was not given up")
+		t.Fatal("an unanswered call did not time out")
 	}
 	l.AddToCounter(first.name, 3, second)
 	if used, err := l.counter.conns[0].onData([]byte("ok 2\r\n")); used != 6 || err != nil || len(l.results) != 0 {
-		t.Fatalf("used %d, error %v, the module is owed %+v", used, err, l.results)
+		t.Fatalf("used %d, error %v, queued results %+v", used, err, l.results)
 	}
 	if calls := l.counter.conns[0].calls; len(calls) != 1 || calls[0].answered || calls[0].amount != 3 {
 		t.Fatalf("calls %+v", calls)
@@ -31,7 +31,7 @@
 }
 
 func TestCounterConnections(t *testing.T) {
-	t.Run("a call that was not written in time never will be", func(t *testing.T) {
+	t.Run("a call that timed out before it was written is not sent", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		l.Step(0, ConnClosed{Conn: counterConnID, Reason: PeerClosed})
 		l.AddToCounter(1, 2, second)
@@ -40,16 +40,16 @@
 		l.Step(second/20, Connected{Conn: counterConn})
 		requireText(t, w.wrote[counterConn], "")
 	})
-	t.Run("calls on one name keep to one line, others spread", func(t *testing.T) {
+	t.Run("calls for one name use one connection, others are spread", func(t *testing.T) {
 		l, _ := newTestLimiter(t)
 		for _, name := range []uint64{1, 1, 2} {
 			l.AddToCounter(name, 2, second)
 		}
 		if counterConns := l.counter.conns; len(counterConns) != 2 || len(counterConns[0].calls) != 2 {
-			t.Fatalf("%d lines, %d calls on the first", len(counterConns), len(counterConns[0].calls))
+			t.Fatalf("%d connections, %d calls on the first", len(counterConns), len(counterConns[0].calls))
 		}
 	})
-	t.Run("a silent one is given up, an idle one pinged", func(t *testing.T) {
+	t.Run("an idle connection is pinged, a silent one closed", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.advance(l, 3*second)
 		if !strings.HasSuffix(w.wrote[counterConnID], "ping\r\n") {
@@ -60,24 +60,28 @@
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
-	// Told with each call, a crowded counter wrote a line a request into the log.
-	t.Run("the counter is down once nothing was answered for long, and up with the first answer", func(t *testing.T) {
+	// Logging each failed call wrote one line for each request while the counter was overloaded.
+	t.Run("logged as down after silentTimeouts without an answer, as up with the first answer", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		for _, c := range []struct {
 			at   int64
 			down bool
-		}{{0, false}, {silentTimeouts * l.settings.CounterTimeout, false}, {silentTimeouts*l.settings.CounterTimeout + 1, true}} {
+		}{
+			{0, false},
+			{silentTimeouts * l.settings.CounterTimeout, false},
+			{silentTimeouts*l.settings.CounterTimeout + 1, true},
+		} {
 			l.now = c.at
 			if l.counter.finishCall(&counterCall{}, choice.TimedOut, 0); l.counter.loggedDown != c.down {
-				t.Fatalf("down %v after %d", l.counter.loggedDown, c.at)
+				t.Fatalf("down %v after %d ns", l.counter.loggedDown, c.at)
 			}
 		}
 		l.AddToCounter(1, 2, second)
 		if w.receive(l, l.now, counterConnID, "ok 2\r\n"); l.counter.loggedDown {
-			t.Fatal("it has answered")
+			t.Fatal("the counter is still logged as down after an answer")
 		}
 	})
-	t.Run("what the counter never writes ends it", func(t *testing.T) {
+	t.Run("a malformed answer closes the connection", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		l.AddToCounter(1, 2, second)
 		w.receive(l, 0, counterConnID, "okay\r\n")
--- a/internal/limiter/deadlines_test.go
+++ b/internal/limiter/deadlines_test.go
@@ -10,8 +10,9 @@
 	"ospreycroft/choice"
 )
 
-// TestAnswerAtDeadline: the answer of a server and the end of its request come in one instant, in either order. The client
-// gets one answer, whichever was first; the module's end is two ticks before the limiter's.
+// TestAnswerAtDeadline: a server's answer and the request's deadline coincide, in either order. The client gets exactly
+// one answer, that of the earlier event. The controller's deadline (472 ms) is two timer ticks before the limiter's
+// (480 ms).
 func TestAnswerAtDeadline(t *testing.T) {
 	const served, value = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "$1\r\nv\r\n"
 	for _, class := range []string{"read", "write"} {
@@ -23,7 +24,7 @@
 					w.receive(l, end, id, served)
 				}
 				l.Step(end, TimersDue{})
-				if l.conns[id] != nil { // else its bytes are nobody's any more
+				if l.conns[id] != nil { // a closed connection receives nothing
 					w.receive(l, end, id, served)
 				}
 				w.advance(l, second)
@@ -42,10 +43,12 @@
 	}
 }
 
-// TestReadyInTime: clients come in time, though a ceiling's parts fill slowly and servers warm up for long.
+// TestReadyInTime: a limiter becomes ready within 10 s, even if a plan's ceiling fills slowly and servers have a long
+// slow start.
 func TestReadyInTime(t *testing.T) {
 	l, w := newTestLimiter(t)
-	l.settings.Plans["plain"].CeilingRate, l.settings.Plans["plain"].CeilingBurst, l.settings.SlowStartWindow = 0.01, 8, 60*second
+	l.settings.Plans["plain"].CeilingRate, l.settings.Plans["plain"].CeilingBurst, l.settings.SlowStartWindow =
+		0.01, 8, 60*second
 	w.receive(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, "7", "8", 1)))
 	ping := func(at int64) string {
 		w.advance(l, at)
@@ -58,7 +61,8 @@
 	require.Equal(t, "+PONG\r\n", ping(10*second))
 }
 
-// fakeEffects does what a limiter's module asks for: the counter is down, and each attempt is answered at once.
+// fakeEffects implements choice.Effects for a controller whose counter is down and whose attempts are answered at once.
+// It records the ids of requests sent and the names that were to be counted.
 type fakeEffects struct {
 	choice.Effects
 	sent  []string
@@ -71,8 +75,8 @@
 func (d *fakeEffects) SetTimer(int64, int64)                        {}
 func (d *fakeEffects) Log(string)                                   {}
 
-// unitsSentWithRestarts is what a limiter sends for one customer that starts again and again within a second while the counter is
-// down.
+// unitsSentWithRestarts returns the units that a limiter sends for one customer within a second while the counter is
+// down, if the limiter starts the given number of times in that second.
 func unitsSentWithRestarts(rate, burst, spread int, ceiling float64, restarts int64) (total int) {
 	for k := range restarts {
 		startedAt, effects := k*second/restarts, &fakeEffects{}
@@ -82,8 +86,8 @@
 				Plans: map[string]*choice.Plan{
 					"p": {Rate: float64(rate), Burst: float64(burst), CeilingRate: ceiling, CeilingBurst: 2 * ceiling},
 				},
-				CounterTimeout: second / 20, MaxRequestUnits: 1, MaxLease: 60 * second, Limiters: spread, ColdCapacity: 1, SlowStartWindow: 1,
-				DialTimeout: second / 4, MaxAttempts: 1, TimerResolution: 4e6},
+				CounterTimeout: second / 20, MaxRequestUnits: 1, MaxLease: 60 * second, Limiters: spread,
+				ColdCapacity: 1, SlowStartWindow: 1, DialTimeout: second / 4, MaxAttempts: 1, TimerResolution: 4e6},
 			1,
 			effects,
 		)
@@ -118,9 +122,9 @@
 	return total
 }
 
-// TestRestartsWithCounterDown: under a ceiling a limiter that starts again and again sends what a single life sends at most;
-// without one each life sends the largest request and what it has filled by since it began, at two parts of the rate,
-// in whole units and no more.
+// TestRestartsWithCounterDown: under a ceiling a limiter that restarts repeatedly sends at most what it sends without a
+// restart. Without a ceiling each incarnation sends the largest request plus the refill since its start, at twice its
+// part of the rate, in whole units, and no more.
 func TestRestartsWithCounterDown(t *testing.T) {
 	const rate, burst, spread, ceiling, largest = 10, 40, 4, 20, 1
 	for _, restarts := range []int64{1, 2, 10} {
@@ -132,16 +136,16 @@
 	}
 }
 
-// TestRestartsShareOnePart: all lives together have one slice, and what it fills by meanwhile.
+// TestRestartsShareOnePart: all incarnations together send at most one limiter's part of the quota and its refill.
 func TestRestartsShareOnePart(t *testing.T) {
 	const rate, burst, spread = 10, 40, 4
 	require.LessOrEqual(t, unitsSentWithRestarts(rate, burst, spread, 0, 10), (2*burst+rate)/spread)
 }
 
-// TestPipelinedDeadlines: a client has sent several requests on one connection, and one of them has less time than one
-// before it. Clients saw its answer, which was ready, up to seconds after its deadline: answers go out in the order of
-// the commands, and it waited behind an earlier one that was still at a server. Random walks of the reducer found it.
-// So no request waits for its answer longer than those behind it have time.
+// TestPipelinedDeadlines: a client pipelines requests on one connection, and one of them has an earlier deadline than a
+// request before it. Answers are sent in the order of the commands, so its answer could wait seconds past its deadline
+// for an earlier request that was still at a server. No request may therefore take longer than the deadlines of the
+// requests after it.
 func TestPipelinedDeadlines(t *testing.T) {
 	for _, class := range []string{"read", "write"} {
 		t.Run(class, func(t *testing.T) {
@@ -156,14 +160,14 @@
 			require.Regexp(t, want, w.wrote[clientConn])
 			w.receive(l, 3*second/10, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 			w.advance(l, 3*second)
-			require.Regexp(t, want, w.wrote[clientConn], "each has one answer")
+			require.Regexp(t, want, w.wrote[clientConn], "each command gets one answer")
 			require.Empty(t, l.requests.byID)
 		})
 	}
 }
 
-// TestPipelinedDeadlineAfterSuspension: behind a standstill a request is rejected at once where its client may have
-// waited for as long. Where it has not, its answer must not wait either.
+// TestPipelinedDeadlineAfterSuspension: after a suspension a request is rejected at once if its client may have waited
+// until its deadline. If there is time left, its answer must not wait past the deadline for an earlier request either.
 func TestPipelinedDeadlineAfterSuspension(t *testing.T) {
 	l, w, _ := requestSentFor(t, "read", "3000")
 	w.receive(l, second, clientConn, command("short", "read", "800"))
@@ -172,8 +176,9 @@
 	require.Regexp(t, "^-BUSY [0-9]+\r\n-BUSY [0-9]+\r\n$", w.wrote[clientConn])
 }
 
-// TestPipelinedDeadlineTimers: a client sends as many requests as it may on one connection, each with less time than
-// the one before, and all wait for the counter. Timers are kept for each request, not for each pair of them.
+// TestPipelinedDeadlineTimers: a client pipelines as many requests as it may, each with an earlier deadline than the
+// one before, and all wait for the counter. The number of timers must grow with the number of requests, not of their
+// pairs.
 func TestPipelinedDeadlineTimers(t *testing.T) {
 	l, w := newTestLimiter(t)
 	const requests = maxPipelined - 1
--- a/internal/limiter/discovery_test.go
+++ b/internal/limiter/discovery_test.go
@@ -9,6 +9,7 @@
 	"ospreycroft/choice"
 )
 
+// httpAnswer returns a response of discovery with the given body.
 func httpAnswer(body string) string {
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
@@ -21,7 +22,7 @@
 			t.Fatalf("wrote %q", w.wrote[discoveryConn])
 		}
 	})
-	t.Run("with its connection too", func(t *testing.T) {
+	t.Run("a new connection is opened if the watch's connection is closed", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(l, 0, discoveryConn, httpAnswer(knownList))
 		l.Step(0, ConnClosed{Conn: discoveryConn, Reason: PeerClosed})
@@ -29,7 +30,7 @@
 			t.Fatalf("dialled %v", w.dialed)
 		}
 	})
-	t.Run("one that is never answered is asked again elsewhere, soon", func(t *testing.T) {
+	t.Run("a watch that is not answered is repeated on a new connection", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(l, 0, discoveryConn, httpAnswer(knownList))
 		w.advance(l, 3*second/2)
@@ -38,7 +39,7 @@
 			t.Fatalf("closed %v, wrote %q", w.closed, w.wrote[w.last])
 		}
 	})
-	t.Run("what comes ahead of an answer is passed over", func(t *testing.T) {
+	t.Run("an informational response before the answer is skipped", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(
 			l,
@@ -50,7 +51,7 @@
 			t.Fatalf("version %d, closed %v", l.discovery.version, w.closed)
 		}
 	})
-	t.Run("a bad list is refused and asked for again", func(t *testing.T) {
+	t.Run("an invalid list is rejected and the complete list requested", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(l, 0, discoveryConn, httpAnswer(knownList))
 		w.receive(
@@ -70,6 +71,7 @@
 	})
 }
 
+// TestLogOutcomes: outcomes are counted, and logging them resets the counts.
 func TestLogOutcomes(t *testing.T) {
 	l, w, id := requestSent(t, "read")
 	w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
@@ -80,10 +82,11 @@
 		t.Fatalf("%+v", l.stats.outcomes)
 	}
 	if l.LogOutcomes(); l.stats.outcomes != (outcomeCounts{}) {
-		t.Fatalf("%+v after they were logged", l.stats.outcomes)
+		t.Fatalf("%+v after logging", l.stats.outcomes)
 	}
 }
 
+// TestThrottledPolls: after a throttled poll the limiter keeps its list and polls again only after a pause.
 func TestThrottledPolls(t *testing.T) {
 	l, w := newPollingLimiter(t, 10*second, 0)
 	w.receive(l, 0, discoveryConn, httpAnswer(knownList))
@@ -92,13 +95,13 @@
 	w.advance(l, second/2)
 	if len(w.dialed) != dialled || !slices.Contains(w.closed, discoveryConn) || len(l.servers.pools) != 1 {
 		t.Fatalf(
-			"it is asked again at once: dialled %v, closed %v, %d servers",
+			"polled again at once: dialled %v, closed %v, %d servers",
 			w.dialed,
 			w.closed,
 			len(l.servers.pools),
 		)
 	}
-	t.Run("but at once where it has moved", func(t *testing.T) {
+	t.Run("but at once if discovery's address changes", func(t *testing.T) {
 		l, w := newPollingLimiter(t, 10*second, 0)
 		w.receive(l, 0, discoveryConn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		config := *l.config
@@ -110,7 +113,7 @@
 		w.receive(l, second/10, w.last, httpAnswer(knownList))
 		dialled := len(w.dialed)
 		if w.advance(l, 6*second); len(w.dialed) > dialled {
-			t.Fatalf("the pause at the old address goes on: %v", w.dialed)
+			t.Fatalf("the pause from the old address is still in effect: %v", w.dialed)
 		}
 	})
 	for len(w.dialed) == dialled && l.now < 6*second {
@@ -118,18 +121,20 @@
 	}
 	l.Step(l.now, Connected{Conn: w.last})
 	if !strings.Contains(w.wrote[w.last], "from=7&") {
-		t.Fatalf("what is newer is not asked for: %q", w.wrote[w.last])
+		t.Fatalf("the poll does not ask for changes since the known version: %q", w.wrote[w.last])
 	}
 }
 
-// Where discovery tells only those that ask, its calls are spread over the fleet, and SIGHUP may come before the first.
+// TestPolledDiscovery: where discovery is polled, the first polls are spread over the fleet. A change of the address
+// before the first poll makes the limiter poll at once.
 func TestPolledDiscovery(t *testing.T) {
 	newAtPosition := func(position int) (*Limiter, *fakeSockets) {
 		template, w := newTestLimiter(t)
 		config := *template.config
 		configSettings := *config.Settings
 		controllerSettings := *configSettings.Settings
-		controllerSettings.Limiters, controllerSettings.Position, configSettings.PollInterval, configSettings.Settings, config.Settings = 80, position, 10*second, &controllerSettings, &configSettings
+		controllerSettings.Limiters, controllerSettings.Position, configSettings.PollInterval, configSettings.Settings,
+			config.Settings = 80, position, 10*second, &controllerSettings, &configSettings
 		w.dialed = map[ConnID]string{}
 		l, err := New(0, &config, w)
 		if err != nil {
@@ -152,17 +157,17 @@
 			early++
 		}
 		if w.advance(l, 5*second); !hasPolled(w) {
-			t.Fatalf("limiter %d has not asked after 5 s", i)
+			t.Fatalf("limiter %d has not polled after 5 s", i)
 		}
 	}
-	if early < 6 || early > 10 { // a tenth of 5 s, a tenth of 80
-		t.Fatalf("%d of 80 asked in the first half second", early)
+	if early < 6 || early > 10 { // 0.5 s is a tenth of the 5 s, so about a tenth of 80
+		t.Fatalf("%d of 80 polled in the first half second", early)
 	}
 	l, w := newAtPosition(1)
 	config := *l.config
 	config.Discovery = "disco 2"
 	l.Step(0, ConfigReloaded{Config: &config})
 	if w.dialed[w.last] != "disco 2" {
-		t.Fatal("not asked at once where it moved to")
+		t.Fatal("the new address was not polled at once")
 	}
 }
--- a/internal/limiter/helper_test.go
+++ b/internal/limiter/helper_test.go
@@ -10,23 +10,23 @@
 
 const second = int64(1e9)
 
-// fakeSockets stands in for the sockets and writes down what was asked of them.
+// fakeSockets implements Effects in memory and records the calls.
 type fakeSockets struct {
-	last           ConnID
-	dialed         map[ConnID]string
-	wrote          map[ConnID]string
-	kernelAccepted map[ConnID]int64 // what the kernel takes, where that is not all
+	last           ConnID            // of the latest dial
+	dialed         map[ConnID]string // addresses
+	wrote          map[ConnID]string // all that the limiter wrote
+	kernelAccepted map[ConnID]int64  // how many bytes the kernel accepts; all if there is no entry
 	closed         []ConnID
-	dead           map[ConnID]bool
-	gone           map[ConnID]bool // clients that have ended their connection, which no event has told
-	incoming       string
-	timerAt        int64
+	dead           map[ConnID]bool // for which Alive returns false
+	gone           map[ConnID]bool // clients that have disconnected, which no event has reported
+	incoming       string          // what Read returns
+	timerAt        int64           // when TimersDue is due
 
-	limiter  *Limiter // nil until it is made
-	wallStep int64    // by how much the wall clock has been stepped
+	limiter  *Limiter // nil until New has returned
+	wallStep int64    // by how much the wall clock was stepped, nanoseconds
 
-	backlog bool            // clients wait to be let in
-	unread  map[ConnID]bool // bytes have come that no event has told of
+	backlog bool            // new clients wait to be accepted
+	unread  map[ConnID]bool // connections with received data that no event has reported
 }
 
 func (w *fakeSockets) Dial(address string, _ int64) ConnID {
@@ -48,7 +48,7 @@
 	return w.Written(id)
 }
 
-// WallClock goes with the limiter's clock, but for its steps.
+// WallClock returns the limiter's clock plus wallStep.
 func (w *fakeSockets) WallClock() int64 {
 	if w.limiter == nil {
 		return w.wallStep
@@ -59,7 +59,7 @@
 func (w *fakeSockets) CloseGracefully(id ConnID, _, _ int64) bool { return !w.unread[id] }
 func (w *fakeSockets) HasBacklog() bool                           { return w.backlog }
 
-// advance lets the time advance as it does on sockets: nothing is due for longer than a wake takes.
+// advance runs the timers up to a time, each when it is due.
 func (w *fakeSockets) advance(l *Limiter, to int64) {
 	for w.timerAt < to {
 		l.Step(max(l.now, w.timerAt), TimersDue{})
@@ -68,17 +68,20 @@
 }
 
 const (
-	discoveryConn ConnID = 1 // the connections that a limiter dials at its start
+	discoveryConn ConnID = 1 // the first connections that a limiter dials
 	counterConnID ConnID = 2
 	clientConn    ConnID = 100
 )
 
+// knownList is the configuration's list. It has one server.
 const knownList = `{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:9","lifecycle":"in_service","weight":1}]}`
 
-// newTestLimiter makes a limiter that has one server, with its connections to discovery and the counter up and one client.
+// newTestLimiter returns a limiter with one server and one client. Its connections to discovery and the counter are
+// open.
 func newTestLimiter(t *testing.T) (*Limiter, *fakeSockets) { return newPollingLimiter(t, 0, 0) }
 
-// newPollingLimiter makes the same where discovery tells only those that ask, every so often, or else all, for one of many limiters.
+// newPollingLimiter does the same for the limiter at the given position, with the given poll interval in nanoseconds;
+// at 0 discovery pushes changes.
 func newPollingLimiter(t *testing.T, pollInterval int64, position int) (*Limiter, *fakeSockets) {
 	t.Helper()
 	w := &fakeSockets{dialed: map[ConnID]string{}, wrote: map[ConnID]string{}, kernelAccepted: map[ConnID]int64{}}
@@ -91,9 +94,10 @@
 					"write": {LatencyObjective: second, Idempotency: choice.NonIdempotent},
 				},
 				Plans: map[string]*choice.Plan{"plain": {Rate: 5, Burst: 100}},
-				// With one limiter and large requests the first room holds several of them.
-				CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 1, Position: position, ColdCapacity: 0.25,
-				SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: second, TimerResolution: second / 250,
+				// With one limiter and large requests the initial capacity holds several requests.
+				CounterTimeout: second / 20, MaxRequestUnits: 8, MaxLease: 60 * second, Limiters: 1, Position: position,
+				ColdCapacity: 0.25, SlowStartWindow: 10 * second, DialTimeout: second / 4, MaxAttempts: 3,
+				MaxRetryAfter: second, TimerResolution: second / 250,
 			}}},
 		w,
 	)
@@ -109,12 +113,13 @@
 	return l, w
 }
 
+// receive has the limiter receive text on a connection.
 func (w *fakeSockets) receive(l *Limiter, now int64, id ConnID, text string) {
 	w.incoming = text
 	l.Step(now, DataReceived{Conn: id, Size: len(text)})
 }
 
-// command is a request with so many milliseconds left.
+// command returns the command of a request with the given class and time left in milliseconds.
 func command(id, class, timeLeft string) string {
 	fields := "c=" + class + ",t=plain,d=" + timeLeft + ",units=2,spread=1,first=0"
 	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(fields)}
@@ -125,7 +130,7 @@
 	return string(resp.AppendCommand(nil, words...))
 }
 
-// requestDialling makes a limiter with one request, whose attempt waits for its connection.
+// requestDialling returns a limiter with one request, whose attempt waits for the returned connection to open.
 func requestDialling(t *testing.T, class string) (*Limiter, *fakeSockets, ConnID) {
 	return requestDiallingFor(t, class, "480")
 }
@@ -141,7 +146,7 @@
 	return l, w, w.last
 }
 
-// requestSent makes the same with the attempt written.
+// requestSent does the same, but the connection is open and the attempt written.
 func requestSent(t *testing.T, class string) (*Limiter, *fakeSockets, ConnID) {
 	t.Helper()
 	return requestSentFor(t, class, "480")
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -8,8 +8,9 @@
 	"ospreycroft/internal/buffer"
 )
 
+// TestStep checks rules that involve several connections, and the limits on memory.
 func TestStep(t *testing.T) {
-	t.Run("bytes that come before the word that a connection is up wait for it", func(t *testing.T) {
+	t.Run("data that arrives before Connected is kept until then", func(t *testing.T) {
 		l, w, id := requestDialling(t, "write")
 		w.receive(l, 0, id, "-BUSY\r\n")
 		requireText(t, w.wrote[clientConn], "")
@@ -18,7 +19,7 @@
 			t.Fatalf("client got %q, %d idle connections", got, len(l.servers.pools["s"].idle))
 		}
 	})
-	t.Run("the module hears that a client has left", func(t *testing.T) {
+	t.Run("a request ends with its client, and its units are returned", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(l, 0, clientConn, command("j", "read", "480"))
 		l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed})
@@ -27,8 +28,10 @@
 			t.Fatalf("dialled %v, counted %q", w.dialed, w.wrote[counterConnID])
 		}
 	})
-	t.Run("a spoilt answer ends its connection at once, or soon where it could still become whole", func(t *testing.T) {
-		for _, in := range []string{"*3\r\n*3\r\n", ":5\r\n", "*2\r\n", "*3\r\n$-7\r\n", "*3\r\n$3000000000\r\n", "*3\r\n$9\r\nv\r\n"} {
+	t.Run("a malformed answer closes its connection, at the latest after a dial timeout", func(t *testing.T) {
+		for _, in := range []string{
+			"*3\r\n*3\r\n", ":5\r\n", "*2\r\n", "*3\r\n$-7\r\n", "*3\r\n$3000000000\r\n", "*3\r\n$9\r\nv\r\n",
+		} {
 			l, w, id := requestSent(t, "write")
 			w.receive(l, 0, id, in)
 			w.advance(l, l.settings.DialTimeout)
@@ -38,21 +41,21 @@
 			}
 		}
 	})
-	t.Run("the next command does not go behind an answer at once: more may be coming", func(t *testing.T) {
+	t.Run("a connection is not reused directly after an answer, as more data may follow", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		p := l.servers.pools["s"]
 		for ; l.now < reuseDelayTicks*l.settings.TimerResolution; l.now += l.settings.TimerResolution {
 			if b := p.acquire(); b.conn != nil || len(p.idle) != 1 {
-				t.Fatal("a connection that has not rested is used again")
+				t.Fatal("a connection was reused before the reuse delay")
 			}
 		}
 		l.now = reuseDelayTicks * l.settings.TimerResolution
 		if b := p.acquire(); b.conn == nil || b.conn.id != id {
-			t.Fatal("one that has rested is not")
+			t.Fatal("the connection was not reused after the reuse delay")
 		}
 	})
-	t.Run("more than was asked for ends a server's connection", func(t *testing.T) {
+	t.Run("data after the answer closes a server's connection", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n+OK\r\n")
 		requireText(t, w.wrote[clientConn], "$1\r\nv\r\n")
@@ -60,29 +63,29 @@
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
-	t.Run("commands past the memory for them are turned away", func(t *testing.T) {
+	t.Run("commands that exceed the memory limit are rejected", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		l.requests.heldBytes = l.config.Memory/bufferMemoryDivisor + 1
 		w.receive(l, 0, clientConn, command("j", "read", "480"))
 		requireText(t, w.wrote[clientConn], "-BUSY\r\n")
 	})
-	t.Run("parts of commands past the memory for them too", func(t *testing.T) {
+	t.Run("incomplete commands that exceed the memory limit are rejected", func(t *testing.T) {
 		l, w := newTestLimiter(t)
-		w.receive(l, 0, clientConn, strings.Repeat("*1\r\n$4\r\nECHO\r\n", 1000)) // used up at once, it takes nothing
+		w.receive(l, 0, clientConn, strings.Repeat("*1\r\n$4\r\nECHO\r\n", 1000)) // consumed at once, nothing stays buffered
 		if l.bufferedBytes > buffer.MinCapacity*3 {
-			t.Fatalf("%d bytes are held", l.bufferedBytes)
+			t.Fatalf("%d bytes are buffered", l.bufferedBytes)
 		}
 		l.bufferedBytes = l.config.Memory/bufferMemoryDivisor + 1
 		w.receive(l, 0, clientConn, "*1\r\n$4\r\nECHO\r\n*1\r\n$9000\r\n")
 		if strings.HasSuffix(w.wrote[clientConn], "-ERR too long\r\n") {
-			t.Fatal("a small part was turned away")
+			t.Fatal("a small incomplete command was rejected")
 		}
 		w.receive(l, 0, clientConn, strings.Repeat("x", buffer.MinCapacity))
 		if !strings.HasSuffix(w.wrote[clientConn], "-ERR unknown command\r\n-ERR too long\r\n") {
 			t.Fatalf("client got %q", w.wrote[clientConn][len(w.wrote[clientConn])-60:])
 		}
 	})
-	t.Run("a client that does not read is closed", func(t *testing.T) {
+	t.Run("a client that does not read its answers is closed", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.kernelAccepted[clientConn], l.conns[clientConn].bytesSent = 0, l.config.Memory
 		w.receive(l, 0, clientConn, "*1\r\n$4\r\nECHO\r\n")
@@ -98,6 +101,6 @@
 	l.now = l.settings.IdleClose/idleCloseDivisor + 1
 	l.servers.closeExpiredIdle()
 	if !slices.Contains(w.closed, id) {
-		t.Fatalf("an idle connection was kept: closed %v", w.closed)
+		t.Fatalf("an expired idle connection was not closed: closed %v", w.closed)
 	}
 }
--- a/internal/limiter/log_hints_test.go
+++ b/internal/limiter/log_hints_test.go
@@ -14,7 +14,7 @@
 	"ospreycroft/internal/logging"
 )
 
-// captureLog has the test's log lines written elsewhere.
+// captureLog writes the log to the given writer for the rest of the test.
 func captureLog(t *testing.T, to io.Writer) {
 	t.Helper()
 	previous := slog.Default()
@@ -22,22 +22,24 @@
 	slog.SetDefault(slog.New(logging.NewHandler(to)))
 }
 
-// What discovery and the counter do wrong is logged with what to do about it.
+// TestHints: errors of discovery and the counter are logged with a hint for the operator.
 func TestHints(t *testing.T) {
 	for _, c := range []struct {
 		name, event, answer string
 		conn                ConnID
 		err                 hint.Error
 	}{
-		{"a list too many", "event=list-throttled status=503 ", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", discoveryConn,
+		{"throttled list request", "event=list-throttled status=503 ",
+			"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", discoveryConn,
 			&discovery.ThrottledError{Status: 503}},
-		{"no list", "event=list-refused ", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", discoveryConn,
+		{"list not found", "event=list-refused ", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", discoveryConn,
 			&discovery.StatusError{Status: 404}},
-		{"a list without a version", "event=list-refused ", httpAnswer("{}"), discoveryConn,
+		{"list without a generation", "event=list-refused ", httpAnswer("{}"), discoveryConn,
 			&discovery.ListRefusedError{Key: "generation", Why: "missing"}},
-		{"no HTTP", "event=list-refused ", "ok 5\r\n", discoveryConn, &discovery.MalformedError{Why: "it is no HTTP/1"}},
-		{"a call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counterConnID, &counterwire.RejectedError{Name: 5, Amount: 1}},
-		{"a ping's answer to a call", "event=counter-line ", "pong\r\n", counterConnID, &counterwire.MismatchError{}},
+		{"not HTTP", "event=list-refused ", "ok 5\r\n", discoveryConn, &discovery.MalformedError{Why: "it is no HTTP/1"}},
+		{"counter call refused", "event=counter-refused name=5 amount=1 ", "error\r\n", counterConnID,
+			&counterwire.RejectedError{Name: 5, Amount: 1}},
+		{"ping answer to a counter call", "event=counter-line ", "pong\r\n", counterConnID, &counterwire.MismatchError{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := newTestLimiter(t)
@@ -51,7 +53,8 @@
 	}
 }
 
-// A configuration that knows of no server yet ends no start, and the whole list is asked for.
+// TestRestoreEmptyList: a configured list without servers does not make the limiter ready, and the complete list is
+// requested from discovery.
 func TestRestoreEmptyList(t *testing.T) {
 	l, _ := newTestLimiter(t)
 	l.discovery.versionKnown = false
--- a/internal/limiter/notification_test.go
+++ b/internal/limiter/notification_test.go
@@ -14,51 +14,55 @@
 	"ospreycroft/internal/pollpacer"
 )
 
-// fault is how discovery fails while it is down.
+// fault is a way in which discovery fails during an outage.
 type fault uint8
 
 const (
 	refusingDials         fault = iota // dials are refused
 	ignoringDials                      // dials are never answered
 	throttlingCalls                    // calls are answered with 503
-	truncatingAnswers                  // answers are broken off in the middle
-	sendingHeadersOnly                 // answers stop behind their headers
-	ignoringCalls                      // calls are not answered, until the limiter gives them up
-	resettingThenIgnoring              // the watch is broken off, and then calls are not answered
+	truncatingAnswers                  // the connection is reset in the middle of the answer
+	sendingHeadersOnly                 // nothing follows the headers of an answer
+	ignoringCalls                      // calls are not answered
+	resettingThenIgnoring              // the watch is reset, later calls are not answered
 )
 
 func (f fault) String() string {
-	return [...]string{"refusing", "unanswering", "turning", "cutting", "stopping", "ignoring", "hanging"}[f]
+	return [...]string{
+		"dials refused", "dials ignored", "calls throttled", "answers truncated", "headers only", "calls ignored",
+		"watch reset, calls ignored",
+	}[f]
 }
 
 const (
-	outageStart = second / 2 // when the outage begins
-	retryOffset = second / 10
-	never       = 1000 * second
-	pushGrace   = second / 4 // what the agent on the own machine has is acted on within this
+	outageStart = second / 2    // when the outage starts
+	retryOffset = second / 10   // how long before or after a retry discovery recovers
+	never       = 1000 * second // later than all events of a run
+	pushGrace   = second / 4    // how soon a change that the local discovery agent pushes must be applied
 )
 
-// outage is a stand-in for discovery on a virtual clock. It fails from downFrom until some time near a retry of the
-// limiter, and has its one server drain from then on. Calls from before that are never answered.
+// outage simulates discovery on a virtual clock. It fails from outageStart until some time near a retry of the limiter,
+// and lists its one server as draining from then on. Calls made before the recovery are never answered.
 type outage struct {
 	l     *Limiter
 	w     *fakeSockets
 	fault fault
-	// the retry, counted from 1, near which discovery comes back; 0 is soon after the outage began, below 0 none
+	// retry is the retry, counted from 1, near which discovery recovers. At 0 it recovers retryOffset after the start of
+	// the outage, below 0 not by itself.
 	retry        int
-	shift        int64 // so long after that retry is due it does, where above 0, or before it
-	changeRetry  int   // the retry before which discovery moves by SIGHUP, 0 for never
-	newAddressUp bool  // and the new address is not down
+	shift        int64 // how long after that retry it recovers, negative before it
+	changeRetry  int   // the retry before which a reload changes discovery's address, 0 for never
+	newAddressUp bool  // the new address works at once
 	recoveredAt  int64
 	changeAt     int64
-	retriesSeen  int    // retries that have come to be due
-	latestRetry  *timer // the latest of them
-	last         ConnID // the latest connection that was looked at
+	retriesSeen  int    // how many retries were scheduled since the outage started
+	latestRetry  *timer // the timer of the latest retry
+	last         ConnID // the latest dial that was handled
 	serviceConns map[ConnID]*serviceConn
-	endedWatch   bool // the outage has ended a watch
+	endedWatch   bool // the start of the outage closed a watch
 }
 
-// run runs the limiter until it has acted on the drain, and tells when that was.
+// run runs the limiter until it has applied the change to draining, and returns when it did; never if it did not.
 func (o *outage) run() int64 {
 	o.recoveredAt, o.changeAt = never, never
 	if o.retry == 0 {
@@ -87,9 +91,10 @@
 	return never
 }
 
+// isDown tells whether discovery fails at a time.
 func (o *outage) isDown(now int64) bool { return now >= outageStart && now < o.recoveredAt }
 
-// nextEvent is when the stand-in has something to do.
+// nextEvent returns when the simulated discovery acts next.
 func (o *outage) nextEvent(now int64) int64 {
 	at := never
 	for _, t := range []int64{outageStart, o.recoveredAt, o.changeAt} {
@@ -105,7 +110,7 @@
 	return at
 }
 
-// connIDs are the connections that are up, in order.
+// connIDs returns the open connections in the order of their ids.
 func (o *outage) connIDs() (connIDs []ConnID) {
 	for id := range o.serviceConns {
 		if !slices.Contains(o.w.closed, id) {
@@ -116,7 +121,7 @@
 	return connIDs
 }
 
-// answerDials answers the dials.
+// answerDials accepts, refuses or ignores the new dials.
 func (o *outage) answerDials(now int64) {
 	for o.last < o.w.last {
 		o.last++
@@ -132,10 +137,11 @@
 	}
 }
 
-// failWatch ends the watch that is out as the outage begins, where the fault does not answer it.
+// failWatch ends the watch that is open when the outage starts: with a reset, or with the fault's answer if it has one.
 func (o *outage) failWatch(now int64) {
 	for _, id := range o.connIDs() {
-		if o.serviceConns[id].answerAt = 0; o.fault == refusingDials || o.fault == ignoringDials || o.fault == resettingThenIgnoring {
+		if o.serviceConns[id].answerAt = 0; o.fault == refusingDials || o.fault == ignoringDials ||
+			o.fault == resettingThenIgnoring {
 			delete(o.serviceConns, id)
 			o.endedWatch = true
 			o.l.Step(now, ConnClosed{Conn: id, Reason: PeerReset})
@@ -145,7 +151,7 @@
 	}
 }
 
-// failCall answers a call as the fault has it.
+// failCall answers a call according to the fault.
 func (o *outage) failCall(now int64, id ConnID) {
 	switch answer := httpAnswer(inServiceList); o.fault {
 	case throttlingCalls:
@@ -159,6 +165,7 @@
 	}
 }
 
+// serve reads a call and answers calls that are due.
 func (o *outage) serve(now int64, id ConnID) {
 	h := o.serviceConns[id]
 	if request := o.w.wrote[id][h.readBytes:]; request != "" {
@@ -185,7 +192,8 @@
 	o.w.receive(o.l, now, id, httpAnswer(body))
 }
 
-// observeRetry notes each retry as it comes to be due, and has discovery come back near one, or move before it.
+// observeRetry counts the retries as they are scheduled and sets the recovery or the change of address relative to
+// them.
 func (o *outage) observeRetry(now int64) {
 	latestRetry := o.l.discovery.retryTimer
 	if latestRetry == nil || latestRetry == o.latestRetry || latestRetry.index < 0 {
@@ -203,7 +211,7 @@
 	}
 }
 
-// changeAddress is SIGHUP with another address of discovery.
+// changeAddress reloads the configuration with another address of discovery.
 func (o *outage) changeAddress(now int64) {
 	config := *o.l.config
 	config.Discovery = "disco 2"
@@ -214,10 +222,9 @@
 	o.changeAt = never
 }
 
-// TestNotification: discovery fails in each way and comes back just before or just after each of the limiter's first
-// retries, with news that it has had for long. The news is acted on within 6 s of the return, at each place; where
-// lists are pushed, within the grace from the agent's return, or when the call that the agent has left unanswered is
-// given up.
+// TestNotification: discovery fails in each way and recovers just before or after each of the limiter's first retries,
+// with a change that is already due. Each limiter must apply the change within 6 s of the recovery. Where changes are
+// pushed it is applied within pushGrace of the recovery, or within 6 s if the agent had left a dial or call unanswered.
 func TestNotification(t *testing.T) {
 	const places, retries = 24, 6
 	log.SetOutput(io.Discard)
@@ -233,9 +240,9 @@
 						at := o.run()
 						pollLimit, limit := o.recoveredAt+6*second, o.recoveredAt+pushGrace
 						if pollInterval > 0 || f == ignoringDials || f >= sendingHeadersOnly {
-							limit = pollLimit // the agent is silent
+							limit = pollLimit // the agent does not answer
 						}
-						// the first watch fell silent, and no call has failed
+						// the first watch is not answered, and no call has failed
 						if retry == 0 && f == ignoringCalls && pollInterval > 0 {
 							limit = outageStart + 12*second
 						}
@@ -243,7 +250,7 @@
 							t,
 							at,
 							limit,
-							"%s, asked every %d s, limiter %d, back %d ns from retry %d, at %d",
+							"%s, polled every %d s, limiter %d, recovered %d ns from retry %d, at %d",
 							f,
 							pollInterval/second,
 							position,
@@ -255,13 +262,13 @@
 					}
 				}
 			}
-			t.Logf("%s, asked every %d s: at most %.3f s after the return", f, pollInterval/second, float64(slowest)/1e9)
+			t.Logf("%s, polled every %d s: at most %.3f s after the recovery", f, pollInterval/second, float64(slowest)/1e9)
 		}
 	}
 }
 
-// TestNotificationAfterAddressChange: the same with a move by SIGHUP in the middle of the outage. Where the new address is not down
-// its news is acted on within 4 s of the move; where it is, within 6 s of the return.
+// TestNotificationAfterAddressChange: the same with a change of discovery's address during the outage. If the new
+// address works, the change is applied within 4 s of the change of address, otherwise within 6 s of the recovery.
 func TestNotificationAfterAddressChange(t *testing.T) {
 	const places, retries = 24, 4
 	log.SetOutput(io.Discard)
@@ -277,7 +284,7 @@
 						t,
 						at,
 						o.recoveredAt+4*second,
-						"%s, asked every %d s, limiter %d, moved before retry %d at %d",
+						"%s, polled every %d s, limiter %d, address changed before retry %d at %d",
 						f,
 						pollInterval/second,
 						position,
@@ -293,7 +300,7 @@
 								t,
 								at,
 								o.recoveredAt+6*second,
-								"%s, asked every %d s, limiter %d, moved before retry %d, back at %d",
+								"%s, polled every %d s, limiter %d, address changed before retry %d, recovered at %d",
 								f,
 								pollInterval/second,
 								position,
@@ -308,7 +315,7 @@
 	}
 }
 
-// newOutage is an outage before one of 24 limiters.
+// newOutage returns an outage for the limiter at the given position. A poll interval of 0 means pushed changes.
 func newOutage(t *testing.T, pollInterval int64, position int) *outage {
 	t.Helper()
 	l, w := newPollingLimiter(t, pollInterval, 0)
@@ -316,8 +323,8 @@
 	return &outage{l: l, w: w, serviceConns: map[ConnID]*serviceConn{discoveryConn: {}}, last: counterConnID}
 }
 
-// newOutageWithCallRate is an outage before a limiter whose operator states what the list service bears: one of so many places in a
-// round.
+// newOutageWithCallRate returns an outage for a limiter whose operator sets discovery's call rate, so that each limiter
+// has one scheduled poll in each round. round is in nanoseconds.
 func newOutageWithCallRate(t *testing.T, limiters, position int, round int64) *outage {
 	t.Helper()
 	template, w := newPollingLimiter(t, 10*second, position)
@@ -334,8 +341,8 @@
 	return &outage{l: l, w: w, serviceConns: map[ConnID]*serviceConn{}}
 }
 
-// TestNotificationWithCallRate: the same where the operator states a budget that is enough: a limiter that calls at its own
-// instants only acts on the news within 6 s of the return, whatever failed before.
+// TestNotificationWithCallRate: the same with a sufficient call rate set by the operator. A limiter polls only at its
+// scheduled times and still applies the change within 6 s of the recovery, whatever failed before.
 func TestNotificationWithCallRate(t *testing.T) {
 	const places, retries = 24, 5
 	log.SetOutput(io.Discard)
@@ -350,7 +357,7 @@
 						o.fault, o.retry, o.shift = f, retry, shift
 						at := o.run()
 						limit := o.recoveredAt + 6*second
-						// the first watch may have fallen silent, and no call has failed
+						// the first watch may not be answered, and no call has failed
 						if retry == 0 && f >= ignoringCalls && !o.endedWatch {
 							limit = o.recoveredAt + 12*second
 						}
@@ -358,7 +365,7 @@
 							t,
 							at,
 							limit,
-							"%s, a round of %d s, limiter %d, back %d ns from retry %d, at %d",
+							"%s, rounds of %d s, limiter %d, recovered %d ns from retry %d, at %d",
 							f,
 							round/second,
 							position,
@@ -370,7 +377,7 @@
 					}
 				}
 			}
-			t.Logf("%s, a round of %d s: at most %.3f s after the return", f, round/second, float64(slowest)/1e9)
+			t.Logf("%s, rounds of %d s: at most %.3f s after the recovery", f, round/second, float64(slowest)/1e9)
 		}
 	}
 }
--- a/internal/limiter/reload_test.go
+++ b/internal/limiter/reload_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// Under load, discovery and the counter move to other addresses, and the old ones soon close what is open.
+// TestReload: the addresses of discovery and the counter change under load, and the old services close their
+// connections soon after.
 func TestReload(t *testing.T) {
 	changeAddresses := func(l *Limiter) Event {
 		config := *l.config
 		config.Discovery, config.Counter = "disco 2", "counter 2"
 		return ConfigReloaded{Config: &config}
 	}
-	t.Run("the whole list is asked for at discovery's new address", func(t *testing.T) {
+	t.Run("the complete list is requested from discovery's new address", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(l, 0, discoveryConn, httpAnswer(knownList))
 		l.Step(0, changeAddresses(l))
@@ -23,7 +24,7 @@
 		}
 		requireText(t, w.wrote[watch], "GET /discovery/hosts HTTP/1.1\r\nHost: disco 2\r\n\r\n")
 	})
-	t.Run("a call that is out is answered on its old line, the next goes to the new one", func(t *testing.T) {
+	t.Run("a sent call is answered on the old connection, the next call uses the new one", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(l, 0, clientConn, command("j", "read", "480"))
 		before := w.wrote[counterConnID]
@@ -40,23 +41,23 @@
 			t.Fatalf("dialled %v, wrote %q", w.dialed, w.wrote[counterConn])
 		}
 	})
-	t.Run("a call that was not written moves, once, and on to where the next one says", func(t *testing.T) {
+	t.Run("an unsent call is transferred once to each new address", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		l.Step(0, ConnClosed{Conn: counterConnID, Reason: PeerClosed})
 		l.AddToCounter(1, 2, second)
 		counterConn := w.last
 		for range 2 {
 			l.Step(0, changeAddresses(l))
-			l.config.Counter = "counter" // so that the next one moves it again
+			l.config.Counter = "counter" // so that the next reload changes the address again
 		}
 		if !slices.Contains(w.closed, counterConn) || len(l.results) > 0 || len(l.counter.conns) != 1 {
-			t.Fatalf("closed %v, the module is owed %+v, %d lines", w.closed, l.results, len(l.counter.conns))
+			t.Fatalf("closed %v, queued results %+v, %d connections", w.closed, l.results, len(l.counter.conns))
 		}
 		l.Step(0, Connected{Conn: l.counter.conns[0].conn.id})
 		requireText(t, w.wrote[l.counter.conns[0].conn.id], "tally 1 2 1000\r\n")
 		w.advance(l, second/20)
 		if !l.counter.conns[0].calls[0].answered {
-			t.Fatal("its time is over, and the module has not heard so")
+			t.Fatal("the call has not timed out")
 		}
 	})
 }
--- a/internal/limiter/requests_test.go
+++ b/internal/limiter/requests_test.go
@@ -5,14 +5,16 @@
 	"testing"
 )
 
+// TestAppendCommand: a server gets the client's command unchanged, except for the time left.
 func TestAppendCommand(t *testing.T) {
 	l, w, id := requestDialling(t, "read")
 	l.Step(second/10, Connected{Conn: id})
-	requireText(t, w.wrote[id], command("j", "read", "380")) // all as the client sent it, but for the time that is left
+	requireText(t, w.wrote[id], command("j", "read", "380"))
 }
 
+// TestEndRequest: the client disconnects while its attempt is partly or completely written.
 func TestEndRequest(t *testing.T) {
-	t.Run("what is only partly in the kernel is not finished for a request that has ended", func(t *testing.T) {
+	t.Run("a partly written attempt is not completed", func(t *testing.T) {
 		l, w, id := requestSent(t, "write")
 		w.kernelAccepted[id] = 5
 		l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed})
@@ -20,7 +22,7 @@
 			t.Fatalf("closed %v, %d requests", w.closed, len(l.requests.byID))
 		}
 	})
-	t.Run("what is whole may come to its end", func(t *testing.T) {
+	t.Run("a complete attempt may still be answered", func(t *testing.T) {
 		l, w, id := requestSent(t, "write")
 		l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed})
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
@@ -30,6 +32,7 @@
 	})
 }
 
+// TestDeadline: at its deadline a sent request fails, and its connection to the server is closed.
 func TestDeadline(t *testing.T) {
 	l, w, id := requestSent(t, "write")
 	w.advance(l, second/2)
--- a/internal/limiter/server_answer_test.go
+++ b/internal/limiter/server_answer_test.go
@@ -9,6 +9,7 @@
 	"ospreycroft/internal/resp"
 )
 
+// TestDecodeAnswer checks the outcome, units and load report of answers. Invalid and unknown fields are ignored.
 func TestDecodeAnswer(t *testing.T) {
 	for _, c := range []struct {
 		in                          string
--- a/internal/limiter/server_conn_test.go
+++ b/internal/limiter/server_conn_test.go
@@ -4,15 +4,16 @@
 	"testing"
 )
 
-// A request may end while its attempt waits for the connection. Sent then, it would run for nobody, or twice.
+// TestConnected: a request ends while its attempt waits for the connection. If the attempt were still written, it would
+// run without a client, or twice.
 func TestConnected(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(l *Limiter)
 		now  int64
 	}{
-		{"the client has left", func(l *Limiter) { l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed}) }, 0},
-		{"its time is over", func(l *Limiter) {}, second / 2},
+		{"the client has disconnected", func(l *Limiter) { l.Step(0, ConnClosed{Conn: clientConn, Reason: PeerClosed}) }, 0},
+		{"the deadline has passed", func(l *Limiter) {}, second / 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := requestDialling(t, "write")
@@ -26,7 +27,8 @@
 	}
 }
 
-// A machine that has vanished says nothing, so what was idle then may be dead too.
+// TestServerConnClosed: a machine that disappears closes no connection. If an attempt ends in a way that this may
+// cause, the idle connections to the server are closed too.
 func TestServerConnClosed(t *testing.T) {
 	for _, c := range []struct {
 		end  CloseReason
--- a/internal/limiter/server_pools_test.go
+++ b/internal/limiter/server_pools_test.go
@@ -8,10 +8,11 @@
 	"ospreycroft/choice"
 )
 
-// On a day on which all servers are replaced, again and again, those that are gone must not be kept.
+// TestForgetIfEmpty: the pool of a removed server is forgotten with its last connection. Otherwise pools would
+// accumulate as servers are replaced.
 func TestForgetIfEmpty(t *testing.T) {
 	removed := httpAnswer(`{"generation":8,"instances":[{"instanceId":"s","lifecycle":"terminated"}]}`)
-	t.Run("idle connections go at once, one in use once it is answered", func(t *testing.T) {
+	t.Run("a connection in use is closed after its answer", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
 		w.receive(l, 0, discoveryConn, removed)
 		if len(l.servers.pools) != 1 || slices.Contains(w.closed, id) {
@@ -23,7 +24,7 @@
 			t.Fatalf("%d servers, closed %v, %d connections", len(l.servers.pools), w.closed, l.servers.connCount)
 		}
 	})
-	t.Run("at another address the same server gets connections of its own", func(t *testing.T) {
+	t.Run("a change of address closes the connections to the old one", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
 		w.receive(l, 0, discoveryConn, httpAnswer(strings.Replace(knownList, ":9", ":10", 1)))
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
@@ -31,7 +32,7 @@
 			t.Fatalf("closed %v", w.closed)
 		}
 	})
-	t.Run("a list that does not name it", func(t *testing.T) {
+	t.Run("a complete list without the server", func(t *testing.T) {
 		l, w := newTestLimiter(t)
 		w.receive(l, 0, discoveryConn, httpAnswer(`{"generation":8,"reset":true,"instances":[]}`))
 		if len(l.servers.pools)+len(l.servers.pools) > 0 {
@@ -40,11 +41,12 @@
 	})
 }
 
-// A connection may take longer to come up than the grace after word that its server drains.
+// TestCloseUnused: a connection may take longer to open than a server's drain grace, so dials to a server that drains
+// or is no longer listed are abandoned.
 func TestCloseUnused(t *testing.T) {
 	for _, c := range []struct{ name, list string }{
-		{"it drains", strings.Replace(knownList, "in_service", "terminating", 1)},
-		{"it is not on the list", `{"generation":8,"reset":true,"instances":[]}`},
+		{"draining", strings.Replace(knownList, "in_service", "terminating", 1)},
+		{"not listed", `{"generation":8,"reset":true,"instances":[]}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := requestDialling(t, "write")
@@ -57,15 +59,16 @@
 	}
 }
 
+// TestCloseOldestIdle: at the descriptor limit an idle connection is closed, never one in use.
 func TestCloseOldestIdle(t *testing.T) {
 	l, w, id := requestSent(t, "read")
 	l.servers.connCount = l.config.Sockets / serverDescriptorDivisor
-	t.Run("an attempt without a descriptor was never sent", func(t *testing.T) {
+	t.Run("no connection is available while all are in use", func(t *testing.T) {
 		if l.servers.closeOldestIdle() || l.servers.pools["s"].acquire() != nil {
-			t.Fatal("a connection in use was given away")
+			t.Fatal("a connection in use was closed")
 		}
 	})
-	t.Run("an idle connection makes room", func(t *testing.T) {
+	t.Run("an idle connection is closed", func(t *testing.T) {
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		if !l.servers.closeOldestIdle() || l.servers.connCount != l.config.Sockets/serverDescriptorDivisor-1 ||
 			!slices.Contains(w.closed, id) {
@@ -74,6 +77,7 @@
 	})
 }
 
+// TestHealthCheck checks the outcome that the controller gets for each end of a health check.
 func TestHealthCheck(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -81,8 +85,8 @@
 		want choice.Outcome
 	}{
 		{"answered", func(l *Limiter, b *serverConn) { _, _ = b.onData([]byte("+OK\r\n")) }, choice.Succeeded},
-		{"not in time", func(l *Limiter, b *serverConn) { b.healthCheckTimer.run() }, choice.TimedOut},
-		{"broken", func(l *Limiter, b *serverConn) { l.closeConn(b.conn, PeerReset) }, choice.ConnectionLost},
+		{"timed out", func(l *Limiter, b *serverConn) { b.healthCheckTimer.run() }, choice.TimedOut},
+		{"connection reset", func(l *Limiter, b *serverConn) { l.closeConn(b.conn, PeerReset) }, choice.ConnectionLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := newTestLimiter(t)
@@ -93,12 +97,13 @@
 			c.end(l, b)
 			if b.healthCheckTimer != nil || len(l.results) != 1 || l.results[0].healthChecked != "s" ||
 				l.results[0].outcome != c.want {
-				t.Fatalf("the module is owed %+v", l.results)
+				t.Fatalf("queued results %+v", l.results)
 			}
 		})
 	}
 }
 
+// TestWithConn: an idle connection that is no longer alive is replaced by a new one.
 func TestWithConn(t *testing.T) {
 	l, w, id := requestSent(t, "write")
 	w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
@@ -111,16 +116,17 @@
 	}
 }
 
-// A machine may close an idle connection long before its time and say nothing: the next command on it is lost.
+// TestMaxReuseIdle: a server may drop an idle connection early without closing it, so that the next command on it is
+// lost. After such a loss connections are reused only after shorter idle times; the limit recovers with time.
 func TestMaxReuseIdle(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		idle, delay int64 // before the command, and from it to the end
+		idle, delay int64 // how long before the command, and from the command to the reset, nanoseconds
 		lowered     bool
 	}{
-		{"an end at once, on one that was kept", second, 0, true},
-		{"a late one: the server had begun", second, second / 8, false},
-		{"an end at once, on a new one", 0, 0, false},
+		{"immediate reset of a reused connection", second, 0, true},
+		{"late reset, when the server has begun to work", second, second / 8, false},
+		{"immediate reset of a new connection", 0, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w, id := requestSent(t, "read")
@@ -133,20 +139,20 @@
 			before := l.servers.maxReuseIdle
 			l.Step(c.idle+c.delay, ConnClosed{Conn: id, Reason: PeerReset})
 			if l.servers.maxReuseIdle > before || (l.servers.maxReuseIdle < before) != c.lowered {
-				t.Fatalf("kept for %d before and %d now", before, l.servers.maxReuseIdle)
+				t.Fatalf("limit %d before and %d now", before, l.servers.maxReuseIdle)
 			}
 			loweredTo := l.servers.maxReuseIdle
 			if l.maintain(); c.lowered && l.servers.maxReuseIdle <= loweredTo {
-				t.Fatal("it does not come back")
+				t.Fatal("the limit does not recover")
 			}
 		})
 	}
-	t.Run("one that was idle for longer is not used again", func(t *testing.T) {
+	t.Run("a connection that was idle for longer is not reused", func(t *testing.T) {
 		l, w, id := requestSent(t, "read")
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		l.servers.maxReuseIdle, l.now = second, second+1
 		if b := l.servers.pools["s"].acquire(); b.conn != nil {
-			t.Fatal("it was")
+			t.Fatal("the connection was reused")
 		}
 	})
 }
--- a/internal/limiter/shutdown_test.go
+++ b/internal/limiter/shutdown_test.go
@@ -7,31 +7,34 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestShutdown: a limiter that shuts down keeps serving clients during shutdownLinger, then closes each connection once
+// its requests are answered, and finishes when no client is left to be accepted.
 func TestShutdown(t *testing.T) {
 	l, w, id := requestSentFor(t, "read", "3000")
 	l.Step(0, ShutdownRequested{})
 	w.advance(l, shutdownLinger/2)
 	l.Step(shutdownLinger/2, ClientAccepted{Conn: clientConn + 1})
 	w.receive(l, shutdownLinger/2, clientConn+1, "*1\r\n$4\r\nECHO\r\n")
-	requireText(t, w.wrote[clientConn+1], "-ERR unknown command\r\n") // it is served still
+	requireText(t, w.wrote[clientConn+1], "-ERR unknown command\r\n") // clients are still served
 	w.kernelAccepted[clientConn] = 0
 	w.advance(l, shutdownLinger)
 	if slices.Contains(w.closed, clientConn) || !slices.Contains(w.closed, clientConn+1) || l.Finished() {
-		t.Fatal("what was taken has no answer yet")
+		t.Fatal("closed a connection with an unanswered request, or kept an idle one")
 	}
 	delete(w.kernelAccepted, clientConn)
 	w.receive(l, shutdownLinger, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	require.True(t, slices.Contains(w.closed, clientConn) && !l.Finished(),
-		"closed %v, finished %v while one may come", w.closed, l.Finished())
+		"closed %v, finished %v while a client may still connect", w.closed, l.Finished())
 	w.backlog = true
 	w.advance(l, second)
-	require.False(t, l.Finished(), "clients wait to be let in")
+	require.False(t, l.Finished(), "new clients wait to be accepted")
 	w.backlog = false
 	w.advance(l, 6*second/5)
-	require.True(t, l.Finished(), "nothing is left to do")
+	require.True(t, l.Finished(), "not finished although nothing is left to do")
 }
 
-// Clients go on on each connection that stays open, up to SIGKILL: 3.7 s after the word to stop at the earliest.
+// TestShutdownUnderLoad: clients keep sending on each connection that stays open, until SIGKILL, which comes 3.7 s
+// after SIGTERM at the earliest.
 func TestShutdownUnderLoad(t *testing.T) {
 	busy := "-BUSY 250\r\n"
 	answer := "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
@@ -41,7 +44,7 @@
 		w.advance(l, shutdownLinger-1)
 		return l, w, id
 	}
-	t.Run("a client that is never without an open request comes to its end", func(t *testing.T) {
+	t.Run("a client that always has an open request is closed after the answers", func(t *testing.T) {
 		l, w, id := newDraining()
 		w.advance(l, shutdownLinger)
 		counterWrites := w.wrote[counterConnID]
@@ -52,7 +55,7 @@
 		requireText(t, w.wrote[clientConn], "$1\r\nv\r\n"+busy)
 		require.True(t, slices.Contains(w.closed, clientConn), "closed %v", w.closed)
 	})
-	t.Run("one that comes late is served and left", func(t *testing.T) {
+	t.Run("a late client is served and closed", func(t *testing.T) {
 		l, w, id := newDraining()
 		w.receive(l, shutdownLinger-1, id, answer)
 		w.advance(l, shutdownLinger+1)
@@ -69,9 +72,9 @@
 		at             int64
 		accepted       bool
 	}{
-		{"in time, however long it may take", "9000", lateRequestDelay, true},
-		{"late, and it ends before the process", "1500", second, true},
-		{"late, and it may not", "3000", second, false},
+		{"in time, whatever its deadline", "9000", lateRequestDelay, true},
+		{"late, with its deadline before the end of the process", "1500", second, true},
+		{"late, with its deadline after the end of the process", "3000", second, false},
 	} {
 		t.Run("a request that comes "+c.name, func(t *testing.T) {
 			l, w, id := newDraining()
@@ -84,9 +87,9 @@
 				"%d requests, wrote %q", len(l.requests.byID), w.wrote[clientConn+1])
 		})
 	}
-	t.Run("a request that its client waits for until behind the kill, where deadlines are short", func(t *testing.T) {
+	t.Run("a request whose deadline is after SIGKILL, with short deadlines", func(t *testing.T) {
 		l, w, id := newDraining()
-		l.settings.LongestDeadline = second // so SIGKILL may come 1.7 s after the end was asked for
+		l.settings.LongestDeadline = second // so SIGKILL may come 1.7 s after SIGTERM
 		w.receive(l, shutdownLinger-1, id, answer)
 		w.advance(l, shutdownLinger+1)
 		l.Step(shutdownLinger+1, ClientAccepted{Conn: clientConn + 1})
@@ -96,28 +99,28 @@
 		require.Empty(t, l.requests.byID)
 		require.False(t, l.Overdue())
 		w.advance(l, 17*second/10)
-		require.True(t, l.Overdue(), "no client holds the process past the kill")
+		require.True(t, l.Overdue(), "a client kept the process until SIGKILL")
 	})
-	t.Run("a command that has come in the moment of closing is answered first", func(t *testing.T) {
+	t.Run("a command that arrives while the connection is closed is answered first", func(t *testing.T) {
 		l, w, id := newDraining()
 		w.unread = map[ConnID]bool{clientConn: true}
 		w.receive(l, shutdownLinger-1, id, answer)
 		w.advance(l, shutdownLinger+second/10)
-		require.False(t, slices.Contains(w.closed, clientConn), "it would be lost")
+		require.False(t, slices.Contains(w.closed, clientConn), "closed with an unread command")
 		delete(w.unread, clientConn)
-		// what is read is taken, and has its answer
+		// the command is now read and must be answered
 		w.receive(l, shutdownLinger+second/10, clientConn, command("k", "read", "480"))
 		requireText(t, w.wrote[clientConn], "$1\r\nv\r\n"+busy)
-		require.True(t, slices.Contains(w.closed, clientConn), "it has the answer")
+		require.True(t, slices.Contains(w.closed, clientConn), "not closed after the answer")
 	})
-	t.Run("what is added back is waited for", func(t *testing.T) {
+	t.Run("the process waits until units are returned to the counter", func(t *testing.T) {
 		l, w, id := newDraining()
 		w.receive(l, shutdownLinger-1, id, answer)
 		w.advance(l, second-1)
 		l.AddToCounter(1, -2, second)
 		l.now = second
-		require.False(t, l.Finished(), "the counter has not answered")
+		require.False(t, l.Finished(), "finished before the counter answered")
 		w.receive(l, second, counterConnID, "ok 0\r\n")
-		require.True(t, l.Finished(), "it has")
+		require.True(t, l.Finished(), "not finished after the counter answered")
 	})
 }
--- a/internal/limiter/silent_discovery_test.go
+++ b/internal/limiter/silent_discovery_test.go
@@ -14,29 +14,34 @@
 )
 
 const (
+	// inServiceList and drainingList are the lists before and after the change.
 	inServiceList = `{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:9","lifecycle":"in_service"}]}`
 	drainingList  = `{"generation":8,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:9","lifecycle":"terminating"}]}`
 )
 
-// listService is a stand-in for discovery, on a virtual clock. At the change its one server begins to drain.
+// listService simulates discovery on a virtual clock. At changeAt its one server begins to drain.
 type listService struct {
-	changeAt, faultUntil int64                          // the fault is over then
-	fault                func(call int) (answer string) // what a call is answered while it lasts
-	ignoresDial          func(dial int) bool            // a dial that is never answered while it lasts
-	closesConns          bool                           // it closes connections behind its answers
-	calls, dials         int
-	serviceConns         map[ConnID]*serviceConn
+	changeAt, faultUntil int64 // nanoseconds; the fault ends at faultUntil
+	// fault returns the answer to a call during the fault: "" for none, "end" for a reset. Nil means no fault.
+	fault func(call int) (answer string)
+	// ignoresDial tells whether a dial during the fault is never answered. Nil means that none is.
+	ignoresDial  func(dial int) bool
+	closesConns  bool // connections are closed after each answer
+	calls, dials int  // how many there were
+	serviceConns map[ConnID]*serviceConn
 }
 
+// serviceConn is a connection to the simulated discovery.
 type serviceConn struct {
-	readBytes    int
-	answerAt     int64 // when the call that waits is answered, 0 if none does
-	awaitsChange bool
+	readBytes    int   // how much of what the limiter wrote was read
+	answerAt     int64 // when the pending call is answered at the latest; 0 if there is none
+	awaitsChange bool  // the pending call is answered as soon as the list has changed
 }
 
+// watchQuery matches the generation and the hold time in the query of a watch.
 var watchQuery = regexp.MustCompile(`from=(\d+)&hold_ms=(\d+)`)
 
-// run runs the limiter until it has acted on the change, and tells when that was.
+// run runs the limiter until it has applied the change, and returns when it did; end if it did not.
 func (d *listService) run(l *Limiter, w *fakeSockets, end int64) int64 {
 	d.serviceConns = map[ConnID]*serviceConn{discoveryConn: {}}
 	seen := discoveryConn
@@ -67,6 +72,7 @@
 	return end
 }
 
+// serve reads a call and answers the pending call if that is due.
 func (d *listService) serve(l *Limiter, w *fakeSockets, now int64, id ConnID, h *serviceConn) {
 	if request := w.wrote[id][h.readBytes:]; request != "" {
 		h.readBytes = len(w.wrote[id])
@@ -106,10 +112,10 @@
 	}
 }
 
-// TestDiscoveryFaults has a server drain while discovery misbehaves. Whatever the fault, the word is acted on before it counts
-// as told: asked every 10 s, 12 s after a call that waits fell silent and 6 s after any other; pushed, 6 s after a
-// watch fell silent, and otherwise within the grace of a server's drain from when the agent on the own machine
-// answers.
+// TestDiscoveryFaults: a server begins to drain while discovery is faulty. Whatever the fault, the change is applied
+// before the limiter counts as notified: if discovery is polled every 10 s, within 12 s of a held call that is not
+// answered and within 6 s of any other fault; if changes are pushed, within 6 s of a watch that is not answered, and
+// otherwise within the drain grace from when the local discovery agent answers again.
 func TestDiscoveryFaults(t *testing.T) {
 	const timeLimit = 60 * second
 	silent := func(int) string { return "" }
@@ -129,18 +135,23 @@
 	for _, c := range []struct {
 		name               string
 		service            listService
-		polledBy, pushedBy int64 // by when it is acted on, 0 where it is not played
+		polledBy, pushedBy int64 // when the change must be applied at the latest, nanoseconds; 0 skips the mode
 	}{
-		{"a silent watch, and a dial that is never answered", listService{fault: silent, ignoresDial: firstDial, faultUntil: 2 * second}, 0, 6 * second},
-		{"the same, long", listService{fault: silent, ignoresDial: firstDial, faultUntil: 111 * second / 10}, 12 * second, 0},
-		{"half an answer", listService{fault: secondCall(httpAnswer(drainingList)[:90], silent), faultUntil: second / 3}, second, second},
-		{"a status of 1xx and no more", listService{fault: secondCall(earlyHints, silent), faultUntil: second}, 12 * second, 6 * second},
-		{"turned away for 3 s", listService{fault: throttled, faultUntil: 3 * second}, 6 * second, 3*second + second/4},
-		{"turned away once", listService{fault: throttled, faultUntil: second / 10}, 6 * second, second / 3},
-		{"broken off for 3 s", listService{fault: reset, faultUntil: 3 * second}, 6 * second, 3*second + second/4},
-		{"no list for 4 s", listService{fault: invalidList, faultUntil: 4 * second}, 6 * second, 4*second + second/4},
-		{"an empty list when the wait is over", listService{changeAt: 41 * second / 4}, 11 * second, 21 * second / 2},
-		{"closed behind each answer", listService{closesConns: true, changeAt: 41 * second / 4}, 11 * second, 21 * second / 2},
+		{"an unanswered watch and an unanswered dial",
+			listService{fault: silent, ignoresDial: firstDial, faultUntil: 2 * second}, 0, 6 * second},
+		{"the same for longer",
+			listService{fault: silent, ignoresDial: firstDial, faultUntil: 111 * second / 10}, 12 * second, 0},
+		{"a truncated answer",
+			listService{fault: secondCall(httpAnswer(drainingList)[:90], silent), faultUntil: second / 3}, second, second},
+		{"an informational response without an answer",
+			listService{fault: secondCall(earlyHints, silent), faultUntil: second}, 12 * second, 6 * second},
+		{"throttled for 3 s", listService{fault: throttled, faultUntil: 3 * second}, 6 * second, 3*second + second/4},
+		{"throttled once", listService{fault: throttled, faultUntil: second / 10}, 6 * second, second / 3},
+		{"resets for 3 s", listService{fault: reset, faultUntil: 3 * second}, 6 * second, 3*second + second/4},
+		{"invalid lists for 4 s", listService{fault: invalidList, faultUntil: 4 * second}, 6 * second, 4*second + second/4},
+		{"an empty list at the end of the hold time", listService{changeAt: 41 * second / 4}, 11 * second, 21 * second / 2},
+		{"closed after each answer",
+			listService{closesConns: true, changeAt: 41 * second / 4}, 11 * second, 21 * second / 2},
 	} {
 		for _, mode := range []struct{ pollInterval, by int64 }{{10 * second, c.polledBy}, {0, c.pushedBy}} {
 			for position := range 24 {
@@ -155,7 +166,7 @@
 					t,
 					service.run(l, w, timeLimit),
 					mode.by,
-					"%s: asked every %d s, limiter %d",
+					"%s: polled every %d s, limiter %d",
 					c.name,
 					mode.pollInterval/second,
 					position,
@@ -165,7 +176,8 @@
 	}
 }
 
-// The new discovery counts otherwise, and a second move may come before the first one has brought anything.
+// TestDiscoveryAddressChange: the discovery service at the new address has generations of its own, and the address may
+// change again before the first new address has answered.
 func TestDiscoveryAddressChange(t *testing.T) {
 	for _, pollInterval := range []int64{0, 10 * second} {
 		for _, changes := range []int{1, 2} {
@@ -189,7 +201,7 @@
 				require.True(
 					t,
 					at <= 4*second && l.discovery.version == 8,
-					"%d moves, %q, asked every %d s: acted on after %d ns, version %d",
+					"%d changes of address, fault %q, polled every %d s: applied after %d ns, version %d",
 					changes,
 					fault,
 					pollInterval/second,
@@ -201,7 +213,8 @@
 	}
 }
 
-// An answer of changes that counts lower than what is held is of a discovery that has begun anew.
+// TestGenerationDecreases: an answer with a lower generation than the known one comes from a discovery service that has
+// restarted, so the complete list is requested.
 func TestGenerationDecreases(t *testing.T) {
 	l, w := newTestLimiter(t)
 	w.receive(l, 0, discoveryConn, httpAnswer(`{"generation":3,"reset":false,"instances":[]}`))
--- a/internal/limiter/stored_test.go
+++ b/internal/limiter/stored_test.go
@@ -11,8 +11,8 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// TestStartsFromFilesOfAnEarlierVersion: a limiter of this version begins with the configuration and the snapshot that
-// one of version f99e54e had, and knows its servers.
+// TestStartsFromFilesOfAnEarlierVersion: a limiter starts with the configuration and the snapshot of one of version
+// f99e54e and knows its servers.
 func TestStartsFromFilesOfAnEarlierVersion(t *testing.T) {
 	config, err := settings.ReadFile("../settings/testdata/config.json")
 	require.NoError(t, err)
--- a/internal/limiter/trace_test.go
+++ b/internal/limiter/trace_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTraceFollowsRequest: the log tells each step of a request by its id, with the reasons of its ends.
+// TestTraceFollowsRequest: the trace has each step of a request with its id, and why its attempts and connections
+// ended.
 func TestTraceFollowsRequest(t *testing.T) {
 	l, w, id := requestSent(t, "read")
 	var out bytes.Buffer
@@ -28,7 +29,7 @@
 	require.Contains(t, w.wrote[clientConn], "-BUSY")
 }
 
-// TestTraceKeepsTheLatest: the oldest records make room, and no more are logged than were asked for.
+// TestTraceKeepsTheLatest: new records replace the oldest, and latest returns no more than the requested number.
 func TestTraceKeepsTheLatest(t *testing.T) {
 	var records trace
 	require.Empty(t, records.latest(AllTrace))
@@ -42,7 +43,7 @@
 	require.Equal(t, []int64{traceSize + 8, traceSize + 9}, []int64{two[0].at, two[1].at})
 }
 
-// TestClosesLogged: the log counts connections' ends by the other side and the reason, once.
+// TestClosesLogged: closed connections are counted by kind of peer and reason, and each is logged once.
 func TestClosesLogged(t *testing.T) {
 	l, _, id := requestSent(t, "read")
 	l.Step(0, ConnClosed{Conn: id, Reason: PeerReset})
@@ -55,7 +56,7 @@
 	require.Empty(t, out.String())
 }
 
-// TestCloseReasonWords: each reason, state and outcome has a word of its own.
+// TestCloseReasonWords: each close reason has a word of its own.
 func TestCloseReasonWords(t *testing.T) {
 	seen := map[string]bool{}
 	for reason := range closeReasonCount {
--- a/internal/limiter/walk_environment_test.go
+++ b/internal/limiter/walk_environment_test.go
@@ -12,73 +12,75 @@
 	"ospreycroft/internal/resp"
 )
 
-// This file is what the walks of walk_test.go go through: a kernel with connections that end, break, and take and give
-// their bytes in pieces, and the clients, servers, counter and discovery behind them. It checks what they can see.
+// This file simulates the environment of the random walks in walk_test.go: a kernel whose connections close, reset and
+// transfer data in pieces, and the clients, servers, counter and discovery at the other end. It checks what these see.
 
 const (
+	// walkDiscovery and walkCounter are what the addresses of discovery and the counter begin with.
 	walkDiscovery = "discovery"
 	walkCounter   = "counter"
-	// walkDrainGrace is how long after notice that a server drains attempts may still be written to it.
+	// walkDrainGrace is how long after the limiter learns that a server drains it may still write attempts to it,
+	// nanoseconds.
 	walkDrainGrace = int64(1e8)
-	// walkTimeLeftSlack is how much more time than its client has left a server may be told.
+	// walkTimeLeftSlack is how far the time left that a server is sent may exceed the client's, nanoseconds.
 	walkTimeLeftSlack = int64(15e7)
-	// walkDeduplicationWindow is for how long servers know a request with an idempotency key again.
+	// walkDeduplicationWindow is for how long servers recognize a request with an idempotency key, nanoseconds.
 	walkDeduplicationWindow = 2 * second
 )
 
-// walkConn is one connection of the kernel.
+// walkConn is a connection of the simulated kernel.
 type walkConn struct {
 	id      ConnID
-	address string // what was dialled; empty for a client's
-	open    bool   // it is up
-	closed  bool   // the limiter has closed it, or was told of its end
-	ended   bool   // the other side has ended it, or broken it off
-	reset   bool   // broken off: what the limiter was not told yet is lost
+	address string // the dialled address; empty for a client's connection
+	open    bool   // it is established
+	closed  bool   // the limiter has closed it, or its end was reported to it
+	ended   bool   // the peer has closed or reset it
+	reset   bool   // the peer has reset it: data that was not delivered is lost
 
-	written  []byte // by the limiter
-	accepted int    // how much of it the kernel has taken
-	read     int    // how much of that the other side has read
-	incoming []byte // from the other side, not told yet
+	written  []byte // all that the limiter wrote
+	accepted int    // how many bytes of it the kernel has accepted
+	read     int    // how many bytes of that the peer has read
+	incoming []byte // from the peer, not delivered yet
 
 	commands      []*walkCommand // a client's, in order
-	answered      int            // how many of them have their answers
-	answerBytes   int            // bytes of the answers that were read
-	inputRejected bool           // the client has sent what is no command
-	// discarded: the limiter has said that it reads no more from this client.
+	answered      int            // how many of them are answered
+	answerBytes   int            // how many bytes of answers the client has read
+	inputRejected bool           // the client has sent malformed input, or was too slow to complete a command
+	// discarded: the limiter has answered that it reads no more from this client.
 	discarded      bool
-	sentBytes      int            // bytes that the client has sent
-	deliveredBytes int            // bytes that the limiter was told
+	sentBytes      int            // how many bytes the client has sent
+	deliveredBytes int            // how many bytes were delivered to the limiter
 	pending        []*walkAttempt // a server's commands without an answer
-	rejectsPartial bool           // it has said so of a command of which it has a part
+	rejectsPartial bool           // the server has rejected a command that it has not read completely
 	calls          []string       // the counter's or discovery's calls without an answer
 }
 
 // walkCommand is one command of a client.
 type walkCommand struct {
-	request   *walkRequest // nil for a PING, or where the id is in use
-	endOffset int          // the place behind its last byte
-	deadline  int64        // 0 until the limiter was told of it
-	expired   bool         // it was told of it behind its deadline
-	answer    string
+	request   *walkRequest // nil for a PING
+	endOffset int          // offset after its last byte in the client's input
+	deadline  int64        // 0 until it is delivered to the limiter
+	expired   bool         // it was delivered after its deadline
+	answer    string       // "" until the client has read one
 }
 
-// walkRequest is a request with all that came of it.
+// walkRequest is a request with its attempts.
 type walkRequest struct {
 	id, class string
 	client    *walkConn
 	command   *walkCommand
-	timeout   int64
+	timeout   int64 // nanoseconds
 	attempts  []*walkAttempt
 }
 
 // walkAttempt is one command that a server has read.
 type walkAttempt struct {
 	request  *walkRequest
-	at       int64 // when its last byte came
-	rejected bool  // the server has said, or will say, that it did not run
+	at       int64 // when the server read its last byte
+	rejected bool  // the server has answered, or will answer, that it did not run
 }
 
-// walkEnvironment is the kernel and the other sides.
+// walkEnvironment simulates the kernel and the peers. It implements Effects for the limiter.
 type walkEnvironment struct {
 	random     *rand.Rand
 	limiter    *Limiter
@@ -87,47 +89,48 @@
 	wallStep   int64
 	last       ConnID
 	conns      map[ConnID]*walkConn
-	readFrom   *walkConn // whose bytes the present event tells
-	requests   map[string]*walkRequest
-	version    int
-	lifecycles map[string]string // of the servers, as discovery has them
-	draining   map[string]int64  // addresses of servers, and when the limiter was told that they drain
-	history    []string          // the latest steps
-	events     []func()          // what may happen, the more often the more likely
-	// badCounter and badServers: what these answer may also be no success.
+	readFrom   *walkConn               // the connection of the present DataReceived event
+	requests   map[string]*walkRequest // by id
+	version    int                     // generation of the latest list
+	lifecycles map[string]string       // of the servers, by id, as discovery has them
+	draining   map[string]int64        // when the limiter learned that a server drains, by the server's address
+	history    []string                // the latest notes, for the report of a violation
+	events     []func()                // randomEvent picks from these; a likelier event has more entries
+	// badCounter and badServers: the counter or the servers may also answer with errors.
 	badCounter, badServers bool
-	// What the configuration says.
+	// Settings of the configuration: whether it has a list, and durations in nanoseconds.
 	knowsList                    bool
 	pollInterval, counterTimeout int64
-	violations                   []string
+	violations                   []string // of the checks
 }
 
+// fail records a violation.
 func (w *walkEnvironment) fail(format string, arguments ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
-// oneIn is true one time in n.
+// oneIn returns true with probability 1/n.
 func (w *walkEnvironment) oneIn(n int) bool { return w.random.IntN(n) == 0 }
 
-// Dial is an effect.
+// Dial implements Effects.
 func (w *walkEnvironment) Dial(address string, _ int64) ConnID {
 	w.last++
 	w.conns[w.last] = &walkConn{id: w.last, address: address}
 	return w.last
 }
 
-// Read is an effect.
+// Read implements Effects.
 func (w *walkEnvironment) Read(into []byte) {
 	copy(into, w.readFrom.incoming)
 	w.readFrom.incoming = w.readFrom.incoming[len(into):]
 	w.readFrom.deliveredBytes += len(into)
 }
 
-// Write is an effect.
+// Write implements Effects.
 func (w *walkEnvironment) Write(id ConnID, text []byte) {
 	c := w.conns[id]
 	if c == nil || c.closed {
-		w.fail("connection %d is written to behind its end", id)
+		w.fail("connection %d is written to after its end", id)
 		return
 	}
 	c.written = append(c.written, text...)
@@ -142,26 +145,26 @@
 	}
 }
 
-// Alive is an effect.
+// Alive implements Effects.
 func (w *walkEnvironment) Alive(id ConnID) bool {
 	c := w.conns[id]
 	return c.open && !c.closed && !c.ended && (c.address == "" || len(c.incoming) == 0)
 }
 
-// PeerGone is an effect.
+// PeerGone implements Effects.
 func (w *walkEnvironment) PeerGone(id ConnID) bool { return w.conns[id].ended || w.conns[id].closed }
 
-// Written is an effect.
+// Written implements Effects.
 func (w *walkEnvironment) Written(id ConnID) int64 { return int64(w.conns[id].accepted) }
 
-// Close is an effect.
+// Close implements Effects.
 func (w *walkEnvironment) Close(id ConnID) int64 {
 	c := w.conns[id]
 	w.close(c)
 	return int64(c.accepted)
 }
 
-// CloseGracefully is an effect.
+// CloseGracefully implements Effects.
 func (w *walkEnvironment) CloseGracefully(id ConnID, _, _ int64) bool {
 	c := w.conns[id]
 	if len(c.incoming) > 0 {
@@ -171,16 +174,16 @@
 	return true
 }
 
-// HasBacklog is an effect.
+// HasBacklog implements Effects.
 func (w *walkEnvironment) HasBacklog() bool { return false }
 
-// SetTimer is an effect.
+// SetTimer implements Effects.
 func (w *walkEnvironment) SetTimer(at int64) { w.timerAt = at }
 
-// WallClock is an effect.
+// WallClock implements Effects.
 func (w *walkEnvironment) WallClock() int64 { return w.now + w.wallStep }
 
-// close is the limiter's end of a connection. A client that is there has all its answers by then.
+// close marks a connection as closed by the limiter and checks that a connected client has all its answers.
 func (w *walkEnvironment) close(c *walkConn) {
 	if c.closed {
 		return
@@ -200,7 +203,7 @@
 	return c.address != "" && !strings.HasPrefix(c.address, walkDiscovery) && !strings.HasPrefix(c.address, walkCounter)
 }
 
-// hasPartOfCommand tells whether the limiter was told of a command's beginning alone.
+// hasPartOfCommand tells whether only a part of a command was delivered to the limiter.
 func (c *walkConn) hasPartOfCommand() bool {
 	start := 0
 	for _, command := range c.commands {
@@ -212,8 +215,8 @@
 	return false
 }
 
-// readAnswers reads what the limiter has written to a client: one answer for each command, in order, not behind the
-// command's deadline, and no rejection of what may have run.
+// readAnswers reads what the limiter has written to a client and checks that each command gets one answer, in order.
+// The deadlines are checked by checkOverdue, rejections by checkRejections.
 func (w *walkEnvironment) readAnswers(c *walkConn) {
 	for c.answerBytes < len(c.written) {
 		value, n, err := resp.ReadValue(c.written[c.answerBytes:])
@@ -228,7 +231,7 @@
 			c.answered++
 			command.answer = text
 			if q := command.request; q != nil && value.Kind == '$' && string(value.Text) != q.id {
-				w.fail("%s has got another one's answer: %q", q.id, text)
+				w.fail("%s got the answer to another request: %q", q.id, text)
 			}
 			continue
 		}
@@ -238,16 +241,16 @@
 			continue
 		}
 		if !c.inputRejected || value.Kind != '-' {
-			w.fail("client %d has got an answer for nothing: %q", c.id, text)
+			w.fail("client %d got an answer without a command: %q", c.id, text)
 		}
 	}
 }
 
-// checkAttempt checks what is written to a server.
+// checkAttempt checks a command that is written to a server.
 func (w *walkEnvironment) checkAttempt(c *walkConn, text []byte) {
 	words, _, err := resp.ReadCommand(text, nil)
 	if err != nil || len(words) == 0 {
-		w.fail("what is written to %s is no command: %q", c.address, text)
+		w.fail("invalid command written to %s: %q", c.address, text)
 		return
 	}
 	if string(words[0]) == "SELECT" {
@@ -255,20 +258,21 @@
 	}
 	q := w.requests[string(words[wordID])]
 	if q.command.answer != "" {
-		w.fail("%s is sent behind its answer", q.id)
+		w.fail("%s is sent after its answer", q.id)
 	}
 	if q.client.ended || q.client.closed {
-		w.fail("%s is sent for a client that has gone", q.id)
+		w.fail("%s is sent for a client that has disconnected", q.id)
 	}
 	if since, known := w.draining[c.address]; known && w.now > since+walkDrainGrace {
-		w.fail("%s is sent to %s, which drains for %d ms", q.id, c.address, (w.now-since)/1e6)
+		w.fail("%s is sent to %s, which has been draining for %d ms", q.id, c.address, (w.now-since)/1e6)
 	}
 	if timeLeft := toldTimeLeft(words); timeLeft > q.command.deadline-w.now+walkTimeLeftSlack {
-		w.fail("%s: a server is told %d ms of %d", q.id, timeLeft/1e6, (q.command.deadline-w.now)/1e6)
+		w.fail("%s: a server is sent a time left of %d ms, the client has %d ms",
+			q.id, timeLeft/1e6, (q.command.deadline-w.now)/1e6)
 	}
 }
 
-// toldTimeLeft is the time that a command says its client has left.
+// toldTimeLeft returns the time left that a command gives, nanoseconds.
 func toldTimeLeft(words [][]byte) int64 {
 	_, rest, _ := bytes.Cut(words[wordFields], []byte("d="))
 	digits, _, _ := bytes.Cut(rest, []byte(","))
@@ -276,7 +280,7 @@
 	return milliseconds * 1e6
 }
 
-// connsWhere lists the connections for which something holds, in order.
+// connsWhere returns the connections that the limiter has not closed and that match, in the order of their ids.
 func (w *walkEnvironment) connsWhere(matches func(c *walkConn) bool) []*walkConn {
 	var list []*walkConn
 	for _, id := range slices.Sorted(maps.Keys(w.conns)) {
@@ -287,7 +291,7 @@
 	return list
 }
 
-// pickConn is one of the connections for which something holds; nil where there is none.
+// pickConn returns a random one of the connections that match; nil if there is none.
 func (w *walkEnvironment) pickConn(matches func(c *walkConn) bool) *walkConn {
 	list := w.connsWhere(matches)
 	if len(list) == 0 {
@@ -296,20 +300,20 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// step has the limiter take one event.
+// step has the limiter handle one event.
 func (w *walkEnvironment) step(event Event) {
 	w.note("%T %+v", event, event)
 	w.limiter.Step(w.now, event)
 }
 
-// note keeps the latest steps, for a walk that fails.
+// note adds a line to the history, of which the latest lines are kept.
 func (w *walkEnvironment) note(format string, arguments ...any) {
 	const limit = 60
 	w.history = append(w.history, fmt.Sprintf("%d ", w.now/1e6)+fmt.Sprintf(format, arguments...))
 	w.history = w.history[max(0, len(w.history)-limit):]
 }
 
-// deliver tells the limiter of bytes that have come.
+// deliver delivers the next size received bytes to the limiter. age is how long they have waited, nanoseconds.
 func (w *walkEnvironment) deliver(c *walkConn, size int, age int64) {
 	if size == 0 {
 		return
@@ -328,7 +332,8 @@
 	w.step(DataReceived{Conn: c.id, Size: size, Age: age})
 }
 
-// deliverClose tells the limiter of the other side's end, behind all that came before it.
+// deliverClose reports to the limiter that the peer has closed a connection, after the data received before it unless
+// the connection was reset.
 func (w *walkEnvironment) deliverClose(c *walkConn, reason CloseReason) {
 	if !c.reset {
 		w.deliver(c, len(c.incoming), 0)
@@ -338,7 +343,7 @@
 	}
 }
 
-// accept has the kernel take what it did not before, or a part of that, and the other side read it.
+// accept has the kernel accept the rest of what was written, or a part of it, and the peer read that.
 func (w *walkEnvironment) accept(c *walkConn) {
 	size := len(c.written) - c.accepted
 	if w.oneIn(4) {
@@ -348,7 +353,7 @@
 	w.peerReads(c)
 }
 
-// noteDraining writes down which servers the limiter knows to drain.
+// noteDraining records which servers the limiter knows to be draining or removed.
 func (w *walkEnvironment) noteDraining() {
 	for server := range w.lifecycles {
 		address := server + ":9"
@@ -363,20 +368,20 @@
 	}
 }
 
-// checkOverdue checks that all commands whose deadline is over have an answer.
+// checkOverdue checks that all requests whose deadline has passed are answered.
 func (w *walkEnvironment) checkOverdue() {
 	for _, c := range w.connsWhere(func(c *walkConn) bool { return c.address == "" && !c.ended }) {
 		for _, command := range c.commands[c.answered:] {
 			answerOwed := command.request != nil && command.deadline != 0 && !command.expired
 			if answerOwed && w.now >= max(command.deadline, w.limiter.suspension.timersBlockedUntil) {
-				w.fail("%s has no answer %d ms behind its deadline", command.request.id, (w.now-command.deadline)/1e6)
+				w.fail("%s has no answer %d ms after its deadline", command.request.id, (w.now-command.deadline)/1e6)
 			}
 		}
 	}
 }
 
-// checkRejections checks that nothing that must run once was checkRejections though it may have run. (One with an idempotency key
-// that all servers know may come again.)
+// checkRejections checks that no non-idempotent request was rejected although it may have run. One with an idempotency
+// key that all servers recognize may be sent again, so it may be rejected.
 func (w *walkEnvironment) checkRejections() {
 	for _, q := range w.requests {
 		if !strings.HasPrefix(q.command.answer, "-BUSY") || q.class != "write" {
@@ -388,7 +393,7 @@
 	}
 }
 
-// noteUnanswered writes down what clients that are there wait for, for a walk that fails.
+// noteUnanswered adds the requests that connected clients wait for to the history.
 func (w *walkEnvironment) noteUnanswered() {
 	for _, c := range w.connsWhere(func(c *walkConn) bool { return c.address == "" && !c.ended }) {
 		for _, command := range c.commands[c.answered:] {
--- a/internal/limiter/walk_peers_test.go
+++ b/internal/limiter/walk_peers_test.go
@@ -9,9 +9,9 @@
 	"ospreycroft/internal/resp"
 )
 
-// This file is what the servers, the counter and discovery of a walk do.
+// This file has the behaviour of the servers, the counter and discovery in a random walk.
 
-// peerReads has the other side read what the kernel has taken.
+// peerReads has the peer of a connection read what the kernel has accepted.
 func (w *walkEnvironment) peerReads(c *walkConn) {
 	switch {
 	case c.address == "" || c.ended:
@@ -24,6 +24,7 @@
 	}
 }
 
+// readLines reads the complete calls of the counter or of discovery. end is what a call ends with.
 func (w *walkEnvironment) readLines(c *walkConn, end string) {
 	for {
 		line, _, complete := strings.Cut(string(c.written[c.read:c.accepted]), end)
@@ -35,8 +36,8 @@
 	}
 }
 
-// readCommands has a server read what it got. What must run once is not read twice, and with an idempotency key only
-// as long as servers know it again.
+// readCommands has a server read commands. It checks that a non-idempotent request does not run twice, and one with an
+// idempotency key only within the deduplication window.
 func (w *walkEnvironment) readCommands(c *walkConn) {
 	for c.read < c.accepted {
 		words, n, err := resp.ReadCommand(c.written[c.read:c.accepted], nil)
@@ -54,13 +55,14 @@
 		}
 		attempt.request = w.requests[string(words[wordID])]
 		if attempt.request.command.answer != "" {
-			w.fail("%s becomes whole behind its answer", attempt.request.id)
+			w.fail("%s is completely written after its answer", attempt.request.id)
 		}
 		w.checkRepeat(attempt)
 		attempt.request.attempts = append(attempt.request.attempts, attempt)
 	}
 }
 
+// checkRepeat checks that an attempt is allowed after the earlier ones of its request.
 func (w *walkEnvironment) checkRepeat(attempt *walkAttempt) {
 	q := attempt.request
 	for _, earlier := range q.attempts {
@@ -74,7 +76,7 @@
 	}
 }
 
-// rejectEarly has a server turn away a command of which it has a part.
+// rejectEarly has a server reject a command that it has not read completely.
 func (w *walkEnvironment) rejectEarly(c *walkConn) {
 	if !c.rejectsPartial {
 		c.rejectsPartial = true
@@ -82,7 +84,7 @@
 	}
 }
 
-// answerCommand has a server answer the oldest command that it works on, well or not.
+// answerCommand has a server answer its oldest pending command, with a success or not.
 func (w *walkEnvironment) answerCommand(c *walkConn) {
 	attempt := c.pending[0]
 	c.pending = c.pending[1:]
@@ -101,7 +103,7 @@
 	c.incoming = append(c.incoming, answer...)
 }
 
-// answerCall has the counter or discovery answer the oldest call.
+// answerCall has the counter or discovery answer its oldest call.
 func (w *walkEnvironment) answerCall(c *walkConn) {
 	call := c.calls[0]
 	c.calls = c.calls[1:]
@@ -119,18 +121,21 @@
 	}
 }
 
-// nextList is an answer of discovery: changes to some servers, or all of them.
+// nextList returns the next list of discovery: the complete one, or a random change of one server.
 func (w *walkEnvironment) nextList(complete bool) string {
 	w.version++
 	servers := slices.Sorted(maps.Keys(w.lifecycles))
 	if !complete {
 		changed := servers[w.random.IntN(len(servers))]
-		w.lifecycles[changed] = []string{"in_service", "in_service", "in_service", "terminating", "terminated"}[w.random.IntN(5)]
+		w.lifecycles[changed] =
+			[]string{"in_service", "in_service", "in_service", "terminating", "terminated"}[w.random.IntN(5)]
 		servers = []string{changed}
 	}
 	entries := make([]string, len(servers))
 	for i, server := range servers {
-		entries[i] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"%s:9","lifecycle":%q,"weight":1}`, server, server, w.lifecycles[server])
+		entries[i] = fmt.Sprintf(
+			`{"instanceId":%q,"hostPort":"%s:9","lifecycle":%q,"weight":1}`, server, server, w.lifecycles[server],
+		)
 	}
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, w.version, complete, strings.Join(entries, ","))
 }
--- a/internal/limiter/walk_test.go
+++ b/internal/limiter/walk_test.go
@@ -15,18 +15,20 @@
 )
 
 var (
-	walkSeeds = flag.Int("walk-seeds", 1000, "how many random walks TestWalk makes")
-	walkFirst = flag.Uint64("walk-first", 1, "the first one's seed")
+	walkSeeds = flag.Int("walk-seeds", 1000, "number of random walks that TestWalk runs")
+	walkFirst = flag.Uint64("walk-first", 1, "seed of the first random walk")
 )
 
+// walkSteps is the number of random events of one walk.
 const walkSteps = 700
 
-// TestWalk: processes ended by themselves where several results came in one step and an earlier one ended the request
-// of a later one, which nobody had thought of. So random walks take the reducer through whatever may come, in any
-// order and in pieces: clients that send, leave and break off, servers, a counter and a discovery that answer well,
-// badly, twice, late or never, connections that do not come up or end, new configurations, time that passes, stands
-// still and steps, and the process's end. It must not panic, each command has one answer in time, nothing runs twice
-// or for nobody, and nothing is left over.
+// TestWalk runs random sequences of events through the reducer, to find failures of combinations that no other test
+// has. One was a crash: several results came in one step, and an earlier one ended the request of a later one. The
+// events come in any order and data in pieces: clients send, disconnect and reset; servers, the counter and discovery
+// answer correctly, incorrectly, twice, late or never; dials fail and connections close; configurations are reloaded;
+// time passes, the process is suspended, the wall clock is stepped and the process shuts down. The reducer must not
+// panic, each command gets one answer by its deadline, no request runs twice or after its client has gone, and nothing
+// is left at the end.
 func TestWalk(t *testing.T) {
 	discardLog(t)
 	for seed := *walkFirst; seed < *walkFirst+uint64(*walkSeeds); seed++ {
@@ -40,14 +42,14 @@
 	}
 }
 
-// discardLog keeps the limiter's log out of the test's output.
+// discardLog discards the limiter's log during the test.
 func discardLog(t *testing.T) {
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	t.Cleanup(func() { slog.SetDefault(previous) })
 }
 
-// newWalk makes a world with a limiter in it.
+// newWalk returns the environment of the walk with the given seed, with a limiter in it.
 func newWalk(seed uint64) *walkEnvironment {
 	w := &walkEnvironment{
 		random:     rand.New(rand.NewPCG(seed, 0)),
@@ -59,15 +61,17 @@
 	}
 	w.drawEvents()
 	var err error
-	options := OperatorOptions{DiscoveryCallRate: float64(5 * w.random.IntN(2)), ConnectionRate: float64(20 * w.random.IntN(2))}
+	options := OperatorOptions{
+		DiscoveryCallRate: float64(5 * w.random.IntN(2)), ConnectionRate: float64(20 * w.random.IntN(2)),
+	}
 	w.limiter, err = NewWithOptions(w.now, w.config(), options, w)
 	if err != nil {
-		w.fail("no limiter: %v", err)
+		w.fail("creating the limiter: %v", err)
 	}
 	return w
 }
 
-// config is a configuration; that of the start, or one that has moved discovery and the counter.
+// config returns a configuration with random addresses of discovery and the counter.
 func (w *walkEnvironment) config() *settings.Config {
 	at := fmt.Sprint(w.random.IntN(3))
 	var known []byte
@@ -97,7 +101,7 @@
 		}}
 }
 
-// run makes the steps and the end.
+// run runs the random events and then finish.
 func (w *walkEnvironment) run() {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -118,8 +122,8 @@
 	w.finish()
 }
 
-// drawEvents draws how likely each thing that may happen is in this walk. Walks in which some things happen often and
-// others seldom meet more coincidences than walks that are all alike.
+// drawEvents draws the settings of the walk and how likely each kind of event is. Walks that differ in this reach more
+// combinations of events than walks with equal probabilities.
 func (w *walkEnvironment) drawEvents() {
 	w.badCounter, w.badServers = w.oneIn(2), w.oneIn(2)
 	w.knowsList = !w.oneIn(4)
@@ -140,17 +144,17 @@
 	}
 }
 
-// randomEvent is one random thing that happens.
+// randomEvent runs one of the events.
 func (w *walkEnvironment) randomEvent() { w.events[w.random.IntN(len(w.events))]() }
 
-// suspend is a time in which the process stands still, with all that comes meanwhile.
+// suspend suspends the process for a random time.
 func (w *walkEnvironment) suspend() {
 	if !w.oneIn(4) {
 		return
 	}
 	w.now += second/2 + w.random.Int64N(4*second)
-	w.note("stood still")
-	w.step(TimersDue{}) // before the kernel takes more: what it lacks is with the process
+	w.note("suspended")
+	w.step(TimersDue{}) // before the kernel accepts more of what was written
 }
 
 func (w *walkEnvironment) reload() {
@@ -161,13 +165,14 @@
 
 func (w *walkEnvironment) stepWallClock() { w.wallStep += w.random.Int64N(7200*second) - 3600*second }
 
+// acceptClient connects a new client.
 func (w *walkEnvironment) acceptClient() {
 	w.last++
 	w.conns[w.last] = &walkConn{id: w.last, open: true}
 	w.step(ClientAccepted{Conn: w.last})
 }
 
-// pickClient is a client that is there and has sent nothing but commands.
+// pickClient returns a connected client whose input was valid so far; nil if there is none.
 func (w *walkEnvironment) pickClient() *walkConn {
 	return w.pickConn(func(c *walkConn) bool { return c.address == "" && !c.ended && !c.inputRejected })
 }
@@ -182,6 +187,7 @@
 	}
 }
 
+// sendCommand has a client send a PING or a new request.
 func (w *walkEnvironment) sendCommand(c *walkConn) {
 	command := &walkCommand{}
 	text := "*1\r\n$4\r\nPING\r\n"
@@ -194,7 +200,7 @@
 	c.commands = append(c.commands, command)
 }
 
-// newRequest makes a newRequest of a client.
+// newRequest adds a random request of a client and returns the text of its command.
 func (w *walkEnvironment) newRequest(c *walkConn, command *walkCommand) string {
 	q := &walkRequest{
 		id:      fmt.Sprint("r", len(w.requests)),
@@ -225,14 +231,15 @@
 	}
 }
 
-// disconnectClient is the end of a client, which the limiter may find before it is told.
+// disconnectClient disconnects a client. The limiter may detect this before the event that reports it.
 func (w *walkEnvironment) disconnectClient() {
 	if c := w.pickClient(); c != nil && w.oneIn(2) {
-		w.note("client %d leaves", c.id)
+		w.note("client %d disconnects", c.id)
 		c.ended, c.reset = true, w.oneIn(2)
 	}
 }
 
+// isDialling tells whether a connection is neither open nor failed.
 func (w *walkEnvironment) isDialling(c *walkConn) bool { return !c.open && !c.ended }
 
 func (w *walkEnvironment) completeDial() {
@@ -245,16 +252,20 @@
 func (w *walkEnvironment) failDial() {
 	if c := w.pickConn(w.isDialling); c != nil && w.oneIn(3) {
 		c.ended = true
-		w.step(ConnClosed{Conn: c.id, Reason: []CloseReason{ConnRefused, DialTimedOut, LocalFailure, NoConnection}[w.random.IntN(4)]})
+		w.step(ConnClosed{
+			Conn: c.id, Reason: []CloseReason{ConnRefused, DialTimedOut, LocalFailure, NoConnection}[w.random.IntN(4)],
+		})
 	}
 }
 
+// acceptWritten has the kernel accept more of what was written to a connection.
 func (w *walkEnvironment) acceptWritten() {
 	if c := w.pickConn(func(c *walkConn) bool { return !c.ended && c.accepted < len(c.written) }); c != nil {
 		w.accept(c)
 	}
 }
 
+// serverRejectsEarly has a server reject a command that is partly written.
 func (w *walkEnvironment) serverRejectsEarly() {
 	c := w.pickConn(func(c *walkConn) bool {
 		return c.isServer() && !c.ended && c.read < c.accepted && c.accepted < len(c.written)
@@ -264,6 +275,7 @@
 	}
 }
 
+// peerAnswers has a server, the counter or discovery answer some of its pending commands or calls.
 func (w *walkEnvironment) peerAnswers() {
 	c := w.pickConn(func(c *walkConn) bool { return !c.ended && len(c.pending)+len(c.calls) > 0 })
 	if c == nil {
@@ -278,7 +290,7 @@
 	}
 }
 
-// deliverSome tells the limiter what has come on a connection, all or a part of it.
+// deliverSome delivers the received data of a connection to the limiter, or a part of it.
 func (w *walkEnvironment) deliverSome() {
 	c := w.pickConn(func(c *walkConn) bool { return c.open && !c.reset && len(c.incoming) > 0 })
 	if c == nil {
@@ -294,26 +306,28 @@
 	w.deliver(c, size, age)
 }
 
-// peerCloses is the end of a server's, the counter's or discovery's connection, which the limiter is told later.
+// peerCloses has a server, the counter or discovery close a connection, which is reported to the limiter later.
 func (w *walkEnvironment) peerCloses() {
 	c := w.pickConn(func(c *walkConn) bool { return c.address != "" && c.open && !c.ended })
 	if c != nil && w.oneIn(3) {
-		w.note("%s ends %d", c.address, c.id)
+		w.note("%s closes connection %d", c.address, c.id)
 		c.ended, c.reset = true, w.oneIn(2)
 	}
 }
 
+// deliverSomeClose reports a closed connection to the limiter.
 func (w *walkEnvironment) deliverSomeClose() {
 	if c := w.pickConn(func(c *walkConn) bool { return c.open && c.ended }); c != nil {
 		w.deliverClose(c, []CloseReason{PeerClosed, PeerReset}[w.random.IntN(2)])
 	}
 }
 
-// advanceTime lets some time advanceTime, with the timers that are due meanwhile.
+// advanceTime advances the clock by a random time.
 func (w *walkEnvironment) advanceTime() {
 	w.advanceBy([]int64{1e6, 1e6, 4e6, 4e6, 2e7, 1e8}[w.random.IntN(6)])
 }
 
+// advanceBy advances the clock by a duration in nanoseconds and runs the timers that become due.
 func (w *walkEnvironment) advanceBy(duration int64) {
 	until := w.now + duration
 	for w.timerAt < until {
@@ -326,7 +340,7 @@
 	w.checkOverdue()
 }
 
-// finish lets all that is out come to its end.
+// finish shuts the limiter down, completes all that is pending and checks that nothing is left.
 func (w *walkEnvironment) finish() {
 	w.step(ShutdownRequested{})
 	for range 100 {
@@ -352,8 +366,9 @@
 	}
 	w.checkRejections()
 	l := w.limiter
-	if len(l.requests.byID) > 0 || l.requests.heldBytes != 0 || len(l.results) > 0 || l.clients.count != 0 || !l.Finished() {
-		w.fail("left over: %d requests of %d bytes, %d results, %d clients; finished: %t",
+	if len(l.requests.byID) > 0 || l.requests.heldBytes != 0 || len(l.results) > 0 || l.clients.count != 0 ||
+		!l.Finished() {
+		w.fail("left at the end: %d requests of %d bytes, %d results, %d clients; finished: %t",
 			len(l.requests.byID), l.requests.heldBytes, len(l.results), l.clients.count, l.Finished())
 	}
 }
--- a/internal/limiter/wall_clock_test.go
+++ b/internal/limiter/wall_clock_test.go
@@ -12,13 +12,13 @@
 
 const hour = 3600 * second
 
-// TestServerStartAfterWallClockStep: a list tells of a server that has just started, by a wall clock that was stepped since
-// the limiter started. The server warms up over the settings' span of real time, from now on: not as one that started an
-// hour ago, and not for an hour.
+// TestServerStartAfterWallClockStep: a list reports a server that has just started, by a wall clock that was stepped
+// since the limiter started. The server must warm up over the slow start window of real time: it must neither count as
+// started an hour ago nor warm up for an hour.
 func TestServerStartAfterWallClockStep(t *testing.T) {
 	for _, step := range []int64{0, -hour, hour, -5 * second, 5 * second} {
 		for _, stampedAfterStep := range []bool{true, false} {
-			t.Run(fmt.Sprintf("step %d s, stamped behind it %v", step/second, stampedAfterStep), func(t *testing.T) {
+			t.Run(fmt.Sprintf("step %d s, stamped after it %v", step/second, stampedAfterStep), func(t *testing.T) {
 				l, w := newTestLimiter(t)
 				const now = 2 * hour
 				l.now = now
@@ -36,22 +36,22 @@
 				}
 				at := applyStart()
 				require.LessOrEqual(t, at, now)
-				require.GreaterOrEqual(t, at, now-6*second, "it is taken for warmer than it is")
+				require.GreaterOrEqual(t, at, now-6*second, "the start counts as earlier than it was")
 				l.now += 5 * second
 				w.wallStep = 0
-				require.Equal(t, at, applyStart(), "the same start, told again, is no new one")
+				require.Equal(t, at, applyStart(), "the same start, reported again, has changed")
 			})
 		}
 	}
 }
 
-// TestServerStartBeforeSteppedLimiter: the limiter itself was started behind a step of its machine's clock, so that its own
-// clock is off by the step. A server that a change of the list names is cold all the same: by the list service's clock
-// where that is told, else since the list did not name it before.
+// TestServerStartBeforeSteppedLimiter: the limiter started after its machine's clock was stepped, so its own clock is
+// off by the step. A server that a list newly names still counts as cold: by discovery's clock if that is known,
+// otherwise because earlier lists did not name it.
 func TestServerStartBeforeSteppedLimiter(t *testing.T) {
 	for _, step := range []int64{hour, -hour} {
 		for _, serviceTells := range []bool{true, false} {
-			t.Run(fmt.Sprintf("step %d s, service tells %v", step/second, serviceTells), func(t *testing.T) {
+			t.Run(fmt.Sprintf("step %d s, discovery's clock known %v", step/second, serviceTells), func(t *testing.T) {
 				l, _ := newTestLimiter(t)
 				l.now = 2 * hour
 				w := &l.discovery
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestClockStepDetectedLater: the first list is the configuration's, and the list service's answer shows only then that the
-// limiter's clock is an hour ahead. A start that was taken for an old one is corrected.
+// TestClockStepDetectedLater: the first list is the configuration's, and only the answer of discovery shows that the
+// limiter's clock is an hour ahead. A start that counted as old must be corrected then.
 func TestClockStepDetectedLater(t *testing.T) {
 	l, _ := newTestLimiter(t)
 	l.now = 2 * hour
@@ -83,8 +83,8 @@
 	require.Equal(t, l.now-3*second, p.observeStart(told, &clock))
 }
 
-// TestServerStartWithoutClockStep: without a step a start keeps the time that was told, however late the list tells
-// it, and 0 means long ago.
+// TestServerStartWithoutClockStep: without a step a start keeps its reported time, however late it is reported, and 0
+// means long ago.
 func TestServerStartWithoutClockStep(t *testing.T) {
 	l, _ := newTestLimiter(t)
 	l.now = 2 * hour
@@ -92,6 +92,6 @@
 	l.discovery.serviceClock = l.now - second/2
 	clock := l.discovery.startClock(true)
 	require.Equal(t, hour, clock.toLocal(hour))
-	require.Equal(t, l.now+second/2, clock.toLocal(l.now+second/2), "the clocks of two machines are never quite alike")
+	require.Equal(t, l.now+second/2, clock.toLocal(l.now+second/2), "the clocks of two machines may differ slightly")
 	require.Zero(t, (&serverPool{}).observeStart(0, &clock))
 }
