--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -46,12 +46,12 @@
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		p := l.servers.pools["s"]
 		for ; l.now < reuseDelayTicks*l.settings.TimerResolution; l.now += l.settings.TimerResolution {
-			if b := p.acquire(); b.conn != nil || len(p.idle) != 1 {
+			if sc := p.acquire(); sc.conn != nil || len(p.idle) != 1 {
 				t.Fatal("a connection was reused before the reuse delay")
 			}
 		}
 		l.now = reuseDelayTicks * l.settings.TimerResolution
-		if b := p.acquire(); b.conn == nil || b.conn.id != id {
+		if sc := p.acquire(); sc.conn == nil || sc.conn.id != id {
 			t.Fatal("the connection was not reused after the reuse delay")
 		}
 	})
--- a/internal/limiter/server_pools_test.go
+++ b/internal/limiter/server_pools_test.go
@@ -81,21 +81,21 @@
 func TestHealthCheck(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(l *Limiter, b *serverConn)
+		end  func(l *Limiter, sc *serverConn)
 		want choice.Outcome
 	}{
-		{"answered", func(l *Limiter, b *serverConn) { _, _ = b.onData([]byte("+OK\r\n")) }, choice.Succeeded},
-		{"timed out", func(l *Limiter, b *serverConn) { b.healthCheckTimer.run() }, choice.TimedOut},
-		{"connection reset", func(l *Limiter, b *serverConn) { l.closeConn(b.conn, PeerReset) }, choice.ConnectionLost},
+		{"answered", func(l *Limiter, sc *serverConn) { _, _ = sc.onData([]byte("+OK\r\n")) }, choice.Succeeded},
+		{"timed out", func(l *Limiter, sc *serverConn) { sc.healthCheckTimer.run() }, choice.TimedOut},
+		{"connection reset", func(l *Limiter, sc *serverConn) { l.closeConn(sc.conn, PeerReset) }, choice.ConnectionLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, w := newTestLimiter(t)
 			l.HealthCheck("s")
 			l.Step(0, Connected{Conn: w.last})
 			requireText(t, w.wrote[w.last], "*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n")
-			b := l.conns[w.last].handler.(*serverConn)
-			c.end(l, b)
-			if b.healthCheckTimer != nil || len(l.results) != 1 || l.results[0].healthChecked != "s" ||
+			sc := l.conns[w.last].handler.(*serverConn)
+			c.end(l, sc)
+			if sc.healthCheckTimer != nil || len(l.results) != 1 || l.results[0].healthChecked != "s" ||
 				l.results[0].outcome != c.want {
 				t.Fatalf("queued results %+v", l.results)
 			}
@@ -110,7 +110,7 @@
 	w.dead = map[ConnID]bool{id: true}
 	l.now = reuseDelayTicks * l.settings.TimerResolution
 	p := l.servers.pools["s"]
-	if !p.withConn(func(b *serverConn) {}) || w.last == id || l.servers.connCount != 1 ||
+	if !p.withConn(func(sc *serverConn) {}) || w.last == id || l.servers.connCount != 1 ||
 		!slices.Contains(w.closed, id) {
 		t.Fatalf("dialled %v, closed %v, %d connections", w.dialed, w.closed, l.servers.connCount)
 	}
@@ -151,7 +151,7 @@
 		l, w, id := requestSent(t, "read")
 		w.receive(l, 0, id, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 		l.servers.maxReuseIdle, l.now = second, second+1
-		if b := l.servers.pools["s"].acquire(); b.conn != nil {
+		if sc := l.servers.pools["s"].acquire(); sc.conn != nil {
 			t.Fatal("the connection was reused")
 		}
 	})
--- a/internal/limiter/walk_environment_test.go
+++ b/internal/limiter/walk_environment_test.go
@@ -266,14 +266,14 @@
 	if since, known := w.draining[c.address]; known && w.now > since+walkDrainGrace {
 		w.fail("%s is sent to %s, which has been draining for %d ms", q.id, c.address, (w.now-since)/1e6)
 	}
-	if timeLeft := toldTimeLeft(words); timeLeft > q.command.deadline-w.now+walkTimeLeftSlack {
+	if timeLeft := commandTimeLeft(words); timeLeft > q.command.deadline-w.now+walkTimeLeftSlack {
 		w.fail("%s: a server is sent a time left of %d ms, the client has %d ms",
 			q.id, timeLeft/1e6, (q.command.deadline-w.now)/1e6)
 	}
 }
 
-// toldTimeLeft returns the time left that a command gives, nanoseconds.
-func toldTimeLeft(words [][]byte) int64 {
+// commandTimeLeft returns the time left that a command gives, nanoseconds.
+func commandTimeLeft(words [][]byte) int64 {
 	_, rest, _ := bytes.Cut(words[wordFields], []byte("d="))
 	digits, _, _ := bytes.Cut(rest, []byte(","))
 	milliseconds, _ := strconv.ParseInt(string(digits), 10, 64)
--- a/internal/limiter/wall_clock_test.go
+++ b/internal/limiter/wall_clock_test.go
@@ -75,12 +75,12 @@
 	l, _ := newTestLimiter(t)
 	l.now = 2 * hour
 	p := &serverPool{}
-	told := l.now - hour - 3*second
+	reported := l.now - hour - 3*second
 	clock := l.discovery.startClock(false)
-	require.Equal(t, told, p.observeStart(told, &clock))
+	require.Equal(t, reported, p.observeStart(reported, &clock))
 	l.discovery.serviceClock = l.now - hour
 	clock = l.discovery.startClock(true)
-	require.Equal(t, l.now-3*second, p.observeStart(told, &clock))
+	require.Equal(t, l.now-3*second, p.observeStart(reported, &clock))
 }
 
 // TestServerStartWithoutClockStep: without a step a start keeps its reported time, however late it is reported, and 0
