--- a/internal/limiter/arrival_test.go
+++ b/internal/limiter/arrival_test.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// changedCommand is a command in which one thing is otherwise.
-func changedCommand(old, new string) string {
+// commandWith returns the command of a read request with old replaced by new.
+func commandWith(old, new string) string {
 	return strings.Replace(command("j", "read", "480"), old, new, 1)
 }
--- a/internal/limiter/stored_test.go
+++ b/internal/limiter/stored_test.go
@@ -11,8 +11,8 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// TestStartsFromFilesOfAnEarlierVersion: a limiter of this version begins with the configuration and the snapshot that
-// one of version f99e54e had, and knows its servers.
+// TestStartsFromFilesOfAnEarlierVersion: a limiter starts with the configuration and the snapshot of one of version
+// f99e54e and knows its servers.
 func TestStartsFromFilesOfAnEarlierVersion(t *testing.T) {
 	config, err := settings.ReadFile("../settings/testdata/config.json")
 	require.NoError(t, err)
@@ -26,8 +26,8 @@
 	const storedAt = int64(1796224004196034612)
 	stored, err := place.Load(atomicfile.Disk{}, storedAt+int64(time.Minute))
 	require.NoError(t, err)
-	_, wires := newTestLimiter(t)
-	l, err := NewWithOptions(storedAt+int64(time.Minute), config, OperatorOptions{Snapshot: stored}, wires)
+	_, sockets := newTestLimiter(t)
+	l, err := NewWithOptions(storedAt+int64(time.Minute), config, OperatorOptions{Snapshot: stored}, sockets)
 	require.NoError(t, err)
 	require.Len(t, l.servers.pools, 2)
 	require.Equal(t, "127.0.0.1:17101", l.servers.pools["toy-0"].address)
