--- a/internal/lab/memfs/memfs.go
+++ b/internal/lab/memfs/memfs.go
@@ -20,42 +20,42 @@
 // New makes an empty disk on which nothing fails.
 func New() *Disk { return &Disk{Held: map[string][]byte{}} }
 
-func (d *Disk) step(what, path string) error {
-	d.Log = append(d.Log, what)
-	if what == d.Fail {
-		return &fs.PathError{Op: what, Path: path, Err: syscall.ENOSPC}
+func (d *Disk) begin(op, path string) error {
+	d.Log = append(d.Log, op)
+	if op == d.Fail {
+		return &fs.PathError{Op: op, Path: path, Err: syscall.ENOSPC}
 	}
 	return nil
 }
 
 // Read gives a file's bytes, or fs.ErrNotExist.
 func (d *Disk) Read(path string) ([]byte, error) {
-	if err := d.step("read", path); err != nil {
+	if err := d.begin("read", path); err != nil {
 		return nil, err
 	}
-	text, is := d.Held[path]
-	if !is {
+	data, exists := d.Held[path]
+	if !exists {
 		return nil, fs.ErrNotExist
 	}
-	return text, nil
+	return data, nil
 }
 
 // Write puts the bytes in a file, or the first Keep of them where it fails.
-func (d *Disk) Write(path string, text []byte) error {
+func (d *Disk) Write(path string, data []byte) error {
 	if d.Gate != nil {
 		<-d.Gate
 	}
-	err := d.step("write", path)
+	err := d.begin("write", path)
 	if err != nil {
-		text = text[:d.Keep]
+		data = data[:d.Keep]
 	}
-	d.Held[path] = slices.Clone(text)
+	d.Held[path] = slices.Clone(data)
 	return err
 }
 
 // Rename puts one file in another's place.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.step("rename", to); err != nil {
+	if err := d.begin("rename", to); err != nil {
 		return err
 	}
 	d.Held[to] = d.Held[from]
@@ -64,7 +64,7 @@
 }
 
 // Remove takes a file away, also where it then fails.
-func (d *Disk) Remove(path string) error { delete(d.Held, path); return d.step("remove", path) }
+func (d *Disk) Remove(path string) error { delete(d.Held, path); return d.begin("remove", path) }
 
 // Sync makes what was renamed in a directory last.
-func (d *Disk) Sync(dir string) error { return d.step("sync", dir) }
+func (d *Disk) Sync(dir string) error { return d.begin("sync", dir) }
--- a/internal/lab/simfleet/clients.go
+++ b/internal/lab/simfleet/clients.go
@@ -37,12 +37,12 @@
 	Customers       []Customer
 	Classes         []ClassShare
 	KeepConnections bool    // they stay on open connections after SIGTERM; else they close them once it is noticed
-	GiveUp          float64 // so many go away after half of their time
-	Retry           float64 // so many of those rejected come again
+	AbandonShare    float64 // so many go away after half of their time
+	RetryShare      float64 // so many of those rejected come again
 }
 
-// late is how long past its deadline a client still looks for an answer.
-const late = 500e6
+// lateAnswerWindow is how long past its deadline a client still looks for an answer.
+const lateAnswerWindow = 500e6
 
 // clients are all clients, behind the front that deals their requests out.
 type clients struct {
@@ -50,68 +50,68 @@
 	host     *host
 	rng      *rand.Rand
 	rate     float64
-	gates    []*gate // one a limiter
+	limiters []*limiterState // one a limiter
 	next     int
 	unserved int // requests for which no limiter of the customer's set was in
 }
 
-// gate is what the front knows of a limiter.
-type gate struct {
-	in      bool // it has answered PING since its start
-	leaving bool // its end was noticed: no new connections
-	idle    []*tie
-	starts  int
-	readyAt int64 // when it was taken in
+// limiterState is what the front knows of a limiter.
+type limiterState struct {
+	ready    bool // it has answered PING since its start
+	draining bool // its end was noticed: no new connections
+	idle     []*clientConn
+	starts   int
+	readyAt  int64 // when it was taken in
 }
 
-// tie is a client's connection.
-type tie struct {
-	n    int
-	s    *side
-	held []byte
-	out  *visit
-	ping bool
+// clientConn is a client's connection.
+type clientConn struct {
+	limiter  int
+	end      *connEnd
+	received []byte
+	pending  *pendingRequest
+	ping     bool
 }
 
-// visit is a request on its way.
-type visit struct {
-	job    history.Request
-	text   []byte
-	cutOff int64
-	giveUp bool
-	resent bool
-	tie    *tie
-	over   bool
-	number int    // of its sendings
-	again  func() // brings it once more, as a new request, where its client does so after a rejection
+// pendingRequest is a request on its way.
+type pendingRequest struct {
+	request  history.Request
+	command  []byte
+	timeout  int64
+	abandons bool
+	resent   bool
+	conn     *clientConn
+	finished bool
+	sends    int    // of its sendings
+	retry    func() // brings it once more, as a new request, where its client does so after a rejection
 }
 
-func (k *clients) accept(*side) {}
+func (c *clients) accept(*connEnd) {}
 
-func (k *clients) connected(s *side) {
-	t := s.data.(*tie)
-	if t.ping {
-		s.write([]byte("*1\r\n$4\r\nPING\r\n"))
-	} else if t.out != nil {
-		k.put(t)
+func (c *clients) connected(end *connEnd) {
+	conn := end.data.(*clientConn)
+	if conn.ping {
+		end.write([]byte("*1\r\n$4\r\nPING\r\n"))
+	} else if conn.pending != nil {
+		c.writeRequest(conn)
 	}
 }
 
-// arrive lets requests come from now on.
-func (k *clients) arrive() {
-	o := &k.f.o.Load
-	k.f.q.at(k.f.q.now+int64(k.rng.ExpFloat64()/k.rate*1e9), func() {
-		if k.f.q.now >= o.Until {
+// scheduleNext lets requests come from now on.
+func (c *clients) scheduleNext() {
+	load := &c.f.options.Load
+	c.f.q.at(c.f.q.now+int64(c.rng.ExpFloat64()/c.rate*1e9), func() {
+		if c.f.q.now >= load.Until {
 			return
 		}
-		c := draw(k.rng, o.Customers, func(c Customer) float64 { return c.Share })
-		m := draw(k.rng, o.Classes, func(m ClassShare) float64 { return m.Share })
-		k.bring(c, m, false)
-		k.arrive()
+		customer := weightedChoice(c.rng, load.Customers, func(c Customer) float64 { return c.Share })
+		class := weightedChoice(c.rng, load.Classes, func(m ClassShare) float64 { return m.Share })
+		c.issue(customer, class, false)
+		c.scheduleNext()
 	})
 }
 
-func draw[T any](rng *rand.Rand, items []T, share func(T) float64) T {
+func weightedChoice[T any](rng *rand.Rand, items []T, share func(T) float64) T {
 	total := 0.0
 	for _, it := range items {
 		total += share(it)
@@ -126,246 +126,248 @@
 	return items[len(items)-1]
 }
 
-// bring makes a request and hands it to one of the customer's limiters that is in.
-func (k *clients) bring(c Customer, m ClassShare, retry bool) {
-	count := len(k.gates)
-	at := k.rng.IntN(c.Limiters)
-	n := -1
-	for i := range c.Limiters {
-		try := (c.First + (at+i)%c.Limiters) % count
-		if g := k.gates[try]; g.in && (!g.leaving || k.f.o.Load.KeepConnections && len(g.idle) > 0) {
-			n = try
+// issue makes a request and hands it to one of the customer's limiters that is in.
+func (c *clients) issue(customer Customer, class ClassShare, retry bool) {
+	total := len(c.limiters)
+	offset := c.rng.IntN(customer.Limiters)
+	chosen := -1
+	for i := range customer.Limiters {
+		candidate := (customer.First + (offset+i)%customer.Limiters) % total
+		if state := c.limiters[candidate]; state.ready &&
+			(!state.draining || c.f.options.Load.KeepConnections && len(state.idle) > 0) {
+			chosen = candidate
 			break
 		}
 	}
-	if n < 0 {
-		k.unserved++
+	if chosen < 0 {
+		c.unserved++
 		return
 	}
-	k.next++
-	effect := k.f.set.Classes[m.Class].Idempotency
-	v := &visit{cutOff: m.Deadline, giveUp: k.rng.Float64() < k.f.o.Load.GiveUp}
-	v.job = history.Request{
-		ID:            fmt.Sprintf("%016x", k.next),
-		Customer:      c.ID,
-		Plan:          c.Plan,
-		Class:         m.Class,
-		Units:         m.Units,
-		Limiter:       n,
+	c.next++
+	effect := c.f.settings.Classes[class.Class].Idempotency
+	pending := &pendingRequest{timeout: class.Deadline, abandons: c.rng.Float64() < c.f.options.Load.AbandonShare}
+	pending.request = history.Request{
+		ID:            fmt.Sprintf("%016x", c.next),
+		Customer:      customer.ID,
+		Plan:          customer.Plan,
+		Class:         class.Class,
+		Units:         class.Units,
+		Limiter:       chosen,
 		Retry:         retry,
 		NonIdempotent: effect == choice.NonIdempotent,
 	}
-	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", m.Class, c.Plan, m.Deadline/1e6,
-		strconv.FormatFloat(m.Units, 'g', -1, 64), c.Limiters, c.First)
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", class.Class, customer.Plan, class.Deadline/1e6,
+		strconv.FormatFloat(class.Units, 'g', -1, 64), customer.Limiters, customer.First)
 	if retry {
-		list += ",r=1"
+		fields += ",r=1"
 	}
 	if effect == choice.IdempotentWithKey {
-		list += ",k=" + v.job.ID
+		fields += ",k=" + pending.request.ID
 	}
-	words := [][]byte{[]byte("SVC.QUERY"), []byte(c.ID), []byte(v.job.ID), []byte(list)}
+	words := [][]byte{[]byte("SVC.QUERY"), []byte(customer.ID), []byte(pending.request.ID), []byte(fields)}
 	if effect != choice.Idempotent {
 		words[0] = []byte("SVC.SUBMIT")
 		words = append(words, []byte("body"))
 	}
-	v.text = resp.AppendCommand(nil, words...)
-	v.job.Answered = -1
-	if k.rng.Float64() < k.f.o.Load.Retry && !retry {
-		v.again = func() { k.bring(c, m, true) }
+	pending.command = resp.AppendCommand(nil, words...)
+	pending.request.Answered = -1
+	if c.rng.Float64() < c.f.options.Load.RetryShare && !retry {
+		pending.retry = func() { c.issue(customer, class, true) }
 	}
-	k.send(v, false)
+	c.send(pending, false)
 }
 
 // send puts a request on a connection that is idle, the one used last first, or on a new one.
-func (k *clients) send(v *visit, fresh bool) {
-	g := k.gates[v.job.Limiter]
-	v.number++
-	if last := len(g.idle) - 1; last >= 0 && !fresh {
-		t := g.idle[last]
-		g.idle = g.idle[:last]
-		t.out = v
-		v.tie = t
-		k.put(t)
+func (c *clients) send(pending *pendingRequest, newConn bool) {
+	state := c.limiters[pending.request.Limiter]
+	pending.sends++
+	if last := len(state.idle) - 1; last >= 0 && !newConn {
+		conn := state.idle[last]
+		state.idle = state.idle[:last]
+		conn.pending = pending
+		pending.conn = conn
+		c.writeRequest(conn)
 		return
 	}
-	t := &tie{n: v.job.Limiter, out: v}
-	v.tie = t
-	v.job.Sent = k.f.q.now
-	v.job.Deadline = k.f.q.now + v.cutOff
-	t.s = k.f.net.dial(k.host, k, k.f.limiters[t.n].host.name, 1e9)
-	t.s.data = t
+	conn := &clientConn{limiter: pending.request.Limiter, pending: pending}
+	pending.conn = conn
+	pending.request.Sent = c.f.q.now
+	pending.request.Deadline = c.f.q.now + pending.timeout
+	conn.end = c.f.net.dial(c.host, c, c.f.limiters[conn.limiter].host.name, 1e9)
+	conn.end.data = conn
 }
 
-// put writes a request: its time is counted from here.
-func (k *clients) put(t *tie) {
-	v, now := t.out, k.f.q.now
-	v.job.Sent = now
-	v.job.Deadline = now + v.cutOff
-	t.s.write(v.text)
-	number := v.number
-	look := v.job.Deadline + late
-	if v.giveUp {
-		look = now + v.cutOff/2
+// writeRequest writes a request: its time is counted from here.
+func (c *clients) writeRequest(conn *clientConn) {
+	pending, now := conn.pending, c.f.q.now
+	pending.request.Sent = now
+	pending.request.Deadline = now + pending.timeout
+	conn.end.write(pending.command)
+	send := pending.sends
+	checkAt := pending.request.Deadline + lateAnswerWindow
+	if pending.abandons {
+		checkAt = now + pending.timeout/2
 	}
-	k.f.q.at(look, func() {
-		if v.over || v.number != number {
+	c.f.q.at(checkAt, func() {
+		if pending.finished || pending.sends != send {
 			return
 		}
-		t.s.close()
-		if v.giveUp {
-			k.end(v, history.GaveUp, 0)
+		conn.end.close()
+		if pending.abandons {
+			c.finish(pending, history.GaveUp, 0)
 		} else {
-			k.end(v, history.Unanswered, 0)
+			c.finish(pending, history.Unanswered, 0)
 		}
 	})
 }
 
-// end writes a request down.
-func (k *clients) end(v *visit, outcome history.Outcome, retryAfter int64) {
-	v.over = true
-	v.job.Answered = k.f.q.now
-	v.job.Outcome = outcome
-	v.job.RetryAfter = retryAfter
-	if v.tie != nil {
-		v.tie.out = nil
+// finish writes a request down.
+func (c *clients) finish(pending *pendingRequest, outcome history.Outcome, retryAfter int64) {
+	pending.finished = true
+	pending.request.Answered = c.f.q.now
+	pending.request.Outcome = outcome
+	pending.request.RetryAfter = retryAfter
+	if pending.conn != nil {
+		pending.conn.pending = nil
 	}
-	k.f.requests = append(k.f.requests, v.job)
-	if at := k.f.q.now + max(retryAfter, 50e6); v.again != nil && outcome == history.Rejected && at < k.f.o.Load.Until {
-		k.f.q.at(at, v.again)
+	c.f.requests = append(c.f.requests, pending.request)
+	if at := c.f.q.now + max(retryAfter, 50e6); pending.retry != nil && outcome == history.Rejected &&
+		at < c.f.options.Load.Until {
+		c.f.q.at(at, pending.retry)
 	}
 }
 
-func (k *clients) read(s *side, b []byte, _ int64) {
-	t := s.data.(*tie)
-	t.held = append(t.held, b...)
-	value, n, err := resp.ReadValue(t.held)
+func (c *clients) read(end *connEnd, data []byte, _ int64) {
+	conn := end.data.(*clientConn)
+	conn.received = append(conn.received, data...)
+	value, n, err := resp.ReadValue(conn.received)
 	if n == 0 && err == nil {
 		return
 	}
-	v := t.out
-	if t.ping {
-		s.close()
+	pending := conn.pending
+	if conn.ping {
+		end.close()
 		if string(value.Text) == "PONG" {
-			k.takeIn(t.n)
+			c.markReady(conn.limiter)
 		}
 		return
 	}
-	if v == nil || err != nil {
-		k.f.fault("answer", fmt.Sprintf("limiter:%d", t.n), "an answer that nobody asked for, or none")
-		s.close()
-		g := k.gates[t.n]
-		g.idle = slices.DeleteFunc(g.idle, func(o *tie) bool { return o == t })
-		if v != nil {
-			k.end(v, history.ConnectionBroken, 0)
+	if pending == nil || err != nil {
+		c.f.recordFault("answer", fmt.Sprintf("limiter:%d", conn.limiter), "an answer that nobody asked for, or none")
+		end.close()
+		state := c.limiters[conn.limiter]
+		state.idle = slices.DeleteFunc(state.idle, func(o *clientConn) bool { return o == conn })
+		if pending != nil {
+			c.finish(pending, history.ConnectionBroken, 0)
 		}
 		return
 	}
-	t.held = t.held[n:]
-	outcome, retryAfter := judge(value)
-	if k.f.q.now > v.job.Deadline {
+	conn.received = conn.received[n:]
+	outcome, retryAfter := outcomeOf(value)
+	if c.f.q.now > pending.request.Deadline {
 		outcome = history.Late
 	}
-	k.end(v, outcome, retryAfter)
-	g := k.gates[t.n]
-	if g.leaving && !k.f.o.Load.KeepConnections {
-		s.close()
+	c.finish(pending, outcome, retryAfter)
+	state := c.limiters[conn.limiter]
+	if state.draining && !c.f.options.Load.KeepConnections {
+		end.close()
 		return
 	}
-	g.idle = append(g.idle, t)
+	state.idle = append(state.idle, conn)
 }
 
-// judge names an answer as the protocol's table does, with its retry-after in nanoseconds.
-func judge(v resp.Value) (history.Outcome, int64) {
+// outcomeOf names an answer as the protocol's table does, with its retry-after in nanoseconds.
+func outcomeOf(answer resp.Value) (history.Outcome, int64) {
 	switch {
-	case v.Kind == '$' && !v.Null:
+	case answer.Kind == '$' && !answer.Null:
 		return history.Succeeded, 0
-	case v.Kind == '-' && len(v.Text) >= 4 && string(v.Text[:4]) == "BUSY":
-		ms, _ := strconv.ParseInt(string(v.Text[min(len(v.Text), 5):]), 10, 64)
+	case answer.Kind == '-' && len(answer.Text) >= 4 && string(answer.Text[:4]) == "BUSY":
+		ms, _ := strconv.ParseInt(string(answer.Text[min(len(answer.Text), 5):]), 10, 64)
 		return history.Rejected, ms * 1e6
 	}
 	return history.Failed, 0
 }
 
-func (k *clients) ended(s *side, how limiter.CloseReason) {
-	t := s.data.(*tie)
-	g := k.gates[t.n]
-	g.idle = slices.DeleteFunc(g.idle, func(o *tie) bool { return o == t })
-	v := t.out
-	if v == nil {
+func (c *clients) ended(end *connEnd, reason limiter.CloseReason) {
+	conn := end.data.(*clientConn)
+	state := c.limiters[conn.limiter]
+	state.idle = slices.DeleteFunc(state.idle, func(o *clientConn) bool { return o == conn })
+	pending := conn.pending
+	if pending == nil {
 		return
 	}
-	unread := how == limiter.ConnRefused || how == limiter.DialTimedOut || s.far.got < s.wrote
+	unread := reason == limiter.ConnRefused || reason == limiter.DialTimedOut || end.peer.bytesRead < end.bytesWritten
 	switch {
-	case unread && !v.resent && how != limiter.DialTimedOut: // the end has crossed it: it comes once more
-		v.resent = true
-		k.send(v, true)
+	case unread && !pending.resent && reason != limiter.DialTimedOut: // the end has crossed it: it comes once more
+		pending.resent = true
+		c.send(pending, true)
 	case unread:
-		v.job.Answered = k.f.q.now
-		k.end(v, history.NotAccepted, 0)
+		pending.request.Answered = c.f.q.now
+		c.finish(pending, history.NotAccepted, 0)
 	default:
-		k.end(v, history.ConnectionBroken, 0)
+		c.finish(pending, history.ConnectionBroken, 0)
 	}
 }
 
-// started: the front asks a limiter until it says that it is ready.
-func (k *clients) started(n int) {
-	g := k.gates[n]
-	g.in = false
-	g.leaving = false
-	g.starts++
-	k.ask(n, g.starts)
+// limiterStarted: the front asks a limiter until it says that it is ready.
+func (c *clients) limiterStarted(n int) {
+	state := c.limiters[n]
+	state.ready = false
+	state.draining = false
+	state.starts++
+	c.pingUntilReady(n, state.starts)
 }
 
-const pingEvery = 100e6
+const pingInterval = 100e6
 
-func (k *clients) ask(n, start int) {
-	g := k.gates[n]
-	if g.in || g.starts != start {
+func (c *clients) pingUntilReady(n, start int) {
+	state := c.limiters[n]
+	if state.ready || state.starts != start {
 		return
 	}
-	t := &tie{n: n, ping: true}
-	t.s = k.f.net.dial(k.host, k, k.f.limiters[n].host.name, pingEvery)
-	t.s.data = t
-	k.f.q.at(k.f.q.now+pingEvery, func() {
-		t.s.close()
-		k.ask(n, start)
+	conn := &clientConn{limiter: n, ping: true}
+	conn.end = c.f.net.dial(c.host, c, c.f.limiters[n].host.name, pingInterval)
+	conn.end.data = conn
+	c.f.q.at(c.f.q.now+pingInterval, func() {
+		conn.end.close()
+		c.pingUntilReady(n, start)
 	})
 }
 
-func (k *clients) takeIn(n int) {
-	g := k.gates[n]
-	if !g.in {
-		g.in = true
-		g.readyAt = k.f.q.now
-		k.f.event("ready", fmt.Sprintf("limiter:%d", n), "")
+func (c *clients) markReady(n int) {
+	state := c.limiters[n]
+	if !state.ready {
+		state.ready = true
+		state.readyAt = c.f.q.now
+		c.f.recordEvent("ready", fmt.Sprintf("limiter:%d", n), "")
 	}
 }
 
-// died: the front notices some seconds later, unless the limiter has started again by then.
-func (k *clients) died(n int) {
-	g := k.gates[n]
-	start := g.starts
-	k.f.q.at(k.f.q.now+1e9+k.rng.Int64N(2e9), func() {
-		if g.starts == start {
-			g.in = false
+// limiterEnded: the front notices some seconds later, unless the limiter has started again by then.
+func (c *clients) limiterEnded(n int) {
+	state := c.limiters[n]
+	start := state.starts
+	c.f.q.at(c.f.q.now+1e9+c.rng.Int64N(2e9), func() {
+		if state.starts == start {
+			state.ready = false
 		}
 	})
 }
 
-// ending: after SIGTERM new connections come for a little longer.
-func (k *clients) ending(n int) {
-	g := k.gates[n]
-	start := g.starts
-	k.f.q.at(k.f.q.now+200e6+k.rng.Int64N(200e6), func() {
-		if g.starts != start {
+// limiterDraining: after SIGTERM new connections come for a little longer.
+func (c *clients) limiterDraining(n int) {
+	state := c.limiters[n]
+	start := state.starts
+	c.f.q.at(c.f.q.now+200e6+c.rng.Int64N(200e6), func() {
+		if state.starts != start {
 			return
 		}
-		g.leaving = true
-		if !k.f.o.Load.KeepConnections {
-			for _, t := range g.idle {
-				t.s.close()
+		state.draining = true
+		if !c.f.options.Load.KeepConnections {
+			for _, conn := range state.idle {
+				conn.end.close()
 			}
-			g.idle = nil
+			state.idle = nil
 		}
 	})
 }
--- a/internal/lab/simfleet/coldload.go
+++ b/internal/lab/simfleet/coldload.go
@@ -56,7 +56,7 @@
 		if e.Kind != "back" {
 			continue
 		}
-		until := e.At + f.set.SlowStartWindow
+		until := e.At + f.settings.SlowStartWindow
 		for _, next := range f.events[i+1:] {
 			if next.Kind == "back" && next.Target == e.Target {
 				until = min(until, next.At)
@@ -69,20 +69,20 @@
 }
 
 // coldLoad measures one process of a server by the commands that arrived between two moments.
-func (f *Fleet) coldLoad(s *server, started, until int64) ColdLoad {
-	load := ColdLoad{Server: s.spec.Name, Started: started}
-	version := f.startVersion(s.spec.Name, started)
-	all := slidingWindow{length: f.o.OverloadWindow}
-	notified := slidingWindow{length: f.o.OverloadWindow}
-	for _, shot := range f.attempts {
-		if shot.Server != s.spec.Name || shot.At < started || shot.At >= until {
+func (f *Fleet) coldLoad(measured *server, started, until int64) ColdLoad {
+	load := ColdLoad{Server: measured.spec.Name, Started: started}
+	version := f.startVersion(measured.spec.Name, started)
+	all := slidingWindow{length: f.options.OverloadWindow}
+	notified := slidingWindow{length: f.options.OverloadWindow}
+	for _, attempt := range f.attempts {
+		if attempt.Server != measured.spec.Name || attempt.At < started || attempt.At >= until {
 			continue
 		}
-		bound := s.coldBound(shot.At - started)
+		bound := measured.coldBound(attempt.At - started)
 		load.Requests++
-		load.All = load.All.Worse(ColdPeak{At: shot.At, Count: all.add(shot.At), Bound: bound})
-		if f.notifiedAt(shot.limiter, shot.At, version) <= shot.At {
-			load.Notified = load.Notified.Worse(ColdPeak{At: shot.At, Count: notified.add(shot.At), Bound: bound})
+		load.All = load.All.Worse(ColdPeak{At: attempt.At, Count: all.add(attempt.At), Bound: bound})
+		if f.limiterNotifiedAt(attempt.limiter, attempt.At, version) <= attempt.At {
+			load.Notified = load.Notified.Worse(ColdPeak{At: attempt.At, Count: notified.add(attempt.At), Bound: bound})
 		}
 	}
 	return load
@@ -91,24 +91,24 @@
 // startVersion is the list's version that first told of a server's start.
 func (f *Fleet) startVersion(server string, started int64) int64 {
 	startedMs := (epoch + started) / 1e6
-	i := slices.IndexFunc(f.lists.changes, func(c change) bool {
+	i := slices.IndexFunc(f.discovery.changes, func(c change) bool {
 		return c.entry.ID == server && c.entry.StartedMs == startedMs
 	})
 	if i < 0 {
 		return 0
 	}
-	return f.lists.changes[i].version
+	return f.discovery.changes[i].version
 }
 
-// notifiedAt is when a version counts as notified to the process that a limiter had at a moment, never where it had
+// limiterNotifiedAt is when a version counts as notified to the process that a limiter had at a moment, never where it had
 // none or the version is 0.
-func (f *Fleet) notifiedAt(limiter int, at, version int64) int64 {
+func (f *Fleet) limiterNotifiedAt(limiter int, at, version int64) int64 {
 	if version == 0 {
 		return never
 	}
-	for _, l := range f.limiters[limiter].lives {
-		if at >= l.from && at < l.until {
-			return f.toldAt(limiter, l, version)
+	for _, inc := range f.limiters[limiter].incarnations {
+		if at >= inc.from && at < inc.until {
+			return f.notifiedAt(limiter, inc, version)
 		}
 	}
 	return never
@@ -116,10 +116,10 @@
 
 // coldBound is the most commands that rule 4 allows the server in a window that ends at an age of its process.
 func (s *server) coldBound(age int64) float64 {
-	o, set := &s.f.o, s.f.set
-	warmth := set.ColdCapacity + (1-set.ColdCapacity)*min(1, float64(age)/float64(set.SlowStartWindow))
-	pace := float64(s.spec.Slots) / (float64(s.spec.ServiceTime) / 1e9)
-	n := o.OverloadMultiple * warmth * pace * float64(o.OverloadWindow) / 1e9
+	o, settings := &s.f.options, s.f.settings
+	warmth := settings.ColdCapacity + (1-settings.ColdCapacity)*min(1, float64(age)/float64(settings.SlowStartWindow))
+	warmRate := float64(s.spec.Slots) / (float64(s.spec.ServiceTime) / 1e9)
+	n := o.OverloadMultiple * warmth * warmRate * float64(o.OverloadWindow) / 1e9
 	return n + slackRoot*math.Sqrt(n) + slackFixed
 }
 
--- a/internal/lab/simfleet/coldload_test.go
+++ b/internal/lab/simfleet/coldload_test.go
@@ -14,37 +14,37 @@
 // coldFleet is one row of the measurement: how many limiters share how many servers, and of which pace.
 type coldFleet struct {
 	limiters, servers int
-	pace              float64 // requests a second of a server that is warm
+	warmRate          float64 // requests a second of a server that is warm
 	broken            []Broken
 }
 
 // coldSlots is how many requests at a time a server of the measurement does.
 const coldSlots = 2
 
-// burstOver is the load during the burst over what all servers do once they are warm. Before it the load is 0.5 of
+// burstLoadFactor is the load during the burst over what all servers do once they are warm. Before it the load is 0.5 of
 // that.
-const burstOver = 1.5
+const burstLoadFactor = 1.5
 
 // The times of the experiment: two servers are away, two new ones join as these return, and a burst covers the starts.
 const (
-	coldCrash  = 2 * second
-	coldBurst  = 3 * second
-	coldReturn = 3500 * second / 1000
-	coldLater  = 3700 * second / 1000
-	coldEnd    = 12500 * second / 1000
+	coldCrash        = 2 * second
+	coldBurst        = 3 * second
+	coldReturn       = 3500 * second / 1000
+	coldSecondReturn = 3700 * second / 1000
+	coldEnd          = 12500 * second / 1000
 )
 
 // options gives the fleet of a row, with customers enough that their quotas do not bound the burst.
 func (c coldFleet) options(seed uint64) Options {
 	o := Plain(seed, c.limiters, c.servers)
 	for i := range o.Servers {
-		o.Servers[i].Slots, o.Servers[i].ServiceTime = coldSlots, int64(coldSlots/c.pace*1e9)
+		o.Servers[i].Slots, o.Servers[i].ServiceTime = coldSlots, int64(coldSlots/c.warmRate*1e9)
 	}
-	capacity := c.pace * float64(c.servers)
+	capacity := c.warmRate * float64(c.servers)
 	o.Load.Rate, o.Load.From, o.Load.Until = capacity/2, second, coldEnd
 	o.Broken = c.broken
 	const teamRate = 40 // of DefaultSettings
-	customers := max(int(2*burstOver*capacity/teamRate), c.limiters/5)
+	customers := max(int(2*burstLoadFactor*capacity/teamRate), c.limiters/5)
 	o.Load.Customers = nil
 	for i := range customers {
 		o.Load.Customers = append(o.Load.Customers, Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1,
@@ -53,16 +53,16 @@
 	return o
 }
 
-// play plays a row with one seed and gives the worst peaks of its cold starts.
-func (c coldFleet) play(t *testing.T, seed uint64) (all, notified ColdPeak) {
+// worstPeaks plays a row with one seed and gives the worst peaks of its cold starts.
+func (c coldFleet) worstPeaks(t *testing.T, seed uint64) (all, notified ColdPeak) {
 	t.Helper()
 	f, err := New(c.options(seed))
 	require.NoError(t, err)
 	f.StartAll(0)
 	f.At(coldCrash, func() { f.CrashServer("s0"); f.CrashServer("s1") })
-	f.At(coldBurst, func() { f.SetRequestRate(burstOver * c.pace * float64(c.servers)) })
+	f.At(coldBurst, func() { f.SetRequestRate(burstLoadFactor * c.warmRate * float64(c.servers)) })
 	f.At(coldReturn, func() { f.RestartServer("s0"); f.AddServer("s2", "new0") })
-	f.At(coldLater, func() { f.RestartServer("s1"); f.AddServer("s3", "new1") })
+	f.At(coldSecondReturn, func() { f.RestartServer("s1"); f.AddServer("s3", "new1") })
 	f.Run(coldEnd)
 	require.Empty(t, f.faults)
 	loads := f.ColdLoads()
@@ -74,18 +74,18 @@
 	return all, notified
 }
 
-// summary is what the seeds of a row come to, for one kind of peaks.
-type summary struct {
+// peakSummary is what the seeds of a row come to, for one kind of peaks.
+type peakSummary struct {
 	worst ColdPeak
 	sum   float64 // of the ratios
 	seeds int
 }
 
-func (s *summary) add(p ColdPeak) {
+func (s *peakSummary) add(p ColdPeak) {
 	s.worst, s.sum, s.seeds = s.worst.Worse(p), s.sum+p.Ratio(), s.seeds+1
 }
 
-func (s *summary) cells() string {
+func (s *peakSummary) tableCells() string {
 	return fmt.Sprintf(
 		"%d of %.1f | %.1f | %.2f | %.2f",
 		s.worst.Count,
@@ -100,19 +100,21 @@
 // It logs the rows of the table in docs/cold-margin.md.
 func TestColdMargin(t *testing.T) {
 	for _, c := range []coldFleet{
-		{limiters: 20, servers: 10, pace: 20}, {limiters: 25, servers: 10, pace: 20}, {limiters: 30, servers: 10, pace: 20},
-		{limiters: 300, servers: 20, pace: 20},
-		{limiters: 20, servers: 10, pace: 5}, {limiters: 25, servers: 10, pace: 5}, {limiters: 30, servers: 10, pace: 5},
-		{limiters: 300, servers: 40, pace: 5},
+		{limiters: 20, servers: 10, warmRate: 20}, {limiters: 25, servers: 10, warmRate: 20},
+		{limiters: 30, servers: 10, warmRate: 20},
+		{limiters: 300, servers: 20, warmRate: 20},
+		{limiters: 20, servers: 10, warmRate: 5}, {limiters: 25, servers: 10, warmRate: 5},
+		{limiters: 30, servers: 10, warmRate: 5},
+		{limiters: 300, servers: 40, warmRate: 5},
 	} {
-		t.Run(fmt.Sprintf("%d_limiters_%d_servers_of_%.0f", c.limiters, c.servers, c.pace), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d_limiters_%d_servers_of_%.0f", c.limiters, c.servers, c.warmRate), func(t *testing.T) {
 			seeds := 10
 			if testing.Short() && c.limiters == 300 {
 				seeds = 2
 			}
-			var all, notified summary
+			var all, notified peakSummary
 			for seed := 1; seed <= seeds; seed++ {
-				allPeak, notifiedPeak := c.play(t, uint64(seed))
+				allPeak, notifiedPeak := c.worstPeaks(t, uint64(seed))
 				all.add(allPeak)
 				notified.add(notifiedPeak)
 				assert.Positive(
@@ -128,10 +130,10 @@
 				"| %d | %d | %.0f | %d | %s | %s |",
 				c.limiters,
 				c.servers,
-				c.pace,
+				c.warmRate,
 				seeds,
-				all.cells(),
-				notified.cells(),
+				all.tableCells(),
+				notified.tableCells(),
 			)
 		})
 	}
@@ -140,10 +142,10 @@
 // TestColdMarginBroken: limiters that overfeed new servers pass the bound. Twenty of them before servers of 20
 // requests a second do not (docs/cold-margin.md).
 func TestColdMarginBroken(t *testing.T) {
-	for _, c := range []coldFleet{{limiters: 30, servers: 10, pace: 5}, {limiters: 300, servers: 40, pace: 5},
-		{limiters: 300, servers: 20, pace: 20}} {
+	for _, c := range []coldFleet{{limiters: 30, servers: 10, warmRate: 5}, {limiters: 300, servers: 40, warmRate: 5},
+		{limiters: 300, servers: 20, warmRate: 20}} {
 		c.broken = []Broken{OverloadsNewServers}
-		_, notified := c.play(t, 1)
+		_, notified := c.worstPeaks(t, 1)
 		assert.Negative(
 			t,
 			notified.Margin(),
@@ -161,9 +163,9 @@
 	require.NoError(t, err)
 	f.At(10*second, func() { f.RestartServer("s0") })
 	f.Run(10 * second)
-	f.limiters[0].lives = []*life{{until: never}}
-	f.limiters[1].lives = []*life{{until: never}}
-	f.limiters[0].had = []mark{{firstVersion + 1, 11 * second}}
+	f.limiters[0].incarnations = []*incarnation{{until: never}}
+	f.limiters[1].incarnations = []*incarnation{{until: never}}
+	f.limiters[0].agentVersions = []versionMark{{firstVersion + 1, 11 * second}}
 	for _, s := range []struct {
 		at      int64
 		limiter int
@@ -178,7 +180,8 @@
 		{26 * second, 0, 500}, // warm
 	} {
 		for range s.times {
-			f.attempts = append(f.attempts, seen{Attempt: history.Attempt{Server: "s0", At: s.at}, limiter: s.limiter})
+			f.attempts = append(f.attempts, observedAttempt{Attempt: history.Attempt{Server: "s0", At: s.at},
+				limiter: s.limiter})
 		}
 	}
 	loads := f.ColdLoads()
--- a/internal/lab/simfleet/judge.go
+++ b/internal/lab/simfleet/judge.go
@@ -8,19 +8,19 @@
 	"ospreycroft/internal/lab/invariants"
 )
 
-// toldAt is when a version of the list counts as told to one process of a limiter; never where it does not.
+// notifiedAt is when a version of the list counts as told to one process of a limiter; never where it does not.
 //
 // Where lists are pushed, what the agent has counts from the moment it has it, or from the start of the process. Where
 // they are asked for, what the service has written counts. In both a watch that has fallen silent is one clock: what
 // it misses counts as told 6 s after that, for a call that may wait 2 s after the wait is over if that is later,
 // whether or not it arrived. A process that is stopped is told when it goes on.
-func (f *Fleet) toldAt(n int, l *life, version int64) int64 {
-	told := min(firstAt(l.handed, version), f.counted(n, l, version))
-	return after(told, l.stops)
+func (f *Fleet) notifiedAt(n int, inc *incarnation, version int64) int64 {
+	notified := min(firstReached(inc.delivered, version), f.assumedNotifiedAt(n, inc, version))
+	return skipSpans(notified, inc.pauses)
 }
 
-// firstAt is when a version or a newer one first came.
-func firstAt(marks []mark, version int64) int64 {
+// firstReached is when a version or a newer one first came.
+func firstReached(marks []versionMark, version int64) int64 {
 	for _, m := range marks {
 		if m.version >= version {
 			return m.at
@@ -29,29 +29,30 @@
 	return never
 }
 
-// counted is when a version counts as told whether it was handed over or not.
-func (f *Fleet) counted(n int, l *life, version int64) int64 {
-	if f.o.Mode == Pushed {
-		return after(max(firstAt(f.limiters[n].had, version), l.from), l.silences, l.others)
+// assumedNotifiedAt is when a version counts as told whether it was handed over or not.
+func (f *Fleet) assumedNotifiedAt(n int, inc *incarnation, version int64) int64 {
+	if f.options.Mode == Pushed {
+		return skipSpans(max(firstReached(f.limiters[n].agentVersions, version), inc.from),
+			inc.watchSilences, inc.discoveryOutages)
 	}
-	if version <= firstVersion || version > f.lists.version() {
+	if version <= firstVersion || version > f.discovery.version() {
 		return never
 	}
-	listed := f.lists.changes[version-firstVersion-1].at
-	at := max(listed, l.from) + 4*f.set.PollInterval // where no call was answered for so long
-	for _, s := range l.silences {
+	listed := f.discovery.changes[version-firstVersion-1].at
+	at := max(listed, inc.from) + 4*f.settings.PollInterval // where no call was answered for so long
+	for _, s := range inc.watchSilences {
 		if listed < s.until {
 			at = min(at, max(listed, s.until))
 		}
 	}
-	return after(at, l.others)
+	return skipSpans(at, inc.discoveryOutages)
 }
 
-// after moves a time that falls into one of some spans to its end.
-func after(at int64, of ...[]span) int64 {
+// skipSpans moves a time that falls into one of some spans to its end.
+func skipSpans(at int64, excluded ...[]span) int64 {
 	for moved := true; moved && at < never; {
 		moved = false
-		for _, spans := range of {
+		for _, spans := range excluded {
 			for _, s := range spans {
 				if at >= s.from && at < s.until {
 					at = s.until
@@ -63,10 +64,10 @@
 	return at
 }
 
-// counts is toldAt for a limiter's present process.
-func (f *Fleet) counts(n int, version int64) int64 {
-	if p := f.limiters[n].p; p != nil {
-		return f.toldAt(n, p.life, version)
+// currentNotifiedAt is toldAt for a limiter's present process.
+func (f *Fleet) currentNotifiedAt(n int, version int64) int64 {
+	if p := f.limiters[n].process; p != nil {
+		return f.notifiedAt(n, p.incarnation, version)
 	}
 	return never
 }
@@ -96,52 +97,52 @@
 
 // Finish lets the last requests end and judges the run.
 func (f *Fleet) Finish() *Result {
-	f.Run(max(f.q.now, f.o.Load.Until) + f.longest + 2*late)
-	shots := make([]history.Attempt, len(f.attempts))
-	terms := invariants.Terms{Late: 50e6, Grace: f.o.Grace, Slack: 150e6}
+	f.Run(max(f.q.now, f.options.Load.Until) + f.longestDeadline + 2*lateAnswerWindow)
+	attempts := make([]history.Attempt, len(f.attempts))
+	terms := invariants.Terms{Late: 50e6, Grace: f.options.Grace, Slack: 150e6}
 	for i, s := range f.attempts {
 		// What a fault of the network held up is judged by when it was sent: a limiter cannot take it back.
-		shots[i] = s.Attempt
+		attempts[i] = s.Attempt
 		if s.At > s.sent+terms.Late {
-			shots[i].At = s.sent
+			attempts[i].At = s.sent
 		}
 	}
-	verdict := invariants.Judge(f.requests, shots, f.judged(), f.set, terms)
+	verdict := invariants.Judge(f.requests, attempts, f.outageEvents(), f.settings, terms)
 	f.judgeDrains(verdict, terms)
 	verdict.Pass = verdict.Pass && verdict.Counts[3] == 0
 	r := &Result{
 		Verdict:         verdict,
 		Faults:          f.faults,
-		DiscoveryCalls:  f.lists.calls,
-		ThrottledCalls:  f.lists.turned,
-		OverloadCrashes: f.falls,
+		DiscoveryCalls:  f.discovery.calls,
+		ThrottledCalls:  f.discovery.throttled,
+		OverloadCrashes: f.overloadCrashes,
 		Unserved:        f.clients.unserved,
 		Steps:           f.q.steps,
-		Missed:          f.missed(),
+		Missed:          f.missedChanges(),
 		Handshakes:      map[string][]int{},
 	}
 	for _, s := range f.servers {
-		r.Handshakes[s.spec.Name] = s.dialled
+		r.Handshakes[s.spec.Name] = s.handshakes
 	}
 	r.Run = &history.Run{
 		Name:     "simfleet",
-		Seed:     f.o.Seed,
+		Seed:     f.options.Seed,
 		Length:   f.q.now,
-		Limiters: f.o.Limiters,
+		Limiters: f.options.Limiters,
 		Requests: f.requests,
 		Events:   f.events,
 	}
 	for _, s := range f.attempts {
 		r.Run.Attempts = append(r.Run.Attempts, s.Attempt)
 	}
-	r.Run.Settings, _ = json.Marshal(f.o.Settings)
+	r.Run.Settings, _ = json.Marshal(f.options.Settings)
 	r.Run.Verdict, _ = json.Marshal(verdict)
 	return r
 }
 
-// judged are the events that the judge of the rules takes: what a process that is dead or stopped does not answer is
+// outageEvents are the events that the judge of the rules takes: what a process that is dead or stopped does not answer is
 // not its fault.
-func (f *Fleet) judged() []history.Event {
+func (f *Fleet) outageEvents() []history.Event {
 	var out []history.Event
 	down := map[string]bool{}
 	for _, e := range f.events {
@@ -167,39 +168,40 @@
 	if len(f.drains) == 0 {
 		return
 	}
-	name := func(server string, life int) string { return fmt.Sprintf("%s#%d", server, life) }
-	at := map[string]bool{}
+	processName := func(server string, incarnation int) string { return fmt.Sprintf("%s#%d", server, incarnation) }
+	drained := map[string]bool{}
 	for _, d := range f.drains {
-		at[name(d.server, d.life)] = true
+		drained[processName(d.server, d.incarnation)] = true
 	}
 	byLimiter := make([][]history.Attempt, len(f.limiters))
 	for _, s := range f.attempts {
-		if server := name(s.Server, s.life); at[server] {
-			shot := s.Attempt
-			shot.Server = server
-			shot.At = s.sent
-			byLimiter[s.limiter] = append(byLimiter[s.limiter], shot)
+		if server := processName(s.Server, s.incarnation); drained[server] {
+			attempt := s.Attempt
+			attempt.Server = server
+			attempt.At = s.sent
+			byLimiter[s.limiter] = append(byLimiter[s.limiter], attempt)
 		}
 	}
-	for _, m := range f.limiters {
-		for _, l := range m.lives {
+	for _, target := range f.limiters {
+		for _, inc := range target.incarnations {
 			var events []history.Event
 			for _, d := range f.drains {
-				if told := f.toldAt(m.n, l, d.version); told < l.until {
-					events = append(events, history.Event{At: told, Kind: "drain", Target: name(d.server, d.life)})
+				if notified := f.notifiedAt(target.index, inc, d.version); notified < inc.until {
+					events = append(events, history.Event{At: notified, Kind: "drain",
+						Target: processName(d.server, d.incarnation)})
 				}
 			}
-			var shots []history.Attempt
-			for _, s := range byLimiter[m.n] {
-				if s.At >= l.from && s.At < l.until {
-					shots = append(shots, s)
+			var attempts []history.Attempt
+			for _, s := range byLimiter[target.index] {
+				if s.At >= inc.from && s.At < inc.until {
+					attempts = append(attempts, s)
 				}
 			}
-			found := invariants.Judge(nil, shots, events, f.set, terms)
+			found := invariants.Judge(nil, attempts, events, f.settings, terms)
 			v.Counts[3] += found.Counts[3]
 			for _, b := range found.Breaches {
 				if b.Rule == 3 {
-					b.Detail += fmt.Sprintf(", by limiter %d", m.n)
+					b.Detail += fmt.Sprintf(", by limiter %d", target.index)
 					v.Breaches = append(v.Breaches, b)
 				}
 			}
@@ -207,19 +209,21 @@
 	}
 }
 
-// missed lists the drains that processes missed on watches that had fallen silent.
-func (f *Fleet) missed() []MissedChange {
+// missedChanges lists the drains that processes missedChanges on watches that had fallen silent.
+func (f *Fleet) missedChanges() []MissedChange {
 	var out []MissedChange
-	for _, m := range f.limiters {
-		for _, l := range m.lives {
+	for _, target := range f.limiters {
+		for _, inc := range target.incarnations {
 			for _, d := range f.drains {
-				came := f.lists.changes[d.version-firstVersion-1].at
-				if f.o.Mode == Pushed {
-					came = firstAt(m.had, d.version)
+				listed := f.discovery.changes[d.version-firstVersion-1].at
+				if f.options.Mode == Pushed {
+					listed = firstReached(target.agentVersions, d.version)
 				}
-				for _, s := range l.silences {
-					if told := f.counted(m.n, l, d.version); came >= s.from && came < s.until && told < l.until {
-						out = append(out, MissedChange{m.n, d.server, told, firstAt(l.handed, d.version)})
+				for _, s := range inc.watchSilences {
+					if notified := f.assumedNotifiedAt(target.index, inc, d.version); listed >= s.from &&
+						listed < s.until && notified < inc.until {
+						out = append(out, MissedChange{target.index, d.server, notified,
+							firstReached(inc.delivered, d.version)})
 					}
 				}
 			}
--- a/internal/lab/simfleet/lists.go
+++ b/internal/lab/simfleet/lists.go
@@ -35,7 +35,7 @@
 // listAnswer is the body of an answer.
 type listAnswer struct {
 	Version int64      `json:"generation"`
-	Whole   bool       `json:"reset"`
+	Full    bool       `json:"reset"`
 	Entries []instance `json:"instances"`
 }
 
@@ -59,27 +59,27 @@
 	entry   instance
 }
 
-// lists is the list service: the list at its first version and each change since.
-type lists struct {
-	f       *Fleet
-	first   []instance
-	changes []change
-	down    bool
-	desks   []*desk // all that answer calls: agents, or the service itself
-	tokens  float64
-	filled  int64
-	// Calls that reached the service in each second, those that it turned away among them.
-	calls, turned []int
+// discoveryService is the list service: the list at its first version and each change since.
+type discoveryService struct {
+	f          *Fleet
+	initial    []instance
+	changes    []change
+	down       bool
+	endpoints  []*discoveryEndpoint // all that answer calls: agents, or the service itself
+	tokens     float64
+	refilledAt int64
+	// Calls that reached the service in each second, those that it throttled away among them.
+	calls, throttled []int
 }
 
 // firstVersion is that of the list at the beginning.
 const firstVersion = 10
 
-func (s *lists) version() int64 { return firstVersion + int64(len(s.changes)) }
+func (s *discoveryService) version() int64 { return firstVersion + int64(len(s.changes)) }
 
-// whole is the list at a version.
-func (s *lists) whole(version int64) []instance {
-	out := slices.Clone(s.first)
+// entriesAt is the list at a version.
+func (s *discoveryService) entriesAt(version int64) []instance {
+	out := slices.Clone(s.initial)
 	for _, c := range s.changes {
 		if c.version > version {
 			break
@@ -98,8 +98,8 @@
 	return out
 }
 
-// since is what changed after one version up to another, each server's latest entry alone.
-func (s *lists) since(from, to int64) []instance {
+// changesBetween is what changed after one version up to another, each server's latest entry alone.
+func (s *discoveryService) changesBetween(from, to int64) []instance {
 	out := []instance{}
 	for _, c := range s.changes {
 		if c.version <= from || c.version > to {
@@ -111,61 +111,61 @@
 	return out
 }
 
-// desk answers calls at one address: of one limiter where it is an agent, of all where it is the service.
-type desk struct {
-	f       *Fleet
-	host    *host
-	of      int   // the limiter whose agent it is, -1 for the service
-	has     int64 // the version that it has
-	counts  int64 // it numbers its versions higher by so much
-	retired bool  // it was moved away from and says nothing any more
-	calls   []*call
+// discoveryEndpoint answers calls at one address: of one limiter where it is an agent, of all where it is the service.
+type discoveryEndpoint struct {
+	f             *Fleet
+	host          *host
+	limiter       int   // the limiter whose agent it is, -1 for the service
+	version       int64 // the version that it has
+	versionOffset int64 // it numbers its versions higher by so much
+	retired       bool  // it was moved away from and says nothing any more
+	polls         []*pollRequest
 }
 
-// line is a connection to a desk.
-type line struct {
-	held   []byte
-	silent int64  // since when nothing comes on it any more, -1 while it serves
-	wrote  []mark // the versions that were written, with the place of the last byte
-	call   *call  // the latest
+// pollConn is a connection to a desk.
+type pollConn struct {
+	received    []byte
+	silentSince int64         // since when nothing comes on it any more, -1 while it serves
+	written     []versionMark // the versions that were written, with the place of the last byte
+	latest      *pollRequest  // the latest
 }
 
-type call struct {
-	s    *side
-	at   int64
-	from int64 // the version that the caller has, by the desk's own numbers; below 0 for the whole list
-	hold int64
-	done bool
+type pollRequest struct {
+	conn     *connEnd
+	at       int64
+	from     int64 // the version that the caller has, by the desk's own numbers; below 0 for the whole list
+	hold     int64
+	answered bool
 }
 
-func (d *desk) accept(s *side)  { s.data = &line{silent: -1} }
-func (d *desk) connected(*side) {}
-func (d *desk) ended(s *side, _ limiter.CloseReason) {
-	d.calls = slices.DeleteFunc(d.calls, func(c *call) bool { return c.s == s })
+func (d *discoveryEndpoint) accept(end *connEnd) { end.data = &pollConn{silentSince: -1} }
+func (d *discoveryEndpoint) connected(*connEnd)  {}
+func (d *discoveryEndpoint) ended(end *connEnd, _ limiter.CloseReason) {
+	d.polls = slices.DeleteFunc(d.polls, func(c *pollRequest) bool { return c.conn == end })
 }
 
-func (d *desk) read(s *side, b []byte, _ int64) {
-	ln := s.data.(*line)
-	ln.held = append(ln.held, b...)
+func (d *discoveryEndpoint) read(end *connEnd, data []byte, _ int64) {
+	conn := end.data.(*pollConn)
+	conn.received = append(conn.received, data...)
 	for {
-		head, rest, whole := strings.Cut(string(ln.held), "\r\n\r\n")
-		if !whole {
+		head, rest, complete := strings.Cut(string(conn.received), "\r\n\r\n")
+		if !complete {
 			return
 		}
-		ln.held = []byte(rest)
-		c, err := readCall(head)
+		conn.received = []byte(rest)
+		poll, err := parsePoll(head)
 		if err != nil {
-			d.f.fault("syntax", d.host.name, err.Error())
+			d.f.recordFault("syntax", d.host.name, err.Error())
 			return
 		}
-		c.s = s
-		c.at = d.f.q.now
-		ln.call = c
-		d.take(c)
+		poll.conn = end
+		poll.at = d.f.q.now
+		conn.latest = poll
+		d.handle(poll)
 	}
 }
 
-func readCall(head string) (*call, error) {
+func parsePoll(head string) (*pollRequest, error) {
 	first, _, _ := strings.Cut(head, "\r\n")
 	words := strings.Fields(first)
 	if len(words) != 3 || words[0] != "GET" {
@@ -177,184 +177,184 @@
 	}
 	query := u.Query()
 	if !query.Has("from") {
-		return &call{from: -1}, nil
+		return &pollRequest{from: -1}, nil
 	}
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
 	hold, holdErr := strconv.ParseInt(query.Get("hold_ms"), 10, 64)
 	if err != nil || holdErr != nil || hold < 0 {
 		return nil, fmt.Errorf("no call: %q", first)
 	}
-	return &call{from: from, hold: min(hold, 60000) * 1e6}, nil
+	return &pollRequest{from: from, hold: min(hold, 60000) * 1e6}, nil
 }
 
-// take takes a call: the service turns it away where there are too many.
-func (d *desk) take(c *call) {
-	l := d.f.lists
+// handle takes a call: the service turns it away where there are too many.
+func (d *discoveryEndpoint) handle(poll *pollRequest) {
+	service := d.f.discovery
 	if d.retired {
 		return
 	}
-	if d.of < 0 && !l.down {
+	if d.limiter < 0 && !service.down {
 		second := int(d.f.q.now / 1e9)
-		for len(l.calls) <= second {
-			l.calls, l.turned = append(l.calls, 0), append(l.turned, 0)
+		for len(service.calls) <= second {
+			service.calls, service.throttled = append(service.calls, 0), append(service.throttled, 0)
 		}
-		l.calls[second]++
-		budget := d.f.o.DiscoveryCallRate
-		l.tokens = min(budget, l.tokens+budget*float64(d.f.q.now-l.filled)/1e9)
-		l.filled = d.f.q.now
-		l.tokens--
-		if l.tokens < 0 {
-			l.tokens++
-			l.turned[second]++
-			c.s.write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
+		service.calls[second]++
+		budget := d.f.options.DiscoveryCallRate
+		service.tokens = min(budget, service.tokens+budget*float64(d.f.q.now-service.refilledAt)/1e9)
+		service.refilledAt = d.f.q.now
+		service.tokens--
+		if service.tokens < 0 {
+			service.tokens++
+			service.throttled[second]++
+			poll.conn.write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
 			return
 		}
 	}
-	d.calls = append(d.calls, c)
-	d.look(c)
-	if !c.done {
-		d.f.q.at(c.at+c.hold, func() { d.look(c) })
+	d.polls = append(d.polls, poll)
+	d.answerIfDue(poll)
+	if !poll.answered {
+		d.f.q.at(poll.at+poll.hold, func() { d.answerIfDue(poll) })
 	}
 }
 
-// look answers a call whose time has come.
-func (d *desk) look(c *call) {
-	if c.done || c.s.over || d.retired || d.f.lists.down {
+// answerIfDue answers a call whose time has come.
+func (d *discoveryEndpoint) answerIfDue(poll *pollRequest) {
+	if poll.answered || poll.conn.closed || d.retired || d.f.discovery.down {
 		return
 	}
-	if c.from >= 0 && d.has <= c.from-d.counts && d.f.q.now < c.at+c.hold {
+	if poll.from >= 0 && d.version <= poll.from-d.versionOffset && d.f.q.now < poll.at+poll.hold {
 		return
 	}
-	c.done = true
-	d.calls = slices.DeleteFunc(d.calls, func(o *call) bool { return o == c })
-	if c.s.data.(*line).silent >= 0 {
+	poll.answered = true
+	d.polls = slices.DeleteFunc(d.polls, func(o *pollRequest) bool { return o == poll })
+	if poll.conn.data.(*pollConn).silentSince >= 0 {
 		return
 	}
-	from := c.from - d.counts
-	known := c.from >= 0 && from >= firstVersion && from <= d.has
-	answer := listAnswer{Version: d.has + d.counts, Whole: !known}
+	from := poll.from - d.versionOffset
+	known := poll.from >= 0 && from >= firstVersion && from <= d.version
+	answer := listAnswer{Version: d.version + d.versionOffset, Full: !known}
 	if known {
-		answer.Entries = d.f.lists.since(from, d.has)
+		answer.Entries = d.f.discovery.changesBetween(from, d.version)
 	} else {
-		answer.Entries = d.f.lists.whole(d.has)
+		answer.Entries = d.f.discovery.entriesAt(d.version)
 	}
-	c.s.write(answer.http(d.f.rng.IntN(2) == 0))
-	ln := c.s.data.(*line)
-	ln.wrote = append(ln.wrote, mark{d.has, c.s.wrote})
+	poll.conn.write(answer.http(d.f.rng.IntN(2) == 0))
+	conn := poll.conn.data.(*pollConn)
+	conn.written = append(conn.written, versionMark{d.version, poll.conn.bytesWritten})
 }
 
-// arrive notes what has been handed over with the bytes that have come to a limiter's machine.
-func (ln *line) arrive(p *process, got int64) {
-	for len(ln.wrote) > 0 && ln.wrote[0].at <= got {
-		p.life.handed = append(p.life.handed, mark{ln.wrote[0].version, p.f.q.now})
-		ln.wrote = ln.wrote[1:]
+// recordDelivered notes what has been handed over with the bytes that have come to a limiter's machine.
+func (c *pollConn) recordDelivered(p *process, bytesRead int64) {
+	for len(c.written) > 0 && c.written[0].at <= bytesRead {
+		p.incarnation.delivered = append(p.incarnation.delivered, versionMark{c.written[0].version, p.f.q.now})
+		c.written = c.written[1:]
 	}
 }
 
-// news lets waiting calls have what has come.
-func (d *desk) news() {
-	for _, c := range slices.Clone(d.calls) {
-		d.look(c)
+// answerDuePolls lets waiting calls have what has come.
+func (d *discoveryEndpoint) answerDuePolls() {
+	for _, poll := range slices.Clone(d.polls) {
+		d.answerIfDue(poll)
 	}
 }
 
-// set changes an entry of the list, and sends it to those that wait for it.
-func (s *lists) set(e instance) int64 {
+// setEntry changes an entry of the list, and sends it to those that wait for it.
+func (s *discoveryService) setEntry(e instance) int64 {
 	s.changes = append(s.changes, change{s.version() + 1, s.f.q.now, e})
 	if !s.down {
-		s.spread()
+		s.publish()
 	}
 	return s.version()
 }
 
-// spread brings the present list to each limiter's agent, after a notice of its own, or to the service itself.
-func (s *lists) spread() {
-	if s.f.o.Mode == Polled {
-		s.bring(-1, s.version())
+// publish brings the present list to each limiter's agent, after a notice of its own, or to the service itself.
+func (s *discoveryService) publish() {
+	if s.f.options.Mode == Polled {
+		s.deliver(-1, s.version())
 		return
 	}
 	for n := range s.f.limiters {
 		version := s.version()
-		at := s.f.q.now + s.f.o.NotificationDelay[0] + s.f.rng.Int64N(
-			s.f.o.NotificationDelay[1]-s.f.o.NotificationDelay[0]+1,
+		at := s.f.q.now + s.f.options.NotificationDelay[0] + s.f.rng.Int64N(
+			s.f.options.NotificationDelay[1]-s.f.options.NotificationDelay[0]+1,
 		)
-		s.f.q.at(at, func() { s.bring(n, version) })
+		s.f.q.at(at, func() { s.deliver(n, version) })
 	}
 }
 
-// bring gives a limiter's agent a version, unless the service is down or cut off from its machine: then it comes once
+// deliver gives a limiter's agent a version, unless the service is down or cut off from its machine: then it comes once
 // that is over.
-func (s *lists) bring(n int, version int64) {
-	if n >= 0 {
-		cut, stall, _, _, _ := s.f.net.links(s.f.net.host("list"), s.f.limiters[n].host)
-		if s.down || cut || stall {
+func (s *discoveryService) deliver(index int, version int64) {
+	if index >= 0 {
+		cut, stalled, _, _, _ := s.f.net.linkFaults(s.f.net.host("list"), s.f.limiters[index].host)
+		if s.down || cut || stalled {
 			return // up and heal spread again
 		}
-		if had := s.f.limiters[n].had; had[len(had)-1].version < version {
-			s.f.arrived(n, version)
+		if versions := s.f.limiters[index].agentVersions; versions[len(versions)-1].version < version {
+			s.f.recordAgentVersion(index, version)
 		}
 	}
-	for _, d := range s.desks {
-		if d.of == n {
-			d.has = max(d.has, version)
-			d.news()
+	for _, d := range s.endpoints {
+		if d.limiter == index {
+			d.version = max(d.version, version)
+			d.answerDuePolls()
 		}
 	}
 }
 
 // setDown stops or starts the service. While it is down agents say nothing; where it is asked it is a process that has
 // died, which resets and refuses.
-func (s *lists) setDown(down bool) {
+func (s *discoveryService) setDown(down bool) {
 	s.down = down
-	for _, d := range s.desks {
+	for _, d := range s.endpoints {
 		switch {
-		case d.of >= 0:
+		case d.limiter >= 0:
 		case down:
-			d.calls = nil
+			d.polls = nil
 			s.f.net.kill(d.host)
 		default:
-			d.host.party = d
+			d.host.handler = d
 		}
 	}
 	if !down {
-		for _, d := range s.desks {
-			d.news()
+		for _, d := range s.endpoints {
+			d.answerDuePolls()
 		}
-		s.spread()
+		s.publish()
 	}
 }
 
-// quiet lets the watches that are open fall silent once: nothing comes on their connections any more, whatever is
+// silenceWatches lets the watches that are open fall silent once: nothing comes on their connections any more, whatever is
 // asked.
-func (s *lists) quiet(of func(limiter int) bool) (hit int) {
-	for _, d := range s.desks {
-		s.watches(d, func(p *process, ln *line) {
-			if of(p.n) && ln.silent < 0 && !ln.call.done {
-				ln.silent = s.f.q.now
-				p.fallSilent(ln.call)
-				hit++
+func (s *discoveryService) silenceWatches(include func(limiter int) bool) (silenced int) {
+	for _, d := range s.endpoints {
+		s.forEachWatch(d, func(p *process, conn *pollConn) {
+			if include(p.index) && conn.silentSince < 0 && !conn.latest.answered {
+				conn.silentSince = s.f.q.now
+				p.fallSilent(conn.latest)
+				silenced++
 			}
 		})
 	}
-	return hit
+	return silenced
 }
 
-// watches goes through the connections on which limiters have asked at a desk.
-func (s *lists) watches(d *desk, look func(p *process, ln *line)) {
-	for _, c := range slices.Clone(d.host.sides) {
-		ln, is := c.data.(*line)
-		if _, p := s.f.limiterAt(c.far.host); is && p != nil && ln.call != nil {
-			look(p, ln)
+// forEachWatch goes through the connections on which limiters have asked at a desk.
+func (s *discoveryService) forEachWatch(d *discoveryEndpoint, visit func(p *process, conn *pollConn)) {
+	for _, end := range slices.Clone(d.host.connEnds) {
+		conn, isPoll := end.data.(*pollConn)
+		if _, p := s.f.limiterOnHost(end.peer.host); isPoll && p != nil && conn.latest != nil {
+			visit(p, conn)
 		}
 	}
 }
 
 // fallSilent notes until when what a watch misses does not count as told.
-func (p *process) fallSilent(c *call) {
+func (p *process) fallSilent(poll *pollRequest) {
 	now := p.f.q.now
-	until := now + silence
-	if !c.done {
-		until = max(until, c.at+c.hold+afterWait)
+	until := now + silentWatchDelay
+	if !poll.answered {
+		until = max(until, poll.at+poll.hold+holdOverrunDelay)
 	}
-	p.life.silences = append(p.life.silences, span{now, until})
+	p.incarnation.watchSilences = append(p.incarnation.watchSilences, span{now, until})
 }
--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -8,57 +8,57 @@
 	"ospreycroft/internal/limiter"
 )
 
-// party is a process at a host: what comes over the network is told to it.
-type party interface {
-	accept(s *side)
-	connected(s *side)
-	read(s *side, bytes []byte, sent int64) // sent is when the other side wrote them
-	ended(s *side, how limiter.CloseReason)
+// connHandler is a process at a host: what comes over the network is told to it.
+type connHandler interface {
+	accept(end *connEnd)
+	connected(end *connEnd)
+	read(end *connEnd, data []byte, sent int64) // sent is when the other side wrote them
+	ended(end *connEnd, reason limiter.CloseReason)
 }
 
 // host is a machine with one process. A dial to a host without a process is refused; one to a machine that has
 // vanished is not answered.
 type host struct {
 	name     string
-	party    party
+	handler  connHandler
 	vanished bool
-	sides    []*side // that are open here
+	connEnds []*connEnd // that are open here
 }
 
-// side is one end of a connection.
-type side struct {
-	net   *network
-	host  *host
-	far   *side
-	owner party
-	id    limiter.ConnID // as its limiter names it
-	up    bool           // the connection has come up as far as this side knows
-	over  bool           // it has ended for this side
-	place int            // in host.sides
-	due   int64          // when the latest packet reaches the far side: none overtakes another
-	held  []packet       // what waits for its link
-	wrote int64          // bytes written here
-	got   int64          // bytes that the process here has been handed
-	data  any            // what the process keeps with it
-	end   int64          // of all ends of connections, in the order of their creation
+// connEnd is one end of a connection.
+type connEnd struct {
+	net          *network
+	host         *host
+	peer         *connEnd
+	handler      connHandler
+	id           limiter.ConnID // as its limiter names it
+	established  bool           // the connection has come up as far as this side knows
+	closed       bool           // it has ended for this side
+	index        int            // in host.sides
+	lastArrival  int64          // when the latest packet reaches the far side: none overtakes another
+	stalled      []packet       // what waits for its link
+	bytesWritten int64          // bytes written here
+	bytesRead    int64          // bytes that the process here has been handed
+	data         any            // what the process keeps with it
+	number       int64          // of all ends of connections, in the order of their creation
 }
 
-type kind uint8
+type packetKind uint8
 
 const (
-	opening kind = iota
-	opened
-	bytesCome
-	closing
-	resetting
-	refusing
+	packetDial packetKind = iota
+	packetAccept
+	packetData
+	packetClose
+	packetReset
+	packetRefuse
 )
 
 type packet struct {
-	kind  kind
-	bytes []byte
-	sent  int64
-	late  bool // it was held: its link was cut
+	kind      packetKind
+	bytes     []byte
+	sent      int64
+	heldByCut bool // it was held: its link was cut
 }
 
 // LinkFault says what a link does to what is sent along it in one direction.
@@ -76,37 +76,38 @@
 
 // LinkRule is a fault of links from some hosts to some others, in that direction alone.
 type LinkRule struct {
-	way      LinkFault
-	from, to map[*host]bool
-	extra    int64   // for Delay and Late, nanoseconds
-	share    float64 // for Tear, of the messages
+	fault      LinkFault
+	from, to   map[*host]bool
+	delay      int64   // for Delay and Late, nanoseconds
+	resetShare float64 // for Tear, of the messages
 }
 
-// buffered is what a kernel takes before the other side has it.
-const buffered = 128 << 10
+// sendBufferSize is what a kernel takes before the other side has it.
+const sendBufferSize = 128 << 10
 
 const (
-	minLatency = 200e3
-	maxLatency = 700e3
-	local      = 30e3 // the way to a process on the same machine
-	resends    = 200e6
+	minLatency         = 200e3
+	maxLatency         = 700e3
+	localLatency       = 30e3 // the way to a process on the same machine
+	maxRetransmitDelay = 200e6
 )
 
 type network struct {
-	q     *queue
-	rng   *rand.Rand
-	hosts map[string]*host
-	order []*host
-	rules []*LinkRule
-	held  []*side // with packets that wait, in the order in which they began to
-	near  map[*host]*host
-	ends  int64 // connection ends that were created
+	q         *queue
+	rng       *rand.Rand
+	hosts     map[string]*host
+	order     []*host
+	rules     []*LinkRule
+	stalled   []*connEnd // with packets that wait, in the order in which they began to
+	colocated map[*host]*host
+	created   int64 // connection ends that were created
 	// transcript takes each packet as it is put on its way; nil for no record.
 	transcript *transcript.Transcript
 }
 
 func newNetwork(q *queue, seed uint64) *network {
-	return &network{q: q, rng: rand.New(rand.NewPCG(seed, 0x7e7)), hosts: map[string]*host{}, near: map[*host]*host{}}
+	return &network{q: q, rng: rand.New(rand.NewPCG(seed, 0x7e7)), hosts: map[string]*host{},
+		colocated: map[*host]*host{}}
 }
 
 func (n *network) host(name string) *host {
@@ -119,219 +120,219 @@
 	return h
 }
 
-// links gives what the faults do on the way from one host to another now.
-func (n *network) links(from, to *host) (cut, stall bool, extra, late int64, tear float64) {
+// linkFaults gives what the faults do on the way from one host to another now.
+func (n *network) linkFaults(from, to *host) (cut, stalled bool, delay, dialDelay int64, resetShare float64) {
 	for _, r := range n.rules {
 		if !r.from[from] || !r.to[to] {
 			continue
 		}
-		switch r.way {
+		switch r.fault {
 		case LinkCut:
 			cut = true
 		case LinkStalled:
-			stall = true
+			stalled = true
 		case LinkDelayed:
-			extra += r.extra
+			delay += r.delay
 		case DialDelayed:
-			late += r.extra
+			dialDelay += r.delay
 		case LinkReset:
-			tear = max(tear, r.share)
+			resetShare = max(resetShare, r.resetShare)
 		}
 	}
-	return cut, stall, extra, late, tear
+	return cut, stalled, delay, dialDelay, resetShare
 }
 
 func (n *network) latency(from, to *host) int64 {
-	if n.near[from] == to || n.near[to] == from {
-		return local
+	if n.colocated[from] == to || n.colocated[to] == from {
+		return localLatency
 	}
 	return minLatency + n.rng.Int64N(maxLatency-minLatency)
 }
 
 // dial opens a connection for a process. It is told connected or ended, unless it closes it first.
-func (n *network) dial(from *host, owner party, address string, timeout int64) *side {
-	a := &side{net: n, host: from, owner: owner, end: n.ends}
-	b := &side{net: n, host: n.host(address), far: a, end: n.ends + 1}
-	n.ends += 2
-	a.far = b
-	from.add(a)
+func (n *network) dial(from *host, handler connHandler, address string, timeout int64) *connEnd {
+	dialer := &connEnd{net: n, host: from, handler: handler, number: n.created}
+	listener := &connEnd{net: n, host: n.host(address), peer: dialer, number: n.created + 1}
+	n.created += 2
+	dialer.peer = listener
+	from.add(dialer)
 	n.q.at(n.q.now+timeout, func() {
-		if !a.up && !a.over {
-			a.finish()
-			owner.ended(a, limiter.DialTimedOut)
+		if !dialer.established && !dialer.closed {
+			dialer.markClosed()
+			handler.ended(dialer, limiter.DialTimedOut)
 		}
 	})
-	a.send(packet{kind: opening})
-	return a
+	dialer.send(packet{kind: packetDial})
+	return dialer
 }
 
-func (h *host) add(s *side) {
-	s.place = len(h.sides)
-	h.sides = append(h.sides, s)
+func (h *host) add(end *connEnd) {
+	end.index = len(h.connEnds)
+	h.connEnds = append(h.connEnds, end)
 }
 
-// finish ends this side and tells nobody.
-func (s *side) finish() {
-	if s.over {
+// markClosed ends this side and tells nobody.
+func (e *connEnd) markClosed() {
+	if e.closed {
 		return
 	}
-	s.over = true
-	if h := s.host; s.place < len(h.sides) && h.sides[s.place] == s {
-		last := len(h.sides) - 1
-		h.sides[s.place] = h.sides[last]
-		h.sides[s.place].place = s.place
-		h.sides[last] = nil
-		h.sides = h.sides[:last]
+	e.closed = true
+	if h := e.host; e.index < len(h.connEnds) && h.connEnds[e.index] == e {
+		last := len(h.connEnds) - 1
+		h.connEnds[e.index] = h.connEnds[last]
+		h.connEnds[e.index].index = e.index
+		h.connEnds[last] = nil
+		h.connEnds = h.connEnds[:last]
 	}
 }
 
 // write sends bytes, which are copied.
-func (s *side) write(bytes []byte) {
-	if s.over || len(bytes) == 0 {
+func (e *connEnd) write(bytes []byte) {
+	if e.closed || len(bytes) == 0 {
 		return
 	}
-	s.wrote += int64(len(bytes))
-	s.send(packet{kind: bytesCome, bytes: slices.Clone(bytes), sent: s.net.q.now})
+	e.bytesWritten += int64(len(bytes))
+	e.send(packet{kind: packetData, bytes: slices.Clone(bytes), sent: e.net.q.now})
 }
 
-// taken is how many bytes this side's kernel has taken of those written.
-func (s *side) taken() int64 { return min(s.wrote, s.far.got+buffered) }
+// bytesAccepted is how many bytes this side's kernel has bytesAccepted of those written.
+func (e *connEnd) bytesAccepted() int64 { return min(e.bytesWritten, e.peer.bytesRead+sendBufferSize) }
 
 // close ends the connection in good order, reset breaks it.
-func (s *side) close() { s.quit(closing) }
-func (s *side) reset() { s.quit(resetting) }
+func (e *connEnd) close() { e.terminate(packetClose) }
+func (e *connEnd) reset() { e.terminate(packetReset) }
 
-func (s *side) quit(how kind) {
-	if !s.over {
-		s.finish()
-		s.send(packet{kind: how})
+func (e *connEnd) terminate(kind packetKind) {
+	if !e.closed {
+		e.markClosed()
+		e.send(packet{kind: kind})
 	}
 }
 
-func (s *side) send(p packet) {
-	n := s.net
-	cut, stall, extra, late, tear := n.links(s.host, s.far.host)
-	if p.kind == opening || p.kind == opened {
+func (e *connEnd) send(p packet) {
+	n := e.net
+	cut, stalled, delay, dialDelay, resetShare := n.linkFaults(e.host, e.peer.host)
+	if p.kind == packetDial || p.kind == packetAccept {
 		if cut {
 			return // it would be sent again long after the time-out
 		}
-		extra += late
+		delay += dialDelay
 	}
-	if cut || stall || len(s.held) > 0 {
-		if len(s.held) == 0 {
-			n.held = append(n.held, s)
+	if cut || stalled || len(e.stalled) > 0 {
+		if len(e.stalled) == 0 {
+			n.stalled = append(n.stalled, e)
 		}
-		p.late = cut
-		s.held = append(s.held, p)
+		p.heldByCut = cut
+		e.stalled = append(e.stalled, p)
 		return
 	}
-	if p.kind == bytesCome && tear > 0 && n.rng.Float64() < tear {
+	if p.kind == packetData && resetShare > 0 && n.rng.Float64() < resetShare {
 		p.bytes = p.bytes[:len(p.bytes)/2]
-		s.carry(p, extra)
-		s.carry(packet{kind: resetting}, extra)
-		n.q.at(s.due, func() { s.arrive(packet{kind: resetting}) })
+		e.transmit(p, delay)
+		e.transmit(packet{kind: packetReset}, delay)
+		n.q.at(e.lastArrival, func() { e.receive(packet{kind: packetReset}) })
 		return
 	}
-	s.carry(p, extra)
+	e.transmit(p, delay)
 }
 
-func (s *side) carry(p packet, extra int64) {
-	s.due = max(s.due, s.net.q.now+s.net.latency(s.host, s.far.host)+extra)
-	s.net.transcript.Add(p.bytes, s.net.q.now, s.due, s.end, int64(p.kind))
-	s.net.q.at(s.due, func() { s.far.arrive(p) })
+func (e *connEnd) transmit(p packet, delay int64) {
+	e.lastArrival = max(e.lastArrival, e.net.q.now+e.net.latency(e.host, e.peer.host)+delay)
+	e.net.transcript.Add(p.bytes, e.net.q.now, e.lastArrival, e.number, int64(p.kind))
+	e.net.q.at(e.lastArrival, func() { e.peer.receive(p) })
 }
 
-// arrive takes a packet from the other side.
-func (s *side) arrive(p packet) {
-	h := s.host
+// receive takes a packet from the other side.
+func (e *connEnd) receive(p packet) {
+	h := e.host
 	if h.vanished {
 		return
 	}
 	switch p.kind {
-	case opening:
-		if h.party == nil {
-			s.send(packet{kind: refusing})
+	case packetDial:
+		if h.handler == nil {
+			e.send(packet{kind: packetRefuse})
 			return
 		}
-		s.owner = h.party
-		s.up = true
-		h.add(s)
-		s.send(packet{kind: opened})
-		s.owner.accept(s)
-	case opened:
-		if !s.over {
-			s.up = true
-			s.owner.connected(s)
+		e.handler = h.handler
+		e.established = true
+		h.add(e)
+		e.send(packet{kind: packetAccept})
+		e.handler.accept(e)
+	case packetAccept:
+		if !e.closed {
+			e.established = true
+			e.handler.connected(e)
 		}
-	case bytesCome:
-		if s.over {
-			s.send(packet{kind: resetting})
+	case packetData:
+		if e.closed {
+			e.send(packet{kind: packetReset})
 		} else if len(p.bytes) > 0 {
-			s.got += int64(len(p.bytes))
-			s.owner.read(s, p.bytes, p.sent)
+			e.bytesRead += int64(len(p.bytes))
+			e.handler.read(e, p.bytes, p.sent)
 		}
-	case closing, resetting, refusing:
-		if s.over || s.owner == nil {
+	case packetClose, packetReset, packetRefuse:
+		if e.closed || e.handler == nil {
 			return
 		}
-		s.finish()
-		how := limiter.PeerClosed
-		if p.kind == resetting {
-			how = limiter.PeerReset
+		e.markClosed()
+		reason := limiter.PeerClosed
+		if p.kind == packetReset {
+			reason = limiter.PeerReset
 		}
-		if p.kind == refusing {
-			how = limiter.ConnRefused
+		if p.kind == packetRefuse {
+			reason = limiter.ConnRefused
 		}
-		s.owner.ended(s, how)
+		e.handler.ended(e, reason)
 	}
 }
 
-// add puts a fault in force; heal takes it away again and lets go what it held.
-func (n *network) add(r *LinkRule) { n.rules = append(n.rules, r) }
+// addRule puts a fault in force; heal takes it away again and lets go what it held.
+func (n *network) addRule(r *LinkRule) { n.rules = append(n.rules, r) }
 
-func (n *network) heal(r *LinkRule) {
+func (n *network) removeRule(r *LinkRule) {
 	n.rules = slices.DeleteFunc(n.rules, func(o *LinkRule) bool { return o == r })
-	held := n.held
-	n.held = nil
-	for _, s := range held {
-		cut, stall, extra, _, _ := n.links(s.host, s.far.host)
-		if cut || stall {
-			n.held = append(n.held, s)
+	stalledEnds := n.stalled
+	n.stalled = nil
+	for _, end := range stalledEnds {
+		cut, stalled, delay, _, _ := n.linkFaults(end.host, end.peer.host)
+		if cut || stalled {
+			n.stalled = append(n.stalled, end)
 			continue
 		}
-		packets := s.held
-		s.held = nil
-		if packets[0].late {
-			extra += n.rng.Int64N(resends)
+		packets := end.stalled
+		end.stalled = nil
+		if packets[0].heldByCut {
+			delay += n.rng.Int64N(maxRetransmitDelay)
 		}
 		for _, p := range packets {
-			s.carry(p, extra)
+			end.transmit(p, delay)
 		}
 	}
 }
 
 // kill ends the process at a host: its connections are reset, new ones are refused.
 func (n *network) kill(h *host) {
-	h.party = nil
-	for _, s := range slices.Clone(h.sides) {
-		s.reset()
+	h.handler = nil
+	for _, end := range slices.Clone(h.connEnds) {
+		end.reset()
 	}
 }
 
 // vanish takes a machine away: nothing is said. What still speaks to it once it is back is reset.
 func (n *network) vanish(h *host) {
-	h.party = nil
+	h.handler = nil
 	h.vanished = true
-	for _, s := range slices.Clone(h.sides) {
-		s.finish()
+	for _, end := range slices.Clone(h.connEnds) {
+		end.markClosed()
 	}
 }
 
 // halfOpen makes one host forget its connections with another: the other's next bytes are answered with a reset.
-func (n *network) halfOpen(forgets, other *host) {
-	for _, s := range slices.Clone(forgets.sides) {
-		if s.far.host == other {
-			s.finish()
+func (n *network) halfOpen(forgetful, other *host) {
+	for _, end := range slices.Clone(forgetful.connEnds) {
+		if end.peer.host == other {
+			end.markClosed()
 		}
 	}
 }
--- a/internal/lab/simfleet/plain.go
+++ b/internal/lab/simfleet/plain.go
@@ -19,7 +19,7 @@
 				Slots: 6, Queue: 64, Report: true, DeduplicationWindow: 10e9},
 		)
 	}
-	o.Load = Load{Rate: 75 * float64(servers), From: 3e9, Until: 20e9, GiveUp: 0.01, Retry: 0.5,
+	o.Load = Load{Rate: 75 * float64(servers), From: 3e9, Until: 20e9, AbandonShare: 0.01, RetryShare: 0.5,
 		Classes: []ClassShare{{"fetch", 0.7, 1, 2500e6}, {"stamp", 0.1, 1, 3e9}, {"order", 0.2, 2, 4e9}}}
 	customers := max(4, servers*2)
 	for i := range customers {
--- a/internal/lab/simfleet/queue.go
+++ b/internal/lab/simfleet/queue.go
@@ -8,17 +8,17 @@
 
 // queue is the one order in which everything in a fleet happens, and its clock: nanoseconds since the run began.
 type queue struct {
-	now, order int64
-	heap       []event
-	steps      int64
+	now, lastOrder int64
+	heap           []event
+	steps          int64
 }
 
 func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.order < o.order }
 
 // at plans something; a time that is past means now.
 func (q *queue) at(at int64, run func()) {
-	q.order++
-	q.heap = append(q.heap, event{max(at, q.now), q.order, run})
+	q.lastOrder++
+	q.heap = append(q.heap, event{max(at, q.now), q.lastOrder, run})
 	h := q.heap
 	for i := len(h) - 1; i > 0; {
 		up := (i - 1) / 2
--- a/internal/lab/simfleet/simfleet_test.go
+++ b/internal/lab/simfleet/simfleet_test.go
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// small is a fleet to which nearly everything happens.
-func small(t *testing.T, seed uint64, mode Mode) *Result {
+// runWithFaults is a fleet to which nearly everything happens.
+func runWithFaults(t *testing.T, seed uint64, mode Mode) *Result {
 	t.Helper()
 	o := Plain(seed, 6, 8)
 	o.Mode, o.Load.KeepConnections = mode, true
@@ -54,7 +54,7 @@
 	for _, mode := range []Mode{Pushed, Polled} {
 		var runs [3][]byte
 		for i, seed := range []uint64{5, 5, 6} {
-			r := small(t, seed, mode)
+			r := runWithFaults(t, seed, mode)
 			require.True(
 				t,
 				r.Verdict.Pass && len(r.Faults) == 0,
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestColdFall: a fleet that overfeeds new servers pushes one over, and is to blame once it has been told.
-func TestColdFall(t *testing.T) {
+// TestColdServerOverload: a fleet that overfeeds new servers pushes one over, and is to blame once it has been told.
+func TestColdServerOverload(t *testing.T) {
 	for _, broken := range [][]Broken{nil, {OverloadsNewServers}} {
 		o := Plain(3, 60, 4)
 		o.Load.Rate, o.Load.Until, o.Broken, o.OverloadMultiple, o.OverloadWindow = 520, 14*second, broken, 1, 1500e6
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestBig is the size for which the fleet is made. It takes some seconds of processor time, which it logs.
-func TestBig(t *testing.T) {
+// TestLargeFleet is the size for which the fleet is made. It takes some seconds of processor time, which it logs.
+func TestLargeFleet(t *testing.T) {
 	began := time.Now()
 	f, err := New(Plain(1, 300, 20))
 	require.NoError(t, err)
@@ -111,134 +111,137 @@
 	require.True(t, r.Verdict.Pass && r.Verdict.Requests >= 20000, "%v %v", r.Verdict.Line(), r.Verdict.Breaches)
 }
 
-// ear is a party that writes down what it hears.
-type ear struct {
-	q     *queue
-	heard []string
-	last  *side
+// connLog is a party that writes down what it hears.
+type connLog struct {
+	q      *queue
+	events []string
+	last   *connEnd
 }
 
-func (e *ear) note(what string) { e.heard = append(e.heard, fmt.Sprintf("%d %s", e.q.now/1e6, what)) }
+func (e *connLog) add(s string) { e.events = append(e.events, fmt.Sprintf("%d %s", e.q.now/1e6, s)) }
 
-func (e *ear) accept(s *side)                         { e.last = s; e.note("accept") }
-func (e *ear) connected(s *side)                      { e.last = s; e.note("connected") }
-func (e *ear) read(_ *side, b []byte, _ int64)        { e.note(string(b)) }
-func (e *ear) ended(_ *side, how limiter.CloseReason) { e.note(how.String()) }
+func (e *connLog) accept(end *connEnd)                          { e.last = end; e.add("accept") }
+func (e *connLog) connected(end *connEnd)                       { e.last = end; e.add("connected") }
+func (e *connLog) read(_ *connEnd, data []byte, _ int64)        { e.add(string(data)) }
+func (e *connLog) ended(_ *connEnd, reason limiter.CloseReason) { e.add(reason.String()) }
 
-func TestLinks(t *testing.T) {
+func TestLinkFaults(t *testing.T) {
 	type pair struct {
-		q    *queue
-		n    *network
-		a, b *host
-		x, y *ear
-		link *side
+		q                      *queue
+		n                      *network
+		clientHost, serverHost *host
+		client, server         *connLog
+		conn                   *connEnd
 	}
-	rule := func(p pair, way LinkFault, from, to *host, extra int64, share float64) *LinkRule {
+	addRule := func(p pair, fault LinkFault, from, to *host, delay int64, resetShare float64) *LinkRule {
 		r := &LinkRule{
-			way:   way,
-			from:  map[*host]bool{from: true},
-			to:    map[*host]bool{to: true},
-			extra: extra,
-			share: share,
+			fault:      fault,
+			from:       map[*host]bool{from: true},
+			to:         map[*host]bool{to: true},
+			delay:      delay,
+			resetShare: resetShare,
 		}
-		p.n.add(r)
+		p.n.addRule(r)
 		return r
 	}
 	const ms = int64(1e6)
 	for _, c := range []struct {
-		name string
-		run  func(p pair)
-		x, y []string
+		name                   string
+		run                    func(p pair)
+		wantClient, wantServer []string
 	}{
-		{"plain", func(p pair) { p.link.write([]byte("hi")); p.q.run(101 * ms); p.link.close() },
+		{"plain", func(p pair) { p.conn.write([]byte("hi")); p.q.run(101 * ms); p.conn.close() },
 			[]string{"0 connected"}, []string{"0 accept", "100 hi", "101 peer-closed"}},
 		{"cut one way: the other way is open, and what was sent comes after", func(p pair) {
-			r := rule(p, LinkCut, p.a, p.b, 0, 0)
-			p.link.write([]byte("hi"))
-			p.y.last.write([]byte("ho"))
+			r := addRule(p, LinkCut, p.clientHost, p.serverHost, 0, 0)
+			p.conn.write([]byte("hi"))
+			p.server.last.write([]byte("ho"))
 			p.q.run(2000 * ms)
-			p.n.heal(r)
+			p.n.removeRule(r)
 		}, []string{"0 connected", "100 ho"}, []string{"0 accept", "2069 hi"}},
 		{"a dial over a link that is cut on the way back never comes up", func(p pair) {
-			rule(p, LinkCut, p.b, p.a, 0, 0)
-			p.n.dial(p.a, p.x, "b", 250*ms)
+			addRule(p, LinkCut, p.serverHost, p.clientHost, 0, 0)
+			p.n.dial(p.clientHost, p.client, "b", 250*ms)
 		}, []string{"0 connected", "350 dial-timed-out"}, []string{"0 accept", "100 accept"}},
 		{"a stall holds everything", func(p pair) {
-			r := rule(p, LinkStalled, p.a, p.b, 0, 0)
-			p.link.write([]byte("hi"))
-			p.link.close()
+			r := addRule(p, LinkStalled, p.clientHost, p.serverHost, 0, 0)
+			p.conn.write([]byte("hi"))
+			p.conn.close()
 			p.q.run(500 * ms)
-			p.n.heal(r)
+			p.n.removeRule(r)
 		}, []string{"0 connected"}, []string{"0 accept", "500 hi", "500 peer-closed"}},
 		{"late: only what comes up is", func(p pair) {
-			rule(p, DialDelayed, p.a, p.b, 80*ms, 0)
-			p.n.dial(p.a, p.x, "b", 250*ms)
-			p.link.write([]byte("hi"))
+			addRule(p, DialDelayed, p.clientHost, p.serverHost, 80*ms, 0)
+			p.n.dial(p.clientHost, p.client, "b", 250*ms)
+			p.conn.write([]byte("hi"))
 		}, []string{"0 connected", "180 connected"}, []string{"0 accept", "100 hi", "180 accept"}},
 		{"torn in the middle of a message", func(p pair) {
-			rule(p, LinkReset, p.a, p.b, 0, 1)
-			p.link.write([]byte("hiho"))
+			addRule(p, LinkReset, p.clientHost, p.serverHost, 0, 1)
+			p.conn.write([]byte("hiho"))
 		}, []string{"0 connected", "100 peer-reset"}, []string{"0 accept", "100 hi", "100 peer-reset"}},
 		{"half-open: the next bytes are answered with a reset", func(p pair) {
-			p.n.halfOpen(p.b, p.a)
+			p.n.halfOpen(p.serverHost, p.clientHost)
 			p.q.run(500 * ms)
-			p.link.write([]byte("hi"))
+			p.conn.write([]byte("hi"))
 		}, []string{"0 connected", "500 peer-reset"}, []string{"0 accept"}},
 		{"a process that dies resets, and refuses", func(p pair) {
-			p.n.kill(p.b)
+			p.n.kill(p.serverHost)
 			p.q.run(200 * ms)
-			p.n.dial(p.a, p.x, "b", 250*ms)
+			p.n.dial(p.clientHost, p.client, "b", 250*ms)
 		}, []string{"0 connected", "100 peer-reset", "200 refused"}, []string{"0 accept"}},
 		{"a machine that vanishes says nothing", func(p pair) {
-			p.n.vanish(p.b)
-			p.link.write([]byte("hi"))
-			p.n.dial(p.a, p.x, "b", 250*ms)
+			p.n.vanish(p.serverHost)
+			p.conn.write([]byte("hi"))
+			p.n.dial(p.clientHost, p.client, "b", 250*ms)
 		}, []string{"0 connected", "350 dial-timed-out"}, []string{"0 accept"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := &queue{}
-			p := pair{q: q, n: newNetwork(q, 1), x: &ear{q: q}, y: &ear{q: q}}
-			p.a, p.b = p.n.host("a"), p.n.host("b")
-			p.a.party, p.b.party = p.x, p.y
-			p.link = p.n.dial(p.a, p.x, "b", second)
+			p := pair{q: q, n: newNetwork(q, 1), client: &connLog{q: q}, server: &connLog{q: q}}
+			p.clientHost, p.serverHost = p.n.host("a"), p.n.host("b")
+			p.clientHost.handler, p.serverHost.handler = p.client, p.server
+			p.conn = p.n.dial(p.clientHost, p.client, "b", second)
 			q.run(100 * ms)
 			c.run(p)
 			q.run(5 * second)
-			require.Equal(t, c.x, p.x.heard)
-			require.Equal(t, c.y, p.y.heard)
+			require.Equal(t, c.wantClient, p.client.events)
+			require.Equal(t, c.wantServer, p.server.events)
 		})
 	}
 }
 
-// TestTold checks the list's clock.
-func TestTold(t *testing.T) {
+// TestNotifiedAt checks the list's clock.
+func TestNotifiedAt(t *testing.T) {
 	o := Plain(1, 1, 1)
 	pushed, err := New(o)
 	o.Mode = Polled
-	asked, askedErr := New(o)
-	require.True(t, err == nil && askedErr == nil, "%v %v", err, askedErr)
-	for _, f := range []*Fleet{pushed, asked} {
+	polled, polledErr := New(o)
+	require.True(t, err == nil && polledErr == nil, "%v %v", err, polledErr)
+	for _, f := range []*Fleet{pushed, polled} {
 		f.q.now = 10 * second
-		f.lists.changes = []change{{version: firstVersion + 1, at: 10 * second}}
+		f.discovery.changes = []change{{version: firstVersion + 1, at: 10 * second}}
 	}
-	pushed.limiters[0].had = []mark{{firstVersion + 1, 11 * second}}
+	pushed.limiters[0].agentVersions = []versionMark{{firstVersion + 1, 11 * second}}
 	for _, c := range []struct {
-		name string
-		f    *Fleet
-		l    life
-		want int64
+		name        string
+		f           *Fleet
+		incarnation incarnation
+		want        int64
 	}{
-		{"pushed: from the moment the agent has it", pushed, life{}, 11 * second},
-		{"or the process is there", pushed, life{from: 12 * second}, 12 * second},
-		{"or what a silent watch misses counts", pushed, life{silences: []span{{9 * second, 15 * second}}}, 15 * second},
+		{"pushed: from the moment the agent has it", pushed, incarnation{}, 11 * second},
+		{"or the process is there", pushed, incarnation{from: 12 * second}, 12 * second},
+		{"or what a silent watch misses counts", pushed,
+			incarnation{watchSilences: []span{{9 * second, 15 * second}}}, 15 * second},
 		{"or it was handed over on another", pushed,
-			life{silences: []span{{9 * second, 15 * second}}, handed: []mark{{firstVersion + 1, 13 * second}}}, 13 * second},
-		{"or the process goes on", pushed, life{stops: []span{{9 * second, 14 * second}}}, 14 * second},
-		{"asked: when it is handed over", asked,
-			life{handed: []mark{{firstVersion, 9 * second}, {firstVersion + 1, 12 * second}}}, 12 * second},
-		{"or what a silent watch misses counts", asked, life{silences: []span{{9 * second, 21 * second}}}, 21 * second},
-		{"or nothing was answered for very long", asked, life{}, 50 * second},
+			incarnation{watchSilences: []span{{9 * second, 15 * second}},
+				delivered: []versionMark{{firstVersion + 1, 13 * second}}}, 13 * second},
+		{"or the process goes on", pushed, incarnation{pauses: []span{{9 * second, 14 * second}}}, 14 * second},
+		{"asked: when it is handed over", polled,
+			incarnation{delivered: []versionMark{{firstVersion, 9 * second}, {firstVersion + 1, 12 * second}}}, 12 * second},
+		{"or what a silent watch misses counts", polled,
+			incarnation{watchSilences: []span{{9 * second, 21 * second}}}, 21 * second},
+		{"or nothing was answered for very long", polled, incarnation{}, 50 * second},
 	} {
-		assert.Equal(t, c.want, c.f.toldAt(0, &c.l, firstVersion+1), c.name)
+		assert.Equal(t, c.want, c.f.notifiedAt(0, &c.incarnation, firstVersion+1), c.name)
 	}
 }
--- a/internal/lab/simfleet/transcript_test.go
+++ b/internal/lab/simfleet/transcript_test.go
@@ -44,30 +44,30 @@
 	return options
 }
 
-// schedule plans one fault of each kind, at times by the seed.
-func schedule(f *Fleet, seed uint64) {
+// scheduleFaults plans one fault of each kind, at times by the seed.
+func scheduleFaults(f *Fleet, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x7a))
-	at := func(kind func()) { f.At(3*second+rng.Int64N(10*second), kind) }
-	between := func(begin, end func()) {
+	once := func(fault func()) { f.At(3*second+rng.Int64N(10*second), fault) }
+	during := func(begin, end func()) {
 		from := 3*second + rng.Int64N(9*second)
 		f.At(from, begin)
 		f.At(from+second/5+rng.Int64N(3*second), end)
 	}
-	at(func() { f.DrainServer("s1") })
-	at(func() { f.RemoveServer("s2"); f.AddServer("s2", "s2-new") })
-	between(func() { f.CrashServer("s3") }, func() { f.RestartServer("s3") })
-	between(func() { f.VanishServer("s4") }, func() { f.RestartServer("s4") })
-	between(func() { f.SilenceServer("s5", true) }, func() { f.SilenceServer("s5", false) })
-	between(func() { f.SlowServer("s6", 20) }, func() { f.SlowServer("s6", 0) })
-	between(func() { f.KillLimiter(0) }, func() { f.StartLimiter(0) })
-	at(func() { f.TerminateLimiter(1, true) })
-	between(func() { f.PauseLimiter(2) }, func() { f.ResumeLimiter(2) })
-	at(func() { f.SilenceWatches(func(int) bool { return true }) })
-	between(func() { f.SetDiscoveryDown(true) }, func() { f.SetDiscoveryDown(false) })
-	at(func() { f.ReloadLimiter(3, 2, 2) })
-	at(func() { f.HalfOpen("s7", 4) })
-	between(func() { f.SetRequestRate(1500) }, func() { f.SetRequestRate(300) })
-	for way := LinkCut; way <= DialDelayed; way++ {
+	once(func() { f.DrainServer("s1") })
+	once(func() { f.RemoveServer("s2"); f.AddServer("s2", "s2-new") })
+	during(func() { f.CrashServer("s3") }, func() { f.RestartServer("s3") })
+	during(func() { f.VanishServer("s4") }, func() { f.RestartServer("s4") })
+	during(func() { f.SilenceServer("s5", true) }, func() { f.SilenceServer("s5", false) })
+	during(func() { f.SlowServer("s6", 20) }, func() { f.SlowServer("s6", 0) })
+	during(func() { f.KillLimiter(0) }, func() { f.StartLimiter(0) })
+	once(func() { f.TerminateLimiter(1, true) })
+	during(func() { f.PauseLimiter(2) }, func() { f.ResumeLimiter(2) })
+	once(func() { f.SilenceWatches(func(int) bool { return true }) })
+	during(func() { f.SetDiscoveryDown(true) }, func() { f.SetDiscoveryDown(false) })
+	once(func() { f.ReloadLimiter(3, 2, 2) })
+	once(func() { f.HalfOpen("s7", 4) })
+	during(func() { f.SetRequestRate(1500) }, func() { f.SetRequestRate(300) })
+	for fault := LinkCut; fault <= DialDelayed; fault++ {
 		ends := [][2]string{
 			{"limiter", "counter"},
 			{"server", "limiter"},
@@ -75,11 +75,11 @@
 			{"list", "limiter"},
 			{"limiter", "s0"},
 		}
-		chosen := ends[(int(way)+int(seed))%len(ends)]
-		among := func(n int) bool { return n%2 == int(seed)%2 }
+		chosen := ends[(int(fault)+int(seed))%len(ends)]
+		include := func(n int) bool { return n%2 == int(seed)%2 }
 		var rule *LinkRule
-		between(
-			func() { rule = f.AddLinkFault(way, chosen[0], chosen[1], among, 100e6, 0.1) },
+		during(
+			func() { rule = f.AddLinkFault(fault, chosen[0], chosen[1], include, 100e6, 0.1) },
 			func() { f.HealLink(rule) },
 		)
 	}
@@ -107,7 +107,7 @@
 			f, err := New(options)
 			require.NoError(t, err)
 			f.StartAll(int64(seed%3) * second)
-			schedule(f, seed)
+			scheduleFaults(f, seed)
 			f.Run(transcriptUntil)
 			f.Finish()
 			require.Equal(t, sums[name], options.Transcript.Sum())
