--- a/internal/lab/memfs/memfs.go
+++ b/internal/lab/memfs/memfs.go
@@ -1,4 +1,5 @@
-// Package memfs is a disk in memory on which each step may fail, for what keeps files: see atomicfile.Files.
+// Package memfs is an in-memory implementation of atomicfile.Files in which each operation can be made to fail, for
+// tests of code that stores files.
 package memfs
 
 import (
@@ -7,17 +8,18 @@
 	"syscall"
 )
 
-// Disk holds files by path. Its methods are those of the files that it stands in for; each notes itself in Log as read,
-// write, rename, remove or sync. It is for one goroutine at a time.
+// Disk holds files by path. Its methods implement atomicfile.Files; each appends the name of its operation to Log:
+// read, write, rename, remove or sync. It is not safe for concurrent use.
 type Disk struct {
 	Held map[string][]byte
 	Log  []string
-	Fail string    // the step that fails, as on a disk that is full: a *fs.PathError over syscall.ENOSPC,
-	Keep int       // and where that is a write, after so many bytes
-	Gate chan bool // a write waits for a word on it; nil for none
+	// Fail is the operation that fails, with a *fs.PathError that wraps syscall.ENOSPC as on a full disk; "" for none.
+	Fail string
+	Keep int       // the bytes that a failing write still stores
+	Gate chan bool // if not nil, each write waits to receive from it
 }
 
-// New makes an empty disk on which nothing fails.
+// New returns an empty disk on which no operation fails.
 func New() *Disk { return &Disk{Held: map[string][]byte{}} }
 
 func (d *Disk) begin(op, path string) error {
@@ -28,7 +30,7 @@
 	return nil
 }
 
-// Read gives a file's bytes, or fs.ErrNotExist.
+// Read returns the contents of a file, or fs.ErrNotExist.
 func (d *Disk) Read(path string) ([]byte, error) {
 	if err := d.begin("read", path); err != nil {
 		return nil, err
@@ -40,7 +42,7 @@
 	return data, nil
 }
 
-// Write puts the bytes in a file, or the first Keep of them where it fails.
+// Write stores the contents of a file. A write that fails stores the first Keep bytes only.
 func (d *Disk) Write(path string, data []byte) error {
 	if d.Gate != nil {
 		<-d.Gate
@@ -53,7 +55,7 @@
 	return err
 }
 
-// Rename puts one file in another's place.
+// Rename moves a file, replacing the file at the new path.
 func (d *Disk) Rename(from, to string) error {
 	if err := d.begin("rename", to); err != nil {
 		return err
@@ -63,8 +65,8 @@
 	return nil
 }
 
-// Remove takes a file away, also where it then fails.
+// Remove deletes a file. The file is deleted even if the operation is set to fail.
 func (d *Disk) Remove(path string) error { delete(d.Held, path); return d.begin("remove", path) }
 
-// Sync makes what was renamed in a directory last.
+// Sync stands for the fsync of a directory, which makes renames in it durable.
 func (d *Disk) Sync(dir string) error { return d.begin("sync", dir) }
--- a/internal/lab/simfleet/broken.go
+++ b/internal/lab/simfleet/broken.go
@@ -9,11 +9,13 @@
 	"ospreycroft/internal/settings"
 )
 
-// What stands here breaks limiters on purpose: a check that cannot be seen to fail says nothing.
+// This file breaks limiters on purpose, so that tests can show that a check fails when it should.
 
 func (f *Fleet) isBroken(way Broken) bool { return slices.Contains(f.options.Broken, way) }
 
-// spoilReceived changes what comes to a broken limiter.
+// spoilReceived returns the bytes that a limiter receives on a connection, altered if the fleet is broken by
+// IgnoresDrains or OverloadsNewServers: discovery answers then hide drains and removals, or show servers that have just
+// started as warm and with a high weight.
 func (f *Fleet) spoilReceived(end *connEnd, data []byte) []byte {
 	if _, isDiscovery := end.peer.handler.(*discoveryEndpoint); !isDiscovery ||
 		!f.isBroken(IgnoresDrains) && !f.isBroken(OverloadsNewServers) {
@@ -35,12 +37,13 @@
 		}
 	}
 	if f.isBroken(IgnoresDrains) && answer.Full {
-		answer.Full = false // nor does it miss a server that the list names no more
+		answer.Full = false // a full list would also reveal which servers were removed
 	}
 	return answer.http(false)
 }
 
-// allowsWrite tells whether what a broken limiter writes goes out.
+// allowsWrite reports whether a limiter's write goes out. It drops writes under DropsRenewals and LosesAnswers, and
+// writes commands to servers an additional time under SendsTwice.
 func (f *Fleet) allowsWrite(end *connEnd, data []byte) bool {
 	allowed := true
 	switch end.peer.handler.(type) {
@@ -56,12 +59,12 @@
 		}
 	}
 	if !allowed {
-		end.bytesWritten += int64(len(data)) // the kernel has taken it, for all that the limiter knows
+		end.bytesWritten += int64(len(data)) // to the limiter, the kernel has accepted the bytes
 	}
 	return allowed
 }
 
-// limiterSettings are a limiter's settings, false ones where it is broken so.
+// limiterSettings returns the settings of a limiter, altered under NoCeiling and PollsInStep.
 func (f *Fleet) limiterSettings(n int) *settings.Settings {
 	decoded, inner := *f.settings, *f.settings.Settings
 	decoded.Settings = &inner
--- a/internal/lab/simfleet/clients.go
+++ b/internal/lab/simfleet/clients.go
@@ -12,59 +12,62 @@
 	"ospreycroft/internal/resp"
 )
 
-// Customer is one customer's part of the load.
+// Customer is the part of the load that one customer sends.
 type Customer struct {
 	ID       string // 16 hex digits
 	Plan     string
 	Share    float64
-	Limiters int // its requests come through so many limiters in a row,
-	First    int // from this one on
+	Limiters int // number of consecutive limiters that the customer's requests are spread over
+	First    int // index of the first of these limiters
 }
 
-// ClassShare is one class's part of the load.
+// ClassShare is the part of the load that has one class.
 type ClassShare struct {
 	Class    string
 	Share    float64
 	Units    float64
-	Deadline int64 // nanoseconds from its sending
+	Deadline int64 // nanoseconds after the request is sent
 }
 
-// Load is what clients send, open loop: requests come at their rate whatever becomes of the earlier ones.
+// Load describes the requests of the clients. The load is open loop: requests arrive at the given rate whether or not
+// earlier ones have been answered.
 type Load struct {
-	Rate            float64 // requests a second, all together
-	From            int64   // when the first may come
-	Until           int64   // and the last
-	Customers       []Customer
-	Classes         []ClassShare
-	KeepConnections bool    // they stay on open connections after SIGTERM; else they close them once it is noticed
-	AbandonShare    float64 // so many go away after half of their time
-	RetryShare      float64 // so many of those rejected come again
+	Rate      float64 // requests per second of all customers together
+	From      int64   // earliest time of a request, in nanoseconds of the fleet's clock
+	Until     int64   // end of the load, in nanoseconds of the fleet's clock
+	Customers []Customer
+	Classes   []ClassShare
+	// KeepConnections makes clients keep using open connections to a limiter that is shutting down; false closes them
+	// once the shutdown is noticed.
+	KeepConnections bool
+	AbandonShare    float64 // share of requests whose client disconnects after half of the time to the deadline
+	RetryShare      float64 // share of rejected requests that are retried once, as a new request
 }
 
-// lateAnswerWindow is how long past its deadline a client still looks for an answer.
+// lateAnswerWindow is how long after its deadline a client still waits for an answer, in nanoseconds.
 const lateAnswerWindow = 500e6
 
-// clients are all clients, behind the front that deals their requests out.
+// clients simulates all clients and the load balancer that distributes their requests over the limiters.
 type clients struct {
 	f        *Fleet
 	host     *host
 	rng      *rand.Rand
 	rate     float64
-	limiters []*limiterState // one a limiter
+	limiters []*limiterState // by limiter index
 	next     int
-	unserved int // requests for which no limiter of the customer's set was in
+	unserved int // requests for which none of the customer's limiters was ready
 }
 
-// limiterState is what the front knows of a limiter.
+// limiterState is what the load balancer knows of a limiter.
 type limiterState struct {
-	ready    bool // it has answered PING since its start
-	draining bool // its end was noticed: no new connections
+	ready    bool // the limiter has answered PING since it started
+	draining bool // its shutdown was noticed: it gets no new connections
 	idle     []*clientConn
 	starts   int
-	readyAt  int64 // when it was taken in
+	readyAt  int64 // when it became ready
 }
 
-// clientConn is a client's connection.
+// clientConn is a client's connection to a limiter.
 type clientConn struct {
 	limiter  int
 	end      *connEnd
@@ -73,7 +76,7 @@
 	ping     bool
 }
 
-// pendingRequest is a request on its way.
+// pendingRequest is a request that has not been answered yet.
 type pendingRequest struct {
 	request  history.Request
 	command  []byte
@@ -82,8 +85,9 @@
 	resent   bool
 	conn     *clientConn
 	finished bool
-	sends    int    // of its sendings
-	retry    func() // brings it once more, as a new request, where its client does so after a rejection
+	sends    int // how often the request was sent; a deadline check for an earlier send does nothing
+	// Issues the request once more after a rejection, as a new request; nil if its client does not retry.
+	retry func()
 }
 
 func (c *clients) accept(*connEnd) {}
@@ -97,7 +101,8 @@
 	}
 }
 
-// scheduleNext lets requests come from now on.
+// scheduleNext schedules the next request after an exponentially distributed pause. Each request schedules its
+// successor, until the end of the load.
 func (c *clients) scheduleNext() {
 	load := &c.f.options.Load
 	c.f.q.at(c.f.q.now+int64(c.rng.ExpFloat64()/c.rate*1e9), func() {
@@ -111,6 +116,7 @@
 	})
 }
 
+// weightedChoice draws an item with a probability proportional to its share.
 func weightedChoice[T any](rng *rand.Rand, items []T, share func(T) float64) T {
 	total := 0.0
 	for _, it := range items {
@@ -126,7 +132,7 @@
 	return items[len(items)-1]
 }
 
-// issue makes a request and hands it to one of the customer's limiters that is in.
+// issue creates a request and sends it to a ready limiter among the customer's, starting the search at a random one.
 func (c *clients) issue(customer Customer, class ClassShare, retry bool) {
 	total := len(c.limiters)
 	offset := c.rng.IntN(customer.Limiters)
@@ -177,7 +183,8 @@
 	c.send(pending, false)
 }
 
-// send puts a request on a connection that is idle, the one used last first, or on a new one.
+// send writes the request to the idle connection that was used last, or to a new connection if there is none or fresh
+// is set.
 func (c *clients) send(pending *pendingRequest, newConn bool) {
 	state := c.limiters[pending.request.Limiter]
 	pending.sends++
@@ -197,7 +204,8 @@
 	conn.end.data = conn
 }
 
-// writeRequest writes a request: its time is counted from here.
+// writeRequest writes the pending request of a connection. The request's time to its deadline starts here, not when the
+// connection was dialed.
 func (c *clients) writeRequest(conn *clientConn) {
 	pending, now := conn.pending, c.f.q.now
 	pending.request.Sent = now
@@ -221,7 +229,7 @@
 	})
 }
 
-// finish writes a request down.
+// finish records the outcome of a request and schedules its retry, no earlier than retryAfter nanoseconds from now.
 func (c *clients) finish(pending *pendingRequest, outcome history.Outcome, retryAfter int64) {
 	pending.finished = true
 	pending.request.Answered = c.f.q.now
@@ -253,7 +261,7 @@
 		return
 	}
 	if pending == nil || err != nil {
-		c.f.recordFault("answer", fmt.Sprintf("limiter:%d", conn.limiter), "an answer that nobody asked for, or none")
+		c.f.recordFault("answer", fmt.Sprintf("limiter:%d", conn.limiter), "unsolicited or malformed answer")
 		end.close()
 		state := c.limiters[conn.limiter]
 		state.idle = slices.DeleteFunc(state.idle, func(o *clientConn) bool { return o == conn })
@@ -276,7 +284,7 @@
 	state.idle = append(state.idle, conn)
 }
 
-// outcomeOf names an answer as the protocol's table does, with its retry-after in nanoseconds.
+// outcomeOf returns the outcome that an answer stands for in the client protocol, and its retry-after in nanoseconds.
 func outcomeOf(answer resp.Value) (history.Outcome, int64) {
 	switch {
 	case answer.Kind == '$' && !answer.Null:
@@ -298,7 +306,8 @@
 	}
 	unread := reason == limiter.ConnRefused || reason == limiter.DialTimedOut || end.peer.bytesRead < end.bytesWritten
 	switch {
-	case unread && !pending.resent && reason != limiter.DialTimedOut: // the end has crossed it: it comes once more
+	// The limiter closed the connection before it read the request: resend it once.
+	case unread && !pending.resent && reason != limiter.DialTimedOut:
 		pending.resent = true
 		c.send(pending, true)
 	case unread:
@@ -309,7 +318,7 @@
 	}
 }
 
-// limiterStarted: the front asks a limiter until it says that it is ready.
+// limiterStarted starts health checks of a limiter that has just started.
 func (c *clients) limiterStarted(n int) {
 	state := c.limiters[n]
 	state.ready = false
@@ -318,6 +327,7 @@
 	c.pingUntilReady(n, state.starts)
 }
 
+// pingInterval is the interval of health checks of a limiter that is not ready, and their timeout, in nanoseconds.
 const pingInterval = 100e6
 
 func (c *clients) pingUntilReady(n, start int) {
@@ -334,6 +344,7 @@
 	})
 }
 
+// markReady puts a limiter into rotation.
 func (c *clients) markReady(n int) {
 	state := c.limiters[n]
 	if !state.ready {
@@ -343,7 +354,7 @@
 	}
 }
 
-// limiterEnded: the front notices some seconds later, unless the limiter has started again by then.
+// limiterEnded takes a limiter that has ended out of rotation after 1 to 3 s, unless it has started again by then.
 func (c *clients) limiterEnded(n int) {
 	state := c.limiters[n]
 	start := state.starts
@@ -354,7 +365,8 @@
 	})
 }
 
-// limiterDraining: after SIGTERM new connections come for a little longer.
+// limiterDraining stops new connections to a limiter 0.2 to 0.4 s after its SIGTERM: the load balancer notices a
+// shutdown with a delay.
 func (c *clients) limiterDraining(n int) {
 	state := c.limiters[n]
 	start := state.starts
--- a/internal/lab/simfleet/coldload.go
+++ b/internal/lab/simfleet/coldload.go
@@ -5,35 +5,37 @@
 	"slices"
 )
 
-// This file measures the load on servers that warm up against the bound of rule 4.
+// This file compares the load on servers that are warming up with the bound of rule 4.
 
-// The slack of rule 4 over N, the requests that the settings allow a cold server: N + slackRoot * sqrt(N) + slackFixed.
+// The slack of rule 4. With N the requests that the settings allow a cold server in a window, the bound is N +
+// slackRoot * sqrt(N) + slackFixed.
 const (
 	slackRoot  = 2.0
 	slackFixed = 2.0
 )
 
-// ColdLoad is the load on one process of a server, from its start until it is warm or ends.
+// ColdLoad is the load on one process of a server while it is cold: from its start until it is warm or ends.
 type ColdLoad struct {
 	Server   string
-	Started  int64    // the start of the process, nanoseconds of the fleet's clock
+	Started  int64    // the start of the process, in nanoseconds of the fleet's clock
 	Requests int      // the commands that it received while it was cold
-	All      ColdPeak // by the commands of all limiters
-	Notified ColdPeak // by the commands of limiters that counted as notified of the start when these arrived
+	All      ColdPeak // over the commands of all limiters
+	Notified ColdPeak // over the commands of limiters that counted as notified of the start when the commands arrived
 }
 
-// ColdPeak is the worst window of Options.FallWindow: the one with the greatest share of its bound. It is zero where
-// no command counted.
+// ColdPeak is the window of length Options.OverloadWindow whose commands used the greatest share of the bound. The zero
+// value means that there were no commands.
 type ColdPeak struct {
-	At    int64   // the end of the window, the arrival of its last command, nanoseconds of the fleet's clock
+	// At is the end of the window, which is the arrival of its last command, in nanoseconds of the fleet's clock.
+	At    int64
 	Count int     // commands in the window; each has mean work
 	Bound float64 // the most commands that rule 4 allows in a window that ends at At
 }
 
-// Margin is how many more commands the window could hold, negative where the rule's bound is passed.
+// Margin returns how many more commands the window could hold; it is negative if the bound of rule 4 was exceeded.
 func (p ColdPeak) Margin() float64 { return p.Bound - float64(p.Count) }
 
-// Ratio is the share of the bound that was used, 0 for the zero peak.
+// Ratio returns the share of the bound that was used, 0 for the zero value.
 func (p ColdPeak) Ratio() float64 {
 	if p.Bound == 0 {
 		return 0
@@ -41,7 +43,7 @@
 	return float64(p.Count) / p.Bound
 }
 
-// Worse is the one of two peaks that used more of its bound.
+// Worse returns the peak that used more of its bound.
 func (p ColdPeak) Worse(other ColdPeak) ColdPeak {
 	if other.Ratio() > p.Ratio() {
 		return other
@@ -49,7 +51,7 @@
 	return p
 }
 
-// ColdLoads measures each process of a server that was started cold so far (Back, Add), in the order of the starts.
+// ColdLoads measures each cold start of a server so far (RestartServer, AddServer), in the order of the starts.
 func (f *Fleet) ColdLoads() []ColdLoad {
 	var loads []ColdLoad
 	for i, e := range f.events {
@@ -68,7 +70,7 @@
 	return loads
 }
 
-// coldLoad measures one process of a server by the commands that arrived between two moments.
+// coldLoad measures one process of a server by the commands that arrived in the period [started, until).
 func (f *Fleet) coldLoad(measured *server, started, until int64) ColdLoad {
 	load := ColdLoad{Server: measured.spec.Name, Started: started}
 	version := f.startVersion(measured.spec.Name, started)
@@ -88,7 +90,7 @@
 	return load
 }
 
-// startVersion is the list's version that first told of a server's start.
+// startVersion returns the version of the endpoint list that announced the start of a server, 0 if there is none.
 func (f *Fleet) startVersion(server string, started int64) int64 {
 	startedMs := (epoch + started) / 1e6
 	i := slices.IndexFunc(f.discovery.changes, func(c change) bool {
@@ -100,8 +102,8 @@
 	return f.discovery.changes[i].version
 }
 
-// limiterNotifiedAt is when a version counts as notified to the process that a limiter had at a moment, never where it had
-// none or the version is 0.
+// limiterNotifiedAt returns when a version counts as notified to the process that a limiter had at the given time. It
+// returns never if the limiter had no process or the version is 0.
 func (f *Fleet) limiterNotifiedAt(limiter int, at, version int64) int64 {
 	if version == 0 {
 		return never
@@ -114,7 +116,8 @@
 	return never
 }
 
-// coldBound is the most commands that rule 4 allows the server in a window that ends at an age of its process.
+// coldBound returns the most commands that rule 4 allows the server in a window that ends when its process has the
+// given age, in nanoseconds.
 func (s *server) coldBound(age int64) float64 {
 	o, settings := &s.f.options, s.f.settings
 	warmth := settings.ColdCapacity + (1-settings.ColdCapacity)*min(1, float64(age)/float64(settings.SlowStartWindow))
@@ -123,13 +126,13 @@
 	return n + slackRoot*math.Sqrt(n) + slackFixed
 }
 
-// slidingWindow counts what came within its length, up to and with the latest arrival.
+// slidingWindow counts the arrivals within its length before the latest arrival, which it includes.
 type slidingWindow struct {
 	length   int64
 	arrivals []int64
 }
 
-// add takes an arrival, not before the one added last, and gives the count.
+// add records an arrival, which must not be earlier than the previous one, and returns the count of the window.
 func (w *slidingWindow) add(at int64) int {
 	w.arrivals = append(w.arrivals, at)
 	for w.arrivals[0] <= at-w.length {
--- a/internal/lab/simfleet/coldload_test.go
+++ b/internal/lab/simfleet/coldload_test.go
@@ -11,21 +11,22 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// coldFleet is one row of the measurement: how many limiters share how many servers, and of which pace.
+// coldFleet is one row of the measurement: the number of limiters and servers, and the speed of the servers.
 type coldFleet struct {
 	limiters, servers int
-	warmRate          float64 // requests a second of a server that is warm
+	warmRate          float64 // requests per second of a warm server
 	broken            []Broken
 }
 
-// coldSlots is how many requests at a time a server of the measurement does.
+// coldSlots is the number of requests that a server of the measurement runs concurrently.
 const coldSlots = 2
 
-// burstLoadFactor is the load during the burst over what all servers do once they are warm. Before it the load is 0.5 of
-// that.
+// burstLoadFactor is the load during the burst, as a multiple of the capacity of all servers when warm. Before the
+// burst the load is 0.5 of that capacity.
 const burstLoadFactor = 1.5
 
-// The times of the experiment: two servers are away, two new ones join as these return, and a burst covers the starts.
+// The times of the experiment. Two servers crash. Each restarts at the same moment as a new server joins, and a burst
+// covers all four starts.
 const (
 	coldCrash        = 2 * second
 	coldBurst        = 3 * second
@@ -34,7 +35,7 @@
 	coldEnd          = 12500 * second / 1000
 )
 
-// options gives the fleet of a row, with customers enough that their quotas do not bound the burst.
+// options returns the options of a row. It has enough customers that their quotas do not limit the burst.
 func (c coldFleet) options(seed uint64) Options {
 	o := Plain(seed, c.limiters, c.servers)
 	for i := range o.Servers {
@@ -43,7 +44,7 @@
 	capacity := c.warmRate * float64(c.servers)
 	o.Load.Rate, o.Load.From, o.Load.Until = capacity/2, second, coldEnd
 	o.Broken = c.broken
-	const teamRate = 40 // of DefaultSettings
+	const teamRate = 40 // rate of the plan "team" in DefaultSettings, in units per second
 	customers := max(int(2*burstLoadFactor*capacity/teamRate), c.limiters/5)
 	o.Load.Customers = nil
 	for i := range customers {
@@ -53,7 +54,7 @@
 	return o
 }
 
-// worstPeaks plays a row with one seed and gives the worst peaks of its cold starts.
+// worstPeaks runs a row with one seed and returns the worst peaks of its cold starts.
 func (c coldFleet) worstPeaks(t *testing.T, seed uint64) (all, notified ColdPeak) {
 	t.Helper()
 	f, err := New(c.options(seed))
@@ -68,16 +69,17 @@
 	loads := f.ColdLoads()
 	require.Len(t, loads, 4)
 	for _, load := range loads {
-		require.NotZero(t, load.Notified.Count, "seed %d: %s got nothing from notified limiters", seed, load.Server)
+		require.NotZero(t, load.Notified.Count,
+			"seed %d: %s received no request from notified limiters", seed, load.Server)
 		all, notified = all.Worse(load.All), notified.Worse(load.Notified)
 	}
 	return all, notified
 }
 
-// peakSummary is what the seeds of a row come to, for one kind of peaks.
+// peakSummary summarizes the peaks of one kind over the seeds of a row.
 type peakSummary struct {
 	worst ColdPeak
-	sum   float64 // of the ratios
+	sum   float64 // sum of the ratios
 	seeds int
 }
 
@@ -96,8 +98,9 @@
 	)
 }
 
-// TestColdMargin measures how near cold servers come to the bound of rule 4 under a burst, by the sum of all limiters.
-// It logs the rows of the table in docs/cold-margin.md.
+// TestColdMargin measures how close cold servers come to the bound of rule 4 when the load of all limiters together has
+// a burst, and guards against exceeding it by limiters that were notified of the start. It logs the rows of the table
+// in docs/cold-margin.md.
 func TestColdMargin(t *testing.T) {
 	for _, c := range []coldFleet{
 		{limiters: 20, servers: 10, warmRate: 20}, {limiters: 25, servers: 10, warmRate: 20},
@@ -120,7 +123,7 @@
 				assert.Positive(
 					t,
 					notifiedPeak.Margin(),
-					"seed %d: %d requests of %.1f came from notified limiters",
+					"seed %d: notified limiters sent %d requests in a window, the bound is %.1f",
 					seed,
 					notifiedPeak.Count,
 					notifiedPeak.Bound,
@@ -139,8 +142,9 @@
 	}
 }
 
-// TestColdMarginBroken: limiters that overfeed new servers pass the bound. Twenty of them before servers of 20
-// requests a second do not (docs/cold-margin.md).
+// TestColdMarginBroken checks that limiters that overload new servers exceed the bound of rule 4. The case of 20
+// limiters and servers of 20 requests per second is not among the rows, since it stays within the bound
+// (docs/cold-margin.md).
 func TestColdMarginBroken(t *testing.T) {
 	for _, c := range []coldFleet{{limiters: 30, servers: 10, warmRate: 5}, {limiters: 300, servers: 40, warmRate: 5},
 		{limiters: 300, servers: 20, warmRate: 20}} {
@@ -149,7 +153,7 @@
 		assert.Negative(
 			t,
 			notified.Margin(),
-			"%d limiters: %d requests of %.1f",
+			"%d limiters: notified limiters sent %d requests in a window, the bound is %.1f",
 			c.limiters,
 			notified.Count,
 			notified.Bound,
@@ -157,9 +161,9 @@
 	}
 }
 
-// TestColdPeaks checks the measure itself on attempts whose windows are known.
+// TestColdPeaks checks the measurement itself on attempts whose windows are known.
 func TestColdPeaks(t *testing.T) {
-	f, err := New(Plain(1, 2, 1)) // 150 requests a second, a quarter of it at the start
+	f, err := New(Plain(1, 2, 1)) // a server does 150 requests per second, a quarter of that when it starts
 	require.NoError(t, err)
 	f.At(10*second, func() { f.RestartServer("s0") })
 	f.Run(10 * second)
@@ -171,12 +175,13 @@
 		limiter int
 		times   int
 	}{
-		{9 * second, 0, 500}, // of the process before
+		{9 * second, 0, 500}, // sent to the previous process
 		{10500e6, 0, 4},      // not notified yet
 		{11 * second, 0, 3},
 		{11500e6, 1, 5}, // never notified
 		{12 * second, 0, 2},
-		{12500e6, 0, 4},       // a window takes in its end and not its beginning: those of 11 s have left it
+		// A window includes its end and excludes its beginning: the commands at 11 s have left it.
+		{12500e6, 0, 4},
 		{26 * second, 0, 500}, // warm
 	} {
 		for range s.times {
--- a/internal/lab/simfleet/counter.go
+++ b/internal/lab/simfleet/counter.go
@@ -7,21 +7,22 @@
 	"ospreycroft/internal/limiter"
 )
 
-// counter answers `tally NAME AMOUNT LIFE` with `ok TOTAL`, in the order of the calls on a connection. It does so many
-// calls a second, one after the other.
+// counter simulates the shared counter. It answers `tally NAME AMOUNT LIFETIME` with `ok TOTAL`, in the order of the
+// calls on a connection, and processes calls one after the other.
 type counter struct {
 	f         *Fleet
 	entries   map[string]counterEntry
-	busyUntil int64 // when it has done what it has taken
+	busyUntil int64 // when it will have finished the calls received so far
 	calls     int
 }
 
+// counterEntry is the total of a name and when it expires.
 type counterEntry struct {
 	total   float64
 	expires int64
 }
 
-// counterCallTime is how long a call takes the counter.
+// counterCallTime is how long the counter takes for a call, in nanoseconds.
 const counterCallTime = 20e3
 
 func (c *counter) accept(s *connEnd)                   { s.data = &[]byte{} }
@@ -43,7 +44,8 @@
 	}
 }
 
-// answer adds to a count; a name's life runs from its first add.
+// answer executes a call. A tally adds to the total of a name, whose lifetime (in milliseconds, at most 60000) runs
+// from the first call that names it.
 func (c *counter) answer(words [][]byte) []byte {
 	if len(words) == 1 && string(words[0]) == "ping" {
 		return []byte("pong\r\n")
--- a/internal/lab/simfleet/faults.go
+++ b/internal/lab/simfleet/faults.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// This file holds the faults of servers, the list service and links.
+// This file injects faults of servers, the discovery service and network links.
 
 func (f *Fleet) discoveryEndpointAt(address string) *discoveryEndpoint {
 	i := slices.IndexFunc(f.discovery.endpoints, func(d *discoveryEndpoint) bool { return d.host.name == address })
@@ -23,10 +23,10 @@
 	return f.servers[i]
 }
 
-// DrainServer lists a server as one that wants nothing new; its process goes on.
+// DrainServer lists a server as terminating, so that it should get no new requests. Its process keeps running.
 func (f *Fleet) DrainServer(name string) { f.setLifecycle(name, "terminating", "drain") }
 
-// RemoveServer ends a server's process, and the list tells so.
+// RemoveServer ends a server's process and lists the server as terminated.
 func (f *Fleet) RemoveServer(name string) {
 	f.setLifecycle(name, "terminated", "gone")
 	s := f.serverNamed(name)
@@ -41,7 +41,7 @@
 	f.discovery.setEntry(s.entry(state))
 }
 
-// CrashServer ends a server's process and nobody is told; Back starts it cold, and the list tells so.
+// CrashServer ends a server's process without a change of the endpoint list. RestartServer starts it again.
 func (f *Fleet) CrashServer(name string) {
 	s := f.serverNamed(name)
 	f.recordEvent("server-crash", name, "")
@@ -49,7 +49,7 @@
 	s.resetProcess()
 }
 
-// RestartServer starts a server's process at its old address, cold.
+// RestartServer starts a cold process of a server at its old address and lists the server as in service.
 func (f *Fleet) RestartServer(name string) {
 	s := f.serverNamed(name)
 	s.start(f.q.now)
@@ -57,7 +57,7 @@
 	s.startVersion = f.discovery.setEntry(s.entry("in_service"))
 }
 
-// AddServer starts a new server like an old one, cold.
+// AddServer starts a cold new server with the specification of an existing one, and lists it as in service.
 func (f *Fleet) AddServer(like, name string) {
 	old := f.serverNamed(like)
 	spec := old.spec
@@ -66,23 +66,23 @@
 	f.RestartServer(name)
 }
 
-// SilenceServer lets a server take commands and answer nothing; Slow makes its work take longer. Both until they are
-// undone.
+// SilenceServer makes a server accept commands without answering them while on is true.
 func (f *Fleet) SilenceServer(name string, on bool) {
 	f.serverNamed(name).silent = on
 	f.recordEvent("silence", name, fmt.Sprint(on))
 }
 
-// SlowServer makes a server's requests take so many times as long.
+// SlowServer multiplies the service time of a server's requests by factor; 0 restores the usual time.
 func (f *Fleet) SlowServer(name string, factor float64) {
 	f.serverNamed(name).slowFactor = factor
 	f.recordEvent("slow", name, fmt.Sprint(factor))
 }
 
-// SetRequestRate changes the rate at which requests come.
+// SetRequestRate changes the rate of requests, in requests per second.
 func (f *Fleet) SetRequestRate(rate float64) { f.clients.rate = rate }
 
-// SetDiscoveryDown stops the list service, or starts it again. While it is down it says nothing to anybody.
+// SetDiscoveryDown stops the discovery service or starts it again. While it is down it sends nothing to agents or
+// limiters.
 func (f *Fleet) SetDiscoveryDown(down bool) {
 	f.recordEvent("list-down", "list", fmt.Sprint(down))
 	for _, m := range f.limiters {
@@ -103,15 +103,15 @@
 	f.discovery.setDown(down)
 }
 
-// SilenceWatches lets the watches of some limiters fall silent; it tells how many did.
+// SilenceWatches makes the open watches of the chosen limiters fall silent and returns how many there were.
 func (f *Fleet) SilenceWatches(include func(limiter int) bool) int {
 	silenced := f.discovery.silenceWatches(include)
 	f.recordEvent("quiet", "list", fmt.Sprintf("watches=%d", silenced))
 	return silenced
 }
 
-// hostsOf names machines for links: "limiter", "server", "counter", "list" or "clients" for all such, or a server's
-// name. Where among is not nil it chooses among limiters by their number.
+// hostsOf returns the hosts at one end of a link fault: all hosts of the kind "limiter", "server", "counter", "list" or
+// "clients", or the one of the named server. If include is not nil it selects limiters by their index.
 func (f *Fleet) hostsOf(kind string, include func(int) bool) map[*host]bool {
 	out := map[*host]bool{}
 	switch kind {
@@ -144,9 +144,10 @@
 	return out
 }
 
-// AddLinkFault puts a fault on the links from some machines to others, in that direction alone: what is "limiter",
-// "server", "counter", "list", "clients" or the name of a server, and among chooses among limiters. extra is for Delay
-// and Late, share for Tear. Heal undoes it.
+// AddLinkFault adds a fault to the links from some hosts to others, in that direction only. Each end is "limiter",
+// "server", "counter", "list", "clients" or the name of a server; include selects limiters by their index, nil selects
+// all. The delay, in nanoseconds, applies to LinkDelayed and DialDelayed, and resetShare, the share of messages, to
+// LinkReset. HealLink removes the fault.
 func (f *Fleet) AddLinkFault(
 	fault LinkFault,
 	from, to string,
@@ -170,21 +171,21 @@
 	return r
 }
 
-// HealLink undoes a fault of links.
+// HealLink removes a fault of links and delivers the packets that it held back.
 func (f *Fleet) HealLink(r *LinkRule) {
 	f.recordEvent("heal", "", "")
 	f.net.removeRule(r)
 	f.discovery.publish()
 }
 
-// HalfOpen lets a server's machine forget its connections with a limiter: what the limiter writes on them next is
-// answered with a reset.
+// HalfOpen makes a server's host forget its connections with a limiter: the next bytes that the limiter writes on them
+// are answered with a reset.
 func (f *Fleet) HalfOpen(name string, n int) {
 	f.recordEvent("half-open", name, f.limiters[n].host.name)
 	f.net.halfOpen(f.serverNamed(name).host, f.limiters[n].host)
 }
 
-// VanishServer takes a server's machine away without a word. Back brings it back.
+// VanishServer takes a server's host off the network without closing its connections. RestartServer brings it back.
 func (f *Fleet) VanishServer(name string) {
 	s := f.serverNamed(name)
 	f.recordEvent("vanish", name, "")
--- a/internal/lab/simfleet/fleet.go
+++ b/internal/lab/simfleet/fleet.go
@@ -1,10 +1,11 @@
-// Package simfleet plays a whole fleet in one process: real limiters (internal/limiter, the reducer that also runs on
-// sockets), and servers, a counter, a list service and clients in memory, which speak the real wires. Everything
-// happens in the order of one queue under one virtual clock, with chance from one seed: no goroutine, no wall clock, no
-// sleep. So the same seed gives the same record, byte for byte, and a fault that was seen once can be seen again.
+// Package simfleet simulates a whole fleet in one process. The limiters are real (internal/limiter, the reducer that
+// production runs on sockets); servers, a shared counter, a discovery service and clients are simulated in memory and
+// speak the real protocols. All events run in one queue under one virtual clock, and all randomness comes from one
+// seed: there are no goroutines, no wall clock and no sleeps. So the same seed gives the same record, byte for byte,
+// and a fault that was seen once can be reproduced.
 //
-// The fleet is judged from the records of servers, clients and the list service, never from a limiter's own word
-// (see docs/scenarios.md).
+// The fleet is judged by the records of servers, clients and the discovery service, never by a limiter's own reports
+// (see docs/scenarios.md). The rules that are named by number are those of package invariants.
 package simfleet
 
 import (
@@ -18,15 +19,19 @@
 )
 
 const (
-	epoch            = int64(1e15) // the limiters' clock at the fleet's zero
-	never            = int64(1) << 62
-	silentWatchDelay = int64(6e9) // what a silent watch misses counts as told so long after it fell silent,
-	holdOverrunDelay = int64(2e9) // or so long after the wait of its call is over, where that is later
-	reloadDelay      = int64(4e9) // what a new list service has to tell counts so long after SIGHUP
-	shutdownMargin   = int64(700e6)
+	epoch = int64(1e15)    // the limiters' clock when the fleet's clock is 0
+	never = int64(1) << 62 // a time that is not reached
+	// A change that a silent watch misses counts as notified silentWatchDelay after the watch fell silent, or
+	// holdOverrunDelay after the hold time of its poll if that is later. In nanoseconds.
+	silentWatchDelay = int64(6e9)
+	holdOverrunDelay = int64(2e9)
+	// After SIGHUP, changes at the new discovery service count as notified only after this delay, in nanoseconds.
+	reloadDelay = int64(4e9)
+	// a limiter is killed this long after the longest deadline if its graceful shutdown has not ended, in nanoseconds
+	shutdownMargin = int64(700e6)
 )
 
-// Fleet is a fleet in memory. It is not safe for concurrent use.
+// Fleet is a simulated fleet. It is not safe for concurrent use.
 type Fleet struct {
 	options         Options
 	q               queue
@@ -45,26 +50,26 @@
 	faults          []history.Event
 	drains          []drainChange
 	overloadCrashes int
-	longestDeadline int64 // the longest deadline
-	answersWritten  int   // answers, for LosesAnswers
+	longestDeadline int64 // the longest deadline of any class, in nanoseconds
+	answersWritten  int   // answers written to clients, counted under LosesAnswers
 }
 
-// observedAttempt is an attempt as a server saw it, and what the judge needs beside that.
+// observedAttempt is an attempt as a server saw it, with what the judge needs besides.
 type observedAttempt struct {
 	history.Attempt
 	limiter     int
-	incarnation int   // of the server's processes
-	sent        int64 // when its first byte was written
+	incarnation int   // the server's process, counted from its first
+	sent        int64 // when the first byte of the command was written
 }
 
-// drainChange is a change after which a server wants nothing new.
+// drainChange is a change of the endpoint list after which a server should get no new requests.
 type drainChange struct {
 	version     int64
 	server      string
 	incarnation int
 }
 
-// withDefaults fills in what a fleet's options leave open; the caller's settings are not written to.
+// withDefaults returns the options with defaults for what is unset. It does not write to the caller's settings.
 func (o Options) withDefaults() Options {
 	if o.Settings == nil {
 		o.Settings = DefaultSettings()
@@ -85,7 +90,7 @@
 	return o
 }
 
-// New makes a fleet in which no limiter has started yet; the servers, the counter and the list service run.
+// New creates a fleet whose servers, shared counter and discovery service run. No limiter is started yet.
 func New(options Options) (*Fleet, error) {
 	options = options.withDefaults()
 	f := &Fleet{options: options, rng: rand.New(rand.NewPCG(options.Seed, 0xf1)), limiterByHost: map[*host]int{}}
@@ -131,23 +136,25 @@
 	return nil
 }
 
-// checkLoad checks the load against the settings and finds the longest deadline.
+// checkLoad checks the load against the settings and determines the longest deadline.
 func (f *Fleet) checkLoad() error {
 	for _, class := range f.options.Load.Classes {
 		if f.settings.Classes[class.Class] == nil {
-			return fmt.Errorf("load: no track %q", class.Class)
+			return fmt.Errorf("load: unknown class %q", class.Class)
 		}
 		f.longestDeadline = max(f.longestDeadline, class.Deadline)
 	}
 	for _, customer := range f.options.Load.Customers {
 		if f.settings.Plans[customer.Plan] == nil || customer.Limiters < 1 || customer.Limiters > f.options.Limiters {
-			return fmt.Errorf("load: customer %s: plan %q, spread %d", customer.ID, customer.Plan, customer.Limiters)
+			return fmt.Errorf("load: customer %s: unknown plan %q or invalid number of limiters %d",
+				customer.ID, customer.Plan, customer.Limiters)
 		}
 	}
 	return nil
 }
 
-// addServers adds the servers of the options, warm since long ago; those of a zone drop each other's repeats.
+// addServers adds the servers of the options, all of them warm. The servers of a zone share the keys that they
+// deduplicate by.
 func (f *Fleet) addServers() {
 	zones := map[string]map[string]int64{}
 	for i, spec := range f.options.Servers {
@@ -159,9 +166,11 @@
 	}
 }
 
-// addLimiters adds the limiters, which know the first list; where lists are pushed, each has a list service beside it.
+// addLimiters adds the limiters, whose configuration holds the initial endpoint list. In mode Pushed each gets a
+// discovery agent on its own host.
 func (f *Fleet) addLimiters() {
-	known, _ := json.Marshal(map[string]any{"generation": firstVersion, "reset": true, "instances": f.discovery.initial})
+	known, _ := json.Marshal(map[string]any{"generation": firstVersion, "reset": true,
+		"instances": f.discovery.initial})
 	for n := range f.options.Limiters {
 		added := &fleetLimiter{
 			index:            n,
@@ -196,32 +205,34 @@
 	return s
 }
 
-// entry is the server's line of the list.
+// entry returns the server's entry in the endpoint list.
 func (s *server) entry(state string) instance {
-	entry := instance{ID: s.spec.Name, HostPort: s.host.name, Zone: s.spec.Zone, Machine: "m", Lifecycle: state, Weight: 1}
+	entry := instance{ID: s.spec.Name, HostPort: s.host.name, Zone: s.spec.Zone, Machine: "m",
+		Lifecycle: state, Weight: 1}
 	if s.started > longAgo {
 		entry.StartedMs = (epoch + s.started) / 1e6
 	}
 	return entry
 }
 
-// Now is the fleet's clock.
+// Now returns the fleet's clock, in nanoseconds since the run began.
 func (f *Fleet) Now() int64 { return f.q.now }
 
-// At plans a step of a story.
+// At schedules a step of a scenario at a time of the fleet's clock.
 func (f *Fleet) At(at int64, step func()) { f.q.at(at, step) }
 
-// LatencyObjective is a class's agreed time.
+// LatencyObjective returns the latency objective of a class.
 func (f *Fleet) LatencyObjective(name string) int64 { return f.settings.Classes[name].LatencyObjective }
 
-// Run lets the fleet run up to a time.
+// Run runs the fleet until the given time of its clock.
 func (f *Fleet) Run(until int64) { f.q.run(until) }
 
 func (f *Fleet) recordEvent(kind, target, detail string) {
 	f.events = append(f.events, history.Event{At: f.q.now, Kind: kind, Target: target, Detail: detail})
 }
 
-// recordFault notes what no fleet may show, beside the five rules: a crash, a command or an answer that is none.
+// recordFault records an event that no fleet may show, independent of the five rules of package invariants: a crash, or
+// a malformed command or answer.
 func (f *Fleet) recordFault(kind, target, detail string) {
 	f.recordEvent(kind, target, detail)
 	f.faults = append(f.faults, f.events[len(f.events)-1])
--- a/internal/lab/simfleet/judge.go
+++ b/internal/lab/simfleet/judge.go
@@ -8,18 +8,19 @@
 	"ospreycroft/internal/lab/invariants"
 )
 
-// notifiedAt is when a version of the list counts as told to one process of a limiter; never where it does not.
+// notifiedAt returns when a version of the endpoint list counts as notified to one process of a limiter, never if it
+// does not.
 //
-// Where lists are pushed, what the agent has counts from the moment it has it, or from the start of the process. Where
-// they are asked for, what the service has written counts. In both a watch that has fallen silent is one clock: what
-// it misses counts as told 6 s after that, for a call that may wait 2 s after the wait is over if that is later,
-// whether or not it arrived. A process that is stopped is told when it goes on.
+// A version counts when it is delivered on a watch, if it has not counted before. In mode Pushed it counts from the
+// moment the agent has it, or from the start of the process if that is later. In both modes a change that a silent
+// watch misses counts at a fixed time, whether or not it arrived: 6 s after the watch fell silent or 2 s after the hold
+// time of its poll, whichever is later. A paused process is notified when it resumes.
 func (f *Fleet) notifiedAt(n int, inc *incarnation, version int64) int64 {
 	notified := min(firstReached(inc.delivered, version), f.assumedNotifiedAt(n, inc, version))
 	return skipSpans(notified, inc.pauses)
 }
 
-// firstReached is when a version or a newer one first came.
+// firstReached returns when a version or a newer one was first reached.
 func firstReached(marks []versionMark, version int64) int64 {
 	for _, m := range marks {
 		if m.version >= version {
@@ -29,7 +30,8 @@
 	return never
 }
 
-// assumedNotifiedAt is when a version counts as told whether it was handed over or not.
+// assumedNotifiedAt returns when a version counts as notified even if it was not delivered. In mode Polled that is the
+// end of a silent watch's delay, or four poll intervals after the change.
 func (f *Fleet) assumedNotifiedAt(n int, inc *incarnation, version int64) int64 {
 	if f.options.Mode == Pushed {
 		return skipSpans(max(firstReached(f.limiters[n].agentVersions, version), inc.from),
@@ -39,7 +41,7 @@
 		return never
 	}
 	listed := f.discovery.changes[version-firstVersion-1].at
-	at := max(listed, inc.from) + 4*f.settings.PollInterval // where no call was answered for so long
+	at := max(listed, inc.from) + 4*f.settings.PollInterval // no poll was answered for this long
 	for _, s := range inc.watchSilences {
 		if listed < s.until {
 			at = min(at, max(listed, s.until))
@@ -48,7 +50,7 @@
 	return skipSpans(at, inc.discoveryOutages)
 }
 
-// skipSpans moves a time that falls into one of some spans to its end.
+// skipSpans moves a time that falls into an excluded span to the end of that span.
 func skipSpans(at int64, excluded ...[]span) int64 {
 	for moved := true; moved && at < never; {
 		moved = false
@@ -64,7 +66,7 @@
 	return at
 }
 
-// currentNotifiedAt is toldAt for a limiter's present process.
+// currentNotifiedAt is notifiedAt for the current process of a limiter.
 func (f *Fleet) currentNotifiedAt(n int, version int64) int64 {
 	if p := f.limiters[n].process; p != nil {
 		return f.notifiedAt(n, p.incarnation, version)
@@ -72,36 +74,38 @@
 	return never
 }
 
-// MissedChange is a change of the list that a process missed on a watch that had fallen silent.
+// MissedChange is a change of the endpoint list that a process missed on a silent watch.
 type MissedChange struct {
 	Limiter   int
 	Server    string
-	Notified  int64 // when it counted as told
-	Delivered int64 // when the list service handed it over on a new watch; far in the future where it never did
+	Notified  int64 // when the change counted as notified
+	Delivered int64 // when the discovery service delivered it on a new watch; far in the future if it never did
 }
 
-// Result is what a run leaves.
+// Result is the outcome of a run.
 type Result struct {
-	Run            *history.Run
-	Verdict        *invariants.Verdict
-	Faults         []history.Event // crashes, and bytes that no wire allows
-	DiscoveryCalls []int           // calls that reached the list service, by second; none where an agent answers
-	ThrottledCalls []int           // those of them that it turned away
-	// Handshakes are the connections that each server took, by second.
+	Run     *history.Run
+	Verdict *invariants.Verdict
+	Faults  []history.Event // crashes, and bytes that violate a protocol
+	// DiscoveryCalls are the polls that reached the discovery service, by second; empty in mode Pushed, where
+	// agents answer.
+	DiscoveryCalls []int
+	ThrottledCalls []int // polls that the discovery service rejected, by second
+	// Handshakes are the connections that each server accepted, by second.
 	Handshakes      map[string][]int
-	OverloadCrashes int            // of cold servers, whoever was to blame
-	Missed          []MissedChange // what silent watches missed
-	Unserved        int            // requests that found no limiter that was in
-	Steps           int64          // events of the queue
+	OverloadCrashes int            // crashes of cold servers from overload, whether or not the limiters were at fault
+	Missed          []MissedChange // drains and removals that were missed on silent watches
+	Unserved        int            // requests for which no limiter was ready
+	Steps           int64          // events that the queue has run
 }
 
-// Finish lets the last requests end and judges the run.
+// Finish runs the fleet until the last requests have ended, and judges the run.
 func (f *Fleet) Finish() *Result {
 	f.Run(max(f.q.now, f.options.Load.Until) + f.longestDeadline + 2*lateAnswerWindow)
 	attempts := make([]history.Attempt, len(f.attempts))
 	terms := invariants.Terms{Late: 50e6, Grace: f.options.Grace, Slack: 150e6}
 	for i, s := range f.attempts {
-		// What a fault of the network held up is judged by when it was sent: a limiter cannot take it back.
+		// An attempt that a network fault held up is judged by when it was sent, since a limiter cannot take it back.
 		attempts[i] = s.Attempt
 		if s.At > s.sent+terms.Late {
 			attempts[i].At = s.sent
@@ -140,8 +144,8 @@
 	return r
 }
 
-// outageEvents are the events that the judge of the rules takes: what a process that is dead or stopped does not answer is
-// not its fault.
+// outageEvents returns the kills and restarts of limiters for the judge of the rules, so that requests which a process
+// leaves unanswered because it is dead or paused do not count as its violations.
 func (f *Fleet) outageEvents() []history.Event {
 	var out []history.Event
 	down := map[string]bool{}
@@ -162,8 +166,8 @@
 	return out
 }
 
-// judgeDrains judges rule 3 for each process of each limiter by its own clock of what it was told, and by when attempts
-// were sent, and adds what it finds.
+// judgeDrains judges rule 3 for each process of each limiter and adds what it finds to the verdict. An attempt is
+// judged by when it was sent and by when that process was notified of the drain.
 func (f *Fleet) judgeDrains(v *invariants.Verdict, terms invariants.Terms) {
 	if len(f.drains) == 0 {
 		return
@@ -209,7 +213,7 @@
 	}
 }
 
-// missedChanges lists the drains that processes missedChanges on watches that had fallen silent.
+// missedChanges lists the drains and removals that processes missed on silent watches.
 func (f *Fleet) missedChanges() []MissedChange {
 	var out []MissedChange
 	for _, target := range f.limiters {
--- a/internal/lab/simfleet/lifecycle.go
+++ b/internal/lab/simfleet/lifecycle.go
@@ -11,32 +11,36 @@
 
 // This file starts, stops and signals limiters.
 
-// fleetLimiter is a limiter's place in the fleet, through all its lives.
+// fleetLimiter is a limiter of the fleet, across all processes that it has had.
 type fleetLimiter struct {
 	index            int
 	host             *host
-	discoveryAddress string // the list service's address in its configuration
+	discoveryAddress string // address of the discovery service in its configuration
 	counterAddress   string
-	initialList      json.RawMessage // and its list
-	agentVersions    []versionMark   // what its agent has had
+	initialList      json.RawMessage // the endpoint list in its configuration
+	agentVersions    []versionMark   // the versions that its agent has received
 	process          *process
 	incarnations     []*incarnation
 }
 
+// versionMark is a version of the endpoint list with the time, or the byte offset in a connection, at which it was
+// reached.
 type versionMark struct{ version, at int64 }
 
+// span is the period [from, until) of the fleet's clock.
 type span struct{ from, until int64 }
 
-// incarnation is one process of a limiter, as the list service saw it.
+// incarnation is one process of a limiter, as the discovery service saw it.
 type incarnation struct {
-	from, until      int64
-	pauses           []span        // in which it was stopped
-	watchSilences    []span        // of its watches, up to when what they miss counts as told
-	discoveryOutages []span        // in which nothing counts: the service was down or has been moved
-	delivered        []versionMark // what it was handed
+	from, until   int64
+	pauses        []span // while it was paused
+	watchSilences []span // of its watches, each until changes that it misses count as notified
+	// While no change counts as notified: the discovery service was down or its address has changed.
+	discoveryOutages []span
+	delivered        []versionMark // the versions that were delivered to it
 }
 
-// limiterOnHost is the number of the limiter at a host, and its process.
+// limiterOnHost returns the index of the limiter on a host and its process, -1 and nil if there is none.
 func (f *Fleet) limiterOnHost(h *host) (int, *process) {
 	n, ok := f.limiterByHost[h]
 	if !ok {
@@ -45,13 +49,13 @@
 	return n, f.limiters[n].process
 }
 
-// recordAgentVersion notes what a limiter's agent has.
+// recordAgentVersion records that a limiter's agent has received a version.
 func (f *Fleet) recordAgentVersion(n int, version int64) {
 	target := f.limiters[n]
 	target.agentVersions = append(target.agentVersions, versionMark{version, f.q.now})
 }
 
-// StartLimiter starts a limiter with the list of its configuration, which may be old.
+// StartLimiter starts a limiter with the endpoint list of its configuration, which may be outdated.
 func (f *Fleet) StartLimiter(n int) {
 	target := f.limiters[n]
 	if target.process != nil {
@@ -63,9 +67,9 @@
 	}
 	p := &process{f: f, index: n, host: target.host, conns: map[limiter.ConnID]*connEnd{},
 		incarnation: &incarnation{from: f.q.now, until: never}}
-	p.config = &settings.Config{Name: fmt.Sprintf("n%d", n), Listen: target.host.name, Discovery: target.discoveryAddress,
-		Counter: target.counterAddress, Seed: int64(f.rng.Uint64() >> 1), Memory: 192 << 20, Sockets: 1024,
-		Known: known, Settings: limiterSettings}
+	p.config = &settings.Config{Name: fmt.Sprintf("n%d", n), Listen: target.host.name,
+		Discovery: target.discoveryAddress, Counter: target.counterAddress, Seed: int64(f.rng.Uint64() >> 1),
+		Memory: 192 << 20, Sockets: 1024, Known: known, Settings: limiterSettings}
 	target.process, target.incarnations = p, append(target.incarnations, p.incarnation)
 	if f.discovery.down {
 		p.incarnation.discoveryOutages = append(p.incarnation.discoveryOutages, span{f.q.now, never})
@@ -83,7 +87,7 @@
 	f.clients.limiterStarted(n)
 }
 
-// endProcess takes a process away; nothing of it is left.
+// endProcess ends a process, with all its state and connections.
 func (f *Fleet) endProcess(p *process, kind, detail string) {
 	target := f.limiters[p.index]
 	p.dead = true
@@ -107,14 +111,15 @@
 	}
 }
 
-// KillLimiter is SIGKILL: the limiter's state is gone, its connections are reset.
+// KillLimiter kills a limiter as SIGKILL does: its state is lost and its connections are reset.
 func (f *Fleet) KillLimiter(n int) {
 	if p := f.limiters[n].process; p != nil {
 		f.endProcess(p, "kill", "")
 	}
 }
 
-// PauseLimiter is SIGSTOP, Continue SIGCONT: in between a limiter is told nothing, and its clock goes on.
+// PauseLimiter stops a limiter as SIGSTOP does, until ResumeLimiter. Meanwhile it handles no events, and its clock
+// advances.
 func (f *Fleet) PauseLimiter(n int) {
 	if p := f.limiters[n].process; p != nil && !p.paused {
 		p.paused = true
@@ -123,7 +128,7 @@
 	}
 }
 
-// ResumeLimiter is SIGCONT.
+// ResumeLimiter continues a paused limiter as SIGCONT does.
 func (f *Fleet) ResumeLimiter(n int) {
 	if p := f.limiters[n].process; p != nil && p.paused {
 		p.incarnation.pauses[len(p.incarnation.pauses)-1].until = f.q.now
@@ -132,8 +137,9 @@
 	}
 }
 
-// TerminateLimiter is SIGTERM, and SIGKILL after the longest deadline and 0.7 s where the limiter has not ended by
-// then. It starts again once it has ended, if again is set, with the list of its configuration.
+// TerminateLimiter asks a limiter to shut down gracefully as SIGTERM does, and kills it if it has not ended after the
+// longest deadline and another 0.7 s. If restart is set it then starts again, with the endpoint list of its
+// configuration.
 func (f *Fleet) TerminateLimiter(n int, restart bool) {
 	p := f.limiters[n].process
 	if p == nil || p.paused {
@@ -147,7 +153,7 @@
 	p.step(limiter.ShutdownRequested{}, nil)
 	f.q.at(f.q.now+f.longestDeadline+shutdownMargin, func() {
 		if !p.dead {
-			f.endProcess(p, "overdue", "killed: it had not ended")
+			f.endProcess(p, "overdue", "killed: the graceful shutdown did not finish in time")
 		}
 		if restart {
 			f.StartLimiter(n)
@@ -155,8 +161,9 @@
 	})
 }
 
-// ReloadLimiter is SIGHUP with a configuration that names other addresses of the list service and the counter; those
-// are numbered from 1. The new list service counts its versions otherwise, the old one falls silent.
+// ReloadLimiter sends a limiter SIGHUP with a configuration that names other addresses of the discovery service and the
+// counter, each given by its number, starting at 1. The new discovery service numbers its versions differently; an old
+// one that no limiter uses any more falls silent.
 func (f *Fleet) ReloadLimiter(n, list, counter int) {
 	target := f.limiters[n]
 	old := f.discoveryEndpointAt(target.discoveryAddress)
@@ -178,7 +185,7 @@
 	if !slices.ContainsFunc(f.limiters, func(o *fleetLimiter) bool { return o.discoveryAddress == old.host.name }) {
 		old.retired = true
 		f.q.at(f.q.now+100e6, func() {
-			if f.options.Mode == Polled { // whoever still watches there misses what comes
+			if f.options.Mode == Polled { // limiters that still watch there miss later changes
 				f.discovery.forEachWatch(old, func(p *process, conn *pollConn) { p.fallSilent(conn.latest) })
 			}
 		})
--- a/internal/lab/simfleet/lists.go
+++ b/internal/lab/simfleet/lists.go
@@ -11,16 +11,16 @@
 	"ospreycroft/internal/limiter"
 )
 
-// Mode is how limiters learn of the list.
+// Mode is how limiters receive the endpoint list.
 type Mode uint8
 
 // The modes.
 const (
-	Pushed Mode = iota // an agent beside each limiter is sent the list, whether or not a watch is open
-	Polled             // one service answers those that ask, so many calls a second
+	Pushed Mode = iota // an agent on each limiter's host is sent the list, whether or not a watch is open
+	Polled             // one discovery service answers the polls of all limiters, up to Options.DiscoveryCallRate
 )
 
-// instance is one entry of the list, in the wire's form.
+// instance is an entry of the endpoint list as it is encoded on the wire.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -32,7 +32,7 @@
 	StartedMs int64   `json:"startedAtMs"`
 }
 
-// listAnswer is the body of an answer.
+// listAnswer is the body of an answer to a poll.
 type listAnswer struct {
 	Version int64      `json:"generation"`
 	Full    bool       `json:"reset"`
@@ -52,32 +52,32 @@
 	)
 }
 
-// change is one step of the list.
+// change is one change of the endpoint list.
 type change struct {
 	version int64
 	at      int64
 	entry   instance
 }
 
-// discoveryService is the list service: the list at its first version and each change since.
+// discoveryService is the source of the endpoint list: the initial list and each change since.
 type discoveryService struct {
 	f          *Fleet
 	initial    []instance
 	changes    []change
 	down       bool
-	endpoints  []*discoveryEndpoint // all that answer calls: agents, or the service itself
+	endpoints  []*discoveryEndpoint // everything that answers polls: the agents, or the service itself
 	tokens     float64
 	refilledAt int64
-	// Calls that reached the service in each second, those that it throttled away among them.
+	// Polls that reached the service in each second, and those among them that it rejected.
 	calls, throttled []int
 }
 
-// firstVersion is that of the list at the beginning.
+// firstVersion is the version of the initial list.
 const firstVersion = 10
 
 func (s *discoveryService) version() int64 { return firstVersion + int64(len(s.changes)) }
 
-// entriesAt is the list at a version.
+// entriesAt returns the endpoint list at a version.
 func (s *discoveryService) entriesAt(version int64) []instance {
 	out := slices.Clone(s.initial)
 	for _, c := range s.changes {
@@ -98,7 +98,8 @@
 	return out
 }
 
-// changesBetween is what changed after one version up to another, each server's latest entry alone.
+// changesBetween returns the entries that changed after one version up to and including another, only the latest entry
+// of each server.
 func (s *discoveryService) changesBetween(from, to int64) []instance {
 	out := []instance{}
 	for _, c := range s.changes {
@@ -111,29 +112,31 @@
 	return out
 }
 
-// discoveryEndpoint answers calls at one address: of one limiter where it is an agent, of all where it is the service.
+// discoveryEndpoint answers polls at one address: those of one limiter if it is an agent, those of all if it is the
+// discovery service.
 type discoveryEndpoint struct {
 	f             *Fleet
 	host          *host
-	limiter       int   // the limiter whose agent it is, -1 for the service
-	version       int64 // the version that it has
-	versionOffset int64 // it numbers its versions higher by so much
-	retired       bool  // it was moved away from and says nothing any more
+	limiter       int   // index of the limiter whose agent it is, -1 for the service
+	version       int64 // the latest version that it has
+	versionOffset int64 // added to a version before it is sent; a new service numbers its versions differently
+	retired       bool  // limiters were moved to another address, and it no longer answers
 	polls         []*pollRequest
 }
 
-// pollConn is a connection to a desk.
+// pollConn is a connection to a discovery endpoint.
 type pollConn struct {
 	received    []byte
-	silentSince int64         // since when nothing comes on it any more, -1 while it serves
-	written     []versionMark // the versions that were written, with the place of the last byte
-	latest      *pollRequest  // the latest
+	silentSince int64         // since when it sends nothing any more, -1 while it answers
+	written     []versionMark // the versions sent, with the byte offset of the end of each answer
+	latest      *pollRequest  // the latest poll
 }
 
+// pollRequest is a request for the endpoint list, which is held until there is a change or the hold time is over.
 type pollRequest struct {
 	conn     *connEnd
 	at       int64
-	from     int64 // the version that the caller has, by the desk's own numbers; below 0 for the whole list
+	from     int64 // the version that the caller has, in the endpoint's numbering; negative to request the full list
 	hold     int64
 	answered bool
 }
@@ -169,11 +172,11 @@
 	first, _, _ := strings.Cut(head, "\r\n")
 	words := strings.Fields(first)
 	if len(words) != 3 || words[0] != "GET" {
-		return nil, fmt.Errorf("no call: %q", first)
+		return nil, fmt.Errorf("not a poll: %q", first)
 	}
 	u, err := url.Parse(words[1])
 	if err != nil || u.Path != "/discovery/hosts" {
-		return nil, fmt.Errorf("no call: %q", first)
+		return nil, fmt.Errorf("not a poll: %q", first)
 	}
 	query := u.Query()
 	if !query.Has("from") {
@@ -182,12 +185,12 @@
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
 	hold, holdErr := strconv.ParseInt(query.Get("hold_ms"), 10, 64)
 	if err != nil || holdErr != nil || hold < 0 {
-		return nil, fmt.Errorf("no call: %q", first)
+		return nil, fmt.Errorf("not a poll: %q", first)
 	}
 	return &pollRequest{from: from, hold: min(hold, 60000) * 1e6}, nil
 }
 
-// handle takes a call: the service turns it away where there are too many.
+// handle accepts a poll. The discovery service rejects polls above its rate.
 func (d *discoveryEndpoint) handle(poll *pollRequest) {
 	service := d.f.discovery
 	if d.retired {
@@ -217,7 +220,7 @@
 	}
 }
 
-// answerIfDue answers a call whose time has come.
+// answerIfDue answers a poll if there is a change or its hold time is over.
 func (d *discoveryEndpoint) answerIfDue(poll *pollRequest) {
 	if poll.answered || poll.conn.closed || d.retired || d.f.discovery.down {
 		return
@@ -243,7 +246,7 @@
 	conn.written = append(conn.written, versionMark{d.version, poll.conn.bytesWritten})
 }
 
-// recordDelivered notes what has been handed over with the bytes that have come to a limiter's machine.
+// recordDelivered records the versions whose answers have completely arrived at a limiter's host.
 func (c *pollConn) recordDelivered(p *process, bytesRead int64) {
 	for len(c.written) > 0 && c.written[0].at <= bytesRead {
 		p.incarnation.delivered = append(p.incarnation.delivered, versionMark{c.written[0].version, p.f.q.now})
@@ -251,14 +254,14 @@
 	}
 }
 
-// answerDuePolls lets waiting calls have what has come.
+// answerDuePolls answers the waiting polls for which there is a change.
 func (d *discoveryEndpoint) answerDuePolls() {
 	for _, poll := range slices.Clone(d.polls) {
 		d.answerIfDue(poll)
 	}
 }
 
-// setEntry changes an entry of the list, and sends it to those that wait for it.
+// setEntry changes an entry of the endpoint list and publishes the list. It returns the new version.
 func (s *discoveryService) setEntry(e instance) int64 {
 	s.changes = append(s.changes, change{s.version() + 1, s.f.q.now, e})
 	if !s.down {
@@ -267,7 +270,7 @@
 	return s.version()
 }
 
-// publish brings the present list to each limiter's agent, after a notice of its own, or to the service itself.
+// publish sends the current list to each limiter's agent, after a random delay of its own, or to the service itself.
 func (s *discoveryService) publish() {
 	if s.f.options.Mode == Polled {
 		s.deliver(-1, s.version())
@@ -282,13 +285,13 @@
 	}
 }
 
-// deliver gives a limiter's agent a version, unless the service is down or cut off from its machine: then it comes once
-// that is over.
+// deliver gives a limiter's agent a version. It does nothing if the service is down or cut off from the limiter's host;
+// the list is then published again once that has ended.
 func (s *discoveryService) deliver(index int, version int64) {
 	if index >= 0 {
 		cut, stalled, _, _, _ := s.f.net.linkFaults(s.f.net.host("list"), s.f.limiters[index].host)
 		if s.down || cut || stalled {
-			return // up and heal spread again
+			return // setDown and HealLink publish again
 		}
 		if versions := s.f.limiters[index].agentVersions; versions[len(versions)-1].version < version {
 			s.f.recordAgentVersion(index, version)
@@ -302,8 +305,8 @@
 	}
 }
 
-// setDown stops or starts the service. While it is down agents say nothing; where it is asked it is a process that has
-// died, which resets and refuses.
+// setDown stops or starts the service. While it is down, agents answer nothing; in mode Polled its process has ended,
+// so connections are reset and dials refused.
 func (s *discoveryService) setDown(down bool) {
 	s.down = down
 	for _, d := range s.endpoints {
@@ -324,8 +327,8 @@
 	}
 }
 
-// silenceWatches lets the watches that are open fall silent once: nothing comes on their connections any more, whatever is
-// asked.
+// silenceWatches makes the open watches of the chosen limiters fall silent: nothing is sent on their connections any
+// more, not even answers to further polls. It returns how many there were.
 func (s *discoveryService) silenceWatches(include func(limiter int) bool) (silenced int) {
 	for _, d := range s.endpoints {
 		s.forEachWatch(d, func(p *process, conn *pollConn) {
@@ -339,7 +342,7 @@
 	return silenced
 }
 
-// forEachWatch goes through the connections on which limiters have asked at a desk.
+// forEachWatch calls visit for each connection on which a limiter has polled an endpoint.
 func (s *discoveryService) forEachWatch(d *discoveryEndpoint, visit func(p *process, conn *pollConn)) {
 	for _, end := range slices.Clone(d.host.connEnds) {
 		conn, isPoll := end.data.(*pollConn)
@@ -349,7 +352,7 @@
 	}
 }
 
-// fallSilent notes until when what a watch misses does not count as told.
+// fallSilent records until when changes that a watch misses do not count as notified.
 func (p *process) fallSilent(poll *pollRequest) {
 	now := p.f.q.now
 	until := now + silentWatchDelay
--- a/internal/lab/simfleet/network.go
+++ b/internal/lab/simfleet/network.go
@@ -8,21 +8,21 @@
 	"ospreycroft/internal/limiter"
 )
 
-// connHandler is a process at a host: what comes over the network is told to it.
+// connHandler is a process on a host, which handles the events of its connections.
 type connHandler interface {
 	accept(end *connEnd)
 	connected(end *connEnd)
-	read(end *connEnd, data []byte, sent int64) // sent is when the other side wrote them
+	read(end *connEnd, data []byte, sent int64) // sent is when the peer wrote the bytes
 	ended(end *connEnd, reason limiter.CloseReason)
 }
 
-// host is a machine with one process. A dial to a host without a process is refused; one to a machine that has
+// host is a machine with one process. A dial to a host without a process is refused, and a dial to one that has
 // vanished is not answered.
 type host struct {
 	name     string
 	handler  connHandler
 	vanished bool
-	connEnds []*connEnd // that are open here
+	connEnds []*connEnd // ends of open connections on this host
 }
 
 // connEnd is one end of a connection.
@@ -31,18 +31,19 @@
 	host         *host
 	peer         *connEnd
 	handler      connHandler
-	id           limiter.ConnID // as its limiter names it
-	established  bool           // the connection has come up as far as this side knows
-	closed       bool           // it has ended for this side
-	index        int            // in host.sides
-	lastArrival  int64          // when the latest packet reaches the far side: none overtakes another
-	stalled      []packet       // what waits for its link
-	bytesWritten int64          // bytes written here
-	bytesRead    int64          // bytes that the process here has been handed
-	data         any            // what the process keeps with it
-	number       int64          // of all ends of connections, in the order of their creation
+	id           limiter.ConnID // the limiter's identifier of the connection
+	established  bool           // this end knows that the connection is established
+	closed       bool           // no more events for this end
+	index        int            // position in host.connEnds
+	lastArrival  int64          // when the latest packet reaches the peer; packets are delivered in order
+	stalled      []packet       // packets that a fault of the link holds back
+	bytesWritten int64          // bytes written at this end
+	bytesRead    int64          // bytes delivered to the process at this end
+	data         any            // state that the process keeps for the connection
+	number       int64          // identifies the end in transcripts, in the order of creation
 }
 
+// packetKind is the kind of a packet. The values go into transcripts.
 type packetKind uint8
 
 const (
@@ -58,50 +59,54 @@
 	kind      packetKind
 	bytes     []byte
 	sent      int64
-	heldByCut bool // it was held: its link was cut
+	heldByCut bool // it was held back because its link was cut
 }
 
-// LinkFault says what a link does to what is sent along it in one direction.
+// LinkFault is a fault of a link in one direction.
 type LinkFault uint8
 
 // The faults of links.
 const (
-	// nothing passes: a dial never comes up, other packets are sent again once it is healed
+	// Nothing passes: dials time out, other packets are retransmitted once the link is healed.
 	LinkCut     LinkFault = iota
-	LinkStalled           // everything waits, dials as well, and passes once it is healed
+	LinkStalled           // everything, dials as well, is held back and passes once the link is healed
 	LinkDelayed           // everything takes longer
-	LinkReset             // the connection is reset in the middle of a message
-	DialDelayed           // only a new connection takes longer to come up
+	LinkReset             // connections are reset in the middle of a message
+	DialDelayed           // only establishing a connection takes longer
 )
 
-// LinkRule is a fault of links from some hosts to some others, in that direction alone.
+// LinkRule is a fault of the links from some hosts to others, in that direction only.
 type LinkRule struct {
 	fault      LinkFault
 	from, to   map[*host]bool
-	delay      int64   // for Delay and Late, nanoseconds
-	resetShare float64 // for Tear, of the messages
+	delay      int64   // for LinkDelayed and DialDelayed, in nanoseconds
+	resetShare float64 // for LinkReset, the share of messages that are cut short by a reset
 }
 
-// sendBufferSize is what a kernel takes before the other side has it.
+// sendBufferSize is how many bytes the kernel accepts before the peer has received them.
 const sendBufferSize = 128 << 10
 
+// Latencies of the network, in nanoseconds.
 const (
-	minLatency         = 200e3
-	maxLatency         = 700e3
-	localLatency       = 30e3 // the way to a process on the same machine
+	minLatency   = 200e3
+	maxLatency   = 700e3
+	localLatency = 30e3 // to a process on the same machine
+	// packets that a cut held back are retransmitted within this time after the link is healed
 	maxRetransmitDelay = 200e6
 )
 
+// network is the network between the hosts. It carries packets with a random latency.
 type network struct {
-	q         *queue
-	rng       *rand.Rand
-	hosts     map[string]*host
-	order     []*host
-	rules     []*LinkRule
-	stalled   []*connEnd // with packets that wait, in the order in which they began to
+	q       *queue
+	rng     *rand.Rand
+	hosts   map[string]*host
+	order   []*host
+	rules   []*LinkRule
+	stalled []*connEnd // ends with packets that are held back, in the order in which that began
+	// colocated pairs the hosts of a limiter and its agent, which stand for one machine.
 	colocated map[*host]*host
-	created   int64 // connection ends that were created
-	// transcript takes each packet as it is put on its way; nil for no record.
+	created   int64 // connection ends created so far
+	// transcript records each packet when it is sent; nil for no record.
 	transcript *transcript.Transcript
 }
 
@@ -120,7 +125,7 @@
 	return h
 }
 
-// linkFaults gives what the faults do on the way from one host to another now.
+// linkFaults returns the combined effect of the current faults on the way from one host to another.
 func (n *network) linkFaults(from, to *host) (cut, stalled bool, delay, dialDelay int64, resetShare float64) {
 	for _, r := range n.rules {
 		if !r.from[from] || !r.to[to] {
@@ -149,7 +154,8 @@
 	return minLatency + n.rng.Int64N(maxLatency-minLatency)
 }
 
-// dial opens a connection for a process. It is told connected or ended, unless it closes it first.
+// dial opens a connection for a process, whose connected or ended method is called unless the process closes the
+// connection first. The timeout is in nanoseconds.
 func (n *network) dial(from *host, handler connHandler, address string, timeout int64) *connEnd {
 	dialer := &connEnd{net: n, host: from, handler: handler, number: n.created}
 	listener := &connEnd{net: n, host: n.host(address), peer: dialer, number: n.created + 1}
@@ -171,7 +177,7 @@
 	h.connEnds = append(h.connEnds, end)
 }
 
-// markClosed ends this side and tells nobody.
+// markClosed closes this end without notifying the peer or the process.
 func (e *connEnd) markClosed() {
 	if e.closed {
 		return
@@ -186,7 +192,7 @@
 	}
 }
 
-// write sends bytes, which are copied.
+// write sends a copy of the bytes.
 func (e *connEnd) write(bytes []byte) {
 	if e.closed || len(bytes) == 0 {
 		return
@@ -195,10 +201,10 @@
 	e.send(packet{kind: packetData, bytes: slices.Clone(bytes), sent: e.net.q.now})
 }
 
-// bytesAccepted is how many bytes this side's kernel has bytesAccepted of those written.
+// bytesAccepted returns how many of the bytes written the kernel at this end has accepted.
 func (e *connEnd) bytesAccepted() int64 { return min(e.bytesWritten, e.peer.bytesRead+sendBufferSize) }
 
-// close ends the connection in good order, reset breaks it.
+// close closes the connection gracefully, reset aborts it.
 func (e *connEnd) close() { e.terminate(packetClose) }
 func (e *connEnd) reset() { e.terminate(packetReset) }
 
@@ -214,7 +220,7 @@
 	cut, stalled, delay, dialDelay, resetShare := n.linkFaults(e.host, e.peer.host)
 	if p.kind == packetDial || p.kind == packetAccept {
 		if cut {
-			return // it would be sent again long after the time-out
+			return // a retransmission would arrive long after the dial timeout
 		}
 		delay += dialDelay
 	}
@@ -242,7 +248,7 @@
 	e.net.q.at(e.lastArrival, func() { e.peer.receive(p) })
 }
 
-// receive takes a packet from the other side.
+// receive handles a packet from the peer.
 func (e *connEnd) receive(p packet) {
 	h := e.host
 	if h.vanished {
@@ -287,7 +293,7 @@
 	}
 }
 
-// addRule puts a fault in force; heal takes it away again and lets go what it held.
+// addRule puts a fault into effect, and removeRule ends it and sends the packets that it held back.
 func (n *network) addRule(r *LinkRule) { n.rules = append(n.rules, r) }
 
 func (n *network) removeRule(r *LinkRule) {
@@ -311,7 +317,7 @@
 	}
 }
 
-// kill ends the process at a host: its connections are reset, new ones are refused.
+// kill ends the process on a host: its connections are reset and dials to it are refused.
 func (n *network) kill(h *host) {
 	h.handler = nil
 	for _, end := range slices.Clone(h.connEnds) {
@@ -319,7 +325,8 @@
 	}
 }
 
-// vanish takes a machine away: nothing is said. What still speaks to it once it is back is reset.
+// vanish takes a host off the network without notifying its peers. Packets on old connections are reset once it is
+// back.
 func (n *network) vanish(h *host) {
 	h.handler = nil
 	h.vanished = true
--- a/internal/lab/simfleet/options.go
+++ b/internal/lab/simfleet/options.go
@@ -5,48 +5,57 @@
 	"ospreycroft/internal/limiter"
 )
 
-// This file holds what a fleet is made of.
+// This file defines the options of a fleet.
 
-// Options are a fleet. Times are nanoseconds.
+// Options configure a fleet. Times are in nanoseconds.
 type Options struct {
-	Seed              uint64
-	Limiters          int
-	Servers           []ServerSpec
-	Settings          map[string]any // in the wire's form, beside the number of limiters; nil for DefaultSettings
-	Load              Load
-	Mode              Mode
-	DiscoveryCallRate float64                 // calls a second that the list service answers, where it is asked
-	Operator          limiter.OperatorOptions // what operators state beside the configuration
-	NotificationDelay [2]int64                // how long the list takes to an agent: from, to
-	OverloadMultiple  float64                 // a cold server falls at so many times what it can do now,
-	OverloadWindow    int64                   // in so long
-	Grace             int64                   // rule 3
-	Broken            []Broken                // limiters' faults on purpose
-	// Transcript takes each packet that crosses the network; nil for no record.
+	Seed     uint64
+	Limiters int
+	Servers  []ServerSpec
+	// Settings are encoded as in a configuration. New sets the number of limiters and the registry mode; nil
+	// for DefaultSettings.
+	Settings map[string]any
+	Load     Load
+	Mode     Mode
+	// DiscoveryCallRate is how many polls per second the discovery service answers in mode Polled; 0 for 1e9, which is
+	// no limit in practice.
+	DiscoveryCallRate float64
+	Operator          limiter.OperatorOptions // what operators set besides the configuration
+	// NotificationDelay is the minimum and maximum delay of a change of the list on its way to an agent.
+	NotificationDelay [2]int64
+	// OverloadMultiple is the multiple of its current capacity above which a cold server crashes; 0 for 3 and a
+	// window of 1.5 s.
+	OverloadMultiple float64
+	OverloadWindow   int64    // over which the load on a cold server is counted
+	Grace            int64    // invariants.Terms.Grace, for rule 3; 0 for 0.3 s
+	Broken           []Broken // the ways in which the limiters are broken on purpose
+	// Transcript records each packet that crosses the network; nil for no record.
 	Transcript *transcript.Transcript
 }
 
-// Broken is a way in which the limiters of a fleet are broken on purpose, to see a check fail.
+// Broken is a way in which the limiters of a fleet are broken on purpose, to test that a check fails.
 type Broken string
 
-// The ways. Some are a wrapper between the reducer and its wires, some are false settings.
+// The ways. Some are implemented by a wrapper between the reducer and the network, some by wrong settings.
 const (
-	IgnoresDrains Broken = "ignores drains" // it takes servers that drain or are gone for ready
-	DropsRenewals Broken = "drops renewals" // it does not send the second call on a watch
-	LosesAnswers  Broken = "loses answers"  // one answer in twenty does not go out
-	SendsTwice    Broken = "sends twice"    // commands go out twice
-	// it takes one that has just started for a large warm one
-	OverloadsNewServers    Broken = "overfeeds new servers"
-	NoCeiling              Broken = "knows no ceiling"           // it takes plans to have none
-	PollsInStep            Broken = "does not know its place"    // all limiters ask the list service in step
-	NeedsDiscovery         Broken = "has no list of its own"     // it needs the list service to begin
-	EndsAtOnce             Broken = "ends at once"               // on SIGTERM
-	IgnoresReload          Broken = "ignores SIGHUP"             // so it does not follow a move
-	NeverReusesConnections Broken = "connects anew for each job" // it keeps no connection to a server
-	KeepsSilentWatch       Broken = "keeps to a silent watch"    // it opens no other
+	IgnoresDrains Broken = "ignores drains" // treats draining and removed servers as in service
+	DropsRenewals Broken = "drops renewals" // drops all polls but the first on a watch
+	LosesAnswers  Broken = "loses answers"  // drops one answer to a client in 20
+	SendsTwice    Broken = "sends twice"    // sends commands to servers twice
+	// Treats a server that has just started as warm and gives it a high weight.
+	OverloadsNewServers Broken = "overfeeds new servers"
+	NoCeiling           Broken = "knows no ceiling" // drops the ceilings of all plans
+	// All limiters poll the discovery service at the same time.
+	PollsInStep    Broken = "does not know its place"
+	NeedsDiscovery Broken = "has no list of its own" // cannot start without the discovery service
+	EndsAtOnce     Broken = "ends at once"           // exits at once on SIGTERM
+	IgnoresReload  Broken = "ignores SIGHUP"         // keeps the old addresses
+	// Opens a new connection to a server for each request.
+	NeverReusesConnections Broken = "connects anew for each job"
+	KeepsSilentWatch       Broken = "keeps to a silent watch" // opens no new watch when one falls silent
 )
 
-// AllBroken are all of them.
+// AllBroken lists all ways.
 var AllBroken = []Broken{
 	IgnoresDrains,
 	DropsRenewals,
@@ -62,7 +71,8 @@
 	KeepsSilentWatch,
 }
 
-// DefaultSettings are a plain deployment's: two zones, three classes of each effect and a counter.
+// DefaultSettings returns the settings of a typical deployment: three classes, one of each kind of idempotency, two
+// plans and a shared counter. Keys are deduplicated by zone.
 func DefaultSettings() map[string]any {
 	return map[string]any{
 		"granularity": 0.004,
--- a/internal/lab/simfleet/plain.go
+++ b/internal/lab/simfleet/plain.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Plain is a fleet as most stories begin: servers in two zones, which do 150 requests a second each once they are
-// warm, and clients that ask for half of what all of them can do, from 3 s on. Each customer's requests come through
-// ten limiters.
+// Plain returns the options that most scenarios start from: servers in two zones, each of which does 150 requests per
+// second once it is warm, and clients that request half of the total capacity from 3 s on. The requests of each
+// customer are spread over ten limiters, or all if there are fewer.
 func Plain(seed uint64, limiters, servers int) Options {
 	o := Options{
 		Seed:              seed,
@@ -25,7 +25,7 @@
 	for i := range customers {
 		c := Customer{ID: fmt.Sprintf("%016x", 0xa0+i), Plan: [...]string{"house", "team"}[i%2], Share: 1,
 			Limiters: min(10, limiters), First: i * 7 % limiters}
-		if i%8 == 0 { // some ask for far more than they have bought
+		if i%8 == 0 { // some customers request far more than their quota
 			c.Share = 3
 		}
 		o.Load.Customers = append(o.Load.Customers, c)
@@ -33,7 +33,7 @@
 	return o
 }
 
-// StartAll starts all limiters, spread evenly over some time from now on.
+// StartAll starts all limiters, evenly spread over a period in nanoseconds from now on.
 func (f *Fleet) StartAll(over int64) {
 	for n := range f.limiters {
 		f.q.at(f.q.now+over*int64(n)/int64(len(f.limiters)), func() { f.StartLimiter(n) })
--- a/internal/lab/simfleet/process.go
+++ b/internal/lab/simfleet/process.go
@@ -8,7 +8,7 @@
 	"ospreycroft/internal/settings"
 )
 
-// process is one life of a limiter: the real reducer, and its effects on the network in memory.
+// process is one process of a limiter: the real reducer, with its effects implemented on the simulated network.
 type process struct {
 	f             *Fleet
 	index         int
@@ -17,29 +17,29 @@
 	reducer       *limiter.Limiter
 	conns         map[limiter.ConnID]*connEnd
 	lastConn      limiter.ConnID
-	timerAt       int64 // the latest wish, by the limiter's clock
-	scheduledAt   int64 // when the queue next looks, 0 if it does not
+	timerAt       int64 // the time of the latest SetTimer, by the limiter's clock
+	scheduledAt   int64 // when the queue next checks the timers, 0 if no check is scheduled
 	unread        []byte
-	skew          int64 // of the limiter's clock against the fleet's
+	skew          int64 // offset of the limiter's clock from the fleet's
 	paused        bool
 	pendingEvents []pendingEvent
 	dead          bool
 	incarnation   *incarnation
 }
 
-// pendingEvent is a happening that waits for a process that is stopped.
+// pendingEvent is an event that arrived while the process was paused.
 type pendingEvent struct {
 	event limiter.Event
 	bytes []byte
 }
 
-// maxTimerRuns bounds the timers that a limiter may run at one moment: one that asks again for the same moment each time
-// would never let the clock go on.
+// maxTimerRuns bounds how often timers may run at one moment of the virtual clock. A limiter that sets a timer for the
+// present each time would never let the clock advance.
 const maxTimerRuns = 10000
 
 func (p *process) clock() int64 { return epoch + p.f.q.now + p.skew }
 
-// step lets the reducer take one happening, and whatever has come due.
+// step passes an event to the reducer and then runs the timers that are due.
 func (p *process) step(event limiter.Event, bytes []byte) {
 	switch {
 	case p.dead:
@@ -64,7 +64,7 @@
 func (p *process) runDueTimers() {
 	for runs := 0; !p.dead && p.timerAt <= p.clock(); runs++ {
 		if runs > maxTimerRuns {
-			p.f.crashProcess(p, "its timers never end")
+			p.f.crashProcess(p, "timers keep firing without an advance of the clock")
 			return
 		}
 		p.stepReducer(limiter.TimersDue{}, nil)
@@ -75,7 +75,7 @@
 	p.scheduleWakeup()
 }
 
-// scheduleWakeup plans a look at the latest wish.
+// scheduleWakeup schedules a check of the timers at the time that SetTimer set.
 func (p *process) scheduleWakeup() {
 	at := p.timerAt - epoch - p.skew
 	if p.dead || p.scheduledAt != 0 && p.scheduledAt <= at {
@@ -84,7 +84,7 @@
 	p.scheduledAt = at
 	p.f.q.at(at, func() {
 		if p.scheduledAt != at {
-			return // a nearer wish has come since
+			return // an earlier check was scheduled since
 		}
 		p.scheduledAt = 0
 		if !p.dead && !p.paused {
@@ -93,7 +93,8 @@
 	})
 }
 
-// resume is SIGCONT: what came meanwhile is there at once, and so is every timer. Which the process sees first is open.
+// resume continues a paused process. Both its pending events and its timers are due at once; which of them it handles
+// first is random.
 func (p *process) resume() {
 	p.paused = false
 	if p.f.rng.IntN(2) == 0 {
@@ -111,7 +112,7 @@
 	p.runDueTimers()
 }
 
-// The process as the network sees it.
+// The methods of connHandler.
 
 func (p *process) accept(end *connEnd) {
 	p.lastConn++
@@ -138,9 +139,10 @@
 	p.step(limiter.ConnClosed{Conn: end.id, Reason: reason}, nil)
 }
 
-// The effects.
+// The methods of limiter.Effects.
 
-// Dial is an effect.
+// Dial opens a connection. Under KeepsSilentWatch a dial to the discovery service times out once a watch has fallen
+// silent.
 func (p *process) Dial(address string, timeout int64) limiter.ConnID {
 	p.lastConn++
 	id := p.lastConn
@@ -155,29 +157,29 @@
 	return id
 }
 
-// Read is an effect.
+// Read copies the bytes of the event that is being handled.
 func (p *process) Read(into []byte) { copy(into, p.unread) }
 
-// Write is an effect.
+// Write sends bytes unless the limiter is broken in a way that drops them.
 func (p *process) Write(id limiter.ConnID, bytes []byte) {
 	if end := p.conns[id]; end != nil && p.f.allowsWrite(end, bytes) {
 		end.write(bytes)
 	}
 }
 
-// Alive is an effect.
+// Alive reports whether a connection is open, false under NeverReusesConnections.
 func (p *process) Alive(id limiter.ConnID) bool {
 	end := p.conns[id]
 	return end != nil && !end.closed && !p.f.isBroken(NeverReusesConnections)
 }
 
-// PeerGone is an effect.
+// PeerGone reports whether a connection has ended.
 func (p *process) PeerGone(id limiter.ConnID) bool {
 	end := p.conns[id]
 	return end == nil || end.closed
 }
 
-// Written is an effect.
+// Written returns how many bytes the kernel has accepted on a connection.
 func (p *process) Written(id limiter.ConnID) int64 {
 	end := p.conns[id]
 	if end == nil {
@@ -186,7 +188,7 @@
 	return end.bytesAccepted()
 }
 
-// Close is an effect.
+// Close closes a connection and returns how many bytes the kernel had accepted.
 func (p *process) Close(id limiter.ConnID) int64 {
 	end := p.conns[id]
 	if end == nil {
@@ -197,7 +199,8 @@
 	return end.bytesAccepted()
 }
 
-// CloseGracefully is an effect.
+// CloseGracefully closes a connection unless received bytes are waiting for the paused process, and reports whether it
+// did.
 func (p *process) CloseGracefully(id limiter.ConnID, _, _ int64) bool {
 	if slices.ContainsFunc(p.pendingEvents, func(pending pendingEvent) bool {
 		received, ok := pending.event.(limiter.DataReceived)
@@ -209,11 +212,11 @@
 	return true
 }
 
-// HasBacklog is an effect.
+// HasBacklog always returns false: the simulated network has no accept queue.
 func (p *process) HasBacklog() bool { return false }
 
-// WallClock is an effect; no wall clock steps here.
+// WallClock returns the limiter's clock, since the simulation has no steps of the wall clock.
 func (p *process) WallClock() int64 { return p.clock() }
 
-// SetTimer is an effect.
+// SetTimer sets when the process next runs its timers.
 func (p *process) SetTimer(at int64) { p.timerAt = at }
--- a/internal/lab/simfleet/queue.go
+++ b/internal/lab/simfleet/queue.go
@@ -1,12 +1,14 @@
 package simfleet
 
-// event is something that happens at a time; of two at one time the one that was planned first comes first.
+// event is a function that is scheduled for a time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at, order int64
 	run       func()
 }
 
-// queue is the one order in which everything in a fleet happens, and its clock: nanoseconds since the run began.
+// queue runs all events of a fleet in order of their time. It is the fleet's clock too: nanoseconds since the run
+// began.
 type queue struct {
 	now, lastOrder int64
 	heap           []event
@@ -15,7 +17,7 @@
 
 func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.order < o.order }
 
-// at plans something; a time that is past means now.
+// at schedules an event; a time in the past means now.
 func (q *queue) at(at int64, run func()) {
 	q.lastOrder++
 	q.heap = append(q.heap, event{max(at, q.now), q.lastOrder, run})
@@ -30,7 +32,7 @@
 	}
 }
 
-// run lets everything happen up to a time, which is the clock's afterwards.
+// run runs all events up to a time, to which it then advances the clock.
 func (q *queue) run(until int64) {
 	for len(q.heap) > 0 && q.heap[0].at <= until {
 		h := q.heap
--- a/internal/lab/simfleet/server.go
+++ b/internal/lab/simfleet/server.go
@@ -13,58 +13,61 @@
 	"ospreycroft/internal/resp"
 )
 
-// ServerSpec is what a server is.
+// ServerSpec describes a server.
 type ServerSpec struct {
 	Name                string
-	Zone                string // its servers drop one another's repeats
-	ServiceTime         int64  // mean time of a request once it is warm, nanoseconds
-	Slots               int    // requests at a time
-	Queue               int    // requests that may wait; more are turned away
-	Conns               int    // connections that it holds, requests on others are turned away; 0 for any number
-	Report              bool   // answers bring a load report
-	DeduplicationWindow int64  // how long its zone knows a fingerprint, nanoseconds; 0 where it does not
+	Zone                string // the servers of a zone share the keys that they deduplicate by
+	ServiceTime         int64  // mean service time of a request on a warm server, in nanoseconds
+	Slots               int    // requests that run concurrently
+	Queue               int    // requests that may wait; further ones are rejected
+	Conns               int    // connections that it serves, requests on further ones are rejected; 0 for no limit
+	Report              bool   // answers carry a load report
+	DeduplicationWindow int64  // how long its zone remembers an idempotency key, in nanoseconds; 0 for not at all
 }
 
-// longAgo is when a server that is warm at the beginning started.
+// longAgo is the start time of the servers that are warm when the run begins.
 const longAgo = math.MinInt64 / 4
 
-// server is a server: it begins commands at once and answers them in their order on each connection.
+// server simulates a server. It runs commands concurrently and answers them in order on each connection.
 type server struct {
 	f               *Fleet
 	spec            ServerSpec
 	host            *host
 	rng             *rand.Rand
-	incarnation     int   // its processes so far
-	started         int64 // the present one's start
-	startVersion    int64 // the list's change that tells of it, 0 for none
+	incarnation     int   // counts its processes
+	started         int64 // when the current process started
+	startVersion    int64 // the version of the endpoint list that announced the current process, 0 for none
 	connections     int
 	busySlots       int
 	queue           []*task
-	coldArrivals    []arrival // what came while it was cold, for so long as a fall looks back
+	coldArrivals    []arrival // arrivals while it was cold, within the overload window
 	dedupExpiry     map[string]int64
 	completed       int
-	meanServiceTime float64 // fading mean of the seconds that requests took
+	meanServiceTime float64 // exponentially weighted mean of the service times, in seconds
 	silent          bool
-	slowFactor      float64 // work takes so many times as long, 0 for usual
-	handshakes      []int   // connections that it took, by second
+	slowFactor      float64 // multiplies service times; 0 for the usual time
+	handshakes      []int   // connections that it accepted, by second
 }
 
+// arrival is the arrival of a command from a limiter, given by its index.
 type arrival struct {
 	at      int64
 	limiter int
 }
 
-// serverConn is a connection of a limiter's.
+// serverConn is a connection from a limiter.
 type serverConn struct {
 	end       *connEnd
 	received  []byte
-	sent      int64 // when the first byte of what is held was written
+	sent      int64 // when the first byte of received was written
 	responses []*response
 	overLimit bool
 }
 
+// response is the answer to a command; its text is nil until the command is done.
 type response struct{ text []byte }
 
+// task is a request that is queued or being served.
 type task struct {
 	conn        *serverConn
 	response    *response
@@ -113,7 +116,7 @@
 	}
 }
 
-// answer fills a command's place and writes what is due.
+// answer sets the response to a command and writes the responses that are now complete in order.
 func (s *server) answer(conn *serverConn, reply *response, text []byte) {
 	reply.text = text
 	var due []byte
@@ -124,7 +127,7 @@
 	conn.end.write(due)
 }
 
-// warmth is the share of its pace that the server has now, and whether it is cold.
+// warmth returns the server's current capacity as a share of its warm capacity, and whether it is cold.
 func (s *server) warmth() (float64, bool) {
 	settings := s.f.settings
 	age := s.f.q.now - s.started
@@ -134,15 +137,17 @@
 	return settings.ColdCapacity + (1-settings.ColdCapacity)*float64(age)/float64(settings.SlowStartWindow), true
 }
 
-// overloadLimit is how many requests of mean work a server in this state of warmth may get in the time that a fall looks back,
-// with the slack for what comes together by chance.
+// overloadLimit returns how many requests of mean work a server of this warmth may receive within the overload window.
+// It includes slack for random bursts.
 func (s *server) overloadLimit(warmth float64) float64 {
 	o := &s.f.options
 	warmRate := float64(s.spec.Slots) / (float64(s.spec.ServiceTime) / 1e9)
 	return slowstart.Budget(o.OverloadMultiple * warmth * warmRate * float64(o.OverloadWindow) / 1e9)
 }
 
-// countColdArrival counts what comes to a cold server. At the first request too many it falls over and stays down.
+// countColdArrival counts an arrival at a server while it is cold. At the first arrival above the limit the server
+// crashes and stays down. The crash is blamed on the limiters if more than two thirds of the arrivals in the window
+// came from limiters that were notified of the start.
 func (s *server) countColdArrival(fromLimiter int) (crashes, blamed bool) {
 	warmth, cold := s.warmth()
 	now := s.f.q.now
@@ -166,7 +171,7 @@
 	return true, 3*notified > 2*len(s.coldArrivals)
 }
 
-// requestField is the value of a name in a request's list.
+// requestField returns the value of a field in a request's parameter list, "" if it is missing.
 func requestField(parameters []byte, name string) string {
 	for _, pair := range bytes.Split(parameters, []byte(",")) {
 		if n, v, _ := bytes.Cut(pair, []byte("=")); string(n) == name {
@@ -176,6 +181,7 @@
 	return ""
 }
 
+// handleCommand rejects a command, answers it at once or queues it, and records the attempt.
 func (s *server) handleCommand(words [][]byte, conn *serverConn, reply *response) {
 	verb := string(words[0])
 	if verb == "CLIENT" || verb == "SELECT" {
@@ -190,8 +196,9 @@
 	}
 	f, now := s.f, s.f.q.now
 	units, _ := strconv.ParseFloat(requestField(words[3], "units"), 64)
-	attempt := history.Attempt{Server: s.spec.Name, Group: s.spec.Zone, ID: string(words[2]), Customer: string(words[1]),
-		Class: requestField(words[3], "c"), Key: requestField(words[3], "k"), Units: units, At: now}
+	attempt := history.Attempt{Server: s.spec.Name, Group: s.spec.Zone, ID: string(words[2]),
+		Customer: string(words[1]), Class: requestField(words[3], "c"), Key: requestField(words[3], "k"),
+		Units: units, At: now}
 	fromLimiter, _ := f.limiterOnHost(conn.end.peer.host)
 	crashes, blamed := s.countColdArrival(fromLimiter)
 	if crashes {
@@ -231,7 +238,7 @@
 	s.startTasks()
 }
 
-// startTasks takes requests from the queue while there are slots.
+// startTasks starts queued requests while there are free slots.
 func (s *server) startTasks() {
 	for s.busySlots < s.spec.Slots && len(s.queue) > 0 {
 		t, incarnation := s.queue[0], s.incarnation
@@ -239,7 +246,7 @@
 		s.busySlots++
 		s.f.q.at(s.f.q.now+t.serviceTime, func() {
 			if incarnation != s.incarnation {
-				return // its process has ended
+				return // the server's process has ended
 			}
 			s.busySlots--
 			s.completed++
@@ -250,7 +257,7 @@
 	}
 }
 
-// isDuplicate tells whether the server's zone knows a fingerprint, and notes it.
+// isDuplicate reports whether the server's zone has seen an idempotency key, and remembers it if not.
 func (s *server) isDuplicate(key string) bool {
 	now := s.f.q.now
 	if until, known := s.dedupExpiry[key]; known && now < until {
@@ -260,7 +267,7 @@
 	return false
 }
 
-// successAnswer is a served answer: the successAnswer, no figures on use, and the load report where the server gives one.
+// successAnswer encodes a successful answer: the value, null for the usage report, and the load report or null.
 func (s *server) successAnswer(id string) []byte {
 	out := resp.AppendBulk([]byte("*3\r\n"), []byte(s.spec.Name+" did "+id))
 	out = append(out, "$-1\r\n"...)
@@ -274,7 +281,7 @@
 	)
 }
 
-// resetProcess drops what a process held once it has ended.
+// resetProcess drops the state of a process that has ended.
 func (s *server) resetProcess() {
 	s.incarnation++
 	s.connections = 0
@@ -285,7 +292,7 @@
 	s.meanServiceTime = 0
 }
 
-// start starts the process, cold unless it has run for long.
+// start starts a process that has been running since the given time, so that it is warm if that is long ago.
 func (s *server) start(at int64) {
 	s.resetProcess()
 	s.started = at
--- a/internal/lab/simfleet/simfleet_test.go
+++ b/internal/lab/simfleet/simfleet_test.go
@@ -19,11 +19,11 @@
 const second = int64(1e9)
 
 func TestMain(m *testing.M) {
-	log.SetOutput(io.Discard) // hundreds of limiters would fill it
+	log.SetOutput(io.Discard) // hundreds of limiters would flood the output
 	os.Exit(m.Run())
 }
 
-// runWithFaults is a fleet to which nearly everything happens.
+// runWithFaults runs a small fleet in which nearly all kinds of faults occur.
 func runWithFaults(t *testing.T, seed uint64, mode Mode) *Result {
 	t.Helper()
 	o := Plain(seed, 6, 8)
@@ -65,18 +65,19 @@
 			)
 			runs[i], _ = json.Marshal(r.Run)
 		}
-		require.True(t, bytes.Equal(runs[0], runs[1]), "mode %d: same seed, another record", mode)
-		require.False(t, bytes.Equal(runs[0], runs[2]), "mode %d: another seed, the same record", mode)
-		require.True(t, len(runs[0]) >= 1<<20, "a record of %d bytes", len(runs[0]))
+		require.True(t, bytes.Equal(runs[0], runs[1]), "mode %d: the same seed gave different records", mode)
+		require.False(t, bytes.Equal(runs[0], runs[2]), "mode %d: different seeds gave the same record", mode)
+		require.True(t, len(runs[0]) >= 1<<20, "the record has only %d bytes", len(runs[0]))
 	}
 }
 
-// TestColdServerOverload: a fleet that overfeeds new servers pushes one over, and is to blame once it has been told.
+// TestColdServerOverload guards against a check of rule 4 that finds nothing: limiters that overload new servers crash
+// one, and are blamed because they were notified of its start. Correct limiters crash none.
 func TestColdServerOverload(t *testing.T) {
 	for _, broken := range [][]Broken{nil, {OverloadsNewServers}} {
 		o := Plain(3, 60, 4)
 		o.Load.Rate, o.Load.Until, o.Broken, o.OverloadMultiple, o.OverloadWindow = 520, 14*second, broken, 1, 1500e6
-		for i := range 16 { // with few customers their quotas would bound it
+		for i := range 16 { // with few customers their quotas would limit the load
 			o.Load.Customers = append(
 				o.Load.Customers,
 				Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1, Limiters: 10},
@@ -89,12 +90,14 @@
 		f.At(9*second, func() { f.RestartServer("s0") })
 		f.Run(14 * second)
 		r := f.Finish()
-		require.Equal(t, broken != nil, r.OverloadCrashes > 0, "%v: %d falls", broken, r.OverloadCrashes)
+		require.Equal(t, broken != nil, r.OverloadCrashes > 0,
+			"%v: %d crashes from overload", broken, r.OverloadCrashes)
 		require.Equal(t, broken != nil, r.Verdict.Counts[4] > 0, "%v: %s", broken, r.Verdict.Line())
 	}
 }
 
-// TestLargeFleet is the size for which the fleet is made. It takes some seconds of processor time, which it logs.
+// TestLargeFleet runs a fleet of the size that the simulator is made for, and logs the time that it takes, which is
+// some seconds of processor time.
 func TestLargeFleet(t *testing.T) {
 	began := time.Now()
 	f, err := New(Plain(1, 300, 20))
@@ -103,7 +106,7 @@
 	f.Run(20 * second)
 	r := f.Finish()
 	t.Logf(
-		"20 s of 300 limiters and 20 servers in %v: %d jobs, %d events",
+		"20 s of 300 limiters and 20 servers in %v: %d requests, %d events",
 		time.Since(began),
 		r.Verdict.Requests,
 		r.Steps,
@@ -111,7 +114,7 @@
 	require.True(t, r.Verdict.Pass && r.Verdict.Requests >= 20000, "%v %v", r.Verdict.Line(), r.Verdict.Breaches)
 }
 
-// connLog is a party that writes down what it hears.
+// connLog is a connHandler that logs its events, each with its time in milliseconds.
 type connLog struct {
 	q      *queue
 	events []string
@@ -150,32 +153,32 @@
 		run                    func(p pair)
 		wantClient, wantServer []string
 	}{
-		{"plain", func(p pair) { p.conn.write([]byte("hi")); p.q.run(101 * ms); p.conn.close() },
+		{"no fault", func(p pair) { p.conn.write([]byte("hi")); p.q.run(101 * ms); p.conn.close() },
 			[]string{"0 connected"}, []string{"0 accept", "100 hi", "101 peer-closed"}},
-		{"cut one way: the other way is open, and what was sent comes after", func(p pair) {
+		{"cut in one direction: the other direction passes, and held packets arrive after the heal", func(p pair) {
 			r := addRule(p, LinkCut, p.clientHost, p.serverHost, 0, 0)
 			p.conn.write([]byte("hi"))
 			p.server.last.write([]byte("ho"))
 			p.q.run(2000 * ms)
 			p.n.removeRule(r)
 		}, []string{"0 connected", "100 ho"}, []string{"0 accept", "2069 hi"}},
-		{"a dial over a link that is cut on the way back never comes up", func(p pair) {
+		{"a dial over a link that is cut in the reverse direction times out", func(p pair) {
 			addRule(p, LinkCut, p.serverHost, p.clientHost, 0, 0)
 			p.n.dial(p.clientHost, p.client, "b", 250*ms)
 		}, []string{"0 connected", "350 dial-timed-out"}, []string{"0 accept", "100 accept"}},
-		{"a stall holds everything", func(p pair) {
+		{"a stalled link holds back all packets", func(p pair) {
 			r := addRule(p, LinkStalled, p.clientHost, p.serverHost, 0, 0)
 			p.conn.write([]byte("hi"))
 			p.conn.close()
 			p.q.run(500 * ms)
 			p.n.removeRule(r)
 		}, []string{"0 connected"}, []string{"0 accept", "500 hi", "500 peer-closed"}},
-		{"late: only what comes up is", func(p pair) {
+		{"a delay of dials leaves established connections alone", func(p pair) {
 			addRule(p, DialDelayed, p.clientHost, p.serverHost, 80*ms, 0)
 			p.n.dial(p.clientHost, p.client, "b", 250*ms)
 			p.conn.write([]byte("hi"))
 		}, []string{"0 connected", "180 connected"}, []string{"0 accept", "100 hi", "180 accept"}},
-		{"torn in the middle of a message", func(p pair) {
+		{"reset in the middle of a message", func(p pair) {
 			addRule(p, LinkReset, p.clientHost, p.serverHost, 0, 1)
 			p.conn.write([]byte("hiho"))
 		}, []string{"0 connected", "100 peer-reset"}, []string{"0 accept", "100 hi", "100 peer-reset"}},
@@ -184,12 +187,12 @@
 			p.q.run(500 * ms)
 			p.conn.write([]byte("hi"))
 		}, []string{"0 connected", "500 peer-reset"}, []string{"0 accept"}},
-		{"a process that dies resets, and refuses", func(p pair) {
+		{"a killed process resets its connections and refuses dials", func(p pair) {
 			p.n.kill(p.serverHost)
 			p.q.run(200 * ms)
 			p.n.dial(p.clientHost, p.client, "b", 250*ms)
 		}, []string{"0 connected", "100 peer-reset", "200 refused"}, []string{"0 accept"}},
-		{"a machine that vanishes says nothing", func(p pair) {
+		{"a vanished host does not answer", func(p pair) {
 			p.n.vanish(p.serverHost)
 			p.conn.write([]byte("hi"))
 			p.n.dial(p.clientHost, p.client, "b", 250*ms)
@@ -210,7 +213,7 @@
 	}
 }
 
-// TestNotifiedAt checks the list's clock.
+// TestNotifiedAt checks from when a change of the endpoint list counts as notified.
 func TestNotifiedAt(t *testing.T) {
 	o := Plain(1, 1, 1)
 	pushed, err := New(o)
@@ -228,19 +231,21 @@
 		incarnation incarnation
 		want        int64
 	}{
-		{"pushed: from the moment the agent has it", pushed, incarnation{}, 11 * second},
-		{"or the process is there", pushed, incarnation{from: 12 * second}, 12 * second},
-		{"or what a silent watch misses counts", pushed,
+		{"pushed: when the agent has the version", pushed, incarnation{}, 11 * second},
+		{"pushed: when the process starts, if that is later", pushed, incarnation{from: 12 * second}, 12 * second},
+		{"pushed: when a change counts that a silent watch missed", pushed,
 			incarnation{watchSilences: []span{{9 * second, 15 * second}}}, 15 * second},
-		{"or it was handed over on another", pushed,
+		{"pushed: when it is delivered on another watch", pushed,
 			incarnation{watchSilences: []span{{9 * second, 15 * second}},
 				delivered: []versionMark{{firstVersion + 1, 13 * second}}}, 13 * second},
-		{"or the process goes on", pushed, incarnation{pauses: []span{{9 * second, 14 * second}}}, 14 * second},
-		{"asked: when it is handed over", polled,
-			incarnation{delivered: []versionMark{{firstVersion, 9 * second}, {firstVersion + 1, 12 * second}}}, 12 * second},
-		{"or what a silent watch misses counts", polled,
+		{"pushed: when a paused process resumes", pushed,
+			incarnation{pauses: []span{{9 * second, 14 * second}}}, 14 * second},
+		{"polled: when it is delivered", polled,
+			incarnation{delivered: []versionMark{{firstVersion, 9 * second}, {firstVersion + 1, 12 * second}}},
+			12 * second},
+		{"polled: when a change counts that a silent watch missed", polled,
 			incarnation{watchSilences: []span{{9 * second, 21 * second}}}, 21 * second},
-		{"or nothing was answered for very long", polled, incarnation{}, 50 * second},
+		{"polled: after four poll intervals without an answer", polled, incarnation{}, 50 * second},
 	} {
 		assert.Equal(t, c.want, c.f.notifiedAt(0, &c.incarnation, firstVersion+1), c.name)
 	}
--- a/internal/lab/simfleet/transcript_test.go
+++ b/internal/lab/simfleet/transcript_test.go
@@ -13,18 +13,18 @@
 	"ospreycroft/internal/snapshot"
 )
 
-// transcriptSeeds is how many schedules of faults TestTranscripts plays.
+// transcriptSeeds is the number of fault schedules that TestTranscripts runs.
 const transcriptSeeds = 20
 
-// The fleet of a transcript, and its times.
+// The fleet of a transcript, and the length of its run.
 const (
 	transcriptLimiters = 6
 	transcriptServers  = 8
 	transcriptUntil    = 16 * second
 )
 
-// transcriptOptions are a fleet's by its seed: with and without a counter, with lists pushed and polled, with and
-// without what operators state, with health checks and without.
+// transcriptOptions returns the options for a seed: with and without a counter, with pushed and polled endpoint lists,
+// with and without operator options, with and without health checks.
 func transcriptOptions(seed uint64) Options {
 	options := Plain(seed, transcriptLimiters, transcriptServers)
 	options.Mode = []Mode{Pushed, Polled}[seed%2]
@@ -44,7 +44,7 @@
 	return options
 }
 
-// scheduleFaults plans one fault of each kind, at times by the seed.
+// scheduleFaults schedules one fault of each kind, at times drawn from the seed.
 func scheduleFaults(f *Fleet, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x7a))
 	once := func(fault func()) { f.At(3*second+rng.Int64N(10*second), fault) }
@@ -85,8 +85,9 @@
 	}
 }
 
-// TestTranscripts holds all that crosses the network of a fleet, under all kinds of faults, against the sums that are
-// committed: a difference is a change of what the program, or the laboratory, does.
+// TestTranscripts compares the hash of all packets that cross the network of a fleet, under all kinds of faults, with
+// the committed hashes. It guards against unintended changes of behavior: a difference means that the program or the
+// simulator does something else.
 func TestTranscripts(t *testing.T) {
 	sums, err := transcript.ReadSums("testdata/transcripts.txt")
 	require.NoError(t, err)
--- a/internal/lab/transcript/transcript.go
+++ b/internal/lab/transcript/transcript.go
@@ -1,5 +1,5 @@
-// Package transcript hashes what crosses the wires of a simulated run, so that a test can tell whether a change of the
-// code has changed what the program does. The sums depend on times and bytes alone and on no name of the code.
+// Package transcript hashes what crosses the network of a simulated run, so that a test can tell whether a change of
+// the code has changed what the program does. The hashes depend on times and bytes only, not on names in the code.
 //
 // The simulators of the lab write to a Transcript; tests compare its sum with one that is committed in testdata.
 package transcript
@@ -15,17 +15,17 @@
 	"strings"
 )
 
-// Transcript is the running hash of one run. A nil Transcript takes everything and keeps nothing. It is not safe for
+// Transcript is the running hash of one run. A nil Transcript discards what is added to it. It is not safe for
 // concurrent use.
 type Transcript struct {
 	hash   hash.Hash
 	frames int
 }
 
-// New makes an empty transcript.
+// New returns an empty transcript.
 func New() *Transcript { return &Transcript{hash: sha256.New()} }
 
-// Add takes one frame: the numbers that place it (its time in nanoseconds first) and its bytes.
+// Add adds one frame: the numbers that identify it (its time in nanoseconds first) and its bytes.
 func (t *Transcript) Add(payload []byte, numbers ...int64) {
 	if t == nil {
 		return
@@ -40,12 +40,12 @@
 	t.hash.Write(payload)
 }
 
-// Sum is the number of frames and the SHA-256 of them, as one word for a file of sums.
+// Sum returns the number of frames and their SHA-256 as one word, in the form that a file of sums holds.
 func (t *Transcript) Sum() string {
 	return fmt.Sprintf("%d:%s", t.frames, hex.EncodeToString(t.hash.Sum(nil)))
 }
 
-// ReadSums reads a file of sums by the names of their runs. Each line is a sum, a space and the name of the run.
+// ReadSums reads a file of sums, keyed by the name of the run. Each line holds a sum, a space and the name.
 func ReadSums(path string) (map[string]string, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	for lines.Scan() {
 		sum, name, found := strings.Cut(lines.Text(), " ")
 		if !found {
-			return nil, fmt.Errorf("%s: line %q is no sum and name", path, lines.Text())
+			return nil, fmt.Errorf("%s: line %q is not a sum and a name", path, lines.Text())
 		}
 		sums[name] = sum
 	}
