--- a/internal/lab/simfleet/coldload_test.go
+++ b/internal/lab/simfleet/coldload_test.go
@@ -11,40 +11,41 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// coldFleet is one row of the measurement: how many limiters share how many servers, and of which pace.
+// coldFleet is one row of the measurement: the number of limiters and servers, and the speed of the servers.
 type coldFleet struct {
 	limiters, servers int
-	pace              float64 // requests a second of a server that is warm
+	warmRate          float64 // requests per second of a warm server
 	broken            []Broken
 }
 
-// coldSlots is how many requests at a time a server of the measurement does.
+// coldSlots is the number of requests that a server of the measurement runs concurrently.
 const coldSlots = 2
 
-// burstOver is the load during the burst over what all servers do once they are warm. Before it the load is 0.5 of
-// that.
-const burstOver = 1.5
+// burstLoadFactor is the load during the burst, as a multiple of the capacity of all servers when warm. Before the
+// burst the load is 0.5 of that capacity.
+const burstLoadFactor = 1.5
 
-// The times of the experiment: two servers are away, two new ones join as these return, and a burst covers the starts.
+// The times of the experiment. Two servers crash. Each restarts at the same moment as a new server joins, and a burst
+// covers all four starts.
 const (
-	coldCrash  = 2 * second
-	coldBurst  = 3 * second
-	coldReturn = 3500 * second / 1000
-	coldLater  = 3700 * second / 1000
-	coldEnd    = 12500 * second / 1000
+	coldCrash        = 2 * second
+	coldBurst        = 3 * second
+	coldReturn       = 3500 * second / 1000
+	coldSecondReturn = 3700 * second / 1000
+	coldEnd          = 12500 * second / 1000
 )
 
-// options gives the fleet of a row, with customers enough that their quotas do not bound the burst.
+// options returns the options of a row. It has enough customers that their quotas do not limit the burst.
 func (c coldFleet) options(seed uint64) Options {
 	o := Plain(seed, c.limiters, c.servers)
 	for i := range o.Servers {
-		o.Servers[i].Slots, o.Servers[i].ServiceTime = coldSlots, int64(coldSlots/c.pace*1e9)
+		o.Servers[i].Slots, o.Servers[i].ServiceTime = coldSlots, int64(coldSlots/c.warmRate*1e9)
 	}
-	capacity := c.pace * float64(c.servers)
+	capacity := c.warmRate * float64(c.servers)
 	o.Load.Rate, o.Load.From, o.Load.Until = capacity/2, second, coldEnd
 	o.Broken = c.broken
-	const teamRate = 40 // of DefaultSettings
-	customers := max(int(2*burstOver*capacity/teamRate), c.limiters/5)
+	const teamRate = 40 // rate of the plan "team" in DefaultSettings, in units per second
+	customers := max(int(2*burstLoadFactor*capacity/teamRate), c.limiters/5)
 	o.Load.Customers = nil
 	for i := range customers {
 		o.Load.Customers = append(o.Load.Customers, Customer{ID: fmt.Sprintf("%016x", 0xc0+i), Plan: "team", Share: 1,
@@ -53,39 +54,40 @@
 	return o
 }
 
-// play plays a row with one seed and gives the worst peaks of its cold starts.
-func (c coldFleet) play(t *testing.T, seed uint64) (all, notified ColdPeak) {
+// worstPeaks runs a row with one seed and returns the worst peaks of its cold starts.
+func (c coldFleet) worstPeaks(t *testing.T, seed uint64) (all, notified ColdPeak) {
 	t.Helper()
 	f, err := New(c.options(seed))
 	require.NoError(t, err)
 	f.StartAll(0)
 	f.At(coldCrash, func() { f.CrashServer("s0"); f.CrashServer("s1") })
-	f.At(coldBurst, func() { f.SetRequestRate(burstOver * c.pace * float64(c.servers)) })
+	f.At(coldBurst, func() { f.SetRequestRate(burstLoadFactor * c.warmRate * float64(c.servers)) })
 	f.At(coldReturn, func() { f.RestartServer("s0"); f.AddServer("s2", "new0") })
-	f.At(coldLater, func() { f.RestartServer("s1"); f.AddServer("s3", "new1") })
+	f.At(coldSecondReturn, func() { f.RestartServer("s1"); f.AddServer("s3", "new1") })
 	f.Run(coldEnd)
 	require.Empty(t, f.faults)
 	loads := f.ColdLoads()
 	require.Len(t, loads, 4)
 	for _, load := range loads {
-		require.NotZero(t, load.Notified.Count, "seed %d: %s got nothing from notified limiters", seed, load.Server)
+		require.NotZero(t, load.Notified.Count,
+			"seed %d: %s received no request from notified limiters", seed, load.Server)
 		all, notified = all.Worse(load.All), notified.Worse(load.Notified)
 	}
 	return all, notified
 }
 
-// summary is what the seeds of a row come to, for one kind of peaks.
-type summary struct {
+// peakSummary summarizes the peaks of one kind over the seeds of a row.
+type peakSummary struct {
 	worst ColdPeak
-	sum   float64 // of the ratios
+	sum   float64 // sum of the ratios
 	seeds int
 }
 
-func (s *summary) add(p ColdPeak) {
+func (s *peakSummary) add(p ColdPeak) {
 	s.worst, s.sum, s.seeds = s.worst.Worse(p), s.sum+p.Ratio(), s.seeds+1
 }
 
-func (s *summary) cells() string {
+func (s *peakSummary) tableCells() string {
 	return fmt.Sprintf(
 		"%d of %.1f | %.1f | %.2f | %.2f",
 		s.worst.Count,
@@ -96,29 +98,32 @@
 	)
 }
 
-// TestColdMargin measures how near cold servers come to the bound of rule 4 under a burst, by the sum of all limiters.
-// It logs the rows of the table in docs/cold-margin.md.
+// TestColdMargin measures how close cold servers come to the bound of rule 4 when the load of all limiters together has
+// a burst, and guards against exceeding it by limiters that were notified of the start. It logs the rows of the table
+// in docs/cold-margin.md.
 func TestColdMargin(t *testing.T) {
 	for _, c := range []coldFleet{
-		{limiters: 20, servers: 10, pace: 20}, {limiters: 25, servers: 10, pace: 20}, {limiters: 30, servers: 10, pace: 20},
-		{limiters: 300, servers: 20, pace: 20},
-		{limiters: 20, servers: 10, pace: 5}, {limiters: 25, servers: 10, pace: 5}, {limiters: 30, servers: 10, pace: 5},
-		{limiters: 300, servers: 40, pace: 5},
+		{limiters: 20, servers: 10, warmRate: 20}, {limiters: 25, servers: 10, warmRate: 20},
+		{limiters: 30, servers: 10, warmRate: 20},
+		{limiters: 300, servers: 20, warmRate: 20},
+		{limiters: 20, servers: 10, warmRate: 5}, {limiters: 25, servers: 10, warmRate: 5},
+		{limiters: 30, servers: 10, warmRate: 5},
+		{limiters: 300, servers: 40, warmRate: 5},
 	} {
-		t.Run(fmt.Sprintf("%d_limiters_%d_servers_of_%.0f", c.limiters, c.servers, c.pace), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d_limiters_%d_servers_of_%.0f", c.limiters, c.servers, c.warmRate), func(t *testing.T) {
 			seeds := 10
 			if testing.Short() && c.limiters == 300 {
 				seeds = 2
 			}
-			var all, notified summary
+			var all, notified peakSummary
 			for seed := 1; seed <= seeds; seed++ {
-				allPeak, notifiedPeak := c.play(t, uint64(seed))
+				allPeak, notifiedPeak := c.worstPeaks(t, uint64(seed))
 				all.add(allPeak)
 				notified.add(notifiedPeak)
 				assert.Positive(
 					t,
 					notifiedPeak.Margin(),
-					"seed %d: %d requests of %.1f came from notified limiters",
+					"seed %d: notified limiters sent %d requests in a window, the bound is %.1f",
 					seed,
 					notifiedPeak.Count,
 					notifiedPeak.Bound,
@@ -128,26 +133,27 @@
 				"| %d | %d | %.0f | %d | %s | %s |",
 				c.limiters,
 				c.servers,
-				c.pace,
+				c.warmRate,
 				seeds,
-				all.cells(),
-				notified.cells(),
+				all.tableCells(),
+				notified.tableCells(),
 			)
 		})
 	}
 }
 
-// TestColdMarginBroken: limiters that overfeed new servers pass the bound. Twenty of them before servers of 20
-// requests a second do not (docs/cold-margin.md).
+// TestColdMarginBroken checks that limiters that overload new servers exceed the bound of rule 4. The case of 20
+// limiters and servers of 20 requests per second is not among the rows, since it stays within the bound
+// (docs/cold-margin.md).
 func TestColdMarginBroken(t *testing.T) {
-	for _, c := range []coldFleet{{limiters: 30, servers: 10, pace: 5}, {limiters: 300, servers: 40, pace: 5},
-		{limiters: 300, servers: 20, pace: 20}} {
+	for _, c := range []coldFleet{{limiters: 30, servers: 10, warmRate: 5}, {limiters: 300, servers: 40, warmRate: 5},
+		{limiters: 300, servers: 20, warmRate: 20}} {
 		c.broken = []Broken{OverloadsNewServers}
-		_, notified := c.play(t, 1)
+		_, notified := c.worstPeaks(t, 1)
 		assert.Negative(
 			t,
 			notified.Margin(),
-			"%d limiters: %d requests of %.1f",
+			"%d limiters: notified limiters sent %d requests in a window, the bound is %.1f",
 			c.limiters,
 			notified.Count,
 			notified.Bound,
@@ -155,30 +161,32 @@
 	}
 }
 
-// TestColdPeaks checks the measure itself on attempts whose windows are known.
+// TestColdPeaks checks the measurement itself on attempts whose windows are known.
 func TestColdPeaks(t *testing.T) {
-	f, err := New(Plain(1, 2, 1)) // 150 requests a second, a quarter of it at the start
+	f, err := New(Plain(1, 2, 1)) // a server does 150 requests per second, a quarter of that when it starts
 	require.NoError(t, err)
 	f.At(10*second, func() { f.RestartServer("s0") })
 	f.Run(10 * second)
-	f.limiters[0].lives = []*life{{until: never}}
-	f.limiters[1].lives = []*life{{until: never}}
-	f.limiters[0].had = []mark{{firstVersion + 1, 11 * second}}
+	f.limiters[0].incarnations = []*incarnation{{until: never}}
+	f.limiters[1].incarnations = []*incarnation{{until: never}}
+	f.limiters[0].agentVersions = []versionMark{{firstVersion + 1, 11 * second}}
 	for _, s := range []struct {
 		at      int64
 		limiter int
 		times   int
 	}{
-		{9 * second, 0, 500}, // of the process before
+		{9 * second, 0, 500}, // sent to the previous process
 		{10500e6, 0, 4},      // not notified yet
 		{11 * second, 0, 3},
 		{11500e6, 1, 5}, // never notified
 		{12 * second, 0, 2},
-		{12500e6, 0, 4},       // a window takes in its end and not its beginning: those of 11 s have left it
+		// A window includes its end and excludes its beginning: the commands at 11 s have left it.
+		{12500e6, 0, 4},
 		{26 * second, 0, 500}, // warm
 	} {
 		for range s.times {
-			f.attempts = append(f.attempts, seen{Attempt: history.Attempt{Server: "s0", At: s.at}, limiter: s.limiter})
+			f.attempts = append(f.attempts, observedAttempt{Attempt: history.Attempt{Server: "s0", At: s.at},
+				limiter: s.limiter})
 		}
 	}
 	loads := f.ColdLoads()
