--- a/internal/lab/scenarios/distribution.go
+++ b/internal/lab/scenarios/distribution.go
@@ -16,16 +16,16 @@
 const (
 	millisecond = int64(1e6)
 	dialTimeout = 250 * millisecond
-	// firstWriter is the epoch that the source has open at the start.
-	firstWriter = 1
-	// fleetCounter is the counter's address by number, which no story of the distribution changes.
-	fleetCounter = 1
+	// firstEpoch is the epoch that the source has open at the start.
+	firstEpoch = 1
+	// counterNumber is the counter's address by number, which no story of the distribution changes.
+	counterNumber = 1
 )
 
 var (
-	errNoAnswer     = errors.New("no answer in time")
-	errRefusedDial  = errors.New("connection refused")
-	errNoConnection = errors.New("no connection in time")
+	errResponseTimeout   = errors.New("no answer in time")
+	errConnectionRefused = errors.New("connection refused")
+	errDialTimeout       = errors.New("no connection in time")
 )
 
 // topology says which regions there are, of how many zones. Each zone has one relay; the source is in region 0.
@@ -35,39 +35,39 @@
 type peer struct {
 	name         string
 	zone, region int
-	life         int // counts its starts and ends
+	incarnation  int // counts its starts and ends
 	down         bool
 	stalled      bool
 	server       distribution.Server // nil for a limiter
 	relay        *distribution.Relay // nil for the source and for a limiter
 	poller       *distribution.Poller
 	applier      *distribution.LimiterApplier
-	relays       [2]*peer
-	held         []*pollCall
+	upstreams    [2]*peer
+	heldCalls    []*pollCall
 	limiter      int // -1 for the source and for a relay
 }
 
 // pollCall is a call of a subscriber that is under way.
 type pollCall struct {
 	distribution.Call
-	from, to         *peer
-	fromLife, toLife int
-	done             bool
+	from, to                       *peer
+	fromIncarnation, toIncarnation int
+	done                           bool
 }
 
 // network carries the configuration from a source through relays to the limiters of a fleet, by the fleet's clock.
 type network struct {
-	fleet      *simfleet.Fleet
-	topology   topology
-	rng        *rand.Rand
-	broken     subscriberFault
-	source     *distribution.Source
-	sourcePeer *peer
-	relays     []*peer
-	limiters   []*peer
-	cut        func(a, b *peer) bool // whether nothing passes between two peers now; nil for never
-	inUse      []int                 // the list service that each limiter uses, by number
-	record     distributionRecord
+	fleet            *simfleet.Fleet
+	topology         topology
+	rng              *rand.Rand
+	fault            subscriberFault
+	source           *distribution.Source
+	sourcePeer       *peer
+	relays           []*peer
+	limiters         []*peer
+	partition        func(a, b *peer) bool // whether nothing passes between two peers now; nil for never
+	discoveryNumbers []int                 // the list service that each limiter uses, by number
+	record           distributionRecord
 	// transcript takes each message as it arrives; nil for no record.
 	transcript *transcript.Transcript
 }
@@ -78,14 +78,14 @@
 	fleet *simfleet.Fleet,
 	options simfleet.Options,
 	shape topology,
-	cold bool,
-	broken subscriberFault,
+	coldStart bool,
+	fault subscriberFault,
 ) (*network, error) {
-	n := &network{fleet: fleet, topology: shape, rng: rand.New(rand.NewPCG(options.Seed, 0xd1)), broken: broken,
+	n := &network{fleet: fleet, topology: shape, rng: rand.New(rand.NewPCG(options.Seed, 0xd1)), fault: fault,
 		source: distribution.NewSource(distribution.NewLog(distribution.Retention{}), distribution.Budget{}),
 		record: newDistributionRecord(options.Limiters), transcript: options.Transcript}
 	n.sourcePeer = &peer{name: "source", zone: -1, server: n.source, limiter: -1}
-	if err := n.publishFirst(); err != nil {
+	if err := n.publishInitial(); err != nil {
 		return nil, err
 	}
 	var addresses []distribution.RelayAddress
@@ -103,12 +103,12 @@
 			return nil, err
 		}
 		n.limiters = append(n.limiters, limiter)
-		n.inUse = append(n.inUse, 1)
-		var kept *distribution.Snapshot
-		if !cold {
-			kept = n.source.Snapshot(n.now())
+		n.discoveryNumbers = append(n.discoveryNumbers, 1)
+		var saved *distribution.Snapshot
+		if !coldStart {
+			saved = n.source.Snapshot(n.now())
 		}
-		if err := n.startLimiter(limiter, kept); err != nil {
+		if err := n.startLimiter(limiter, saved); err != nil {
 			return nil, err
 		}
 	}
@@ -117,23 +117,23 @@
 
 func (n *network) now() int64 { return n.fleet.Now() }
 
-// after makes something happen later.
-func (n *network) after(wait int64, run func()) { n.fleet.At(n.now()+wait, run) }
+// schedule makes something happen later.
+func (n *network) schedule(delay int64, run func()) { n.fleet.At(n.now()+delay, run) }
 
-// publishFirst publishes the address that the limiters' files say as well.
-func (n *network) publishFirst() error {
-	if _, err := n.source.Open(n.now(), firstWriter); err != nil {
+// publishInitial publishes the address that the limiters' files say as well.
+func (n *network) publishInitial() error {
+	if _, err := n.source.Open(n.now(), firstEpoch); err != nil {
 		return err
 	}
-	_, err := n.source.Publish(n.now(), firstWriter, nil, discoveryAt(listAddress(1)))
+	_, err := n.source.Publish(n.now(), firstEpoch, nil, setDiscovery(discoveryAddress(1)))
 	return err
 }
 
-// listAddress is the address of a list service by its number, which is its port.
-func listAddress(list int) string { return fmt.Sprintf("list:%d", list) }
+// discoveryAddress is the address of a list service by its number, which is its port.
+func discoveryAddress(number int) string { return fmt.Sprintf("list:%d", number) }
 
-// discoveryAt is the change that moves discovery to an address.
-func discoveryAt(address string) []distribution.Mutation {
+// setDiscovery is the change that moves discovery to an address.
+func setDiscovery(address string) []distribution.Mutation {
 	key := distribution.Key{Kind: distribution.KindEndpoints, Name: distribution.EndpointDiscovery}
 	return []distribution.Mutation{{Entry: distribution.Entry{Key: key, Value: address}}}
 }
@@ -149,7 +149,7 @@
 	for k, address := range chosen {
 		for _, relay := range n.relays {
 			if relay.name == address.Name {
-				limiter.relays[k] = relay
+				limiter.upstreams[k] = relay
 			}
 		}
 	}
@@ -157,35 +157,35 @@
 }
 
 func (n *network) startRelay(p *peer, position int) {
-	p.life++
+	p.incarnation++
 	p.relay = distribution.NewRelay(n.now(), distribution.RelayOptions{Name: p.name})
 	p.server = p.relay
-	p.relays = [2]*peer{n.sourcePeer, n.sourcePeer}
+	p.upstreams = [2]*peer{n.sourcePeer, n.sourcePeer}
 	p.poller = distribution.NewPoller(n.now(), p.relay.Subscriber,
 		distribution.PollerOptions{DialTimeout: dialTimeout, Hold: distribution.RelayHold, Position: position})
-	n.inLife(p, p.poller.First(), func() { n.ask(p) })
+	n.scheduleWhileAlive(p, p.poller.First(), func() { n.poll(p) })
 }
 
 // startLimiter starts a limiter's subscriber, with a kept state or with none.
-func (n *network) startLimiter(p *peer, kept *distribution.Snapshot) error {
-	p.life++
+func (n *network) startLimiter(p *peer, saved *distribution.Snapshot) error {
+	p.incarnation++
 	p.down = false
 	p.applier = &distribution.LimiterApplier{
-		Move: func(to distribution.Addresses) error { return n.move(p.limiter, to) },
+		Move: func(to distribution.Addresses) error { return n.applyAddresses(p.limiter, to) },
 	}
 	subscriber := n.newSubscriber(p)
-	if kept != nil {
-		state, err := distribution.NewStateOf(kept.Entries)
+	if saved != nil {
+		state, err := distribution.NewStateOf(saved.Entries)
 		if err != nil {
 			return err
 		}
-		if err := subscriber.Restore(kept.Version, state, n.now()-kept.TakenAt); err != nil {
+		if err := subscriber.Restore(saved.Version, state, n.now()-saved.TakenAt); err != nil {
 			return err
 		}
 	}
-	n.follow(p, subscriber)
-	n.note(p)
-	n.inLife(p, p.poller.First(), func() { n.ask(p) })
+	n.attachPoller(p, subscriber)
+	n.recordStatus(p)
+	n.scheduleWhileAlive(p, p.poller.First(), func() { n.poll(p) })
 	return nil
 }
 
@@ -193,37 +193,37 @@
 	return distribution.NewSubscriber(n.now(), distribution.SubscriberOptions{Name: p.name, Applier: p.applier})
 }
 
-func (n *network) follow(p *peer, subscriber *distribution.Subscriber) {
+func (n *network) attachPoller(p *peer, subscriber *distribution.Subscriber) {
 	p.poller = distribution.NewPoller(n.now(), subscriber,
 		distribution.PollerOptions{DialTimeout: dialTimeout, Hold: distribution.LimiterHold, Position: p.limiter})
 }
 
-// move gives a limiter other addresses by the path of SIGHUP.
-func (n *network) move(limiter int, to distribution.Addresses) error {
+// applyAddresses gives a limiter other addresses by the path of SIGHUP.
+func (n *network) applyAddresses(limiter int, to distribution.Addresses) error {
 	_, port, _ := strings.Cut(to.Discovery, ":")
-	list, err := strconv.Atoi(port)
+	number, err := strconv.Atoi(port)
 	if err != nil {
 		return fmt.Errorf("discovery at %q: %w", to.Discovery, err)
 	}
-	if n.inUse[limiter] == list {
+	if n.discoveryNumbers[limiter] == number {
 		return nil // a start with a kept state: the process has begun with this address
 	}
-	n.inUse[limiter] = list
-	n.fleet.ReloadLimiter(limiter, list, fleetCounter)
+	n.discoveryNumbers[limiter] = number
+	n.fleet.ReloadLimiter(limiter, number, counterNumber)
 	return nil
 }
 
-// inLife makes something happen later unless the peer's life has ended by then.
-func (n *network) inLife(p *peer, wait int64, run func()) {
-	life := p.life
-	n.after(wait, func() {
-		if p.life == life && !p.down {
+// scheduleWhileAlive makes something happen later unless the peer's life has ended by then.
+func (n *network) scheduleWhileAlive(p *peer, delay int64, run func()) {
+	incarnation := p.incarnation
+	n.schedule(delay, func() {
+		if p.incarnation == incarnation && !p.down {
 			run()
 		}
 	})
 }
 
-func (n *network) isCut(a, b *peer) bool { return n.cut != nil && n.cut(a, b) }
+func (n *network) partitioned(a, b *peer) bool { return n.partition != nil && n.partition(a, b) }
 
 // latency is the time of one way, which varies by a fifth.
 func (n *network) latency(a, b *peer) int64 {
@@ -237,72 +237,72 @@
 	return base + n.rng.Int64N(base/5)
 }
 
-// ask makes a subscriber's next call.
-func (n *network) ask(p *peer) {
-	c := &pollCall{Call: p.poller.Call(n.now()), from: p, fromLife: p.life}
+// poll makes a subscriber's next call.
+func (n *network) poll(p *peer) {
+	c := &pollCall{Call: p.poller.Call(n.now()), from: p, fromIncarnation: p.incarnation}
 	n.transcript.Add([]byte(p.name), n.now(), int64(c.Server), c.Hold, c.Timeout, c.Dial)
-	c.to = p.relays[c.Server]
-	if n.broken == keepsToFirstRelay {
-		c.to = p.relays[0]
+	c.to = p.upstreams[c.Server]
+	if n.fault == keepsToFirstRelay {
+		c.to = p.upstreams[0]
 	}
-	c.toLife = c.to.life
+	c.toIncarnation = c.to.incarnation
 	switch {
-	case n.isCut(p, c.to):
-		n.fail(c, c.Dial, errNoConnection)
+	case n.partitioned(p, c.to):
+		n.failAfter(c, c.Dial, errDialTimeout)
 		return
 	case c.to.down:
-		n.fail(c, 2*n.latency(p, c.to), errRefusedDial)
+		n.failAfter(c, 2*n.latency(p, c.to), errConnectionRefused)
 		return
 	}
-	n.fail(c, c.Timeout, errNoAnswer)
-	n.after(n.latency(p, c.to), func() { n.arrive(c) })
+	n.failAfter(c, c.Timeout, errResponseTimeout)
+	n.schedule(n.latency(p, c.to), func() { n.deliverCall(c) })
 }
 
-// serves tells whether the server of a call can work on it.
-func (c *pollCall) serves() bool {
-	return !c.done && !c.to.down && !c.to.stalled && c.to.life == c.toLife
+// canBeAnswered tells whether the server of a call can work on it.
+func (c *pollCall) canBeAnswered() bool {
+	return !c.done && !c.to.down && !c.to.stalled && c.to.incarnation == c.toIncarnation
 }
 
-// arrive brings a call to its server, which holds it while there is nothing newer.
-func (n *network) arrive(c *pollCall) {
-	if !c.serves() || n.isCut(c.from, c.to) {
+// deliverCall brings a call to its server, which holds it while there is nothing newer.
+func (n *network) deliverCall(c *pollCall) {
+	if !c.canBeAnswered() || n.partitioned(c.from, c.to) {
 		return
 	}
 	if c.Hold > 0 && !c.to.server.Newer(*c.Changes) {
-		c.to.held = append(c.to.held, c)
-		n.after(c.Hold, func() { n.answer(c) })
+		c.to.heldCalls = append(c.to.heldCalls, c)
+		n.schedule(c.Hold, func() { n.respond(c) })
 		return
 	}
-	n.answer(c)
+	n.respond(c)
 }
 
-// fail ends a call after a wait unless it has ended by then.
-func (n *network) fail(c *pollCall, wait int64, err error) {
-	n.after(wait, func() {
-		if c.end() {
-			n.again(c.from, c.from.poller.TakeError(n.now(), err))
+// failAfter ends a call after a wait unless it has ended by then.
+func (n *network) failAfter(c *pollCall, delay int64, err error) {
+	n.schedule(delay, func() {
+		if c.finish() {
+			n.scheduleNextPoll(c.from, c.from.poller.TakeError(n.now(), err))
 		}
 	})
 }
 
-// end ends a call; it tells whether it was under way still and its caller lives.
-func (c *pollCall) end() bool {
+// finish ends a call; it tells whether it was under way still and its caller lives.
+func (c *pollCall) finish() bool {
 	if c.done {
 		return false
 	}
 	c.done = true
-	return c.from.life == c.fromLife && !c.from.down
+	return c.from.incarnation == c.fromIncarnation && !c.from.down
 }
 
-func (n *network) again(p *peer, wait int64) {
-	n.note(p)
-	n.inLife(p, wait, func() { n.ask(p) })
+func (n *network) scheduleNextPoll(p *peer, delay int64) {
+	n.recordStatus(p)
+	n.scheduleWhileAlive(p, delay, func() { n.poll(p) })
 }
 
-// answer makes a server answer a call.
-func (n *network) answer(c *pollCall) {
-	c.to.forget(c)
-	if !c.serves() {
+// respond makes a server answer a call.
+func (n *network) respond(c *pollCall) {
+	c.to.removeHeldCall(c)
+	if !c.canBeAnswered() {
 		return
 	}
 	var delta *distribution.Delta
@@ -313,42 +313,42 @@
 	} else {
 		delta, err = c.to.server.Changes(n.now(), *c.Changes)
 	}
-	n.after(n.latency(c.from, c.to), func() {
-		if !n.isCut(c.from, c.to) && c.end() {
-			n.take(c.from, c.to, delta, piece, err)
+	n.schedule(n.latency(c.from, c.to), func() {
+		if !n.partitioned(c.from, c.to) && c.finish() {
+			n.deliverResponse(c.from, c.to, delta, piece, err)
 		}
 	})
 }
 
-// forget takes a call out of those that a server holds.
-func (p *peer) forget(c *pollCall) {
-	for i, held := range p.held {
+// removeHeldCall takes a call out of those that a server holds.
+func (p *peer) removeHeldCall(c *pollCall) {
+	for i, held := range p.heldCalls {
 		if held == c {
-			p.held = append(p.held[:i], p.held[i+1:]...)
+			p.heldCalls = append(p.heldCalls[:i], p.heldCalls[i+1:]...)
 			return
 		}
 	}
 }
 
-// take gives a server's answer to its caller.
-func (n *network) take(p, server *peer, delta *distribution.Delta, piece *distribution.Piece, err error) {
+// deliverResponse gives a server's answer to its caller.
+func (n *network) deliverResponse(p, server *peer, delta *distribution.Delta, piece *distribution.Piece, err error) {
 	before := p.poller.Version()
 	n.transcribe(delta)
 	n.transcribe(piece)
-	var wait int64
+	var delay int64
 	switch {
-	case err != nil && n.takesOlder(p, server, err):
+	case err != nil && n.acceptOlderState(p, server, err):
 	case err != nil:
-		wait = p.poller.TakeError(n.now(), err)
+		delay = p.poller.TakeError(n.now(), err)
 	case piece != nil:
-		wait, _ = p.poller.TakePiece(n.now(), piece) // the poller paces what is refused
+		delay, _ = p.poller.TakePiece(n.now(), piece) // the poller paces what is refused
 	default:
-		wait, _ = p.poller.TakeChanges(n.now(), delta)
+		delay, _ = p.poller.TakeChanges(n.now(), delta)
 	}
 	if p.relay != nil && p.poller.Version() != before {
-		n.wake(p)
+		n.answerHeldCalls(p)
 	}
-	n.again(p, wait)
+	n.scheduleNextPoll(p, delay)
 }
 
 // transcribe records a message in its form on the wire.
@@ -363,11 +363,11 @@
 	n.transcript.Add(text, n.now())
 }
 
-// wake answers the calls that a server holds and has news for.
-func (n *network) wake(p *peer) {
-	for _, c := range append([]*pollCall{}, p.held...) {
+// answerHeldCalls answers the calls that a server holds and has news for.
+func (n *network) answerHeldCalls(p *peer) {
+	for _, c := range append([]*pollCall{}, p.heldCalls...) {
 		if p.server.Newer(*c.Changes) {
-			n.answer(c)
+			n.respond(c)
 		}
 	}
 }
@@ -376,65 +376,65 @@
 func (n *network) publish(epoch uint64, mutations []distribution.Mutation) (distribution.Change, error) {
 	change, err := n.source.Publish(n.now(), epoch, nil, mutations)
 	if err == nil {
-		n.wake(n.sourcePeer)
+		n.answerHeldCalls(n.sourcePeer)
 	}
 	return change, err
 }
 
-// setCut changes what is cut off.
-func (n *network) setCut(cut func(a, b *peer) bool) {
-	n.cut = cut
-	n.noteReach()
+// setPartition changes what is cut off.
+func (n *network) setPartition(partition func(a, b *peer) bool) {
+	n.partition = partition
+	n.recordReachability()
 }
 
 // killRelay ends a relay's process: its connections break.
 func (n *network) killRelay(i int) {
 	p := n.relays[i]
 	p.down = true
-	p.life++
-	for _, c := range p.held {
-		n.fail(c, n.latency(c.from, p), errRefusedDial)
+	p.incarnation++
+	for _, c := range p.heldCalls {
+		n.failAfter(c, n.latency(c.from, p), errConnectionRefused)
 	}
-	p.held = nil
-	n.noteReach()
+	p.heldCalls = nil
+	n.recordReachability()
 }
 
 // stallRelay makes a relay answer nothing more, while its connections stay.
 func (n *network) stallRelay(i int) {
 	n.relays[i].stalled = true
-	n.noteReach()
+	n.recordReachability()
 }
 
 // killLimiter ends a limiter's process and gives the state that it kept.
 func (n *network) killLimiter(i int) *distribution.Snapshot {
 	p := n.limiters[i]
-	kept := p.poller.Snapshot(n.now())
+	saved := p.poller.Snapshot(n.now())
 	p.down = true
-	p.life++
+	p.incarnation++
 	n.fleet.KillLimiter(i)
-	n.noteReach()
-	return kept
+	n.recordReachability()
+	return saved
 }
 
 // restartLimiter starts a limiter's process again with the state that it kept.
-func (n *network) restartLimiter(i int, kept *distribution.Snapshot) error {
+func (n *network) restartLimiter(i int, saved *distribution.Snapshot) error {
 	n.fleet.StartLimiter(i)
 	p := n.limiters[i]
-	if err := n.startLimiter(p, kept); err != nil {
+	if err := n.startLimiter(p, saved); err != nil {
 		return err
 	}
-	n.record.restarted = append(n.record.restarted, restart{i, p.poller.Status(n.now()).Condition})
-	n.noteReach()
+	n.record.restarted = append(n.record.restarted, limiterRestart{i, p.poller.Status(n.now()).Condition})
+	n.recordReachability()
 	return nil
 }
 
-// reached tells whether a change can come from the source to a limiter now.
-func (n *network) reached(p *peer) bool {
+// reachable tells whether a change can come from the source to a limiter now.
+func (n *network) reachable(p *peer) bool {
 	if p.down {
 		return false
 	}
-	for _, relay := range p.relays {
-		if !relay.down && !relay.stalled && !n.isCut(p, relay) && !n.isCut(relay, n.sourcePeer) {
+	for _, relay := range p.upstreams {
+		if !relay.down && !relay.stalled && !n.partitioned(p, relay) && !n.partitioned(relay, n.sourcePeer) {
 			return true
 		}
 	}
--- a/internal/lab/scenarios/distributionbroken.go
+++ b/internal/lab/scenarios/distributionbroken.go
@@ -11,12 +11,12 @@
 type subscriberFault string
 
 const (
-	soundSubscriber   subscriberFault = ""
+	noSubscriberFault subscriberFault = ""
 	keepsToFirstRelay subscriberFault = "keeps to its first relay" // it never asks the other one
-	takesOlderState   subscriberFault = "takes an older state"     // of a relay that is behind it
+	acceptsOlderState subscriberFault = "takes an older state"     // of a relay that is behind it
 )
 
-var subscriberFaults = []subscriberFault{keepsToFirstRelay, takesOlderState}
+var subscriberFaults = []subscriberFault{keepsToFirstRelay, acceptsOlderState}
 
 // parseSubscriberFault reads a way from a story.
 func parseSubscriberFault(words string) (subscriberFault, error) {
@@ -25,14 +25,14 @@
 			return fault, nil
 		}
 	}
-	return soundSubscriber, fmt.Errorf("no subscriber %q: one of %q", words, subscriberFaults)
+	return noSubscriberFault, fmt.Errorf("no subscriber %q: one of %q", words, subscriberFaults)
 }
 
-// takesOlder makes a subscriber that takes older states begin anew with the state of its relay where that is behind
-// it, and tells whether it did.
-func (n *network) takesOlder(p, server *peer, err error) bool {
+// acceptOlderState makes a subscriber that takes older states begin anew with the state of its relay where that is
+// behind it, and tells whether it did.
+func (n *network) acceptOlderState(p, server *peer, err error) bool {
 	var behind *distribution.BehindError
-	if n.broken != takesOlderState || p.relay != nil || !errors.As(err, &behind) {
+	if n.fault != acceptsOlderState || p.relay != nil || !errors.As(err, &behind) {
 		return false
 	}
 	subscriber := n.newSubscriber(p)
--- a/internal/lab/scenarios/distributionsteps.go
+++ b/internal/lab/scenarios/distributionsteps.go
@@ -16,66 +16,66 @@
 	distributionStart = millisecond
 	// deadlineSeconds is how long after its publication a change has to be in force.
 	deadlineSeconds = 18
-	// afterDeadlineSeconds is how much longer a story runs.
-	afterDeadlineSeconds = 0.5
-	// noPort is above any port. The fleet would move to it, so that nothing but the applier's check keeps limiters
+	// deadlineMarginSeconds is how much longer a story runs.
+	deadlineMarginSeconds = 0.5
+	// invalidPort is above any port. The fleet would move to it, so that nothing but the applier's check keeps limiters
 	// from it.
-	noPort = 70000
+	invalidPort = 70000
 )
 
 var errNoDistribution = errors.New(`no distribution yet: begin with "given a source of configuration ..."`)
 
-// distributionStory is a scenario's distribution.
-type distributionStory struct {
-	world   *World
-	cold    bool
-	broken  subscriberFault
-	planned bool
-	network *network
-	lists   int   // the newest list service's number
-	err     error // the first that came up during the run
+// distributionScenario is a scenario's distribution.
+type distributionScenario struct {
+	world           *World
+	coldStart       bool
+	fault           subscriberFault
+	planned         bool
+	network         *network
+	newestDiscovery int   // the newest list service's number
+	firstErr        error // the first that came up during the run
 }
 
-// distributionSteps gives a scenario the words of the configuration distribution.
-func distributionSteps(s *godog.ScenarioContext, w *World) {
-	d := &distributionStory{world: w, lists: 1}
-	s.Given(`^a source of configuration, and (\d+) regions of (\d+) zones with a relay each$`, d.given)
+// registerDistributionSteps gives a scenario the words of the configuration distribution.
+func registerDistributionSteps(s *godog.ScenarioContext, w *World) {
+	d := &distributionScenario{world: w, newestDiscovery: 1}
+	s.Given(`^a source of configuration, and (\d+) regions of (\d+) zones with a relay each$`, d.planNetwork)
 	s.Given(`^no subscriber has a kept state$`, func() error {
-		d.cold = true
+		d.coldStart = true
 		return nil
 	})
 	s.Given(`^a subscriber that (.+)$`, func(how string) (err error) {
-		d.broken, err = parseSubscriberFault(how)
+		d.fault, err = parseSubscriberFault(how)
 		return err
 	})
-	d.when(s)
-	d.then(s)
+	d.registerWhenSteps(s)
+	d.registerThenSteps(s)
 }
 
-func (d *distributionStory) given(regions, zones int) error {
+func (d *distributionScenario) planNetwork(regions, zones int) error {
 	d.planned = true
 	return d.world.Plan(distributionStart, func(f *simfleet.Fleet) {
 		shape := topology{regions, zones}
-		d.network, d.err = newNetwork(f, d.world.Options, shape, d.cold, d.broken)
+		d.network, d.firstErr = newNetwork(f, d.world.Options, shape, d.coldStart, d.fault)
 	})
 }
 
 // plan plans what happens to the distribution. The story goes on until a change of that time has to be in force.
-func (d *distributionStory) plan(at float64, step func(n *network) error) error {
+func (d *distributionScenario) plan(at float64, step func(n *network) error) error {
 	if !d.planned {
 		return errNoDistribution
 	}
-	if err := d.world.Plan(seconds(at+deadlineSeconds+afterDeadlineSeconds), func(*simfleet.Fleet) {}); err != nil {
+	if err := d.world.Plan(nanoseconds(at+deadlineSeconds+deadlineMarginSeconds), func(*simfleet.Fleet) {}); err != nil {
 		return err
 	}
-	return d.world.Plan(seconds(at), func(*simfleet.Fleet) {
-		if d.err == nil {
-			d.err = step(d.network)
+	return d.world.Plan(nanoseconds(at), func(*simfleet.Fleet) {
+		if d.firstErr == nil {
+			d.firstErr = step(d.network)
 		}
 	})
 }
 
-func (d *distributionStory) when(s *godog.ScenarioContext) {
+func (d *distributionScenario) registerWhenSteps(s *godog.ScenarioContext) {
 	s.When(`^relay (\d+) is killed at second ([\d.]+)$`, func(relay int, at float64) error {
 		return d.plan(at, func(n *network) error { n.killRelay(relay); return nil })
 	})
@@ -84,14 +84,14 @@
 	})
 	s.When(`^the limiters of zone (\d+) are cut off from all relays from second ([\d.]+) to second ([\d.]+)$`,
 		func(zone int, from, until float64) error {
-			return d.cut(from, until, func(_ *network, a, b *peer) bool {
+			return d.planPartition(from, until, func(_ *network, a, b *peer) bool {
 				return a.limiter >= 0 && a.zone == zone || b.limiter >= 0 && b.zone == zone
 			})
 		})
 	s.When(
 		`^region (\d+) is cut off from second ([\d.]+) to second ([\d.]+)$`,
 		func(region int, from, until float64) error {
-			return d.cut(
+			return d.planPartition(
 				from,
 				until,
 				func(_ *network, a, b *peer) bool { return (a.region == region) != (b.region == region) },
@@ -100,91 +100,91 @@
 	)
 	s.When(`^relay (\d+) is cut off from the source from second ([\d.]+) to second ([\d.]+)$`,
 		func(relay int, from, until float64) error {
-			return d.cut(from, until, func(n *network, a, b *peer) bool {
+			return d.planPartition(from, until, func(n *network, a, b *peer) bool {
 				return a == n.relays[relay] && b == n.sourcePeer || a == n.sourcePeer && b == n.relays[relay]
 			})
 		})
 	s.When(`^(.+) of the limiters are killed at second ([\d.]+) and start again ([\d.]+) seconds? later `+
-		`from the configuration that they kept$`, d.killed)
+		`from the configuration that they kept$`, d.planRestarts)
 	s.When(`^discovery's address changes at second ([\d.]+)$`, func(at float64) error {
-		return d.plan(at, d.publishMove(firstWriter))
+		return d.plan(at, d.publishMove(firstEpoch))
 	})
-	s.When(`^discovery's address changes (\d+) times from second ([\d.]+) to second ([\d.]+)$`, d.publishMany)
+	s.When(`^discovery's address changes (\d+) times from second ([\d.]+) to second ([\d.]+)$`, d.publishRepeatedly)
 	s.When(`^an address that is no address is published at second ([\d.]+)$`, func(at float64) error {
 		return d.plan(at, func(n *network) error {
-			change, err := n.publish(firstWriter, discoveryAt(listAddress(noPort)))
-			n.record.unfit = change.Version
+			change, err := n.publish(firstEpoch, setDiscovery(discoveryAddress(invalidPort)))
+			n.record.invalidVersion = change.Version
 			return err
 		})
 	})
 	s.When(`^a second writer takes over and changes discovery's address at second ([\d.]+)$`, func(at float64) error {
 		return d.plan(at, func(n *network) error {
-			if _, err := n.source.Open(n.now(), firstWriter+1); err != nil {
+			if _, err := n.source.Open(n.now(), firstEpoch+1); err != nil {
 				return err
 			}
-			return d.publishMove(firstWriter + 1)(n)
+			return d.publishMove(firstEpoch + 1)(n)
 		})
 	})
 	s.When(`^the first writer changes discovery's address at second ([\d.]+)$`, func(at float64) error {
 		return d.plan(at, func(n *network) error {
-			_, n.record.fenced = n.publish(firstWriter, discoveryAt(listAddress(d.lists+1)))
+			_, n.record.firstWriterErr = n.publish(firstEpoch, setDiscovery(discoveryAddress(d.newestDiscovery+1)))
 			return nil
 		})
 	})
 }
 
 // publishMove moves discovery to a list service that none has used yet.
-func (d *distributionStory) publishMove(epoch uint64) func(n *network) error {
+func (d *distributionScenario) publishMove(epoch uint64) func(n *network) error {
 	return func(n *network) error {
-		d.lists++
-		if _, err := n.publish(epoch, discoveryAt(listAddress(d.lists))); err != nil {
+		d.newestDiscovery++
+		if _, err := n.publish(epoch, setDiscovery(discoveryAddress(d.newestDiscovery))); err != nil {
 			return err
 		}
-		n.record.publications = append(n.record.publications, publication{n.now(), d.lists})
+		n.record.publications = append(n.record.publications, publication{n.now(), d.newestDiscovery})
 		return nil
 	}
 }
 
-func (d *distributionStory) publishMany(times int, from, until float64) error {
+func (d *distributionScenario) publishRepeatedly(times int, from, until float64) error {
 	for i := range times {
 		at := from + (until-from)*float64(i)/float64(times)
-		if err := d.plan(at, d.publishMove(firstWriter)); err != nil {
+		if err := d.plan(at, d.publishMove(firstEpoch)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cut lets nothing pass between some peers for a time. A story has one such cut at a time.
-func (d *distributionStory) cut(from, until float64, between func(n *network, a, b *peer) bool) error {
+// planPartition lets nothing pass between some peers for a time. A story has one such cut at a time.
+func (d *distributionScenario) planPartition(from, until float64, between func(n *network, a, b *peer) bool) error {
 	if err := d.plan(from, func(n *network) error {
-		n.setCut(func(a, b *peer) bool { return between(n, a, b) })
+		n.setPartition(func(a, b *peer) bool { return between(n, a, b) })
 		return nil
 	}); err != nil {
 		return err
 	}
-	return d.plan(until, func(n *network) error { n.setCut(nil); return nil })
+	return d.plan(until, func(n *network) error { n.setPartition(nil); return nil })
 }
 
-// killed ends some limiters and starts them again with what their subscribers had in force.
-func (d *distributionStory) killed(part string, at, later float64) error {
-	of, err := share(part)
+// planRestarts ends some limiters and starts them again with what their subscribers had in force.
+func (d *distributionScenario) planRestarts(part string, at, later float64) error {
+	fraction, err := parseFraction(part)
 	if err != nil {
 		return err
 	}
-	hit := d.world.some(of, d.world.Options.Limiters, 4)
-	kept := map[int]*distribution.Snapshot{}
+	chosen := d.world.chooseSome(fraction, d.world.Options.Limiters, 4)
+	saved := map[int]*distribution.Snapshot{}
 	if err := d.plan(at, func(n *network) error {
-		for _, i := range hit {
-			kept[i] = n.killLimiter(i)
+		for _, i := range chosen {
+			saved[i] = n.killLimiter(i)
 		}
 		return nil
 	}); err != nil {
 		return err
 	}
 	return d.plan(at+later, func(n *network) error {
-		for _, i := range hit {
-			if err := n.restartLimiter(i, kept[i]); err != nil {
+		for _, i := range chosen {
+			if err := n.restartLimiter(i, saved[i]); err != nil {
 				return err
 			}
 		}
@@ -192,51 +192,51 @@
 	})
 }
 
-func (d *distributionStory) then(s *godog.ScenarioContext) {
-	check := func(look func(r *simfleet.Result, record *distributionRecord) error) func() error {
+func (d *distributionScenario) registerThenSteps(s *godog.ScenarioContext) {
+	check := func(verify func(r *simfleet.Result, record *distributionRecord) error) func() error {
 		return func() error {
 			result, err := d.world.Result()
 			switch {
 			case err != nil:
 				return err
-			case d.err != nil:
-				return d.err
+			case d.firstErr != nil:
+				return d.firstErr
 			case d.network == nil:
 				return errNoDistribution
 			}
-			return look(result, &d.network.record)
+			return verify(result, &d.network.record)
 		}
 	}
 	s.Then(`^the change is in force at every limiter that can be reached within 18 seconds$`,
 		check(func(r *simfleet.Result, record *distributionRecord) error {
-			return record.inForce(r, deadlineSeconds*second)
+			return record.checkInForce(r, deadlineSeconds*second)
 		}))
 	s.Then(`^the change is not in force in time at a limiter that can be reached$`,
 		check(func(r *simfleet.Result, record *distributionRecord) error {
-			return opposite(record.inForce(r, deadlineSeconds*second), "it was in force everywhere in time")
+			return expectFailure(record.checkInForce(r, deadlineSeconds*second), "it was in force everywhere in time")
 		}))
 	s.Then(`^no limiter went back to an older version$`,
-		check(func(r *simfleet.Result, record *distributionRecord) error { return record.wentBack(r) }))
+		check(func(r *simfleet.Result, record *distributionRecord) error { return record.checkNoRegression(r) }))
 	s.Then(`^a limiter went back to an older version$`,
 		check(func(r *simfleet.Result, record *distributionRecord) error {
-			return opposite(record.wentBack(r), "none did")
+			return expectFailure(record.checkNoRegression(r), "none did")
 		}))
 	s.Then(`^all requests have one answer$`, check(allAnswered))
 	s.Then(`^each limiter that started again began unconfirmed$`, check(beganUnconfirmed))
 	s.Then(`^each limiter refused what is no address$`, check(allRefused))
 	s.Then(`^the first writer is turned away$`, check(func(_ *simfleet.Result, record *distributionRecord) error {
 		var fenced *distribution.FencedError
-		if !errors.As(record.fenced, &fenced) {
-			return fmt.Errorf("it was told: %w", record.fenced)
+		if !errors.As(record.firstWriterErr, &fenced) {
+			return fmt.Errorf("it was told: %w", record.firstWriterErr)
 		}
 		return nil
 	}))
 }
 
-// opposite fails where a check passed.
-func opposite(err error, passed string) error {
+// expectFailure fails where a check passed.
+func expectFailure(err error, message string) error {
 	if err == nil {
-		return errors.New(passed)
+		return errors.New(message)
 	}
 	return nil
 }
@@ -246,7 +246,7 @@
 		return errors.New("no request was sent")
 	}
 	if r.Verdict.Counts[1] > 0 {
-		return broken(r)
+		return ruleBreaches(r)
 	}
 	return nil
 }
@@ -255,9 +255,9 @@
 	if len(record.restarted) == 0 {
 		return errors.New("none started again")
 	}
-	for _, again := range record.restarted {
-		if again.condition != distribution.Unconfirmed {
-			return fmt.Errorf("limiter %d began %s", again.limiter, again.condition)
+	for _, restart := range record.restarted {
+		if restart.condition != distribution.Unconfirmed {
+			return fmt.Errorf("limiter %d began %s", restart.limiter, restart.condition)
 		}
 	}
 	return nil
@@ -265,8 +265,8 @@
 
 func allRefused(_ *simfleet.Result, record *distributionRecord) error {
 	for limiter, versions := range record.refused {
-		if !slices.Contains(versions, record.unfit) {
-			return fmt.Errorf("limiter %d did not refuse version %v", limiter, record.unfit)
+		if !slices.Contains(versions, record.invalidVersion) {
+			return fmt.Errorf("limiter %d did not refuse version %v", limiter, record.invalidVersion)
 		}
 	}
 	return nil
--- a/internal/lab/scenarios/scenarios_test.go
+++ b/internal/lab/scenarios/scenarios_test.go
@@ -54,12 +54,12 @@
 	return nil
 }
 
-func TestStories(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	suite := godog.TestSuite{Name: "stories",
 		ScenarioInitializer: func(s *godog.ScenarioContext) {
 			w := Steps(s)
-			if way := os.Getenv("STORIES_BREAK"); way != "" {
-				w.Broken = []simfleet.Broken{simfleet.Broken(way)}
+			if fault := os.Getenv("STORIES_BREAK"); fault != "" {
+				w.Broken = []simfleet.Broken{simfleet.Broken(fault)}
 			}
 			w.SeedOffset, _ = strconv.ParseUint(os.Getenv("STORIES_SHIFT"), 10, 64)
 			w.Transcript = transcript.New()
--- a/internal/lab/scenarios/steps.go
+++ b/internal/lab/scenarios/steps.go
@@ -31,7 +31,7 @@
 		w.Options.Operator.DiscoveryCallRate = float64(calls)
 		return nil
 	})
-	s.Given(`^a limiter that (.+)$`, w.limiterThat)
+	s.Given(`^a limiter that (.+)$`, w.breakLimiters)
 	s.Given(`^cold servers fall at ([\d.]+) times what they can do$`, func(times float64) error {
 		w.Options.OverloadMultiple = times
 		w.Options.OverloadWindow = 1500e6
@@ -41,28 +41,28 @@
 		`^clients send (\d+) jobs a second from second ([\d.]+) to second ([\d.]+)$`,
 		func(rate int, from, until float64) error {
 			w.Options.Load.Rate = float64(rate)
-			w.Options.Load.From = seconds(from)
-			w.Options.Load.Until = seconds(until)
+			w.Options.Load.From = nanoseconds(from)
+			w.Options.Load.Until = nanoseconds(until)
 			return nil
 		},
 	)
 	s.Given(`^clients send from second ([\d.]+) to second ([\d.]+)$`, func(from, until float64) error {
-		w.Options.Load.From, w.Options.Load.Until = seconds(from), seconds(until)
+		w.Options.Load.From, w.Options.Load.Until = nanoseconds(from), nanoseconds(until)
 		return nil
 	})
 	s.Given(`^clients stay on their connections while a limiter ends$`, func() error {
 		w.Options.Load.KeepConnections = true
 		return nil
 	})
-	s.Given(`^(.+) of the servers were replaced since the limiters' lists were written$`, w.replaced)
-	w.when(s)
-	w.then(s)
-	distributionSteps(s, w)
+	s.Given(`^(.+) of the servers were replaced since the limiters' lists were written$`, w.replaceServers)
+	w.registerWhenSteps(s)
+	w.registerThenSteps(s)
+	registerDistributionSteps(s, w)
 	return w
 }
 
-// limiterThat breaks all limiters of the fleet on purpose.
-func (w *World) limiterThat(how string) error {
+// breakLimiters breaks all limiters of the fleet on purpose.
+func (w *World) breakLimiters(how string) error {
 	if !slices.Contains(simfleet.AllBroken, simfleet.Broken(how)) {
 		return fmt.Errorf("no limiter %q: one of %q", how, simfleet.AllBroken)
 	}
@@ -70,13 +70,13 @@
 	return nil
 }
 
-// replaced lets some servers go and others come, cold, before any limiter starts.
-func (w *World) replaced(part string) error {
-	of, err := share(part)
+// replaceServers lets some servers go and others come, cold, before any limiter starts.
+func (w *World) replaceServers(part string) error {
+	fraction, err := parseFraction(part)
 	if err != nil {
 		return err
 	}
-	for _, i := range w.some(of, len(w.Options.Servers), 1) {
+	for _, i := range w.chooseSome(fraction, len(w.Options.Servers), 1) {
 		name := w.Options.Servers[i].Name
 		if err := w.Plan(0, func(f *simfleet.Fleet) {
 			f.AddServer(name, name+"-new")
@@ -88,19 +88,19 @@
 	return nil
 }
 
-func (w *World) when(s *godog.ScenarioContext) {
+func (w *World) registerWhenSteps(s *godog.ScenarioContext) {
 	at := func(step func(f *simfleet.Fleet)) func(at float64) error {
-		return func(at float64) error { return w.Plan(seconds(at), step) }
+		return func(at float64) error { return w.Plan(nanoseconds(at), step) }
 	}
 	s.When(`^all limiters start together at second ([\d.]+)$`, at(func(f *simfleet.Fleet) { f.StartAll(0) }))
-	s.When(`^all limiters start within ([\d.]+) seconds? from second ([\d.]+) on$`, func(over, from float64) error {
-		return w.Plan(seconds(from), func(f *simfleet.Fleet) { f.StartAll(seconds(over)) })
+	s.When(`^all limiters start within ([\d.]+) seconds? from second ([\d.]+) on$`, func(window, from float64) error {
+		return w.Plan(nanoseconds(from), func(f *simfleet.Fleet) { f.StartAll(nanoseconds(window)) })
 	})
 	s.When(`^the list service is down from second ([\d.]+) to second ([\d.]+)$`, func(from, until float64) error {
-		if err := w.Plan(seconds(until), func(f *simfleet.Fleet) { f.SetDiscoveryDown(false) }); err != nil {
+		if err := w.Plan(nanoseconds(until), func(f *simfleet.Fleet) { f.SetDiscoveryDown(false) }); err != nil {
 			return err
 		}
-		return w.Plan(seconds(from), func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) })
+		return w.Plan(nanoseconds(from), func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) })
 	})
 	s.When(
 		`^the list service is down from second ([\d.]+) on$`,
@@ -108,44 +108,44 @@
 	)
 	s.When(
 		`^(.+) of the limiters are killed at second ([\d.]+) and start again ([\d.]+) seconds? later with their old list$`,
-		w.killed,
+		w.planRestarts,
 	)
 	s.When(`^all open watches fall silent at second ([\d.]+)$`,
 		at(func(f *simfleet.Fleet) { f.SilenceWatches(func(int) bool { return true }) }))
 	s.When(`^server "([^"]+)" drains at second ([\d.]+)$`, func(name string, at float64) error {
-		return w.Plan(seconds(at), func(f *simfleet.Fleet) { f.DrainServer(name) })
+		return w.Plan(nanoseconds(at), func(f *simfleet.Fleet) { f.DrainServer(name) })
 	})
 	s.When(`^server "([^"]+)" crashes at second ([\d.]+) and is back, cold, ([\d.]+) seconds? later$`,
 		func(name string, at, later float64) error {
-			if err := w.Plan(seconds(at), func(f *simfleet.Fleet) { f.CrashServer(name) }); err != nil {
+			if err := w.Plan(nanoseconds(at), func(f *simfleet.Fleet) { f.CrashServer(name) }); err != nil {
 				return err
 			}
-			return w.Plan(seconds(at+later), func(f *simfleet.Fleet) { f.RestartServer(name) })
+			return w.Plan(nanoseconds(at+later), func(f *simfleet.Fleet) { f.RestartServer(name) })
 		})
 	s.When(
 		`^the limiters are restarted from second ([\d.]+) on, a tenth at a time, every ([\d.]+) seconds?$`,
-		w.restarted,
+		w.planRollingRestart,
 	)
 	s.When(
 		`^limiter (\d+) is stopped from second ([\d.]+) to second ([\d.]+)$`,
 		func(n int, from, until float64) error {
-			if err := w.Plan(seconds(from), func(f *simfleet.Fleet) { f.PauseLimiter(n) }); err != nil {
+			if err := w.Plan(nanoseconds(from), func(f *simfleet.Fleet) { f.PauseLimiter(n) }); err != nil {
 				return err
 			}
-			return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.ResumeLimiter(n) })
+			return w.Plan(nanoseconds(until), func(f *simfleet.Fleet) { f.ResumeLimiter(n) })
 		},
 	)
 	s.When(`^what (.+) of the limiters send to the counter is lost from second ([\d.]+) to second ([\d.]+)$`,
 		func(part string, from, until float64) error {
-			return w.cut(part, "limiter", "counter", from, until)
+			return w.planLinkCut(part, "limiter", "counter", from, until)
 		})
 	s.When(`^what the counter answers (.+) of the limiters is lost from second ([\d.]+) to second ([\d.]+)$`,
 		func(part string, from, until float64) error {
-			return w.cut(part, "counter", "limiter", from, until)
+			return w.planLinkCut(part, "counter", "limiter", from, until)
 		})
 	s.When(`^SIGHUP moves all limiters to list service (\d+) and counter (\d+) at second ([\d.]+)$`,
 		func(list, counter int, at float64) error {
-			return w.Plan(seconds(at), func(f *simfleet.Fleet) {
+			return w.Plan(nanoseconds(at), func(f *simfleet.Fleet) {
 				for n := range w.Options.Limiters {
 					f.ReloadLimiter(n, list, counter)
 				}
@@ -153,29 +153,29 @@
 		})
 }
 
-func (w *World) killed(part string, at, later float64) error {
-	of, err := share(part)
+func (w *World) planRestarts(part string, at, later float64) error {
+	fraction, err := parseFraction(part)
 	if err != nil {
 		return err
 	}
-	hit := w.some(of, w.Options.Limiters, 2)
-	if err := w.Plan(seconds(at), func(f *simfleet.Fleet) {
-		for _, n := range hit {
+	chosen := w.chooseSome(fraction, w.Options.Limiters, 2)
+	if err := w.Plan(nanoseconds(at), func(f *simfleet.Fleet) {
+		for _, n := range chosen {
 			f.KillLimiter(n)
 		}
 	}); err != nil {
 		return err
 	}
-	return w.Plan(seconds(at+later), func(f *simfleet.Fleet) {
-		for _, n := range hit {
+	return w.Plan(nanoseconds(at+later), func(f *simfleet.Fleet) {
+		for _, n := range chosen {
 			f.StartLimiter(n)
 		}
 	})
 }
 
-func (w *World) restarted(from, every float64) error {
+func (w *World) planRollingRestart(from, every float64) error {
 	for step := range 10 {
-		if err := w.Plan(seconds(from+every*float64(step)), func(f *simfleet.Fleet) {
+		if err := w.Plan(nanoseconds(from+every*float64(step)), func(f *simfleet.Fleet) {
 			for n := step; n < w.Options.Limiters; n += 10 {
 				f.TerminateLimiter(n, true)
 			}
@@ -186,32 +186,32 @@
 	return nil
 }
 
-func (w *World) cut(part, from, to string, since, until float64) error {
-	of, err := share(part)
+func (w *World) planLinkCut(part, from, to string, since, until float64) error {
+	fraction, err := parseFraction(part)
 	if err != nil {
 		return err
 	}
-	hit := w.some(of, w.Options.Limiters, 3)
+	chosen := w.chooseSome(fraction, w.Options.Limiters, 3)
 	var rule *simfleet.LinkRule
-	if err := w.Plan(seconds(since), func(f *simfleet.Fleet) {
-		rule = f.AddLinkFault(simfleet.LinkCut, from, to, func(n int) bool { return slices.Contains(hit, n) }, 0, 0)
+	if err := w.Plan(nanoseconds(since), func(f *simfleet.Fleet) {
+		rule = f.AddLinkFault(simfleet.LinkCut, from, to, func(n int) bool { return slices.Contains(chosen, n) }, 0, 0)
 	}); err != nil {
 		return err
 	}
-	return w.Plan(seconds(until), func(f *simfleet.Fleet) { f.HealLink(rule) })
+	return w.Plan(nanoseconds(until), func(f *simfleet.Fleet) { f.HealLink(rule) })
 }
 
-func (w *World) then(s *godog.ScenarioContext) {
-	check := func(look func(r *simfleet.Result) error) func() error {
+func (w *World) registerThenSteps(s *godog.ScenarioContext) {
+	check := func(verify func(r *simfleet.Result) error) func() error {
 		return func() error {
 			r, err := w.Result()
 			if err != nil {
 				return err
 			}
-			return look(r)
+			return verify(r)
 		}
 	}
-	s.Then(`^no rule is broken$`, check(broken))
+	s.Then(`^no rule is broken$`, check(ruleBreaches))
 	s.Then(`^rule (\d) is broken$`, func(rule int) error {
 		r, err := w.Result()
 		if err == nil && r.Verdict.Counts[rule] == 0 {
@@ -222,17 +222,17 @@
 	s.Then(`^rule (\d) is kept$`, func(rule int) error {
 		r, err := w.Result()
 		if err == nil && r.Verdict.Counts[rule] > 0 {
-			err = broken(r)
+			err = ruleBreaches(r)
 		}
 		return err
 	})
 	s.Then(`^no limiter crashes$`, check(func(r *simfleet.Result) error {
 		if len(r.Faults) > 0 {
-			return broken(r)
+			return ruleBreaches(r)
 		}
 		return nil
 	}))
-	s.Then(`^limiter (\d+) sends nothing to server "([^"]+)" from second ([\d.]+) on$`, w.sendsNothing)
+	s.Then(`^limiter (\d+) sends nothing to server "([^"]+)" from second ([\d.]+) on$`, w.checkSendsNothing)
 	s.Then(`^no cold server falls$`, check(func(r *simfleet.Result) error {
 		if r.OverloadCrashes > 0 {
 			return fmt.Errorf("%d fell", r.OverloadCrashes)
@@ -247,7 +247,7 @@
 	}))
 	s.Then(
 		`^no server takes more than (\d+) new connections in any second from second (\d+) to second (\d+)$`,
-		w.handshakes,
+		w.checkHandshakes,
 	)
 	s.Then(`^the list service gets at most (\d+) calls in any second$`, func(most int) error {
 		r, err := w.Result()
@@ -272,7 +272,7 @@
 	})
 	s.Then(
 		`^at least (\d+) in 100 of the jobs sent from second ([\d.]+) to second ([\d.]+) are done in their agreed time$`,
-		w.served,
+		w.checkServed,
 	)
 	s.Then(`^each limiter has the drain before it counts as told$`, check(func(r *simfleet.Result) error {
 		if len(r.Missed) == 0 {
@@ -301,41 +301,41 @@
 	}))
 }
 
-// sendsNothing looks for a limiter's attempts by the server's record.
-func (w *World) sendsNothing(n int, server string, from float64) error {
+// checkSendsNothing looks for a limiter's attempts by the server's record.
+func (w *World) checkSendsNothing(limiter int, server string, from float64) error {
 	r, err := w.Result()
 	if err != nil {
 		return err
 	}
-	of := map[string]bool{}
-	for _, j := range r.Run.Requests {
-		of[j.ID] = j.Limiter == n
+	fromLimiter := map[string]bool{}
+	for _, request := range r.Run.Requests {
+		fromLimiter[request.ID] = request.Limiter == limiter
 	}
-	for _, s := range r.Run.Attempts {
-		if s.Server == server && of[s.ID] && s.At >= seconds(from) {
-			return fmt.Errorf("job %s at %.3f s", s.ID, float64(s.At)/1e9)
+	for _, attempt := range r.Run.Attempts {
+		if attempt.Server == server && fromLimiter[attempt.ID] && attempt.At >= nanoseconds(from) {
+			return fmt.Errorf("job %s at %.3f s", attempt.ID, float64(attempt.At)/1e9)
 		}
 	}
 	return nil
 }
 
-func sum(of []int) int {
-	all := 0
-	for _, n := range of {
-		all += n
+func sum(values []int) int {
+	total := 0
+	for _, n := range values {
+		total += n
 	}
-	return all
+	return total
 }
 
-// handshakes looks at the connections that servers took in whole seconds.
-func (w *World) handshakes(most, from, until int) error {
+// checkHandshakes looks at the connections that servers took in whole seconds.
+func (w *World) checkHandshakes(limit, from, until int) error {
 	r, err := w.Result()
 	if err != nil {
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Handshakes)) {
 		for second, n := range r.Handshakes[name] {
-			if second >= from && second < until && n > most {
+			if second >= from && second < until && n > limit {
 				return fmt.Errorf("%s took %d in second %d: %v", name, n, second, r.Handshakes[name])
 			}
 		}
@@ -343,24 +343,24 @@
 	return nil
 }
 
-// served looks at what became of the requests of a time, by the clients' records.
-func (w *World) served(least int, from, until float64) error {
+// checkServed looks at what became of the requests of a time, by the clients' records.
+func (w *World) checkServed(percent int, from, until float64) error {
 	r, err := w.Result()
 	if err != nil {
 		return err
 	}
-	all := 0
-	done := 0
-	for _, j := range r.Run.Requests {
-		if j.Sent >= seconds(from) && j.Sent < seconds(until) {
-			all++
-			if j.Outcome == history.Succeeded && j.Answered-j.Sent <= w.fleet.LatencyObjective(j.Class) {
-				done++
+	total := 0
+	served := 0
+	for _, request := range r.Run.Requests {
+		if request.Sent >= nanoseconds(from) && request.Sent < nanoseconds(until) {
+			total++
+			if request.Outcome == history.Succeeded && request.Answered-request.Sent <= w.fleet.LatencyObjective(request.Class) {
+				served++
 			}
 		}
 	}
-	if all == 0 || done*100 < least*all {
-		return fmt.Errorf("%d of %d: %s", done, all, r.Verdict.Line())
+	if total == 0 || served*100 < percent*total {
+		return fmt.Errorf("%d of %d: %s", served, total, r.Verdict.Line())
 	}
 	return nil
 }
--- a/internal/lab/scenarios/walk.go
+++ b/internal/lab/scenarios/walk.go
@@ -15,85 +15,88 @@
 // Walk draws a small fleet and a random schedule of faults, from 2.5 s to 14.5 s, and tells in words what it drew.
 // What a test plans beside it is played with it. The fleet is played by World.Result, and the rules are what must hold
 // of it. Clients stay on their connections through SIGTERM in half of them. The limiters are broken in the ways given.
-func Walk(t *rapid.T, broken ...simfleet.Broken) (w *World, told []string) {
+func Walk(t *rapid.T, broken ...simfleet.Broken) (w *World, descriptions []string) {
 	const limiters, servers, end = 5, 6, 11.0
-	o := simfleet.Plain(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), limiters, servers)
-	o.Mode = rapid.SampledFrom([]simfleet.Mode{simfleet.Pushed, simfleet.Polled}).Draw(t, "mode")
+	options := simfleet.Plain(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), limiters, servers)
+	options.Mode = rapid.SampledFrom([]simfleet.Mode{simfleet.Pushed, simfleet.Polled}).Draw(t, "mode")
 	rate := rapid.SampledFrom([]float64{150, 500}).Draw(t, "rate") // of 900 that the servers can do
-	o.Load.Rate = rate
-	o.Load.Until = seconds(end)
-	o.Load.KeepConnections = rapid.Bool().Draw(t, "stay")
-	o.Broken = broken
-	for i := range o.Load.Customers {
-		o.Load.Customers[i].Limiters = 2
-		o.Load.Customers[i].First = i % limiters
+	options.Load.Rate = rate
+	options.Load.Until = nanoseconds(end)
+	options.Load.KeepConnections = rapid.Bool().Draw(t, "stay")
+	options.Broken = broken
+	for i := range options.Load.Customers {
+		options.Load.Customers[i].Limiters = 2
+		options.Load.Customers[i].First = i % limiters
 	}
-	w = &World{Options: o}
-	plan := func(at float64, step func(f *simfleet.Fleet)) { _ = w.Plan(seconds(at), step) } // it has a fleet: no error
+	w = &World{Options: options}
+	// it has a fleet: no error
+	plan := func(at float64, step func(f *simfleet.Fleet)) { _ = w.Plan(nanoseconds(at), step) }
 	plan(0, func(f *simfleet.Fleet) { f.StartAll(second) })
 	for i := range rapid.IntRange(1, 8).Draw(t, "faults") {
 		at := float64(rapid.IntRange(25, 95).Draw(t, "at")) / 10
 		until := at + float64(rapid.IntRange(1, 50).Draw(t, "for"))/10
-		n, s := rapid.IntRange(0, limiters-1).Draw(t, "limiter"), rapid.IntRange(0, servers-1).Draw(t, "server")
-		server := fmt.Sprintf("s%d", s)
-		among := func(m int) bool { return m == n }
+		limiter, serverIndex := rapid.IntRange(0, limiters-1).Draw(t, "limiter"),
+			rapid.IntRange(0, servers-1).Draw(t, "server")
+		server := fmt.Sprintf("s%d", serverIndex)
+		isChosen := func(m int) bool { return m == limiter }
 		kind := rapid.SampledFrom(faultKinds).Draw(t, "kind")
-		told = append(told, fmt.Sprintf("%.1f s to %.2f s: %s, limiter %d, %s", at, until, kind, n, server))
-		begin := func(*simfleet.Fleet) {}
-		over := func(*simfleet.Fleet) {}
+		descriptions = append(descriptions,
+			fmt.Sprintf("%.1f s to %.2f s: %s, limiter %d, %s", at, until, kind, limiter, server))
+		inject := func(*simfleet.Fleet) {}
+		heal := func(*simfleet.Fleet) {}
 		switch kind {
 		case "drain":
-			begin = func(f *simfleet.Fleet) { f.DrainServer(server) }
+			inject = func(f *simfleet.Fleet) { f.DrainServer(server) }
 		case "replace":
-			begin = func(f *simfleet.Fleet) { f.RemoveServer(server); f.AddServer(server, fmt.Sprintf("n%d", i)) }
+			inject = func(f *simfleet.Fleet) { f.RemoveServer(server); f.AddServer(server, fmt.Sprintf("n%d", i)) }
 		case "crash":
-			begin = func(f *simfleet.Fleet) { f.CrashServer(server) }
-			over = func(f *simfleet.Fleet) { f.RestartServer(server) }
+			inject = func(f *simfleet.Fleet) { f.CrashServer(server) }
+			heal = func(f *simfleet.Fleet) { f.RestartServer(server) }
 		case "vanish":
-			begin = func(f *simfleet.Fleet) { f.VanishServer(server) }
-			over = func(f *simfleet.Fleet) { f.RestartServer(server) }
+			inject = func(f *simfleet.Fleet) { f.VanishServer(server) }
+			heal = func(f *simfleet.Fleet) { f.RestartServer(server) }
 		case "silent":
-			begin = func(f *simfleet.Fleet) { f.SilenceServer(server, true) }
-			over = func(f *simfleet.Fleet) { f.SilenceServer(server, false) }
+			inject = func(f *simfleet.Fleet) { f.SilenceServer(server, true) }
+			heal = func(f *simfleet.Fleet) { f.SilenceServer(server, false) }
 		case "slow":
-			begin = func(f *simfleet.Fleet) { f.SlowServer(server, 20) }
-			over = func(f *simfleet.Fleet) { f.SlowServer(server, 0) }
+			inject = func(f *simfleet.Fleet) { f.SlowServer(server, 20) }
+			heal = func(f *simfleet.Fleet) { f.SlowServer(server, 0) }
 		case "kill":
-			begin = func(f *simfleet.Fleet) { f.KillLimiter(n) }
-			over = func(f *simfleet.Fleet) { f.StartLimiter(n) }
+			inject = func(f *simfleet.Fleet) { f.KillLimiter(limiter) }
+			heal = func(f *simfleet.Fleet) { f.StartLimiter(limiter) }
 		case "term":
-			begin = func(f *simfleet.Fleet) { f.TerminateLimiter(n, true) }
+			inject = func(f *simfleet.Fleet) { f.TerminateLimiter(limiter, true) }
 		case "stop":
-			begin = func(f *simfleet.Fleet) { f.PauseLimiter(n) }
-			over = func(f *simfleet.Fleet) { f.ResumeLimiter(n) }
+			inject = func(f *simfleet.Fleet) { f.PauseLimiter(limiter) }
+			heal = func(f *simfleet.Fleet) { f.ResumeLimiter(limiter) }
 		case "quiet":
-			begin = func(f *simfleet.Fleet) { f.SilenceWatches(func(int) bool { return true }) }
+			inject = func(f *simfleet.Fleet) { f.SilenceWatches(func(int) bool { return true }) }
 		case "list":
-			begin = func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) }
-			over = func(f *simfleet.Fleet) { f.SetDiscoveryDown(false) }
+			inject = func(f *simfleet.Fleet) { f.SetDiscoveryDown(true) }
+			heal = func(f *simfleet.Fleet) { f.SetDiscoveryDown(false) }
 		case "hup":
-			begin = func(f *simfleet.Fleet) { f.ReloadLimiter(n, 2+i, 2+i) }
+			inject = func(f *simfleet.Fleet) { f.ReloadLimiter(limiter, 2+i, 2+i) }
 		case "half-open":
-			begin = func(f *simfleet.Fleet) { f.HalfOpen(server, n) }
+			inject = func(f *simfleet.Fleet) { f.HalfOpen(server, limiter) }
 		case "burst":
-			begin = func(f *simfleet.Fleet) { f.SetRequestRate(3 * rate) }
-			over = func(f *simfleet.Fleet) { f.SetRequestRate(rate) }
+			inject = func(f *simfleet.Fleet) { f.SetRequestRate(3 * rate) }
+			heal = func(f *simfleet.Fleet) { f.SetRequestRate(rate) }
 		case "link":
-			way := simfleet.LinkFault(rapid.IntRange(int(simfleet.LinkCut), int(simfleet.DialDelayed)).Draw(t, "way"))
-			far := rapid.SampledFrom([]string{server, "server", "counter", "list"}).Draw(t, "far")
+			fault := simfleet.LinkFault(rapid.IntRange(int(simfleet.LinkCut), int(simfleet.DialDelayed)).Draw(t, "way"))
+			remote := rapid.SampledFrom([]string{server, "server", "counter", "list"}).Draw(t, "far")
 			from := "limiter"
-			to := far
+			to := remote
 			if rapid.Bool().Draw(t, "back") {
-				from = far
+				from = remote
 				to = "limiter"
 			}
-			told[i] += fmt.Sprintf(": %d %s>%s", way, from, to)
+			descriptions[i] += fmt.Sprintf(": %d %s>%s", fault, from, to)
 			var rule *simfleet.LinkRule
-			begin = func(f *simfleet.Fleet) { rule = f.AddLinkFault(way, from, to, among, 100e6, 0.1) }
-			over = func(f *simfleet.Fleet) { f.HealLink(rule) }
+			inject = func(f *simfleet.Fleet) { rule = f.AddLinkFault(fault, from, to, isChosen, 100e6, 0.1) }
+			heal = func(f *simfleet.Fleet) { f.HealLink(rule) }
 		}
-		plan(at, begin)
-		plan(until, over)
+		plan(at, inject)
+		plan(until, heal)
 	}
-	return w, told
+	return w, descriptions
 }
--- a/internal/lab/scenarios/walk_test.go
+++ b/internal/lab/scenarios/walk_test.go
@@ -12,25 +12,25 @@
 // TestWalk plays random schedules of faults on a small fleet. The rules are the invariants.
 func TestWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, told := Walk(t)
+		w, descriptions := Walk(t)
 		r, err := w.Result()
 		require.NoError(t, err)
-		require.NoError(t, broken(r), "%q", told)
+		require.NoError(t, ruleBreaches(r), "%q", descriptions)
 	})
 }
 
-// TestWalkFails sees the walks find each of these faults within a few schedules.
-func TestWalkFails(t *testing.T) {
-	ways := []simfleet.Broken{
+// TestWalkFindsFaults sees the walks find each of these faults within a few schedules.
+func TestWalkFindsFaults(t *testing.T) {
+	faults := []simfleet.Broken{
 		simfleet.IgnoresDrains,
 		simfleet.DropsRenewals,
 		simfleet.LosesAnswers,
 		simfleet.SendsTwice,
 	}
-	for _, way := range ways {
-		t.Run(string(way), func(t *testing.T) {
+	for _, fault := range faults {
+		t.Run(string(fault), func(t *testing.T) {
 			walks := rapid.Custom(func(t *rapid.T) bool {
-				w, _ := Walk(t, way)
+				w, _ := Walk(t, fault)
 				r, err := w.Result()
 				return err != nil || r.Verdict.Pass
 			})
--- a/internal/lab/scenarios/world.go
+++ b/internal/lab/scenarios/world.go
@@ -18,7 +18,7 @@
 
 const second = int64(1e9)
 
-func seconds(s float64) int64 { return int64(s * 1e9) }
+func nanoseconds(seconds float64) int64 { return int64(seconds * 1e9) }
 
 // World is one scenario's fleet.
 type World struct {
@@ -26,11 +26,11 @@
 	Broken     []simfleet.Broken // breaks the limiters in these ways beside what the scenario says
 	SeedOffset uint64            // is added to the scenario's seed
 	// Transcript takes what crosses the scenario's wires; nil for no record.
-	Transcript *transcript.Transcript
-	plans      []plan
-	fleet      *simfleet.Fleet
-	result     *simfleet.Result
-	last       int64 // when the last planned thing happens
+	Transcript  *transcript.Transcript
+	plans       []plan
+	fleet       *simfleet.Fleet
+	result      *simfleet.Result
+	lastPlanned int64 // when the last planned thing happens
 }
 
 type plan struct {
@@ -46,7 +46,7 @@
 	if w.Options.Limiters == 0 {
 		return errNoFleet
 	}
-	w.last = max(w.last, at)
+	w.lastPlanned = max(w.lastPlanned, at)
 	w.plans = append(w.plans, plan{at, step})
 	return nil
 }
@@ -76,25 +76,25 @@
 func (w *World) Result() (*simfleet.Result, error) {
 	f, err := w.Fleet()
 	if err == nil && w.result == nil {
-		f.Run(max(w.last, w.Options.Load.Until))
+		f.Run(max(w.lastPlanned, w.Options.Load.Until))
 		w.result = f.Finish()
 	}
 	return w.result, err
 }
 
-// some draws so many of count, the same ones for the same story.
-func (w *World) some(share float64, count int, salt uint64) []int {
-	all := rand.New(rand.NewPCG(w.Options.Seed, salt)).Perm(count)
-	return all[:int(share*float64(count)+0.5)]
+// chooseSome draws so many of count, the same ones for the same story.
+func (w *World) chooseSome(fraction float64, total int, salt uint64) []int {
+	shuffled := rand.New(rand.NewPCG(w.Options.Seed, salt)).Perm(total)
+	return shuffled[:int(fraction*float64(total)+0.5)]
 }
 
-// shares are the parts that stories speak of.
-var shares = map[string]float64{"all": 1, "nine in ten": 0.9, "seven in ten": 0.7, "half": 0.5, "a third": 1.0 / 3,
+// fractions are the parts that stories speak of.
+var fractions = map[string]float64{"all": 1, "nine in ten": 0.9, "seven in ten": 0.7, "half": 0.5, "a third": 1.0 / 3,
 	"a quarter": 0.25, "a fifth": 0.2, "a tenth": 0.1}
 
-func share(words string) (float64, error) {
-	if s, known := shares[words]; known {
-		return s, nil
+func parseFraction(words string) (float64, error) {
+	if fraction, known := fractions[words]; known {
+		return fraction, nil
 	}
 	return 0, fmt.Errorf(
 		"%q is no share: one of all, nine in ten, seven in ten, half, a third, a quarter, a fifth, a tenth",
@@ -102,8 +102,8 @@
 	)
 }
 
-// broken lists the rules that a run broke, in words.
-func broken(r *simfleet.Result) error {
+// ruleBreaches lists the rules that a run broke, in words.
+func ruleBreaches(r *simfleet.Result) error {
 	if r.Verdict.Pass && len(r.Faults) == 0 {
 		return nil
 	}
--- a/internal/lab/simdistribution/calls.go
+++ b/internal/lab/simdistribution/calls.go
@@ -8,76 +8,76 @@
 
 // This file has the calls of limiters and relays to those before them.
 
-// ask makes a node's next call.
-func (f *Fleet) ask(n *node) {
-	c := &call{Call: n.poller.Call(f.queue.now), from: n, fromLife: n.life}
-	c.to = n.servers[c.Server]
-	c.toLife = c.to.life
+// poll makes a node's next call.
+func (f *Fleet) poll(n *node) {
+	c := &call{Call: n.poller.Call(f.queue.now), from: n, fromIncarnation: n.incarnation}
+	c.to = n.upstreams[c.Server]
+	c.toIncarnation = c.to.incarnation
 	f.options.Transcript.Add([]byte(n.name), f.queue.now, int64(c.Server), c.Hold, c.Timeout, c.Dial)
 	n.bytes += headerBytes
 	if n.relay == nil {
 		f.calls++
 	}
 	switch {
-	case f.cut(n, c.to):
-		f.fail(c, c.Dial, errDialling)
+	case f.partitioned(n, c.to):
+		f.failAfter(c, c.Dial, errDialTimeout)
 		return
 	case c.to.down:
-		f.fail(c, 2*f.latency(n, c.to), errRefused)
+		f.failAfter(c, 2*f.latency(n, c.to), errConnectionRefused)
 		return
 	}
-	f.fail(c, c.Timeout, errTimeout)
-	f.queue.after(f.latency(n, c.to), func() {
-		if c.done || f.cut(n, c.to) || c.to.down || c.to.stalled || c.to.life != c.toLife {
+	f.failAfter(c, c.Timeout, errResponseTimeout)
+	f.queue.schedule(f.latency(n, c.to), func() {
+		if c.done || f.partitioned(n, c.to) || c.to.down || c.to.stalled || c.to.incarnation != c.toIncarnation {
 			return
 		}
 		if c.Hold > 0 && !c.to.server.Newer(*c.Changes) {
-			c.to.held = append(c.to.held, c)
-			f.queue.after(c.Hold, func() { f.answer(c) })
+			c.to.heldCalls = append(c.to.heldCalls, c)
+			f.queue.schedule(c.Hold, func() { f.respond(c) })
 			return
 		}
-		f.answer(c)
+		f.respond(c)
 	})
 }
 
-// fail ends a call after a wait unless it has ended by then.
-func (f *Fleet) fail(c *call, wait int64, err error) {
-	f.queue.after(wait, func() {
-		if f.end(c) {
-			f.again(c.from, c.from.poller.TakeError(f.queue.now, err))
+// failAfter ends a call after a wait unless it has ended by then.
+func (f *Fleet) failAfter(c *call, delay int64, err error) {
+	f.queue.schedule(delay, func() {
+		if f.finish(c) {
+			f.scheduleNextPoll(c.from, c.from.poller.TakeError(f.queue.now, err))
 		}
 	})
 }
 
-// end ends a call; it tells whether it was under way still and its caller lives.
-func (f *Fleet) end(c *call) bool {
+// finish ends a call; it tells whether it was under way still and its caller lives.
+func (f *Fleet) finish(c *call) bool {
 	if c.done {
 		return false
 	}
 	c.done = true
-	return c.from.life == c.fromLife && !c.from.down
+	return c.from.incarnation == c.fromIncarnation && !c.from.down
 }
 
-func (f *Fleet) again(n *node, wait int64) {
-	f.note(n)
+func (f *Fleet) scheduleNextPoll(n *node, delay int64) {
+	f.recordInForce(n)
 	f.acknowledge(n)
-	f.inLife(n, wait, func() { f.ask(n) })
+	f.scheduleWhileAlive(n, delay, func() { f.poll(n) })
 }
 
-// answer makes a server answer a call; the work of answers is done one after the other.
-func (f *Fleet) answer(c *call) {
-	if c.done || c.to.down || c.to.stalled || c.to.life != c.toLife {
+// respond makes a server answer a call; the work of answers is done one after the other.
+func (f *Fleet) respond(c *call) {
+	if c.done || c.to.down || c.to.stalled || c.to.incarnation != c.toIncarnation {
 		return
 	}
-	for i, held := range c.to.held {
+	for i, held := range c.to.heldCalls {
 		if held == c {
-			c.to.held = append(c.to.held[:i], c.to.held[i+1:]...)
+			c.to.heldCalls = append(c.to.heldCalls[:i], c.to.heldCalls[i+1:]...)
 			break
 		}
 	}
-	c.to.busy = max(c.to.busy, f.queue.now) + answerTime
-	f.queue.after(c.to.busy-f.queue.now, func() {
-		if c.done || c.to.down || c.to.stalled || c.to.life != c.toLife {
+	c.to.busyUntil = max(c.to.busyUntil, f.queue.now) + serviceTime
+	f.queue.schedule(c.to.busyUntil-f.queue.now, func() {
+		if c.done || c.to.down || c.to.stalled || c.to.incarnation != c.toIncarnation {
 			return
 		}
 		var delta *distribution.Delta
@@ -88,34 +88,34 @@
 		} else {
 			delta, err = c.to.server.Changes(f.queue.now, *c.Changes)
 		}
-		f.queue.after(f.latency(c.from, c.to), func() {
-			if !f.cut(c.from, c.to) && f.end(c) {
-				f.take(c.from, delta, piece, err)
+		f.queue.schedule(f.latency(c.from, c.to), func() {
+			if !f.partitioned(c.from, c.to) && f.finish(c) {
+				f.deliverResponse(c.from, delta, piece, err)
 			}
 		})
 	})
 }
 
-// take gives an answer to its caller.
-func (f *Fleet) take(n *node, delta *distribution.Delta, piece *distribution.Piece, err error) {
+// deliverResponse gives an answer to its caller.
+func (f *Fleet) deliverResponse(n *node, delta *distribution.Delta, piece *distribution.Piece, err error) {
 	before := n.poller.Version()
 	f.transcribe(delta)
 	f.transcribe(piece)
-	var wait int64
+	var delay int64
 	switch {
 	case err != nil:
-		wait = n.poller.TakeError(f.queue.now, err)
+		delay = n.poller.TakeError(f.queue.now, err)
 	case piece != nil:
 		n.bytes += size(piece)
-		wait, _ = n.poller.TakePiece(f.queue.now, piece)
+		delay, _ = n.poller.TakePiece(f.queue.now, piece)
 	default:
 		n.bytes += size(delta)
-		wait, _ = n.poller.TakeChanges(f.queue.now, delta)
+		delay, _ = n.poller.TakeChanges(f.queue.now, delta)
 	}
 	if n.relay != nil && n.poller.Version() != before {
-		f.wake(n)
+		f.answerHeldCalls(n)
 	}
-	f.again(n, wait)
+	f.scheduleNextPoll(n, delay)
 }
 
 // transcribe records a message in its form on the wire.
@@ -139,23 +139,23 @@
 	return int64(len(text))
 }
 
-// wake answers the calls that a server holds and that it has news for.
-func (f *Fleet) wake(n *node) {
-	for _, c := range append([]*call{}, n.held...) {
+// answerHeldCalls answers the calls that a server holds and that it has news for.
+func (f *Fleet) answerHeldCalls(n *node) {
+	for _, c := range append([]*call{}, n.heldCalls...) {
 		if n.server.Newer(*c.Changes) {
-			f.answer(c)
+			f.respond(c)
 		}
 	}
 }
 
-// note records when a limiter got each version that was published.
-func (f *Fleet) note(n *node) {
+// recordInForce records when a limiter got each version that was published.
+func (f *Fleet) recordInForce(n *node) {
 	if n.relay != nil || n.poller.Version() == (distribution.Version{}) {
 		return
 	}
 	for version := range f.published {
-		if _, seen := n.seenInForce[version]; !seen && !n.poller.Version().Less(version) {
-			n.seenInForce[version] = f.queue.now
+		if _, seen := n.inForceAt[version]; !seen && !n.poller.Version().Less(version) {
+			n.inForceAt[version] = f.queue.now
 		}
 	}
 }
@@ -167,28 +167,28 @@
 	}
 	a := n.poller.Acknowledgement(f.queue.now)
 	same := a.Version == n.acknowledged.Version && a.Condition == n.acknowledged.Condition
-	if same && f.queue.now-n.saidAt < distribution.AcknowledgementEvery {
+	if same && f.queue.now-n.acknowledgedAt < distribution.AcknowledgementEvery {
 		return
 	}
 	n.acknowledged = a
-	n.saidAt = f.queue.now
+	n.acknowledgedAt = f.queue.now
 	f.transcribe(a)
 	n.bytes += headerBytes + size(a)
-	to := n.servers[n.poller.Server(f.queue.now)]
-	f.queue.after(f.latency(n, to), func() {
-		if !f.cut(n, to) && !to.down && !to.stalled {
+	to := n.upstreams[n.poller.Server(f.queue.now)]
+	f.queue.schedule(f.latency(n, to), func() {
+		if !f.partitioned(n, to) && !to.down && !to.stalled {
 			_ = to.server.Acknowledge(f.queue.now, a)
 		}
 	})
 }
 
-// summarize sends a relay's summary to the source, again and again.
-func (f *Fleet) summarize(n *node) {
+// sendSummaries sends a relay's summary to the source, again and again.
+func (f *Fleet) sendSummaries(n *node) {
 	s := n.relay.Summary(f.queue.now)
 	f.transcribe(s)
-	if !n.stalled && !f.cut(n, f.sourceAt) {
+	if !n.stalled && !f.partitioned(n, f.sourceNode) {
 		f.summaries++
-		f.queue.after(f.latency(n, f.sourceAt), func() { _ = f.source.Summarize(f.queue.now, s) })
+		f.queue.schedule(f.latency(n, f.sourceNode), func() { _ = f.source.Summarize(f.queue.now, s) })
 	}
-	f.inLife(n, distribution.SummaryEvery, func() { f.summarize(n) })
+	f.scheduleWhileAlive(n, distribution.SummaryEvery, func() { f.sendSummaries(n) })
 }
--- a/internal/lab/simdistribution/fleet.go
+++ b/internal/lab/simdistribution/fleet.go
@@ -20,14 +20,14 @@
 	dialTimeout = 250 * millisecond
 	// headerBytes is what the heads of a call and its answer cost together, about.
 	headerBytes = 400
-	// answerTime is how long a server works on an answer; it gives one at a time.
-	answerTime = millisecond / 5
+	// serviceTime is how long a server works on an answer; it gives one at a time.
+	serviceTime = millisecond / 5
 )
 
 var (
-	errTimeout  = errors.New("no answer in time")
-	errRefused  = errors.New("connection refused")
-	errDialling = errors.New("no connection in time")
+	errResponseTimeout   = errors.New("no answer in time")
+	errConnectionRefused = errors.New("connection refused")
+	errDialTimeout       = errors.New("no connection in time")
 )
 
 // Options are what a fleet is made of.
@@ -51,30 +51,30 @@
 
 // node is the source, a relay or a limiter.
 type node struct {
-	name         string
-	zone, region int
-	life         int // counts kills and restarts
-	down         bool
-	stalled      bool
-	server       distribution.Server
-	relay        *distribution.Relay
-	poller       *distribution.Poller
-	servers      [2]*node
-	held         []*call
-	busy         int64 // until when it works on answers
-	acknowledged distribution.Acknowledgement
-	saidAt       int64
-	bytes        int64
-	applier      *applier
-	seenInForce  map[distribution.Version]int64
+	name           string
+	zone, region   int
+	incarnation    int // counts kills and restarts
+	down           bool
+	stalled        bool
+	server         distribution.Server
+	relay          *distribution.Relay
+	poller         *distribution.Poller
+	upstreams      [2]*node
+	heldCalls      []*call
+	busyUntil      int64 // until when it works on answers
+	acknowledged   distribution.Acknowledgement
+	acknowledgedAt int64
+	bytes          int64
+	applier        *applier
+	inForceAt      map[distribution.Version]int64
 }
 
 // call is a call of a limiter or relay under way.
 type call struct {
 	distribution.Call
-	from, to         *node
-	fromLife, toLife int
-	done             bool
+	from, to                       *node
+	fromIncarnation, toIncarnation int
+	done                           bool
 }
 
 // applier counts what is put in force.
@@ -87,28 +87,28 @@
 
 // Fleet is a fleet under way. It is not safe for concurrent use.
 type Fleet struct {
-	options   Options
-	queue     queue
-	rng       *rand.Rand
-	source    *distribution.Source
-	sourceAt  *node
-	relays    []*node
-	limiters  []*node
-	addresses []distribution.RelayAddress
-	cutZone   int // from everything else, -1 for none
-	cutRegion int
-	published map[distribution.Version]int64
-	summaries int // messages of relays to the source
-	calls     int // of limiters
+	options        Options
+	queue          queue
+	rng            *rand.Rand
+	source         *distribution.Source
+	sourceNode     *node
+	relays         []*node
+	limiters       []*node
+	addresses      []distribution.RelayAddress
+	isolatedZone   int // from everything else, -1 for none
+	isolatedRegion int
+	published      map[distribution.Version]int64
+	summaries      int // messages of relays to the source
+	calls          int // of limiters
 }
 
 // New makes a fleet whose source has its state; the rest starts at time 0.
 func New(options Options) (*Fleet, error) {
-	f := &Fleet{options: options, rng: rand.New(rand.NewPCG(options.Seed, 1)), cutZone: -1, cutRegion: -1,
+	f := &Fleet{options: options, rng: rand.New(rand.NewPCG(options.Seed, 1)), isolatedZone: -1, isolatedRegion: -1,
 		published: map[distribution.Version]int64{}}
 	f.source = distribution.NewSource(distribution.NewLog(distribution.Retention{}), options.Budget)
-	f.sourceAt = &node{name: "source", zone: -1, server: f.source} // in region 0, and in none of its zones
-	if err := f.fill(); err != nil {
+	f.sourceNode = &node{name: "source", zone: -1, server: f.source} // in region 0, and in none of its zones
+	if err := f.publishInitial(); err != nil {
 		return nil, err
 	}
 	for zone := range options.Regions * options.ZonesPerRegion {
@@ -124,20 +124,20 @@
 	for i := range options.Limiters {
 		zone := i % len(f.relays)
 		n := &node{name: fmt.Sprint("limiter-", i), zone: zone, region: zone / options.ZonesPerRegion}
-		two, err := distribution.ChooseRelays(f.addresses, fmt.Sprint(zone), i/len(f.relays))
+		chosen, err := distribution.ChooseRelays(f.addresses, fmt.Sprint(zone), i/len(f.relays))
 		if err != nil {
 			return nil, err
 		}
-		for k, address := range two {
+		for k, address := range chosen {
 			for _, relay := range f.relays {
 				if relay.name == address.Name {
-					n.servers[k] = relay
+					n.upstreams[k] = relay
 				}
 			}
 		}
 		f.limiters = append(f.limiters, n)
 	}
-	disks, err := f.disks()
+	states, err := f.initialStates()
 	if err != nil {
 		return nil, err
 	}
@@ -145,32 +145,32 @@
 		f.startRelay(i, n)
 	}
 	for i, n := range f.limiters {
-		var from *disk
+		var saved *savedState
 		if !options.Cold {
-			from = disks[n.region]
+			saved = states[n.region]
 		}
-		if err := f.startLimiter(i, n, from); err != nil {
+		if err := f.startLimiter(i, n, saved); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-// fill publishes the first state.
-func (f *Fleet) fill() error {
+// publishInitial publishes the first state.
+func (f *Fleet) publishInitial() error {
 	if _, err := f.source.Open(0, 1); err != nil {
 		return err
 	}
 	for i := range f.options.Entries {
-		if _, err := f.source.Publish(0, 1, nil, []distribution.Mutation{f.entry(i)}); err != nil {
+		if _, err := f.source.Publish(0, 1, nil, []distribution.Mutation{f.newEntry(i)}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// entry is the put of an entry by number, with a new value.
-func (f *Fleet) entry(i int) distribution.Mutation {
+// newEntry is the put of an entry by number, with a new value.
+func (f *Fleet) newEntry(i int) distribution.Mutation {
 	key := distribution.Key{Kind: distribution.Kinds[i%len(distribution.Kinds)], Name: fmt.Sprint("entry-", i)}
 	if i >= f.options.Entries/2 {
 		key.Scope = fmt.Sprint("region-", i%f.options.Regions)
@@ -183,17 +183,17 @@
 	return distribution.Scope{Names: []string{fmt.Sprint("region-", n.region)}}
 }
 
-// disk is a state as a limiter has it on its disk.
-type disk struct {
+// savedState is a state as a limiter has it on its disk.
+type savedState struct {
 	version distribution.Version
 	state   *distribution.State
-	taken   int64
+	takenAt int64
 }
 
-// disks are the states that the limiters of each region begin with.
-func (f *Fleet) disks() ([]*disk, error) {
-	all := make([]*disk, f.options.Regions)
-	for region := range all {
+// initialStates are the states that the limiters of each region begin with.
+func (f *Fleet) initialStates() ([]*savedState, error) {
+	states := make([]*savedState, f.options.Regions)
+	for region := range states {
 		scope := f.scopeOf(&node{region: region})
 		var entries []distribution.Entry
 		for _, e := range f.source.State().Entries() {
@@ -205,63 +205,63 @@
 		if err != nil {
 			return nil, err
 		}
-		all[region] = &disk{f.source.Head(), state, f.queue.now}
+		states[region] = &savedState{f.source.Head(), state, f.queue.now}
 	}
-	return all, nil
+	return states, nil
 }
 
 func (f *Fleet) startRelay(i int, n *node) {
-	n.life++
+	n.incarnation++
 	n.relay = distribution.NewRelay(f.queue.now, distribution.RelayOptions{Name: n.name, Budget: f.options.Budget})
 	n.server = n.relay
 	n.poller = distribution.NewPoller(f.queue.now, n.relay.Subscriber,
 		distribution.PollerOptions{DialTimeout: dialTimeout, Hold: distribution.RelayHold, Position: i})
-	n.servers = [2]*node{f.sourceAt, f.sourceAt}
-	n.held = nil
+	n.upstreams = [2]*node{f.sourceNode, f.sourceNode}
+	n.heldCalls = nil
 	n.down = false
 	n.stalled = false
-	f.inLife(n, n.poller.First(), func() { f.ask(n) })
-	f.inLife(n, distribution.SummaryEvery, func() { f.summarize(n) })
+	f.scheduleWhileAlive(n, n.poller.First(), func() { f.poll(n) })
+	f.scheduleWhileAlive(n, distribution.SummaryEvery, func() { f.sendSummaries(n) })
 }
 
-func (f *Fleet) startLimiter(i int, n *node, from *disk) error {
-	n.life++
+func (f *Fleet) startLimiter(i int, n *node, saved *savedState) error {
+	n.incarnation++
 	n.applier = &applier{}
 	n.acknowledged = distribution.Acknowledgement{}
-	n.saidAt = 0
-	n.seenInForce = map[distribution.Version]int64{}
+	n.acknowledgedAt = 0
+	n.inForceAt = map[distribution.Version]int64{}
 	subscriber := distribution.NewSubscriber(
 		f.queue.now,
 		distribution.SubscriberOptions{Name: n.name, Scope: f.scopeOf(n), Applier: n.applier},
 	)
-	if from != nil {
-		if err := subscriber.Restore(from.version, from.state.Clone(), f.queue.now-from.taken); err != nil {
+	if saved != nil {
+		if err := subscriber.Restore(saved.version, saved.state.Clone(), f.queue.now-saved.takenAt); err != nil {
 			return err
 		}
 	}
 	n.poller = distribution.NewPoller(f.queue.now, subscriber,
 		distribution.PollerOptions{DialTimeout: dialTimeout, Hold: distribution.LimiterHold, Position: i})
-	f.note(n)
-	f.inLife(n, n.poller.First(), func() { f.ask(n) })
+	f.recordInForce(n)
+	f.scheduleWhileAlive(n, n.poller.First(), func() { f.poll(n) })
 	return nil
 }
 
-// inLife makes something happen later unless the node's life has ended by then.
-func (f *Fleet) inLife(n *node, wait int64, run func()) {
-	life := n.life
-	f.queue.after(wait, func() {
-		if n.life == life && !n.down {
+// scheduleWhileAlive makes something happen later unless the node's life has ended by then.
+func (f *Fleet) scheduleWhileAlive(n *node, delay int64, run func()) {
+	incarnation := n.incarnation
+	f.queue.schedule(delay, func() {
+		if n.incarnation == incarnation && !n.down {
 			run()
 		}
 	})
 }
 
-// cut tells whether nothing passes between two nodes.
-func (f *Fleet) cut(a, b *node) bool {
-	if f.cutZone >= 0 && (a.zone == f.cutZone) != (b.zone == f.cutZone) {
+// partitioned tells whether nothing passes between two nodes.
+func (f *Fleet) partitioned(a, b *node) bool {
+	if f.isolatedZone >= 0 && (a.zone == f.isolatedZone) != (b.zone == f.isolatedZone) {
 		return true
 	}
-	return f.cutRegion >= 0 && (a.region == f.cutRegion) != (b.region == f.cutRegion)
+	return f.isolatedRegion >= 0 && (a.region == f.isolatedRegion) != (b.region == f.isolatedRegion)
 }
 
 // latency is the time of one way, which varies by a fifth.
@@ -282,15 +282,15 @@
 		f.queue.now,
 		1,
 		nil,
-		[]distribution.Mutation{f.entry(f.rng.IntN(f.options.Entries))},
+		[]distribution.Mutation{f.newEntry(f.rng.IntN(f.options.Entries))},
 	)
 	if err != nil {
 		return distribution.Version{}, err
 	}
 	f.published[change.Version] = f.queue.now
-	f.wake(f.sourceAt)
+	f.answerHeldCalls(f.sourceNode)
 	return change.Version, nil
 }
 
 // Run lets time pass.
-func (f *Fleet) Run(span int64) { f.queue.until(f.queue.now + span) }
+func (f *Fleet) Run(duration int64) { f.queue.runUntil(f.queue.now + duration) }
--- a/internal/lab/simdistribution/scenarios.go
+++ b/internal/lab/simdistribution/scenarios.go
@@ -55,33 +55,33 @@
 	Cold bool
 	// Play runs the fleet and returns the versions that count, the time that their delays count from (0 for the time of
 	// each publication), and the limiters that count (nil for all).
-	Play func(f *Fleet) (played, error)
+	Play func(f *Fleet) (outcome, error)
 }
 
-type played struct {
-	versions []distribution.Version
-	from     int64
-	counts   func(*node) bool
+type outcome struct {
+	versions  []distribution.Version
+	countFrom int64
+	includes  func(*node) bool
 }
 
-const settle = 30 * second // a fleet runs for so long before something happens
+const settleTime = 30 * second // a fleet runs for so long before something happens
 
-// one publishes a change and lets a minute pass.
-func one(f *Fleet) (played, error) {
+// publishAndWait publishes a change and lets a minute pass.
+func publishAndWait(f *Fleet) (outcome, error) {
 	version, err := f.Publish()
 	f.Run(60 * second)
-	return played{versions: []distribution.Version{version}}, err
+	return outcome{versions: []distribution.Version{version}}, err
 }
 
-// disturbed settles, disturbs, waits and publishes a change.
-func disturbed(disturb func(*Fleet) error, wait int64) func(*Fleet) (played, error) {
-	return func(f *Fleet) (played, error) {
-		f.Run(settle + int64(f.rng.Float64()*float64(5*second)))
+// publishAfter settles, disturbs, waits and publishes a change.
+func publishAfter(disturb func(*Fleet) error, delay int64) func(*Fleet) (outcome, error) {
+	return func(f *Fleet) (outcome, error) {
+		f.Run(settleTime + int64(f.rng.Float64()*float64(5*second)))
 		if err := disturb(f); err != nil {
-			return played{}, err
+			return outcome{}, err
 		}
-		f.Run(wait)
-		return one(f)
+		f.Run(delay)
+		return publishAndWait(f)
 	}
 }
 
@@ -91,73 +91,73 @@
 	killed := func(f *Fleet) error { f.KillRelay(2); return nil }
 	stalled := func(f *Fleet) error { f.StallRelay(2); return nil }
 	return []Scenario{
-		{Name: "calm", Play: disturbed(calm, 0)},
-		{Name: "relay killed as it is published", Play: disturbed(killed, 0)},
-		{Name: "relay killed 2 s before", Play: disturbed(killed, 2*second)},
-		{Name: "relay stalled as it is published", Play: disturbed(stalled, 0)},
-		{Name: "relay stalled 2 s before", Play: disturbed(stalled, 2*second)},
+		{Name: "calm", Play: publishAfter(calm, 0)},
+		{Name: "relay killed as it is published", Play: publishAfter(killed, 0)},
+		{Name: "relay killed 2 s before", Play: publishAfter(killed, 2*second)},
+		{Name: "relay stalled as it is published", Play: publishAfter(stalled, 0)},
+		{Name: "relay stalled 2 s before", Play: publishAfter(stalled, 2*second)},
 		{Name: "zone cut (those outside it)", Play: zoneCut(false)},
 		{Name: "zone cut (those inside it)", Play: zoneCut(true)},
 		{Name: "region cut 60 s, from the heal", Play: regionCut},
 		{
 			Name: "tenth restarting from disk",
-			Play: disturbed(func(f *Fleet) error { return f.RestartLimiters(10, true) }, 0),
+			Play: publishAfter(func(f *Fleet) error { return f.RestartLimiters(10, true) }, 0),
 		},
 		{
 			Name: "tenth restarting without disk",
-			Play: disturbed(func(f *Fleet) error { return f.RestartLimiters(10, false) }, 0),
+			Play: publishAfter(func(f *Fleet) error { return f.RestartLimiters(10, false) }, 0),
 		},
 		{Name: "all and relays started cold", Cold: true, Play: coldStart},
 		{Name: "40 changes in a minute", Play: fortyChanges},
 	}
 }
 
-func zoneCut(inside bool) func(*Fleet) (played, error) {
-	return func(f *Fleet) (played, error) {
-		p, err := disturbed(func(f *Fleet) error { f.CutZone(3); return nil }, 0)(f)
-		p.counts = func(n *node) bool { return (n.zone == 3) == inside }
-		return p, err
+func zoneCut(inside bool) func(*Fleet) (outcome, error) {
+	return func(f *Fleet) (outcome, error) {
+		result, err := publishAfter(func(f *Fleet) error { f.IsolateZone(3); return nil }, 0)(f)
+		result.includes = func(n *node) bool { return (n.zone == 3) == inside }
+		return result, err
 	}
 }
 
-func regionCut(f *Fleet) (played, error) {
-	f.Run(settle)
-	f.CutRegion(1)
+func regionCut(f *Fleet) (outcome, error) {
+	f.Run(settleTime)
+	f.IsolateRegion(1)
 	var versions []distribution.Version
 	for range 10 {
 		f.Run(6 * second)
 		version, err := f.Publish()
 		if err != nil {
-			return played{}, err
+			return outcome{}, err
 		}
 		versions = append(versions, version)
 	}
-	f.CutRegion(-1)
+	f.IsolateRegion(-1)
 	healed := f.queue.now
 	f.Run(60 * second)
-	return played{versions: versions, from: healed, counts: func(n *node) bool { return n.region == 1 }}, nil
+	return outcome{versions: versions, countFrom: healed, includes: func(n *node) bool { return n.region == 1 }}, nil
 }
 
-func coldStart(f *Fleet) (played, error) {
+func coldStart(f *Fleet) (outcome, error) {
 	head := f.source.Head()
 	f.published[head] = 0
 	f.Run(60 * second)
-	return played{versions: []distribution.Version{head}}, nil
+	return outcome{versions: []distribution.Version{head}}, nil
 }
 
-func fortyChanges(f *Fleet) (played, error) {
-	f.Run(settle)
-	var p played
+func fortyChanges(f *Fleet) (outcome, error) {
+	f.Run(settleTime)
+	var result outcome
 	for range 40 {
 		version, err := f.Publish()
 		if err != nil {
-			return p, err
+			return result, err
 		}
-		p.versions = append(p.versions, version)
+		result.versions = append(result.versions, version)
 		f.Run(60 * second / 40)
 	}
 	f.Run(20 * second)
-	return p, nil
+	return result, nil
 }
 
 // Run plays a scenario in a fleet of its own.
@@ -167,29 +167,29 @@
 	if err != nil {
 		return Report{}, err
 	}
-	p, err := s.Play(f)
+	result, err := s.Play(f)
 	if err != nil {
 		return Report{}, err
 	}
-	return f.report(s.Name, p), nil
+	return f.report(s.Name, result), nil
 }
 
 // report sums up what happened.
-func (f *Fleet) report(name string, p played) Report {
-	r := Report{Scenario: name, Changes: len(p.versions)}
+func (f *Fleet) report(name string, result outcome) Report {
+	r := Report{Scenario: name, Changes: len(result.versions)}
 	var delays []int64
 	bytes := int64(0)
 	for _, n := range f.limiters {
 		bytes += n.bytes
-		if p.counts != nil && !p.counts(n) {
+		if result.includes != nil && !result.includes(n) {
 			continue
 		}
 		r.Limiters++
-		for _, version := range p.versions {
-			from := max(p.from, f.published[version])
-			at, seen := n.seenInForce[version]
+		for _, version := range result.versions {
+			from := max(result.countFrom, f.published[version])
+			at, reached := n.inForceAt[version]
 			switch {
-			case !seen:
+			case !reached:
 				r.Late++
 				r.Never++
 				continue
@@ -205,9 +205,9 @@
 		r.P99 = delays[len(delays)*99/100]
 		r.Max = delays[len(delays)-1]
 	}
-	span := seconds(f.queue.now)
-	r.BytesPerSecond = float64(bytes) / float64(len(f.limiters)) / span
-	r.CallsPerSecond = float64(f.calls) / span
-	r.SummariesPerSecond = float64(f.summaries) / span
+	duration := seconds(f.queue.now)
+	r.BytesPerSecond = float64(bytes) / float64(len(f.limiters)) / duration
+	r.CallsPerSecond = float64(f.calls) / duration
+	r.SummariesPerSecond = float64(f.summaries) / duration
 	return r
 }
--- a/internal/lab/simdistribution/simdistribution_test.go
+++ b/internal/lab/simdistribution/simdistribution_test.go
@@ -10,8 +10,8 @@
 	"ospreycroft/internal/distribution"
 )
 
-// runs is how many seeds each scenario is played with; DISTRIBUTION_RUNS sets it for a longer run.
-func runs() int {
+// seedCount is how many seeds each scenario is played with; DISTRIBUTION_RUNS sets it for a longer run.
+func seedCount() int {
 	if n, err := strconv.Atoi(os.Getenv("DISTRIBUTION_RUNS")); err == nil {
 		return n
 	}
@@ -23,7 +23,7 @@
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
-			for seed := range uint64(runs()) {
+			for seed := range uint64(seedCount()) {
 				options := DefaultOptions()
 				options.Seed = seed + 1
 				r, err := Run(options, s)
@@ -40,19 +40,19 @@
 	}
 }
 
-// TestOverviewOfAFleet: the source reads one message a relay and second, and tells from them where a version is in
+// TestSourceOverview: the source reads one message a relay and second, and tells from them where a version is in
 // force.
-func TestOverviewOfAFleet(t *testing.T) {
+func TestSourceOverview(t *testing.T) {
 	f, err := New(DefaultOptions())
 	require.NoError(t, err)
-	f.Run(settle)
+	f.Run(settleTime)
 	version, err := f.Publish()
 	require.NoError(t, err)
 	f.Run(3 * second)
 	inForce, limiters := f.source.Overview(f.queue.now).InForce(version)
 	require.Equal(t, 550, limiters)
 	require.Equal(t, 550, inForce)
-	f.CutRegion(1)
+	f.IsolateRegion(1)
 	version, err = f.Publish()
 	require.NoError(t, err)
 	f.Run(3 * second)
@@ -72,7 +72,7 @@
 		}
 	}
 	require.InDelta(t, 550/3, unconfirmed, 2)
-	f.CutRegion(-1)
+	f.IsolateRegion(-1)
 	f.Run(20 * second)
 	for _, n := range f.limiters {
 		require.Equal(t, distribution.Current, n.poller.Status(f.queue.now).Condition, n.name)
