--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -19,17 +19,17 @@
 type Counter struct {
 	Traffic Traffic // of all limiters
 
-	clock  *history.Clock
-	book   *history.Recorder
-	script []Fault
-	ports  []*port
-
-	mu     sync.Mutex
-	parts  []map[string]count // one while whole
-	played map[int]bool       // resets and splits already begun
-	split  int                // the script entry of the split that holds, -1 for none
-	calls  int64
-	seen   func(Tally)
+	clock    *history.Clock
+	recorder *history.Recorder
+	script   []Fault
+	ports    []*port
+
+	mu          sync.Mutex
+	parts       []map[string]count // one while whole
+	applied     map[int]bool       // resets and splits already begun
+	activeSplit int                // the script entry of the split that holds, -1 for none
+	calls       int64
+	observer    func(Tally)
 }
 
 // Tally is one call that was answered with a total; times are nanoseconds on the run's clock.
@@ -41,14 +41,14 @@
 }
 
 type count struct {
-	total float64
-	until int64 // when the name lapses
+	total     float64
+	expiresAt int64 // when the name lapses
 }
 
 // NewCounter makes a counter for limiters limiters that plays script.
-func NewCounter(clock *history.Clock, book *history.Recorder, script []Fault, limiters int) *Counter {
-	k := &Counter{clock: clock, book: book, script: script, parts: []map[string]count{{}}, played: map[int]bool{},
-		split: -1}
+func NewCounter(clock *history.Clock, recorder *history.Recorder, script []Fault, limiters int) *Counter {
+	k := &Counter{clock: clock, recorder: recorder, script: script, parts: []map[string]count{{}},
+		applied: map[int]bool{}, activeSplit: -1}
 	for range max(limiters, 1) {
 		k.ports = append(k.ports, &port{})
 	}
@@ -56,13 +56,13 @@
 }
 
 // Address is where limiter i calls.
-func (k *Counter) Address(i int) string { return k.ports[i%len(k.ports)].where() }
+func (k *Counter) Address(i int) string { return k.ports[i%len(k.ports)].address() }
 
 // Calls is how many calls it has answered.
 func (k *Counter) Calls() int64 { k.mu.Lock(); defer k.mu.Unlock(); return k.calls }
 
 // Observe has each answered call told to seen, on the goroutine of its connection; to be set before Start.
-func (k *Counter) Observe(seen func(Tally)) { k.seen = seen }
+func (k *Counter) Observe(observer func(Tally)) { k.observer = observer }
 
 // Start listens on a loopback port for each limiter, the same ports after a stop.
 func (k *Counter) Start() error {
@@ -77,14 +77,14 @@
 // Stop refuses new connections and resets those open.
 func (k *Counter) Stop() {
 	for _, p := range k.ports {
-		p.shut()
+		p.stop()
 	}
 }
 
 // Close stops it for good.
 func (k *Counter) Close() {
 	for _, p := range k.ports {
-		p.release()
+		p.close()
 	}
 }
 
@@ -96,102 +96,102 @@
 func (k *Counter) Tick(now int64) {
 	down := false
 	for i, f := range k.script {
-		inside := now >= f.From && (f.Until == 0 || now < f.Until)
+		inEffect := now >= f.From && (f.Until == 0 || now < f.Until)
 		switch {
-		case f.Kind == "down" && inside:
+		case f.Kind == "down" && inEffect:
 			down = true
-		case f.Kind == "reset" && now >= f.From && !k.played[i]:
+		case f.Kind == "reset" && now >= f.From && !k.applied[i]:
 			k.mu.Lock()
-			k.played[i] = true
+			k.applied[i] = true
 			for p := range k.parts {
 				k.parts[p] = map[string]count{}
 			}
 			k.mu.Unlock()
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-reset", Target: "counter"})
-		case f.Kind == "split" && inside && !k.played[i]:
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-reset", Target: "counter"})
+		case f.Kind == "split" && inEffect && !k.applied[i]:
 			k.mu.Lock()
-			k.played[i], k.split = true, i
-			whole := k.parts[0]
+			k.applied[i], k.activeSplit = true, i
+			original := k.parts[0]
 			k.parts = nil
 			for range max(int(f.Factor), 2) {
-				copied := make(map[string]count, len(whole))
-				for name, c := range whole {
+				copied := make(map[string]count, len(original))
+				for name, c := range original {
 					copied[name] = c
 				}
 				k.parts = append(k.parts, copied)
 			}
 			k.mu.Unlock()
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-split", Target: "counter"})
-		case f.Kind == "split" && !inside && k.split == i:
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-split", Target: "counter"})
+		case f.Kind == "split" && !inEffect && k.activeSplit == i:
 			k.mu.Lock()
 			k.parts = k.parts[:1]
-			k.split = -1
+			k.activeSplit = -1
 			k.mu.Unlock()
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-healed", Target: "counter"})
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-healed", Target: "counter"})
 		}
 	}
 	up := k.ports[0].isUp()
 	if down && up {
 		k.Stop()
-		k.book.AddEvent(history.Event{At: now, Kind: "counter-down", Target: "counter"})
+		k.recorder.AddEvent(history.Event{At: now, Kind: "counter-down", Target: "counter"})
 	} else if !down && !up {
 		if err := k.Start(); err == nil {
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-up", Target: "counter"})
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-up", Target: "counter"})
 		}
 	}
 }
 
-func (k *Counter) serve(plain net.Conn, limiter int) {
-	c := k.Traffic.counted(plain)
+func (k *Counter) serve(rawConn net.Conn, limiter int) {
+	c := k.Traffic.wrapConn(rawConn)
 	defer func() { _ = c.Close() }()
-	lines := bufio.NewScanner(c)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(c)
+	for scanner.Scan() {
 		now := k.clock.Now()
 		k.Traffic.Calls.Add(1)
-		fault, faulty := active(k.script, now, 0)
-		if faulty && fault.Kind == "slow" {
+		fault, hasFault := activeFault(k.script, now, 0)
+		if hasFault && fault.Kind == "slow" {
 			time.Sleep(time.Duration(fault.Factor * float64(time.Millisecond)))
 		}
-		words := strings.Fields(lines.Text())
-		answer := k.answer(words, now, limiter, faulty && fault.Kind == "busy")
+		fields := strings.Fields(scanner.Text())
+		answer := k.answer(fields, now, limiter, hasFault && fault.Kind == "busy")
 		_ = c.SetWriteDeadline(time.Now().Add(5 * time.Second))
 		answered := k.clock.Now()
 		if _, err := c.Write([]byte(answer)); err != nil {
 			return
 		}
-		if k.seen != nil && len(words) == 4 {
-			k.seen(Tally{Limiter: limiter, Name: words[1], Read: now, Answered: answered})
+		if k.observer != nil && len(fields) == 4 {
+			k.observer(Tally{Limiter: limiter, Name: fields[1], Read: now, Answered: answered})
 		}
 	}
 }
 
 // answer adds to a count; a name's life runs from its first add, as a fresh name's does on the real counter.
-func (k *Counter) answer(words []string, now int64, limiter int, busy bool) string {
-	if len(words) == 1 && words[0] == "ping" {
+func (k *Counter) answer(fields []string, now int64, limiter int, busy bool) string {
+	if len(fields) == 1 && fields[0] == "ping" {
 		return "pong\r\n"
 	}
-	if len(words) != 4 || words[0] != "tally" || len(words[1]) > 64 {
+	if len(fields) != 4 || fields[0] != "tally" || len(fields[1]) > 64 {
 		return "error\r\n"
 	}
-	amount, err := strconv.ParseFloat(words[2], 64)
-	life, lifeErr := strconv.ParseInt(words[3], 10, 64)
-	if err != nil || lifeErr != nil || life < 1 {
+	amount, err := strconv.ParseFloat(fields[2], 64)
+	lifetimeMs, lifetimeErr := strconv.ParseInt(fields[3], 10, 64)
+	if err != nil || lifetimeErr != nil || lifetimeMs < 1 {
 		return "error\r\n"
 	}
 	if busy {
 		return "busy\r\n"
 	}
-	life = min(life, 60000)
+	lifetimeMs = min(lifetimeMs, 60000)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls++
-	k.book.AddCount(limiter, now)
+	k.recorder.AddCount(limiter, now)
 	part := k.parts[limiter%len(k.parts)]
-	held, ok := part[words[1]]
-	if !ok || now >= held.until {
-		held = count{until: now + life*int64(time.Millisecond)}
+	entry, ok := part[fields[1]]
+	if !ok || now >= entry.expiresAt {
+		entry = count{expiresAt: now + lifetimeMs*int64(time.Millisecond)}
 	}
-	held.total += amount
-	part[words[1]] = held
-	return "ok " + strconv.FormatFloat(held.total, 'g', 7, 64) + "\r\n"
+	entry.total += amount
+	part[fields[1]] = entry
+	return "ok " + strconv.FormatFloat(entry.total, 'g', 7, 64) + "\r\n"
 }
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -40,30 +40,30 @@
 type Discovery struct {
 	Traffic Traffic // of all limiters
 
-	clock  *history.Clock
-	book   *history.Recorder
-	script []Fault // slow, chunked and busy; down is played by Down
-	ports  []*ports.Kept
+	clock    *history.Clock
+	recorder *history.Recorder
+	script   []Fault // slow, chunked and busy; down is played by Down
+	ports    []*ports.Kept
 
 	mu         sync.Mutex
 	generation int64
 	instances  map[string]Instance
-	reach      func(limiter int, in Instance) string // where a limiter reaches an instance; nil for its own address
+	addressOf  func(limiter int, in Instance) string // where a limiter reaches an instance; nil for its own address
 	changed    chan struct{}                         // closed and replaced on every change
 	down       bool
-	calls      float64 // calls that it can still take, while it is overbooked
-	called     int64
+	tokens     float64 // calls that it can still take, while it is overbooked
+	refilledAt int64
 	server     *http.Server
-	changes    bool             // a watch is answered with the changed entries alone
+	deltas     bool             // a watch is answered with the changed entries alone
 	changedAt  map[string]int64 // by id, the generation that last changed an instance
 	terminated map[string]Instance
-	texts      map[int64][]byte // answers of the present generation by what they are newer than, -1 for the whole list
+	encoded    map[int64][]byte // answers of the present generation by what they are newer than, -1 for the whole list
 }
 
 // NewDiscovery makes an empty list at generation 1 for limiters limiters; it plays script's slow, chunked and busy
 // answers and writes its calls in book. The error is a *ports.KeepError.
-func NewDiscovery(clock *history.Clock, book *history.Recorder, script []Fault, limiters int) (*Discovery, error) {
-	d := &Discovery{clock: clock, book: book, script: script, generation: 1, instances: map[string]Instance{},
+func NewDiscovery(clock *history.Clock, recorder *history.Recorder, script []Fault, limiters int) (*Discovery, error) {
+	d := &Discovery{clock: clock, recorder: recorder, script: script, generation: 1, instances: map[string]Instance{},
 		changed: make(chan struct{}), changedAt: map[string]int64{}, terminated: map[string]Instance{}}
 	for range limiters {
 		p, err := ports.Keep()
@@ -80,24 +80,24 @@
 func (d *Discovery) Address(i int) string { return d.ports[i].Address() }
 
 // Reach sets where each limiter reaches an instance, before Start.
-func (d *Discovery) Reach(where func(limiter int, in Instance) string) { d.reach = where }
+func (d *Discovery) Reach(lookup func(limiter int, in Instance) string) { d.addressOf = lookup }
 
-// caller is the key of the calling limiter's number in a call's context.
-type caller struct{}
+// limiterKey is the key of the calling limiter's number in a call's context.
+type limiterKey struct{}
 
 // Start listens for all limiters and serves until Close.
 func (d *Discovery) Start() error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/discovery/hosts", d.hosts)
-	numbers := map[string]int{}
+	mux.HandleFunc("/discovery/hosts", d.handleHosts)
+	limiterOf := map[string]int{}
 	for i, p := range d.ports {
-		numbers[p.Address()] = i
+		limiterOf[p.Address()] = i
 	}
 	d.server = &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: 5 * time.Second,
 		BaseContext: func(l net.Listener) context.Context {
-			return context.WithValue(context.Background(), caller{}, numbers[l.Addr().String()])
+			return context.WithValue(context.Background(), limiterKey{}, limiterOf[l.Addr().String()])
 		},
 	}
 	for _, p := range d.ports {
@@ -128,7 +128,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	d.texts = nil
+	d.encoded = nil
 	for _, in := range all {
 		d.changedAt[in.ID] = d.generation
 		if in.Lifecycle == "terminated" {
@@ -148,7 +148,7 @@
 func (d *Discovery) TellChanges() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.changes = true
+	d.deltas = true
 }
 
 // Down says nothing to callers while on, as the agent does while discovery is down.
@@ -164,14 +164,14 @@
 func (d *Discovery) Whole(limiter int) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole(limiter)
+	return d.fullList(limiter)
 }
 
-func (d *Discovery) whole(limiter int) List {
+func (d *Discovery) fullList(limiter int) List {
 	l := List{Generation: d.generation, Reset: true, Instances: []Instance{}}
 	for _, in := range d.instances {
-		if d.reach != nil {
-			in.HostPort = d.reach(limiter, in)
+		if d.addressOf != nil {
+			in.HostPort = d.addressOf(limiter, in)
 		}
 		l.Instances = append(l.Instances, in)
 	}
@@ -179,19 +179,19 @@
 	return l
 }
 
-// since is what has changed after a generation, in id order.
-func (d *Discovery) since(limiter int, from int64) List {
+// changesSince is what has changed after a generation, in id order.
+func (d *Discovery) changesSince(limiter int, from int64) List {
 	l := List{Generation: d.generation, Instances: []Instance{}}
 	for id, at := range d.changedAt {
 		if at <= from {
 			continue
 		}
-		in, held := d.instances[id]
-		if !held {
+		in, listed := d.instances[id]
+		if !listed {
 			in = d.terminated[id]
 		}
-		if d.reach != nil {
-			in.HostPort = d.reach(limiter, in)
+		if d.addressOf != nil {
+			in.HostPort = d.addressOf(limiter, in)
 		}
 		l.Instances = append(l.Instances, in)
 	}
@@ -204,41 +204,41 @@
 func (d *Discovery) answer(limiter int, watching bool, from int64) (text []byte, generation int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	key := int64(-1)
-	if watching && d.changes && from > 0 {
-		key = from
+	newerThan := int64(-1)
+	if watching && d.deltas && from > 0 {
+		newerThan = from
 	}
-	text = d.texts[key]
-	if text != nil && d.reach == nil {
+	text = d.encoded[newerThan]
+	if text != nil && d.addressOf == nil {
 		return text, d.generation
 	}
 	var list List
-	if key < 0 {
-		list = d.whole(limiter)
+	if newerThan < 0 {
+		list = d.fullList(limiter)
 	} else {
-		list = d.since(limiter, from)
+		list = d.changesSince(limiter, from)
 	}
 	text, _ = json.Marshal(list)
-	if d.reach == nil {
-		if d.texts == nil {
-			d.texts = map[int64][]byte{}
+	if d.addressOf == nil {
+		if d.encoded == nil {
+			d.encoded = map[int64][]byte{}
 		}
-		d.texts[key] = text
+		d.encoded[newerThan] = text
 	}
 	return text, d.generation
 }
 
-func (d *Discovery) hosts(w http.ResponseWriter, r *http.Request) {
+func (d *Discovery) handleHosts(w http.ResponseWriter, r *http.Request) {
 	d.Traffic.Calls.Add(1)
-	limiter, _ := r.Context().Value(caller{}).(int)
+	limiter, _ := r.Context().Value(limiterKey{}).(int)
 	call := history.Call{
 		Limiter: limiter,
 		At:      d.clock.Now(),
 		Whole:   !r.URL.Query().Has("hold_ms"),
 		End:     history.CallerGone,
 	}
-	defer func() { call.EndedAt = d.clock.Now(); d.book.AddCall(call) }()
-	if d.turnsAway() {
+	defer func() { call.EndedAt = d.clock.Now(); d.recorder.AddCall(call) }()
+	if d.throttled() {
 		call.End = history.Throttled
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -288,20 +288,20 @@
 	}
 }
 
-// turnsAway tells whether a call is one too many for an overbooked discovery.
-func (d *Discovery) turnsAway() bool {
+// throttled tells whether a call is one too many for an overbooked discovery.
+func (d *Discovery) throttled() bool {
 	now := d.clock.Now()
-	busy, on := active(only(d.script, "busy"), now, 0)
+	busy, overbooked := activeFault(faultsOfKind(d.script, "busy"), now, 0)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls = min(busy.Factor, d.calls+busy.Factor*float64(now-d.called)/1e9)
-	d.called = now
-	if !on {
+	d.tokens = min(busy.Factor, d.tokens+busy.Factor*float64(now-d.refilledAt)/1e9)
+	d.refilledAt = now
+	if !overbooked {
 		return false
 	}
-	d.calls--
-	if d.calls < 0 {
-		d.calls++
+	d.tokens--
+	if d.tokens < 0 {
+		d.tokens++
 		return true
 	}
 	return false
@@ -310,13 +310,13 @@
 func (d *Discovery) write(w http.ResponseWriter, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	now := d.clock.Now()
-	slow, slowed := active(only(d.script, "slow"), now, 0)
-	_, chunked := active(only(d.script, "chunked"), now, 0)
+	slow, slowed := activeFault(faultsOfKind(d.script, "slow"), now, 0)
+	_, chunked := activeFault(faultsOfKind(d.script, "chunked"), now, 0)
 	if slowed {
 		time.Sleep(time.Duration(slow.Factor * float64(time.Millisecond)))
 	}
-	flusher, flushes := w.(http.Flusher)
-	if !chunked || !flushes {
+	flusher, canFlush := w.(http.Flusher)
+	if !chunked || !canFlush {
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		_, _ = w.Write(text)
 		return
@@ -329,8 +329,8 @@
 	}
 }
 
-// only is the entries of a script of one kind.
-func only(script []Fault, kind string) []Fault {
+// faultsOfKind is the entries of a script of one kind.
+func faultsOfKind(script []Fault, kind string) []Fault {
 	var out []Fault
 	for _, f := range script {
 		if f.Kind == kind {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -16,20 +16,20 @@
 	"ospreycroft/internal/resp"
 )
 
-func command(id, list string) []byte {
+func submitCommand(id, list string) []byte {
 	return resp.AppendCommand(nil, []byte("SVC.SUBMIT"), []byte("00000000000000a1"), []byte(id), []byte(list),
 		[]byte("body"))
 }
 
-func start(t *testing.T, spec ServerSpec, repeats *Deduplication) (*Server, *history.Recorder) {
+func startServer(t *testing.T, spec ServerSpec, deduplication *Deduplication) (*Server, *history.Recorder) {
 	t.Helper()
-	book := &history.Recorder{}
-	s := NewServer(spec, history.NewClock(), book, repeats)
+	recorder := &history.Recorder{}
+	s := NewServer(spec, history.NewClock(), recorder, deduplication)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
-	return s, book
+	return s, recorder
 }
 
 func exchange(t *testing.T, address string, text []byte, wait time.Duration) (string, error) {
@@ -48,81 +48,87 @@
 	return string(buf[:n]), err
 }
 
-func TestServerFaultsAndRecords(t *testing.T) {
+func TestServerAppliesFaultsAndRecordsAttempts(t *testing.T) {
 	script := []Fault{{Kind: "busy", From: 0, Until: int64(200 * time.Millisecond)},
 		{Kind: "silent", From: int64(200 * time.Millisecond), Until: int64(400 * time.Millisecond)}}
-	s, book := start(t, ServerSpec{Name: "s1", Zone: "a", Work: time.Millisecond, Script: script}, nil)
-	if got, _ := exchange(t, s.Address(), command("j1", "c=order,units=2,d=1000"), time.Second); got != "-BUSY\r\n" {
+	s, recorder := startServer(t, ServerSpec{Name: "s1", Zone: "a", Work: time.Millisecond, Script: script}, nil)
+	if got, _ := exchange(
+		t, s.Address(), submitCommand("j1", "c=order,units=2,d=1000"), time.Second,
+	); got != "-BUSY\r\n" {
 		t.Fatalf("busy: %q", got)
 	}
 	time.Sleep(250 * time.Millisecond)
-	if got, err := exchange(t, s.Address(), command("j2", "c=order"), 300*time.Millisecond); got != "" || err == nil {
+	if got, err := exchange(
+		t, s.Address(), submitCommand("j2", "c=order"), 300*time.Millisecond,
+	); got != "" || err == nil {
 		t.Fatalf("silent: %q %v", got, err)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if got, _ := exchange(t, s.Address(), command("j3", "c=order"), time.Second); !strings.HasPrefix(got, "*3\r\n") {
+	if got, _ := exchange(
+		t, s.Address(), submitCommand("j3", "c=order"), time.Second,
+	); !strings.HasPrefix(got, "*3\r\n") {
 		t.Fatalf("done: %q", got)
 	}
-	_, shots, _ := book.Copy()
+	_, attempts, _ := recorder.Copy()
 	want := []struct {
 		id     string
 		ran    bool
 		answer string
 	}{{"j1", false, "busy"}, {"j2", true, "silent"}, {"j3", true, "done"}}
-	if len(shots) != 3 {
-		t.Fatalf("shots: %+v", shots)
+	if len(attempts) != 3 {
+		t.Fatalf("shots: %+v", attempts)
 	}
 	for i, w := range want {
-		if shots[i].ID != w.id || shots[i].MayHaveRun != w.ran || shots[i].Answer != w.answer {
-			t.Errorf("shot %d: %+v, want %+v", i, shots[i], w)
+		if attempts[i].ID != w.id || attempts[i].MayHaveRun != w.ran || attempts[i].Answer != w.answer {
+			t.Errorf("shot %d: %+v, want %+v", i, attempts[i], w)
 		}
 	}
-	if shots[0].Units != 2 {
-		t.Errorf("units: %v", shots[0].Units)
+	if attempts[0].Units != 2 {
+		t.Errorf("units: %v", attempts[0].Units)
 	}
 }
 
-func TestColdServerCountsOverruns(t *testing.T) {
-	s, book := start(t, ServerSpec{Name: "s1", Work: 200 * time.Millisecond, Capacity: 4, ColdFrom: 0.25,
+func TestColdServerRecordsOverload(t *testing.T) {
+	s, recorder := startServer(t, ServerSpec{Name: "s1", Work: 200 * time.Millisecond, Capacity: 4, ColdFrom: 0.25,
 		WarmWithin: time.Minute}, nil)
 	c, _ := net.Dial("tcp", s.Address())
 	defer func() { _ = c.Close() }()
 	for _, id := range []string{"a", "b", "c"} { // pipelined: all three begin at once, one is borne
-		_, _ = c.Write(command(id, "c=order"))
+		_, _ = c.Write(submitCommand(id, "c=order"))
 	}
 	time.Sleep(100 * time.Millisecond)
 	s.Stop()
-	_, shots, _ := book.Copy()
-	overruns := 0
-	for _, sh := range shots {
-		if sh.Overloaded {
-			overruns++
+	_, attempts, _ := recorder.Copy()
+	overloaded := 0
+	for _, attempt := range attempts {
+		if attempt.Overloaded {
+			overloaded++
 		}
 	}
-	if overruns != 2 {
-		t.Fatalf("want 2 of 3 over a cold server's one, got %d in %+v", overruns, shots)
+	if overloaded != 2 {
+		t.Fatalf("want 2 of 3 over a cold server's one, got %d in %+v", overloaded, attempts)
 	}
 }
 
-func TestRepeatsDroppedInTheWindow(t *testing.T) {
-	r := NewDeduplication(int64(time.Second))
-	s, book := start(t, ServerSpec{Name: "s1", Work: time.Millisecond}, r)
+func TestServerDropsDuplicatesWithinWindow(t *testing.T) {
+	deduplication := NewDeduplication(int64(time.Second))
+	s, recorder := startServer(t, ServerSpec{Name: "s1", Work: time.Millisecond}, deduplication)
 	for range 2 {
-		got, _ := exchange(t, s.Address(), command("k1", "c=keyed,k=f00d"), time.Second)
+		got, _ := exchange(t, s.Address(), submitCommand("k1", "c=keyed,k=f00d"), time.Second)
 		if !strings.HasPrefix(got, "*3") {
 			t.Fatalf("%q", got)
 		}
 	}
-	_, shots, _ := book.Copy()
-	if len(shots) != 2 || !shots[0].MayHaveRun || shots[1].MayHaveRun || shots[1].Answer != "repeat" {
-		t.Fatalf("%+v", shots)
+	_, attempts, _ := recorder.Copy()
+	if len(attempts) != 2 || !attempts[0].MayHaveRun || attempts[1].MayHaveRun || attempts[1].Answer != "repeat" {
+		t.Fatalf("%+v", attempts)
 	}
 }
 
-func TestCounterAddsForgetsAndGoesDown(t *testing.T) {
-	book := &history.Recorder{}
+func TestCounterAddsResetsAndStops(t *testing.T) {
+	recorder := &history.Recorder{}
 	clock := history.NewClock()
-	k := NewCounter(clock, book, []Fault{{Kind: "reset", From: int64(100 * time.Millisecond)},
+	k := NewCounter(clock, recorder, []Fault{{Kind: "reset", From: int64(100 * time.Millisecond)},
 		{Kind: "down", From: int64(200 * time.Millisecond), Until: int64(400 * time.Millisecond)}}, 1)
 	if err := k.Start(); err != nil {
 		t.Fatal(err)
@@ -158,19 +164,19 @@
 	}
 }
 
-// listing is a list service for so many limiters.
-func listing(t *testing.T, limiters int, script ...Fault) (*Discovery, *history.Recorder) {
+// startDiscovery is a list service for so many limiters.
+func startDiscovery(t *testing.T, limiters int, script ...Fault) (*Discovery, *history.Recorder) {
 	t.Helper()
-	book := &history.Recorder{}
-	d, err := NewDiscovery(history.NewClock(), book, script, limiters)
+	recorder := &history.Recorder{}
+	d, err := NewDiscovery(history.NewClock(), recorder, script, limiters)
 	require.NoError(t, err)
 	require.NoError(t, d.Start())
 	t.Cleanup(d.Close)
-	return d, book
+	return d, recorder
 }
 
 func TestDiscoveryWatch(t *testing.T) {
-	d, _ := listing(t, 2, Fault{Kind: "chunked"})
+	d, _ := startDiscovery(t, 2, Fault{Kind: "chunked"})
 	d.Set(Instance{ID: "s1", HostPort: "127.0.0.1:1", Lifecycle: "in_service"})
 	from := d.Whole(1).Generation
 	go func() { time.Sleep(100 * time.Millisecond); d.Set(Instance{ID: "s1", Lifecycle: "terminating"}) }()
@@ -188,8 +194,8 @@
 }
 
 // Each call is written down with who made it and how it ended.
-func TestDiscoveryWritesItsCallsDown(t *testing.T) {
-	d, book := listing(t, 3)
+func TestDiscoveryRecordsCalls(t *testing.T) {
+	d, recorder := startDiscovery(t, 3)
 	d.Reach(func(limiter int, in Instance) string { return itoa(int64(limiter)) })
 	d.Set(Instance{ID: "s1", Lifecycle: "in_service"})
 	call := func(limiter int, query string) (l List) {
@@ -214,7 +220,7 @@
 	d.script = []Fault{{Kind: "busy", Factor: 0.001}}
 	call(0, "")
 	time.Sleep(50 * time.Millisecond)
-	calls, _, _ := book.DiscoveryAndServers()
+	calls, _, _ := recorder.DiscoveryAndServers()
 	want := []history.Call{
 		{Limiter: 0, Whole: true, End: history.Answered, Generation: 2},
 		{Limiter: 2, End: history.Answered, Generation: 2},
@@ -238,30 +244,30 @@
 
 // A cold server that bears 2 requests of 100 ms at once bears 20 in a second, and falls by the 37th: past 20 + 3
 // root(20) + 3.
-func TestColdServerFallsOnce(t *testing.T) {
+func TestColdServerCrashesOnce(t *testing.T) {
 	for _, warm := range []bool{false, true} {
-		s, book := start(t, ServerSpec{Name: "s1", Work: 100 * time.Millisecond, Capacity: 8, ColdFrom: 0.25,
+		s, recorder := startServer(t, ServerSpec{Name: "s1", Work: 100 * time.Millisecond, Capacity: 8, ColdFrom: 0.25,
 			WarmWithin: time.Hour, Warm: warm, Fall: time.Second}, nil)
 		for i := range 60 {
-			bear, cold := s.bearable(s.started + 1)
-			if fall, falls := s.falls(int64(i), "j", bear, cold); falls {
-				book.AddOverloadCrash(fall)
+			capacity, cold := s.capacityAt(s.started + 1)
+			if crash, crashes := s.crashesUnderLoad(int64(i), "j", capacity, cold); crashes {
+				recorder.AddOverloadCrash(crash)
 			}
 		}
-		falls := 0
-		if _, all, _ := book.DiscoveryAndServers(); len(all) > 0 {
-			falls = len(all[0].Requests) + 100*(len(all)-1)
+		requests := 0
+		if _, all, _ := recorder.DiscoveryAndServers(); len(all) > 0 {
+			requests = len(all[0].Requests) + 100*(len(all)-1)
 		}
-		require.Equal(t, map[bool]int{false: 37, true: 0}[warm], falls, "warm %v: fell by so many", warm)
+		require.Equal(t, map[bool]int{false: 37, true: 0}[warm], requests, "warm %v: fell by so many", warm)
 		_, _ = exchange(t, s.Address(), []byte("*1\r\n$6\r\nCLIENT\r\n"), time.Second)
-		_, _, shakes := book.DiscoveryAndServers()
-		require.True(t, len(shakes["s1"]) == 1 && shakes["s1"][0] == 1, "handshakes %v", shakes)
+		_, _, handshakes := recorder.DiscoveryAndServers()
+		require.True(t, len(handshakes["s1"]) == 1 && handshakes["s1"][0] == 1, "handshakes %v", handshakes)
 	}
 }
 
 func itoa(n int64) string { b, _ := json.Marshal(n); return string(b) }
 
-func TestCounterSplitShowsLimitersDifferentStores(t *testing.T) {
+func TestCounterSplitGivesLimitersSeparateTotals(t *testing.T) {
 	clock := history.NewClock()
 	k := NewCounter(
 		clock,
--- a/internal/lab/emulator/fault.go
+++ b/internal/lab/emulator/fault.go
@@ -81,15 +81,15 @@
 	return nil
 }
 
-// active reports which fault of a script holds at now for a command drawn with u in [0,1); "" where none does.
-func active(script []Fault, now int64, u float64) (Fault, bool) {
+// activeFault reports which fault of a script holds at now for a command drawn with u in [0,1); "" where none does.
+func activeFault(script []Fault, now int64, draw float64) (Fault, bool) {
 	for _, f := range script {
 		if now >= f.From && (f.Until == 0 || now < f.Until) {
 			share := f.Share
 			if share == 0 {
 				share = 1
 			}
-			if u < share {
+			if draw < share {
 				return f, true
 			}
 		}
--- a/internal/lab/emulator/observe_test.go
+++ b/internal/lab/emulator/observe_test.go
@@ -13,8 +13,8 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// asked is a call to discovery and the list that it brought.
-func asked(t *testing.T, d *Discovery, query string) (list List, size int) {
+// fetchList is a call to discovery and the list that it brought.
+func fetchList(t *testing.T, d *Discovery, query string) (list List, size int) {
 	t.Helper()
 	answer, err := http.Get("http://" + d.Address(0) + "/discovery/hosts" + query)
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 	return list, len(text)
 }
 
-func discovery(t *testing.T) *Discovery {
+func newDiscovery(t *testing.T) *Discovery {
 	t.Helper()
 	d, err := NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
 	require.NoError(t, err)
@@ -40,61 +40,62 @@
 	return d
 }
 
-// next is what a stand-in told, within a time.
-func next[T any](t *testing.T, told chan T) (one T) {
+// receive is what a stand-in told, within a time.
+func receive[T any](t *testing.T, events chan T) (event T) {
 	t.Helper()
 	select {
-	case one = <-told:
+	case event = <-events:
 	case <-time.After(5 * time.Second):
 		t.Fatal("nothing was told")
 	}
-	return one
+	return event
 }
 
-func ids(list List) (out []string) {
+func describeInstances(list List) (out []string) {
 	for _, in := range list.Instances {
 		out = append(out, in.ID+" "+in.Lifecycle)
 	}
 	return out
 }
 
-// TestDiscoveryTellsChanges: many instances change in one generation; a watch brings those alone, with what was taken
+// TestDiscoverySendsDeltas: many instances change in one generation; a watch brings those alone, with what was taken
 // out.
-func TestDiscoveryTellsChanges(t *testing.T) {
-	d := discovery(t)
+func TestDiscoverySendsDeltas(t *testing.T) {
+	d := newDiscovery(t)
 	d.TellChanges()
 	require.NoError(t, d.Start())
-	whole, _ := asked(t, d, "")
+	whole, _ := fetchList(t, d, "")
 	require.True(t, whole.Reset)
 	require.Len(t, whole.Instances, 3)
 	require.EqualValues(t, 2, whole.Generation, "one for all three")
 	d.SetAll([]Instance{{ID: "c", Lifecycle: "terminated"}, {ID: "b", Lifecycle: "terminating"}})
-	changes, _ := asked(t, d, "?from=2&hold_ms=1000")
+	changes, _ := fetchList(t, d, "?from=2&hold_ms=1000")
 	require.False(t, changes.Reset)
 	require.EqualValues(t, 3, changes.Generation)
-	require.Equal(t, []string{"b terminating", "c terminated"}, ids(changes))
+	require.Equal(t, []string{"b terminating", "c terminated"}, describeInstances(changes))
 	d.Set(Instance{ID: "c", Lifecycle: "in_service"})
-	changes, _ = asked(t, d, "?from=3&hold_ms=1000")
-	require.Equal(t, []string{"c in_service"}, ids(changes), "no text of an earlier generation")
-	changes, _ = asked(t, d, "?from=2&hold_ms=1000")
-	require.Equal(t, []string{"b terminating", "c in_service"}, ids(changes), "each instance once, as it is now")
-	whole, _ = asked(t, d, "")
-	require.Equal(t, []string{"a in_service", "b terminating", "c in_service"}, ids(whole))
+	changes, _ = fetchList(t, d, "?from=3&hold_ms=1000")
+	require.Equal(t, []string{"c in_service"}, describeInstances(changes), "no text of an earlier generation")
+	changes, _ = fetchList(t, d, "?from=2&hold_ms=1000")
+	require.Equal(t, []string{"b terminating", "c in_service"}, describeInstances(changes),
+		"each instance once, as it is now")
+	whole, _ = fetchList(t, d, "")
+	require.Equal(t, []string{"a in_service", "b terminating", "c in_service"}, describeInstances(whole))
 }
 
-// TestDiscoveryTellsAll: without TellChanges a watch brings the whole list.
-func TestDiscoveryTellsAll(t *testing.T) {
-	d := discovery(t)
+// TestDiscoverySendsFullList: without TellChanges a watch brings the whole list.
+func TestDiscoverySendsFullList(t *testing.T) {
+	d := newDiscovery(t)
 	require.NoError(t, d.Start())
 	d.Set(Instance{ID: "a", Lifecycle: "terminating"})
-	list, _ := asked(t, d, "?from=2&hold_ms=1000")
+	list, _ := fetchList(t, d, "?from=2&hold_ms=1000")
 	require.True(t, list.Reset)
 	require.Len(t, list.Instances, 3)
 }
 
-// TestDiscoverySilent: while it is down not a byte is said to a watch whose wait is over: an empty answer would be one.
-func TestDiscoverySilent(t *testing.T) {
-	d := discovery(t)
+// TestDiscoveryDownSendsNothing: while it is down not a byte is said to a watch whose wait is over: an empty answer would be one.
+func TestDiscoveryDownSendsNothing(t *testing.T) {
+	d := newDiscovery(t)
 	require.NoError(t, d.Start())
 	d.Down(true)
 	c, err := net.Dial("tcp", d.Address(0))
@@ -118,31 +119,31 @@
 
 // TestTraffic counts calls, connections, and at least the bytes of the lists.
 func TestTraffic(t *testing.T) {
-	d := discovery(t)
+	d := newDiscovery(t)
 	require.NoError(t, d.Start())
-	_, size := asked(t, d, "")
-	_, more := asked(t, d, "?from=1&hold_ms=1000")
+	_, size := fetchList(t, d, "")
+	_, moreSize := fetchList(t, d, "?from=1&hold_ms=1000")
 	require.EqualValues(t, 2, d.Traffic.Calls.Load())
 	require.GreaterOrEqual(t, d.Traffic.Opened.Load(), int64(1))
-	awaitSent(t, &d.Traffic, int64(size+more)+1)
-	require.Less(t, d.Traffic.Sent.Load(), int64(size+more+1000))
+	awaitSent(t, &d.Traffic, int64(size+moreSize)+1)
+	require.Less(t, d.Traffic.Sent.Load(), int64(size+moreSize+1000))
 	require.Greater(t, d.Traffic.Received.Load(), int64(2*len("GET /discovery/hosts HTTP/1.1\r\n")))
 }
 
 // TestCounterObserved tells each call that was answered with a total, and counts its bytes.
 func TestCounterObserved(t *testing.T) {
 	k := NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
-	seen := make(chan Tally, 4)
-	k.Observe(func(one Tally) { seen <- one })
+	observed := make(chan Tally, 4)
+	k.Observe(func(event Tally) { observed <- event })
 	require.NoError(t, k.Start())
 	t.Cleanup(k.Close)
 	const call, answer = "tally 77 2 1000\r\n", "ok 2\r\n"
 	got, err := exchange(t, k.Address(0), []byte(call), time.Second)
 	require.NoError(t, err)
 	require.Equal(t, answer, got)
-	one := next(t, seen)
-	require.Equal(t, "77", one.Name)
-	require.LessOrEqual(t, one.Read, one.Answered)
+	event := receive(t, observed)
+	require.Equal(t, "77", event.Name)
+	require.LessOrEqual(t, event.Read, event.Answered)
 	require.EqualValues(t, len(call), k.Traffic.Received.Load())
 	awaitSent(t, &k.Traffic, int64(len(answer)))
 	require.EqualValues(t, len(answer), k.Traffic.Sent.Load())
@@ -152,17 +153,18 @@
 // TestServerObserved tells each command that was served with the time that it took, and whether it was its
 // connection's first.
 func TestServerObserved(t *testing.T) {
-	clock, seen := history.NewClock(), make(chan Handled, 4)
+	clock, observed := history.NewClock(), make(chan Handled, 4)
 	s := NewServer(ServerSpec{Name: "s1", Work: 5 * time.Millisecond, Warm: true}, clock, &history.Recorder{}, nil)
-	s.Observe(func(one Handled) { seen <- one })
+	s.Observe(func(command Handled) { observed <- command })
 	require.NoError(t, s.Start())
 	t.Cleanup(s.Close)
 	c, err := net.Dial("tcp", s.Address())
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
-	_, err = c.Write(append(command("j1", "c=order,units=1,d=1000"), command("j2", "c=order,units=1,d=1000")...))
+	_, err = c.Write(append(submitCommand("j1", "c=order,units=1,d=1000"),
+		submitCommand("j2", "c=order,units=1,d=1000")...))
 	require.NoError(t, err)
-	first, second := next(t, seen), next(t, seen)
+	first, second := receive(t, observed), receive(t, observed)
 	require.Equal(t, []string{"j1", "j2"}, []string{first.ID, second.ID})
 	require.True(t, first.First)
 	require.False(t, second.First)
--- a/internal/lab/emulator/port.go
+++ b/internal/lab/emulator/port.go
@@ -11,7 +11,7 @@
 // port is a stand-in's listening socket and the connections it accepted; it keeps its address across restarts.
 type port struct {
 	mu       sync.Mutex
-	kept     *ports.Kept
+	reserved *ports.Kept
 	listener net.Listener
 	conns    map[net.Conn]struct{}
 	up       bool
@@ -21,13 +21,13 @@
 func (p *port) open(serve func(net.Conn)) (err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept == nil {
-		p.kept, err = ports.Keep()
+	if p.reserved == nil {
+		p.reserved, err = ports.Keep()
 		if err != nil {
 			return err
 		}
 	}
-	l, err := p.kept.Listen()
+	l, err := p.reserved.Listen()
 	if err != nil {
 		return err
 	}
@@ -59,31 +59,31 @@
 	return nil
 }
 
-// where is the address, once opened.
-func (p *port) where() string {
+// address is the address, once opened.
+func (p *port) address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept == nil {
+	if p.reserved == nil {
 		return ""
 	}
-	return p.kept.Address()
+	return p.reserved.Address()
 }
 
-// release shuts it for good and gives its address up.
-func (p *port) release() {
-	p.shut()
+// close shuts it for good and gives its address up.
+func (p *port) close() {
+	p.stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept != nil {
-		p.kept.Close()
+	if p.reserved != nil {
+		p.reserved.Close()
 	}
 }
 
 // isUp says whether it listens.
 func (p *port) isUp() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.up }
 
-// shut ends it as a crash would: the port refuses and every connection is reset; false if it was shut already.
-func (p *port) shut() bool {
+// stop ends it as a crash would: the port refuses and every connection is reset; false if it was stop already.
+func (p *port) stop() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.up {
@@ -92,14 +92,14 @@
 	p.up = false
 	_ = p.listener.Close()
 	for c := range p.conns {
-		reset(c)
+		resetConn(c)
 	}
 	p.conns = map[net.Conn]struct{}{}
 	return true
 }
 
-// reset closes c with a reset rather than an orderly end.
-func reset(c net.Conn) {
+// resetConn closes c with a resetConn rather than an orderly end.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
@@ -108,28 +108,28 @@
 
 // Commands reads RESP2 commands from c and hands each to each, in order, until c ends, each returns false, or
 // bytes come that are no command; the error is then the parser's, nil at an end or a stop.
-func Commands(c net.Conn, each func(words [][]byte) bool) error {
-	var held []byte
+func Commands(c net.Conn, handle func(words [][]byte) bool) error {
+	var buffer []byte
 	chunk := make([]byte, 16<<10)
 	for {
 		n, err := c.Read(chunk)
 		if err != nil {
 			return nil
 		}
-		held = append(held, chunk[:n]...)
+		buffer = append(buffer, chunk[:n]...)
 		for {
-			words, used, err := resp.ReadCommand(held, nil)
+			words, consumed, err := resp.ReadCommand(buffer, nil)
 			if err != nil {
 				return err
 			}
-			if used == 0 {
+			if consumed == 0 {
 				break
 			}
-			held = held[used:]
-			if !each(words) {
+			buffer = buffer[consumed:]
+			if !handle(words) {
 				return nil
 			}
 		}
-		held = append([]byte(nil), held...) // words handed out point into the old bytes
+		buffer = append([]byte(nil), buffer...) // words handed out point into the old bytes
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -12,24 +12,24 @@
 // Deduplication is a group's table of fingerprints seen, shared by the servers that drop repeated fingerprinted
 // requests.
 type Deduplication struct {
-	mu     sync.Mutex
-	window int64
-	seen   map[string]int64 // fingerprint -> when it lapses
+	mu        sync.Mutex
+	window    int64
+	expiresAt map[string]int64 // fingerprint -> when it lapses
 }
 
 // NewDeduplication makes a table that keeps a fingerprint for window nanoseconds.
 func NewDeduplication(window int64) *Deduplication {
-	return &Deduplication{window: window, seen: map[string]int64{}}
+	return &Deduplication{window: window, expiresAt: map[string]int64{}}
 }
 
 // seenBefore notes key at now and says whether it was held already.
 func (r *Deduplication) seenBefore(key string, now int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if until, held := r.seen[key]; held && now < until {
+	if until, present := r.expiresAt[key]; present && now < until {
 		return true
 	}
-	r.seen[key] = now + r.window
+	r.expiresAt[key] = now + r.window
 	return false
 }
 
@@ -52,24 +52,24 @@
 
 // Server is one RESP2 server on a loopback port.
 type Server struct {
-	spec    ServerSpec
-	clock   *history.Clock
-	book    *history.Recorder
-	repeats *Deduplication
+	spec          ServerSpec
+	clock         *history.Clock
+	recorder      *history.Recorder
+	deduplication *Deduplication
 
 	port
-	rng       *rand.Rand
-	started   int64
-	warm      bool // started long before the run
-	inflight  int
-	slots     chan struct{} // nil for any number
-	waiting   int
-	done      int
-	window    []int64 // times of the commands that count for a fall
-	windowIDs []string
-	fallen    bool
-	recent    float64 // fading mean of the seconds that requests took
-	seen      func(Handled)
+	rng                *rand.Rand
+	started            int64
+	warm               bool // started long before the run
+	inFlight           int
+	slots              chan struct{} // nil for any number
+	waiting            int
+	completed          int
+	arrivals           []int64 // times of the commands that count for a fall
+	arrivalIDs         []string
+	crashed            bool
+	meanServiceSeconds float64 // fading mean of the seconds that requests took
+	observer           func(Handled)
 }
 
 // Handled is one command that was answered; times are nanoseconds on the run's clock.
@@ -81,10 +81,12 @@
 }
 
 // Observe has each answered command told to seen, on the goroutine of its connection; to be set before Start.
-func (s *Server) Observe(seen func(Handled)) { s.seen = seen }
+func (s *Server) Observe(observer func(Handled)) { s.observer = observer }
 
 // NewServer makes a server that writes its attempts in book; repeats may be nil where its group drops none.
-func NewServer(spec ServerSpec, clock *history.Clock, book *history.Recorder, repeats *Deduplication) *Server {
+func NewServer(
+	spec ServerSpec, clock *history.Clock, recorder *history.Recorder, deduplication *Deduplication,
+) *Server {
 	if spec.Capacity <= 0 {
 		spec.Capacity = 64
 	}
@@ -92,7 +94,7 @@
 	if spec.Slots > 0 {
 		slots = make(chan struct{}, spec.Slots)
 	}
-	return &Server{slots: slots, spec: spec, clock: clock, book: book, repeats: repeats,
+	return &Server{slots: slots, spec: spec, clock: clock, recorder: recorder, deduplication: deduplication,
 		rng: rand.New(rand.NewPCG(spec.Seed, 0x5e))}
 }
 
@@ -103,7 +105,7 @@
 func (s *Server) Zone() string { return s.spec.Zone }
 
 // Address is where it listens, once started.
-func (s *Server) Address() string { return s.where() }
+func (s *Server) Address() string { return s.address() }
 
 // Started is the run's time of its last start, in nanoseconds; known is false where that was long before the run.
 func (s *Server) Started() (at int64, known bool) {
@@ -118,24 +120,24 @@
 	s.warm = s.spec.Warm
 	s.spec.Warm = false // a further start is cold
 	s.started = s.clock.Now()
-	s.window = nil
-	s.windowIDs = nil
-	s.fallen = false
+	s.arrivals = nil
+	s.arrivalIDs = nil
+	s.crashed = false
 	s.mu.Unlock()
 	return s.open(s.serve)
 }
 
 // Stop ends the process as a crash would: the port refuses and every connection is reset. Close ends it for good.
-func (s *Server) Stop() { s.shut() }
+func (s *Server) Stop() { s.stop() }
 
 // Close ends the server and gives its port up.
-func (s *Server) Close() { s.release() }
+func (s *Server) Close() { s.close() }
 
 // serve reads commands and begins each at once; answers go back in the order of the commands.
 func (s *Server) serve(c net.Conn) {
-	s.book.AddHandshake(s.spec.Name, s.clock.Now())
+	s.recorder.AddHandshake(s.spec.Name, s.clock.Now())
 	done := make(chan struct{})
-	answers := make(chan chan reply, 256)
+	pending := make(chan chan reply, 256)
 	go func() {
 		defer func() { _ = c.Close() }()
 		first := true
@@ -143,20 +145,20 @@
 			select {
 			case <-done:
 				return
-			case next := <-answers:
+			case next := <-pending:
 				select {
 				case <-done:
 					return
 				case r := <-next:
-					if s.seen != nil && r.id != "" {
-						s.seen(Handled{ID: r.id, Read: r.read, Answered: s.clock.Now(), First: first})
+					if s.observer != nil && r.id != "" {
+						s.observer(Handled{ID: r.id, Read: r.read, Answered: s.clock.Now(), First: first})
 						first = false
 					}
 					if _, err := c.Write(r.text); err != nil {
 						return
 					}
 					if r.reset {
-						reset(c)
+						resetConn(c)
 						return
 					}
 				}
@@ -165,16 +167,16 @@
 	}()
 	defer close(done)
 	s.mu.Lock()
-	full := s.spec.Conns > 0 && len(s.conns) > s.spec.Conns
+	overConnLimit := s.spec.Conns > 0 && len(s.conns) > s.spec.Conns
 	s.mu.Unlock()
 	err := Commands(c, func(words [][]byte) bool {
-		slot := make(chan reply, 1)
+		answer := make(chan reply, 1)
 		select {
-		case answers <- slot:
+		case pending <- answer:
 		case <-done:
 			return false
 		}
-		go s.command(words, slot, full)
+		go s.command(words, answer, overConnLimit)
 		return true
 	})
 	if err != nil {
--- a/internal/lab/emulator/traffic.go
+++ b/internal/lab/emulator/traffic.go
@@ -26,11 +26,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.counted(c), nil
+	return l.traffic.wrapConn(c), nil
 }
 
-// counted is a connection whose bytes are counted.
-func (t *Traffic) counted(c net.Conn) net.Conn {
+// wrapConn is a connection whose bytes are wrapConn.
+func (t *Traffic) wrapConn(c net.Conn) net.Conn {
 	t.Opened.Add(1)
 	return &countingConn{Conn: c, traffic: t}
 }
@@ -41,15 +41,15 @@
 }
 
 // Read reads and counts.
-func (c *countingConn) Read(into []byte) (int, error) {
-	n, err := c.Conn.Read(into)
+func (c *countingConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	c.traffic.Received.Add(int64(n))
 	return n, err
 }
 
 // Write writes and counts.
-func (c *countingConn) Write(bytes []byte) (int, error) {
-	n, err := c.Conn.Write(bytes)
+func (c *countingConn) Write(data []byte) (int, error) {
+	n, err := c.Conn.Write(data)
 	c.traffic.Sent.Add(int64(n))
 	return n, err
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -28,19 +28,19 @@
 	Grace  float64 `toml:"grace"`  // seconds after a drain notice within which an attempt may still begin
 	Slack  float64 `toml:"slack"`  // seconds of a ceiling's rate allowed beyond it (rule 5)
 	// SlackShare and SlackUnits widen the ceiling by a share of it, or by so many units at once if more.
-	SlackShare float64  `toml:"slack_share"`
-	SlackUnits float64  `toml:"slack_units"`
-	Limiters   Limiters `toml:"limiters"`
-	Servers    []Pool   `toml:"servers"`
-	Counter    Counter  `toml:"counter"`
-	Load       Load     `toml:"load"`
-	Faults     []Fault  `toml:"faults"`
-	Raw        any      `toml:"settings"`
+	SlackShare  float64  `toml:"slack_share"`
+	SlackUnits  float64  `toml:"slack_units"`
+	Limiters    Limiters `toml:"limiters"`
+	Servers     []Pool   `toml:"servers"`
+	Counter     Counter  `toml:"counter"`
+	Load        Load     `toml:"load"`
+	Faults      []Fault  `toml:"faults"`
+	RawSettings any      `toml:"settings"`
 	// the settings that limiters moved to another shape have in place of those
-	AddressesAfterMove any `toml:"moved"`
-	Settings           *settings.Settings
-	Text               json.RawMessage // the settings as the limiter's configuration holds them
-	MovedText          json.RawMessage // and those of the limiters that have moved
+	RawMovedSettings any `toml:"moved"`
+	Settings         *settings.Settings
+	Text             json.RawMessage // the settings as the limiter's configuration holds them
+	MovedText        json.RawMessage // and those of the limiters that have moved
 }
 
 // Limiters are how many limiters run and how: "process" starts the program, as the platform does.
@@ -83,7 +83,7 @@
 type Load struct {
 	Rate      float64    `toml:"rate"`
 	Customers []Customer `toml:"customers"`
-	Tracks    []TrackMix `toml:"tracks"`
+	Tracks    []ClassMix `toml:"tracks"`
 	Retry     float64    `toml:"retry"`   // share of rejected requests a client sends again after the retry-after
 	GiveUp    float64    `toml:"give_up"` // share of requests whose client goes away at half its deadline
 }
@@ -97,8 +97,8 @@
 	First  int     `toml:"first"`
 }
 
-// TrackMix is one class's share of requests, its units and the client's deadline in seconds.
-type TrackMix struct {
+// ClassMix is one class's share of requests, its units and the client's deadline in seconds.
+type ClassMix struct {
 	Name   string  `toml:"name"`
 	Share  float64 `toml:"share"`
 	Units  float64 `toml:"units"`
@@ -123,8 +123,8 @@
 
 	Connections float64 `toml:"connections"` // share of a link's connections that a link fault hits, 0 for all
 
-	Limiters []int `toml:"-"` // those that the target names, once checked
-	Link     *Ends `toml:"-"` // what the target names beside them, of a link fault
+	Limiters []int     `toml:"-"` // those that the target names, once checked
+	Link     *LinkPeer `toml:"-"` // what the target names beside them, of a link fault
 }
 
 // Nanos turns seconds of the file into nanoseconds.
@@ -147,9 +147,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if extra := meta.Undecoded(); len(extra) > 0 {
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		keys := []string{}
-		for _, k := range extra {
+		for _, k := range unknown {
 			if k[0] != "settings" && k[0] != "moved" {
 				keys = append(keys, k.String())
 			}
@@ -167,7 +167,7 @@
 
 // check fills in what the file leaves to be derived and says what is wrong with the file, the first thing in this order.
 func (e *Experiment) check() error {
-	if err := e.checkTotals(); err != nil {
+	if err := e.checkScalars(); err != nil {
 		return err
 	}
 	if err := e.decodeSettings(); err != nil {
@@ -186,8 +186,8 @@
 	return e.checkFaults(pools)
 }
 
-// checkTotals checks the keys that stand for themselves.
-func (e *Experiment) checkTotals() error {
+// checkScalars checks the keys that stand for themselves.
+func (e *Experiment) checkScalars() error {
 	switch {
 	case e.Name == "":
 		return fmt.Errorf("name: missing")
@@ -212,7 +212,7 @@
 
 // decodeSettings decodes the settings of the limiters, and of those that have moved.
 func (e *Experiment) decodeSettings() error {
-	raw, ok := e.Raw.(map[string]any)
+	raw, ok := e.RawSettings.(map[string]any)
 	if !ok {
 		return fmt.Errorf("settings: missing")
 	}
@@ -221,15 +221,15 @@
 	if e.Text == nil {
 		return fmt.Errorf("settings: cannot be written as JSON")
 	}
-	set, err := settings.Decode(e.Text)
+	decoded, err := settings.Decode(e.Text)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	e.Settings = set
+	e.Settings = decoded
 	if err := e.checkMoved(raw); err != nil {
 		return err
 	}
-	if set.CounterTimeout > 0 != e.Counter.On {
+	if decoded.CounterTimeout > 0 != e.Counter.On {
 		return fmt.Errorf("counter.on: %v, but settings.family-info.has-counter says otherwise", e.Counter.On)
 	}
 	return nil
@@ -284,11 +284,11 @@
 		if err == nil {
 			continue
 		}
-		if bad := (*emulator.FaultError)(nil); errors.As(err, &bad) {
-			return &EntryError{fmt.Sprintf("faults[%d].%s", i, bad.Key), bad.Why}
+		if faultErr := (*emulator.FaultError)(nil); errors.As(err, &faultErr) {
+			return &EntryError{fmt.Sprintf("faults[%d].%s", i, faultErr.Key), faultErr.Why}
 		}
-		if bad := (*faultproxy.FaultError)(nil); errors.As(err, &bad) {
-			return &EntryError{fmt.Sprintf("faults[%d].%s", i, fileKeys[bad.Key]), bad.Why}
+		if faultErr := (*faultproxy.FaultError)(nil); errors.As(err, &faultErr) {
+			return &EntryError{fmt.Sprintf("faults[%d].%s", i, fileKeys[faultErr.Key]), faultErr.Why}
 		}
 		return fmt.Errorf("faults[%d]: %w", i, err)
 	}
@@ -296,14 +296,14 @@
 }
 
 func (e *Experiment) checkFault(f *Fault, pools map[string]bool) error {
-	plain := emulator.Fault{Kind: f.Kind, From: Nanos(f.From), Until: Nanos(f.Until), Factor: f.Factor,
+	emulatorFault := emulator.Fault{Kind: f.Kind, From: Nanos(f.From), Until: Nanos(f.Until), Factor: f.Factor,
 		Share: f.Share}
 	target, name, _ := strings.Cut(f.Target, ":")
 	if target == "limiter" {
-		return e.checkSteps(f, name)
+		return e.checkProcessFault(f, name)
 	}
 	if target == "link" {
-		return e.checkLink(f, name, pools)
+		return e.checkLinkFault(f, name, pools)
 	}
 	if f.Connections != 0 {
 		return &emulator.FaultError{Key: "connections", Why: "only links take it"}
@@ -316,19 +316,19 @@
 		if !e.Counter.On {
 			return &emulator.FaultError{Key: "target", Why: "there is no counter"}
 		}
-		return emulator.CheckFault(plain, emulator.CounterFaults)
+		return emulator.CheckFault(emulatorFault, emulator.CounterFaults)
 	case f.Target == "discovery":
-		return emulator.CheckFault(plain, emulator.DiscoveryFaults)
+		return emulator.CheckFault(emulatorFault, emulator.DiscoveryFaults)
 	case f.Target == "load" && f.Kind == "burst":
 		if f.Factor <= 0 {
 			return &emulator.FaultError{Key: "factor", Why: fmt.Sprintf("%v times the rate", f.Factor)}
 		}
-		return emulator.CheckFault(plain, map[string]string{"burst": ""})
+		return emulator.CheckFault(emulatorFault, map[string]string{"burst": ""})
 	case target == "pool" && pools[name] || target == "server" && name != "":
 		if f.Kind == "drain" || f.Kind == "gone" || f.Kind == "replace" {
-			return emulator.CheckFault(plain, map[string]string{f.Kind: ""})
+			return emulator.CheckFault(emulatorFault, map[string]string{f.Kind: ""})
 		}
-		return emulator.CheckFault(plain, emulator.ServerFaults)
+		return emulator.CheckFault(emulatorFault, emulator.ServerFaults)
 	}
 	return &emulator.FaultError{Key: "target", Why: fmt.Sprintf("%q is not known, or not for %q", f.Target, f.Kind)}
 }
@@ -336,30 +336,30 @@
 // checkMoved decodes the settings of limiters that have moved: those of the experiment, with the tables and
 // values of moved in the place of theirs.
 func (e *Experiment) checkMoved(raw map[string]any) error {
-	over, _ := e.AddressesAfterMove.(map[string]any)
-	if n := e.Limiters.Moved; n < 0 || n > e.Limiters.Count || n > 0 != (over != nil) {
+	overrides, _ := e.RawMovedSettings.(map[string]any)
+	if n := e.Limiters.Moved; n < 0 || n > e.Limiters.Count || n > 0 != (overrides != nil) {
 		return fmt.Errorf("limiters.moved: %d of %d, and it needs a table moved, which needs it", n, e.Limiters.Count)
 	}
-	if over == nil {
+	if overrides == nil {
 		return nil
 	}
-	whole := map[string]any{}
+	merged := map[string]any{}
 	for k, v := range raw {
-		whole[k] = v
+		merged[k] = v
 	}
-	for k, v := range over {
-		whole[k] = v
+	for k, v := range overrides {
+		merged[k] = v
 	}
-	text, err := json.Marshal(whole)
+	text, err := json.Marshal(merged)
 	if err != nil {
 		return fmt.Errorf("moved: %w", err)
 	}
-	set, err := settings.Decode(text)
+	decoded, err := settings.Decode(text)
 	if err != nil {
 		return fmt.Errorf("moved: %w", err)
 	}
 	for name, plan := range e.Settings.Plans { // the rules judge both by one ceiling
-		if other := set.Plans[name]; other == nil || other.CeilingRate != plan.CeilingRate ||
+		if other := decoded.Plans[name]; other == nil || other.CeilingRate != plan.CeilingRate ||
 			other.CeilingBurst != plan.CeilingBurst {
 			return fmt.Errorf("moved.tariffs: %s: not there, or another hard ceiling", name)
 		}
@@ -370,16 +370,16 @@
 
 // SettingsOnly decodes the settings a record holds, with the limiter's own decoder.
 func SettingsOnly(text json.RawMessage) (*settings.Settings, error) {
-	set, err := settings.Decode(text)
+	decoded, err := settings.Decode(text)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return set, nil
+	return decoded, nil
 }
 
 // Resize checks the experiment again after its limiters' count or load were changed, settings included.
 func (e *Experiment) Resize() error {
-	raw, ok := e.Raw.(map[string]any)
+	raw, ok := e.RawSettings.(map[string]any)
 	if !ok {
 		return fmt.Errorf("settings: missing")
 	}
@@ -387,6 +387,6 @@
 	for k, v := range raw {
 		copied[k] = v
 	}
-	e.Raw = copied
+	e.RawSettings = copied
 	return e.check()
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func base(t *testing.T) string {
+func defaultText(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/lab/default.toml")
 	if err != nil {
@@ -15,8 +15,8 @@
 	return string(text)
 }
 
-func TestDefaultReads(t *testing.T) {
-	e, err := Parse(base(t))
+func TestDefaultExperimentParses(t *testing.T) {
+	e, err := Parse(defaultText(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 }
 
 // Each broken file is refused with the key at fault at the start of its error.
-func TestBadFilesNameTheKey(t *testing.T) {
+func TestInvalidFileNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, key string }{
 		{"length = 20.0", "length = 0.0", "length"},
 		{"[limiters]\ncount = 3", "[limiters]\ncount = 3\ncolour = 1", "limiters.colour"},
@@ -39,8 +39,8 @@
 		{"[counter]\non = true", "[counter]\non = false", "counter.on"},
 		{"count-wait = 0.05", "count-wait = 0.05\nhas-counter = false", ""}, // a doubled key is TOML's own error
 	} {
-		text := strings.Replace(base(t), c.from, c.to, 1)
-		if text == base(t) {
+		text := strings.Replace(defaultText(t), c.from, c.to, 1)
+		if text == defaultText(t) {
 			t.Fatalf("%q is not in the default file", c.from)
 		}
 		_, err := Parse(text)
--- a/internal/lab/experiment/steps.go
+++ b/internal/lab/experiment/steps.go
@@ -37,19 +37,19 @@
 	Limiters  []int
 }
 
-// limitersOf reads the numbers of limiters: "3", "0..9" (both ends included) or "*".
-func limitersOf(text string, count int) ([]int, error) {
+// parseLimiters reads the numbers of limiters: "3", "0..9" (both ends included) or "*".
+func parseLimiters(text string, count int) ([]int, error) {
 	first := 0
 	last := count - 1
 	if text != "*" {
-		a, b, span := strings.Cut(text, "..")
-		var err, other error
+		a, b, isRange := strings.Cut(text, "..")
+		var err, lastErr error
 		first, err = strconv.Atoi(a)
 		last = first
-		if span {
-			last, other = strconv.Atoi(b)
+		if isRange {
+			last, lastErr = strconv.Atoi(b)
 		}
-		if err != nil || other != nil || first < 0 || last < first || last >= count {
+		if err != nil || lastErr != nil || first < 0 || last < first || last >= count {
 			return nil, &emulator.FaultError{Key: "target", Why: fmt.Sprintf("%q names no limiters of %d", text, count)}
 		}
 	}
@@ -60,8 +60,8 @@
 	return out, nil
 }
 
-func (e *Experiment) checkSteps(f *Fault, name string) (err error) {
-	f.Limiters, err = limitersOf(name, e.Limiters.Count)
+func (e *Experiment) checkProcessFault(f *Fault, name string) (err error) {
+	f.Limiters, err = parseLimiters(name, e.Limiters.Count)
 	if err != nil {
 		return err
 	}
@@ -84,8 +84,8 @@
 		ProcessFaults)
 }
 
-// drawn are the limiters of the i-th fault in the order in which the seed has them hit, Share of them a step.
-func (e *Experiment) drawn(i int) (order []int, size int) {
+// drawLimiters are the limiters of the i-th fault in the order in which the seed has them hit, Share of them a step.
+func (e *Experiment) drawLimiters(i int) (order []int, size int) {
 	f := e.Faults[i]
 	order = slices.Clone(f.Limiters)
 	size = len(order)
@@ -101,13 +101,13 @@
 // is set as many of Share of them as let each have its turn.
 func (e *Experiment) Steps(i int) []Step {
 	f := e.Faults[i]
-	order, size := e.drawn(i)
+	order, size := e.drawLimiters(i)
 	var out []Step
 	for k := 0; k == 0 || f.Every > 0 && k*size < len(order); k++ {
-		later := int64(k) * Nanos(f.Every)
-		s := Step{At: Nanos(f.From) + later, Limiters: slices.Clone(order[k*size : min((k+1)*size, len(order))])}
+		offset := int64(k) * Nanos(f.Every)
+		s := Step{At: Nanos(f.From) + offset, Limiters: slices.Clone(order[k*size : min((k+1)*size, len(order))])}
 		if f.Until > 0 {
-			s.Until = Nanos(f.Until) + later
+			s.Until = Nanos(f.Until) + offset
 		}
 		slices.Sort(s.Limiters)
 		out = append(out, s)
--- a/internal/lab/experiment/steps_test.go
+++ b/internal/lab/experiment/steps_test.go
@@ -9,16 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// with is the default experiment with so many limiters and one more fault.
-func with(t *testing.T, count, fault string) (*Experiment, error) {
+// parseWithFault is the default experiment parseWithFault so many limiters and one more fault.
+func parseWithFault(t *testing.T, count, fault string) (*Experiment, error) {
 	t.Helper()
 	return Parse(
-		strings.Replace(base(t), "[limiters]\ncount = 3", "[limiters]\ncount = "+count, 1) + "\n[[faults]]\n" + fault,
+		strings.Replace(defaultText(t), "[limiters]\ncount = 3", "[limiters]\ncount = "+count, 1) +
+			"\n[[faults]]\n" + fault,
 	)
 }
 
-func TestStepsTakeATenthAtATime(t *testing.T) {
-	e, err := with(t, "30", "kind='term'\ntarget='limiter:*'\nfrom=2.0\nuntil=3.0\nshare=0.1\nevery=1.5\ndelay=0.5")
+func TestStepsHitShareOfLimitersEach(t *testing.T) {
+	e, err := parseWithFault(t, "30",
+		"kind='term'\ntarget='limiter:*'\nfrom=2.0\nuntil=3.0\nshare=0.1\nevery=1.5\ndelay=0.5")
 	require.NoError(t, err)
 	steps := e.Steps(len(e.Faults) - 1)
 	seen := map[int]bool{}
@@ -30,7 +32,7 @@
 		}
 	}
 	require.True(t, len(steps) == 10 && len(seen) == 30, "%d steps, %d limiters", len(steps), len(seen))
-	once, err := with(t, "30", "kind='kill'\ntarget='limiter:10..19'\nfrom=2.0\nshare=0.7")
+	once, err := parseWithFault(t, "30", "kind='kill'\ntarget='limiter:10..19'\nfrom=2.0\nshare=0.7")
 	require.NoError(t, err)
 	if got := once.Steps(len(once.Faults) - 1); len(got) != 1 || len(got[0].Limiters) != 7 || got[0].Until != 0 ||
 		got[0].Limiters[0] < 10 || got[0].Limiters[6] > 19 {
@@ -38,7 +40,7 @@
 	}
 }
 
-func TestBadFaultsNameTheirKey(t *testing.T) {
+func TestInvalidFaultNamesItsKey(t *testing.T) {
 	for _, c := range []struct{ fault, key string }{
 		{"kind='kill'\ntarget='limiter:2..7'\nfrom=1.0", "target"},
 		{"kind='kill'\ntarget='limiter:x'\nfrom=1.0", "target"},
@@ -60,14 +62,14 @@
 		{"kind='cut'\ntarget='link:limiter:0-counter'\nfrom=1.0\nconnections=2.0", "connections"},
 		{"kind='kill'\ntarget='limiter:0'\nfrom=1.0\nconnections=0.5", "connections"},
 	} {
-		_, err := with(t, "3", c.fault)
+		_, err := parseWithFault(t, "3", c.fault)
 		bad := (*EntryError)(nil)
 		assert.True(t, errors.As(err, &bad) && bad.Key == "faults[6]."+c.key, "%q: got %v", c.fault, err)
 	}
 }
 
-func TestLinkFaultsAreForThePairsTheyName(t *testing.T) {
-	e, err := with(t, "30", `kind="cut_from"
+func TestLinkFaultsHitOnlyNamedLinks(t *testing.T) {
+	e, err := parseWithFault(t, "30", `kind="cut_from"
 target="link:limiter:0..14-counter"
 from=1.0
 share=0.34
--- a/internal/lab/loadgen/answers.go
+++ b/internal/lab/loadgen/answers.go
@@ -16,8 +16,8 @@
 
 // answerReader reads the answers on one connection, which come in the order of the commands.
 type answerReader struct {
-	conn net.Conn
-	held []byte // read and not used yet
+	conn   net.Conn
+	buffer []byte // read and not used yet
 }
 
 func newAnswerReader(conn net.Conn) *answerReader { return &answerReader{conn: conn} }
@@ -26,35 +26,35 @@
 func (r *answerReader) next() (resp.Value, error) {
 	chunk := make([]byte, 4096)
 	for {
-		value, used, err := resp.ReadValue(r.held)
+		value, consumed, err := resp.ReadValue(r.buffer)
 		if err != nil {
 			return resp.Value{}, err
 		}
-		if used > 0 {
-			r.held = r.held[used:]
+		if consumed > 0 {
+			r.buffer = r.buffer[consumed:]
 			return value, nil
 		}
 		n, err := r.conn.Read(chunk)
-		r.held = append(r.held, chunk[:n]...)
+		r.buffer = append(r.buffer, chunk[:n]...)
 		if n == 0 && err != nil {
 			return resp.Value{}, err
 		}
 	}
 }
 
-// conclude writes down what became of a request: its answer, or why there is none.
-func conclude(job *history.Request, now, unread int64, value resp.Value, err error) {
-	job.Answered, job.AnswerUnread = now, unread
+// recordOutcome writes down what became of a request: its answer, or why there is none.
+func recordOutcome(request *history.Request, now, sinceReceived int64, value resp.Value, err error) {
+	request.Answered, request.AnswerUnread = now, sinceReceived
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		job.Outcome = history.Unanswered
+		request.Outcome = history.Unanswered
 	case err != nil:
-		job.Outcome = history.ConnectionBroken
+		request.Outcome = history.ConnectionBroken
 	default:
-		job.Outcome, job.RetryAfter = judge(value)
-		if job.Answered > job.Deadline {
-			job.Outcome = history.Late
+		request.Outcome, request.RetryAfter = classify(value)
+		if request.Answered > request.Deadline {
+			request.Outcome = history.Late
 		}
 	}
 }
@@ -73,12 +73,12 @@
 		if err == nil {
 			value, err = answers.next()
 		}
-		conclude(&requests[i], clock.Now(), unread(conn), value, err)
+		recordOutcome(&requests[i], clock.Now(), sinceLastReceived(conn), value, err)
 	}
 }
 
-// unread is how long ago the latest bytes came to this machine on a connection; 0 where the kernel does not tell.
-func unread(conn net.Conn) int64 {
+// sinceLastReceived is how long ago the latest bytes came to this machine on a connection; 0 where the kernel does not tell.
+func sinceLastReceived(conn net.Conn) int64 {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
@@ -91,8 +91,8 @@
 	return int64(info.Last_data_recv) * int64(time.Millisecond)
 }
 
-// judge names an answer as the protocol's table does, with a retry-after in nanoseconds where -BUSY gives one.
-func judge(v resp.Value) (history.Outcome, int64) {
+// classify names an answer as the protocol's table does, with a retry-after in nanoseconds where -BUSY gives one.
+func classify(v resp.Value) (history.Outcome, int64) {
 	switch {
 	case v.Kind == '$' && !v.Null,
 		v.Kind == '*' && len(v.List) > 0 && v.List[0].Kind == '$' && !v.List[0].Null:
--- a/internal/lab/loadgen/holder.go
+++ b/internal/lab/loadgen/holder.go
@@ -28,31 +28,31 @@
 	}
 	defer func() { _ = conn.Close() }()
 	n := 0
-	next := func() {
+	sendNext := func() {
 		n++
 		h.Lost = append(h.Lost, fmt.Sprint(h.Name, "-", n))
 		_, _ = conn.Write(command(h.Lost[len(h.Lost)-1]))
 	}
 	time.Sleep(h.First)
-	next()
+	sendNext()
 	time.Sleep(h.Second)
-	next()
-	in := bufio.NewReader(conn)
+	sendNext()
+	reader := bufio.NewReader(conn)
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(h.Patient))
-		line, err := in.ReadString('\n')
-		value := strings.HasPrefix(line, "$")
-		if err == nil && value {
-			_, err = in.ReadString('\n')
+		line, err := reader.ReadString('\n')
+		isValue := strings.HasPrefix(line, "$")
+		if err == nil && isValue {
+			_, err = reader.ReadString('\n')
 		}
 		if err != nil {
 			return
 		}
 		h.Answered++
-		if value {
+		if isValue {
 			h.Served++
 		}
 		h.Lost = h.Lost[1:]
-		next()
+		sendNext()
 	}
 }
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -23,19 +23,19 @@
 
 // Driver sends the load of one experiment to the limiters at the addresses it is given.
 type Driver struct {
-	e     *experiment.Experiment
-	clock *history.Clock
-	book  *history.Recorder
-	front Front
-	mu    sync.Mutex // of rng and next
-	rng   *rand.Rand
-	pools []chan net.Conn
-	next  int64
-	wg    sync.WaitGroup
+	e        *experiment.Experiment
+	clock    *history.Clock
+	recorder *history.Recorder
+	fleet    Fleet
+	mu       sync.Mutex // of rng and next
+	rng      *rand.Rand
+	idle     []chan net.Conn
+	sequence int64
+	wg       sync.WaitGroup
 }
 
-// Front is what clients know of the limiters, each by its number.
-type Front interface {
+// Fleet is what clients know of the limiters, each by its number.
+type Fleet interface {
 	Address(limiter int) string // where it listens now
 	// Open tells whether it is given new connections. Where it is not, clients go on using those that they have for as
 	// long as these stay open.
@@ -46,16 +46,16 @@
 }
 
 // New makes a driver.
-func New(e *experiment.Experiment, clock *history.Clock, book *history.Recorder, front Front) *Driver {
-	d := &Driver{e: e, clock: clock, book: book, front: front, rng: rand.New(rand.NewPCG(e.Seed, 0x10ad))}
+func New(e *experiment.Experiment, clock *history.Clock, recorder *history.Recorder, fleet Fleet) *Driver {
+	d := &Driver{e: e, clock: clock, recorder: recorder, fleet: fleet, rng: rand.New(rand.NewPCG(e.Seed, 0x10ad))}
 	for range e.Limiters.Count {
-		d.pools = append(d.pools, make(chan net.Conn, 512))
+		d.idle = append(d.idle, make(chan net.Conn, 512))
 	}
 	return d
 }
 
-// rate is the arrival rate at now, with the timeline's bursts.
-func (d *Driver) rate(now int64) float64 {
+// arrivalRate is the arrival arrivalRate at now, with the timeline's bursts.
+func (d *Driver) arrivalRate(now int64) float64 {
 	r := d.e.Load.Rate
 	for _, f := range d.e.Faults {
 		if f.Target == "load" && f.Kind == "burst" && now >= experiment.Nanos(f.From) &&
@@ -71,24 +71,24 @@
 func (d *Driver) Run(progress func(float64)) {
 	length := experiment.Nanos(d.e.Length)
 	at := d.clock.Now()
-	shown := at
-	times := rand.New(rand.NewPCG(d.e.Seed, 0xa441)) // apart, so that retries do not change when requests arrive
+	lastProgress := at
+	arrivals := rand.New(rand.NewPCG(d.e.Seed, 0xa441)) // apart, so that retries do not change when requests arrive
 	for {
-		at += int64(times.ExpFloat64() / d.rate(at) * 1e9)
+		at += int64(arrivals.ExpFloat64() / d.arrivalRate(at) * 1e9)
 		if at >= length {
 			break
 		}
 		if wait := time.Duration(at - d.clock.Now()); wait > 0 {
 			time.Sleep(wait)
 		}
-		if progress != nil && at-shown > int64(time.Second) {
-			shown = at
+		if progress != nil && at-lastProgress > int64(time.Second) {
+			lastProgress = at
 			progress(float64(at) / float64(length))
 		}
-		d.arrive(false, "", 0)
+		d.startRequest(false, "", 0)
 	}
 	d.wg.Wait()
-	for _, p := range d.pools {
+	for _, p := range d.idle {
 		close(p)
 		for c := range p {
 			_ = c.Close()
@@ -98,91 +98,91 @@
 
 func pick[T any](rng *rand.Rand, items []T, share func(T) float64) T {
 	total := 0.0
-	for _, it := range items {
-		total += share(it)
+	for _, item := range items {
+		total += share(item)
 	}
 	u := rng.Float64() * total
-	for _, it := range items {
-		u -= share(it)
+	for _, item := range items {
+		u -= share(item)
 		if u < 0 {
-			return it
+			return item
 		}
 	}
 	return items[len(items)-1]
 }
 
-// arrive draws a request and sends it on a goroutine of its own; a retry keeps the customer and class it had.
-func (d *Driver) arrive(retry bool, customer string, trackAt int) {
+// startRequest draws a request and sends it on a goroutine of its own; a retry keeps the customer and class it had.
+func (d *Driver) startRequest(retry bool, customer string, classIndex int) {
 	d.mu.Lock() // retries arrive on goroutines of their own
 	defer d.mu.Unlock()
 	c := pick(d.rng, d.e.Load.Customers, func(c experiment.Customer) float64 { return c.Share })
-	track := pick(d.rng, d.e.Load.Tracks, func(t experiment.TrackMix) float64 { return t.Share })
+	class := pick(d.rng, d.e.Load.Tracks, func(t experiment.ClassMix) float64 { return t.Share })
 	if retry {
-		for _, k := range d.e.Load.Customers {
-			if k.ID == customer {
-				c = k
+		for _, other := range d.e.Load.Customers {
+			if other.ID == customer {
+				c = other
 			}
 		}
-		track = d.e.Load.Tracks[trackAt]
+		class = d.e.Load.Tracks[classIndex]
 	}
 	index := 0
 	for i, t := range d.e.Load.Tracks {
-		if t.Name == track.Name {
+		if t.Name == class.Name {
 			index = i
 		}
 	}
-	limiter, conn := d.deal(c, true)
-	d.next++
-	job := history.Request{ID: fmt.Sprintf("%016x", d.e.Seed<<32^uint64(d.next)), Customer: c.ID, Plan: c.Plan,
-		Class: track.Name, Units: track.Units, Limiter: limiter, Retry: retry,
-		NonIdempotent: d.e.Settings.Classes[track.Name].Idempotency == choice.NonIdempotent}
+	limiter, conn := d.pickLimiter(c, true)
+	d.sequence++
+	request := history.Request{ID: fmt.Sprintf("%016x", d.e.Seed<<32^uint64(d.sequence)), Customer: c.ID, Plan: c.Plan,
+		Class: class.Name, Units: class.Units, Limiter: limiter, Retry: retry,
+		NonIdempotent: d.e.Settings.Classes[class.Name].Idempotency == choice.NonIdempotent}
 	giveUp := d.rng.Float64() < d.e.Load.GiveUp
-	again := d.rng.Float64() < d.e.Load.Retry
-	cutOff := time.Duration(track.CutOff * float64(time.Second))
+	willRetry := d.rng.Float64() < d.e.Load.Retry
+	timeout := time.Duration(class.CutOff * float64(time.Second))
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
-		d.send(&job, c, conn, cutOff, giveUp)
-		d.book.AddRequest(job)
-		if job.Outcome == history.Rejected && again && !retry {
-			wait := time.Duration(max(job.RetryAfter, int64(50*time.Millisecond)))
+		d.send(&request, c, conn, timeout, giveUp)
+		d.recorder.AddRequest(request)
+		if request.Outcome == history.Rejected && willRetry && !retry {
+			wait := time.Duration(max(request.RetryAfter, int64(50*time.Millisecond)))
 			if d.clock.Now()+int64(wait) < experiment.Nanos(d.e.Length) {
 				time.Sleep(wait)
 				d.wg.Add(1)
-				go func() { defer d.wg.Done(); d.arrive(true, job.Customer, index) }()
+				go func() { defer d.wg.Done(); d.startRequest(true, request.Customer, index) }()
 			}
 		}
 	}()
 }
 
-// crossing is how soon after a request was sent its connection must have ended for the two to have crossed on the way.
-const crossing = 50 * time.Millisecond
+// closeRaceWindow is how soon after a request was sent its connection must have ended for the two to have crossed on the way.
+const closeRaceWindow = 50 * time.Millisecond
 
-// nobody is the number of a request's limiter where the customer's set had none that could be reached.
-const nobody = -1
+// noLimiter is the number of a request's limiter where the customer's set had none that could be reached.
+const noLimiter = -1
 
-// deal draws a limiter of the customer's set: one to which a connection is idle, if that is asked for, or that the
+// pickLimiter draws a limiter of the customer's set: one to which a connection is idle, if that is asked for, or that the
 // front gives new connections (conn is nil then). Where there is none it is nobody.
-func (d *Driver) deal(c experiment.Customer, idle bool) (limiter int, conn net.Conn) {
-	at := d.rng.IntN(c.Spread)
-	for try := range c.Spread {
-		limiter = (c.First + (at+try)%c.Spread) % d.e.Limiters.Count
-		if idle {
-			conn = d.held(limiter)
+func (d *Driver) pickLimiter(c experiment.Customer, reuse bool) (limiter int, conn net.Conn) {
+	start := d.rng.IntN(c.Spread)
+	for offset := range c.Spread {
+		limiter = (c.First + (start+offset)%c.Spread) % d.e.Limiters.Count
+		if reuse {
+			conn = d.idleConn(limiter)
 		}
-		if conn != nil || d.front.Open(limiter) {
+		if conn != nil || d.fleet.Open(limiter) {
 			return limiter, conn
 		}
 	}
-	return nobody, nil
+	return noLimiter, nil
 }
 
-// held takes an idle connection to a limiter that is still open, nil where there is none.
-func (d *Driver) held(limiter int) net.Conn {
+// idleConn takes an idle connection to a limiter that is still open, nil where there is none.
+func (d *Driver) idleConn(limiter int) net.Conn {
 	for {
 		select {
-		case conn := <-d.pools[limiter]:
-			if stands(conn) {
+		case conn := <-d.idle[limiter]:
+			if stillOpen(conn) {
 				return conn
 			}
 			_ = conn.Close()
@@ -192,77 +192,79 @@
 	}
 }
 
-// stands tells whether an idle connection's other end has not ended it yet.
-func stands(conn net.Conn) bool {
+// stillOpen tells whether an idle connection's other end has not ended it yet.
+func stillOpen(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	stands := false
+	open := false
 	_ = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		stands = err == syscall.EAGAIN // else an end, or bytes that nobody asked for
+		var peeked [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = err == syscall.EAGAIN // else an end, or bytes that nobody asked for
 		return true
 	})
-	return stands
+	return open
 }
 
 // send writes one request and reads its one answer, on the open connection it is given or on a new one. Where the
 // limiter's closing an idle connection crosses it, it is sent once more, on a new connection.
-func (d *Driver) send(job *history.Request, c experiment.Customer, conn net.Conn, cutOff time.Duration, giveUp bool) {
-	if d.once(job, c, conn, cutOff, giveUp) {
-		job.Resent = true
+func (d *Driver) send(
+	request *history.Request, c experiment.Customer, conn net.Conn, timeout time.Duration, giveUp bool,
+) {
+	if d.sendOnce(request, c, conn, timeout, giveUp) {
+		request.Resent = true
 		d.mu.Lock()
-		job.Limiter, _ = d.deal(c, false)
+		request.Limiter, _ = d.pickLimiter(c, false)
 		d.mu.Unlock()
-		d.once(job, c, nil, cutOff, giveUp)
+		d.sendOnce(request, c, nil, timeout, giveUp)
 	}
 }
 
-// once sends a request and tells whether it crossed with the end of its connection.
-func (d *Driver) once(
-	job *history.Request,
+// sendOnce sends a request and tells whether it crossed with the end of its connection.
+func (d *Driver) sendOnce(
+	request *history.Request,
 	c experiment.Customer,
 	conn net.Conn,
-	cutOff time.Duration,
+	timeout time.Duration,
 	giveUp bool,
 ) bool {
 	reused := conn != nil
 	if !reused {
 		err := net.ErrClosed
-		if job.Limiter != nobody {
-			conn, err = net.DialTimeout("tcp", d.front.Address(job.Limiter), time.Second)
+		if request.Limiter != noLimiter {
+			conn, err = net.DialTimeout("tcp", d.fleet.Address(request.Limiter), time.Second)
 		}
 		if err != nil {
-			job.Sent, job.Deadline = d.clock.Now(), d.clock.Now()+int64(cutOff)
-			job.Answered = job.Sent
-			job.Outcome = history.NotAccepted
+			request.Sent, request.Deadline = d.clock.Now(), d.clock.Now()+int64(timeout)
+			request.Answered = request.Sent
+			request.Outcome = history.NotAccepted
 			return false
 		}
 	}
-	job.Sent = d.clock.Now()
-	job.Deadline = job.Sent + int64(cutOff)
-	wait := cutOff + lateAnswerWait
+	request.Sent = d.clock.Now()
+	request.Deadline = request.Sent + int64(timeout)
+	wait := timeout + lateAnswerWait
 	if giveUp {
-		wait = cutOff / 2
+		wait = timeout / 2
 	}
 	_ = conn.SetDeadline(time.Now().Add(wait))
-	_, err := conn.Write(Command(d.e, job, c, cutOff))
-	var v resp.Value
+	_, err := conn.Write(Command(d.e, request, c, timeout))
+	var value resp.Value
 	if err == nil {
-		v, err = newAnswerReader(conn).next()
+		value, err = newAnswerReader(conn).next()
 	}
-	conclude(job, d.clock.Now(), unread(conn), v, err)
+	recordOutcome(request, d.clock.Now(), sinceLastReceived(conn), value, err)
 	switch {
-	case job.Outcome == history.Unanswered && giveUp:
-		job.Outcome = history.GaveUp
-	case job.Outcome == history.ConnectionBroken:
+	case request.Outcome == history.Unanswered && giveUp:
+		request.Outcome = history.GaveUp
+	case request.Outcome == history.ConnectionBroken:
 		_ = conn.Close()
-		return reused && job.Answered-job.Sent < int64(crossing) && !d.front.Dead(job.Limiter)
+		return reused && request.Answered-request.Sent < int64(closeRaceWindow) && !d.fleet.Dead(request.Limiter)
 	case err == nil:
 		select {
-		case d.pools[job.Limiter] <- conn:
+		case d.idle[request.Limiter] <- conn:
 			return false
 		default:
 		}
@@ -272,19 +274,19 @@
 }
 
 // Command is the command of a customer's request, whose client waits for so long.
-func Command(e *experiment.Experiment, job *history.Request, c experiment.Customer, cutOff time.Duration) []byte {
-	list := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", job.Class, job.Plan, cutOff.Milliseconds(),
-		strconv.FormatFloat(job.Units, 'g', -1, 64), c.Spread, c.First)
-	if job.Retry {
-		list += ",r=1"
+func Command(e *experiment.Experiment, request *history.Request, c experiment.Customer, timeout time.Duration) []byte {
+	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", request.Class, request.Plan,
+		timeout.Milliseconds(), strconv.FormatFloat(request.Units, 'g', -1, 64), c.Spread, c.First)
+	if request.Retry {
+		attributes += ",r=1"
 	}
-	if e.Settings.Classes[job.Class].Idempotency == choice.IdempotentWithKey {
-		list += ",k=" + job.ID // the mark by which servers know a repeat
+	if e.Settings.Classes[request.Class].Idempotency == choice.IdempotentWithKey {
+		attributes += ",k=" + request.ID // the mark by which servers know a repeat
 	}
-	words := [][]byte{[]byte("SVC.QUERY"), []byte(job.Customer), []byte(job.ID), []byte(list)}
-	if e.Settings.Classes[job.Class].Idempotency != choice.Idempotent {
+	words := [][]byte{[]byte("SVC.QUERY"), []byte(request.Customer), []byte(request.ID), []byte(attributes)}
+	if e.Settings.Classes[request.Class].Idempotency != choice.Idempotent {
 		words[0] = []byte("SVC.SUBMIT")
-		words = append(words, []byte("body of "+job.ID))
+		words = append(words, []byte("body of "+request.ID))
 	}
 	return resp.AppendCommand(nil, words...)
 }
--- a/internal/lab/loadgen/loadgen_test.go
+++ b/internal/lab/loadgen/loadgen_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnread: an answer that its client reads late is told apart from one that came late.
-func TestUnread(t *testing.T) {
+// TestSinceLastReceived: an answer that its client reads late is told apart from one that came late.
+func TestSinceLastReceived(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -19,19 +19,19 @@
 	server, err := listener.Accept()
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
-	const waits, kernelStep = 60 * time.Millisecond, 10 * time.Millisecond
+	const delay, kernelStep = 60 * time.Millisecond, 10 * time.Millisecond
 	_, err = server.Write([]byte("$3\r\none\r\n"))
 	require.NoError(t, err)
-	time.Sleep(waits)
+	time.Sleep(delay)
 	value, err := newAnswerReader(client).next()
 	require.NoError(t, err)
 	require.Equal(t, "one", string(value.Text))
-	require.GreaterOrEqual(t, unread(client), int64(waits-kernelStep))
+	require.GreaterOrEqual(t, sinceLastReceived(client), int64(delay-kernelStep))
 	written := time.Now()
 	_, err = server.Write([]byte("$3\r\ntwo\r\n"))
 	require.NoError(t, err)
 	_, err = newAnswerReader(client).next()
 	require.NoError(t, err)
-	waited := unread(client)
+	waited := sinceLastReceived(client)
 	require.LessOrEqual(t, waited, int64(time.Since(written)+kernelStep))
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -41,27 +41,27 @@
 // Bucket counts a run's records by whole seconds of its clock.
 func Bucket(r *history.Run) *Series {
 	last := r.Length
-	for _, j := range r.Requests {
-		last = max(last, j.Answered)
+	for _, request := range r.Requests {
+		last = max(last, request.Answered)
 	}
-	n := max(1, int((last+1e9-1)/1e9))
-	s := &Series{Seconds: n, Outcomes: map[history.Outcome][]float64{}, Units: map[string][]float64{},
-		P50: make([]float64, n), P99: make([]float64, n)}
-	hists := make([]*hdrhistogram.Histogram, n)
-	units := map[string]*history.Request{}
+	seconds := max(1, int((last+1e9-1)/1e9))
+	s := &Series{Seconds: seconds, Outcomes: map[history.Outcome][]float64{}, Units: map[string][]float64{},
+		P50: make([]float64, seconds), P99: make([]float64, seconds)}
+	hists := make([]*hdrhistogram.Histogram, seconds)
+	requests := map[string]*history.Request{}
 	for i := range r.Requests {
-		j := &r.Requests[i]
-		units[j.ID] = j
-		at := int(min(max(j.Answered, 0)/1e9, int64(n-1)))
-		if s.Outcomes[j.Outcome] == nil {
-			s.Outcomes[j.Outcome] = make([]float64, n)
+		request := &r.Requests[i]
+		requests[request.ID] = request
+		second := int(min(max(request.Answered, 0)/1e9, int64(seconds-1)))
+		if s.Outcomes[request.Outcome] == nil {
+			s.Outcomes[request.Outcome] = make([]float64, seconds)
 		}
-		s.Outcomes[j.Outcome][at]++
-		if j.Outcome == history.Succeeded {
-			if hists[at] == nil {
-				hists[at] = hdrhistogram.New(1, 120_000_000, 3)
+		s.Outcomes[request.Outcome][second]++
+		if request.Outcome == history.Succeeded {
+			if hists[second] == nil {
+				hists[second] = hdrhistogram.New(1, 120_000_000, 3)
 			}
-			_ = hists[at].RecordValue(max(1, (j.Answered-j.Sent)/1000))
+			_ = hists[second].RecordValue(max(1, (request.Answered-request.Sent)/1000))
 		}
 	}
 	for i, h := range hists {
@@ -70,18 +70,18 @@
 		}
 	}
 	counted := map[string]bool{}
-	shots := append([]history.Attempt(nil), r.Attempts...)
-	sort.SliceStable(shots, func(a, b int) bool { return shots[a].At < shots[b].At })
-	for _, sh := range shots {
-		j := units[sh.ID]
-		if j == nil || counted[sh.ID] || sh.Answer == "busy" {
+	attempts := append([]history.Attempt(nil), r.Attempts...)
+	sort.SliceStable(attempts, func(a, b int) bool { return attempts[a].At < attempts[b].At })
+	for _, attempt := range attempts {
+		request := requests[attempt.ID]
+		if request == nil || counted[attempt.ID] || attempt.Answer == "busy" {
 			continue
 		}
-		counted[sh.ID] = true
-		if s.Units[j.Customer] == nil {
-			s.Units[j.Customer] = make([]float64, n)
+		counted[attempt.ID] = true
+		if s.Units[request.Customer] == nil {
+			s.Units[request.Customer] = make([]float64, seconds)
 		}
-		s.Units[j.Customer][int(min(sh.At/1e9, int64(n-1)))] += j.Units
+		s.Units[request.Customer][int(min(attempt.At/1e9, int64(seconds-1)))] += request.Units
 	}
 	return s
 }
@@ -103,32 +103,32 @@
 	dashed bool
 }
 
-// svg draws lines over seconds, with the run's faults as grey marks, and gives the SVG text.
-func svg(title, unit string, lines []line, events []history.Event) (template.HTML, error) {
+// renderPlot draws lines over seconds, with the run's faults as grey marks, and gives the SVG text.
+func renderPlot(title, unit string, lines []line, events []history.Event) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "seconds"
 	p.Y.Label.Text = unit
 	p.Legend.Top = true
-	top := 1.0
+	maxY := 1.0
 	for i, l := range lines {
-		pl, err := plotter.NewLine(points(l.values))
+		plotLine, err := plotter.NewLine(points(l.values))
 		if err != nil {
 			return "", err
 		}
-		pl.Color = palette[i%len(palette)]
+		plotLine.Color = palette[i%len(palette)]
 		if l.dashed {
-			pl.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+			plotLine.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 		}
-		p.Add(pl)
-		p.Legend.Add(l.name, pl)
+		p.Add(plotLine)
+		p.Legend.Add(l.name, plotLine)
 		for _, v := range l.values {
-			top = max(top, v)
+			maxY = max(maxY, v)
 		}
 	}
 	for _, e := range events {
 		x := float64(e.At) / 1e9
-		mark, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
+		mark, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: maxY}})
 		if err != nil {
 			return "", err
 		}
@@ -148,8 +148,8 @@
 	return template.HTML(text), nil // #nosec: drawn here, not taken from a record
 }
 
-// late is how long after its deadline an answer may come by the rules, in nanoseconds.
-const late = 50e6
+// lateTolerance is how long after its deadline an answer may come by the rules, in nanoseconds.
+const lateTolerance = 50e6
 
 // Section is what the page shows of one run.
 type Section struct {
@@ -174,12 +174,12 @@
 
 func latencies(r *history.Run) []row {
 	hists := map[string]*hdrhistogram.Histogram{}
-	for _, j := range r.Requests {
-		if j.Outcome == history.Succeeded {
-			if hists[j.Class] == nil {
-				hists[j.Class] = hdrhistogram.New(1, 120_000_000, 3)
+	for _, request := range r.Requests {
+		if request.Outcome == history.Succeeded {
+			if hists[request.Class] == nil {
+				hists[request.Class] = hdrhistogram.New(1, 120_000_000, 3)
 			}
-			_ = hists[j.Class].RecordValue(max(1, (j.Answered-j.Sent)/1000))
+			_ = hists[request.Class].RecordValue(max(1, (request.Answered-request.Sent)/1000))
 		}
 	}
 	out := []row{}
@@ -194,7 +194,8 @@
 func section(l Labelled) (Section, error) {
 	s := Bucket(l.Run)
 	sec := Section{Label: l.Label, Line: l.Verdict.Line(), Breaches: l.Verdict.Breaches, Latencies: latencies(l.Run),
-		Events: l.Run.Events, Service: invariants.ServiceOf(l.Run, invariants.Terms{Late: late}), OutGate: invariants.OutageGate}
+		Events: l.Run.Events, Service: invariants.ServiceOf(l.Run, invariants.Terms{Late: lateTolerance}),
+		OutGate: invariants.OutageGate}
 	sec.Late, sec.Lost = sec.Service.Missed()
 	sec.OutShare = sec.Service.OutageShare()
 	var outcomes []line
@@ -204,32 +205,32 @@
 			outcomes = append(outcomes, line{name: string(o), values: s.Outcomes[o]})
 		}
 	}
-	var use []line
+	var usage []line
 	set, err := settings.Decode(l.Run.Settings)
 	if err != nil {
 		return sec, fmt.Errorf("%s: settings: %w", l.Label, err)
 	}
 	customers := sortedKeys(s.Units)
 	plans := map[string]string{}
-	for _, j := range l.Run.Requests {
-		plans[j.Customer] = j.Plan
+	for _, request := range l.Run.Requests {
+		plans[request.Customer] = request.Plan
 	}
 	for _, c := range customers {
-		use = append(use, line{name: c, values: s.Units[c]})
+		usage = append(usage, line{name: c, values: s.Units[c]})
 		if plan := set.Plans[plans[c]]; plan != nil && plan.CeilingRate > 0 {
 			ceiling := make([]float64, s.Seconds)
 			for i := range ceiling {
 				ceiling[i] = plan.CeilingRate
 			}
-			use = append(use, line{name: c + " ceiling", values: ceiling, dashed: true})
+			usage = append(usage, line{name: c + " ceiling", values: ceiling, dashed: true})
 		}
 	}
 	for _, p := range []struct {
 		title, unit string
 		lines       []line
-	}{{"answers a second by outcome", "jobs", outcomes}, {"units a second that reached servers", "units", use},
+	}{{"answers a second by outcome", "jobs", outcomes}, {"units a second that reached servers", "units", usage},
 		{"answer time of done jobs", "ms", []line{{name: "p50", values: s.P50}, {name: "p99", values: s.P99}}}} {
-		text, err := svg(l.Label+": "+p.title, p.unit, p.lines, l.Run.Events)
+		text, err := renderPlot(l.Label+": "+p.title, p.unit, p.lines, l.Run.Events)
 		if err != nil {
 			return sec, err
 		}
@@ -255,11 +256,11 @@
 		done = append(done, line{name: l.Label, values: s.Outcomes[history.Succeeded]})
 		p99 = append(p99, line{name: l.Label, values: s.P99})
 	}
-	a, err := svg("done a second, side by side", "jobs", done, nil)
+	a, err := renderPlot("done a second, side by side", "jobs", done, nil)
 	if err != nil {
 		return nil, err
 	}
-	b, err := svg("p99 answer time, side by side", "ms", p99, nil)
+	b, err := renderPlot("p99 answer time, side by side", "ms", p99, nil)
 	return []template.HTML{a, b}, err
 }
 
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,13 +11,13 @@
 	"ospreycroft/internal/lab/invariants"
 )
 
-const set = `{"balancers":1,"granularity":0.004,"classes":[{"name":"fetch","aim":0.8,"effect":"free","group":"all"}],
+const config = `{"balancers":1,"granularity":0.004,"classes":[{"name":"fetch","aim":0.8,"effect":"free","group":"all"}],
  "tariffs":[{"name":"house","rate":10,"most-at-once":20,"hard-rate":12,"never-over-depth":20}],
  "family-info":{"units-top":6},"contract":{"cold-from":0.25,"warm-within":15},
  "permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15}}`
 
-func run() *history.Run {
-	r := &history.Run{Name: "t", Length: 3e9, Settings: json.RawMessage(set)}
+func sampleRun() *history.Run {
+	r := &history.Run{Name: "t", Length: 3e9, Settings: json.RawMessage(config)}
 	for i := range 30 {
 		at := int64(i) * 1e8
 		id := string(rune('A' + i))
@@ -40,8 +40,8 @@
 	return r
 }
 
-func TestBucketCountsEachJobOnceAndBySecond(t *testing.T) {
-	s := Bucket(run())
+func TestBucketCountsEachRequestOncePerSecond(t *testing.T) {
+	s := Bucket(sampleRun())
 	if s.Seconds != 3 || s.Outcomes[history.Succeeded][0] != 6 || s.Outcomes[history.Rejected][2] != 3 {
 		t.Fatalf("outcomes: %v", s.Outcomes)
 	}
@@ -54,10 +54,12 @@
 }
 
 func TestPageHasPlotsBreachesAndComparison(t *testing.T) {
-	r := run()
+	r := sampleRun()
 	v := &invariants.Verdict{Pass: false, Breaches: []invariants.Breach{{Rule: 2, At: 1e9, What: "J", Detail: "twice"}}}
 	var b bytes.Buffer
-	if err := Write(&b, []Labelled{{"main", r, v}, {"branch", run(), &invariants.Verdict{Pass: true}}}); err != nil {
+	if err := Write(
+		&b, []Labelled{{"main", r, v}, {"branch", sampleRun(), &invariants.Verdict{Pass: true}}},
+	); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -74,21 +76,21 @@
 	}
 }
 
-// TestPageTellsOfService: requests without an answer and processes that served nobody are on the page, and so is that
+// TestPageShowsUnansweredRequestsAndOutages: requests without an answer and processes that served nobody are on the page, and so is that
 // there were none.
-func TestPageTellsOfService(t *testing.T) {
-	out := run()
-	out.Limiters = 4
+func TestPageShowsUnansweredRequestsAndOutages(t *testing.T) {
+	outages := sampleRun()
+	outages.Limiters = 4
 	for i := range 20 {
 		at := int64(i) * 300e6
-		out.Requests = append(
-			out.Requests,
+		outages.Requests = append(
+			outages.Requests,
 			history.Request{ID: fmt.Sprint("away", i), Customer: "c1", Plan: "house", Class: "fetch", Limiter: 2,
 				Sent: at, Answered: at + 1e6, Deadline: at + 1e9, Outcome: history.Rejected},
 		)
 	}
-	out.Requests = append(
-		out.Requests,
+	outages.Requests = append(
+		outages.Requests,
 		history.Request{ID: "lost", Customer: "c1", Plan: "house", Class: "fetch", Limiter: 3, Sent: 1,
 			Answered: 12e8, Deadline: 1e9, Outcome: history.Unanswered},
 	)
@@ -96,10 +98,10 @@
 		run  *history.Run
 		want []string
 	}{
-		{out, []string{"0 late, 1 lost", "<td>3</td><td>alive</td><td>0</td><td>1</td>", "2 of 4 limiters, a share of 0.500",
+		{outages, []string{"0 late, 1 lost", "<td>3</td><td>alive</td><td>0</td><td>1</td>", "2 of 4 limiters, a share of 0.500",
 			`<p class="fail">2 of 4`, "rolling restarts is 0.100", "<td>2</td><td>1</td><td>rejecting</td><td>0.000</td><td>5.701</td><td>20</td>",
 			"<td>3</td><td>1</td><td>silent</td>"}},
-		{run(), []string{"0 late, 0 lost", "<p>0 of 0 limiters"}},
+		{sampleRun(), []string{"0 late, 0 lost", "<p>0 of 0 limiters"}},
 	} {
 		var b bytes.Buffer
 		if err := Write(&b, []Labelled{{"main", c.run, &invariants.Verdict{}}}); err != nil {
