--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -11,13 +11,13 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// Counter is the shared counter's stand-in: `tally NAME AMOUNT LIFE` lines, `ok TOTAL` answers, in order. It
-// listens on one port for each limiter, so that a split can show limiters different stores at one address each:
-// while a "split" of Factor parts lasts, limiter i is answered from part i mod Factor, each part beginning as a
-// copy of the whole; when it heals, part 0's totals stand and what the others added is lost, as when one side
-// of a split store wins.
+// Counter emulates the shared counter. It reads lines `tally NAME AMOUNT LIFETIME_MS` and answers each with `ok TOTAL`,
+// in order. It listens on one port per limiter, so that during a "split" fault limiters can get different totals at
+// unchanged addresses: limiter i is answered from part i mod Factor, and each part starts as a copy of the totals from
+// before the split. When the split ends, the totals of part 0 are kept and the additions to the other parts are lost,
+// as when one side of a partitioned store wins.
 type Counter struct {
-	Traffic Traffic // of all limiters
+	Traffic Traffic // summed over all limiters
 
 	clock    *history.Clock
 	recorder *history.Recorder
@@ -25,27 +25,28 @@
 	ports    []*port
 
 	mu          sync.Mutex
-	parts       []map[string]count // one while whole
-	applied     map[int]bool       // resets and splits already begun
-	activeSplit int                // the script entry of the split that holds, -1 for none
+	parts       []map[string]count // one entry unless a split is in effect
+	applied     map[int]bool       // script indexes of resets and splits that have begun
+	activeSplit int                // script index of the split in effect, -1 if none
 	calls       int64
 	observer    func(Tally)
 }
 
-// Tally is one call that was answered with a total; times are nanoseconds on the run's clock.
+// Tally is one counter call as it was answered. Times are nanoseconds on the run's clock.
 type Tally struct {
 	Limiter  int
 	Name     string
-	Read     int64 // when the call had been read whole
+	Read     int64 // when the complete call had been read
 	Answered int64 // just before the answer was written
 }
 
+// count is the total of one name.
 type count struct {
 	total     float64
-	expiresAt int64 // when the name lapses
+	expiresAt int64 // nanoseconds on the run's clock
 }
 
-// NewCounter makes a counter for limiters limiters that plays script.
+// NewCounter returns a stopped counter that serves the given number of limiters and applies the faults of script.
 func NewCounter(clock *history.Clock, recorder *history.Recorder, script []Fault, limiters int) *Counter {
 	k := &Counter{clock: clock, recorder: recorder, script: script, parts: []map[string]count{{}},
 		applied: map[int]bool{}, activeSplit: -1}
@@ -55,16 +56,17 @@
 	return k
 }
 
-// Address is where limiter i calls.
+// Address returns the address that limiter i connects to; it is empty before the first Start.
 func (k *Counter) Address(i int) string { return k.ports[i%len(k.ports)].address() }
 
-// Calls is how many calls it has answered.
+// Calls returns the number of tally calls answered with a total.
 func (k *Counter) Calls() int64 { k.mu.Lock(); defer k.mu.Unlock(); return k.calls }
 
-// Observe has each answered call told to seen, on the goroutine of its connection; to be set before Start.
+// Observe makes the counter pass each answered call to observer, on the goroutine of the call's connection. It must be
+// called before Start.
 func (k *Counter) Observe(observer func(Tally)) { k.observer = observer }
 
-// Start listens on a loopback port for each limiter, the same ports after a stop.
+// Start listens on one loopback port per limiter. A restart after Stop uses the same ports.
 func (k *Counter) Start() error {
 	for i, p := range k.ports {
 		if err := p.open(func(c net.Conn) { k.serve(c, i) }); err != nil {
@@ -74,25 +76,25 @@
 	return nil
 }
 
-// Stop refuses new connections and resets those open.
+// Stop closes the listeners, so that new connections are refused, and resets the open connections.
 func (k *Counter) Stop() {
 	for _, p := range k.ports {
 		p.stop()
 	}
 }
 
-// Close stops it for good.
+// Close stops the counter and gives up its ports.
 func (k *Counter) Close() {
 	for _, p := range k.ports {
 		p.close()
 	}
 }
 
-// Up tells whether it listens.
+// Up reports whether the counter is listening.
 func (k *Counter) Up() bool { return k.ports[0].isUp() }
 
-// Tick plays what the script says for now: a stop and start for "down", forgetting all for "reset", parts
-// for "split".
+// Tick brings the counter into the state that the script gives for now: "down" stops it until the fault ends, "reset"
+// clears all totals, and "split" divides the totals into parts.
 func (k *Counter) Tick(now int64) {
 	down := false
 	for i, f := range k.script {
@@ -141,6 +143,7 @@
 	}
 }
 
+// serve answers the calls of one connection of a limiter, in order.
 func (k *Counter) serve(rawConn net.Conn, limiter int) {
 	c := k.Traffic.wrapConn(rawConn)
 	defer func() { _ = c.Close() }()
@@ -165,7 +168,8 @@
 	}
 }
 
-// answer adds to a count; a name's life runs from its first add, as a fresh name's does on the real counter.
+// answer executes one call and returns its reply. As on the real counter, the lifetime of a name runs from its first
+// addition and is not extended by later ones.
 func (k *Counter) answer(fields []string, now int64, limiter int, busy bool) string {
 	if len(fields) == 1 && fields[0] == "ping" {
 		return "pong\r\n"
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -14,7 +14,7 @@
 	"ospreycroft/internal/lab/ports"
 )
 
-// Instance is one entry of discovery's list, in its JSON form.
+// Instance is one entry of the endpoint list, in its JSON form.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -26,42 +26,46 @@
 	StartedMs int64   `json:"startedAtMs"`
 }
 
-// List is discovery's answer.
+// List is the body of a discovery response. With Reset it is the full list, otherwise the entries that changed.
 type List struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Discovery is discovery's stand-in: `GET /discovery/hosts` for the whole list and `?from=G&hold_ms=H` to watch. A
-// watch is answered with the whole list as soon as the generation passes G, as the protocol allows, or with the
-// changed entries alone after TellChanges. It listens on one port for each limiter, so that each call is written down
-// with who made it, and each limiter can be given addresses of its own.
+// Discovery emulates the discovery service. `GET /discovery/hosts` returns the full endpoint list, and
+// `?from=G&hold_ms=H` is a watch that is answered once the generation is above G, or with an empty list after H
+// milliseconds. By default a watch is answered with the full list, which the protocol allows; it can be set to return
+// only the changed entries. Discovery listens on one port per limiter, so that it can record which limiter made each
+// call and give each limiter its own addresses.
 type Discovery struct {
-	Traffic Traffic // of all limiters
+	Traffic Traffic // summed over all limiters
 
 	clock    *history.Clock
 	recorder *history.Recorder
-	script   []Fault // slow, chunked and busy; down is played by Down
+	script   []Fault // slow, chunked and busy; the caller applies down
 	ports    []*ports.Kept
 
 	mu         sync.Mutex
 	generation int64
 	instances  map[string]Instance
-	addressOf  func(limiter int, in Instance) string // where a limiter reaches an instance; nil for its own address
-	changed    chan struct{}                         // closed and replaced on every change
+	// addressOf returns the address of an instance in the list for a limiter; nil means the instance's own HostPort.
+	addressOf  func(limiter int, in Instance) string
+	changed    chan struct{} // closed and replaced on every change of the list or of down
 	down       bool
-	tokens     float64 // calls that it can still take, while it is overbooked
-	refilledAt int64
+	tokens     float64 // token bucket of the "busy" fault: calls that can still be answered
+	refilledAt int64   // when tokens was last refilled, nanoseconds on the run's clock
 	server     *http.Server
-	deltas     bool             // a watch is answered with the changed entries alone
-	changedAt  map[string]int64 // by id, the generation that last changed an instance
+	deltas     bool             // a watch is answered with the changed entries only
+	changedAt  map[string]int64 // by id, the generation of the instance's latest change
 	terminated map[string]Instance
-	encoded    map[int64][]byte // answers of the present generation by what they are newer than, -1 for the whole list
+	// encoded caches the responses of the current generation by the generation they start from, -1 for the full list.
+	encoded map[int64][]byte
 }
 
-// NewDiscovery makes an empty list at generation 1 for limiters limiters; it plays script's slow, chunked and busy
-// answers and writes its calls in book. The error is a *ports.KeepError.
+// NewDiscovery returns a stopped service for the given number of limiters, with an empty list at generation 1. It
+// applies the slow, chunked and busy faults of script and records its calls in recorder. The error is a
+// *ports.KeepError.
 func NewDiscovery(clock *history.Clock, recorder *history.Recorder, script []Fault, limiters int) (*Discovery, error) {
 	d := &Discovery{clock: clock, recorder: recorder, script: script, generation: 1, instances: map[string]Instance{},
 		changed: make(chan struct{}), changedAt: map[string]int64{}, terminated: map[string]Instance{}}
@@ -76,16 +80,17 @@
 	return d, nil
 }
 
-// Address is where limiter i calls.
+// Address returns the address that limiter i connects to.
 func (d *Discovery) Address(i int) string { return d.ports[i].Address() }
 
-// Reach sets where each limiter reaches an instance, before Start.
+// Reach sets the function that returns the address listed for an instance in answers to a limiter. It must be called
+// before Start.
 func (d *Discovery) Reach(lookup func(limiter int, in Instance) string) { d.addressOf = lookup }
 
-// limiterKey is the key of the calling limiter's number in a call's context.
+// limiterKey is the context key of the number of the limiter that made a call.
 type limiterKey struct{}
 
-// Start listens for all limiters and serves until Close.
+// Start listens on the ports of all limiters and serves them until Close.
 func (d *Discovery) Start() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", d.handleHosts)
@@ -110,7 +115,7 @@
 	return nil
 }
 
-// Close stops serving for good.
+// Close stops the service and gives up its ports.
 func (d *Discovery) Close() {
 	if d.server != nil {
 		_ = d.server.Close()
@@ -120,10 +125,10 @@
 	}
 }
 
-// Set puts an instance in the list or changes it, and gives the new generation; lifecycle "terminated" takes it out.
+// Set adds or replaces an instance, or removes it if its lifecycle is "terminated", and returns the new generation.
 func (d *Discovery) Set(in Instance) int64 { return d.SetAll([]Instance{in}) }
 
-// SetAll is Set for many instances in one generation.
+// SetAll is like Set for several instances, which change in one generation.
 func (d *Discovery) SetAll(all []Instance) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,14 +149,15 @@
 	return d.generation
 }
 
-// TellChanges answers a watch from a generation above 0 with the changed entries alone, those taken out among them.
+// TellChanges makes a watch from a generation above 0 return only the changed entries, including removed ones.
 func (d *Discovery) TellChanges() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deltas = true
 }
 
-// Down says nothing to callers while on, as the agent does while discovery is down.
+// Down sets whether the service is down. While it is, calls stay open without any response, as with the agent while
+// discovery is down.
 func (d *Discovery) Down(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,13 +166,14 @@
 	d.changed = make(chan struct{})
 }
 
-// Whole is the list as it is now for a limiter, in id order.
+// Whole returns the current full list as a limiter gets it, in order of id.
 func (d *Discovery) Whole(limiter int) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fullList(limiter)
 }
 
+// fullList builds the full list for a limiter. d.mu must be held.
 func (d *Discovery) fullList(limiter int) List {
 	l := List{Generation: d.generation, Reset: true, Instances: []Instance{}}
 	for _, in := range d.instances {
@@ -179,7 +186,8 @@
 	return l
 }
 
-// changesSince is what has changed after a generation, in id order.
+// changesSince returns the instances that changed after generation from, removed ones included, in order of id. d.mu
+// must be held.
 func (d *Discovery) changesSince(limiter int, from int64) List {
 	l := List{Generation: d.generation, Instances: []Instance{}}
 	for id, at := range d.changedAt {
@@ -199,8 +207,8 @@
 	return l
 }
 
-// answer is the text for a call and the generation that it tells of: the whole list or, for a watch where changes are
-// told alone, what is newer than from. Limiters that reach all instances at the same addresses share the texts.
+// answer returns the encoded response to a call and its generation: the full list or, for a watch while d.deltas is
+// set, the changes after from. Responses are cached for a generation unless limiters have addresses of their own.
 func (d *Discovery) answer(limiter int, watching bool, from int64) (text []byte, generation int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -228,6 +236,7 @@
 	return text, d.generation
 }
 
+// handleHosts serves one call for the full list or one watch, and records how it ended.
 func (d *Discovery) handleHosts(w http.ResponseWriter, r *http.Request) {
 	d.Traffic.Calls.Add(1)
 	limiter, _ := r.Context().Value(limiterKey{}).(int)
@@ -253,7 +262,7 @@
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	if !watching {
-		timer.Stop() // a whole list is waited for as long as discovery is down
+		timer.Stop() // a call for the full list waits as long as discovery is down
 	}
 	for {
 		d.mu.Lock()
@@ -271,7 +280,7 @@
 		case <-timer.C:
 			if down {
 				call.End = history.NoResponse
-				<-r.Context().Done() // nothing is said, not even an empty answer; the caller's own time-out ends it
+				<-r.Context().Done() // sends nothing, not even an empty list, until the caller times out
 				return
 			}
 			call.End = history.Answered
@@ -288,7 +297,7 @@
 	}
 }
 
-// throttled tells whether a call is one too many for an overbooked discovery.
+// throttled reports whether a call exceeds the rate of a "busy" fault, and takes a token if it does not.
 func (d *Discovery) throttled() bool {
 	now := d.clock.Now()
 	busy, overbooked := activeFault(faultsOfKind(d.script, "busy"), now, 0)
@@ -307,6 +316,7 @@
 	return false
 }
 
+// write sends a response under the slow and chunked faults in effect.
 func (d *Discovery) write(w http.ResponseWriter, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	now := d.clock.Now()
@@ -321,7 +331,7 @@
 		_, _ = w.Write(text)
 		return
 	}
-	for len(text) > 0 { // with no length and a flush between, net/http sends each part as a chunk
+	for len(text) > 0 { // without a Content-Length, net/http sends what each flush covers as one chunk
 		n := min(len(text), 64)
 		_, _ = w.Write(text[:n])
 		flusher.Flush()
@@ -329,7 +339,7 @@
 	}
 }
 
-// faultsOfKind is the entries of a script of one kind.
+// faultsOfKind returns the entries of script of one kind.
 func faultsOfKind(script []Fault, kind string) []Fault {
 	var out []Fault
 	for _, f := range script {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -21,6 +21,7 @@
 		[]byte("body"))
 }
 
+// startServer starts a server with a recorder of its own.
 func startServer(t *testing.T, spec ServerSpec, deduplication *Deduplication) (*Server, *history.Recorder) {
 	t.Helper()
 	recorder := &history.Recorder{}
@@ -32,6 +33,7 @@
 	return s, recorder
 }
 
+// exchange sends text on a new connection and returns what the first read within wait gives.
 func exchange(t *testing.T, address string, text []byte, wait time.Duration) (string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -76,11 +78,11 @@
 		answer string
 	}{{"j1", false, "busy"}, {"j2", true, "silent"}, {"j3", true, "done"}}
 	if len(attempts) != 3 {
-		t.Fatalf("shots: %+v", attempts)
+		t.Fatalf("attempts: %+v", attempts)
 	}
 	for i, w := range want {
 		if attempts[i].ID != w.id || attempts[i].MayHaveRun != w.ran || attempts[i].Answer != w.answer {
-			t.Errorf("shot %d: %+v, want %+v", i, attempts[i], w)
+			t.Errorf("attempt %d: %+v, want %+v", i, attempts[i], w)
 		}
 	}
 	if attempts[0].Units != 2 {
@@ -88,12 +90,13 @@
 	}
 }
 
+// A cold server marks the attempts that it starts over its capacity.
 func TestColdServerRecordsOverload(t *testing.T) {
 	s, recorder := startServer(t, ServerSpec{Name: "s1", Work: 200 * time.Millisecond, Capacity: 4, ColdFrom: 0.25,
 		WarmWithin: time.Minute}, nil)
 	c, _ := net.Dial("tcp", s.Address())
 	defer func() { _ = c.Close() }()
-	for _, id := range []string{"a", "b", "c"} { // pipelined: all three begin at once, one is borne
+	for _, id := range []string{"a", "b", "c"} { // pipelined: all three start at once, and the capacity is one
 		_, _ = c.Write(submitCommand(id, "c=order"))
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -106,7 +109,7 @@
 		}
 	}
 	if overloaded != 2 {
-		t.Fatalf("want 2 of 3 over a cold server's one, got %d in %+v", overloaded, attempts)
+		t.Fatalf("want 2 of 3 requests over a cold server's capacity of 1, got %d in %+v", overloaded, attempts)
 	}
 }
 
@@ -164,7 +167,7 @@
 	}
 }
 
-// startDiscovery is a list service for so many limiters.
+// startDiscovery starts discovery for the given number of limiters, with a recorder of its own.
 func startDiscovery(t *testing.T, limiters int, script ...Fault) (*Discovery, *history.Recorder) {
 	t.Helper()
 	recorder := &history.Recorder{}
@@ -193,7 +196,7 @@
 	}
 }
 
-// Each call is written down with who made it and how it ended.
+// Each discovery call is recorded with the limiter that made it and how it ended.
 func TestDiscoveryRecordsCalls(t *testing.T) {
 	d, recorder := startDiscovery(t, 3)
 	d.Reach(func(limiter int, in Instance) string { return itoa(int64(limiter)) })
@@ -210,10 +213,10 @@
 	a := call(0, "")
 	b := call(2, "?from=1&hold_ms=5000")
 	if a.Instances[0].HostPort != "0" || b.Instances[0].HostPort != "2" {
-		t.Errorf("each limiter has addresses of its own: %+v %+v", a, b)
+		t.Errorf("want the limiter's own addresses in each list: %+v %+v", a, b)
 	}
-	call(1, "?from=2&hold_ms=5000")   // nothing comes, and the caller goes
-	time.Sleep(50 * time.Millisecond) // an end is noticed a little later
+	call(1, "?from=2&hold_ms=5000")   // the client times out before a change
+	time.Sleep(50 * time.Millisecond) // the server notices the closed connection a little later
 	d.Down(true)
 	call(1, "?from=1&hold_ms=50")
 	d.Down(false)
@@ -242,8 +245,9 @@
 	}
 }
 
-// A cold server that bears 2 requests of 100 ms at once bears 20 in a second, and falls by the 37th: past 20 + 3
-// root(20) + 3.
+// A cold server with a capacity of 2 concurrent requests of 100 ms each completes 20 per second. It crashes at the
+// 37th command within a second, the first over its slow-start budget of 20 + 3 sqrt(20) + 3, and only once. A warm
+// server never does.
 func TestColdServerCrashesOnce(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		s, recorder := startServer(t, ServerSpec{Name: "s1", Work: 100 * time.Millisecond, Capacity: 8, ColdFrom: 0.25,
@@ -258,7 +262,7 @@
 		if _, all, _ := recorder.DiscoveryAndServers(); len(all) > 0 {
 			requests = len(all[0].Requests) + 100*(len(all)-1)
 		}
-		require.Equal(t, map[bool]int{false: 37, true: 0}[warm], requests, "warm %v: fell by so many", warm)
+		require.Equal(t, map[bool]int{false: 37, true: 0}[warm], requests, "warm %v: commands up to the crash", warm)
 		_, _ = exchange(t, s.Address(), []byte("*1\r\n$6\r\nCLIENT\r\n"), time.Second)
 		_, _, handshakes := recorder.DiscoveryAndServers()
 		require.True(t, len(handshakes["s1"]) == 1 && handshakes["s1"][0] == 1, "handshakes %v", handshakes)
@@ -267,6 +271,7 @@
 
 func itoa(n int64) string { b, _ := json.Marshal(n); return string(b) }
 
+// During a split each part starts from the common totals and then counts alone; afterwards part 0 is kept.
 func TestCounterSplitGivesLimitersSeparateTotals(t *testing.T) {
 	clock := history.NewClock()
 	k := NewCounter(
@@ -289,7 +294,7 @@
 		got, _ := bufio.NewReader(c).ReadString('\n')
 		return got
 	}
-	call(0, "tally 9 5 4000\r\n") // before the split: both parts begin with it
+	call(0, "tally 9 5 4000\r\n") // before the split, so both parts start with this total
 	k.Tick(1)
 	if a, b := call(0, "tally 9 1 4000\r\n"), call(1, "tally 9 2 4000\r\n"); a != "ok 6\r\n" || b != "ok 7\r\n" {
 		t.Fatalf("split: %q %q", a, b)
@@ -297,6 +302,6 @@
 	k.script[0].Until = 2
 	k.Tick(3)
 	if got := call(1, "tally 9 0 4000\r\n"); got != "ok 6\r\n" {
-		t.Fatalf("healed: part 0 stands, got %q", got)
+		t.Fatalf("after the split: want the total of part 0, got %q", got)
 	}
 }
--- a/internal/lab/emulator/observe_test.go
+++ b/internal/lab/emulator/observe_test.go
@@ -13,7 +13,7 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// fetchList is a call to discovery and the list that it brought.
+// fetchList makes one call to discovery and returns the list and the size of the response body in bytes.
 func fetchList(t *testing.T, d *Discovery, query string) (list List, size int) {
 	t.Helper()
 	answer, err := http.Get("http://" + d.Address(0) + "/discovery/hosts" + query)
@@ -25,6 +25,7 @@
 	return list, len(text)
 }
 
+// newDiscovery returns discovery for one limiter with the instances a, b and c, at generation 2.
 func newDiscovery(t *testing.T) *Discovery {
 	t.Helper()
 	d, err := NewDiscovery(history.NewClock(), &history.Recorder{}, nil, 1)
@@ -40,17 +41,18 @@
 	return d
 }
 
-// receive is what a stand-in told, within a time.
+// receive returns the next event of an observer.
 func receive[T any](t *testing.T, events chan T) (event T) {
 	t.Helper()
 	select {
 	case event = <-events:
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing was told")
+		t.Fatal("no event within 5 s")
 	}
 	return event
 }
 
+// describeInstances returns "ID LIFECYCLE" for each instance.
 func describeInstances(list List) (out []string) {
 	for _, in := range list.Instances {
 		out = append(out, in.ID+" "+in.Lifecycle)
@@ -58,8 +60,8 @@
 	return out
 }
 
-// TestDiscoverySendsDeltas: many instances change in one generation; a watch brings those alone, with what was taken
-// out.
+// A watch returns only the changed instances, including removed ones. Several instances change in one generation, and a
+// response cached for an earlier generation must not be sent again.
 func TestDiscoverySendsDeltas(t *testing.T) {
 	d := newDiscovery(t)
 	d.TellChanges()
@@ -67,7 +69,7 @@
 	whole, _ := fetchList(t, d, "")
 	require.True(t, whole.Reset)
 	require.Len(t, whole.Instances, 3)
-	require.EqualValues(t, 2, whole.Generation, "one for all three")
+	require.EqualValues(t, 2, whole.Generation, "one generation for all three")
 	d.SetAll([]Instance{{ID: "c", Lifecycle: "terminated"}, {ID: "b", Lifecycle: "terminating"}})
 	changes, _ := fetchList(t, d, "?from=2&hold_ms=1000")
 	require.False(t, changes.Reset)
@@ -75,15 +77,15 @@
 	require.Equal(t, []string{"b terminating", "c terminated"}, describeInstances(changes))
 	d.Set(Instance{ID: "c", Lifecycle: "in_service"})
 	changes, _ = fetchList(t, d, "?from=3&hold_ms=1000")
-	require.Equal(t, []string{"c in_service"}, describeInstances(changes), "no text of an earlier generation")
+	require.Equal(t, []string{"c in_service"}, describeInstances(changes), "want the current generation's response")
 	changes, _ = fetchList(t, d, "?from=2&hold_ms=1000")
 	require.Equal(t, []string{"b terminating", "c in_service"}, describeInstances(changes),
-		"each instance once, as it is now")
+		"want each instance once, in its current state")
 	whole, _ = fetchList(t, d, "")
 	require.Equal(t, []string{"a in_service", "b terminating", "c in_service"}, describeInstances(whole))
 }
 
-// TestDiscoverySendsFullList: without TellChanges a watch brings the whole list.
+// By default a watch returns the full list.
 func TestDiscoverySendsFullList(t *testing.T) {
 	d := newDiscovery(t)
 	require.NoError(t, d.Start())
@@ -93,7 +95,7 @@
 	require.Len(t, list.Instances, 3)
 }
 
-// TestDiscoveryDownSendsNothing: while it is down not a byte is said to a watch whose wait is over: an empty answer would be one.
+// While discovery is down, a watch whose hold time is over gets no byte: an empty list would be a valid answer.
 func TestDiscoveryDownSendsNothing(t *testing.T) {
 	d := newDiscovery(t)
 	require.NoError(t, d.Start())
@@ -110,14 +112,14 @@
 	require.True(t, silent.Timeout(), "%v", err)
 }
 
-// awaitSent waits until at least so many bytes are counted as sent: they are counted behind the write, and whoever reads them may be
-// faster.
+// awaitSent waits until at least the given number of bytes is counted as sent. They are counted after the write, so the
+// reader can have them before.
 func awaitSent(t *testing.T, traffic *Traffic, bytes int64) {
 	t.Helper()
 	require.Eventually(t, func() bool { return traffic.Sent.Load() >= bytes }, time.Second, time.Millisecond)
 }
 
-// TestTraffic counts calls, connections, and at least the bytes of the lists.
+// Calls, connections and bytes of discovery are counted.
 func TestTraffic(t *testing.T) {
 	d := newDiscovery(t)
 	require.NoError(t, d.Start())
@@ -130,7 +132,7 @@
 	require.Greater(t, d.Traffic.Received.Load(), int64(2*len("GET /discovery/hosts HTTP/1.1\r\n")))
 }
 
-// TestCounterObserved tells each call that was answered with a total, and counts its bytes.
+// The observer of a counter gets each answered call, and the call's bytes are counted.
 func TestCounterObserved(t *testing.T) {
 	k := NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
 	observed := make(chan Tally, 4)
@@ -150,8 +152,7 @@
 	require.EqualValues(t, 1, k.Traffic.Calls.Load())
 }
 
-// TestServerObserved tells each command that was served with the time that it took, and whether it was its
-// connection's first.
+// The observer of a server gets each executed request with its times and whether it was the first of its connection.
 func TestServerObserved(t *testing.T) {
 	clock, observed := history.NewClock(), make(chan Handled, 4)
 	s := NewServer(ServerSpec{Name: "s1", Work: 5 * time.Millisecond, Warm: true}, clock, &history.Recorder{}, nil)
--- a/internal/lab/emulator/port.go
+++ b/internal/lab/emulator/port.go
@@ -8,7 +8,7 @@
 	"ospreycroft/internal/resp"
 )
 
-// port is a stand-in's listening socket and the connections it accepted; it keeps its address across restarts.
+// port is an emulator's listening socket with its accepted connections. It keeps its address across restarts.
 type port struct {
 	mu       sync.Mutex
 	reserved *ports.Kept
@@ -17,7 +17,7 @@
 	up       bool
 }
 
-// open listens on the port kept for it, and hands each connection to serve.
+// open listens and runs serve on a goroutine for each connection. The first call reserves the port.
 func (p *port) open(serve func(net.Conn)) (err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// address is the address, once opened.
+// address returns the listening address; it is empty before the first open.
 func (p *port) address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +69,7 @@
 	return p.reserved.Address()
 }
 
-// close shuts it for good and gives its address up.
+// close stops the port and gives up its address.
 func (p *port) close() {
 	p.stop()
 	p.mu.Lock()
@@ -79,10 +79,11 @@
 	}
 }
 
-// isUp says whether it listens.
+// isUp reports whether the port is listening.
 func (p *port) isUp() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.up }
 
-// stop ends it as a crash would: the port refuses and every connection is reset; false if it was stop already.
+// stop ends listening as a crash does: new connections are refused and all open ones are reset. It reports whether the
+// port was listening.
 func (p *port) stop() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +99,7 @@
 	return true
 }
 
-// resetConn closes c with a resetConn rather than an orderly end.
+// resetConn closes c with a TCP reset.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -106,8 +107,8 @@
 	_ = c.Close()
 }
 
-// Commands reads RESP2 commands from c and hands each to each, in order, until c ends, each returns false, or
-// bytes come that are no command; the error is then the parser's, nil at an end or a stop.
+// Commands reads RESP2 commands from c and passes each to handle, in order. It returns nil once c ends or handle
+// returns false, and the parser's error for bytes that are not a command.
 func Commands(c net.Conn, handle func(words [][]byte) bool) error {
 	var buffer []byte
 	chunk := make([]byte, 16<<10)
@@ -130,6 +131,6 @@
 				return nil
 			}
 		}
-		buffer = append([]byte(nil), buffer...) // words handed out point into the old bytes
+		buffer = append([]byte(nil), buffer...) // handle may have kept words that point into the old array
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -9,20 +9,20 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// Deduplication is a group's table of fingerprints seen, shared by the servers that drop repeated fingerprinted
-// requests.
+// Deduplication is the table of idempotency keys that the servers of one group share, so that the group executes a
+// request with a key only once.
 type Deduplication struct {
 	mu        sync.Mutex
-	window    int64
-	expiresAt map[string]int64 // fingerprint -> when it lapses
+	window    int64            // how long a key is kept, in nanoseconds
+	expiresAt map[string]int64 // by idempotency key, nanoseconds on the run's clock
 }
 
-// NewDeduplication makes a table that keeps a fingerprint for window nanoseconds.
+// NewDeduplication returns an empty table that keeps each key for window nanoseconds.
 func NewDeduplication(window int64) *Deduplication {
 	return &Deduplication{window: window, expiresAt: map[string]int64{}}
 }
 
-// seenBefore notes key at now and says whether it was held already.
+// seenBefore reports whether the table has key at now, and adds it if not.
 func (r *Deduplication) seenBefore(key string, now int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,24 +33,24 @@
 	return false
 }
 
-// ServerSpec is what a stand-in server is: its name, zone, work time and what it bears.
+// ServerSpec configures an emulated server.
 type ServerSpec struct {
 	Name       string
 	Zone       string
-	Work       time.Duration // mean time a request takes, drawn exponentially
-	Capacity   int           // requests at once that a warm server bears
-	ColdFrom   float64       // share of Capacity it bears just after a start
-	WarmWithin time.Duration // time from a start to full capacity
-	Report     bool          // answers bring a load report
-	Conns      int           // connections that it serves, others are told that it is busy; 0 for any number
-	Slots      int           // requests that it does at a time, others wait their turn; 0 for any number
-	Warm       bool          // its first start was long before the run
-	Fall       time.Duration // a cold one falls by what it is sent within so long; 0 for never
+	Work       time.Duration // mean of the exponentially distributed service time
+	Capacity   int           // concurrent requests that a warm server can take; 0 means 64
+	ColdFrom   float64       // share of Capacity that it can take just after a start
+	WarmWithin time.Duration // time from a start to full capacity; 0 means that it is always warm
+	Report     bool          // whether answers carry a load report
+	Conns      int           // connections that it serves, commands on further ones get -BUSY; 0 means no limit
+	Slots      int           // requests that it executes at a time, further ones wait; 0 means no limit
+	Warm       bool          // its first start counts as long before the run
+	Fall       time.Duration // window within which commands over its budget crash a cold server; 0 means never
 	Script     []Fault
-	Seed       uint64
+	Seed       uint64 // of the random service times and fault shares
 }
 
-// Server is one RESP2 server on a loopback port.
+// Server is an emulated RESP2 server on a loopback port.
 type Server struct {
 	spec          ServerSpec
 	clock         *history.Clock
@@ -59,31 +59,33 @@
 
 	port
 	rng                *rand.Rand
-	started            int64
-	warm               bool // started long before the run
+	started            int64 // nanoseconds on the run's clock
+	warm               bool  // counts as started long before the run
 	inFlight           int
-	slots              chan struct{} // nil for any number
-	waiting            int
+	slots              chan struct{} // nil if the number is not limited
+	waiting            int           // requests that wait for a slot
 	completed          int
-	arrivals           []int64 // times of the commands that count for a fall
-	arrivalIDs         []string
-	crashed            bool
-	meanServiceSeconds float64 // fading mean of the seconds that requests took
+	arrivals           []int64  // times of the commands within the crash window, while cold
+	arrivalIDs         []string // ids of the same commands
+	crashed            bool     // since the last start
+	meanServiceSeconds float64  // exponentially weighted mean of the service times
 	observer           func(Handled)
 }
 
-// Handled is one command that was answered; times are nanoseconds on the run's clock.
+// Handled is one request that was executed and answered. Times are nanoseconds on the run's clock.
 type Handled struct {
 	ID       string
-	Read     int64 // when the command had been read whole
+	Read     int64 // when the complete command had been read
 	Answered int64 // just before the answer was written
-	First    bool  // it was the first on its connection
+	First    bool  // whether it is the first such request of its connection
 }
 
-// Observe has each answered command told to seen, on the goroutine of its connection; to be set before Start.
+// Observe makes the server pass each answered request to observer, on the goroutine of the request's connection. It
+// must be called before Start.
 func (s *Server) Observe(observer func(Handled)) { s.observer = observer }
 
-// NewServer makes a server that writes its attempts in book; repeats may be nil where its group drops none.
+// NewServer returns a stopped server that records its attempts in recorder. With a nil deduplication, requests with a
+// known idempotency key are executed again.
 func NewServer(
 	spec ServerSpec, clock *history.Clock, recorder *history.Recorder, deduplication *Deduplication,
 ) *Server {
@@ -98,27 +100,28 @@
 		rng: rand.New(rand.NewPCG(spec.Seed, 0x5e))}
 }
 
-// Name is the server's instance id.
+// Name returns the server's instance id.
 func (s *Server) Name() string { return s.spec.Name }
 
-// Zone is the server's zone.
+// Zone returns the server's zone.
 func (s *Server) Zone() string { return s.spec.Zone }
 
-// Address is where it listens, once started.
+// Address returns the listening address; it is empty before the first Start.
 func (s *Server) Address() string { return s.address() }
 
-// Started is the run's time of its last start, in nanoseconds; known is false where that was long before the run.
+// Started returns the time of the last start, in nanoseconds on the run's clock. known is false if the server counts as
+// started long before the run.
 func (s *Server) Started() (at int64, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started, !s.warm
 }
 
-// Start listens on the port kept for it; it begins cold, but for the first start of one that is warm.
+// Start listens on the server's port. The server starts cold, except at the first start with ServerSpec.Warm.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	s.warm = s.spec.Warm
-	s.spec.Warm = false // a further start is cold
+	s.spec.Warm = false // later starts are cold
 	s.started = s.clock.Now()
 	s.arrivals = nil
 	s.arrivalIDs = nil
@@ -127,13 +130,14 @@
 	return s.open(s.serve)
 }
 
-// Stop ends the process as a crash would: the port refuses and every connection is reset. Close ends it for good.
+// Stop ends the server as a crash does: new connections are refused and all open ones are reset. It can be started
+// again.
 func (s *Server) Stop() { s.stop() }
 
-// Close ends the server and gives its port up.
+// Close stops the server and gives up its port.
 func (s *Server) Close() { s.close() }
 
-// serve reads commands and begins each at once; answers go back in the order of the commands.
+// serve reads the commands of a connection and starts each at once. Answers are written in the order of the commands.
 func (s *Server) serve(c net.Conn) {
 	s.recorder.AddHandshake(s.spec.Name, s.clock.Now())
 	done := make(chan struct{})
--- a/internal/lab/emulator/server_cold.go
+++ b/internal/lab/emulator/server_cold.go
@@ -7,14 +7,15 @@
 	"ospreycroft/internal/lab/slowstart"
 )
 
-// This file is what a server bears while it is cold.
+// This file models how much load a server can take while it is warming up.
 
-// coldWorkFactor is how much longer a request takes at a cold server that has more in work than it bears.
+// coldWorkFactor multiplies the service time of a request that a cold server starts over its capacity.
 const coldWorkFactor = 4
 
-// crashesUnderLoad notes a command at now and tells whether a cold server crashesUnderLoad by it, the first time since its start: within
-// Fall it got more commands than its slow-start budget. By Little's law a server that bears b requests at once, each of
-// the mean work, bears b * Fall / work in that time.
+// crashesUnderLoad records a command received at now and reports whether it makes a cold server crash, for the first
+// time since its start: when more commands arrived within the crash window than the server's slow-start budget for that
+// time. By Little's law a server that can take b concurrent requests, each of the mean service time, completes
+// b * window / service time of them in the window. s.mu must be held.
 func (s *Server) crashesUnderLoad(now int64, id string, capacity float64, cold bool) (history.OverloadCrash, bool) {
 	if s.spec.Fall <= 0 || s.spec.Work <= 0 || !cold || s.crashed {
 		return history.OverloadCrash{}, false
@@ -33,7 +34,7 @@
 	}, s.crashed
 }
 
-// capacityAt is how many requests at once the server bears at now, and whether it is still cold.
+// capacityAt returns the number of concurrent requests that the server can take at now, and whether it is still cold.
 func (s *Server) capacityAt(now int64) (float64, bool) {
 	warmedShare := float64(now-s.started) / float64(s.spec.WarmWithin)
 	if s.warm || s.spec.WarmWithin <= 0 || warmedShare >= 1 {
--- a/internal/lab/emulator/server_command.go
+++ b/internal/lab/emulator/server_command.go
@@ -12,15 +12,16 @@
 	"ospreycroft/internal/resp"
 )
 
-// This file is what a server does with one command.
+// This file executes one command of a server.
 
-// request is what a server reads of a request's command.
+// request is a parsed request command.
 type request struct {
 	command, customer, id, class, key string
 	units                             float64
-	timeLeft                          time.Duration
+	timeLeft                          time.Duration // how much longer the client waits
 }
 
+// parseRequest parses the words of a SVC.QUERY or SVC.SUBMIT command. The error's text is sent to the client.
 func parseRequest(words [][]byte) (request, error) {
 	if len(words) < 4 {
 		return request{}, errors.New("too few words")
@@ -46,18 +47,19 @@
 	return r, nil
 }
 
-// reply is what a command's slot gets: bytes to write, and whether the connection is reset after them.
+// reply is the answer to one command.
 type reply struct {
-	text  []byte
-	reset bool
-	id    string // of the request that was served; empty for any other answer
-	read  int64  // when its command had been read
+	text  []byte // encoded, may be empty
+	reset bool   // whether the connection is reset after text
+	id    string // of the executed request; empty for all other answers
+	read  int64  // when the request's command had been read, nanoseconds on the run's clock
 }
 
-// recentRequests is how many requests the load report's recent_ms reaches back, about.
+// recentRequests is the approximate number of requests that the load report's recent_ms averages over.
 const recentRequests = 16
 
-// command answers one command into its slot. A command that the server takes runs here until it is done.
+// command executes one command and sends its reply to answer. A request that the server accepts runs until it is done.
+// With overConnLimit every command gets -BUSY.
 func (s *Server) command(words [][]byte, answer chan reply, overConnLimit bool) {
 	verb := string(words[0])
 	if overConnLimit {
@@ -80,7 +82,7 @@
 	s.handleRequest(r, answer)
 }
 
-// handleRequest takes a request, turns it away or drops it as a repeat.
+// handleRequest executes a request, rejects it under a "busy" fault, or answers a duplicate without executing it.
 func (s *Server) handleRequest(r request, answer chan reply) {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -115,7 +117,7 @@
 	s.run(r, attempt, work, fault, answer)
 }
 
-// run does a request's work under a fault, or under none, and answers as the fault says.
+// run executes a request for the service time work and answers it as fault requires. The zero Fault is none.
 func (s *Server) run(r request, attempt history.Attempt, work time.Duration, fault Fault, answer chan reply) {
 	s.addInFlight(1)
 	defer s.addInFlight(-1)
@@ -125,7 +127,7 @@
 	case "silent":
 		attempt.Answer = "silent"
 		s.recorder.AddAttempt(attempt)
-		return // the slot is never filled: the connection's answers stop here
+		return // without a reply, the connection gets no further answers
 	case "reset":
 		attempt.Answer = "reset"
 		s.recorder.AddAttempt(attempt)
@@ -137,7 +139,7 @@
 		attempt.Answer = result
 	}
 	attempt.ServiceTime = int64(work)
-	s.recorder.AddAttempt(attempt) // written as it begins, so that a stop in the middle still shows that it may have run
+	s.recorder.AddAttempt(attempt) // recorded before it runs, so that a stop meanwhile leaves it as possibly executed
 	s.acquireSlot()
 	defer s.releaseSlot()
 	time.Sleep(work)
@@ -155,7 +157,7 @@
 	}
 }
 
-// acquireSlot waits until the server does fewer requests than it has slots, where it has a number of them.
+// acquireSlot waits until a slot is free, if the number of slots is limited.
 func (s *Server) acquireSlot() {
 	if s.slots == nil {
 		return
@@ -171,7 +173,7 @@
 	}
 }
 
-// recordDone counts a request for the load report.
+// recordDone adds a completed request to the figures of the load report.
 func (s *Server) recordDone(took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,7 +193,8 @@
 	s.mu.Unlock()
 }
 
-// servedAnswer is a served answer: the servedAnswer, no figures on use, and the load report where the server gives one.
+// servedAnswer encodes the answer to an executed request: its value, a null in place of the usage figures, and the load
+// report or a null.
 func (s *Server) servedAnswer(r request) []byte {
 	out := resp.AppendBulk([]byte("*3\r\n"), []byte(s.spec.Name+" did "+r.id))
 	out = append(out, "$-1\r\n"...)
--- a/internal/lab/emulator/traffic.go
+++ b/internal/lab/emulator/traffic.go
@@ -5,22 +5,22 @@
 	"sync/atomic"
 )
 
-// Traffic counts what crosses a stand-in's connections: bytes of payload, without the headers of TCP and IP, and
-// calls. The zero value has counted nothing. It is safe for concurrent use.
+// Traffic counts the payload bytes on an emulator's connections, without TCP and IP headers, and its calls. The zero
+// value is ready to use. It is safe for concurrent use.
 type Traffic struct {
-	Received atomic.Int64 // bytes that callers sent
-	Sent     atomic.Int64 // bytes that were written to callers
-	Calls    atomic.Int64 // calls that were read whole
-	Opened   atomic.Int64 // connections that were accepted
+	Received atomic.Int64 // bytes read from callers
+	Sent     atomic.Int64 // bytes written to callers
+	Calls    atomic.Int64 // complete calls read
+	Opened   atomic.Int64 // connections accepted
 }
 
-// countingListener counts what crosses the connections that it accepts.
+// countingListener is a listener that counts the traffic of its accepted connections.
 type countingListener struct {
 	net.Listener
 	traffic *Traffic
 }
 
-// Accept waits for a connection.
+// Accept returns the next connection, wrapped to count its traffic.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -29,25 +29,26 @@
 	return l.traffic.wrapConn(c), nil
 }
 
-// wrapConn is a connection whose bytes are wrapConn.
+// wrapConn counts the connection c as opened and returns it wrapped to count its bytes.
 func (t *Traffic) wrapConn(c net.Conn) net.Conn {
 	t.Opened.Add(1)
 	return &countingConn{Conn: c, traffic: t}
 }
 
+// countingConn adds the bytes read and written to traffic.
 type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
-// Read reads and counts.
+// Read implements net.Conn.
 func (c *countingConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.traffic.Received.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write implements net.Conn.
 func (c *countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.traffic.Sent.Add(int64(n))
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// defaultText returns the default experiment file.
 func defaultText(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/lab/default.toml")
@@ -21,11 +22,11 @@
 		t.Fatal(err)
 	}
 	if e.Settings.Limiters != 3 || len(e.Faults) != 6 || e.Settings.Plans["house"].CeilingRate != 90 {
-		t.Fatalf("read wrongly: limiters %d, faults %d", e.Settings.Limiters, len(e.Faults))
+		t.Fatalf("wrong values: limiters %d, faults %d", e.Settings.Limiters, len(e.Faults))
 	}
 }
 
-// Each broken file is refused with the key at fault at the start of its error.
+// The error for an invalid file starts with the invalid key.
 func TestInvalidFileNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, key string }{
 		{"length = 20.0", "length = 0.0", "length"},
@@ -37,7 +38,7 @@
 		{`target = "limiter:1"`, `target = "limiter:9"`, "faults[4]"},
 		{`effect = "single_shot"`, `effect = "twice"`, "settings: classes"},
 		{"[counter]\non = true", "[counter]\non = false", "counter.on"},
-		{"count-wait = 0.05", "count-wait = 0.05\nhas-counter = false", ""}, // a doubled key is TOML's own error
+		{"count-wait = 0.05", "count-wait = 0.05\nhas-counter = false", ""}, // the TOML decoder reports a duplicate key
 	} {
 		text := strings.Replace(defaultText(t), c.from, c.to, 1)
 		if text == defaultText(t) {
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -9,24 +9,24 @@
 	"ospreycroft/internal/lab/faultproxy"
 )
 
-// The parties that a link can have beside limiters.
+// The kinds of peer at the other end of a limiter's link.
 const (
 	Clients   = "client"
 	Discovery = "discovery"
 	Counting  = "counter"
-	Pools     = "pool"
+	Pools     = "pool" // all servers of a pool
 	Servers   = "server"
 )
 
-// LinkPeer are the links that a fault names: from clients to limiters ("link:client-limiter:2"), or from limiters to
-// discovery, the counter, a pool's servers or one server ("link:limiter:*-pool:hall1"). Servers that a pool gets later
-// are among them.
+// LinkPeer is the other end of the limiter links that a fault names. The target is "link:client-limiter:2" for links
+// from clients to limiters, and "link:limiter:*-pool:hall1" or alike for links from limiters to discovery, the counter,
+// the servers of a pool or one server. Servers that are added to the pool later are included.
 type LinkPeer struct {
-	Kind string
-	Name string // of the pool or the server
+	Kind string // one of the constants above
+	Name string // of the pool or the server; empty for other kinds
 }
 
-// fileKeys are the file's names of a link fault's keys.
+// fileKeys maps the keys in errors of faultproxy to the file's keys.
 var fileKeys = map[string]string{
 	"kind":  "kind",
 	"from":  "from",
@@ -35,10 +35,11 @@
 	"delay": "factor",
 }
 
+// checkLinkFault parses text, the part of a link fault's target after "link:", and checks the fault.
 func (e *Experiment) checkLinkFault(f *Fault, text string, pools map[string]bool) (err error) {
 	bad := &emulator.FaultError{
 		Key: "target",
-		Why: fmt.Sprintf("%q is no link: limiter:WHICH-discovery, -counter, -pool:NAME or "+
+		Why: fmt.Sprintf("%q is not a link: limiter:WHICH-discovery, -counter, -pool:NAME or "+
 			"-server:NAME, or client-limiter:WHICH", text),
 	}
 	near, far, _ := strings.Cut(text, "-")
@@ -54,7 +55,7 @@
 		case kind == Discovery && name == "", kind == Pools && pools[name], kind == Servers && pools[pool]:
 		case kind == Counting && name == "":
 			if !e.Counter.On {
-				return &emulator.FaultError{Key: "target", Why: "there is no counter"}
+				return &emulator.FaultError{Key: "target", Why: "the experiment has no counter"}
 			}
 		default:
 			return bad
@@ -73,7 +74,7 @@
 	return f.linkFault().Check()
 }
 
-// linkFault is a linkFault fault in the linkFault's own form: the factor is the delay in milliseconds.
+// linkFault converts f to the fault proxy's form. Factor is the delay in milliseconds.
 func (f *Fault) linkFault() faultproxy.Fault {
 	return faultproxy.Fault{
 		Kind:  f.Kind,
@@ -84,8 +85,9 @@
 	}
 }
 
-// Script is the script of the link between a limiter and a party: for Servers, name is a server's and pool its pool's.
-// It is empty where no fault names the link, or the seed draws other limiters.
+// Script returns the faults of the link between a limiter and a peer. For a server, name is the server's name and pool
+// that of its pool; for other kinds both are empty. Faults with a Share affect only the limiters that the seed
+// selects.
 func (e *Experiment) Script(limiter int, kind, pool, name string) []faultproxy.Fault {
 	var out []faultproxy.Fault
 	for i, f := range e.Faults {
--- a/internal/lab/experiment/steps.go
+++ b/internal/lab/experiment/steps.go
@@ -11,33 +11,33 @@
 	"ospreycroft/internal/lab/emulator"
 )
 
-// EntryError is an experiment that cannot be played; Key names what is at fault in it, as faults[2].target.
+// EntryError reports an invalid value in an experiment file. Key names it, as in faults[2].target.
 type EntryError struct{ Key, Why string }
 
-// Error says what happened.
+// Error returns the key and the reason.
 func (e *EntryError) Error() string { return e.Key + ": " + e.Why }
 
-// Hint says what to do about it.
+// Hint says how to correct the error.
 func (e *EntryError) Hint() string {
-	return "correct " + e.Key + " in the experiment file; docs/lab.md tells its form"
+	return "correct " + e.Key + " in the experiment file; docs/lab.md describes the file"
 }
 
-// ProcessFaults are the kinds for limiters.
+// ProcessFaults are the fault kinds of limiter processes, with a description of each.
 var ProcessFaults = map[string]string{
-	"kill": "SIGKILL at from, started again at until",
+	"kill": "SIGKILL at from, and a restart at until",
 	"stop": "SIGSTOP at from, SIGCONT at until",
-	"hup":  "SIGHUP at from: the configuration is read again",
-	"usr1": "SIGUSR1 at from: the trace is logged",
-	"term": "SIGTERM at from, SIGKILL once the longest cut-off and 0.7 s have passed, started again at until",
+	"hup":  "SIGHUP at from, which reloads the configuration",
+	"usr1": "SIGUSR1 at from, which logs the trace",
+	"term": "SIGTERM at from, SIGKILL after the longest cut-off and another 0.7 s, and a restart at until",
 }
 
-// Step is a part of a process fault: what befalls these limiters at At and ends at Until (0 for never), nanoseconds.
+// Step is a part of a process fault: it affects Limiters from At until Until.
 type Step struct {
-	At, Until int64
+	At, Until int64 // nanoseconds on the run's clock; Until is 0 if the fault does not end
 	Limiters  []int
 }
 
-// parseLimiters reads the numbers of limiters: "3", "0..9" (both ends included) or "*".
+// parseLimiters returns the limiter numbers that text names among count limiters: "3", "0..9" (inclusive) or "*".
 func parseLimiters(text string, count int) ([]int, error) {
 	first := 0
 	last := count - 1
@@ -50,7 +50,8 @@
 			last, lastErr = strconv.Atoi(b)
 		}
 		if err != nil || lastErr != nil || first < 0 || last < first || last >= count {
-			return nil, &emulator.FaultError{Key: "target", Why: fmt.Sprintf("%q names no limiters of %d", text, count)}
+			return nil, &emulator.FaultError{Key: "target",
+				Why: fmt.Sprintf("%q does not name limiters out of %d", text, count)}
 		}
 	}
 	var out []int
@@ -60,6 +61,7 @@
 	return out, nil
 }
 
+// checkProcessFault checks a fault of the limiters that name lists.
 func (e *Experiment) checkProcessFault(f *Fault, name string) (err error) {
 	f.Limiters, err = parseLimiters(name, e.Limiters.Count)
 	if err != nil {
@@ -70,11 +72,11 @@
 		bad bool
 		why string
 	}{
-		{"factor", f.Factor != 0, "limiters take none"},
-		{"connections", f.Connections != 0, "only links take it"},
-		{"every", f.Every < 0 || f.Every > 0 && f.Share == 0, "steps need a share, and a time that is not below 0"},
-		{"delay", f.Delay < 0 || f.Delay > 0 && (f.Kind == "stop" || f.Until == 0), "nothing is started again"},
-		{"old_list", f.OldList && (f.Kind == "stop" || f.Until == 0), "nothing is started again"},
+		{"factor", f.Factor != 0, "limiters do not have this key"},
+		{"connections", f.Connections != 0, "only links have this key"},
+		{"every", f.Every < 0 || f.Every > 0 && f.Share == 0, "steps need a share and a time of at least 0"},
+		{"delay", f.Delay < 0 || f.Delay > 0 && (f.Kind == "stop" || f.Until == 0), "the fault has no restart"},
+		{"old_list", f.OldList && (f.Kind == "stop" || f.Until == 0), "the fault has no restart"},
 	} {
 		if k.bad {
 			return &emulator.FaultError{Key: k.key, Why: k.why}
@@ -84,7 +86,8 @@
 		ProcessFaults)
 }
 
-// drawLimiters are the limiters of the i-th fault in the order in which the seed has them hit, Share of them a step.
+// drawLimiters returns the limiters of the i-th fault in the order in which its steps affect them, and the number of
+// limiters per step. With a Share the seed determines the order.
 func (e *Experiment) drawLimiters(i int) (order []int, size int) {
 	f := e.Faults[i]
 	order = slices.Clone(f.Limiters)
@@ -97,8 +100,8 @@
 	return order, size
 }
 
-// Steps are the steps of the i-th fault, which names limiters: one of all of them, of Share of them, or where Every
-// is set as many of Share of them as let each have its turn.
+// Steps returns the steps of the i-th fault, whose target is limiters: one step of all of them or of Share of them or,
+// with Every, as many steps of Share of them as it takes to affect each once.
 func (e *Experiment) Steps(i int) []Step {
 	f := e.Faults[i]
 	order, size := e.drawLimiters(i)
@@ -115,7 +118,7 @@
 	return out
 }
 
-// LongestCutOff is the longest time, in nanoseconds, for which a client of the load waits.
+// LongestCutOff returns the longest client deadline of the load's classes, in nanoseconds after a request is sent.
 func (e *Experiment) LongestCutOff() int64 {
 	longest := 0.0
 	for _, t := range e.Load.Tracks {
--- a/internal/lab/experiment/steps_test.go
+++ b/internal/lab/experiment/steps_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// parseWithFault is the default experiment parseWithFault so many limiters and one more fault.
+// parseWithFault parses the default experiment with count limiters and one more fault.
 func parseWithFault(t *testing.T, count, fault string) (*Experiment, error) {
 	t.Helper()
 	return Parse(
@@ -18,6 +18,8 @@
 	)
 }
 
+// With Every, each step affects Share of the limiters until each has been affected once, and until moves along with the
+// step. Without it there is one step.
 func TestStepsHitShareOfLimitersEach(t *testing.T) {
 	e, err := parseWithFault(t, "30",
 		"kind='term'\ntarget='limiter:*'\nfrom=2.0\nuntil=3.0\nshare=0.1\nevery=1.5\ndelay=0.5")
@@ -68,6 +70,7 @@
 	}
 }
 
+// A link fault applies only to the links that its target names, and with a share only to that share of their limiters.
 func TestLinkFaultsHitOnlyNamedLinks(t *testing.T) {
 	e, err := parseWithFault(t, "30", `kind="cut_from"
 target="link:limiter:0..14-counter"
@@ -95,7 +98,7 @@
 			assert.True(t, n <= 14 && s[0].Kind == "cut_from" && s[0].From == 1e9, "limiter %d: %+v", n, s)
 		}
 	}
-	assert.True(t, hit == 5, "%d of 15 limiters, not a third", hit)
+	assert.True(t, hit == 5, "%d of 15 limiters affected, want a third", hit)
 	slow := e.Script(3, Servers, "hall2", "hall2-r1")
 	assert.True(t, len(slow) == 1 && slow[0].Delay == 20e6 && slow[0].Until == 4e9, "%+v", slow)
 	for _, got := range [][]int{{len(e.Script(3, Servers, "hall1", "hall1-0")), 1},
--- a/internal/lab/experiment/stored_test.go
+++ b/internal/lab/experiment/stored_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReadsExperimentsOfAnEarlierVersion: the files in testdata/examples are those of examples/lab in version f99e54e.
+// Experiment files of an earlier version must still be accepted. Those in testdata/examples are the files of
+// examples/lab at commit f99e54e.
 func TestReadsExperimentsOfAnEarlierVersion(t *testing.T) {
 	paths, err := filepath.Glob("testdata/examples/*.toml")
 	require.NoError(t, err)
--- a/internal/lab/loadgen/answers.go
+++ b/internal/lab/loadgen/answers.go
@@ -12,17 +12,17 @@
 	"ospreycroft/internal/resp"
 )
 
-// This file reads answers and tells what became of a request by them.
+// This file reads answers and derives the outcomes of requests from them.
 
-// answerReader reads the answers on one connection, which come in the order of the commands.
+// answerReader reads the answers of one connection, which are in the order of the commands.
 type answerReader struct {
 	conn   net.Conn
-	buffer []byte // read and not used yet
+	buffer []byte // received and not yet parsed
 }
 
 func newAnswerReader(conn net.Conn) *answerReader { return &answerReader{conn: conn} }
 
-// next reads the next answer.
+// next returns the next answer. It waits until the connection's deadline.
 func (r *answerReader) next() (resp.Value, error) {
 	chunk := make([]byte, 4096)
 	for {
@@ -42,7 +42,8 @@
 	}
 }
 
-// recordOutcome writes down what became of a request: its answer, or why there is none.
+// recordOutcome sets the outcome of request from its answer, or from the error in place of one. now is when the client
+// read the answer, and sinceReceived how long before that its bytes had arrived, both in nanoseconds.
 func recordOutcome(request *history.Request, now, sinceReceived int64, value resp.Value, err error) {
 	request.Answered, request.AnswerUnread = now, sinceReceived
 	var timeout net.Error
@@ -59,7 +60,8 @@
 	}
 }
 
-// Pipeline sends several requests at once on one connection and writes down what becomes of each.
+// Pipeline sends several requests at once on one connection and sets the outcome of each. commands holds their encoded
+// commands. It waits for answers until lateAnswerWait after the latest deadline.
 func Pipeline(conn net.Conn, clock *history.Clock, commands []byte, requests []history.Request) {
 	longest := int64(0)
 	for i := range requests {
@@ -77,7 +79,8 @@
 	}
 }
 
-// sinceLastReceived is how long ago the latest bytes came to this machine on a connection; 0 where the kernel does not tell.
+// sinceLastReceived returns how long ago, in nanoseconds, the kernel received the latest bytes of a connection, or 0 if
+// the kernel does not report it.
 func sinceLastReceived(conn net.Conn) int64 {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -91,7 +94,8 @@
 	return int64(info.Last_data_recv) * int64(time.Millisecond)
 }
 
-// classify names an answer as the protocol's table does, with a retry-after in nanoseconds where -BUSY gives one.
+// classify returns the outcome that the protocol assigns to an answer, and the Retry-After time of a -BUSY answer in
+// nanoseconds, 0 if there is none.
 func classify(v resp.Value) (history.Outcome, int64) {
 	switch {
 	case v.Kind == '$' && !v.Null,
--- a/internal/lab/loadgen/holder.go
+++ b/internal/lab/loadgen/holder.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Holder is a client that never lets go: it keeps two requests open on its one connection for as long as that stays
-// open, and so finds what a limiter that ends, or parts with its clients, does to those that go on.
+// Holder is a client that uses one connection until the limiter closes it and always has a request outstanding. It
+// shows what a limiter that shuts down, or closes its clients' connections, does to clients that keep sending.
 type Holder struct {
-	Name    string        // its requests' ids are Name-1 and so on
-	First   time.Duration // it sends so long after its connection is up,
-	Second  time.Duration // and its second request so long after the first, so that one is always open
-	Patient time.Duration // it waits for so long for an answer
+	Name    string        // prefix of the request ids, which are Name-1, Name-2 and so on
+	First   time.Duration // delay from the connect to the first request
+	Second  time.Duration // delay from the first request to the second; each answer is followed by one more request
+	Patient time.Duration // how long the client waits for an answer
 
-	Answered, Served int      // answers, and those of them that are values
-	Lost             []string // sent and without an answer when the connection ended, the oldest first
+	Answered, Served int      // answers received, and those of them that are values
+	Lost             []string // ids of the requests without an answer yet, oldest first
 }
 
-// Run connects and goes on until the connection ends; it sends a request by writing what command gives for its id.
+// Run connects to address and sends requests until the connection ends or an answer takes too long. command returns the
+// encoded command of the request with a given id. If the connect fails, Run returns without having sent a request.
 func (h *Holder) Run(address string, command func(id string) []byte) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -1,5 +1,6 @@
-// Package loadgen drives the lab's clients: open-loop Poisson arrivals over customers and classes, each request sent
-// over RESP2 to a limiter of the customer's set, as the platform's front does, and written down with its one answer.
+// Package loadgen generates the load of the lab's clients: open-loop Poisson arrivals over customers and classes. Like
+// the platform's front end it sends each request over RESP2 to one limiter of the customer's set, and it records
+// the request with its answer.
 package loadgen
 
 import (
@@ -17,35 +18,35 @@
 	"ospreycroft/internal/resp"
 )
 
-// lateAnswerWait is how long past a request's deadline its client waits: an answer up to half a second late counts as
-// late, not lost.
+// lateAnswerWait is how long a client waits past a request's deadline, so that an answer that is up to half a second
+// late is recorded as late and not as missing.
 const lateAnswerWait = 600 * time.Millisecond
 
-// Driver sends the load of one experiment to the limiters at the addresses it is given.
+// Driver sends the load of one experiment to the limiters of a fleet.
 type Driver struct {
 	e        *experiment.Experiment
 	clock    *history.Clock
 	recorder *history.Recorder
 	fleet    Fleet
-	mu       sync.Mutex // of rng and next
+	mu       sync.Mutex // guards rng and sequence
 	rng      *rand.Rand
-	idle     []chan net.Conn
-	sequence int64
+	idle     []chan net.Conn // idle connections by limiter
+	sequence int64           // number of requests so far, from which their ids are made
 	wg       sync.WaitGroup
 }
 
-// Fleet is what clients know of the limiters, each by its number.
+// Fleet gives the driver's clients access to the limiters, which are identified by number.
 type Fleet interface {
-	Address(limiter int) string // where it listens now
-	// Open tells whether it is given new connections. Where it is not, clients go on using those that they have for as
-	// long as these stay open.
+	Address(limiter int) string // current address for clients
+	// Open reports whether clients may open new connections to the limiter. If not, they still use the connections that
+	// are open.
 	Open(limiter int) bool
-	// Dead tells whether its process was killed or crashed or its link has a fault, so that a broken connection is no
-	// sign of a crossing.
+	// Dead reports whether the limiter's process was killed or crashed, or the clients' link to it has a fault. A
+	// broken connection is then not taken for the race with an idle close (see Driver.send).
 	Dead(limiter int) bool
 }
 
-// New makes a driver.
+// New returns a driver for the load of e.
 func New(e *experiment.Experiment, clock *history.Clock, recorder *history.Recorder, fleet Fleet) *Driver {
 	d := &Driver{e: e, clock: clock, recorder: recorder, fleet: fleet, rng: rand.New(rand.NewPCG(e.Seed, 0x10ad))}
 	for range e.Limiters.Count {
@@ -54,7 +55,7 @@
 	return d
 }
 
-// arrivalRate is the arrival arrivalRate at now, with the timeline's bursts.
+// arrivalRate returns the arrival rate at now in requests per second, including bursts of the timeline.
 func (d *Driver) arrivalRate(now int64) float64 {
 	r := d.e.Load.Rate
 	for _, f := range d.e.Faults {
@@ -66,13 +67,13 @@
 	return r
 }
 
-// Run sends arrivals until the experiment's length has passed, then waits for every request's end.
-// progress, when not nil, is called once a second with the share of the length done.
+// Run sends requests for the experiment's length and then waits until all have ended. A non-nil progress is called
+// about once per second with the share of the length that has passed.
 func (d *Driver) Run(progress func(float64)) {
 	length := experiment.Nanos(d.e.Length)
 	at := d.clock.Now()
 	lastProgress := at
-	arrivals := rand.New(rand.NewPCG(d.e.Seed, 0xa441)) // apart, so that retries do not change when requests arrive
+	arrivals := rand.New(rand.NewPCG(d.e.Seed, 0xa441)) // separate, so that retries do not shift arrivals
 	for {
 		at += int64(arrivals.ExpFloat64() / d.arrivalRate(at) * 1e9)
 		if at >= length {
@@ -96,6 +97,7 @@
 	}
 }
 
+// pick draws an item with a probability proportional to its share.
 func pick[T any](rng *rand.Rand, items []T, share func(T) float64) T {
 	total := 0.0
 	for _, item := range items {
@@ -111,9 +113,9 @@
 	return items[len(items)-1]
 }
 
-// startRequest draws a request and sends it on a goroutine of its own; a retry keeps the customer and class it had.
+// startRequest draws a request and sends it on a goroutine of its own. A retry has the given customer and class.
 func (d *Driver) startRequest(retry bool, customer string, classIndex int) {
-	d.mu.Lock() // retries arrive on goroutines of their own
+	d.mu.Lock() // retries call this from their own goroutines
 	defer d.mu.Unlock()
 	c := pick(d.rng, d.e.Load.Customers, func(c experiment.Customer) float64 { return c.Share })
 	class := pick(d.rng, d.e.Load.Tracks, func(t experiment.ClassMix) float64 { return t.Share })
@@ -155,14 +157,15 @@
 	}()
 }
 
-// closeRaceWindow is how soon after a request was sent its connection must have ended for the two to have crossed on the way.
+// closeRaceWindow is the longest time between sending a request on a reused connection and seeing that connection end
+// for which the limiter counts as having closed it before it received the request.
 const closeRaceWindow = 50 * time.Millisecond
 
-// noLimiter is the number of a request's limiter where the customer's set had none that could be reached.
+// noLimiter stands for the limiter of a request when no limiter of the customer's set is reachable.
 const noLimiter = -1
 
-// pickLimiter draws a limiter of the customer's set: one to which a connection is idle, if that is asked for, or that the
-// front gives new connections (conn is nil then). Where there is none it is nobody.
+// pickLimiter draws a limiter of the customer's set that accepts new connections or, with reuse, to which a connection
+// is idle, and returns that connection or nil. It returns noLimiter if there is none. d.mu must be held.
 func (d *Driver) pickLimiter(c experiment.Customer, reuse bool) (limiter int, conn net.Conn) {
 	start := d.rng.IntN(c.Spread)
 	for offset := range c.Spread {
@@ -177,7 +180,7 @@
 	return noLimiter, nil
 }
 
-// idleConn takes an idle connection to a limiter that is still open, nil where there is none.
+// idleConn removes an idle connection to a limiter from the pool and returns it, or nil if none is open.
 func (d *Driver) idleConn(limiter int) net.Conn {
 	for {
 		select {
@@ -192,7 +195,7 @@
 	}
 }
 
-// stillOpen tells whether an idle connection's other end has not ended it yet.
+// stillOpen reports whether the other end of an idle connection has neither closed it nor sent unexpected bytes.
 func stillOpen(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -202,14 +205,14 @@
 	_ = raw.Read(func(fd uintptr) bool {
 		var peeked [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = err == syscall.EAGAIN // else an end, or bytes that nobody asked for
+		open = err == syscall.EAGAIN // otherwise the connection ended or has unexpected bytes
 		return true
 	})
 	return open
 }
 
-// send writes one request and reads its one answer, on the open connection it is given or on a new one. Where the
-// limiter's closing an idle connection crosses it, it is sent once more, on a new connection.
+// send sends a request and reads its answer, on conn or, if that is nil, on a new connection. If the limiter closed the
+// idle connection while the request was on its way, send sends it once more on a new connection.
 func (d *Driver) send(
 	request *history.Request, c experiment.Customer, conn net.Conn, timeout time.Duration, giveUp bool,
 ) {
@@ -222,7 +225,7 @@
 	}
 }
 
-// sendOnce sends a request and tells whether it crossed with the end of its connection.
+// sendOnce sends a request once and reports whether it raced with the close of its idle connection.
 func (d *Driver) sendOnce(
 	request *history.Request,
 	c experiment.Customer,
@@ -273,7 +276,7 @@
 	return false
 }
 
-// Command is the command of a customer's request, whose client waits for so long.
+// Command returns the encoded command of a customer's request whose client waits for timeout.
 func Command(e *experiment.Experiment, request *history.Request, c experiment.Customer, timeout time.Duration) []byte {
 	attributes := fmt.Sprintf("c=%s,t=%s,d=%d,units=%s,spread=%d,first=%d", request.Class, request.Plan,
 		timeout.Milliseconds(), strconv.FormatFloat(request.Units, 'g', -1, 64), c.Spread, c.First)
@@ -281,7 +284,7 @@
 		attributes += ",r=1"
 	}
 	if e.Settings.Classes[request.Class].Idempotency == choice.IdempotentWithKey {
-		attributes += ",k=" + request.ID // the mark by which servers know a repeat
+		attributes += ",k=" + request.ID // idempotency key
 	}
 	words := [][]byte{[]byte("SVC.QUERY"), []byte(request.Customer), []byte(request.ID), []byte(attributes)}
 	if e.Settings.Classes[request.Class].Idempotency != choice.Idempotent {
--- a/internal/lab/loadgen/loadgen_test.go
+++ b/internal/lab/loadgen/loadgen_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSinceLastReceived: an answer that its client reads late is told apart from one that came late.
+// An answer that arrived in time but was read late by the client must be distinguishable from one that arrived late.
 func TestSinceLastReceived(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -19,6 +19,7 @@
 	server, err := listener.Accept()
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
+	// kernelStep is the resolution allowed for the kernel's timestamps.
 	const delay, kernelStep = 60 * time.Millisecond, 10 * time.Millisecond
 	_, err = server.Write([]byte("$3\r\none\r\n"))
 	require.NoError(t, err)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report turns lab records into one HTML page: plots of outcomes over time, of each customer's use against
-// its ceiling and of latency percentiles, the faults as they were played, and, for two runs or more, the same
-// side by side. The plots are SVG drawn by gonum/plot inside the page, so it needs no network to be read.
+// Package report writes the records of lab runs as one HTML page: plots of outcomes over time, of each customer's use
+// against its ceiling and of latency percentiles, the faults as they were applied, and a comparison if there are
+// several runs. The plots are inline SVG drawn by gonum/plot, so the page needs no network.
 package report
 
 import (
@@ -23,22 +23,22 @@
 	"ospreycroft/internal/settings"
 )
 
-// Labelled is one run and the name it is shown by.
+// Labelled is one run with the label that the page shows for it.
 type Labelled struct {
 	Label   string
 	Run     *history.Run
 	Verdict *invariants.Verdict
 }
 
-// Series is what one run shows a second: counts by outcome, units by customer, latency percentiles (ms).
+// Series holds the figures of one run per second. Each slice has Seconds entries.
 type Series struct {
 	Seconds  int
-	Outcomes map[history.Outcome][]float64
-	Units    map[string][]float64 // customer -> units that reached servers, counted at a request's first attempt
-	P50, P99 []float64            // of done requests answered in that second; 0 where none was
+	Outcomes map[history.Outcome][]float64 // requests that ended with each outcome
+	Units    map[string][]float64          // by customer, units sent to servers, counted at a request's first attempt
+	P50, P99 []float64                     // latency in ms of the requests that succeeded, 0 for none
 }
 
-// Bucket counts a run's records by whole seconds of its clock.
+// Bucket computes the figures of a run for each second of its clock.
 func Bucket(r *history.Run) *Series {
 	last := r.Length
 	for _, request := range r.Requests {
@@ -89,6 +89,7 @@
 var palette = []color.RGBA{{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {255, 127, 14, 255},
 	{148, 103, 189, 255}, {140, 86, 75, 255}, {127, 127, 127, 255}}
 
+// points returns the values at x = 0, 1, 2 and so on.
 func points(values []float64) plotter.XYs {
 	out := make(plotter.XYs, len(values))
 	for i, v := range values {
@@ -97,13 +98,14 @@
 	return out
 }
 
+// line is one curve of a plot.
 type line struct {
 	name   string
-	values []float64
+	values []float64 // one per second
 	dashed bool
 }
 
-// renderPlot draws lines over seconds, with the run's faults as grey marks, and gives the SVG text.
+// renderPlot draws lines over seconds, with a grey vertical line at each event, and returns the SVG.
 func renderPlot(title, unit string, lines []line, events []history.Event) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -142,36 +144,38 @@
 		return "", err
 	}
 	text := b.String()
-	if i := bytes.Index(b.Bytes(), []byte("<svg")); i > 0 { // the XML head has no place inside HTML
+	if i := bytes.Index(b.Bytes(), []byte("<svg")); i > 0 { // an XML declaration is not allowed inside HTML
 		text = text[i:]
 	}
-	return template.HTML(text), nil // #nosec: drawn here, not taken from a record
+	return template.HTML(text), nil // #nosec: generated here, not taken from a record
 }
 
-// lateTolerance is how long after its deadline an answer may come by the rules, in nanoseconds.
+// lateTolerance is how long after its deadline an answer is still in time by the lab's rules, in nanoseconds.
 const lateTolerance = 50e6
 
-// Section is what the page shows of one run.
+// Section is the part of the page about one run. The template uses its fields by name.
 type Section struct {
 	Label     string
-	Line      string
+	Line      string // summary of the verdict
 	Breaches  []invariants.Breach
 	Service   invariants.Service
-	Late      int // requests answered late, and lost
-	Lost      int
-	OutShare  float64 // of limiters that had an outage, and the gate for it
-	OutGate   float64
+	Late      int     // requests answered late
+	Lost      int     // requests without an answer
+	OutShare  float64 // share of limiters that had an outage
+	OutGate   float64 // largest OutShare that passes
 	Latencies []row
 	Events    []history.Event
 	Plots     []template.HTML
 }
 
+// row is the latency of one class's successful requests. The template uses its fields by name.
 type row struct {
 	Track              string
 	Count              int
-	P50, P90, P99, Max float64
+	P50, P90, P99, Max float64 // milliseconds
 }
 
+// latencies returns a row for each class with a successful request, in order of name.
 func latencies(r *history.Run) []row {
 	hists := map[string]*hdrhistogram.Histogram{}
 	for _, request := range r.Requests {
@@ -191,6 +195,7 @@
 	return out
 }
 
+// section computes the part of the page about one run.
 func section(l Labelled) (Section, error) {
 	s := Bucket(l.Run)
 	sec := Section{Label: l.Label, Line: l.Verdict.Line(), Breaches: l.Verdict.Breaches, Latencies: latencies(l.Run),
@@ -248,7 +253,7 @@
 	return out
 }
 
-// comparison overlays the runs' done requests and p99 a second.
+// comparison plots the successful requests and the p99 latency per second of all runs together.
 func comparison(runs []Labelled) ([]template.HTML, error) {
 	var done, p99 []line
 	for _, l := range runs {
@@ -291,7 +296,7 @@
 {{end}}</body></html>
 `))
 
-// Write writes the page for one run or more; with two or more the runs are also drawn side by side.
+// Write writes the page for the given runs. With two or more it includes plots that compare them.
 func Write(w io.Writer, runs []Labelled) error {
 	var data struct {
 		Sections []Section
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,11 +11,14 @@
 	"ospreycroft/internal/lab/invariants"
 )
 
+// config is the limiters' settings in the sample run.
 const config = `{"balancers":1,"granularity":0.004,"classes":[{"name":"fetch","aim":0.8,"effect":"free","group":"all"}],
  "tariffs":[{"name":"house","rate":10,"most-at-once":20,"hard-rate":12,"never-over-depth":20}],
  "family-info":{"units-top":6},"contract":{"cold-from":0.25,"warm-within":15},
  "permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15}}`
 
+// sampleRun returns a run of 3 s with 10 requests per second, every third of them rejected and the others with two
+// attempts each.
 func sampleRun() *history.Run {
 	r := &history.Run{Name: "t", Length: 3e9, Settings: json.RawMessage(config)}
 	for i := range 30 {
@@ -46,7 +49,7 @@
 		t.Fatalf("outcomes: %v", s.Outcomes)
 	}
 	if s.Units["c1"][0] != 12 || s.Units["c1"][1] != 14 {
-		t.Fatalf("units counted at first shots only: %v", s.Units["c1"])
+		t.Fatalf("want units at first attempts only: %v", s.Units["c1"])
 	}
 	if s.P50[0] < 19 || s.P99[0] < 39 || s.P99[0] > 41 {
 		t.Fatalf("percentiles: %v %v", s.P50, s.P99)
@@ -72,12 +75,11 @@
 		t.Errorf("%d plots, want 8", n)
 	}
 	if strings.Contains(page, "<?xml") {
-		t.Error("an XML head inside the page")
+		t.Error("XML declaration inside the page")
 	}
 }
 
-// TestPageShowsUnansweredRequestsAndOutages: requests without an answer and processes that served nobody are on the page, and so is that
-// there were none.
+// The page shows requests without an answer and limiter processes that had an outage, and zeros if there were none.
 func TestPageShowsUnansweredRequestsAndOutages(t *testing.T) {
 	outages := sampleRun()
 	outages.Limiters = 4
