--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -300,12 +300,12 @@
 // throttled reports whether a call exceeds the rate of a "busy" fault, and takes a token if it does not.
 func (d *Discovery) throttled() bool {
 	now := d.clock.Now()
-	busy, overbooked := activeFault(faultsOfKind(d.script, "busy"), now, 0)
+	busy, limited := activeFault(faultsOfKind(d.script, "busy"), now, 0)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tokens = min(busy.Factor, d.tokens+busy.Factor*float64(now-d.refilledAt)/1e9)
 	d.refilledAt = now
-	if !overbooked {
+	if !limited {
 		return false
 	}
 	d.tokens--
