--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -11,60 +11,62 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// Counter is the shared counter's stand-in: `tally NAME AMOUNT LIFE` lines, `ok TOTAL` answers, in order. It
-// listens on one port for each limiter, so that a split can show limiters different stores at one address each:
-// while a "split" of Factor parts lasts, limiter i is answered from part i mod Factor, each part beginning as a
-// copy of the whole; when it heals, part 0's totals stand and what the others added is lost, as when one side
-// of a split store wins.
+// Counter emulates the shared counter. It reads lines `tally NAME AMOUNT LIFETIME_MS` and answers each with `ok TOTAL`,
+// in order. It listens on one port per limiter, so that during a "split" fault limiters can get different totals at
+// unchanged addresses: limiter i is answered from part i mod Factor, and each part starts as a copy of the totals from
+// before the split. When the split ends, the totals of part 0 are kept and the additions to the other parts are lost,
+// as when one side of a partitioned store wins.
 type Counter struct {
-	Traffic Traffic // of all limiters
-
-	clock  *history.Clock
-	book   *history.Recorder
-	script []Fault
-	ports  []*port
-
-	mu     sync.Mutex
-	parts  []map[string]count // one while whole
-	played map[int]bool       // resets and splits already begun
-	split  int                // the script entry of the split that holds, -1 for none
-	calls  int64
-	seen   func(Tally)
+	Traffic Traffic // summed over all limiters
+
+	clock    *history.Clock
+	recorder *history.Recorder
+	script   []Fault
+	ports    []*port
+
+	mu          sync.Mutex
+	parts       []map[string]count // one entry unless a split is in effect
+	applied     map[int]bool       // script indexes of resets and splits that have begun
+	activeSplit int                // script index of the split in effect, -1 if none
+	calls       int64
+	observer    func(Tally)
 }
 
-// Tally is one call that was answered with a total; times are nanoseconds on the run's clock.
+// Tally is one counter call as it was answered. Times are nanoseconds on the run's clock.
 type Tally struct {
 	Limiter  int
 	Name     string
-	Read     int64 // when the call had been read whole
+	Read     int64 // when the complete call had been read
 	Answered int64 // just before the answer was written
 }
 
+// count is the total of one name.
 type count struct {
-	total float64
-	until int64 // when the name lapses
+	total     float64
+	expiresAt int64 // nanoseconds on the run's clock
 }
 
-// NewCounter makes a counter for limiters limiters that plays script.
-func NewCounter(clock *history.Clock, book *history.Recorder, script []Fault, limiters int) *Counter {
-	k := &Counter{clock: clock, book: book, script: script, parts: []map[string]count{{}}, played: map[int]bool{},
-		split: -1}
+// NewCounter returns a stopped counter that serves the given number of limiters and applies the faults of script.
+func NewCounter(clock *history.Clock, recorder *history.Recorder, script []Fault, limiters int) *Counter {
+	k := &Counter{clock: clock, recorder: recorder, script: script, parts: []map[string]count{{}},
+		applied: map[int]bool{}, activeSplit: -1}
 	for range max(limiters, 1) {
 		k.ports = append(k.ports, &port{})
 	}
 	return k
 }
 
-// Address is where limiter i calls.
-func (k *Counter) Address(i int) string { return k.ports[i%len(k.ports)].where() }
+// Address returns the address that limiter i connects to; it is empty before the first Start.
+func (k *Counter) Address(i int) string { return k.ports[i%len(k.ports)].address() }
 
-// Calls is how many calls it has answered.
+// Calls returns the number of tally calls answered with a total.
 func (k *Counter) Calls() int64 { k.mu.Lock(); defer k.mu.Unlock(); return k.calls }
 
-// Observe has each answered call told to seen, on the goroutine of its connection; to be set before Start.
-func (k *Counter) Observe(seen func(Tally)) { k.seen = seen }
+// Observe makes the counter pass each answered call to observer, on the goroutine of the call's connection. It must be
+// called before Start.
+func (k *Counter) Observe(observer func(Tally)) { k.observer = observer }
 
-// Start listens on a loopback port for each limiter, the same ports after a stop.
+// Start listens on one loopback port per limiter. A restart after Stop uses the same ports.
 func (k *Counter) Start() error {
 	for i, p := range k.ports {
 		if err := p.open(func(c net.Conn) { k.serve(c, i) }); err != nil {
@@ -74,124 +76,126 @@
 	return nil
 }
 
-// Stop refuses new connections and resets those open.
+// Stop closes the listeners, so that new connections are refused, and resets the open connections.
 func (k *Counter) Stop() {
 	for _, p := range k.ports {
-		p.shut()
+		p.stop()
 	}
 }
 
-// Close stops it for good.
+// Close stops the counter and gives up its ports.
 func (k *Counter) Close() {
 	for _, p := range k.ports {
-		p.release()
+		p.close()
 	}
 }
 
-// Up tells whether it listens.
+// Up reports whether the counter is listening.
 func (k *Counter) Up() bool { return k.ports[0].isUp() }
 
-// Tick plays what the script says for now: a stop and start for "down", forgetting all for "reset", parts
-// for "split".
+// Tick brings the counter into the state that the script gives for now: "down" stops it until the fault ends, "reset"
+// clears all totals, and "split" divides the totals into parts.
 func (k *Counter) Tick(now int64) {
 	down := false
 	for i, f := range k.script {
-		inside := now >= f.From && (f.Until == 0 || now < f.Until)
+		inEffect := now >= f.From && (f.Until == 0 || now < f.Until)
 		switch {
-		case f.Kind == "down" && inside:
+		case f.Kind == "down" && inEffect:
 			down = true
-		case f.Kind == "reset" && now >= f.From && !k.played[i]:
+		case f.Kind == "reset" && now >= f.From && !k.applied[i]:
 			k.mu.Lock()
-			k.played[i] = true
+			k.applied[i] = true
 			for p := range k.parts {
 				k.parts[p] = map[string]count{}
 			}
 			k.mu.Unlock()
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-reset", Target: "counter"})
-		case f.Kind == "split" && inside && !k.played[i]:
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-reset", Target: "counter"})
+		case f.Kind == "split" && inEffect && !k.applied[i]:
 			k.mu.Lock()
-			k.played[i], k.split = true, i
-			whole := k.parts[0]
+			k.applied[i], k.activeSplit = true, i
+			original := k.parts[0]
 			k.parts = nil
 			for range max(int(f.Factor), 2) {
-				copied := make(map[string]count, len(whole))
-				for name, c := range whole {
+				copied := make(map[string]count, len(original))
+				for name, c := range original {
 					copied[name] = c
 				}
 				k.parts = append(k.parts, copied)
 			}
 			k.mu.Unlock()
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-split", Target: "counter"})
-		case f.Kind == "split" && !inside && k.split == i:
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-split", Target: "counter"})
+		case f.Kind == "split" && !inEffect && k.activeSplit == i:
 			k.mu.Lock()
 			k.parts = k.parts[:1]
-			k.split = -1
+			k.activeSplit = -1
 			k.mu.Unlock()
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-healed", Target: "counter"})
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-healed", Target: "counter"})
 		}
 	}
 	up := k.ports[0].isUp()
 	if down && up {
 		k.Stop()
-		k.book.AddEvent(history.Event{At: now, Kind: "counter-down", Target: "counter"})
+		k.recorder.AddEvent(history.Event{At: now, Kind: "counter-down", Target: "counter"})
 	} else if !down && !up {
 		if err := k.Start(); err == nil {
-			k.book.AddEvent(history.Event{At: now, Kind: "counter-up", Target: "counter"})
+			k.recorder.AddEvent(history.Event{At: now, Kind: "counter-up", Target: "counter"})
 		}
 	}
 }
 
-func (k *Counter) serve(plain net.Conn, limiter int) {
-	c := k.Traffic.counted(plain)
+// serve answers the calls of one connection of a limiter, in order.
+func (k *Counter) serve(rawConn net.Conn, limiter int) {
+	c := k.Traffic.wrapConn(rawConn)
 	defer func() { _ = c.Close() }()
-	lines := bufio.NewScanner(c)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(c)
+	for scanner.Scan() {
 		now := k.clock.Now()
 		k.Traffic.Calls.Add(1)
-		fault, faulty := active(k.script, now, 0)
-		if faulty && fault.Kind == "slow" {
+		fault, hasFault := activeFault(k.script, now, 0)
+		if hasFault && fault.Kind == "slow" {
 			time.Sleep(time.Duration(fault.Factor * float64(time.Millisecond)))
 		}
-		words := strings.Fields(lines.Text())
-		answer := k.answer(words, now, limiter, faulty && fault.Kind == "busy")
+		fields := strings.Fields(scanner.Text())
+		answer := k.answer(fields, now, limiter, hasFault && fault.Kind == "busy")
 		_ = c.SetWriteDeadline(time.Now().Add(5 * time.Second))
 		answered := k.clock.Now()
 		if _, err := c.Write([]byte(answer)); err != nil {
 			return
 		}
-		if k.seen != nil && len(words) == 4 {
-			k.seen(Tally{Limiter: limiter, Name: words[1], Read: now, Answered: answered})
+		if k.observer != nil && len(fields) == 4 {
+			k.observer(Tally{Limiter: limiter, Name: fields[1], Read: now, Answered: answered})
 		}
 	}
 }
 
-// answer adds to a count; a name's life runs from its first add, as a fresh name's does on the real counter.
-func (k *Counter) answer(words []string, now int64, limiter int, busy bool) string {
-	if len(words) == 1 && words[0] == "ping" {
+// answer executes one call and returns its reply. As on the real counter, the lifetime of a name runs from its first
+// addition and is not extended by later ones.
+func (k *Counter) answer(fields []string, now int64, limiter int, busy bool) string {
+	if len(fields) == 1 && fields[0] == "ping" {
 		return "pong\r\n"
 	}
-	if len(words) != 4 || words[0] != "tally" || len(words[1]) > 64 {
+	if len(fields) != 4 || fields[0] != "tally" || len(fields[1]) > 64 {
 		return "error\r\n"
 	}
-	amount, err := strconv.ParseFloat(words[2], 64)
-	life, lifeErr := strconv.ParseInt(words[3], 10, 64)
-	if err != nil || lifeErr != nil || life < 1 {
+	amount, err := strconv.ParseFloat(fields[2], 64)
+	lifetimeMs, lifetimeErr := strconv.ParseInt(fields[3], 10, 64)
+	if err != nil || lifetimeErr != nil || lifetimeMs < 1 {
 		return "error\r\n"
 	}
 	if busy {
 		return "busy\r\n"
 	}
-	life = min(life, 60000)
+	lifetimeMs = min(lifetimeMs, 60000)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls++
-	k.book.AddCount(limiter, now)
+	k.recorder.AddCount(limiter, now)
 	part := k.parts[limiter%len(k.parts)]
-	held, ok := part[words[1]]
-	if !ok || now >= held.until {
-		held = count{until: now + life*int64(time.Millisecond)}
+	entry, ok := part[fields[1]]
+	if !ok || now >= entry.expiresAt {
+		entry = count{expiresAt: now + lifetimeMs*int64(time.Millisecond)}
 	}
-	held.total += amount
-	part[words[1]] = held
-	return "ok " + strconv.FormatFloat(held.total, 'g', 7, 64) + "\r\n"
+	entry.total += amount
+	part[fields[1]] = entry
+	return "ok " + strconv.FormatFloat(entry.total, 'g', 7, 64) + "\r\n"
 }
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -14,7 +14,7 @@
 	"ospreycroft/internal/lab/ports"
 )
 
-// Instance is one entry of discovery's list, in its JSON form.
+// Instance is one entry of the endpoint list, in its JSON form.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -26,44 +26,48 @@
 	StartedMs int64   `json:"startedAtMs"`
 }
 
-// List is discovery's answer.
+// List is the body of a discovery response. With Reset it is the full list, otherwise the entries that changed.
 type List struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Discovery is discovery's stand-in: `GET /discovery/hosts` for the whole list and `?from=G&hold_ms=H` to watch. A
-// watch is answered with the whole list as soon as the generation passes G, as the protocol allows, or with the
-// changed entries alone after TellChanges. It listens on one port for each limiter, so that each call is written down
-// with who made it, and each limiter can be given addresses of its own.
+// Discovery emulates the discovery service. `GET /discovery/hosts` returns the full endpoint list, and
+// `?from=G&hold_ms=H` is a watch that is answered once the generation is above G, or with an empty list after H
+// milliseconds. By default a watch is answered with the full list, which the protocol allows; it can be set to return
+// only the changed entries. Discovery listens on one port per limiter, so that it can record which limiter made each
+// call and give each limiter its own addresses.
 type Discovery struct {
-	Traffic Traffic // of all limiters
+	Traffic Traffic // summed over all limiters
 
-	clock  *history.Clock
-	book   *history.Recorder
-	script []Fault // slow, chunked and busy; down is played by Down
-	ports  []*ports.Kept
+	clock    *history.Clock
+	recorder *history.Recorder
+	script   []Fault // slow, chunked and busy; the caller applies down
+	ports    []*ports.Kept
 
 	mu         sync.Mutex
 	generation int64
 	instances  map[string]Instance
-	reach      func(limiter int, in Instance) string // where a limiter reaches an instance; nil for its own address
-	changed    chan struct{}                         // closed and replaced on every change
+	// addressOf returns the address of an instance in the list for a limiter; nil means the instance's own HostPort.
+	addressOf  func(limiter int, in Instance) string
+	changed    chan struct{} // closed and replaced on every change of the list or of down
 	down       bool
-	calls      float64 // calls that it can still take, while it is overbooked
-	called     int64
+	tokens     float64 // token bucket of the "busy" fault: calls that can still be answered
+	refilledAt int64   // when tokens was last refilled, nanoseconds on the run's clock
 	server     *http.Server
-	changes    bool             // a watch is answered with the changed entries alone
-	changedAt  map[string]int64 // by id, the generation that last changed an instance
+	deltas     bool             // a watch is answered with the changed entries only
+	changedAt  map[string]int64 // by id, the generation of the instance's latest change
 	terminated map[string]Instance
-	texts      map[int64][]byte // answers of the present generation by what they are newer than, -1 for the whole list
+	// encoded caches the responses of the current generation by the generation they start from, -1 for the full list.
+	encoded map[int64][]byte
 }
 
-// NewDiscovery makes an empty list at generation 1 for limiters limiters; it plays script's slow, chunked and busy
-// answers and writes its calls in book. The error is a *ports.KeepError.
-func NewDiscovery(clock *history.Clock, book *history.Recorder, script []Fault, limiters int) (*Discovery, error) {
-	d := &Discovery{clock: clock, book: book, script: script, generation: 1, instances: map[string]Instance{},
+// NewDiscovery returns a stopped service for the given number of limiters, with an empty list at generation 1. It
+// applies the slow, chunked and busy faults of script and records its calls in recorder. The error is a
+// *ports.KeepError.
+func NewDiscovery(clock *history.Clock, recorder *history.Recorder, script []Fault, limiters int) (*Discovery, error) {
+	d := &Discovery{clock: clock, recorder: recorder, script: script, generation: 1, instances: map[string]Instance{},
 		changed: make(chan struct{}), changedAt: map[string]int64{}, terminated: map[string]Instance{}}
 	for range limiters {
 		p, err := ports.Keep()
@@ -76,28 +80,29 @@
 	return d, nil
 }
 
-// Address is where limiter i calls.
+// Address returns the address that limiter i connects to.
 func (d *Discovery) Address(i int) string { return d.ports[i].Address() }
 
-// Reach sets where each limiter reaches an instance, before Start.
-func (d *Discovery) Reach(where func(limiter int, in Instance) string) { d.reach = where }
+// Reach sets the function that returns the address listed for an instance in answers to a limiter. It must be called
+// before Start.
+func (d *Discovery) Reach(lookup func(limiter int, in Instance) string) { d.addressOf = lookup }
 
-// caller is the key of the calling limiter's number in a call's context.
-type caller struct{}
+// limiterKey is the context key of the number of the limiter that made a call.
+type limiterKey struct{}
 
-// Start listens for all limiters and serves until Close.
+// Start listens on the ports of all limiters and serves them until Close.
 func (d *Discovery) Start() error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/discovery/hosts", d.hosts)
-	numbers := map[string]int{}
+	mux.HandleFunc("/discovery/hosts", d.handleHosts)
+	limiterOf := map[string]int{}
 	for i, p := range d.ports {
-		numbers[p.Address()] = i
+		limiterOf[p.Address()] = i
 	}
 	d.server = &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: 5 * time.Second,
 		BaseContext: func(l net.Listener) context.Context {
-			return context.WithValue(context.Background(), caller{}, numbers[l.Addr().String()])
+			return context.WithValue(context.Background(), limiterKey{}, limiterOf[l.Addr().String()])
 		},
 	}
 	for _, p := range d.ports {
@@ -110,7 +115,7 @@
 	return nil
 }
 
-// Close stops serving for good.
+// Close stops the service and gives up its ports.
 func (d *Discovery) Close() {
 	if d.server != nil {
 		_ = d.server.Close()
@@ -120,15 +125,15 @@
 	}
 }
 
-// Set puts an instance in the list or changes it, and gives the new generation; lifecycle "terminated" takes it out.
+// Set adds or replaces an instance, or removes it if its lifecycle is "terminated", and returns the new generation.
 func (d *Discovery) Set(in Instance) int64 { return d.SetAll([]Instance{in}) }
 
-// SetAll is Set for many instances in one generation.
+// SetAll is like Set for several instances, which change in one generation.
 func (d *Discovery) SetAll(all []Instance) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	d.texts = nil
+	d.encoded = nil
 	for _, in := range all {
 		d.changedAt[in.ID] = d.generation
 		if in.Lifecycle == "terminated" {
@@ -144,14 +149,15 @@
 	return d.generation
 }
 
-// TellChanges answers a watch from a generation above 0 with the changed entries alone, those taken out among them.
+// TellChanges makes a watch from a generation above 0 return only the changed entries, including removed ones.
 func (d *Discovery) TellChanges() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.changes = true
+	d.deltas = true
 }
 
-// Down says nothing to callers while on, as the agent does while discovery is down.
+// Down sets whether the service is down. While it is, calls stay open without any response, as with the agent while
+// discovery is down.
 func (d *Discovery) Down(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,18 +166,19 @@
 	d.changed = make(chan struct{})
 }
 
-// Whole is the list as it is now for a limiter, in id order.
+// Whole returns the current full list as a limiter gets it, in order of id.
 func (d *Discovery) Whole(limiter int) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole(limiter)
+	return d.fullList(limiter)
 }
 
-func (d *Discovery) whole(limiter int) List {
+// fullList builds the full list for a limiter. d.mu must be held.
+func (d *Discovery) fullList(limiter int) List {
 	l := List{Generation: d.generation, Reset: true, Instances: []Instance{}}
 	for _, in := range d.instances {
-		if d.reach != nil {
-			in.HostPort = d.reach(limiter, in)
+		if d.addressOf != nil {
+			in.HostPort = d.addressOf(limiter, in)
 		}
 		l.Instances = append(l.Instances, in)
 	}
@@ -179,19 +186,20 @@
 	return l
 }
 
-// since is what has changed after a generation, in id order.
-func (d *Discovery) since(limiter int, from int64) List {
+// changesSince returns the instances that changed after generation from, removed ones included, in order of id. d.mu
+// must be held.
+func (d *Discovery) changesSince(limiter int, from int64) List {
 	l := List{Generation: d.generation, Instances: []Instance{}}
 	for id, at := range d.changedAt {
 		if at <= from {
 			continue
 		}
-		in, held := d.instances[id]
-		if !held {
+		in, listed := d.instances[id]
+		if !listed {
 			in = d.terminated[id]
 		}
-		if d.reach != nil {
-			in.HostPort = d.reach(limiter, in)
+		if d.addressOf != nil {
+			in.HostPort = d.addressOf(limiter, in)
 		}
 		l.Instances = append(l.Instances, in)
 	}
@@ -199,46 +207,47 @@
 	return l
 }
 
-// answer is the text for a call and the generation that it tells of: the whole list or, for a watch where changes are
-// told alone, what is newer than from. Limiters that reach all instances at the same addresses share the texts.
+// answer returns the encoded response to a call and its generation: the full list or, for a watch while d.deltas is
+// set, the changes after from. Responses are cached for a generation unless limiters have addresses of their own.
 func (d *Discovery) answer(limiter int, watching bool, from int64) (text []byte, generation int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	key := int64(-1)
-	if watching && d.changes && from > 0 {
-		key = from
+	newerThan := int64(-1)
+	if watching && d.deltas && from > 0 {
+		newerThan = from
 	}
-	text = d.texts[key]
-	if text != nil && d.reach == nil {
+	text = d.encoded[newerThan]
+	if text != nil && d.addressOf == nil {
 		return text, d.generation
 	}
 	var list List
-	if key < 0 {
-		list = d.whole(limiter)
+	if newerThan < 0 {
+		list = d.fullList(limiter)
 	} else {
-		list = d.since(limiter, from)
+		list = d.changesSince(limiter, from)
 	}
 	text, _ = json.Marshal(list)
-	if d.reach == nil {
-		if d.texts == nil {
-			d.texts = map[int64][]byte{}
+	if d.addressOf == nil {
+		if d.encoded == nil {
+			d.encoded = map[int64][]byte{}
 		}
-		d.texts[key] = text
+		d.encoded[newerThan] = text
 	}
 	return text, d.generation
 }
 
-func (d *Discovery) hosts(w http.ResponseWriter, r *http.Request) {
+// handleHosts serves one call for the full list or one watch, and records how it ended.
+func (d *Discovery) handleHosts(w http.ResponseWriter, r *http.Request) {
 	d.Traffic.Calls.Add(1)
-	limiter, _ := r.Context().Value(caller{}).(int)
+	limiter, _ := r.Context().Value(limiterKey{}).(int)
 	call := history.Call{
 		Limiter: limiter,
 		At:      d.clock.Now(),
 		Whole:   !r.URL.Query().Has("hold_ms"),
 		End:     history.CallerGone,
 	}
-	defer func() { call.EndedAt = d.clock.Now(); d.book.AddCall(call) }()
-	if d.turnsAway() {
+	defer func() { call.EndedAt = d.clock.Now(); d.recorder.AddCall(call) }()
+	if d.throttled() {
 		call.End = history.Throttled
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -253,7 +262,7 @@
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	if !watching {
-		timer.Stop() // a whole list is waited for as long as discovery is down
+		timer.Stop() // a call for the full list waits as long as discovery is down
 	}
 	for {
 		d.mu.Lock()
@@ -271,7 +280,7 @@
 		case <-timer.C:
 			if down {
 				call.End = history.NoResponse
-				<-r.Context().Done() // nothing is said, not even an empty answer; the caller's own time-out ends it
+				<-r.Context().Done() // sends nothing, not even an empty list, until the caller times out
 				return
 			}
 			call.End = history.Answered
@@ -288,40 +297,41 @@
 	}
 }
 
-// turnsAway tells whether a call is one too many for an overbooked discovery.
-func (d *Discovery) turnsAway() bool {
+// throttled reports whether a call exceeds the rate of a "busy" fault, and takes a token if it does not.
+func (d *Discovery) throttled() bool {
 	now := d.clock.Now()
-	busy, on := active(only(d.script, "busy"), now, 0)
+	busy, limited := activeFault(faultsOfKind(d.script, "busy"), now, 0)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls = min(busy.Factor, d.calls+busy.Factor*float64(now-d.called)/1e9)
-	d.called = now
-	if !on {
+	d.tokens = min(busy.Factor, d.tokens+busy.Factor*float64(now-d.refilledAt)/1e9)
+	d.refilledAt = now
+	if !limited {
 		return false
 	}
-	d.calls--
-	if d.calls < 0 {
-		d.calls++
+	d.tokens--
+	if d.tokens < 0 {
+		d.tokens++
 		return true
 	}
 	return false
 }
 
+// write sends a response under the slow and chunked faults in effect.
 func (d *Discovery) write(w http.ResponseWriter, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	now := d.clock.Now()
-	slow, slowed := active(only(d.script, "slow"), now, 0)
-	_, chunked := active(only(d.script, "chunked"), now, 0)
+	slow, slowed := activeFault(faultsOfKind(d.script, "slow"), now, 0)
+	_, chunked := activeFault(faultsOfKind(d.script, "chunked"), now, 0)
 	if slowed {
 		time.Sleep(time.Duration(slow.Factor * float64(time.Millisecond)))
 	}
-	flusher, flushes := w.(http.Flusher)
-	if !chunked || !flushes {
+	flusher, canFlush := w.(http.Flusher)
+	if !chunked || !canFlush {
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		_, _ = w.Write(text)
 		return
 	}
-	for len(text) > 0 { // with no length and a flush between, net/http sends each part as a chunk
+	for len(text) > 0 { // without a Content-Length, net/http sends what each flush covers as one chunk
 		n := min(len(text), 64)
 		_, _ = w.Write(text[:n])
 		flusher.Flush()
@@ -329,8 +339,8 @@
 	}
 }
 
-// only is the entries of a script of one kind.
-func only(script []Fault, kind string) []Fault {
+// faultsOfKind returns the entries of script of one kind.
+func faultsOfKind(script []Fault, kind string) []Fault {
 	var out []Fault
 	for _, f := range script {
 		if f.Kind == kind {
--- a/internal/lab/emulator/port.go
+++ b/internal/lab/emulator/port.go
@@ -8,26 +8,26 @@
 	"ospreycroft/internal/resp"
 )
 
-// port is a stand-in's listening socket and the connections it accepted; it keeps its address across restarts.
+// port is an emulator's listening socket with its accepted connections. It keeps its address across restarts.
 type port struct {
 	mu       sync.Mutex
-	kept     *ports.Kept
+	reserved *ports.Kept
 	listener net.Listener
 	conns    map[net.Conn]struct{}
 	up       bool
 }
 
-// open listens on the port kept for it, and hands each connection to serve.
+// open listens and runs serve on a goroutine for each connection. The first call reserves the port.
 func (p *port) open(serve func(net.Conn)) (err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept == nil {
-		p.kept, err = ports.Keep()
+	if p.reserved == nil {
+		p.reserved, err = ports.Keep()
 		if err != nil {
 			return err
 		}
 	}
-	l, err := p.kept.Listen()
+	l, err := p.reserved.Listen()
 	if err != nil {
 		return err
 	}
@@ -59,31 +59,32 @@
 	return nil
 }
 
-// where is the address, once opened.
-func (p *port) where() string {
+// address returns the listening address; it is empty before the first open.
+func (p *port) address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept == nil {
+	if p.reserved == nil {
 		return ""
 	}
-	return p.kept.Address()
+	return p.reserved.Address()
 }
 
-// release shuts it for good and gives its address up.
-func (p *port) release() {
-	p.shut()
+// close stops the port and gives up its address.
+func (p *port) close() {
+	p.stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept != nil {
-		p.kept.Close()
+	if p.reserved != nil {
+		p.reserved.Close()
 	}
 }
 
-// isUp says whether it listens.
+// isUp reports whether the port is listening.
 func (p *port) isUp() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.up }
 
-// shut ends it as a crash would: the port refuses and every connection is reset; false if it was shut already.
-func (p *port) shut() bool {
+// stop ends listening as a crash does: new connections are refused and all open ones are reset. It reports whether the
+// port was listening.
+func (p *port) stop() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.up {
@@ -92,44 +93,44 @@
 	p.up = false
 	_ = p.listener.Close()
 	for c := range p.conns {
-		reset(c)
+		resetConn(c)
 	}
 	p.conns = map[net.Conn]struct{}{}
 	return true
 }
 
-// reset closes c with a reset rather than an orderly end.
-func reset(c net.Conn) {
+// resetConn closes c with a TCP reset.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// Commands reads RESP2 commands from c and hands each to each, in order, until c ends, each returns false, or
-// bytes come that are no command; the error is then the parser's, nil at an end or a stop.
-func Commands(c net.Conn, each func(words [][]byte) bool) error {
-	var held []byte
+// Commands reads RESP2 commands from c and passes each to handle, in order. It returns nil once c ends or handle
+// returns false, and the parser's error for bytes that are not a command.
+func Commands(c net.Conn, handle func(words [][]byte) bool) error {
+	var buffer []byte
 	chunk := make([]byte, 16<<10)
 	for {
 		n, err := c.Read(chunk)
 		if err != nil {
 			return nil
 		}
-		held = append(held, chunk[:n]...)
+		buffer = append(buffer, chunk[:n]...)
 		for {
-			words, used, err := resp.ReadCommand(held, nil)
+			words, consumed, err := resp.ReadCommand(buffer, nil)
 			if err != nil {
 				return err
 			}
-			if used == 0 {
+			if consumed == 0 {
 				break
 			}
-			held = held[used:]
-			if !each(words) {
+			buffer = buffer[consumed:]
+			if !handle(words) {
 				return nil
 			}
 		}
-		held = append([]byte(nil), held...) // words handed out point into the old bytes
+		buffer = append([]byte(nil), buffer...) // handle may have kept words that point into the old array
 	}
 }
--- a/internal/lab/experiment/steps_test.go
+++ b/internal/lab/experiment/steps_test.go
@@ -9,16 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// with is the default experiment with so many limiters and one more fault.
-func with(t *testing.T, count, fault string) (*Experiment, error) {
+// parseWithFault parses the default experiment with count limiters and one more fault.
+func parseWithFault(t *testing.T, count, fault string) (*Experiment, error) {
 	t.Helper()
 	return Parse(
-		strings.Replace(base(t), "[limiters]\ncount = 3", "[limiters]\ncount = "+count, 1) + "\n[[faults]]\n" + fault,
+		strings.Replace(defaultText(t), "[limiters]\ncount = 3", "[limiters]\ncount = "+count, 1) +
+			"\n[[faults]]\n" + fault,
 	)
 }
 
-func TestStepsTakeATenthAtATime(t *testing.T) {
-	e, err := with(t, "30", "kind='term'\ntarget='limiter:*'\nfrom=2.0\nuntil=3.0\nshare=0.1\nevery=1.5\ndelay=0.5")
+// With Every, each step affects Share of the limiters until each has been affected once, and until moves along with the
+// step. Without it there is one step.
+func TestStepsHitShareOfLimitersEach(t *testing.T) {
+	e, err := parseWithFault(t, "30",
+		"kind='term'\ntarget='limiter:*'\nfrom=2.0\nuntil=3.0\nshare=0.1\nevery=1.5\ndelay=0.5")
 	require.NoError(t, err)
 	steps := e.Steps(len(e.Faults) - 1)
 	seen := map[int]bool{}
@@ -30,7 +34,7 @@
 		}
 	}
 	require.True(t, len(steps) == 10 && len(seen) == 30, "%d steps, %d limiters", len(steps), len(seen))
-	once, err := with(t, "30", "kind='kill'\ntarget='limiter:10..19'\nfrom=2.0\nshare=0.7")
+	once, err := parseWithFault(t, "30", "kind='kill'\ntarget='limiter:10..19'\nfrom=2.0\nshare=0.7")
 	require.NoError(t, err)
 	if got := once.Steps(len(once.Faults) - 1); len(got) != 1 || len(got[0].Limiters) != 7 || got[0].Until != 0 ||
 		got[0].Limiters[0] < 10 || got[0].Limiters[6] > 19 {
@@ -38,7 +42,7 @@
 	}
 }
 
-func TestBadFaultsNameTheirKey(t *testing.T) {
+func TestInvalidFaultNamesItsKey(t *testing.T) {
 	for _, c := range []struct{ fault, key string }{
 		{"kind='kill'\ntarget='limiter:2..7'\nfrom=1.0", "target"},
 		{"kind='kill'\ntarget='limiter:x'\nfrom=1.0", "target"},
@@ -60,14 +64,15 @@
 		{"kind='cut'\ntarget='link:limiter:0-counter'\nfrom=1.0\nconnections=2.0", "connections"},
 		{"kind='kill'\ntarget='limiter:0'\nfrom=1.0\nconnections=0.5", "connections"},
 	} {
-		_, err := with(t, "3", c.fault)
+		_, err := parseWithFault(t, "3", c.fault)
 		bad := (*EntryError)(nil)
 		assert.True(t, errors.As(err, &bad) && bad.Key == "faults[6]."+c.key, "%q: got %v", c.fault, err)
 	}
 }
 
-func TestLinkFaultsAreForThePairsTheyName(t *testing.T) {
-	e, err := with(t, "30", `kind="cut_from"
+// A link fault applies only to the links that its target names, and with a share only to that share of their limiters.
+func TestLinkFaultsHitOnlyNamedLinks(t *testing.T) {
+	e, err := parseWithFault(t, "30", `kind="cut_from"
 target="link:limiter:0..14-counter"
 from=1.0
 share=0.34
@@ -93,7 +98,7 @@
 			assert.True(t, n <= 14 && s[0].Kind == "cut_from" && s[0].From == 1e9, "limiter %d: %+v", n, s)
 		}
 	}
-	assert.True(t, hit == 5, "%d of 15 limiters, not a third", hit)
+	assert.True(t, hit == 5, "%d of 15 limiters affected, want a third", hit)
 	slow := e.Script(3, Servers, "hall2", "hall2-r1")
 	assert.True(t, len(slow) == 1 && slow[0].Delay == 20e6 && slow[0].Until == 4e9, "%+v", slow)
 	for _, got := range [][]int{{len(e.Script(3, Servers, "hall1", "hall1-0")), 1},
--- a/internal/lab/loadgen/answers.go
+++ b/internal/lab/loadgen/answers.go
@@ -12,54 +12,56 @@
 	"ospreycroft/internal/resp"
 )
 
-// This file reads answers and tells what became of a request by them.
+// This file reads answers and derives the outcomes of requests from them.
 
-// answerReader reads the answers on one connection, which come in the order of the commands.
+// answerReader reads the answers of one connection, which are in the order of the commands.
 type answerReader struct {
-	conn net.Conn
-	held []byte // read and not used yet
+	conn   net.Conn
+	buffer []byte // received and not yet parsed
 }
 
 func newAnswerReader(conn net.Conn) *answerReader { return &answerReader{conn: conn} }
 
-// next reads the next answer.
+// next returns the next answer. It waits until the connection's deadline.
 func (r *answerReader) next() (resp.Value, error) {
 	chunk := make([]byte, 4096)
 	for {
-		value, used, err := resp.ReadValue(r.held)
+		value, consumed, err := resp.ReadValue(r.buffer)
 		if err != nil {
 			return resp.Value{}, err
 		}
-		if used > 0 {
-			r.held = r.held[used:]
+		if consumed > 0 {
+			r.buffer = r.buffer[consumed:]
 			return value, nil
 		}
 		n, err := r.conn.Read(chunk)
-		r.held = append(r.held, chunk[:n]...)
+		r.buffer = append(r.buffer, chunk[:n]...)
 		if n == 0 && err != nil {
 			return resp.Value{}, err
 		}
 	}
 }
 
-// conclude writes down what became of a request: its answer, or why there is none.
-func conclude(job *history.Request, now, unread int64, value resp.Value, err error) {
-	job.Answered, job.AnswerUnread = now, unread
+// recordOutcome sets the outcome of request from its answer, or from the error in place of one. now is when the client
+// read the answer, and sinceReceived how long before that its bytes had arrived, both in nanoseconds.
+func recordOutcome(request *history.Request, now, sinceReceived int64, value resp.Value, err error) {
+	request.Answered, request.AnswerUnread = now, sinceReceived
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		job.Outcome = history.Unanswered
+		request.Outcome = history.Unanswered
 	case err != nil:
-		job.Outcome = history.ConnectionBroken
+		request.Outcome = history.ConnectionBroken
 	default:
-		job.Outcome, job.RetryAfter = judge(value)
-		if job.Answered > job.Deadline {
-			job.Outcome = history.Late
+		request.Outcome, request.RetryAfter = classify(value)
+		if request.Answered > request.Deadline {
+			request.Outcome = history.Late
 		}
 	}
 }
 
-// Pipeline sends several requests at once on one connection and writes down what becomes of each.
+// Pipeline sends several requests at once on one connection and sets the outcome of each. commands holds their encoded
+// commands. It waits for answers until lateAnswerWait after the latest deadline.
 func Pipeline(conn net.Conn, clock *history.Clock, commands []byte, requests []history.Request) {
 	longest := int64(0)
 	for i := range requests {
@@ -73,12 +75,13 @@
 		if err == nil {
 			value, err = answers.next()
 		}
-		conclude(&requests[i], clock.Now(), unread(conn), value, err)
+		recordOutcome(&requests[i], clock.Now(), sinceLastReceived(conn), value, err)
 	}
 }
 
-// unread is how long ago the latest bytes came to this machine on a connection; 0 where the kernel does not tell.
-func unread(conn net.Conn) int64 {
+// sinceLastReceived returns how long ago, in nanoseconds, the kernel received the latest bytes of a connection, or 0 if
+// the kernel does not report it.
+func sinceLastReceived(conn net.Conn) int64 {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
@@ -91,8 +94,9 @@
 	return int64(info.Last_data_recv) * int64(time.Millisecond)
 }
 
-// judge names an answer as the protocol's table does, with a retry-after in nanoseconds where -BUSY gives one.
-func judge(v resp.Value) (history.Outcome, int64) {
+// classify returns the outcome that the protocol assigns to an answer, and the Retry-After time of a -BUSY answer in
+// nanoseconds, 0 if there is none.
+func classify(v resp.Value) (history.Outcome, int64) {
 	switch {
 	case v.Kind == '$' && !v.Null,
 		v.Kind == '*' && len(v.List) > 0 && v.List[0].Kind == '$' && !v.List[0].Null:
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report turns lab records into one HTML page: plots of outcomes over time, of each customer's use against
-// its ceiling and of latency percentiles, the faults as they were played, and, for two runs or more, the same
-// side by side. The plots are SVG drawn by gonum/plot inside the page, so it needs no network to be read.
+// Package report writes the records of lab runs as one HTML page: plots of outcomes over time, of each customer's use
+// against its ceiling and of latency percentiles, the faults as they were applied, and a comparison if there are
+// several runs. The plots are inline SVG drawn by gonum/plot, so the page needs no network.
 package report
 
 import (
@@ -23,45 +23,45 @@
 	"ospreycroft/internal/settings"
 )
 
-// Labelled is one run and the name it is shown by.
+// Labelled is one run with the label that the page shows for it.
 type Labelled struct {
 	Label   string
 	Run     *history.Run
 	Verdict *invariants.Verdict
 }
 
-// Series is what one run shows a second: counts by outcome, units by customer, latency percentiles (ms).
+// Series holds the figures of one run per second. Each slice has Seconds entries.
 type Series struct {
 	Seconds  int
-	Outcomes map[history.Outcome][]float64
-	Units    map[string][]float64 // customer -> units that reached servers, counted at a request's first attempt
-	P50, P99 []float64            // of done requests answered in that second; 0 where none was
+	Outcomes map[history.Outcome][]float64 // requests that ended with each outcome
+	Units    map[string][]float64          // by customer, units sent to servers, counted at a request's first attempt
+	P50, P99 []float64                     // latency in ms of the requests that succeeded, 0 for none
 }
 
-// Bucket counts a run's records by whole seconds of its clock.
+// Bucket computes the figures of a run for each second of its clock.
 func Bucket(r *history.Run) *Series {
 	last := r.Length
-	for _, j := range r.Requests {
-		last = max(last, j.Answered)
+	for _, request := range r.Requests {
+		last = max(last, request.Answered)
 	}
-	n := max(1, int((last+1e9-1)/1e9))
-	s := &Series{Seconds: n, Outcomes: map[history.Outcome][]float64{}, Units: map[string][]float64{},
-		P50: make([]float64, n), P99: make([]float64, n)}
-	hists := make([]*hdrhistogram.Histogram, n)
-	units := map[string]*history.Request{}
+	seconds := max(1, int((last+1e9-1)/1e9))
+	s := &Series{Seconds: seconds, Outcomes: map[history.Outcome][]float64{}, Units: map[string][]float64{},
+		P50: make([]float64, seconds), P99: make([]float64, seconds)}
+	hists := make([]*hdrhistogram.Histogram, seconds)
+	requests := map[string]*history.Request{}
 	for i := range r.Requests {
-		j := &r.Requests[i]
-		units[j.ID] = j
-		at := int(min(max(j.Answered, 0)/1e9, int64(n-1)))
-		if s.Outcomes[j.Outcome] == nil {
-			s.Outcomes[j.Outcome] = make([]float64, n)
+		request := &r.Requests[i]
+		requests[request.ID] = request
+		second := int(min(max(request.Answered, 0)/1e9, int64(seconds-1)))
+		if s.Outcomes[request.Outcome] == nil {
+			s.Outcomes[request.Outcome] = make([]float64, seconds)
 		}
-		s.Outcomes[j.Outcome][at]++
-		if j.Outcome == history.Succeeded {
-			if hists[at] == nil {
-				hists[at] = hdrhistogram.New(1, 120_000_000, 3)
+		s.Outcomes[request.Outcome][second]++
+		if request.Outcome == history.Succeeded {
+			if hists[second] == nil {
+				hists[second] = hdrhistogram.New(1, 120_000_000, 3)
 			}
-			_ = hists[at].RecordValue(max(1, (j.Answered-j.Sent)/1000))
+			_ = hists[second].RecordValue(max(1, (request.Answered-request.Sent)/1000))
 		}
 	}
 	for i, h := range hists {
@@ -70,18 +70,18 @@
 		}
 	}
 	counted := map[string]bool{}
-	shots := append([]history.Attempt(nil), r.Attempts...)
-	sort.SliceStable(shots, func(a, b int) bool { return shots[a].At < shots[b].At })
-	for _, sh := range shots {
-		j := units[sh.ID]
-		if j == nil || counted[sh.ID] || sh.Answer == "busy" {
+	attempts := append([]history.Attempt(nil), r.Attempts...)
+	sort.SliceStable(attempts, func(a, b int) bool { return attempts[a].At < attempts[b].At })
+	for _, attempt := range attempts {
+		request := requests[attempt.ID]
+		if request == nil || counted[attempt.ID] || attempt.Answer == "busy" {
 			continue
 		}
-		counted[sh.ID] = true
-		if s.Units[j.Customer] == nil {
-			s.Units[j.Customer] = make([]float64, n)
+		counted[attempt.ID] = true
+		if s.Units[request.Customer] == nil {
+			s.Units[request.Customer] = make([]float64, seconds)
 		}
-		s.Units[j.Customer][int(min(sh.At/1e9, int64(n-1)))] += j.Units
+		s.Units[request.Customer][int(min(attempt.At/1e9, int64(seconds-1)))] += request.Units
 	}
 	return s
 }
@@ -89,6 +89,7 @@
 var palette = []color.RGBA{{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {255, 127, 14, 255},
 	{148, 103, 189, 255}, {140, 86, 75, 255}, {127, 127, 127, 255}}
 
+// points returns the values at x = 0, 1, 2 and so on.
 func points(values []float64) plotter.XYs {
 	out := make(plotter.XYs, len(values))
 	for i, v := range values {
@@ -97,38 +98,39 @@
 	return out
 }
 
+// line is one curve of a plot.
 type line struct {
 	name   string
-	values []float64
+	values []float64 // one per second
 	dashed bool
 }
 
-// svg draws lines over seconds, with the run's faults as grey marks, and gives the SVG text.
-func svg(title, unit string, lines []line, events []history.Event) (template.HTML, error) {
+// renderPlot draws lines over seconds, with a grey vertical line at each event, and returns the SVG.
+func renderPlot(title, unit string, lines []line, events []history.Event) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "seconds"
 	p.Y.Label.Text = unit
 	p.Legend.Top = true
-	top := 1.0
+	maxY := 1.0
 	for i, l := range lines {
-		pl, err := plotter.NewLine(points(l.values))
+		plotLine, err := plotter.NewLine(points(l.values))
 		if err != nil {
 			return "", err
 		}
-		pl.Color = palette[i%len(palette)]
+		plotLine.Color = palette[i%len(palette)]
 		if l.dashed {
-			pl.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+			plotLine.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 		}
-		p.Add(pl)
-		p.Legend.Add(l.name, pl)
+		p.Add(plotLine)
+		p.Legend.Add(l.name, plotLine)
 		for _, v := range l.values {
-			top = max(top, v)
+			maxY = max(maxY, v)
 		}
 	}
 	for _, e := range events {
 		x := float64(e.At) / 1e9
-		mark, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
+		mark, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: maxY}})
 		if err != nil {
 			return "", err
 		}
@@ -142,44 +144,46 @@
 		return "", err
 	}
 	text := b.String()
-	if i := bytes.Index(b.Bytes(), []byte("<svg")); i > 0 { // the XML head has no place inside HTML
+	if i := bytes.Index(b.Bytes(), []byte("<svg")); i > 0 { // an XML declaration is not allowed inside HTML
 		text = text[i:]
 	}
-	return template.HTML(text), nil // #nosec: drawn here, not taken from a record
+	return template.HTML(text), nil // #nosec: generated here, not taken from a record
 }
 
-// late is how long after its deadline an answer may come by the rules, in nanoseconds.
-const late = 50e6
+// lateTolerance is how long after its deadline an answer is still in time by the lab's rules, in nanoseconds.
+const lateTolerance = 50e6
 
-// Section is what the page shows of one run.
+// Section is the part of the page about one run. The template uses its fields by name.
 type Section struct {
 	Label     string
-	Line      string
+	Line      string // summary of the verdict
 	Breaches  []invariants.Breach
 	Service   invariants.Service
-	Late      int // requests answered late, and lost
-	Lost      int
-	OutShare  float64 // of limiters that had an outage, and the gate for it
-	OutGate   float64
+	Late      int     // requests answered late
+	Lost      int     // requests without an answer
+	OutShare  float64 // share of limiters that had an outage
+	OutGate   float64 // largest OutShare that passes
 	Latencies []row
 	Events    []history.Event
 	Plots     []template.HTML
 }
 
+// row is the latency of one class's successful requests. The template uses its fields by name.
 type row struct {
 	Track              string
 	Count              int
-	P50, P90, P99, Max float64
+	P50, P90, P99, Max float64 // milliseconds
 }
 
+// latencies returns a row for each class with a successful request, in order of name.
 func latencies(r *history.Run) []row {
 	hists := map[string]*hdrhistogram.Histogram{}
-	for _, j := range r.Requests {
-		if j.Outcome == history.Succeeded {
-			if hists[j.Class] == nil {
-				hists[j.Class] = hdrhistogram.New(1, 120_000_000, 3)
+	for _, request := range r.Requests {
+		if request.Outcome == history.Succeeded {
+			if hists[request.Class] == nil {
+				hists[request.Class] = hdrhistogram.New(1, 120_000_000, 3)
 			}
-			_ = hists[j.Class].RecordValue(max(1, (j.Answered-j.Sent)/1000))
+			_ = hists[request.Class].RecordValue(max(1, (request.Answered-request.Sent)/1000))
 		}
 	}
 	out := []row{}
@@ -191,10 +195,12 @@
 	return out
 }
 
+// section computes the part of the page about one run.
 func section(l Labelled) (Section, error) {
 	s := Bucket(l.Run)
 	sec := Section{Label: l.Label, Line: l.Verdict.Line(), Breaches: l.Verdict.Breaches, Latencies: latencies(l.Run),
-		Events: l.Run.Events, Service: invariants.ServiceOf(l.Run, invariants.Terms{Late: late}), OutGate: invariants.OutageGate}
+		Events: l.Run.Events, Service: invariants.ServiceOf(l.Run, invariants.Terms{Late: lateTolerance}),
+		OutGate: invariants.OutageGate}
 	sec.Late, sec.Lost = sec.Service.Missed()
 	sec.OutShare = sec.Service.OutageShare()
 	var outcomes []line
@@ -204,32 +210,32 @@
 			outcomes = append(outcomes, line{name: string(o), values: s.Outcomes[o]})
 		}
 	}
-	var use []line
+	var usage []line
 	set, err := settings.Decode(l.Run.Settings)
 	if err != nil {
 		return sec, fmt.Errorf("%s: settings: %w", l.Label, err)
 	}
 	customers := sortedKeys(s.Units)
 	plans := map[string]string{}
-	for _, j := range l.Run.Requests {
-		plans[j.Customer] = j.Plan
+	for _, request := range l.Run.Requests {
+		plans[request.Customer] = request.Plan
 	}
 	for _, c := range customers {
-		use = append(use, line{name: c, values: s.Units[c]})
+		usage = append(usage, line{name: c, values: s.Units[c]})
 		if plan := set.Plans[plans[c]]; plan != nil && plan.CeilingRate > 0 {
 			ceiling := make([]float64, s.Seconds)
 			for i := range ceiling {
 				ceiling[i] = plan.CeilingRate
 			}
-			use = append(use, line{name: c + " ceiling", values: ceiling, dashed: true})
+			usage = append(usage, line{name: c + " ceiling", values: ceiling, dashed: true})
 		}
 	}
 	for _, p := range []struct {
 		title, unit string
 		lines       []line
-	}{{"answers a second by outcome", "jobs", outcomes}, {"units a second that reached servers", "units", use},
+	}{{"answers a second by outcome", "jobs", outcomes}, {"units a second that reached servers", "units", usage},
 		{"answer time of done jobs", "ms", []line{{name: "p50", values: s.P50}, {name: "p99", values: s.P99}}}} {
-		text, err := svg(l.Label+": "+p.title, p.unit, p.lines, l.Run.Events)
+		text, err := renderPlot(l.Label+": "+p.title, p.unit, p.lines, l.Run.Events)
 		if err != nil {
 			return sec, err
 		}
@@ -247,7 +253,7 @@
 	return out
 }
 
-// comparison overlays the runs' done requests and p99 a second.
+// comparison plots the successful requests and the p99 latency per second of all runs together.
 func comparison(runs []Labelled) ([]template.HTML, error) {
 	var done, p99 []line
 	for _, l := range runs {
@@ -255,11 +261,11 @@
 		done = append(done, line{name: l.Label, values: s.Outcomes[history.Succeeded]})
 		p99 = append(p99, line{name: l.Label, values: s.P99})
 	}
-	a, err := svg("done a second, side by side", "jobs", done, nil)
+	a, err := renderPlot("done a second, side by side", "jobs", done, nil)
 	if err != nil {
 		return nil, err
 	}
-	b, err := svg("p99 answer time, side by side", "ms", p99, nil)
+	b, err := renderPlot("p99 answer time, side by side", "ms", p99, nil)
 	return []template.HTML{a, b}, err
 }
 
@@ -290,7 +296,7 @@
 {{end}}</body></html>
 `))
 
-// Write writes the page for one run or more; with two or more the runs are also drawn side by side.
+// Write writes the page for the given runs. With two or more it includes plots that compare them.
 func Write(w io.Writer, runs []Labelled) error {
 	var data struct {
 		Sections []Section
