--- a/internal/lab/runner/cold_few_test.go
+++ b/internal/lab/runner/cold_few_test.go
@@ -11,11 +11,11 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// coldFew is the experiment of examples/lab/coldfew.toml with so many limiters.
-func coldFew(t *testing.T, program string, limiters int) *experiment.Experiment {
+// coldFewExperiment is the experiment of examples/lab/coldfew.toml with so many limiters.
+func coldFewExperiment(t *testing.T, program string, limiters int) *experiment.Experiment {
 	t.Helper()
-	e := example(t, "coldfew", program)
-	return smaller(t, e, limiters, e.Length)
+	e := loadExample(t, "coldfew", program)
+	return resize(t, e, limiters, e.Length)
 }
 
 // TestFewLimitersKeepSlowStartBudget: one and two real processes before cold servers, at a load of which an even
@@ -24,11 +24,11 @@
 // since requests that last by chance pass it at any pace.
 func TestFewLimitersKeepSlowStartBudget(t *testing.T) {
 	t.Parallel()
-	program := build(t)
+	program := buildLimiter(t)
 	for _, limiters := range []int{1, 2} {
 		t.Run(fmt.Sprint(limiters), func(t *testing.T) {
 			t.Parallel()
-			r, _ := played(t, coldFew(t, program, limiters))
+			r, _ := runExperiment(t, coldFewExperiment(t, program, limiters))
 			require.Empty(t, r.Run.OverloadCrashes)
 			require.Empty(t, r.Failures)
 			for _, breach := range r.Verdict.Breaches {
@@ -42,9 +42,9 @@
 // TestFewLimitersThatOverrunColdServersAreCaught: a limiter that prefers new servers pushes one over.
 func TestFewLimitersThatOverrunColdServersAreCaught(t *testing.T) {
 	t.Parallel()
-	e := coldFew(t, broken(t, mutants.Cold), 1)
+	e := coldFewExperiment(t, brokenLimiter(t, mutants.Cold), 1)
 	e.Length = 3
-	r, _ := played(t, e)
+	r, _ := runExperiment(t, e)
 	require.NotEmpty(t, r.Run.OverloadCrashes)
-	wants(t, r, 4)
+	wantBreach(t, r, 4)
 }
--- a/internal/lab/runner/errors.go
+++ b/internal/lab/runner/errors.go
@@ -64,7 +64,7 @@
 
 // Error says what happened.
 func (e *StartSpreadError) Error() string {
-	return fmt.Sprintf("starting all limiters took %v, more than %v", e.Took, together)
+	return fmt.Sprintf("starting all limiters took %v, more than %v", e.Took, maxStartSpread)
 }
 
 // Hint says what to do about it.
--- a/internal/lab/runner/fleet.go
+++ b/internal/lab/runner/fleet.go
@@ -25,8 +25,8 @@
 	Falls                      int // cold servers pushed over
 }
 
-// shares are the shares of limiters of Fleet.Listed, in hundredths.
-var shares = [3]int{50, 95, 100}
+// listedPercents are the listedPercents of limiters of Fleet.Listed, in hundredths.
+var listedPercents = [3]int{50, 95, 100}
 
 // FleetOf adds up a run's record.
 func FleetOf(r *history.Run) Fleet {
@@ -40,18 +40,18 @@
 // addProcesses adds up the starts and returns when the first process started, 0 for a run without any.
 func (f *Fleet) addProcesses(processes []history.Process) (first int64) {
 	last := int64(0)
-	began := map[int]bool{}
-	for _, l := range processes {
-		if !began[l.Limiter] {
-			if len(began) == 0 || l.Started < first {
-				first = l.Started
+	seen := map[int]bool{}
+	for _, p := range processes {
+		if !seen[p.Limiter] {
+			if len(seen) == 0 || p.Started < first {
+				first = p.Started
 			}
-			began[l.Limiter] = true
-			last = max(last, l.Started)
+			seen[p.Limiter] = true
+			last = max(last, p.Started)
 		}
-		if l.Ready > 0 {
-			f.ReadyMost = max(f.ReadyMost, l.Ready-l.Started)
-		} else if l.Ended == 0 {
+		if p.Ready > 0 {
+			f.ReadyMost = max(f.ReadyMost, p.Ready-p.Started)
+		} else if p.Ended == 0 {
 			f.NotReady++
 		}
 	}
@@ -61,11 +61,11 @@
 
 // addCalls adds up the calls to discovery and finds when the shares of limiters had had an answer, counted from first.
 func (f *Fleet) addCalls(r *history.Run, first int64) {
-	seconds := map[int64]int{}
-	listed := map[int]int64{}
+	callsPerSecond := map[int64]int{}
+	firstAnswer := map[int]int64{}
 	for _, c := range r.Calls {
-		seconds[c.At/int64(time.Second)]++
-		f.CallsPeak = max(f.CallsPeak, seconds[c.At/int64(time.Second)])
+		callsPerSecond[c.At/int64(time.Second)]++
+		f.CallsPeak = max(f.CallsPeak, callsPerSecond[c.At/int64(time.Second)])
 		switch c.End {
 		case history.Throttled:
 			f.TurnedAway++
@@ -74,18 +74,18 @@
 		case history.CallerGone:
 			f.Left++
 		case history.Answered:
-			if at, had := listed[c.Limiter]; !had || c.EndedAt < at {
-				listed[c.Limiter] = c.EndedAt
+			if at, had := firstAnswer[c.Limiter]; !had || c.EndedAt < at {
+				firstAnswer[c.Limiter] = c.EndedAt
 			}
 		}
 	}
 	var times []int64
-	for _, at := range listed {
+	for _, at := range firstAnswer {
 		times = append(times, at-first)
 	}
 	slices.Sort(times)
-	for i, share := range shares {
-		if need := (r.Limiters*share + 99) / 100; need > 0 && len(times) >= need {
+	for i, percent := range listedPercents {
+		if need := (r.Limiters*percent + 99) / 100; need > 0 && len(times) >= need {
 			f.Listed[i] = times[need-1]
 		}
 	}
@@ -94,8 +94,8 @@
 // addHandshakes adds up the connections that servers accepted, for each server by the second.
 func (f *Fleet) addHandshakes(servers map[string][]int) {
 	var all []int
-	for _, of := range servers {
-		for second, n := range of {
+	for _, perSecond := range servers {
+		for second, n := range perSecond {
 			for len(all) <= second {
 				all = append(all, 0)
 			}
@@ -109,7 +109,7 @@
 	}
 }
 
-func seconds(ns int64) string {
+func formatSeconds(ns int64) string {
 	if ns < 0 {
 		return "never"
 	}
@@ -118,11 +118,11 @@
 
 // Write writes it as lines of names and values.
 func (f Fleet) Write(w io.Writer, length int64) {
-	_, _ = fmt.Fprintf(w, "  fleet started_within=%s ready_within=%s not_ready=%d\n", seconds(f.StartTook),
-		seconds(f.ReadyMost), f.NotReady)
+	_, _ = fmt.Fprintf(w, "  fleet started_within=%s ready_within=%s not_ready=%d\n", formatSeconds(f.StartTook),
+		formatSeconds(f.ReadyMost), f.NotReady)
 	_, _ = fmt.Fprintf(w, "  discovery calls=%d a_second=%.1f peak=%d turned_away=%d silent=%d left=%d "+
 		"listed50=%s listed95=%s listed100=%s\n", f.Calls, float64(f.Calls)/max(float64(length)/1e9, 1), f.CallsPeak,
-		f.TurnedAway, f.Silent, f.Left, seconds(f.Listed[0]), seconds(f.Listed[1]), seconds(f.Listed[2]))
+		f.TurnedAway, f.Silent, f.Left, formatSeconds(f.Listed[0]), formatSeconds(f.Listed[1]), formatSeconds(f.Listed[2]))
 	_, _ = fmt.Fprintf(w, "  servers handshakes=%d peak=%d peak_one_server=%d cold_falls=%d\n", f.Handshakes,
 		f.HandshakesPeak, f.HandshakesServer, f.Falls)
 }
--- a/internal/lab/runner/fleet_test.go
+++ b/internal/lab/runner/fleet_test.go
@@ -12,7 +12,7 @@
 
 const sec = int64(1e9)
 
-func TestFleetAddsUpARecord(t *testing.T) {
+func TestFleetOfSumsRecord(t *testing.T) {
 	run := &history.Run{
 		Limiters: 4,
 		Processes: []history.Process{{Limiter: 0, Started: sec, Ready: 2 * sec}, {Limiter: 1, Started: 2 * sec},
@@ -40,44 +40,50 @@
 }
 
 // A process that ends is a crash unless it had been asked to end or was killed.
-func TestOnlyAnUnaskedEndIsACrash(t *testing.T) {
+func TestOnlyUnrequestedExitIsCrash(t *testing.T) {
 	for _, c := range []struct {
-		path  []processEvent
-		crash bool
+		events []processEvent
+		crash  bool
 	}{
-		{[]processEvent{begun, exited}, true}, {[]processEvent{begun, answered, exited}, true},
-		{[]processEvent{begun, answered, stopped, exited}, true}, {[]processEvent{begun, answered, asked, exited}, false},
-		{[]processEvent{begun, stopped, shot, exited}, false}, {[]processEvent{begun, answered, asked, shot, exited}, false},
-		{[]processEvent{begun, answered, asked, exited, begun, stopped, continued, exited}, true},
+		{[]processEvent{startedEvent, exitEvent}, true}, {[]processEvent{startedEvent, readyEvent, exitEvent}, true},
+		{[]processEvent{startedEvent, readyEvent, stopEvent, exitEvent}, true},
+		{[]processEvent{startedEvent, readyEvent, termEvent, exitEvent}, false},
+		{[]processEvent{startedEvent, stopEvent, killEvent, exitEvent}, false},
+		{[]processEvent{startedEvent, readyEvent, termEvent, killEvent, exitEvent}, false},
+		{
+			[]processEvent{startedEvent, readyEvent, termEvent, exitEvent, startedEvent, stopEvent, continueEvent,
+				exitEvent},
+			true,
+		},
 	} {
 		s, crash := absent, false
-		for _, h := range c.path {
+		for _, event := range c.events {
 			var ok bool
-			if s, crash, ok = next(s, h); !ok {
-				t.Errorf("%v: %v could not be", c.path, h)
+			if s, crash, ok = nextState(s, event); !ok {
+				t.Errorf("%v: %v could not be", c.events, event)
 			}
 		}
 		if crash != c.crash {
-			t.Errorf("%v: crash is %v", c.path, crash)
+			t.Errorf("%v: crash is %v", c.events, crash)
 		}
 	}
-	if _, _, ok := next(absent, shot); ok {
+	if _, _, ok := nextState(absent, killEvent); ok {
 		t.Error("what does not live was killed")
 	}
 }
 
 // One on whose port nobody answers is given up by name, and its log is told.
-func TestLimiterThatIsNeverReadyFailsByName(t *testing.T) {
+func TestReadyTimeoutNamesLimiterAndLog(t *testing.T) {
 	port, err := ports.Keep()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer port.Close()
-	l := &Lab{clock: history.NewClock(), book: &history.Recorder{}, within: 50 * time.Millisecond}
-	err = l.await(&limiter{n: 4, port: port, logPath: "n4.log"}, 0, nil, nil)
-	var never *ReadyTimeoutError
-	_, _, events := l.book.Copy()
-	if !errors.As(err, &never) || never.Limiter != 4 || len(events) != 1 || events[0].Kind != "never-ready" ||
+	l := &Lab{clock: history.NewClock(), recorder: &history.Recorder{}, readyTimeout: 50 * time.Millisecond}
+	err = l.awaitReady(&limiter{index: 4, port: port, logPath: "n4.log"}, 0, nil, nil)
+	var timeout *ReadyTimeoutError
+	_, _, events := l.recorder.Copy()
+	if !errors.As(err, &timeout) || timeout.Limiter != 4 || len(events) != 1 || events[0].Kind != "never-ready" ||
 		events[0].Target != "limiter:4" || !strings.Contains(events[0].Detail, "n4.log") {
 		t.Fatalf("%v %+v", err, events)
 	}
--- a/internal/lab/runner/process.go
+++ b/internal/lab/runner/process.go
@@ -17,171 +17,171 @@
 )
 
 const (
-	starters    = 8                      // so many processes are started at once
-	readyWithin = 30 * time.Second       // a limiter that takes longer to be ready fails the run
-	together    = time.Second            // limiters that start together are started within so long
-	frontTakes  = 300 * time.Millisecond // new connections come for so long after SIGTERM
-	termExtra   = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline, from SIGTERM
+	concurrentStarts    = 8                      // so many processes are started at once
+	defaultReadyTimeout = 30 * time.Second       // a limiter that takes longer to be ready fails the run
+	maxStartSpread      = time.Second            // limiters that start together are started within so long
+	rotationDelay       = 300 * time.Millisecond // new connections come for so long after SIGTERM
+	killMargin          = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline, from SIGTERM
 )
 
 // limiter is one limiter of the run, through all its processes.
 type limiter struct {
-	n                     int
+	index                 int
 	name, config, logPath string
 	port                  *ports.Kept
 
 	mu    sync.Mutex
 	state state
 	dead  bool // killed or crashed, and not begun again
-	// claimed: a restart starts the next process now. Two faults may end one process, and each restarts the limiter.
-	claimed bool
-	cmd     *exec.Cmd
-	life    int           // of the record's lives, the present or latest
-	ended   chan struct{} // closed when the present process has ended
-	known   []byte        // the list of its first configuration
-	gen     int64         // and its generation
+	// startClaimed: a restart starts the next process now. Two faults may end one process, and each restarts the limiter.
+	startClaimed   bool
+	cmd            *exec.Cmd
+	entry          int           // of the record's lives, the present or latest
+	ended          chan struct{} // closed when the present process has ended
+	knownList      []byte        // the list of its first configuration
+	listGeneration int64         // and its generation
 }
 
 // transition applies an event to limiter n and tells whether it could be; a crash is written down.
-func (l *Lab) transition(lim *limiter, h processEvent, cause error) bool {
+func (l *Lab) transition(lim *limiter, event processEvent, cause error) bool {
 	lim.mu.Lock()
-	to, crash, ok := next(lim.state, h)
+	to, crash, ok := nextState(lim.state, event)
 	lim.state = to
 	if ok {
-		lim.dead = crash || h == shot || lim.dead && h != begun
+		lim.dead = crash || event == killEvent || lim.dead && event != startedEvent
 	}
 	lim.mu.Unlock()
 	if crash {
 		at := l.clock.Now()
-		l.fail(&CrashError{Limiter: lim.n, At: at, Log: lim.logPath, Cause: cause}, "crash", lim, at)
+		l.fail(&CrashError{Limiter: lim.index, At: at, Log: lim.logPath, Cause: cause}, "crash", lim, at)
 	}
 	return ok
 }
 
 // fail writes down what fails the run.
 func (l *Lab) fail(err error, kind string, lim *limiter, at int64) {
-	l.book.AddEvent(history.Event{At: at, Kind: kind, Target: party(lim.n),
+	l.recorder.AddEvent(history.Event{At: at, Kind: kind, Target: targetOf(lim.index),
 		Detail: err.Error() + " (" + lim.logPath + ")"})
 	l.mu.Lock()
 	l.failures = append(l.failures, err)
 	l.mu.Unlock()
 }
 
-// signal sends a signal to the limiter's process if the event that goes with it can be.
-func (l *Lab) signal(lim *limiter, h processEvent, s syscall.Signal) bool {
-	if !l.transition(lim, h, nil) {
+// transitionAndSignal sends a transitionAndSignal to the limiter's process if the event that goes with it can be.
+func (l *Lab) transitionAndSignal(lim *limiter, event processEvent, sig syscall.Signal) bool {
+	if !l.transition(lim, event, nil) {
 		return false
 	}
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
-	return lim.cmd.Process.Signal(s) == nil
+	return lim.cmd.Process.Signal(sig) == nil
 }
 
 // sendSignal sends a signal that changes no state of the process.
-func (l *Lab) sendSignal(lim *limiter, s syscall.Signal) {
+func (l *Lab) sendSignal(lim *limiter, sig syscall.Signal) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	if lim.state != absent && lim.state != killed {
-		_ = lim.cmd.Process.Signal(s)
+		_ = lim.cmd.Process.Signal(sig)
 	}
 }
 
-// begin starts limiter n's program with a configuration as DEPLOY.md gives it; its list is the present one, or the one
+// startProcess starts limiter n's program with a configuration as DEPLOY.md gives it; its list is the present one, or the one
 // of its first start. It waits for no answer.
-func (l *Lab) begin(lim *limiter, oldList bool) error {
-	if err := l.configure(lim, oldList); err != nil {
+func (l *Lab) startProcess(lim *limiter, oldList bool) error {
+	if err := l.writeConfig(lim, oldList); err != nil {
 		return err
 	}
 	return l.exec(lim)
 }
 
-// configure writes the limiter's configuration.
-func (l *Lab) configure(lim *limiter, oldList bool) error {
-	list := l.discovery.Whole(lim.n)
-	known, gen := lim.known, lim.gen
-	if !oldList || known == nil {
-		known, _ = json.Marshal(list)
-		gen = list.Generation
-		if lim.known == nil {
-			lim.known, lim.gen = known, gen
+// writeConfig writes the limiter's configuration.
+func (l *Lab) writeConfig(lim *limiter, oldList bool) error {
+	list := l.discovery.Whole(lim.index)
+	knownList, listGeneration := lim.knownList, lim.listGeneration
+	if !oldList || knownList == nil {
+		knownList, _ = json.Marshal(list)
+		listGeneration = list.Generation
+		if lim.knownList == nil {
+			lim.knownList, lim.listGeneration = knownList, listGeneration
 		}
 	}
 	l.mu.Lock()
-	l.lives = append(l.lives, history.Process{Limiter: lim.n, ListGeneration: gen})
-	lim.life = len(l.lives) - 1
+	l.processes = append(l.processes, history.Process{Limiter: lim.index, ListGeneration: listGeneration})
+	lim.entry = len(l.processes) - 1
 	l.mu.Unlock()
-	set := map[string]json.RawMessage{}
-	text := l.e.Text
-	if lim.n >= l.e.Limiters.Count-l.e.Limiters.Moved {
-		text = l.e.MovedText
+	settings := map[string]json.RawMessage{}
+	text := l.exp.Text
+	if lim.index >= l.exp.Limiters.Count-l.exp.Limiters.Moved {
+		text = l.exp.MovedText
 	}
-	if err := json.Unmarshal(text, &set); err != nil {
+	if err := json.Unmarshal(text, &settings); err != nil {
 		return err
 	}
-	set["position"] = json.RawMessage(strconv.Itoa(lim.n))
-	config := map[string]any{"name": lim.name, "listen": lim.port.Address(), "discovery": l.discoveryOf(lim.n),
-		"seed":   fmt.Sprintf("%016x", l.e.Seed+uint64(lim.n)*0x9e3779b97f4a7c15+uint64(l.clock.Now())),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": l.e.Limiters.Memory, "sockets": l.e.Limiters.Sockets},
-		"known":  json.RawMessage(known), "settings": set}
+	settings["position"] = json.RawMessage(strconv.Itoa(lim.index))
+	config := map[string]any{"name": lim.name, "listen": lim.port.Address(), "discovery": l.discoveryAddress(lim.index),
+		"seed":   fmt.Sprintf("%016x", l.exp.Seed+uint64(lim.index)*0x9e3779b97f4a7c15+uint64(l.clock.Now())),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": l.exp.Limiters.Memory, "sockets": l.exp.Limiters.Sockets},
+		"known":  json.RawMessage(knownList), "settings": settings}
 	if l.counter != nil {
-		config["counter"] = l.counterOf(lim.n)
+		config["counter"] = l.counterAddress(lim.index)
 	}
-	whole, _ := json.Marshal(config)
-	return os.WriteFile(lim.config, whole, 0o644)
+	data, _ := json.Marshal(config)
+	return os.WriteFile(lim.config, data, 0o644)
 }
 
 // exec starts the configured program and watches for its end.
 func (l *Lab) exec(lim *limiter) error {
-	failed := func(err error) error {
-		err = &StartError{Limiter: lim.n, Program: l.e.Limiters.Program, Log: lim.logPath, Cause: err}
+	startFailed := func(err error) error {
+		err = &StartError{Limiter: lim.index, Program: l.exp.Limiters.Program, Log: lim.logPath, Cause: err}
 		l.fail(err, "never-started", lim, l.clock.Now())
 		return err
 	}
-	out, err := os.OpenFile(lim.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(lim.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return failed(err)
+		return startFailed(err)
 	}
-	cmd := exec.Command(l.e.Limiters.Program)
+	cmd := exec.Command(l.exp.Limiters.Program)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+lim.config, "GW_NAME="+lim.name, "GW_LISTEN="+lim.port.Address(),
-		"GW_DISCOVERY="+l.discoveryOf(lim.n))
-	if calls := l.e.Limiters.ListCalls; calls > 0 {
-		stated := lim.config + ".operator"
-		if err := os.WriteFile(stated, fmt.Appendf(nil, "list_calls_per_s = %g\n", calls), 0o644); err != nil {
+		"GW_DISCOVERY="+l.discoveryAddress(lim.index))
+	if calls := l.exp.Limiters.ListCalls; calls > 0 {
+		operatorPath := lim.config + ".operator"
+		if err := os.WriteFile(operatorPath, fmt.Appendf(nil, "list_calls_per_s = %g\n", calls), 0o644); err != nil {
 			return err
 		}
-		cmd.Env = append(cmd.Env, "GW_OPERATOR="+stated)
+		cmd.Env = append(cmd.Env, "GW_OPERATOR="+operatorPath)
 	}
-	cmd.Stdout = out
-	cmd.Stderr = out
-	if err := l.startCommand(lim.n, cmd); err != nil {
-		_ = out.Close()
-		return failed(err)
+	cmd.Stdout = logFile
+	cmd.Stderr = logFile
+	if err := l.startCommand(lim.index, cmd); err != nil {
+		_ = logFile.Close()
+		return startFailed(err)
 	}
 	ended := make(chan struct{})
 	lim.mu.Lock()
 	lim.cmd, lim.ended = cmd, ended
-	life := lim.life
+	entry := lim.entry
 	lim.mu.Unlock()
-	l.transition(lim, begun, nil)
-	l.refuse(party(lim.n), false)
-	l.lived(life, func(r *history.Process) { r.Started = l.clock.Now() })
+	l.transition(lim, startedEvent, nil)
+	l.setRefusing(targetOf(lim.index), false)
+	l.updateProcess(entry, func(r *history.Process) { r.Started = l.clock.Now() })
 	go func() {
 		err := cmd.Wait()
-		_ = out.Close()
-		l.lived(life, func(r *history.Process) {
+		_ = logFile.Close()
+		l.updateProcess(entry, func(r *history.Process) {
 			r.Ended = l.clock.Now()
 			if err != nil {
 				r.End = err.Error()
 			}
 		})
 		lim.mu.Lock()
-		planned := lim.state == leaving
+		planned := lim.state == terminating
 		lim.mu.Unlock()
 		if planned { // of any other end the front does not know yet
-			l.front[lim.n].Store(false)
+			l.inRotation[lim.index].Store(false)
 		}
-		l.transition(lim, exited, err)
-		l.refuse(party(lim.n), true)
+		l.transition(lim, exitEvent, err)
+		l.setRefusing(targetOf(lim.index), true)
 		close(ended)
 	}()
 	return nil
@@ -206,23 +206,23 @@
 	return nil
 }
 
-// lived changes an entry of the record's lives.
-func (l *Lab) lived(life int, change func(*history.Process)) {
+// updateProcess changes an entry of the record's lives.
+func (l *Lab) updateProcess(entry int, change func(*history.Process)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change(&l.lives[life])
+	change(&l.processes[entry])
 }
 
-// await waits until the limiter answers PING with +PONG, as the front does before it sends anything, and lets the front
+// awaitReady waits until the limiter answers PING with +PONG, as the front does before it sends anything, and lets the front
 // in. One that ends meanwhile is not waited for: its end is told elsewhere.
-func (l *Lab) await(lim *limiter, life int, ended chan struct{}, stop chan struct{}) error {
-	end := time.Now().Add(l.within)
-	pause := 20 * time.Millisecond
-	for time.Now().Before(end) {
+func (l *Lab) awaitReady(lim *limiter, entry int, ended chan struct{}, stop chan struct{}) error {
+	deadline := time.Now().Add(l.readyTimeout)
+	pollInterval := 20 * time.Millisecond
+	for time.Now().Before(deadline) {
 		if ports.Pong(lim.port.Address()) {
-			l.lived(life, func(r *history.Process) { r.Ready = l.clock.Now() })
-			l.transition(lim, answered, nil)
-			l.front[lim.n].Store(true)
+			l.updateProcess(entry, func(r *history.Process) { r.Ready = l.clock.Now() })
+			l.transition(lim, readyEvent, nil)
+			l.inRotation[lim.index].Store(true)
 			return nil
 		}
 		select {
@@ -230,61 +230,61 @@
 			return nil
 		case <-stop:
 			return nil
-		case <-time.After(pause):
-			pause = min(pause*2, 100*time.Millisecond)
+		case <-time.After(pollInterval):
+			pollInterval = min(pollInterval*2, 100*time.Millisecond)
 		}
 	}
-	err := &ReadyTimeoutError{Limiter: lim.n, Timeout: l.within, Log: lim.logPath}
+	err := &ReadyTimeoutError{Limiter: lim.index, Timeout: l.readyTimeout, Log: lim.logPath}
 	l.fail(err, "never-ready", lim, l.clock.Now())
 	return err
 }
 
-// awaited waits for the limiter's present process.
-func (l *Lab) awaited(lim *limiter) error { return l.await(lim, lim.life, lim.ended, nil) }
+// awaitLatest waits for the limiter's present process.
+func (l *Lab) awaitLatest(lim *limiter) error { return l.awaitReady(lim, lim.entry, lim.ended, nil) }
 
 // startAll starts all limiters as fast as that goes and waits until all are ready or have failed.
 // Their configurations are written before the first starts.
 func (l *Lab) startAll() error {
-	for n := range l.e.Limiters.Count {
+	for index := range l.exp.Limiters.Count {
 		port, err := ports.Keep()
 		if err != nil {
 			return err
 		}
-		lim := &limiter{n: n, name: fmt.Sprintf("n%d", n), port: port,
+		lim := &limiter{index: index, name: fmt.Sprintf("n%d", index), port: port,
 			config: filepath.Join(
 				l.dir,
-				fmt.Sprintf("n%d.json", n),
-			), logPath: filepath.Join(l.dir, fmt.Sprintf("n%d.log", n))}
+				fmt.Sprintf("n%d.json", index),
+			), logPath: filepath.Join(l.dir, fmt.Sprintf("n%d.log", index))}
 		l.limiters = append(l.limiters, lim)
-		if err := l.join(n); err != nil {
+		if err := l.addLinks(index); err != nil {
 			return err
 		}
-		if err := l.configure(lim, false); err != nil {
+		if err := l.writeConfig(lim, false); err != nil {
 			return err
 		}
 	}
-	var wait, begun sync.WaitGroup
+	var awaiting, launching sync.WaitGroup
 	errs := make([]error, len(l.limiters))
-	began := time.Now()
-	for hand := range starters {
-		begun.Add(1)
+	startedAt := time.Now()
+	for worker := range concurrentStarts {
+		launching.Add(1)
 		go func() {
-			defer begun.Done()
-			for i := hand; i < len(l.limiters); i += starters {
+			defer launching.Done()
+			for i := worker; i < len(l.limiters); i += concurrentStarts {
 				errs[i] = l.exec(l.limiters[i])
 				if errs[i] == nil {
-					wait.Add(1)
-					go func() { defer wait.Done(); errs[i] = l.awaited(l.limiters[i]) }()
+					awaiting.Add(1)
+					go func() { defer awaiting.Done(); errs[i] = l.awaitLatest(l.limiters[i]) }()
 				}
 			}
 		}()
 	}
-	begun.Wait()
-	if took := time.Since(began); l.e.Limiters.Start == "together" && took > together {
+	launching.Wait()
+	if took := time.Since(startedAt); l.exp.Limiters.Start == "together" && took > maxStartSpread {
 		errs = append(errs, &StartSpreadError{took})
 		l.fail(errs[len(errs)-1], "not-together", l.limiters[0], l.clock.Now())
 	}
-	wait.Wait()
+	awaiting.Wait()
 	return errors.Join(errs...)
 }
 
@@ -303,12 +303,12 @@
 	if !lim.claimStart() {
 		return
 	}
-	l.front[lim.n].Store(false)
-	l.book.AddEvent(history.Event{At: l.clock.Now(), Kind: "restart", Target: party(lim.n)})
-	err := l.begin(lim, oldList)
+	l.inRotation[lim.index].Store(false)
+	l.recorder.AddEvent(history.Event{At: l.clock.Now(), Kind: "restart", Target: targetOf(lim.index)})
+	err := l.startProcess(lim, oldList)
 	lim.releaseStart()
 	if err == nil {
-		_ = l.await(lim, lim.life, lim.ended, stop)
+		_ = l.awaitReady(lim, lim.entry, lim.ended, stop)
 	}
 }
 
@@ -316,10 +316,10 @@
 func (lim *limiter) claimStart() bool {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
-	if lim.state != absent || lim.claimed {
+	if lim.state != absent || lim.startClaimed {
 		return false
 	}
-	lim.claimed = true
+	lim.startClaimed = true
 	return true
 }
 
@@ -327,31 +327,31 @@
 func (lim *limiter) releaseStart() {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
-	lim.claimed = false
+	lim.startClaimed = false
 }
 
-// term ends a limiter as a planned restart does: SIGTERM, new connections for a while yet, and SIGKILL if it still
+// terminate ends a limiter as a planned restart does: SIGTERM, new connections for a while yet, and SIGKILL if it still
 // lives when every client's time is over.
-func (l *Lab) term(lim *limiter, stop chan struct{}) {
-	target := party(lim.n)
-	if !l.signal(lim, asked, syscall.SIGTERM) {
+func (l *Lab) terminate(lim *limiter, stop chan struct{}) {
+	target := targetOf(lim.index)
+	if !l.transitionAndSignal(lim, termEvent, syscall.SIGTERM) {
 		return
 	}
 	ended := lim.ended
-	l.book.AddEvent(history.Event{At: l.clock.Now(), Kind: "term", Target: target})
-	l.after(frontTakes, ended, stop, func() { l.front[lim.n].Store(false) })
-	l.after(time.Duration(l.e.LongestCutOff())+termExtra, ended, stop, func() {
-		if l.signal(lim, shot, syscall.SIGKILL) {
-			l.book.AddEvent(history.Event{At: l.clock.Now(), Kind: "term-kill", Target: target})
+	l.recorder.AddEvent(history.Event{At: l.clock.Now(), Kind: "term", Target: target})
+	l.afterUnlessEnded(rotationDelay, ended, stop, func() { l.inRotation[lim.index].Store(false) })
+	l.afterUnlessEnded(time.Duration(l.exp.LongestCutOff())+killMargin, ended, stop, func() {
+		if l.transitionAndSignal(lim, killEvent, syscall.SIGKILL) {
+			l.recorder.AddEvent(history.Event{At: l.clock.Now(), Kind: "term-kill", Target: target})
 		}
 	})
 }
 
-// after does what is due after a time, unless the process has ended by then.
-func (l *Lab) after(wait time.Duration, ended, stop chan struct{}, do func()) {
-	l.task(func() {
+// afterUnlessEnded does what is due afterUnlessEnded a time, unless the process has ended by then.
+func (l *Lab) afterUnlessEnded(delay time.Duration, ended, stop chan struct{}, do func()) {
+	l.runTask(func() {
 		select {
-		case <-time.After(wait):
+		case <-time.After(delay):
 			do()
 		case <-ended:
 		case <-stop:
@@ -359,24 +359,24 @@
 	})
 }
 
-// task runs do on a goroutine that the run waits for.
-func (l *Lab) task(do func()) {
+// runTask runs do on a goroutine that the run waits for.
+func (l *Lab) runTask(do func()) {
 	l.tasks.Add(1)
 	go func() { defer l.tasks.Done(); do() }()
 }
 
-// end ends all processes: SIGTERM, and SIGKILL 200 ms later; it waits for every one.
-func (l *Lab) end() {
+// stopAll ends all processes: SIGTERM, and SIGKILL 200 ms later; it waits for every one.
+func (l *Lab) stopAll() {
 	for _, lim := range l.limiters {
 		lim.mu.Lock()
-		was := lim.state
+		current := lim.state
 		lim.mu.Unlock()
-		if was == paused {
-			l.signal(lim, shot, syscall.SIGKILL) // it would not hear SIGTERM
+		if current == paused {
+			l.transitionAndSignal(lim, killEvent, syscall.SIGKILL) // it would not hear SIGTERM
 		}
-		l.signal(lim, asked, syscall.SIGTERM)
+		l.transitionAndSignal(lim, termEvent, syscall.SIGTERM)
 	}
-	soon := time.After(200 * time.Millisecond)
+	grace := time.After(200 * time.Millisecond)
 	for _, lim := range l.limiters {
 		if lim.ended == nil {
 			continue
@@ -384,10 +384,10 @@
 		select {
 		case <-lim.ended:
 			continue
-		case <-soon:
-			soon = closed
+		case <-grace:
+			grace = closedTimer
 		}
-		l.signal(lim, shot, syscall.SIGKILL)
+		l.transitionAndSignal(lim, killEvent, syscall.SIGKILL)
 		<-lim.ended
 	}
 	for _, lim := range l.limiters {
@@ -395,5 +395,5 @@
 	}
 }
 
-// closed is a time that has come.
-var closed = func() chan time.Time { c := make(chan time.Time); close(c); return c }()
+// closedTimer is a time that has come.
+var closedTimer = func() chan time.Time { c := make(chan time.Time); close(c); return c }()
--- a/internal/lab/runner/processes_test.go
+++ b/internal/lab/runner/processes_test.go
@@ -14,8 +14,8 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// example reads an experiment of examples/lab for a program, with some of its text replaced.
-func example(t *testing.T, name, program string, replace ...string) *experiment.Experiment {
+// loadExample reads an experiment of examples/lab for a program, with some of its text replaced.
+func loadExample(t *testing.T, name, program string, replace ...string) *experiment.Experiment {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("many processes")
@@ -38,8 +38,8 @@
 	return e
 }
 
-// smaller gives an experiment so many limiters and seconds.
-func smaller(t *testing.T, e *experiment.Experiment, limiters int, length float64) *experiment.Experiment {
+// resize gives an experiment so many limiters and seconds.
+func resize(t *testing.T, e *experiment.Experiment, limiters int, length float64) *experiment.Experiment {
 	t.Helper()
 	e.Limiters.Count, e.Length = limiters, length
 	for i := range e.Load.Customers {
@@ -52,79 +52,81 @@
 	return e
 }
 
-// wants fails unless a broken limiter's run broke the rule.
-func wants(t *testing.T, r *Result, rule int) {
+// wantBreach fails unless a broken limiter's run broke the rule.
+func wantBreach(t *testing.T, r *Result, rule int) {
 	t.Helper()
 	if r.Verdict.Pass || r.Verdict.Counts[rule] == 0 {
 		t.Errorf("rule %d was broken and nobody saw it: %s", rule, r.Verdict.Line())
 	}
 }
 
-// TestRollingRestartAnswersEveryJob ends all of 20 limiters by SIGTERM, a tenth at a time, under clients that use a
+// TestRollingRestartAnswersEveryRequest ends all of 20 limiters by SIGTERM, a tenth at a time, under clients that use a
 // connection for as long as it stays open: each request that was taken has its answer, and none finds nobody.
-func TestRollingRestartAnswersEveryJob(t *testing.T) {
+func TestRollingRestartAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
-	r, _ := play(t, example(t, "rolling", build(t)))
-	terms, after := map[string]int64{}, 0
+	r, _ := runPassing(t, loadExample(t, "rolling", buildLimiter(t)))
+	terms, sentAfterTerm := map[string]int64{}, 0
 	for _, e := range r.Run.Events {
 		if e.Kind == "term" {
 			terms[e.Target] = e.At
 		}
 	}
 	for _, j := range r.Run.Requests {
-		if at, was := terms[party(j.Limiter)]; was && j.Sent > at && j.Sent < at+int64(frontTakes) {
-			after++
+		if at, was := terms[targetOf(j.Limiter)]; was && j.Sent > at && j.Sent < at+int64(rotationDelay) {
+			sentAfterTerm++
 		}
 	}
-	t.Logf("%d jobs came in the first %v after a SIGTERM", after, frontTakes)
-	if len(terms) != 20 || len(r.Run.Processes) != 40 || after == 0 {
-		t.Errorf("%d limiters ended, %d processes, %d jobs after SIGTERM", len(terms), len(r.Run.Processes), after)
+	t.Logf("%d jobs came in the first %v after a SIGTERM", sentAfterTerm, rotationDelay)
+	if len(terms) != 20 || len(r.Run.Processes) != 40 || sentAfterTerm == 0 {
+		t.Errorf("%d limiters ended, %d processes, %d jobs after SIGTERM", len(terms), len(r.Run.Processes), sentAfterTerm)
 	}
 	if n := r.Verdict.Outcomes[history.NotAccepted]; n > 0 {
 		t.Errorf("%d jobs found nobody", n)
 	}
 }
 
-func TestRollingRestartThatDropsJobsIsCaught(t *testing.T) {
+func TestRollingRestartThatDropsRequestsIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, smaller(t, example(t, "rolling", broken(t, mutants.Drop)), 10, 5))
-	wants(t, r, 1)
+	r, _ := runExperiment(t, resize(t, loadExample(t, "rolling", brokenLimiter(t, mutants.Drop)), 10, 5))
+	wantBreach(t, r, 1)
 }
 
-// TestLinksCut cuts three of 12 limiters off from discovery while a server drains, stops a fourth past the drain, and
+// TestLinkFaults cuts three of 12 limiters off from discovery while a server drains, stops a fourth past the drain, and
 // then cuts, stalls, slows, resets and half opens links to servers. A limiter that was stopped used to send on, when it
 // woke, requests whose clients' time was over.
-func TestLinksCut(t *testing.T) {
+func TestLinkFaults(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, example(t, "links", build(t)))
-	jobs := map[string]history.Request{}
+	r, _ := runExperiment(t, loadExample(t, "links", buildLimiter(t)))
+	requests := map[string]history.Request{}
 	for _, j := range r.Run.Requests {
-		jobs[j.ID] = j
+		requests[j.ID] = j
 	}
 	for _, b := range r.Verdict.Breaches {
 		t.Errorf("rule %d at %.3f s: %s: %s", b.Rule, float64(b.At)/1e9, b.What, b.Detail)
 	}
-	old, slow, cut := 0, 0, 0
+	byStaleList, overSlowLink, overCutLink := 0, 0, 0
 	for _, s := range r.Run.Attempts {
-		j := jobs[s.ID]
+		j := requests[s.ID]
 		switch {
 		case s.Server == "hall1-0" && s.At > 43e8 && s.At < 105e8 && j.Limiter <= 2:
-			old++
-		case j.Limiter == 11 && strings.HasPrefix(s.Server, "hall1-") && s.At > 111e8 && s.At < 145e8 && j.Outcome == history.Succeeded:
-			if slow++; j.Answered-j.Sent < 40e6 {
+			byStaleList++
+		case j.Limiter == 11 && strings.HasPrefix(s.Server, "hall1-") && s.At > 111e8 && s.At < 145e8 &&
+			j.Outcome == history.Succeeded:
+			if overSlowLink++; j.Answered-j.Sent < 40e6 {
 				t.Errorf("%s took %.1f ms over a link that adds 40", j.ID, float64(j.Answered-j.Sent)/1e6)
 			}
 		case j.Limiter >= 6 && j.Limiter <= 8 && s.Server == "hall2-0" && s.At > 1105e7 && s.At < 13e9:
-			cut++
+			overCutLink++
 		}
 	}
-	if old == 0 || slow == 0 || cut > 0 || r.Verdict.Stopped == 0 || r.Verdict.CutOff == 0 || len(r.Failures) > 0 {
+	if byStaleList == 0 || overSlowLink == 0 || overCutLink > 0 ||
+		r.Verdict.Stopped == 0 || r.Verdict.CutOff == 0 || len(r.Failures) > 0 {
 		t.Errorf(
 			"the faults were not there: %d shots by old lists, %d over the slow link, %d over the cut one, %d jobs stopped, "+
 				"%d cut off; failures %v",
-			old,
-			slow,
-			cut,
+			byStaleList,
+			overSlowLink,
+			overCutLink,
 			r.Verdict.Stopped,
 			r.Verdict.CutOff,
 			r.Failures,
@@ -132,19 +134,20 @@
 	}
 }
 
-func TestLimiterDeafToTheListIsCaught(t *testing.T) {
+func TestLimiterIgnoringEndpointListIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := played(
+	r, _ := runExperiment(
 		t,
-		smaller(t, example(t, "links", broken(t, mutants.Deaf), "from = 3.5\nuntil = 7.5", "from = 1.0\nuntil = 1.2",
+		resize(t, loadExample(t, "links", brokenLimiter(t, mutants.Deaf),
+			"from = 3.5\nuntil = 7.5", "from = 1.0\nuntil = 1.2",
 			"from = 4.0", "from = 1.5"), 12, 4),
 	)
-	wants(t, r, 3)
+	wantBreach(t, r, 3)
 }
 
-// coldstart is a cold start of 30 limiters of which seven in ten are killed in the middle.
-func coldstart(t *testing.T, program string, length float64, replace ...string) *experiment.Experiment {
-	e := example(t, "coldstart", program, append(replace, "rate = 300.0", "rate = 500.0", "[settings]\n", `[[faults]]
+// coldStartExperiment is a cold start of 30 limiters of which seven in ten are killed in the middle.
+func coldStartExperiment(t *testing.T, program string, length float64, replace ...string) *experiment.Experiment {
+	e := loadExample(t, "coldstart", program, append(replace, "rate = 300.0", "rate = 500.0", "[settings]\n", `[[faults]]
 kind = "kill"
 target = "limiter:0..29"
 from = 1.5
@@ -160,7 +163,7 @@
 
 [settings]
 `)...)
-	return smaller(t, e, 30, length)
+	return resize(t, e, 30, length)
 }
 
 // TestColdStartWithKills starts 30 limiters within a second before a list service that bears 20 calls a second, half
@@ -168,39 +171,40 @@
 // cold server is sent more than it bears, and the drain is kept from when each has been told of it.
 func TestColdStartWithKills(t *testing.T) {
 	t.Parallel()
-	r, _ := play(t, coldstart(t, build(t), 8))
+	r, _ := runPassing(t, coldStartExperiment(t, buildLimiter(t), 8))
 	f := FleetOf(r.Run)
 	t.Logf("%+v", f)
-	old := 0
-	for _, l := range r.Run.Processes[30:] {
-		if l.ListGeneration == r.Run.Processes[0].ListGeneration && l.Started > 22e8 {
-			old++
+	staleStarts := 0
+	for _, p := range r.Run.Processes[30:] {
+		if p.ListGeneration == r.Run.Processes[0].ListGeneration && p.Started > 22e8 {
+			staleStarts++
 		}
 	}
-	if old != 21 {
-		t.Errorf("%d processes came back late and with the old list, not 21", old)
+	if staleStarts != 21 {
+		t.Errorf("%d processes came back late and with the old list, not 21", staleStarts)
 	}
-	if f.StartTook > int64(together) || len(r.Run.Processes) != 30+21 || f.NotReady > 0 || f.TurnedAway == 0 {
+	if f.StartTook > int64(maxStartSpread) || len(r.Run.Processes) != 30+21 || f.NotReady > 0 || f.TurnedAway == 0 {
 		t.Errorf("%d processes, %d not ready, %+v", len(r.Run.Processes), f.NotReady, f)
 	}
 }
 
-// TestColdStartInTurn starts 30 limiters at once before a list service that has to be asked and bears 8 calls a
+// TestColdStartStaggersDiscoveryCalls starts 30 limiters at once before a list service that has to be asked and bears 8 calls a
 // second, and kills seven in ten of them. With that stated in their operator's file they ask in turn, killed or not;
 // without it many are turned away. A call may reach the service in the second next to its own.
-func TestColdStartInTurn(t *testing.T) {
+func TestColdStartStaggersDiscoveryCalls(t *testing.T) {
 	t.Parallel()
-	for _, stated := range []float64{0, 7} {
-		e := coldstart(t, build(t), 8, "granularity = 0.004", "granularity = 0.004\nregistry-mode = \"on_request\"",
+	for _, listCalls := range []float64{0, 7} {
+		e := coldStartExperiment(t, buildLimiter(t), 8,
+			"granularity = 0.004", "granularity = 0.004\nregistry-mode = \"on_request\"",
 			"[settings.contract]", "[settings.contract]\nask-every = 10.0", "factor = 20.0", "factor = 8.0")
-		e.Limiters.ListCalls = stated
-		r, _ := play(t, e)
+		e.Limiters.ListCalls = listCalls
+		r, _ := runPassing(t, e)
 		f := FleetOf(r.Run)
-		t.Logf("stated %v: %+v", stated, f)
-		if stated > 0 && (f.CallsPeak > 10 || f.TurnedAway > 2 || f.Calls < 30) || stated == 0 && f.TurnedAway < 10 {
+		t.Logf("stated %v: %+v", listCalls, f)
+		if listCalls > 0 && (f.CallsPeak > 10 || f.TurnedAway > 2 || f.Calls < 30) || listCalls == 0 && f.TurnedAway < 10 {
 			t.Errorf(
 				"stated %v: %d calls, %d in the worst second, %d turned away",
-				stated,
+				listCalls,
 				f.Calls,
 				f.CallsPeak,
 				f.TurnedAway,
@@ -211,8 +215,8 @@
 
 func TestLimiterThatOverrunsColdServersIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, coldstart(t, broken(t, mutants.Cold), 3))
-	wants(t, r, 4)
+	r, _ := runExperiment(t, coldStartExperiment(t, brokenLimiter(t, mutants.Cold), 3))
+	wantBreach(t, r, 4)
 }
 
 // TestCounterCutOneWay loses the counter's answers to a third of 12 limiters for 4 s while customers ask for three
@@ -220,8 +224,8 @@
 // counter, and the counter hears of those limiters again.
 func TestCounterCutOneWay(t *testing.T) {
 	t.Parallel()
-	e := example(t, "countcut", build(t))
-	r, _ := play(t, e)
+	e := loadExample(t, "countcut", buildLimiter(t))
+	r, _ := runPassing(t, e)
 	spreads := map[string]int{}
 	for _, c := range e.Load.Customers {
 		spreads[c.ID] = c.Spread
@@ -238,23 +242,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		most := b.BurstExcess + b.ExcessRate*6 + e.Settings.MaxRequestUnits
-		t.Logf("%s: excess %.1f, stated %.1f", u.Customer, u.Excess, most)
-		if u.Excess > most {
-			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, most)
+		bound := b.BurstExcess + b.ExcessRate*6 + e.Settings.MaxRequestUnits
+		t.Logf("%s: excess %.1f, stated %.1f", u.Customer, u.Excess, bound)
+		if u.Excess > bound {
+			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, bound)
 		}
 	}
-	cut, before, lost := 0, 0, 0
+	cutLimiters, callsBefore, callsDuring := 0, 0, 0
 	for n := range e.Limiters.Count {
 		if len(e.Script(n, experiment.Counting, "", "")) == 0 {
 			continue
 		}
-		cut++
+		cutLimiters++
 		during, later := 0, 0
 		for second, calls := range r.Run.Counts[n] {
 			switch {
 			case second >= 1 && second < 4:
-				before += calls
+				callsBefore += calls
 			case second >= 5 && second < 8:
 				during += calls
 			case second >= 9 && second < 14:
@@ -265,25 +269,26 @@
 		if later == 0 {
 			t.Errorf("limiter %d never came back to the counter", n)
 		}
-		lost += during
+		callsDuring += during
 	}
-	if cut != 4 || lost > before/2 {
-		t.Errorf("%d limiters cut, not a third; %d calls before the cut and %d in it", cut, before, lost)
+	if cutLimiters != 4 || callsDuring > callsBefore/2 {
+		t.Errorf("%d limiters cut, not a third; %d calls before the cut and %d in it", cutLimiters, callsBefore, callsDuring)
 	}
 }
 
-func TestLimiterPastTheCeilingIsCaught(t *testing.T) {
+func TestLimiterExceedingCeilingIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, smaller(t, example(t, "countcut", broken(t, mutants.Over)), 12, 5))
-	wants(t, r, 5)
+	r, _ := runExperiment(t, resize(t, loadExample(t, "countcut", brokenLimiter(t, mutants.Over)), 12, 5))
+	wantBreach(t, r, 5)
 }
 
 // A limiter that does not end at SIGTERM is killed once all clients' time is over, and restarted only then.
-func TestLimiterThatStaysIsKilled(t *testing.T) {
+func TestLimiterIgnoringSIGTERMIsKilled(t *testing.T) {
 	t.Parallel()
-	r, _ := played(
+	r, _ := runExperiment(
 		t,
-		smaller(t, example(t, "rolling", broken(t, mutants.Stay), "from = 2.0\nuntil = 3.0", "from = 0.5\nuntil = 1.0",
+		resize(t, loadExample(t, "rolling", brokenLimiter(t, mutants.Stay),
+			"from = 2.0\nuntil = 3.0", "from = 0.5\nuntil = 1.0",
 			"every = 1.2", "every = 9.0", "cut_off = 2.5", "cut_off = 1.5"), 2, 4),
 	)
 	var term, kill, restart int64
@@ -305,16 +310,16 @@
 // A limiter that ends by itself, and one that cannot be started, fail the run by name.
 func TestFailedLimitersFailTheRun(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, smaller(t, example(t, "countcut", broken(t, mutants.Crash)), 2, 3))
+	r, _ := runExperiment(t, resize(t, loadExample(t, "countcut", brokenLimiter(t, mutants.Crash)), 2, 3))
 	var crashed *CrashError
 	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &crashed) ||
 		!strings.HasSuffix(crashed.Log, ".log") {
 		t.Errorf("%s %v", r.Verdict.Line(), r.Failures)
 	}
-	r, _ = played(t, smaller(t, example(t, "countcut", "no/such/program"), 2, 3))
-	var never *StartError
-	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &never) || len(r.Run.Requests) > 0 ||
-		!strings.Contains(fmt.Sprint(r.Verdict.Breaches), never.Log) {
+	r, _ = runExperiment(t, resize(t, loadExample(t, "countcut", "no/such/program"), 2, 3))
+	var notStarted *StartError
+	if r.Verdict.Counts[0] != 2 || !errors.As(errors.Join(r.Failures...), &notStarted) || len(r.Run.Requests) > 0 ||
+		!strings.Contains(fmt.Sprint(r.Verdict.Breaches), notStarted.Log) {
 		t.Errorf("%s %v", r.Verdict.Line(), r.Failures)
 	}
 }
--- a/internal/lab/runner/restart_test.go
+++ b/internal/lab/runner/restart_test.go
@@ -29,8 +29,8 @@
 [settings.family-info]`
 )
 
-// restart is the experiment of examples/lab/restart.toml for a program, with some of its text replaced.
-func restart(t *testing.T, program string, replace ...string) *experiment.Experiment {
+// restartExperiment is the experiment of examples/lab/restartExperiment.toml for a program, with some of its text replaced.
+func restartExperiment(t *testing.T, program string, replace ...string) *experiment.Experiment {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/lab/restart.toml")
 	if err != nil {
@@ -57,7 +57,7 @@
 // half of them at a time.
 func TestRestartedLimitersAreReady(t *testing.T) {
 	t.Parallel()
-	program := build(t)
+	program := buildLimiter(t)
 	for _, c := range []struct {
 		name, fault string
 		length      float64
@@ -79,7 +79,7 @@
 				limiters, c.length = 6, 7
 				replace = append(replace, "share = 0.1", "share = 0.5")
 			}
-			r, _ := played(t, smaller(t, restart(t, program, replace...), limiters, c.length))
+			r, _ := runExperiment(t, resize(t, restartExperiment(t, program, replace...), limiters, c.length))
 			if !r.Verdict.Pass {
 				t.Errorf("%+v\n%v", r.Verdict.Breaches, r.Failures)
 			}
@@ -89,13 +89,13 @@
 				c.name,
 				restarts.Ready,
 				restarts.Count,
-				restarts.Soon,
-				seconds(restarts.P50),
-				seconds(restarts.P90),
-				seconds(restarts.Max),
+				restarts.ReadyInTime,
+				formatSeconds(restarts.P50),
+				formatSeconds(restarts.P90),
+				formatSeconds(restarts.Max),
 			)
-			if restarts.Count != limiters || !restarts.NineInTen() || restarts.Ready < limiters ||
-				restarts.Max > int64(readyWithin) {
+			if restarts.Count != limiters || !restarts.MeetsTarget() || restarts.Ready < limiters ||
+				restarts.Max > int64(defaultReadyTimeout) {
 				t.Errorf("%+v of %d limiters", restarts, limiters)
 			}
 			s := &r.Verdict.Service
@@ -113,52 +113,67 @@
 		t.Skip("6 s of load")
 	}
 	t.Parallel()
-	r, _ := played(
+	r, _ := runExperiment(
 		t,
-		smaller(
+		resize(
 			t,
-			restart(t, broken(t, mutants.Await), discoverySlow, discoveryDown, "share = 0.1", "share = 1.0"),
+			restartExperiment(t, brokenLimiter(t, mutants.Await), discoverySlow, discoveryDown, "share = 0.1", "share = 1.0"),
 			2,
 			6,
 		),
 	)
 	restarts := RestartsOf(r.Run)
-	if restarts.Count != 2 || restarts.Ready > 0 || restarts.NineInTen() || restarts.P50 != -1 {
+	if restarts.Count != 2 || restarts.Ready > 0 || restarts.MeetsTarget() || restarts.P50 != -1 {
 		t.Errorf("%+v", restarts)
 	}
-	wantLines(t, r, "restarts count=2 ready=0 within_10s=0 ready50=never ready90=never ready100=never")
+	wantSummaryLines(t, r, "restarts count=2 ready=0 within_10s=0 ready50=never ready90=never ready100=never")
 }
 
 // TestRestartsOf reckons from records: first processes and those that were ended before they were ready do not count,
 // and those that were not ready at the run's end do.
 func TestRestartsOf(t *testing.T) {
 	const second = int64(1e9)
-	lives := []history.Process{
+	processes := []history.Process{
 		{Limiter: 0, Started: 1, Ready: 25 * second},
 		{Limiter: 1, Started: 2, Ready: 25 * second},
 	}
 	for i := range int64(10) {
-		lives = append(lives, history.Process{Limiter: int(i % 2), Started: 30 * second, Ready: (31 + i) * second})
+		processes = append(processes, history.Process{Limiter: int(i % 2), Started: 30 * second, Ready: (31 + i) * second})
 	}
 	ended := history.Process{Limiter: 1, Started: 30 * second, Ended: 31 * second}
 	never := history.Process{Limiter: 1, Started: 30 * second}
-	over := history.Process{Limiter: 1, Started: 30 * second, Ready: 40*second + 1}
+	late := history.Process{Limiter: 1, Started: 30 * second, Ready: 40*second + 1}
 	for _, c := range []struct {
-		name      string
-		lives     []history.Process
-		want      Restarts
-		nineInTen bool
+		name        string
+		processes   []history.Process
+		want        Restarts
+		meetsTarget bool
 	}{
-		{"all within 10 s", append(lives[:12:12], ended), Restarts{10, 10, 10, 5 * second, 9 * second, 10 * second}, true},
-		{"one of ten over 10 s", append(lives[:11:11], over), Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true},
-		{"the slowest one first", append(append(lives[:2:2], over), lives[2:11]...), Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true},
-		{"one of ten never", append(lives[:11:11], never), Restarts{10, 9, 9, 5 * second, 9 * second, -1}, true},
-		{"two of ten over 10 s", append(lives[:10:10], over, over), Restarts{10, 10, 8, 5 * second, 10*second + 1, 10*second + 1}, false},
-		{"none restarted", lives[:2], Restarts{0, 0, 0, -1, -1, -1}, true},
+		{
+			"all within 10 s", append(processes[:12:12], ended),
+			Restarts{10, 10, 10, 5 * second, 9 * second, 10 * second}, true,
+		},
+		{
+			"one of ten over 10 s", append(processes[:11:11], late),
+			Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true,
+		},
+		{
+			"the slowest one first", append(append(processes[:2:2], late), processes[2:11]...),
+			Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true,
+		},
+		{
+			"one of ten never", append(processes[:11:11], never),
+			Restarts{10, 9, 9, 5 * second, 9 * second, -1}, true,
+		},
+		{
+			"two of ten over 10 s", append(processes[:10:10], late, late),
+			Restarts{10, 10, 8, 5 * second, 10*second + 1, 10*second + 1}, false,
+		},
+		{"none restarted", processes[:2], Restarts{0, 0, 0, -1, -1, -1}, true},
 	} {
-		got := RestartsOf(&history.Run{Processes: c.lives})
-		if got != c.want || got.NineInTen() != c.nineInTen {
-			t.Errorf("%s: %+v, nine in ten %v; want %+v", c.name, got, got.NineInTen(), c.want)
+		got := RestartsOf(&history.Run{Processes: c.processes})
+		if got != c.want || got.MeetsTarget() != c.meetsTarget {
+			t.Errorf("%s: %+v, nine in ten %v; want %+v", c.name, got, got.MeetsTarget(), c.want)
 		}
 		var line bytes.Buffer
 		if got.Write(&line); (line.Len() > 0) != (got.Count > 0) {
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -43,27 +43,27 @@
 
 // Lab is one run's emulator and limiters.
 type Lab struct {
-	e         *experiment.Experiment
+	exp       *experiment.Experiment
 	dir       string
 	log       *slog.Logger
 	clock     *history.Clock
-	book      *history.Recorder
+	recorder  *history.Recorder
 	discovery *emulator.Discovery
 	counter   *emulator.Counter
 	servers   []*emulator.Server
 	limiters  []*limiter
-	net       *faultproxy.Network
+	network   *faultproxy.Network
 	// clientScripts are the scripts of the clients' links, by limiter.
 	clientScripts [][]faultproxy.Fault
-	front         []atomic.Bool // which limiters the front gives new connections
-	replaced      int
-	within        time.Duration // a limiter must be ready within it
+	inRotation    []atomic.Bool // which limiters the front gives new connections
+	replacements  int
+	readyTimeout  time.Duration // a limiter must be ready within it
 	extras        Extras
 	tasks         sync.WaitGroup // what is still to be done about limiters
 
-	mu       sync.Mutex
-	lives    []history.Process
-	failures []error
+	mu        sync.Mutex
+	processes []history.Process
+	failures  []error
 }
 
 // Result is what a run leaves: its record and verdict, and what failed it beside the rules (*NeverStarted, *NeverReady,
@@ -76,73 +76,74 @@
 
 // Run plays e with its files (configurations, limiters' logs) in dir. An error says that there was no run; a limiter
 // that fails is no error but fails the verdict. Where the fleet does not get up, no load is played.
-func Run(e *experiment.Experiment, dir string, log *slog.Logger, progress func(float64)) (*Result, error) {
-	return RunWith(e, dir, log, progress, Extras{})
+func Run(exp *experiment.Experiment, dir string, log *slog.Logger, progress func(float64)) (*Result, error) {
+	return RunWith(exp, dir, log, progress, Extras{})
 }
 
 // RunWith is Run with something beside the experiment.
 func RunWith(
-	e *experiment.Experiment,
+	exp *experiment.Experiment,
 	dir string,
 	log *slog.Logger,
 	progress func(float64),
 	extras Extras,
 ) (*Result, error) {
-	lab := &Lab{e: e, extras: extras, dir: dir, log: log, clock: history.NewClock(), book: &history.Recorder{},
-		front: make([]atomic.Bool, e.Limiters.Count), net: faultproxy.NewNetwork(e.Seed), within: readyWithin}
-	for n := range e.Limiters.Count {
-		lab.clientScripts = append(lab.clientScripts, e.Script(n, experiment.Clients, "", ""))
+	lab := &Lab{exp: exp, extras: extras, dir: dir, log: log, clock: history.NewClock(), recorder: &history.Recorder{},
+		inRotation: make([]atomic.Bool, exp.Limiters.Count), network: faultproxy.NewNetwork(exp.Seed),
+		readyTimeout: defaultReadyTimeout}
+	for n := range exp.Limiters.Count {
+		lab.clientScripts = append(lab.clientScripts, exp.Script(n, experiment.Clients, "", ""))
 	}
 	defer lab.close()
-	if err := lab.stand(); err != nil {
+	if err := lab.startEmulator(); err != nil {
 		return nil, err
 	}
 	lab.clock.Restart() // the limiters' start is the run's beginning
 	if err := lab.startAll(); err != nil {
 		log.Error("start", "error", err)
 	} else {
-		lab.load(progress)
+		lab.runLoad(progress)
 	}
-	jobs, shots, events := lab.book.Copy()
-	run := &history.Run{Name: e.Name, Seed: e.Seed, Length: experiment.Nanos(e.Length),
-		Limiters: e.Limiters.Count, Settings: e.Text, Requests: jobs, Attempts: shots, Events: events}
-	run.Calls, run.OverloadCrashes, run.Handshakes = lab.book.DiscoveryAndServers()
-	run.Counts = lab.book.Counts()
-	run.LinkFaults, run.Silences = lab.cutsAndSilences()
+	requests, attempts, events := lab.recorder.Copy()
+	run := &history.Run{Name: exp.Name, Seed: exp.Seed, Length: experiment.Nanos(exp.Length),
+		Limiters: exp.Limiters.Count, Settings: exp.Text, Requests: requests, Attempts: attempts, Events: events}
+	run.Calls, run.OverloadCrashes, run.Handshakes = lab.recorder.DiscoveryAndServers()
+	run.Counts = lab.recorder.Counts()
+	run.LinkFaults, run.Silences = lab.linkFaultsAndSilences()
 	lab.mu.Lock()
-	run.Processes = append(run.Processes, lab.lives...)
+	run.Processes = append(run.Processes, lab.processes...)
 	failures := append([]error(nil), lab.failures...)
 	lab.mu.Unlock()
-	t := invariants.Terms{Late: int64(50*time.Millisecond + extras.lag()), Grace: experiment.Nanos(e.Grace),
-		Slack: experiment.Nanos(e.Slack), SlackShare: e.SlackShare, SlackUnits: e.SlackUnits,
+	terms := invariants.Terms{Late: int64(50*time.Millisecond + extras.lag()), Grace: experiment.Nanos(exp.Grace),
+		Slack: experiment.Nanos(exp.Slack), SlackShare: exp.SlackShare, SlackUnits: exp.SlackUnits,
 		LeaveGrace: int64(extras.LeaveGrace + extras.lag()), TimeLeftSlack: int64(extras.TimeLeftSlack + extras.lag())}
-	verdict := invariants.JudgeRun(run, e.Settings, t)
+	verdict := invariants.JudgeRun(run, exp.Settings, terms)
 	run.Verdict, _ = json.Marshal(verdict)
-	run.Latency, _ = json.Marshal(Latencies(jobs))
+	run.Latency, _ = json.Marshal(Latencies(requests))
 	return &Result{Run: run, Verdict: verdict, Failures: failures}, nil
 }
 
 // Address is where clients reach limiter n.
 func (l *Lab) Address(n int) string {
-	return l.net.Address(experiment.Clients, party(n), l.limiters[n].port.Address())
+	return l.network.Address(experiment.Clients, targetOf(n), l.limiters[n].port.Address())
 }
 
 // Record is where requests are written down, by the clock.
-func (l *Lab) Record() (*history.Recorder, *history.Clock) { return l.book, l.clock }
+func (l *Lab) Record() (*history.Recorder, *history.Clock) { return l.recorder, l.clock }
 
 // Open tells whether clients send to limiter n.
-func (l *Lab) Open(n int) bool { return l.front[n].Load() }
+func (l *Lab) Open(n int) bool { return l.inRotation[n].Load() }
 
 // Dead tells whether limiter n has no process.
 func (l *Lab) Dead(n int) bool {
 	lim := l.limiters[n]
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
-	return lim.dead || l.faulty(n)
+	return lim.dead || l.clientLinkFaulty(n)
 }
 
-// faulty tells whether the clients' link to limiter n has a fault now.
-func (l *Lab) faulty(n int) bool {
+// clientLinkFaulty tells whether the clients' link to limiter n has a fault now.
+func (l *Lab) clientLinkFaulty(n int) bool {
 	now := l.clock.Now()
 	for _, f := range l.clientScripts[n] {
 		if f.Holds(now) {
@@ -152,51 +153,53 @@
 	return false
 }
 
-// load drives the load and plays the timeline beside it, to the end of both.
-func (l *Lab) load(progress func(float64)) {
-	driver := loadgen.New(l.e, l.clock, l.book, l)
+// runLoad drives the runLoad and plays the timeline beside it, to the end of both.
+func (l *Lab) runLoad(progress func(float64)) {
+	driver := loadgen.New(l.exp, l.clock, l.recorder, l)
 	stop := make(chan struct{})
-	played := make(chan struct{})
-	go func() { l.play(stop); close(played) }()
-	l.log.Info("load", "rate", l.e.Load.Rate, "seconds", l.e.Length, "limiters", l.e.Limiters.Count,
+	timelineDone := make(chan struct{})
+	go func() { l.playTimeline(stop); close(timelineDone) }()
+	l.log.Info("load", "rate", l.exp.Load.Rate, "seconds", l.exp.Length, "limiters", l.exp.Limiters.Count,
 		"servers", len(l.servers))
-	beside := make(chan struct{})
+	backgroundDone := make(chan struct{})
 	go func() {
-		defer close(beside)
+		defer close(backgroundDone)
 		if l.extras.Beside != nil {
 			l.extras.Beside(l, stop)
 		}
 	}()
 	driver.Run(progress)
 	close(stop)
-	<-played
-	<-beside
+	<-timelineDone
+	<-backgroundDone
 	l.tasks.Wait()
 }
 
-// stand starts the stand-ins: discovery, the counter and the servers.
-func (l *Lab) stand() (err error) {
-	l.discovery, err = emulator.NewDiscovery(l.clock, l.book, l.scriptOf("discovery"), l.e.Limiters.Count)
+// startEmulator starts the startEmulator-ins: discovery, the counter and the servers.
+func (l *Lab) startEmulator() (err error) {
+	l.discovery, err = emulator.NewDiscovery(l.clock, l.recorder, l.faultScript("discovery"), l.exp.Limiters.Count)
 	if err != nil {
 		return err
 	}
-	l.discovery.Reach(func(n int, in emulator.Instance) string { return l.net.Address(party(n), in.ID, in.HostPort) })
+	l.discovery.Reach(
+		func(n int, in emulator.Instance) string { return l.network.Address(targetOf(n), in.ID, in.HostPort) },
+	)
 	if err := l.discovery.Start(); err != nil {
 		return err
 	}
-	if l.e.Counter.On {
-		l.counter = emulator.NewCounter(l.clock, l.book, l.scriptOf("counter"), l.e.Limiters.Count)
+	if l.exp.Counter.On {
+		l.counter = emulator.NewCounter(l.clock, l.recorder, l.faultScript("counter"), l.exp.Limiters.Count)
 		if err := l.counter.Start(); err != nil {
 			return err
 		}
 	}
-	groups := map[string]*emulator.Deduplication{}
-	for _, p := range l.e.Servers {
-		if p.Repeats > 0 && groups[p.Zone] == nil {
-			groups[p.Zone] = emulator.NewDeduplication(experiment.Nanos(p.Repeats))
+	dedupByZone := map[string]*emulator.Deduplication{}
+	for _, pool := range l.exp.Servers {
+		if pool.Repeats > 0 && dedupByZone[pool.Zone] == nil {
+			dedupByZone[pool.Zone] = emulator.NewDeduplication(experiment.Nanos(pool.Repeats))
 		}
-		for i := range p.Count {
-			if err := l.addServer(p, fmt.Sprintf("%s-%d", p.Name, i), groups[p.Zone], !p.Cold); err != nil {
+		for i := range pool.Count {
+			if err := l.addServer(pool, fmt.Sprintf("%s-%d", pool.Name, i), dedupByZone[pool.Zone], !pool.Cold); err != nil {
 				return err
 			}
 		}
@@ -204,98 +207,100 @@
 	return nil
 }
 
-// party is limiter n's name on the network; servers have their own, and the others are named as an experiment does.
-func party(n int) string { return fmt.Sprintf("limiter:%d", n) }
+// targetOf is limiter n's name on the network; servers have their own, and the others are named as an experiment does.
+func targetOf(n int) string { return fmt.Sprintf("limiter:%d", n) }
 
-// discoveryOf and counterOf are where limiter n calls.
-func (l *Lab) discoveryOf(n int) string {
-	return l.net.Address(party(n), experiment.Discovery, l.discovery.Address(n))
+// discoveryAddress and counterOf are where limiter n calls.
+func (l *Lab) discoveryAddress(n int) string {
+	return l.network.Address(targetOf(n), experiment.Discovery, l.discovery.Address(n))
 }
-func (l *Lab) counterOf(n int) string {
-	return l.net.Address(party(n), experiment.Counting, l.counter.Address(n))
+func (l *Lab) counterAddress(n int) string {
+	return l.network.Address(targetOf(n), experiment.Counting, l.counter.Address(n))
 }
 
-// join puts the links of limiter n that the experiment has faults for, but for those to servers.
-func (l *Lab) join(n int) error {
-	script := l.e.Script(n, experiment.Discovery, "", "")
-	if err := l.net.Join(party(n), experiment.Discovery, l.discovery.Address(n), script); err != nil {
+// addLinks puts the links of limiter n that the experiment has faults for, but for those to servers.
+func (l *Lab) addLinks(n int) error {
+	script := l.exp.Script(n, experiment.Discovery, "", "")
+	if err := l.network.Join(targetOf(n), experiment.Discovery, l.discovery.Address(n), script); err != nil {
 		return err
 	}
 	if l.counter != nil {
-		err := l.net.Join(
-			party(n),
+		err := l.network.Join(
+			targetOf(n),
 			experiment.Counting,
 			l.counter.Address(n),
-			l.e.Script(n, experiment.Counting, "", ""),
+			l.exp.Script(n, experiment.Counting, "", ""),
 		)
 		if err != nil {
 			return err
 		}
 	}
-	return l.net.Join(
+	return l.network.Join(
 		experiment.Clients,
-		party(n),
+		targetOf(n),
 		l.limiters[n].port.Address(),
-		l.e.Script(n, experiment.Clients, "", ""),
+		l.exp.Script(n, experiment.Clients, "", ""),
 	)
 }
 
-// cutsAndSilences are what the clients' links and those to discovery, or discovery itself, kept from limiters.
-func (l *Lab) cutsAndSilences() (cuts []history.LinkFault, silences []history.Silence) {
-	for n := range l.e.Limiters.Count {
-		for _, f := range l.e.Script(n, experiment.Clients, "", "") {
-			cuts = append(cuts, history.LinkFault{Limiter: n, Kind: f.Kind, From: f.From, Until: f.Until})
+// linkFaultsAndSilences are what the clients' links and those to discovery, or discovery itself, kept from limiters.
+func (l *Lab) linkFaultsAndSilences() (linkFaults []history.LinkFault, silences []history.Silence) {
+	for n := range l.exp.Limiters.Count {
+		for _, f := range l.exp.Script(n, experiment.Clients, "", "") {
+			linkFaults = append(linkFaults, history.LinkFault{Limiter: n, Kind: f.Kind, From: f.From, Until: f.Until})
 		}
-		for _, f := range l.e.Script(n, experiment.Discovery, "", "") {
+		for _, f := range l.exp.Script(n, experiment.Discovery, "", "") {
 			s := history.Silence{Limiter: n, From: f.From, Until: f.Until, Lost: f.Kind != faultproxy.CutTo,
 				Held: f.Kind == faultproxy.CutFrom || f.Kind == faultproxy.Stall}
 			if f.Kind == faultproxy.Cut || f.Kind == faultproxy.CutTo || s.Held {
 				silences = append(silences, s)
 			}
 		}
-		for _, f := range l.scriptOf("discovery") {
+		for _, f := range l.faultScript("discovery") {
 			if f.Kind == "down" {
 				silences = append(silences, history.Silence{Limiter: n, From: f.From, Until: f.Until})
 			}
 		}
 	}
-	return cuts, silences
+	return linkFaults, silences
 }
 
-// scriptOf is the emulator's script for a target: the entries that name it, or its pool, by an emulator kind.
-func (l *Lab) scriptOf(names ...string) []emulator.Fault {
-	var out []emulator.Fault
-	for _, f := range l.e.Faults {
+// faultScript is the emulator's script for a target: the entries that name it, or its pool, by an emulator kind.
+func (l *Lab) faultScript(names ...string) []emulator.Fault {
+	var script []emulator.Fault
+	for _, f := range l.exp.Faults {
 		for _, name := range names {
 			if f.Target == name && f.Kind != "drain" && f.Kind != "gone" && f.Kind != "replace" {
-				out = append(out, emulator.Fault{Kind: f.Kind, From: experiment.Nanos(f.From),
+				script = append(script, emulator.Fault{Kind: f.Kind, From: experiment.Nanos(f.From),
 					Until: experiment.Nanos(f.Until), Factor: f.Factor, Share: f.Share})
 			}
 		}
 	}
-	return out
+	return script
 }
 
-func (l *Lab) addServer(p experiment.Pool, name string, repeats *emulator.Deduplication, warm bool) error {
-	spec := emulator.ServerSpec{Name: name, Zone: p.Zone, Work: time.Duration(p.Work * float64(time.Second)),
-		Capacity: p.Capacity, Report: p.Report, Slots: p.Slots, Conns: p.Conns, ColdFrom: p.ColdFrom,
-		WarmWithin: time.Duration(experiment.Nanos(p.WarmWithin)), Warm: warm,
-		Fall:   time.Duration(experiment.Nanos(p.Fall)),
-		Script: l.scriptOf("server:"+name, "pool:"+p.Name), Seed: l.e.Seed ^ uint64(len(l.servers)+1)<<8}
-	s := emulator.NewServer(spec, l.clock, l.book, repeats)
+func (l *Lab) addServer(pool experiment.Pool, name string, dedup *emulator.Deduplication, warm bool) error {
+	spec := emulator.ServerSpec{Name: name, Zone: pool.Zone, Work: time.Duration(pool.Work * float64(time.Second)),
+		Capacity: pool.Capacity, Report: pool.Report, Slots: pool.Slots, Conns: pool.Conns, ColdFrom: pool.ColdFrom,
+		WarmWithin: time.Duration(experiment.Nanos(pool.WarmWithin)), Warm: warm,
+		Fall:   time.Duration(experiment.Nanos(pool.Fall)),
+		Script: l.faultScript("server:"+name, "pool:"+pool.Name), Seed: l.exp.Seed ^ uint64(len(l.servers)+1)<<8}
+	s := emulator.NewServer(spec, l.clock, l.recorder, dedup)
 	if err := s.Start(); err != nil {
 		return err
 	}
 	l.servers = append(l.servers, s)
-	for n := range l.e.Limiters.Count {
-		if err := l.net.Join(party(n), name, s.Address(), l.e.Script(n, experiment.Servers, p.Name, name)); err != nil {
+	for n := range l.exp.Limiters.Count {
+		if err := l.network.Join(
+			targetOf(n), name, s.Address(), l.exp.Script(n, experiment.Servers, pool.Name, name),
+		); err != nil {
 			return err
 		}
 	}
 	if warm { // long before the run
 		l.discovery.Set(l.instance(s, "in_service"))
 	} else {
-		l.list(s, "in_service", "new", l.clock.Now())
+		l.setLifecycle(s, "in_service", "new", l.clock.Now())
 	}
 	return nil
 }
@@ -311,8 +316,8 @@
 
 // close ends the limiters, then everything else.
 func (l *Lab) close() {
-	l.end()
-	l.net.Close()
+	l.stopAll()
+	l.network.Close()
 	for _, s := range l.servers {
 		s.Close()
 	}
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -27,8 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// broken is the path of a limiter that is broken in a mode.
-func broken(t *testing.T, mode string) string {
+// brokenLimiter is the path of a limiter that is brokenLimiter in a mode.
+func brokenLimiter(t *testing.T, mode string) string {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -41,14 +41,14 @@
 	return path
 }
 
-// runs bounds how many experiments are played at a time: with more the machine, not the limiters, would decide.
-var runs = make(chan struct{}, 3)
+// runSlots bounds how many experiments are played at a time: with more the machine, not the limiters, would decide.
+var runSlots = make(chan struct{}, 3)
 
-// played runs e and gives the result, whatever its verdict, and the folder with its files.
-func played(t *testing.T, e *experiment.Experiment) (*Result, string) {
+// runExperiment runs e and gives the result, whatever its verdict, and the folder with its files.
+func runExperiment(t *testing.T, e *experiment.Experiment) (*Result, string) {
 	t.Helper()
-	runs <- struct{}{}
-	defer func() { <-runs }()
+	runSlots <- struct{}{}
+	defer func() { <-runSlots }()
 	dir := t.TempDir()
 	r, err := Run(e, dir, slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return r, dir
 }
 
-// build builds the real limiter once for the tests of this package.
-func build(t *testing.T) string {
+// buildLimiter builds the real limiter once for the tests of this package.
+func buildLimiter(t *testing.T) string {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "ospreycroft")
 	cmd := exec.Command("go", "build", "-o", out, "ospreycroft/cmd/ospreycroft")
@@ -69,7 +69,7 @@
 	return out
 }
 
-func experimentFile(t *testing.T, program string, edit func(string) string) *experiment.Experiment {
+func defaultExperiment(t *testing.T, program string, edit func(string) string) *experiment.Experiment {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/lab/default.toml")
 	if err != nil {
@@ -83,10 +83,10 @@
 	return e
 }
 
-// play runs e, whose rules must hold, and gives the result and the folder with its files.
-func play(t *testing.T, e *experiment.Experiment) (*Result, string) {
+// runPassing runs e, whose rules must hold, and gives the result and the folder with its files.
+func runPassing(t *testing.T, e *experiment.Experiment) (*Result, string) {
 	t.Helper()
-	r, dir := played(t, e)
+	r, dir := runExperiment(t, e)
 	if !r.Verdict.Pass {
 		t.Fatalf("%+v\n%v", r.Verdict.Breaches, r.Failures)
 	}
@@ -99,8 +99,8 @@
 		t.Skip("20 s of load")
 	}
 	t.Parallel()
-	e := experimentFile(t, build(t), func(s string) string { return s })
-	r, _ := play(t, e)
+	e := defaultExperiment(t, buildLimiter(t), func(s string) string { return s })
+	r, _ := runPassing(t, e)
 	if r.Verdict.Outcomes["done"] < r.Verdict.Requests/3 || r.Verdict.Attempts == 0 {
 		t.Fatalf("too little was done for the run to say anything: %s", r.Verdict.Line())
 	}
@@ -110,20 +110,20 @@
 // silence: the lab must find the second attempts in the servers' records.
 func TestBrokenLimiterIsCaught(t *testing.T) {
 	t.Parallel()
-	e := experimentFile(t, broken(t, mutants.Again), func(s string) string {
+	e := defaultExperiment(t, brokenLimiter(t, mutants.Again), func(s string) string {
 		s = strings.Replace(s, "length = 20.0", "length = 4.0", 1)
 		s = strings.Replace(s, "from = 3.0\nuntil = 6.0", "from = 0.5\nuntil = 3.0", 1)
 		return s
 	})
-	r, _ := played(t, e)
+	r, _ := runExperiment(t, e)
 	if r.Verdict.Pass || r.Verdict.Counts[2] == 0 {
 		t.Fatalf("second shots of binding jobs went unseen: %s", r.Verdict.Line())
 	}
 }
 
-// TestCountLossWithinTheStatedBound plays the counter down, emptied and split under load: rule 5 must hold, and
+// TestCounterLossWithinStatedBound plays the counter down, emptied and split under load: rule 5 must hold, and
 // every customer's excess over its quota must stay within what counterloss states for its set and the faults.
-func TestCountLossWithinTheStatedBound(t *testing.T) {
+func TestCounterLossWithinStatedBound(t *testing.T) {
 	if testing.Short() {
 		t.Skip("20 s of load")
 	}
@@ -132,37 +132,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Limiters.Program = build(t)
-	r, _ := play(t, e)
+	e.Limiters.Program = buildLimiter(t)
+	r, _ := runPassing(t, e)
 	spreads := map[string]int{}
 	for _, c := range e.Load.Customers {
 		spreads[c.ID] = c.Spread
 	}
 	for _, u := range invariants.Quotas(r.Run.Requests, r.Run.Attempts, e.Settings) {
-		plan, s := e.Settings.Plans[u.Plan], spreads[u.Customer]
-		total := 0.0
+		plan, spread := e.Settings.Plans[u.Plan], spreads[u.Customer]
+		bound := 0.0
 		for _, c := range []struct {
 			c       counterloss.Scenario
 			parts   int
 			seconds float64
 		}{{counterloss.Lost, 1, 4}, {counterloss.Reset, 1, 0}, {counterloss.Split, 2, 6}} {
-			b, err := counterloss.BoundOf(u.Plan, plan, e.Settings.MaxRequestUnits, s, c.c, c.parts)
+			b, err := counterloss.BoundOf(u.Plan, plan, e.Settings.MaxRequestUnits, spread, c.c, c.parts)
 			if err != nil {
 				t.Fatal(err)
 			}
-			total += b.BurstExcess + b.ExcessRate*c.seconds
+			bound += b.BurstExcess + b.ExcessRate*c.seconds
 		}
-		total = min(total, plan.CeilingBurst-plan.Burst+(plan.CeilingRate-plan.Rate)*e.Length)
-		t.Logf("%s: set %d, excess %.1f, stated %.1f", u.Customer, s, u.Excess, total)
-		if u.Excess > total+e.Settings.MaxRequestUnits {
-			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, total)
+		bound = min(bound, plan.CeilingBurst-plan.Burst+(plan.CeilingRate-plan.Rate)*e.Length)
+		t.Logf("%s: set %d, excess %.1f, stated %.1f", u.Customer, spread, u.Excess, bound)
+		if u.Excess > bound+e.Settings.MaxRequestUnits {
+			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, bound)
 		}
 	}
 }
 
-// TestMoveStarvesNeitherKind plays limiters of the old and of the new shape before the same servers: the rules hold,
+// TestMigrationStarvesNeitherKind plays limiters of the old and of the new shape before the same servers: the rules hold,
 // and as many of the requests that clients ask for are done by the one kind as by the other, within a third.
-func TestMoveStarvesNeitherKind(t *testing.T) {
+func TestMigrationStarvesNeitherKind(t *testing.T) {
 	if testing.Short() {
 		t.Skip("16 s of load")
 	}
@@ -171,11 +171,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Limiters.Program = build(t)
-	r, _ := play(t, e)
-	var asked, done [2]map[string]int // by kind and plan
-	for kind := range asked {
-		asked[kind], done[kind] = map[string]int{}, map[string]int{}
+	e.Limiters.Program = buildLimiter(t)
+	r, _ := runPassing(t, e)
+	var requested, done [2]map[string]int // by kind and plan
+	for kind := range requested {
+		requested[kind], done[kind] = map[string]int{}, map[string]int{}
 	}
 	for _, j := range r.Run.Requests {
 		if j.Limiter < 0 {
@@ -186,7 +186,7 @@
 			kind = 1
 		}
 		if !j.Retry {
-			asked[kind][j.Plan]++
+			requested[kind][j.Plan]++
 		}
 		if j.Outcome == history.Succeeded {
 			done[kind][j.Plan]++
@@ -195,10 +195,10 @@
 	for _, plan := range []string{"team", "house"} {
 		var share [2]float64
 		for kind := range share {
-			share[kind] = float64(done[kind][plan]) / float64(max(asked[kind][plan], 1))
+			share[kind] = float64(done[kind][plan]) / float64(max(requested[kind][plan], 1))
 		}
-		t.Logf("%s: %d of %d asked were done by the old kind, %d of %d by the new", plan, done[0][plan], asked[0][plan],
-			done[1][plan], asked[1][plan])
+		t.Logf("%s: %d of %d asked were done by the old kind, %d of %d by the new", plan, done[0][plan], requested[0][plan],
+			done[1][plan], requested[1][plan])
 		if min(share[0], share[1]) < max(share[0], share[1])*2/3 || share[0] == 0 {
 			t.Errorf("%s: shares done are %.2f and %.2f", plan, share[0], share[1])
 		}
@@ -218,13 +218,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := strings.NewReplacer("length = 16.0", "length = 9.0", `program = "bin/ospreycroft"`, `program = "`+build(t)+`"`,
+	s := strings.NewReplacer("length = 16.0", "length = 9.0",
+		`program = "bin/ospreycroft"`, `program = "`+buildLimiter(t)+`"`,
 		"from = 4.0", "from = 1.0", "from = 7.0", "from = 2.0", "from = 10.0", "from = 3.0").Replace(string(text))
 	e, err := experiment.Parse(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, dir := play(t, e)
+	r, dir := runPassing(t, e)
 	if r.Verdict.Outcomes["done"] < r.Verdict.Requests/3 {
 		t.Fatalf("too little was done: %s", r.Verdict.Line())
 	}
@@ -232,18 +233,18 @@
 	if err != nil || len(logs) != e.Limiters.Count {
 		t.Fatalf("%d logs, error %v", len(logs), err)
 	}
-	turned, deaf := 0, 0
+	throttled, unnotified := 0, 0
 	for _, path := range logs {
 		log, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		turned += strings.Count(string(log), "event=list-throttled")
+		throttled += strings.Count(string(log), "event=list-throttled")
 		if strings.Count(string(log), "event=list ") < 2 {
-			deaf++
+			unnotified++
 		}
 	}
-	if t.Logf("%s; %d calls turned away", r.Verdict.Line(), turned); turned == 0 || deaf > len(logs)/3 {
-		t.Errorf("%d calls turned away, %d of %d limiters heard of no release", turned, deaf, len(logs))
+	if t.Logf("%s; %d calls turned away", r.Verdict.Line(), throttled); throttled == 0 || unnotified > len(logs)/3 {
+		t.Errorf("%d calls turned away, %d of %d limiters heard of no release", throttled, unnotified, len(logs))
 	}
 }
--- a/internal/lab/runner/service_test.go
+++ b/internal/lab/runner/service_test.go
@@ -10,25 +10,25 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// pair is a short run of two limiters of a program with these faults and no other, 40 requests a second.
-func pair(t *testing.T, program string, length float64, faults ...experiment.Fault) *experiment.Experiment {
+// pairExperiment is a short run of two limiters of a program with these faults and no other, 40 requests a second.
+func pairExperiment(t *testing.T, program string, length float64, faults ...experiment.Fault) *experiment.Experiment {
 	t.Helper()
-	e := example(t, "rolling", program, "rate = 200.0", "rate = 40.0", "cut_off = 2.5", "cut_off = 1.0")
+	e := loadExample(t, "rolling", program, "rate = 200.0", "rate = 40.0", "cut_off = 2.5", "cut_off = 1.0")
 	e.Faults = faults
-	return smaller(t, e, 2, length)
+	return resize(t, e, 2, length)
 }
 
-// told is what the summary tells of a run.
-func told(r *Result) string {
+// summaryOf is what the summary tells of a run.
+func summaryOf(r *Result) string {
 	var out bytes.Buffer
 	Summarise(&out, r)
 	return out.String()
 }
 
-// wantLines fails unless a run's summary holds all of these.
-func wantLines(t *testing.T, r *Result, lines ...string) {
+// wantSummaryLines fails unless a run's summary holds all of these.
+func wantSummaryLines(t *testing.T, r *Result, lines ...string) {
 	t.Helper()
-	text := told(r)
+	text := summaryOf(r)
 	t.Log(text)
 	for _, line := range lines {
 		if !strings.Contains(text, line) {
@@ -37,10 +37,10 @@
 	}
 }
 
-// TestLimiterThatTurnsAllAwayIsTold: such a limiter breaks no rule, and so passes; that it serves nobody is told.
-func TestLimiterThatTurnsAllAwayIsTold(t *testing.T) {
+// TestLimiterRejectingAllIsReported: such a limiter breaks no rule, and so passes; that it serves nobody is told.
+func TestLimiterRejectingAllIsReported(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, pair(t, broken(t, mutants.Busy), 5))
+	r, _ := runExperiment(t, pairExperiment(t, brokenLimiter(t, mutants.Busy), 5))
 	s := &r.Verdict.Service
 	if !r.Verdict.Pass || len(s.Outages) != 2 || s.OutageShare() != 1 {
 		t.Fatalf("pass %v, %+v", r.Verdict.Pass, s)
@@ -50,16 +50,16 @@
 			t.Errorf("%+v", o)
 		}
 	}
-	wantLines(t, r, "unanswered late=0 lost=0", "outages limiters=2 of=2 share=1.000 gate=0.100 held=false",
+	wantSummaryLines(t, r, "unanswered late=0 lost=0", "outages limiters=2 of=2 share=1.000 gate=0.100 held=false",
 		"outage limiter=0 life=1 kind=rejecting", "outage limiter=1 life=1 kind=rejecting")
 }
 
-// TestLimiterThatAnswersNothingIsTold kills one of two such limiters in the middle of the run: what it had then was
+// TestSilentLimiterIsReported kills one of two such limiters in the middle of the run: what it had then was
 // lost with it, and the rest was lost by limiters that lived.
-func TestLimiterThatAnswersNothingIsTold(t *testing.T) {
+func TestSilentLimiterIsReported(t *testing.T) {
 	t.Parallel()
-	e := pair(t, broken(t, mutants.Mute), 4, experiment.Fault{Kind: "kill", Target: "limiter:1", From: 3})
-	r, _ := played(t, e)
+	e := pairExperiment(t, brokenLimiter(t, mutants.Mute), 4, experiment.Fault{Kind: "kill", Target: "limiter:1", From: 3})
+	r, _ := runExperiment(t, e)
 	causes := map[invariants.Unanswered]bool{}
 	for _, u := range r.Verdict.Service.Unanswered {
 		if u.Lost == 0 || u.Late > 0 {
@@ -67,7 +67,8 @@
 		}
 		causes[invariants.Unanswered{Limiter: u.Limiter, Cause: u.Cause}] = true
 	}
-	for _, want := range []invariants.Unanswered{{Limiter: 0, Cause: invariants.LimiterAlive}, {Limiter: 1, Cause: invariants.LimiterAlive},
+	for _, want := range []invariants.Unanswered{{Limiter: 0, Cause: invariants.LimiterAlive},
+		{Limiter: 1, Cause: invariants.LimiterAlive},
 		{Limiter: 1, Cause: invariants.LimiterKilled}} {
 		if !causes[want] {
 			t.Errorf("no %+v in %+v", want, r.Verdict.Service.Unanswered)
@@ -76,14 +77,14 @@
 	if len(causes) != 3 {
 		t.Errorf("%+v", causes)
 	}
-	wantLines(t, r, "outage limiter=0 life=1 kind=silent", "outage limiter=1 life=1 kind=silent",
+	wantSummaryLines(t, r, "outage limiter=0 life=1 kind=silent", "outage limiter=1 life=1 kind=silent",
 		"unanswered limiter=1 cause=killed late=0 lost=")
 }
 
-// TestLimiterThatIsLateIsTold: an answer 100 ms after a request's time is late, and not lost.
-func TestLimiterThatIsLateIsTold(t *testing.T) {
+// TestLateLimiterIsReported: an answer 100 ms after a request's time is late, and not lost.
+func TestLateLimiterIsReported(t *testing.T) {
 	t.Parallel()
-	r, _ := played(t, pair(t, broken(t, mutants.Late), 2))
+	r, _ := runExperiment(t, pairExperiment(t, brokenLimiter(t, mutants.Late), 2))
 	s := &r.Verdict.Service
 	late, lost := s.Missed()
 	if late == 0 || lost > late/10 || len(s.Unanswered) != 2 {
--- a/internal/lab/runner/state.go
+++ b/internal/lab/runner/state.go
@@ -9,52 +9,52 @@
 	absent   state = iota // no process
 	starting              // it has not answered +PONG
 	ready
-	paused  // SIGSTOP
-	leaving // SIGTERM
-	killed  // SIGKILL, not ended yet
+	paused      // SIGSTOP
+	terminating // SIGTERM
+	killed      // SIGKILL, not ended yet
 )
 
 // processEvent is what befalls a process.
 type processEvent uint8
 
 const (
-	begun processEvent = iota
-	answered
-	stopped
-	continued
-	asked // to end
-	shot  // killed
-	exited
+	startedEvent processEvent = iota
+	readyEvent
+	stopEvent
+	continueEvent
+	termEvent // to end
+	killEvent // killed
+	exitEvent
 )
 
-// next is the one function by which a process's state changes; crash tells that it ended unasked. What cannot be in a
+// nextState is the one function by which a process's state changes; crash tells that it ended unasked. What cannot be in a
 // state leaves it as it is, and ok is false.
-func next(s state, h processEvent) (to state, crash, ok bool) {
-	switch h {
-	case begun:
-		return starting, false, s == absent
-	case answered:
-		if s == starting {
+func nextState(from state, event processEvent) (to state, crash, ok bool) {
+	switch event {
+	case startedEvent:
+		return starting, false, from == absent
+	case readyEvent:
+		if from == starting {
 			return ready, false, true
 		}
-	case stopped:
-		if s == ready || s == starting {
+	case stopEvent:
+		if from == ready || from == starting {
 			return paused, false, true
 		}
-	case continued:
-		if s == paused {
+	case continueEvent:
+		if from == paused {
 			return ready, false, true
 		}
-	case asked:
-		if s == ready || s == starting || s == paused {
-			return leaving, false, true
+	case termEvent:
+		if from == ready || from == starting || from == paused {
+			return terminating, false, true
 		}
-	case shot:
-		if s != absent && s != killed {
+	case killEvent:
+		if from != absent && from != killed {
 			return killed, false, true
 		}
-	case exited:
-		return absent, s == ready || s == starting || s == paused, s != absent
+	case exitEvent:
+		return absent, from == ready || from == starting || from == paused, from != absent
 	}
-	return s, false, false
+	return from, false, false
 }
--- a/internal/lab/runner/summary.go
+++ b/internal/lab/runner/summary.go
@@ -23,26 +23,26 @@
 }
 
 // Latencies are the percentiles of each class's done requests, from HDR histograms of three significant figures.
-func Latencies(jobs []history.Request) []Latency {
-	hists := map[string]*hdrhistogram.Histogram{}
-	for _, j := range jobs {
+func Latencies(requests []history.Request) []Latency {
+	histograms := map[string]*hdrhistogram.Histogram{}
+	for _, j := range requests {
 		if j.Outcome != history.Succeeded {
 			continue
 		}
-		h := hists[j.Class]
+		h := histograms[j.Class]
 		if h == nil {
 			h = hdrhistogram.New(1, 120_000_000, 3)
-			hists[j.Class] = h
+			histograms[j.Class] = h
 		}
 		_ = h.RecordValue(max(1, (j.Answered-j.Sent)/1000))
 	}
-	out := []Latency{}
-	for track, h := range hists {
-		out = append(out, Latency{Track: track, Count: h.TotalCount(), P50: h.ValueAtQuantile(50),
+	latencies := []Latency{}
+	for track, h := range histograms {
+		latencies = append(latencies, Latency{Track: track, Count: h.TotalCount(), P50: h.ValueAtQuantile(50),
 			P90: h.ValueAtQuantile(90), P99: h.ValueAtQuantile(99), Max: h.Max()})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Track < out[j].Track })
-	return out
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i].Track < latencies[j].Track })
+	return latencies
 }
 
 // Summarise writes the verdict's line, its first breaches and the latencies.
@@ -64,10 +64,10 @@
 		restarts.Write(w)
 	}
 	writeService(w, &r.Verdict.Service)
-	set, err := experiment.SettingsOnly(r.Run.Settings)
+	settings, err := experiment.SettingsOnly(r.Run.Settings)
 	if err == nil {
-		uses := invariants.Quotas(r.Run.Requests, r.Run.Attempts, set)
-		for _, u := range uses {
+		quotaUses := invariants.Quotas(r.Run.Requests, r.Run.Attempts, settings)
+		for _, u := range quotaUses {
 			_, _ = fmt.Fprintf(
 				w,
 				"  use customer=%s plan=%s sent=%.0f excess=%.1f rejected=%d wrongly=%d\n",
@@ -80,7 +80,7 @@
 			)
 		}
 		if first, last, seen := counterFaults(r.Run.Events); seen {
-			if took := invariants.Recovery(uses, first, last, r.Run.Length); took < 0 {
+			if took := invariants.Recovery(quotaUses, first, last, r.Run.Length); took < 0 {
 				_, _ = fmt.Fprintln(w, "  recovery after the counter's faults: not within the run")
 			} else {
 				_, _ = fmt.Fprintf(w, "  recovery after the counter's faults: %.0f s after %.1f s\n", float64(took)/1e9,
