--- a/internal/lab/runner/claim_test.go
+++ b/internal/lab/runner/claim_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOverlappingRestartsStartOneProcess: SIGTERM and SIGKILL overlap on one limiter, and each of the two faults restarts it. One process
-// follows the one that ended; a second one would find the address in use.
+// TestOverlappingRestartsStartOneProcess sends one limiter SIGTERM and SIGKILL in overlapping faults, each of which
+// restarts it. Only one new process may be started: a second one would find the address in use.
 func TestOverlappingRestartsStartOneProcess(t *testing.T) {
 	t.Parallel()
 	const termFault = `from = 2.0
--- a/internal/lab/runner/cold_few_test.go
+++ b/internal/lab/runner/cold_few_test.go
@@ -11,17 +11,18 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// coldFewExperiment is the experiment of examples/lab/coldfew.toml with so many limiters.
+// coldFewExperiment returns the experiment of examples/lab/coldfew.toml with the given number of limiters.
 func coldFewExperiment(t *testing.T, program string, limiters int) *experiment.Experiment {
 	t.Helper()
 	e := loadExample(t, "coldfew", program)
 	return resize(t, e, limiters, e.Length)
 }
 
-// TestFewLimitersKeepSlowStartBudget: one and two real processes before cold servers, at a load of which an even
-// share would push a fresh server over: none gets more in any two seconds than its slow-start budget, and most of the
-// load is served. A fresh server bears two requests at once; what begins over that at an instant is not counted here,
-// since requests that last by chance pass it at any pace.
+// TestFewLimitersKeepSlowStartBudget guards against overloading cold servers when one or two limiters have to keep the
+// slow-start budget alone, at a load of which an even share would crash a cold server. No server may get more than its
+// budget in any two seconds, and most of the load must be served.
+// Breaches of rule 4 are ignored, since it also counts the requests in progress at one instant: a cold server bears
+// two, and requests that happen to take long exceed that at any rate.
 func TestFewLimitersKeepSlowStartBudget(t *testing.T) {
 	t.Parallel()
 	program := buildLimiter(t)
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestFewLimitersThatOverrunColdServersAreCaught: a limiter that prefers new servers pushes one over.
+// TestFewLimitersThatOverrunColdServersAreCaught runs a limiter that prefers new servers: the lab must record that it
+// crashes a cold server.
 func TestFewLimitersThatOverrunColdServersAreCaught(t *testing.T) {
 	t.Parallel()
 	e := coldFewExperiment(t, brokenLimiter(t, mutants.Cold), 1)
--- a/internal/lab/runner/fleet.go
+++ b/internal/lab/runner/fleet.go
@@ -9,26 +9,30 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// Fleet is what a run's limiters did together to each other's services: times are nanoseconds, -1 for never.
+// Fleet summarises what all limiters of a run, taken together, cost discovery and the servers, and how fast they
+// started. Times are nanoseconds; -1 in Listed means that the share was not reached.
 type Fleet struct {
-	StartTook int64 // from the first process's start to the last one's, of the first start of each
-	ReadyMost int64 // the longest time that a process took to be ready
-	NotReady  int   // processes that never were ready, though they were not ended before
+	StartTook int64 // time from the start of the first limiter to that of the last, counting the first process of each
+	ReadyMost int64 // longest time from the start of a process until it was ready
+	NotReady  int   // processes that were still running at the end of the run and had never been ready
 
+	// Calls counts the calls to discovery. Of these, TurnedAway were rejected with 503, Silent got no response because
+	// discovery was down, and Left were abandoned by the limiter.
 	Calls, TurnedAway, Silent, Left int
-	CallsPeak                       int // calls to discovery in the worst second
-	// Listed is when, after the first start, half, 95 in 100 and all limiters had had an answer of discovery.
+	CallsPeak                       int // most calls to discovery in one second
+	// Listed is how long after the first start 50, 95 and 100 percent of the limiters had received an answer from
+	// discovery.
 	Listed [3]int64
 
-	Handshakes, HandshakesPeak int // connections that servers accepted: all, and in the worst second
-	HandshakesServer           int // the most that one server accepted in a second
-	Falls                      int // cold servers pushed over
+	Handshakes, HandshakesPeak int // connections accepted by all servers: in total, and at most in one second
+	HandshakesServer           int // most connections that one server accepted in one second
+	Falls                      int // crashes of overloaded cold servers
 }
 
-// listedPercents are the listedPercents of limiters of Fleet.Listed, in hundredths.
+// listedPercents are the percentages of limiters that Fleet.Listed reports.
 var listedPercents = [3]int{50, 95, 100}
 
-// FleetOf adds up a run's record.
+// FleetOf computes the summary of a run's record.
 func FleetOf(r *history.Run) Fleet {
 	f := Fleet{Calls: len(r.Calls), Falls: len(r.OverloadCrashes), Listed: [3]int64{-1, -1, -1}}
 	first := f.addProcesses(r.Processes)
@@ -37,7 +41,7 @@
 	return f
 }
 
-// addProcesses adds up the starts and returns when the first process started, 0 for a run without any.
+// addProcesses adds the process starts. It returns the time of the first start, or 0 for a run without processes.
 func (f *Fleet) addProcesses(processes []history.Process) (first int64) {
 	last := int64(0)
 	seen := map[int]bool{}
@@ -59,7 +63,7 @@
 	return max(first, 0)
 }
 
-// addCalls adds up the calls to discovery and finds when the shares of limiters had had an answer, counted from first.
+// addCalls adds the calls to discovery and computes Listed relative to first, in nanoseconds.
 func (f *Fleet) addCalls(r *history.Run, first int64) {
 	callsPerSecond := map[int64]int{}
 	firstAnswer := map[int]int64{}
@@ -91,7 +95,7 @@
 	}
 }
 
-// addHandshakes adds up the connections that servers accepted, for each server by the second.
+// addHandshakes adds the connections accepted by each server, given as counts per second of the run.
 func (f *Fleet) addHandshakes(servers map[string][]int) {
 	var all []int
 	for _, perSecond := range servers {
@@ -109,6 +113,7 @@
 	}
 }
 
+// formatSeconds formats nanoseconds as seconds, and a negative value as "never".
 func formatSeconds(ns int64) string {
 	if ns < 0 {
 		return "never"
@@ -116,7 +121,7 @@
 	return fmt.Sprintf("%.2fs", float64(ns)/1e9)
 }
 
-// Write writes it as lines of names and values.
+// Write writes the summary as lines of name=value pairs; length is the length of the run in nanoseconds.
 func (f Fleet) Write(w io.Writer, length int64) {
 	_, _ = fmt.Fprintf(w, "  fleet started_within=%s ready_within=%s not_ready=%d\n", formatSeconds(f.StartTook),
 		formatSeconds(f.ReadyMost), f.NotReady)
--- a/internal/lab/runner/fleet_test.go
+++ b/internal/lab/runner/fleet_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A process that ends is a crash unless it had been asked to end or was killed.
+// TestOnlyUnrequestedExitIsCrash: the end of a process is a crash unless it was sent SIGTERM or SIGKILL before.
 func TestOnlyUnrequestedExitIsCrash(t *testing.T) {
 	for _, c := range []struct {
 		events []processEvent
@@ -60,7 +60,7 @@
 		for _, event := range c.events {
 			var ok bool
 			if s, crash, ok = nextState(s, event); !ok {
-				t.Errorf("%v: %v could not be", c.events, event)
+				t.Errorf("%v: event %v is impossible", c.events, event)
 			}
 		}
 		if crash != c.crash {
@@ -68,11 +68,12 @@
 		}
 	}
 	if _, _, ok := nextState(absent, killEvent); ok {
-		t.Error("what does not live was killed")
+		t.Error("killEvent is possible without a process")
 	}
 }
 
-// One on whose port nobody answers is given up by name, and its log is told.
+// TestReadyTimeoutNamesLimiterAndLog: the error and the event about a limiter that never answers PING must name the
+// limiter and its log.
 func TestReadyTimeoutNamesLimiterAndLog(t *testing.T) {
 	port, err := ports.Keep()
 	if err != nil {
--- a/internal/lab/runner/process.go
+++ b/internal/lab/runner/process.go
@@ -17,32 +17,36 @@
 )
 
 const (
-	concurrentStarts    = 8                      // so many processes are started at once
-	defaultReadyTimeout = 30 * time.Second       // a limiter that takes longer to be ready fails the run
-	maxStartSpread      = time.Second            // limiters that start together are started within so long
-	rotationDelay       = 300 * time.Millisecond // new connections come for so long after SIGTERM
-	killMargin          = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline, from SIGTERM
+	concurrentStarts    = 8                // processes that startAll starts concurrently
+	defaultReadyTimeout = 30 * time.Second // a process that is not ready by then fails the run
+	maxStartSpread      = time.Second      // with start = "together", all processes start within it
+	// rotationDelay is how long after SIGTERM clients still open new connections to a limiter.
+	rotationDelay = 300 * time.Millisecond
+	// killMargin is how long after SIGTERM, on top of the longest time that a client waits, SIGKILL follows.
+	killMargin = 700 * time.Millisecond
 )
 
-// limiter is one limiter of the run, through all its processes.
+// limiter is one limiter of the run, across the restarts of its process.
 type limiter struct {
-	index                 int
-	name, config, logPath string
-	port                  *ports.Kept
+	index                 int         // number of the limiter, from 0
+	name, config, logPath string      // config and logPath are paths of files
+	port                  *ports.Kept // address of all its processes
 
 	mu    sync.Mutex
 	state state
-	dead  bool // killed or crashed, and not begun again
-	// startClaimed: a restart starts the next process now. Two faults may end one process, and each restarts the limiter.
+	dead  bool // killed or crashed, and not started again
+	// startClaimed is set while a restart starts the next process. Two faults can end the same process, and each of
+	// them restarts the limiter; only one may start a process.
 	startClaimed   bool
 	cmd            *exec.Cmd
-	entry          int           // of the record's lives, the present or latest
-	ended          chan struct{} // closed when the present process has ended
-	knownList      []byte        // the list of its first configuration
-	listGeneration int64         // and its generation
+	entry          int           // index in Lab.processes of the current or latest process
+	ended          chan struct{} // closed once the current process has ended
+	knownList      []byte        // endpoint list of its first configuration, in JSON
+	listGeneration int64         // generation of knownList
 }
 
-// transition applies an event to limiter n and tells whether it could be; a crash is written down.
+// transition applies an event to the limiter's process and reports whether the event is possible in its state. It
+// records a crash with its cause, which may be nil.
 func (l *Lab) transition(lim *limiter, event processEvent, cause error) bool {
 	lim.mu.Lock()
 	to, crash, ok := nextState(lim.state, event)
@@ -58,7 +62,7 @@
 	return ok
 }
 
-// fail writes down what fails the run.
+// fail records an event and an error that fail the run. at is in nanoseconds on the run's clock.
 func (l *Lab) fail(err error, kind string, lim *limiter, at int64) {
 	l.recorder.AddEvent(history.Event{At: at, Kind: kind, Target: targetOf(lim.index),
 		Detail: err.Error() + " (" + lim.logPath + ")"})
@@ -67,7 +71,8 @@
 	l.mu.Unlock()
 }
 
-// transitionAndSignal sends a transitionAndSignal to the limiter's process if the event that goes with it can be.
+// transitionAndSignal applies an event and sends its signal to the limiter's process. It reports false, without sending
+// anything, if the event is impossible in the process's state, and also if sending fails.
 func (l *Lab) transitionAndSignal(lim *limiter, event processEvent, sig syscall.Signal) bool {
 	if !l.transition(lim, event, nil) {
 		return false
@@ -77,7 +82,7 @@
 	return lim.cmd.Process.Signal(sig) == nil
 }
 
-// sendSignal sends a signal that changes no state of the process.
+// sendSignal sends a running process a signal that does not change its state.
 func (l *Lab) sendSignal(lim *limiter, sig syscall.Signal) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -86,8 +91,8 @@
 	}
 }
 
-// startProcess starts limiter n's program with a configuration as DEPLOY.md gives it; its list is the present one, or the one
-// of its first start. It waits for no answer.
+// startProcess writes the limiter's configuration and starts its program, without waiting until it is ready. The
+// configured endpoint list is the current one or, with oldList, that of the limiter's first start.
 func (l *Lab) startProcess(lim *limiter, oldList bool) error {
 	if err := l.writeConfig(lim, oldList); err != nil {
 		return err
@@ -95,7 +100,8 @@
 	return l.exec(lim)
 }
 
-// writeConfig writes the limiter's configuration.
+// writeConfig writes the configuration of the limiter's next process and adds that process to the record. The last
+// Limiters.Moved limiters get the settings of the table moved.
 func (l *Lab) writeConfig(lim *limiter, oldList bool) error {
 	list := l.discovery.Whole(lim.index)
 	knownList, listGeneration := lim.knownList, lim.listGeneration
@@ -130,7 +136,8 @@
 	return os.WriteFile(lim.config, data, 0o644)
 }
 
-// exec starts the configured program and watches for its end.
+// exec starts the configured program and a goroutine that waits for its end. It records a program that cannot be
+// started as a *StartError.
 func (l *Lab) exec(lim *limiter) error {
 	startFailed := func(err error) error {
 		err = &StartError{Limiter: lim.index, Program: l.exp.Limiters.Program, Log: lim.logPath, Cause: err}
@@ -177,7 +184,7 @@
 		lim.mu.Lock()
 		planned := lim.state == terminating
 		lim.mu.Unlock()
-		if planned { // of any other end the front does not know yet
+		if planned { // the load balancer does not notice any other end at once
 			l.inRotation[lim.index].Store(false)
 		}
 		l.transition(lim, exitEvent, err)
@@ -187,7 +194,8 @@
 	return nil
 }
 
-// startCommand starts a limiter's command, with what the extras have prepared it for.
+// startCommand starts a limiter's command with the preparation of Extras.Command. If the callback after the start
+// fails, it kills the process.
 func (l *Lab) startCommand(n int, cmd *exec.Cmd) (err error) {
 	started := func() error { return nil }
 	if l.extras.Command != nil {
@@ -206,15 +214,16 @@
 	return nil
 }
 
-// updateProcess changes an entry of the record's lives.
+// updateProcess applies change to an entry of Lab.processes.
 func (l *Lab) updateProcess(entry int, change func(*history.Process)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.processes[entry])
 }
 
-// awaitReady waits until the limiter answers PING with +PONG, as the front does before it sends anything, and lets the front
-// in. One that ends meanwhile is not waited for: its end is told elsewhere.
+// awaitReady polls the limiter with PING until it answers +PONG, as the load balancer in front of the limiters does,
+// and then puts it into rotation. It returns nil without that if the process ends, whose goroutine in exec records it,
+// or if stop is closed. After Lab.readyTimeout it records and returns a *ReadyTimeoutError.
 func (l *Lab) awaitReady(lim *limiter, entry int, ended chan struct{}, stop chan struct{}) error {
 	deadline := time.Now().Add(l.readyTimeout)
 	pollInterval := 20 * time.Millisecond
@@ -239,11 +248,11 @@
 	return err
 }
 
-// awaitLatest waits for the limiter's present process.
+// awaitLatest waits until the limiter's latest process is ready or has ended.
 func (l *Lab) awaitLatest(lim *limiter) error { return l.awaitReady(lim, lim.entry, lim.ended, nil) }
 
-// startAll starts all limiters as fast as that goes and waits until all are ready or have failed.
-// Their configurations are written before the first starts.
+// startAll writes all configurations, then starts the limiters concurrently and waits until each is ready, has ended or
+// has timed out. It returns the errors joined.
 func (l *Lab) startAll() error {
 	for index := range l.exp.Limiters.Count {
 		port, err := ports.Keep()
@@ -288,7 +297,8 @@
 	return errors.Join(errs...)
 }
 
-// restart starts a limiter again once its process has ended and the delay has passed, and lets the front in when ready.
+// restart waits until the limiter's process has ended and the delay has passed, starts the next process and waits until
+// it is ready. It does nothing if stop is closed first or another restart starts the process.
 func (l *Lab) restart(lim *limiter, delay time.Duration, oldList bool, stop chan struct{}) {
 	select {
 	case <-lim.ended:
@@ -312,7 +322,8 @@
 	}
 }
 
-// claimStart has its caller start the limiter's next process, unless there is one or another restart starts it.
+// claimStart reports whether the caller is to start the limiter's next process. It is false while a process exists or
+// another restart starts one.
 func (lim *limiter) claimStart() bool {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -323,15 +334,15 @@
 	return true
 }
 
-// releaseStart ends the claim, once the process is there or could not be started.
+// releaseStart ends the claim once the process has been started or could not be.
 func (lim *limiter) releaseStart() {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	lim.startClaimed = false
 }
 
-// terminate ends a limiter as a planned restart does: SIGTERM, new connections for a while yet, and SIGKILL if it still
-// lives when every client's time is over.
+// terminate shuts a limiter down as a planned restart does: it sends SIGTERM, takes the limiter out of rotation after
+// rotationDelay and sends SIGKILL if the process still runs once no client waits any longer.
 func (l *Lab) terminate(lim *limiter, stop chan struct{}) {
 	target := targetOf(lim.index)
 	if !l.transitionAndSignal(lim, termEvent, syscall.SIGTERM) {
@@ -347,7 +358,7 @@
 	})
 }
 
-// afterUnlessEnded does what is due afterUnlessEnded a time, unless the process has ended by then.
+// afterUnlessEnded calls do after delay, unless the process has ended or stop is closed by then.
 func (l *Lab) afterUnlessEnded(delay time.Duration, ended, stop chan struct{}, do func()) {
 	l.runTask(func() {
 		select {
@@ -359,20 +370,21 @@
 	})
 }
 
-// runTask runs do on a goroutine that the run waits for.
+// runTask calls do on a goroutine that the run waits for.
 func (l *Lab) runTask(do func()) {
 	l.tasks.Add(1)
 	go func() { defer l.tasks.Done(); do() }()
 }
 
-// stopAll ends all processes: SIGTERM, and SIGKILL 200 ms later; it waits for every one.
+// stopAll ends all processes with SIGTERM, and with SIGKILL those that still run 200 ms later. It waits for all of them
+// and releases the ports.
 func (l *Lab) stopAll() {
 	for _, lim := range l.limiters {
 		lim.mu.Lock()
 		current := lim.state
 		lim.mu.Unlock()
 		if current == paused {
-			l.transitionAndSignal(lim, killEvent, syscall.SIGKILL) // it would not hear SIGTERM
+			l.transitionAndSignal(lim, killEvent, syscall.SIGKILL) // a stopped process does not handle SIGTERM
 		}
 		l.transitionAndSignal(lim, termEvent, syscall.SIGTERM)
 	}
@@ -395,5 +407,5 @@
 	}
 }
 
-// closedTimer is a time that has come.
+// closedTimer is a timer channel that is always ready: it replaces the grace period once that has passed.
 var closedTimer = func() chan time.Time { c := make(chan time.Time); close(c); return c }()
--- a/internal/lab/runner/processes_test.go
+++ b/internal/lab/runner/processes_test.go
@@ -14,7 +14,8 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// loadExample reads an experiment of examples/lab for a program, with some of its text replaced.
+// loadExample reads an experiment of examples/lab for a program. replace holds pairs of a text of the file and its
+// replacement; each text must occur.
 func loadExample(t *testing.T, name, program string, replace ...string) *experiment.Experiment {
 	t.Helper()
 	if testing.Short() {
@@ -26,7 +27,7 @@
 	}
 	for i := 0; i < len(replace); i += 2 {
 		if !strings.Contains(string(text), replace[i]) {
-			t.Fatalf("%s holds no %q", name, replace[i])
+			t.Fatalf("%s does not contain %q", name, replace[i])
 		}
 	}
 	e, err := experiment.Parse(
@@ -38,7 +39,7 @@
 	return e
 }
 
-// resize gives an experiment so many limiters and seconds.
+// resize sets the number of limiters and the length in seconds of an experiment.
 func resize(t *testing.T, e *experiment.Experiment, limiters int, length float64) *experiment.Experiment {
 	t.Helper()
 	e.Limiters.Count, e.Length = limiters, length
@@ -52,16 +53,17 @@
 	return e
 }
 
-// wantBreach fails unless a broken limiter's run broke the rule.
+// wantBreach fails the test unless the run has a breach of the rule.
 func wantBreach(t *testing.T, r *Result, rule int) {
 	t.Helper()
 	if r.Verdict.Pass || r.Verdict.Counts[rule] == 0 {
-		t.Errorf("rule %d was broken and nobody saw it: %s", rule, r.Verdict.Line())
+		t.Errorf("the breach of rule %d was not detected: %s", rule, r.Verdict.Line())
 	}
 }
 
-// TestRollingRestartAnswersEveryRequest ends all of 20 limiters by SIGTERM, a tenth at a time, under clients that use a
-// connection for as long as it stays open: each request that was taken has its answer, and none finds nobody.
+// TestRollingRestartAnswersEveryRequest guards against requests lost in a graceful shutdown. It ends all of 20 limiters
+// with SIGTERM, a tenth at a time, under clients that use a connection for as long as it stays open. Every accepted
+// request must be answered, and every request must reach a limiter.
 func TestRollingRestartAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
 	r, _ := runPassing(t, loadExample(t, "rolling", buildLimiter(t)))
@@ -76,15 +78,17 @@
 			sentAfterTerm++
 		}
 	}
-	t.Logf("%d jobs came in the first %v after a SIGTERM", sentAfterTerm, rotationDelay)
+	t.Logf("%d requests were sent within %v after a SIGTERM", sentAfterTerm, rotationDelay)
 	if len(terms) != 20 || len(r.Run.Processes) != 40 || sentAfterTerm == 0 {
-		t.Errorf("%d limiters ended, %d processes, %d jobs after SIGTERM", len(terms), len(r.Run.Processes), sentAfterTerm)
+		t.Errorf("%d limiters were sent SIGTERM, %d processes, %d requests after SIGTERM",
+			len(terms), len(r.Run.Processes), sentAfterTerm)
 	}
 	if n := r.Verdict.Outcomes[history.NotAccepted]; n > 0 {
-		t.Errorf("%d jobs found nobody", n)
+		t.Errorf("%d requests reached no limiter", n)
 	}
 }
 
+// TestRollingRestartThatDropsRequestsIsCaught runs a limiter that drops its requests at SIGTERM.
 func TestRollingRestartThatDropsRequestsIsCaught(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(t, resize(t, loadExample(t, "rolling", brokenLimiter(t, mutants.Drop)), 10, 5))
@@ -92,8 +96,8 @@
 }
 
 // TestLinkFaults cuts three of 12 limiters off from discovery while a server drains, stops a fourth past the drain, and
-// then cuts, stalls, slows, resets and half opens links to servers. A limiter that was stopped used to send on, when it
-// woke, requests whose clients' time was over.
+// then cuts, stalls, slows, resets and half-opens links to servers. It guards against a limiter that, resumed after
+// SIGSTOP, forwards requests whose clients no longer wait.
 func TestLinkFaults(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(t, loadExample(t, "links", buildLimiter(t)))
@@ -122,8 +126,8 @@
 	if byStaleList == 0 || overSlowLink == 0 || overCutLink > 0 ||
 		r.Verdict.Stopped == 0 || r.Verdict.CutOff == 0 || len(r.Failures) > 0 {
 		t.Errorf(
-			"the faults were not there: %d shots by old lists, %d over the slow link, %d over the cut one, %d jobs stopped, "+
-				"%d cut off; failures %v",
+			"faults without effect: %d attempts by stale lists, %d over the slow link, %d over the cut one, "+
+				"%d requests stopped, %d cut off; failures %v",
 			byStaleList,
 			overSlowLink,
 			overCutLink,
@@ -134,6 +138,7 @@
 	}
 }
 
+// TestLimiterIgnoringEndpointListIsCaught runs a limiter that ignores updates of the endpoint list.
 func TestLimiterIgnoringEndpointListIsCaught(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(
@@ -145,7 +150,8 @@
 	wantBreach(t, r, 3)
 }
 
-// coldStartExperiment is a cold start of 30 limiters of which seven in ten are killed in the middle.
+// coldStartExperiment returns a cold start of 30 limiters for a program, 70 % of which are killed at 1.5 s and
+// restarted with the endpoint list of their first start.
 func coldStartExperiment(t *testing.T, program string, length float64, replace ...string) *experiment.Experiment {
 	e := loadExample(t, "coldstart", program, append(replace, "rate = 300.0", "rate = 500.0", "[settings]\n", `[[faults]]
 kind = "kill"
@@ -166,9 +172,10 @@
 	return resize(t, e, 30, length)
 }
 
-// TestColdStartWithKills starts 30 limiters within a second before a list service that bears 20 calls a second, half
-// of the servers cold, and kills seven in ten of them, which come back late and with a list from before a drain: no
-// cold server is sent more than it bears, and the drain is kept from when each has been told of it.
+// TestColdStartWithKills starts 30 limiters within a second, with half of the servers cold and a discovery service that
+// bears 20 calls per second. 70 % of the limiters are killed and restarted, late and with a list from before a drain.
+// No cold server may be sent more than it bears, and each limiter must observe the drain once it has been notified of
+// it.
 func TestColdStartWithKills(t *testing.T) {
 	t.Parallel()
 	r, _ := runPassing(t, coldStartExperiment(t, buildLimiter(t), 8))
@@ -181,16 +188,17 @@
 		}
 	}
 	if staleStarts != 21 {
-		t.Errorf("%d processes came back late and with the old list, not 21", staleStarts)
+		t.Errorf("%d processes were restarted late and with the old list, want 21", staleStarts)
 	}
 	if f.StartTook > int64(maxStartSpread) || len(r.Run.Processes) != 30+21 || f.NotReady > 0 || f.TurnedAway == 0 {
 		t.Errorf("%d processes, %d not ready, %+v", len(r.Run.Processes), f.NotReady, f)
 	}
 }
 
-// TestColdStartStaggersDiscoveryCalls starts 30 limiters at once before a list service that has to be asked and bears 8 calls a
-// second, and kills seven in ten of them. With that stated in their operator's file they ask in turn, killed or not;
-// without it many are turned away. A call may reach the service in the second next to its own.
+// TestColdStartStaggersDiscoveryCalls starts 30 limiters at once with a discovery service that must be polled and bears
+// 8 calls per second, and kills 70 % of them. If the operator's file states the rate, the limiters stagger their calls,
+// also after a restart; otherwise discovery rejects many. A call may arrive in the second next to the one it was
+// scheduled for.
 func TestColdStartStaggersDiscoveryCalls(t *testing.T) {
 	t.Parallel()
 	for _, listCalls := range []float64{0, 7} {
@@ -200,10 +208,10 @@
 		e.Limiters.ListCalls = listCalls
 		r, _ := runPassing(t, e)
 		f := FleetOf(r.Run)
-		t.Logf("stated %v: %+v", listCalls, f)
+		t.Logf("list_calls_per_s %v: %+v", listCalls, f)
 		if listCalls > 0 && (f.CallsPeak > 10 || f.TurnedAway > 2 || f.Calls < 30) || listCalls == 0 && f.TurnedAway < 10 {
 			t.Errorf(
-				"stated %v: %d calls, %d in the worst second, %d turned away",
+				"list_calls_per_s %v: %d calls, %d in the worst second, %d rejected",
 				listCalls,
 				f.Calls,
 				f.CallsPeak,
@@ -213,15 +221,16 @@
 	}
 }
 
+// TestLimiterThatOverrunsColdServersIsCaught runs a limiter that prefers servers that have just started.
 func TestLimiterThatOverrunsColdServersIsCaught(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(t, coldStartExperiment(t, brokenLimiter(t, mutants.Cold), 3))
 	wantBreach(t, r, 4)
 }
 
-// TestCounterCutOneWay loses the counter's answers to a third of 12 limiters for 4 s while customers ask for three
-// times their quota: the ceiling holds, the quota is passed by no more than what counterloss states for 6 s without a
-// counter, and the counter hears of those limiters again.
+// TestCounterCutOneWay drops the counter's answers to a third of 12 limiters for 4 s while customers request three
+// times their quota. The ceiling must hold, the excess over the quota must stay within what counterloss states for 6 s
+// without a counter, and the limiters must call the counter again afterwards.
 func TestCounterCutOneWay(t *testing.T) {
 	t.Parallel()
 	e := loadExample(t, "countcut", buildLimiter(t))
@@ -243,9 +252,9 @@
 			t.Fatal(err)
 		}
 		bound := b.BurstExcess + b.ExcessRate*6 + e.Settings.MaxRequestUnits
-		t.Logf("%s: excess %.1f, stated %.1f", u.Customer, u.Excess, bound)
+		t.Logf("%s: excess %.1f, bound %.1f", u.Customer, u.Excess, bound)
 		if u.Excess > bound {
-			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, bound)
+			t.Errorf("%s: excess %.1f is over the bound %.1f", u.Customer, u.Excess, bound)
 		}
 	}
 	cutLimiters, callsBefore, callsDuring := 0, 0, 0
@@ -267,7 +276,7 @@
 		}
 		t.Logf("limiter %d: %d calls added while its answers were lost, %d after", n, during, later)
 		if later == 0 {
-			t.Errorf("limiter %d never came back to the counter", n)
+			t.Errorf("limiter %d did not call the counter again", n)
 		}
 		callsDuring += during
 	}
@@ -276,13 +285,15 @@
 	}
 }
 
+// TestLimiterExceedingCeilingIsCaught runs a limiter that admits every request.
 func TestLimiterExceedingCeilingIsCaught(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(t, resize(t, loadExample(t, "countcut", brokenLimiter(t, mutants.Over)), 12, 5))
 	wantBreach(t, r, 5)
 }
 
-// A limiter that does not end at SIGTERM is killed once all clients' time is over, and restarted only then.
+// TestLimiterIgnoringSIGTERMIsKilled: a limiter that does not end at SIGTERM is killed once no client waits any longer,
+// and is restarted only after that.
 func TestLimiterIgnoringSIGTERMIsKilled(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(
@@ -307,7 +318,8 @@
 	}
 }
 
-// A limiter that ends by itself, and one that cannot be started, fail the run by name.
+// TestFailedLimitersFailTheRun: a limiter that crashes and one that cannot be started fail the run, with an error that
+// names its log.
 func TestFailedLimitersFailTheRun(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(t, resize(t, loadExample(t, "countcut", brokenLimiter(t, mutants.Crash)), 2, 3))
--- a/internal/lab/runner/restart_test.go
+++ b/internal/lab/runner/restart_test.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// discoverySlow is the fault of discovery in examples/lab/restart.toml; the other cases have theirs in its place.
+	// discoverySlow is the fault of discovery in examples/lab/restart.toml, which other cases replace with theirs.
 	discoverySlow = "kind = \"slow\"\ntarget = \"discovery\"\nfrom = 1.5\nfactor = 3000.0\n"
 	discoveryDown = "kind = \"down\"\ntarget = \"discovery\"\nfrom = 1.5\n"
-	// slowPlan is a plan whose ceiling takes a new process of 20 limiters 12 s to fill for the largest request.
+	// slowPlan is a plan whose ceiling, split among 20 limiters, takes a new process 12 s to fill for the largest
+	// request.
 	slowPlan = `[[settings.tariffs]]
 name = "slow"
 rate = 8.0
@@ -29,7 +30,8 @@
 [settings.family-info]`
 )
 
-// restartExperiment is the experiment of examples/lab/restartExperiment.toml for a program, with some of its text replaced.
+// restartExperiment returns the experiment of examples/lab/restart.toml for a program. replace holds pairs of a text of
+// the file and its replacement; each text must occur.
 func restartExperiment(t *testing.T, program string, replace ...string) *experiment.Experiment {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/lab/restart.toml")
@@ -38,7 +40,7 @@
 	}
 	for i := 0; i < len(replace); i += 2 {
 		if !strings.Contains(string(text), replace[i]) {
-			t.Fatalf("restart holds no %q", replace[i])
+			t.Fatalf("restart.toml does not contain %q", replace[i])
 		}
 	}
 	e, err := experiment.Parse(
@@ -50,11 +52,12 @@
 	return e
 }
 
-// TestRestartedLimitersAreReady ends all of 20 limiters by SIGTERM, a tenth at a time, and starts them again with the
-// list of their first start, while discovery's answers come 3 s late or do not come at all: nine in ten are ready
-// within 10 s of their exec and none takes over 30 s, the rules hold, and at most one limiter in ten serves nobody for
-// a while. The third case has a plan whose ceiling fills for longer than that. With -short six limiters are restarted,
-// half of them at a time.
+// TestRestartedLimitersAreReady guards against limiters that depend on discovery, or on filled ceilings, to become
+// ready. It restarts all of 20 limiters with SIGTERM, a tenth at a time, with the endpoint list of their first start,
+// while discovery answers 3 s late or not at all. 90 % must be ready within 10 s of exec and all within 30 s, the rules
+// must hold, and at most one limiter in ten may have an outage. In the third case a ceiling takes longer than 10 s to
+// fill.
+// With -short, six limiters are restarted, half of them at a time.
 func TestRestartedLimitersAreReady(t *testing.T) {
 	t.Parallel()
 	program := buildLimiter(t)
@@ -62,7 +65,7 @@
 		name, fault string
 		length      float64
 		plan        string
-		short       bool // it is played with -short as well
+		short       bool // the case runs with -short too
 	}{
 		{"discovery slow", discoverySlow, 20, "[settings.family-info]", true},
 		{"discovery down", discoveryDown, 20, "[settings.family-info]", true},
@@ -106,8 +109,8 @@
 	}
 }
 
-// TestLimiterThatAwaitsDiscoveryIsCaught: a limiter that is not ready before discovery has answered is seen never to be
-// ready while discovery is down.
+// TestLimiterThatAwaitsDiscoveryIsCaught runs a limiter that is not ready before discovery has answered it: with
+// discovery down, the summary must report that it never becomes ready.
 func TestLimiterThatAwaitsDiscoveryIsCaught(t *testing.T) {
 	if testing.Short() {
 		t.Skip("6 s of load")
@@ -129,8 +132,8 @@
 	wantSummaryLines(t, r, "restarts count=2 ready=0 within_10s=0 ready50=never ready90=never ready100=never")
 }
 
-// TestRestartsOf reckons from records: first processes and those that were ended before they were ready do not count,
-// and those that were not ready at the run's end do.
+// TestRestartsOf: first processes and processes that ended before they were ready do not count; processes that were not
+// ready at the end of the run do.
 func TestRestartsOf(t *testing.T) {
 	const second = int64(1e9)
 	processes := []history.Process{
--- a/internal/lab/runner/restarts.go
+++ b/internal/lab/runner/restarts.go
@@ -9,20 +9,20 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// readyTarget is the time within which nine in ten restarted processes have to be ready.
+// readyTarget is the time within which 90 % of the restarted processes must be ready.
 const readyTarget = 10 * time.Second
 
-// Restarts is how soon the restarted processes of a run were ready, which is each but a limiter's first. Times are
-// nanoseconds from a process's exec until it first answered PING with +PONG, -1 where too few processes were ready.
+// Restarts summarises how fast the restarted processes of a run, all but the first of each limiter, became ready. Times
+// are nanoseconds from exec to the first +PONG, or -1 if too few processes became ready for the percentile.
 type Restarts struct {
-	Count         int // restarted processes, but for those that were ended before they were ready
-	Ready         int // those that were ready before the run's end
-	ReadyInTime   int // and those of them that were ready within 10 s
+	Count         int // restarted processes, without those that ended before they were ready
+	Ready         int // those that were ready before the end of the run
+	ReadyInTime   int // those that were ready within readyTarget, 10 s
 	P50, P90, Max int64
 }
 
-// RestartsOf measures the restarts of a run's record. A process that was not ready at the run's end counts as one that
-// takes longer than any other, so a run has to go on until its last process can have been ready.
+// RestartsOf computes the summary of a run's record. A process that was still not ready at the end of the run counts as
+// slower than every other, so a run must last until its last process has had time to become ready.
 func RestartsOf(r *history.Run) Restarts {
 	var out Restarts
 	var times []int64
@@ -49,7 +49,8 @@
 	return out
 }
 
-// percentile is the time within which so many in a hundred of all restarted processes were ready, -1 where they were not.
+// percentile returns the time within which the given percentage of all restarted processes was ready, or -1 if fewer
+// became ready. times is sorted and holds only the processes that became ready.
 func (r *Restarts) percentile(times []int64, percent int) int64 {
 	need := (r.Count*percent + 99) / 100
 	if need == 0 || need > len(times) {
@@ -58,10 +59,10 @@
 	return times[need-1]
 }
 
-// MeetsTarget tells whether nine in ten restarted processes were ready within 10 s.
+// MeetsTarget reports whether at least 90 % of the restarted processes were ready within readyTarget.
 func (r *Restarts) MeetsTarget() bool { return 10*r.ReadyInTime >= 9*r.Count }
 
-// Write writes it as a line of names and values, nothing where no process was restarted.
+// Write writes the summary as a line of name=value pairs, or nothing if no process was restarted.
 func (r *Restarts) Write(w io.Writer) {
 	if r.Count == 0 {
 		return
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner plays one experiment: it starts the emulator, starts the limiters as the platform would, plays
-// the timeline of faults, drives the load and judges the records by the five rules.
+// Package runner runs one experiment of the lab: it starts the emulator and real limiter processes, applies the
+// timeline of faults, generates the load and judges the records by the five rules of package invariants.
 package runner
 
 import (
@@ -19,21 +19,21 @@
 	"ospreycroft/internal/lab/loadgen"
 )
 
-// Extras are what a run may have beside its experiment; the zero value is none.
+// Extras are options of a run beyond its experiment. The zero value has none.
 type Extras struct {
-	// Command prepares the command of limiter n before it is started, and gives what is to be called once it was; nil for
-	// nothing.
+	// Command prepares the command of limiter n before it is started, and returns a function that is called right after
+	// the start. nil means no preparation.
 	Command func(n int, command *exec.Cmd) (started func() error, err error)
-	// Beside runs beside the load on a goroutine of its own, and returns once stop is closed; nil for nothing.
+	// Beside runs on a goroutine of its own while the load runs, and must return once stop is closed. nil means none.
 	Beside func(lab *Lab, stop <-chan struct{})
-	// LeaveGrace and TimeLeftSlack are judged as of invariants.Terms.
+	// LeaveGrace and TimeLeftSlack are the allowances of the same names in invariants.Terms.
 	LeaveGrace, TimeLeftSlack time.Duration
-	// Lag is how late the lab itself may have written a time down, asked for once the load is over; it widens both, and how
-	// late an answer may come. nil for not at all.
+	// Lag returns how late the lab itself may have recorded a time. It is called once the load has ended, and its
+	// result is added to LeaveGrace, to TimeLeftSlack and to how late an answer may arrive. nil means 0.
 	Lag func() time.Duration
 }
 
-// lag is how late the lab itself may have written a time down.
+// lag returns the result of Lag, or 0 if Lag is nil.
 func (x *Extras) lag() time.Duration {
 	if x.Lag == nil {
 		return 0
@@ -41,7 +41,7 @@
 	return x.Lag()
 }
 
-// Lab is one run's emulator and limiters.
+// Lab is the emulator and the limiters of one run.
 type Lab struct {
 	exp       *experiment.Experiment
 	dir       string
@@ -53,34 +53,34 @@
 	servers   []*emulator.Server
 	limiters  []*limiter
 	network   *faultproxy.Network
-	// clientScripts are the scripts of the clients' links, by limiter.
+	// clientScripts holds, for each limiter, the fault script of the clients' link to it.
 	clientScripts [][]faultproxy.Fault
-	inRotation    []atomic.Bool // which limiters the front gives new connections
-	replacements  int
-	readyTimeout  time.Duration // a limiter must be ready within it
+	inRotation    []atomic.Bool // for each limiter, whether clients open new connections to it
+	replacements  int           // servers started by faults of kind replace
+	readyTimeout  time.Duration // a process that is not ready by then fails the run
 	extras        Extras
-	tasks         sync.WaitGroup // what is still to be done about limiters
+	tasks         sync.WaitGroup // pending restarts and signals, which the run waits for
 
 	mu        sync.Mutex
 	processes []history.Process
 	failures  []error
 }
 
-// Result is what a run leaves: its record and verdict, and what failed it beside the rules (*NeverStarted, *NeverReady,
-// *Crashed, *NotTogether).
+// Result is the record and the verdict of a run, and the errors that fail it independently of the rules (*StartError,
+// *ReadyTimeoutError, *CrashError, *StartSpreadError).
 type Result struct {
 	Run      *history.Run
 	Verdict  *invariants.Verdict
 	Failures []error
 }
 
-// Run plays e with its files (configurations, limiters' logs) in dir. An error says that there was no run; a limiter
-// that fails is no error but fails the verdict. Where the fleet does not get up, no load is played.
+// Run runs exp and writes configurations and limiters' logs to dir. An error means that the run did not take place. A
+// limiter that fails is not an error but fails the verdict; if the fleet does not start, no load is generated.
 func Run(exp *experiment.Experiment, dir string, log *slog.Logger, progress func(float64)) (*Result, error) {
 	return RunWith(exp, dir, log, progress, Extras{})
 }
 
-// RunWith is Run with something beside the experiment.
+// RunWith is Run with extras.
 func RunWith(
 	exp *experiment.Experiment,
 	dir string,
@@ -98,7 +98,7 @@
 	if err := lab.startEmulator(); err != nil {
 		return nil, err
 	}
-	lab.clock.Restart() // the limiters' start is the run's beginning
+	lab.clock.Restart() // the run begins with the start of the limiters
 	if err := lab.startAll(); err != nil {
 		log.Error("start", "error", err)
 	} else {
@@ -123,18 +123,19 @@
 	return &Result{Run: run, Verdict: verdict, Failures: failures}, nil
 }
 
-// Address is where clients reach limiter n.
+// Address returns the address at which clients reach limiter n.
 func (l *Lab) Address(n int) string {
 	return l.network.Address(experiment.Clients, targetOf(n), l.limiters[n].port.Address())
 }
 
-// Record is where requests are written down, by the clock.
+// Record returns the recorder of the requests and the clock that their times refer to.
 func (l *Lab) Record() (*history.Recorder, *history.Clock) { return l.recorder, l.clock }
 
-// Open tells whether clients send to limiter n.
+// Open reports whether clients open new connections to limiter n.
 func (l *Lab) Open(n int) bool { return l.inRotation[n].Load() }
 
-// Dead tells whether limiter n has no process.
+// Dead reports whether limiter n was killed or crashed and has not been started again, or its link to the clients has a
+// fault.
 func (l *Lab) Dead(n int) bool {
 	lim := l.limiters[n]
 	lim.mu.Lock()
@@ -142,7 +143,7 @@
 	return lim.dead || l.clientLinkFaulty(n)
 }
 
-// clientLinkFaulty tells whether the clients' link to limiter n has a fault now.
+// clientLinkFaulty reports whether the clients' link to limiter n has a fault now.
 func (l *Lab) clientLinkFaulty(n int) bool {
 	now := l.clock.Now()
 	for _, f := range l.clientScripts[n] {
@@ -153,7 +154,8 @@
 	return false
 }
 
-// runLoad drives the runLoad and plays the timeline beside it, to the end of both.
+// runLoad generates the load, with the timeline and Extras.Beside running alongside, and returns once all of them and
+// all tasks have ended.
 func (l *Lab) runLoad(progress func(float64)) {
 	driver := loadgen.New(l.exp, l.clock, l.recorder, l)
 	stop := make(chan struct{})
@@ -175,7 +177,7 @@
 	l.tasks.Wait()
 }
 
-// startEmulator starts the startEmulator-ins: discovery, the counter and the servers.
+// startEmulator starts the emulated discovery, counter and servers.
 func (l *Lab) startEmulator() (err error) {
 	l.discovery, err = emulator.NewDiscovery(l.clock, l.recorder, l.faultScript("discovery"), l.exp.Limiters.Count)
 	if err != nil {
@@ -207,10 +209,11 @@
 	return nil
 }
 
-// targetOf is limiter n's name on the network; servers have their own, and the others are named as an experiment does.
+// targetOf returns the name of limiter n as a target of faults, in events and as a party of the network. Servers are
+// parties by their own name, other parties by the constants of package experiment.
 func targetOf(n int) string { return fmt.Sprintf("limiter:%d", n) }
 
-// discoveryAddress and counterOf are where limiter n calls.
+// discoveryAddress and counterAddress return the addresses at which limiter n reaches discovery and the counter.
 func (l *Lab) discoveryAddress(n int) string {
 	return l.network.Address(targetOf(n), experiment.Discovery, l.discovery.Address(n))
 }
@@ -218,7 +221,8 @@
 	return l.network.Address(targetOf(n), experiment.Counting, l.counter.Address(n))
 }
 
-// addLinks puts the links of limiter n that the experiment has faults for, but for those to servers.
+// addLinks creates the links between limiter n and discovery, the counter and the clients for which the experiment has
+// faults. addServer creates those to servers.
 func (l *Lab) addLinks(n int) error {
 	script := l.exp.Script(n, experiment.Discovery, "", "")
 	if err := l.network.Join(targetOf(n), experiment.Discovery, l.discovery.Address(n), script); err != nil {
@@ -243,7 +247,8 @@
 	)
 }
 
-// linkFaultsAndSilences are what the clients' links and those to discovery, or discovery itself, kept from limiters.
+// linkFaultsAndSilences returns the faults of the clients' links, and the times in which limiters received nothing new
+// from discovery because of a fault of their link or of discovery itself.
 func (l *Lab) linkFaultsAndSilences() (linkFaults []history.LinkFault, silences []history.Silence) {
 	for n := range l.exp.Limiters.Count {
 		for _, f := range l.exp.Script(n, experiment.Clients, "", "") {
@@ -265,7 +270,8 @@
 	return linkFaults, silences
 }
 
-// faultScript is the emulator's script for a target: the entries that name it, or its pool, by an emulator kind.
+// faultScript returns the faults whose target is one of names, in the emulator's form. It leaves out the kinds that the
+// timeline applies: drain, gone and replace.
 func (l *Lab) faultScript(names ...string) []emulator.Fault {
 	var script []emulator.Fault
 	for _, f := range l.exp.Faults {
@@ -279,6 +285,8 @@
 	return script
 }
 
+// addServer starts a server of a pool, creates its links and adds it to the endpoint list. dedup is shared by the
+// servers of a zone; nil means that the server does not deduplicate.
 func (l *Lab) addServer(pool experiment.Pool, name string, dedup *emulator.Deduplication, warm bool) error {
 	spec := emulator.ServerSpec{Name: name, Zone: pool.Zone, Work: time.Duration(pool.Work * float64(time.Second)),
 		Capacity: pool.Capacity, Report: pool.Report, Slots: pool.Slots, Conns: pool.Conns, ColdFrom: pool.ColdFrom,
@@ -297,7 +305,7 @@
 			return err
 		}
 	}
-	if warm { // long before the run
+	if warm { // it counts as started long before the run
 		l.discovery.Set(l.instance(s, "in_service"))
 	} else {
 		l.setLifecycle(s, "in_service", "new", l.clock.Now())
@@ -305,6 +313,8 @@
 	return nil
 }
 
+// instance returns the endpoint list's entry for a server. Its start time is 0 for a server that started before the
+// run.
 func (l *Lab) instance(s *emulator.Server, lifecycle string) emulator.Instance {
 	started := int64(0)
 	if at, known := s.Started(); known {
@@ -314,7 +324,7 @@
 		Weight: 1, StartedMs: started}
 }
 
-// close ends the limiters, then everything else.
+// close ends the limiters first, then the links and the emulator.
 func (l *Lab) close() {
 	l.stopAll()
 	l.network.Close()
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -16,7 +16,7 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// The test binary stands in for the broken limiter when the lab starts it by a name that says so.
+// TestMain runs the test binary as a broken limiter if the lab started it by a name of package mutants.
 func TestMain(m *testing.M) {
 	if mode := mutants.Mode(os.Args[0]); mode != "" {
 		if err := mutants.Main(mode); err != nil {
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// brokenLimiter is the path of a limiter that is brokenLimiter in a mode.
+// brokenLimiter returns the path of a limiter that is broken in the given mode of package mutants.
 func brokenLimiter(t *testing.T, mode string) string {
 	t.Helper()
 	self, err := os.Executable()
@@ -41,10 +41,10 @@
 	return path
 }
 
-// runSlots bounds how many experiments are played at a time: with more the machine, not the limiters, would decide.
+// runSlots limits the experiments that run concurrently: with more, the load of the machine would decide the results.
 var runSlots = make(chan struct{}, 3)
 
-// runExperiment runs e and gives the result, whatever its verdict, and the folder with its files.
+// runExperiment runs e and returns the result, whatever the verdict, and the directory with the run's files.
 func runExperiment(t *testing.T, e *experiment.Experiment) (*Result, string) {
 	t.Helper()
 	runSlots <- struct{}{}
@@ -58,7 +58,7 @@
 	return r, dir
 }
 
-// buildLimiter builds the real limiter once for the tests of this package.
+// buildLimiter builds the real limiter and returns its path.
 func buildLimiter(t *testing.T) string {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "ospreycroft")
@@ -69,6 +69,7 @@
 	return out
 }
 
+// defaultExperiment returns the experiment of examples/lab/default.toml for a program, with its text changed by edit.
 func defaultExperiment(t *testing.T, program string, edit func(string) string) *experiment.Experiment {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/lab/default.toml")
@@ -83,7 +84,7 @@
 	return e
 }
 
-// runPassing runs e, whose rules must hold, and gives the result and the folder with its files.
+// runPassing is runExperiment for a run that must keep the rules.
 func runPassing(t *testing.T, e *experiment.Experiment) (*Result, string) {
 	t.Helper()
 	r, dir := runExperiment(t, e)
@@ -93,7 +94,7 @@
 	return r, dir
 }
 
-// TestDefaultExperimentKeepsTheRules plays the default experiment, faults and all, against the real limiter.
+// TestDefaultExperimentKeepsTheRules runs the default experiment with all its faults against the real limiter.
 func TestDefaultExperimentKeepsTheRules(t *testing.T) {
 	if testing.Short() {
 		t.Skip("20 s of load")
@@ -102,12 +103,12 @@
 	e := defaultExperiment(t, buildLimiter(t), func(s string) string { return s })
 	r, _ := runPassing(t, e)
 	if r.Verdict.Outcomes["done"] < r.Verdict.Requests/3 || r.Verdict.Attempts == 0 {
-		t.Fatalf("too little was done for the run to say anything: %s", r.Verdict.Line())
+		t.Fatalf("too few requests succeeded for a meaningful run: %s", r.Verdict.Line())
 	}
 }
 
-// TestBrokenLimiterIsCaught plays a short run against a limiter that sends non-idempotent requests again after a
-// silence: the lab must find the second attempts in the servers' records.
+// TestBrokenLimiterIsCaught runs a limiter that retries non-idempotent requests after a silence: the lab must find the
+// second attempts in the servers' records.
 func TestBrokenLimiterIsCaught(t *testing.T) {
 	t.Parallel()
 	e := defaultExperiment(t, brokenLimiter(t, mutants.Again), func(s string) string {
@@ -117,12 +118,13 @@
 	})
 	r, _ := runExperiment(t, e)
 	if r.Verdict.Pass || r.Verdict.Counts[2] == 0 {
-		t.Fatalf("second shots of binding jobs went unseen: %s", r.Verdict.Line())
+		t.Fatalf("second attempts of non-idempotent requests were not detected: %s", r.Verdict.Line())
 	}
 }
 
-// TestCounterLossWithinStatedBound plays the counter down, emptied and split under load: rule 5 must hold, and
-// every customer's excess over its quota must stay within what counterloss states for its set and the faults.
+// TestCounterLossWithinStatedBound takes the counter down, empties it and splits it under load. Rule 5 must hold, and
+// each customer's excess over its quota must stay within what counterloss states for its number of limiters and these
+// faults.
 func TestCounterLossWithinStatedBound(t *testing.T) {
 	if testing.Short() {
 		t.Skip("20 s of load")
@@ -153,15 +155,16 @@
 			bound += b.BurstExcess + b.ExcessRate*c.seconds
 		}
 		bound = min(bound, plan.CeilingBurst-plan.Burst+(plan.CeilingRate-plan.Rate)*e.Length)
-		t.Logf("%s: set %d, excess %.1f, stated %.1f", u.Customer, spread, u.Excess, bound)
+		t.Logf("%s: %d limiters, excess %.1f, bound %.1f", u.Customer, spread, u.Excess, bound)
 		if u.Excess > bound+e.Settings.MaxRequestUnits {
-			t.Errorf("%s: excess %.1f past the stated %.1f", u.Customer, u.Excess, bound)
+			t.Errorf("%s: excess %.1f is over the bound %.1f", u.Customer, u.Excess, bound)
 		}
 	}
 }
 
-// TestMigrationStarvesNeitherKind plays limiters of the old and of the new shape before the same servers: the rules hold,
-// and as many of the requests that clients ask for are done by the one kind as by the other, within a third.
+// TestMigrationStarvesNeitherKind runs limiters with the old and with the new settings against the same servers. The
+// rules must hold, and for each plan the shares of requests that succeed through the two kinds must be within a third
+// of each other.
 func TestMigrationStarvesNeitherKind(t *testing.T) {
 	if testing.Short() {
 		t.Skip("16 s of load")
@@ -179,7 +182,7 @@
 	}
 	for _, j := range r.Run.Requests {
 		if j.Limiter < 0 {
-			continue // its limiter was dead and never took it
+			continue // its limiter was dead and did not accept it
 		}
 		kind := 0
 		if j.Limiter >= e.Limiters.Count-e.Limiters.Moved {
@@ -197,18 +200,19 @@
 		for kind := range share {
 			share[kind] = float64(done[kind][plan]) / float64(max(requested[kind][plan], 1))
 		}
-		t.Logf("%s: %d of %d asked were done by the old kind, %d of %d by the new", plan, done[0][plan], requested[0][plan],
+		t.Logf("%s: %d of %d requests succeeded by the old kind, %d of %d by the new",
+			plan, done[0][plan], requested[0][plan],
 			done[1][plan], requested[1][plan])
 		if min(share[0], share[1]) < max(share[0], share[1])*2/3 || share[0] == 0 {
-			t.Errorf("%s: shares done are %.2f and %.2f", plan, share[0], share[1])
+			t.Errorf("%s: the shares that succeeded are %.2f and %.2f", plan, share[0], share[1])
 		}
 	}
 }
 
-// TestJoinHoldsTheRules plays the short form of a join: half of the servers replaced while discovery, which must be
-// asked, is overbooked and servers serve few connections. The rules hold, a third of the requests at least is done
-// (most others are past their quotas), and though calls are turned away two limiters in three learn of the release
-// within 8 s; those that were turned away twice wait for longer than that.
+// TestJoinHoldsTheRules runs a shortened examples/lab/join.toml: half of the servers are replaced while discovery,
+// which must be polled, is overloaded and servers accept few connections. The rules must hold, and at least a third of
+// the requests must succeed (most others exceed their quota). Although discovery rejects calls, two thirds of the
+// limiters must learn of the replacement within 8 s; a limiter that is rejected twice backs off for longer than that.
 func TestJoinHoldsTheRules(t *testing.T) {
 	if testing.Short() {
 		t.Skip("9 s of load")
@@ -227,7 +231,7 @@
 	}
 	r, dir := runPassing(t, e)
 	if r.Verdict.Outcomes["done"] < r.Verdict.Requests/3 {
-		t.Fatalf("too little was done: %s", r.Verdict.Line())
+		t.Fatalf("too few requests succeeded: %s", r.Verdict.Line())
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(logs) != e.Limiters.Count {
@@ -244,7 +248,7 @@
 			unnotified++
 		}
 	}
-	if t.Logf("%s; %d calls turned away", r.Verdict.Line(), throttled); throttled == 0 || unnotified > len(logs)/3 {
-		t.Errorf("%d calls turned away, %d of %d limiters heard of no release", throttled, unnotified, len(logs))
+	if t.Logf("%s; %d calls rejected", r.Verdict.Line(), throttled); throttled == 0 || unnotified > len(logs)/3 {
+		t.Errorf("%d calls rejected, %d of %d limiters received no list update", throttled, unnotified, len(logs))
 	}
 }
--- a/internal/lab/runner/service_test.go
+++ b/internal/lab/runner/service_test.go
@@ -10,7 +10,8 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// pairExperiment is a short run of two limiters of a program with these faults and no other, 40 requests a second.
+// pairExperiment returns an experiment of length seconds with two limiters of a program, 40 requests per second and
+// only the given faults.
 func pairExperiment(t *testing.T, program string, length float64, faults ...experiment.Fault) *experiment.Experiment {
 	t.Helper()
 	e := loadExample(t, "rolling", program, "rate = 200.0", "rate = 40.0", "cut_off = 2.5", "cut_off = 1.0")
@@ -18,26 +19,27 @@
 	return resize(t, e, 2, length)
 }
 
-// summaryOf is what the summary tells of a run.
+// summaryOf returns the summary of a run.
 func summaryOf(r *Result) string {
 	var out bytes.Buffer
 	Summarise(&out, r)
 	return out.String()
 }
 
-// wantSummaryLines fails unless a run's summary holds all of these.
+// wantSummaryLines fails the test for each of lines that the summary of a run does not contain.
 func wantSummaryLines(t *testing.T, r *Result, lines ...string) {
 	t.Helper()
 	text := summaryOf(r)
 	t.Log(text)
 	for _, line := range lines {
 		if !strings.Contains(text, line) {
-			t.Errorf("the summary lacks %q:\n%s", line, text)
+			t.Errorf("the summary does not contain %q:\n%s", line, text)
 		}
 	}
 }
 
-// TestLimiterRejectingAllIsReported: such a limiter breaks no rule, and so passes; that it serves nobody is told.
+// TestLimiterRejectingAllIsReported: a limiter that rejects every request breaks no rule, so the run passes; the
+// summary must report the outage.
 func TestLimiterRejectingAllIsReported(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(t, pairExperiment(t, brokenLimiter(t, mutants.Busy), 5))
@@ -54,8 +56,8 @@
 		"outage limiter=0 life=1 kind=rejecting", "outage limiter=1 life=1 kind=rejecting")
 }
 
-// TestSilentLimiterIsReported kills one of two such limiters in the middle of the run: what it had then was
-// lost with it, and the rest was lost by limiters that lived.
+// TestSilentLimiterIsReported runs two limiters that answer only PING and kills one of them in the middle. The requests
+// in flight then must count as lost by a killed limiter, all others as lost by a live one.
 func TestSilentLimiterIsReported(t *testing.T) {
 	t.Parallel()
 	e := pairExperiment(t, brokenLimiter(t, mutants.Mute), 4, experiment.Fault{Kind: "kill", Target: "limiter:1", From: 3})
@@ -81,7 +83,7 @@
 		"unanswered limiter=1 cause=killed late=0 lost=")
 }
 
-// TestLateLimiterIsReported: an answer 100 ms after a request's time is late, and not lost.
+// TestLateLimiterIsReported: an answer 100 ms after a request's deadline counts as late, not as lost.
 func TestLateLimiterIsReported(t *testing.T) {
 	t.Parallel()
 	r, _ := runExperiment(t, pairExperiment(t, brokenLimiter(t, mutants.Late), 2))
--- a/internal/lab/runner/state.go
+++ b/internal/lab/runner/state.go
@@ -1,34 +1,34 @@
 package runner
 
-// This file has the state machine of a limiter's process.
+// This file contains the state machine of a limiter's process.
 
-// state is where a limiter's process stands.
+// state is the lifecycle state of a limiter's process.
 type state uint8
 
 const (
-	absent   state = iota // no process
-	starting              // it has not answered +PONG
-	ready
-	paused      // SIGSTOP
-	terminating // SIGTERM
-	killed      // SIGKILL, not ended yet
+	absent      state = iota // no process
+	starting                 // running, has not answered PING with +PONG yet
+	ready                    // has answered +PONG
+	paused                   // stopped by SIGSTOP
+	terminating              // sent SIGTERM, has not ended yet
+	killed                   // sent SIGKILL, has not ended yet
 )
 
-// processEvent is what befalls a process.
+// processEvent is an input of the state machine: a signal sent to the process, or something observed of it.
 type processEvent uint8
 
 const (
-	startedEvent processEvent = iota
-	readyEvent
-	stopEvent
-	continueEvent
-	termEvent // to end
-	killEvent // killed
-	exitEvent
+	startedEvent  processEvent = iota
+	readyEvent                 // answered PING with +PONG
+	stopEvent                  // SIGSTOP
+	continueEvent              // SIGCONT
+	termEvent                  // SIGTERM
+	killEvent                  // SIGKILL
+	exitEvent                  // the process ended
 )
 
-// nextState is the one function by which a process's state changes; crash tells that it ended unasked. What cannot be in a
-// state leaves it as it is, and ok is false.
+// nextState returns the state that follows from an event; every state change of a process goes through it. crash
+// reports that the process ended without SIGTERM or SIGKILL. ok is false if the event cannot happen in the state.
 func nextState(from state, event processEvent) (to state, crash, ok bool) {
 	switch event {
 	case startedEvent:
--- a/internal/lab/runner/summary.go
+++ b/internal/lab/runner/summary.go
@@ -12,7 +12,7 @@
 	"ospreycroft/internal/lab/invariants"
 )
 
-// Latency is one class's answer times for done requests, in microseconds.
+// Latency is the distribution of answer times of one class's successful requests, in microseconds.
 type Latency struct {
 	Track string `json:"track"`
 	Count int64  `json:"count"`
@@ -22,7 +22,8 @@
 	Max   int64  `json:"max_us"`
 }
 
-// Latencies are the percentiles of each class's done requests, from HDR histograms of three significant figures.
+// Latencies returns the latency percentiles of the successful requests, one entry for each class, sorted by class. They
+// are read from HDR histograms of three significant figures.
 func Latencies(requests []history.Request) []Latency {
 	histograms := map[string]*hdrhistogram.Histogram{}
 	for _, j := range requests {
@@ -45,7 +46,8 @@
 	return latencies
 }
 
-// Summarise writes the verdict's line, its first breaches and the latencies.
+// Summarise writes the verdict, the breaches that it lists, failures, fleet, restarts, service, quota use and latencies
+// of a run.
 func Summarise(w io.Writer, r *Result) {
 	_, _ = fmt.Fprintln(w, r.Verdict.Line())
 	for _, b := range r.Verdict.Breaches {
@@ -94,7 +96,8 @@
 	}
 }
 
-// writeService writes the requests without an answer and the processes that served nobody, also where there are none.
+// writeService writes the requests without an answer in time and the outages of processes. It writes the totals even if
+// they are zero.
 func writeService(w io.Writer, s *invariants.Service) {
 	late, lost := s.Missed()
 	_, _ = fmt.Fprintf(w, "  unanswered late=%d lost=%d\n", late, lost)
@@ -132,7 +135,8 @@
 	}
 }
 
-// counterFaults is when the counter's first fault began and its last one ended.
+// counterFaults returns the times of the first and the last event of the counter's faults, in nanoseconds; seen is
+// false if there is none.
 func counterFaults(events []history.Event) (first, last int64, seen bool) {
 	for _, e := range events {
 		if e.Target != "counter" {
--- a/internal/lab/runner/sweep.go
+++ b/internal/lab/runner/sweep.go
@@ -15,22 +15,23 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// Point is one size of a sweep: what was offered, held and added, and what the lab itself spent.
+// Point is the result of a sweep at one fleet size.
 type Point struct {
 	Limiters  int     `json:"limiters"`
-	Offered   float64 `json:"offered"`   // requests a second sent
-	Completed float64 `json:"held"`      // requests a second done
-	Rejected  float64 `json:"rejected"`  // share of requests rejected
-	AddedP50  float64 `json:"added_p50"` // ms a done request waited beyond its server's own work
+	Offered   float64 `json:"offered"`   // requests per second that clients sent
+	Completed float64 `json:"held"`      // requests per second that succeeded
+	Rejected  float64 `json:"rejected"`  // share of the requests that limiters rejected
+	AddedP50  float64 `json:"added_p50"` // milliseconds that a successful request took beyond its server's service time
 	AddedP99  float64 `json:"added_p99"`
-	// CPU seconds of the lab's own process (emulator and clients) per 1k requests
+	// CPU seconds of the lab's own process (emulator and clients) per 1000 requests
 	LabCPU     float64 `json:"lab_cpu"`
-	LimiterCPU float64 `json:"limiter_cpu"` // CPU seconds of all limiters per 1k requests
+	LimiterCPU float64 `json:"limiter_cpu"` // CPU seconds of all limiters per 1000 requests
 	Pass       bool    `json:"pass"`
 	Fleet      Fleet   `json:"fleet"`
 }
 
-// AddedLatency is the time each done request waited beyond its last attempt's work, in microseconds, as an HDR histogram.
+// AddedLatency returns an HDR histogram of the time, in microseconds, that each successful request took beyond the
+// service time of its last successful attempt.
 func AddedLatency(requests []history.Request, attempts []history.Attempt) *hdrhistogram.Histogram {
 	serviceTimes := map[string]int64{}
 	for _, s := range attempts {
@@ -47,6 +48,7 @@
 	return h
 }
 
+// cpuSeconds returns the user and system time of who, an RUSAGE_ constant, or 0 if it cannot be read.
 func cpuSeconds(who int) float64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(who, &u) != nil {
@@ -55,8 +57,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 }
 
-// Sweep plays e at each size, with perLimiter requests a second for each limiter and each customer's set clamped to
-// the size, and gives a point for each. Limiters' CPU is read as that of this process's ended children.
+// Sweep runs e once for each number of limiters in sizes, at perLimiter requests per second for each limiter, and
+// returns a point for each. The set of limiters of each customer is clamped to the size. The CPU time of the limiters
+// is read as that of this process's terminated children. On an error it returns the points measured so far.
 func Sweep(e *experiment.Experiment, sizes []int, perLimiter float64, dir string, w io.Writer) ([]Point, error) {
 	var points []Point
 	for _, n := range sizes {
@@ -80,7 +83,7 @@
 		if err != nil {
 			return points, err
 		}
-		time.Sleep(300 * time.Millisecond) // the limiters' ends are counted once they are waited for
+		time.Sleep(300 * time.Millisecond) // rusage counts the limiters only after they have been waited for
 		self, children = cpuSeconds(syscall.RUSAGE_SELF)-self, cpuSeconds(syscall.RUSAGE_CHILDREN)-children
 		_ = history.Write(filepath.Join(sizeDir, "record.json"), r.Run)
 		added := AddedLatency(r.Run.Requests, r.Run.Attempts)
--- a/internal/lab/runner/timeline.go
+++ b/internal/lab/runner/timeline.go
@@ -12,15 +12,15 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// This file plays the experiment's timeline.
+// This file applies the experiment's timeline of faults.
 
-// timelineEntry is one thing that the timeline has to do.
+// timelineEntry is an action that is due at a time, in nanoseconds on the run's clock.
 type timelineEntry struct {
 	at     int64
 	action func(now int64)
 }
 
-// timeline lists what there is to do, in the order of its times.
+// timeline returns the begin and the end of every fault, sorted by time. Process faults are split into their steps.
 func (l *Lab) timeline(stop chan struct{}) []timelineEntry {
 	var entries []timelineEntry
 	for i, f := range l.exp.Faults {
@@ -42,7 +42,8 @@
 	return entries
 }
 
-// playTimeline plays the timeline until stop: every 10 ms whatever has come due.
+// playTimeline runs the timeline until stop is closed. Every 10 ms it advances the counter and the links, then runs all
+// actions that are due.
 func (l *Lab) playTimeline(stop chan struct{}) {
 	pending := l.timeline(stop)
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -71,14 +72,15 @@
 	}
 }
 
-// setRefusing makes the links to a party that stopped listening setRefusing as well, or take connections again.
+// setRefusing makes the links to target, which has stopped or started listening, refuse connections or accept them
+// again.
 func (l *Lab) setRefusing(target string, refusing bool) {
 	if err := l.network.SetRefusing(target, refusing); err != nil {
 		l.log.Error("link", "error", err)
 	}
 }
 
-// beginStep plays the begin of a step of a process fault.
+// beginStep applies a step of a process fault by sending the signal to each of its limiters.
 func (l *Lab) beginStep(fault experiment.Fault, step experiment.Step, now int64, stop chan struct{}) {
 	l.log.Info("fault", "kind", fault.Kind, "limiters", len(step.Limiters), "at_ns", now)
 	for _, n := range step.Limiters {
@@ -97,7 +99,7 @@
 	}
 }
 
-// endStep plays the end of a step: what was stopped goes on, what was ended starts again.
+// endStep ends a step: it resumes stopped processes and restarts the others.
 func (l *Lab) endStep(fault experiment.Fault, step experiment.Step, now int64, stop chan struct{}) {
 	for _, n := range step.Limiters {
 		lim := l.limiters[n]
@@ -111,7 +113,7 @@
 	}
 }
 
-// targetServers are the servers a timeline entry names.
+// targetServers returns the servers named by target, which is "server:NAME" or "pool:NAME".
 func (l *Lab) targetServers(target string) []*emulator.Server {
 	kind, name, _ := strings.Cut(target, ":")
 	var matching []*emulator.Server
@@ -123,7 +125,8 @@
 	return matching
 }
 
-// beginFault plays the begin of a fault of a stand-in.
+// beginFault begins a fault of an emulated party. Faults of the emulator's own kinds and of links are only recorded
+// here.
 func (l *Lab) beginFault(fault experiment.Fault, now int64) {
 	l.log.Info("fault", "kind", fault.Kind, "target", fault.Target, "at_ns", now)
 	switch {
@@ -143,18 +146,19 @@
 				l.replaceServer(s)
 			}
 		}
-	default: // the emulator or the link plays it; the record shows it
+	default: // the emulator or the link applies it by its own script
 		l.recorder.AddEvent(history.Event{At: now, Kind: fault.Kind, Target: fault.Target, Detail: "begins"})
 	}
 }
 
-// setLifecycle changes the setLifecycle's entry of a server and writes the change down.
+// setLifecycle changes the lifecycle of a server in the endpoint list and records the change as an event of the given
+// kind.
 func (l *Lab) setLifecycle(s *emulator.Server, lifecycle, kind string, now int64) {
 	generation := l.discovery.Set(l.instance(s, lifecycle))
 	l.recorder.AddEvent(history.Event{At: now, Kind: kind, Target: s.Name(), Generation: generation})
 }
 
-// replaceServer starts a new, cold server in the place of s, in its pool and zone.
+// replaceServer adds a new, cold server to the pool and zone of s.
 func (l *Lab) replaceServer(s *emulator.Server) {
 	poolName, _, _ := strings.Cut(s.Name(), "-")
 	for _, pool := range l.exp.Servers {
@@ -167,10 +171,10 @@
 	}
 }
 
-// endFault plays the end of a fault of a stand-in.
+// endFault ends a fault of an emulated party.
 func (l *Lab) endFault(fault experiment.Fault, now int64) {
 	switch {
-	case fault.Kind == "gone": // back, cold, at the address it had
+	case fault.Kind == "gone": // the server comes back cold at its previous address
 		for _, s := range l.targetServers(fault.Target) {
 			if err := s.Start(); err != nil {
 				l.log.Error("back", "server", s.Name(), "error", err)
