--- a/internal/lab/runner/fleet.go
+++ b/internal/lab/runner/fleet.go
@@ -78,7 +78,7 @@
 		case history.CallerGone:
 			f.Left++
 		case history.Answered:
-			if at, had := firstAnswer[c.Limiter]; !had || c.EndedAt < at {
+			if at, ok := firstAnswer[c.Limiter]; !ok || c.EndedAt < at {
 				firstAnswer[c.Limiter] = c.EndedAt
 			}
 		}
--- a/internal/lab/runner/process.go
+++ b/internal/lab/runner/process.go
@@ -171,14 +171,14 @@
 	lim.mu.Unlock()
 	l.transition(lim, startedEvent, nil)
 	l.setRefusing(targetOf(lim.index), false)
-	l.updateProcess(entry, func(r *history.Process) { r.Started = l.clock.Now() })
+	l.updateProcess(entry, func(p *history.Process) { p.Started = l.clock.Now() })
 	go func() {
 		err := cmd.Wait()
 		_ = logFile.Close()
-		l.updateProcess(entry, func(r *history.Process) {
-			r.Ended = l.clock.Now()
+		l.updateProcess(entry, func(p *history.Process) {
+			p.Ended = l.clock.Now()
 			if err != nil {
-				r.End = err.Error()
+				p.End = err.Error()
 			}
 		})
 		lim.mu.Lock()
@@ -229,7 +229,7 @@
 	pollInterval := 20 * time.Millisecond
 	for time.Now().Before(deadline) {
 		if ports.Pong(lim.port.Address()) {
-			l.updateProcess(entry, func(r *history.Process) { r.Ready = l.clock.Now() })
+			l.updateProcess(entry, func(p *history.Process) { p.Ready = l.clock.Now() })
 			l.transition(lim, readyEvent, nil)
 			l.inRotation[lim.index].Store(true)
 			return nil
--- a/internal/lab/runner/processes_test.go
+++ b/internal/lab/runner/processes_test.go
@@ -73,8 +73,8 @@
 			terms[e.Target] = e.At
 		}
 	}
-	for _, j := range r.Run.Requests {
-		if at, was := terms[targetOf(j.Limiter)]; was && j.Sent > at && j.Sent < at+int64(rotationDelay) {
+	for _, request := range r.Run.Requests {
+		if at, ok := terms[targetOf(request.Limiter)]; ok && request.Sent > at && request.Sent < at+int64(rotationDelay) {
 			sentAfterTerm++
 		}
 	}
@@ -102,24 +102,25 @@
 	t.Parallel()
 	r, _ := runExperiment(t, loadExample(t, "links", buildLimiter(t)))
 	requests := map[string]history.Request{}
-	for _, j := range r.Run.Requests {
-		requests[j.ID] = j
+	for _, request := range r.Run.Requests {
+		requests[request.ID] = request
 	}
 	for _, b := range r.Verdict.Breaches {
 		t.Errorf("rule %d at %.3f s: %s: %s", b.Rule, float64(b.At)/1e9, b.What, b.Detail)
 	}
 	byStaleList, overSlowLink, overCutLink := 0, 0, 0
-	for _, s := range r.Run.Attempts {
-		j := requests[s.ID]
+	for _, attempt := range r.Run.Attempts {
+		request := requests[attempt.ID]
 		switch {
-		case s.Server == "hall1-0" && s.At > 43e8 && s.At < 105e8 && j.Limiter <= 2:
+		case attempt.Server == "hall1-0" && attempt.At > 43e8 && attempt.At < 105e8 && request.Limiter <= 2:
 			byStaleList++
-		case j.Limiter == 11 && strings.HasPrefix(s.Server, "hall1-") && s.At > 111e8 && s.At < 145e8 &&
-			j.Outcome == history.Succeeded:
-			if overSlowLink++; j.Answered-j.Sent < 40e6 {
-				t.Errorf("%s took %.1f ms over a link that adds 40", j.ID, float64(j.Answered-j.Sent)/1e6)
+		case request.Limiter == 11 && strings.HasPrefix(attempt.Server, "hall1-") && attempt.At > 111e8 &&
+			attempt.At < 145e8 && request.Outcome == history.Succeeded:
+			if overSlowLink++; request.Answered-request.Sent < 40e6 {
+				t.Errorf("%s took %.1f ms over a link that adds 40", request.ID, float64(request.Answered-request.Sent)/1e6)
 			}
-		case j.Limiter >= 6 && j.Limiter <= 8 && s.Server == "hall2-0" && s.At > 1105e7 && s.At < 13e9:
+		case request.Limiter >= 6 && request.Limiter <= 8 && attempt.Server == "hall2-0" &&
+			attempt.At > 1105e7 && attempt.At < 13e9:
 			overCutLink++
 		}
 	}
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -180,19 +180,19 @@
 	for kind := range requested {
 		requested[kind], done[kind] = map[string]int{}, map[string]int{}
 	}
-	for _, j := range r.Run.Requests {
-		if j.Limiter < 0 {
+	for _, request := range r.Run.Requests {
+		if request.Limiter < 0 {
 			continue // its limiter was dead and did not accept it
 		}
 		kind := 0
-		if j.Limiter >= e.Limiters.Count-e.Limiters.Moved {
+		if request.Limiter >= e.Limiters.Count-e.Limiters.Moved {
 			kind = 1
 		}
-		if !j.Retry {
-			requested[kind][j.Plan]++
+		if !request.Retry {
+			requested[kind][request.Plan]++
 		}
-		if j.Outcome == history.Succeeded {
-			done[kind][j.Plan]++
+		if request.Outcome == history.Succeeded {
+			done[kind][request.Plan]++
 		}
 	}
 	for _, plan := range []string{"team", "house"} {
--- a/internal/lab/runner/sweep.go
+++ b/internal/lab/runner/sweep.go
@@ -34,15 +34,15 @@
 // service time of its last successful attempt.
 func AddedLatency(requests []history.Request, attempts []history.Attempt) *hdrhistogram.Histogram {
 	serviceTimes := map[string]int64{}
-	for _, s := range attempts {
-		if s.Answer == "done" || s.Answer == "repeat" {
-			serviceTimes[s.ID] = s.ServiceTime
+	for _, attempt := range attempts {
+		if attempt.Answer == "done" || attempt.Answer == "repeat" {
+			serviceTimes[attempt.ID] = attempt.ServiceTime
 		}
 	}
 	h := hdrhistogram.New(1, 120_000_000, 3)
-	for _, j := range requests {
-		if w, ok := serviceTimes[j.ID]; ok && j.Outcome == history.Succeeded {
-			_ = h.RecordValue(max(1, (j.Answered-j.Sent-w)/1000))
+	for _, request := range requests {
+		if serviceTime, ok := serviceTimes[request.ID]; ok && request.Outcome == history.Succeeded {
+			_ = h.RecordValue(max(1, (request.Answered-request.Sent-serviceTime)/1000))
 		}
 	}
 	return h
