--- a/internal/lab/runner/cold_few_test.go
+++ b/internal/lab/runner/cold_few_test.go
@@ -11,24 +11,25 @@
 	"ospreycroft/internal/lab/mutants"
 )
 
-// coldFew is the experiment of examples/lab/coldfew.toml with so many limiters.
-func coldFew(t *testing.T, program string, limiters int) *experiment.Experiment {
+// coldFewExperiment returns the experiment of examples/lab/coldfew.toml with the given number of limiters.
+func coldFewExperiment(t *testing.T, program string, limiters int) *experiment.Experiment {
 	t.Helper()
-	e := example(t, "coldfew", program)
-	return smaller(t, e, limiters, e.Length)
+	e := loadExample(t, "coldfew", program)
+	return resize(t, e, limiters, e.Length)
 }
 
-// TestFewLimitersKeepSlowStartBudget: one and two real processes before cold servers, at a load of which an even
-// share would push a fresh server over: none gets more in any two seconds than its slow-start budget, and most of the
-// load is served. A fresh server bears two requests at once; what begins over that at an instant is not counted here,
-// since requests that last by chance pass it at any pace.
+// TestFewLimitersKeepSlowStartBudget guards against overloading cold servers when one or two limiters have to keep the
+// slow-start budget alone, at a load of which an even share would crash a cold server. No server may get more than its
+// budget in any two seconds, and most of the load must be served.
+// Breaches of rule 4 are ignored, since it also counts the requests in progress at one instant: a cold server bears
+// two, and requests that happen to take long exceed that at any rate.
 func TestFewLimitersKeepSlowStartBudget(t *testing.T) {
 	t.Parallel()
-	program := build(t)
+	program := buildLimiter(t)
 	for _, limiters := range []int{1, 2} {
 		t.Run(fmt.Sprint(limiters), func(t *testing.T) {
 			t.Parallel()
-			r, _ := played(t, coldFew(t, program, limiters))
+			r, _ := runExperiment(t, coldFewExperiment(t, program, limiters))
 			require.Empty(t, r.Run.OverloadCrashes)
 			require.Empty(t, r.Failures)
 			for _, breach := range r.Verdict.Breaches {
@@ -39,12 +40,13 @@
 	}
 }
 
-// TestFewLimitersThatOverrunColdServersAreCaught: a limiter that prefers new servers pushes one over.
+// TestFewLimitersThatOverrunColdServersAreCaught runs a limiter that prefers new servers: the lab must record that it
+// crashes a cold server.
 func TestFewLimitersThatOverrunColdServersAreCaught(t *testing.T) {
 	t.Parallel()
-	e := coldFew(t, broken(t, mutants.Cold), 1)
+	e := coldFewExperiment(t, brokenLimiter(t, mutants.Cold), 1)
 	e.Length = 3
-	r, _ := played(t, e)
+	r, _ := runExperiment(t, e)
 	require.NotEmpty(t, r.Run.OverloadCrashes)
-	wants(t, r, 4)
+	wantBreach(t, r, 4)
 }
--- a/internal/lab/runner/fleet.go
+++ b/internal/lab/runner/fleet.go
@@ -9,26 +9,30 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// Fleet is what a run's limiters did together to each other's services: times are nanoseconds, -1 for never.
+// Fleet summarises what all limiters of a run, taken together, cost discovery and the servers, and how fast they
+// started. Times are nanoseconds; -1 in Listed means that the share was not reached.
 type Fleet struct {
-	StartTook int64 // from the first process's start to the last one's, of the first start of each
-	ReadyMost int64 // the longest time that a process took to be ready
-	NotReady  int   // processes that never were ready, though they were not ended before
+	StartTook int64 // time from the start of the first limiter to that of the last, counting the first process of each
+	ReadyMost int64 // longest time from the start of a process until it was ready
+	NotReady  int   // processes that were still running at the end of the run and had never been ready
 
+	// Calls counts the calls to discovery. Of these, TurnedAway were rejected with 503, Silent got no response because
+	// discovery was down, and Left were abandoned by the limiter.
 	Calls, TurnedAway, Silent, Left int
-	CallsPeak                       int // calls to discovery in the worst second
-	// Listed is when, after the first start, half, 95 in 100 and all limiters had had an answer of discovery.
+	CallsPeak                       int // most calls to discovery in one second
+	// Listed is how long after the first start 50, 95 and 100 percent of the limiters had received an answer from
+	// discovery.
 	Listed [3]int64
 
-	Handshakes, HandshakesPeak int // connections that servers accepted: all, and in the worst second
-	HandshakesServer           int // the most that one server accepted in a second
-	Falls                      int // cold servers pushed over
+	Handshakes, HandshakesPeak int // connections accepted by all servers: in total, and at most in one second
+	HandshakesServer           int // most connections that one server accepted in one second
+	Falls                      int // crashes of overloaded cold servers
 }
 
-// shares are the shares of limiters of Fleet.Listed, in hundredths.
-var shares = [3]int{50, 95, 100}
+// listedPercents are the percentages of limiters that Fleet.Listed reports.
+var listedPercents = [3]int{50, 95, 100}
 
-// FleetOf adds up a run's record.
+// FleetOf computes the summary of a run's record.
 func FleetOf(r *history.Run) Fleet {
 	f := Fleet{Calls: len(r.Calls), Falls: len(r.OverloadCrashes), Listed: [3]int64{-1, -1, -1}}
 	first := f.addProcesses(r.Processes)
@@ -37,21 +41,21 @@
 	return f
 }
 
-// addProcesses adds up the starts and returns when the first process started, 0 for a run without any.
+// addProcesses adds the process starts. It returns the time of the first start, or 0 for a run without processes.
 func (f *Fleet) addProcesses(processes []history.Process) (first int64) {
 	last := int64(0)
-	began := map[int]bool{}
-	for _, l := range processes {
-		if !began[l.Limiter] {
-			if len(began) == 0 || l.Started < first {
-				first = l.Started
+	seen := map[int]bool{}
+	for _, p := range processes {
+		if !seen[p.Limiter] {
+			if len(seen) == 0 || p.Started < first {
+				first = p.Started
 			}
-			began[l.Limiter] = true
-			last = max(last, l.Started)
+			seen[p.Limiter] = true
+			last = max(last, p.Started)
 		}
-		if l.Ready > 0 {
-			f.ReadyMost = max(f.ReadyMost, l.Ready-l.Started)
-		} else if l.Ended == 0 {
+		if p.Ready > 0 {
+			f.ReadyMost = max(f.ReadyMost, p.Ready-p.Started)
+		} else if p.Ended == 0 {
 			f.NotReady++
 		}
 	}
@@ -59,13 +63,13 @@
 	return max(first, 0)
 }
 
-// addCalls adds up the calls to discovery and finds when the shares of limiters had had an answer, counted from first.
+// addCalls adds the calls to discovery and computes Listed relative to first, in nanoseconds.
 func (f *Fleet) addCalls(r *history.Run, first int64) {
-	seconds := map[int64]int{}
-	listed := map[int]int64{}
+	callsPerSecond := map[int64]int{}
+	firstAnswer := map[int]int64{}
 	for _, c := range r.Calls {
-		seconds[c.At/int64(time.Second)]++
-		f.CallsPeak = max(f.CallsPeak, seconds[c.At/int64(time.Second)])
+		callsPerSecond[c.At/int64(time.Second)]++
+		f.CallsPeak = max(f.CallsPeak, callsPerSecond[c.At/int64(time.Second)])
 		switch c.End {
 		case history.Throttled:
 			f.TurnedAway++
@@ -74,28 +78,28 @@
 		case history.CallerGone:
 			f.Left++
 		case history.Answered:
-			if at, had := listed[c.Limiter]; !had || c.EndedAt < at {
-				listed[c.Limiter] = c.EndedAt
+			if at, ok := firstAnswer[c.Limiter]; !ok || c.EndedAt < at {
+				firstAnswer[c.Limiter] = c.EndedAt
 			}
 		}
 	}
 	var times []int64
-	for _, at := range listed {
+	for _, at := range firstAnswer {
 		times = append(times, at-first)
 	}
 	slices.Sort(times)
-	for i, share := range shares {
-		if need := (r.Limiters*share + 99) / 100; need > 0 && len(times) >= need {
+	for i, percent := range listedPercents {
+		if need := (r.Limiters*percent + 99) / 100; need > 0 && len(times) >= need {
 			f.Listed[i] = times[need-1]
 		}
 	}
 }
 
-// addHandshakes adds up the connections that servers accepted, for each server by the second.
+// addHandshakes adds the connections accepted by each server, given as counts per second of the run.
 func (f *Fleet) addHandshakes(servers map[string][]int) {
 	var all []int
-	for _, of := range servers {
-		for second, n := range of {
+	for _, perSecond := range servers {
+		for second, n := range perSecond {
 			for len(all) <= second {
 				all = append(all, 0)
 			}
@@ -109,20 +113,21 @@
 	}
 }
 
-func seconds(ns int64) string {
+// formatSeconds formats nanoseconds as seconds, and a negative value as "never".
+func formatSeconds(ns int64) string {
 	if ns < 0 {
 		return "never"
 	}
 	return fmt.Sprintf("%.2fs", float64(ns)/1e9)
 }
 
-// Write writes it as lines of names and values.
+// Write writes the summary as lines of name=value pairs; length is the length of the run in nanoseconds.
 func (f Fleet) Write(w io.Writer, length int64) {
-	_, _ = fmt.Fprintf(w, "  fleet started_within=%s ready_within=%s not_ready=%d\n", seconds(f.StartTook),
-		seconds(f.ReadyMost), f.NotReady)
+	_, _ = fmt.Fprintf(w, "  fleet started_within=%s ready_within=%s not_ready=%d\n", formatSeconds(f.StartTook),
+		formatSeconds(f.ReadyMost), f.NotReady)
 	_, _ = fmt.Fprintf(w, "  discovery calls=%d a_second=%.1f peak=%d turned_away=%d silent=%d left=%d "+
 		"listed50=%s listed95=%s listed100=%s\n", f.Calls, float64(f.Calls)/max(float64(length)/1e9, 1), f.CallsPeak,
-		f.TurnedAway, f.Silent, f.Left, seconds(f.Listed[0]), seconds(f.Listed[1]), seconds(f.Listed[2]))
+		f.TurnedAway, f.Silent, f.Left, formatSeconds(f.Listed[0]), formatSeconds(f.Listed[1]), formatSeconds(f.Listed[2]))
 	_, _ = fmt.Fprintf(w, "  servers handshakes=%d peak=%d peak_one_server=%d cold_falls=%d\n", f.Handshakes,
 		f.HandshakesPeak, f.HandshakesServer, f.Falls)
 }
--- a/internal/lab/runner/restart_test.go
+++ b/internal/lab/runner/restart_test.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// discoverySlow is the fault of discovery in examples/lab/restart.toml; the other cases have theirs in its place.
+	// discoverySlow is the fault of discovery in examples/lab/restart.toml, which other cases replace with theirs.
 	discoverySlow = "kind = \"slow\"\ntarget = \"discovery\"\nfrom = 1.5\nfactor = 3000.0\n"
 	discoveryDown = "kind = \"down\"\ntarget = \"discovery\"\nfrom = 1.5\n"
-	// slowPlan is a plan whose ceiling takes a new process of 20 limiters 12 s to fill for the largest request.
+	// slowPlan is a plan whose ceiling, split among 20 limiters, takes a new process 12 s to fill for the largest
+	// request.
 	slowPlan = `[[settings.tariffs]]
 name = "slow"
 rate = 8.0
@@ -29,8 +30,9 @@
 [settings.family-info]`
 )
 
-// restart is the experiment of examples/lab/restart.toml for a program, with some of its text replaced.
-func restart(t *testing.T, program string, replace ...string) *experiment.Experiment {
+// restartExperiment returns the experiment of examples/lab/restart.toml for a program. replace holds pairs of a text of
+// the file and its replacement; each text must occur.
+func restartExperiment(t *testing.T, program string, replace ...string) *experiment.Experiment {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/lab/restart.toml")
 	if err != nil {
@@ -38,7 +40,7 @@
 	}
 	for i := 0; i < len(replace); i += 2 {
 		if !strings.Contains(string(text), replace[i]) {
-			t.Fatalf("restart holds no %q", replace[i])
+			t.Fatalf("restart.toml does not contain %q", replace[i])
 		}
 	}
 	e, err := experiment.Parse(
@@ -50,19 +52,20 @@
 	return e
 }
 
-// TestRestartedLimitersAreReady ends all of 20 limiters by SIGTERM, a tenth at a time, and starts them again with the
-// list of their first start, while discovery's answers come 3 s late or do not come at all: nine in ten are ready
-// within 10 s of their exec and none takes over 30 s, the rules hold, and at most one limiter in ten serves nobody for
-// a while. The third case has a plan whose ceiling fills for longer than that. With -short six limiters are restarted,
-// half of them at a time.
+// TestRestartedLimitersAreReady guards against limiters that depend on discovery, or on filled ceilings, to become
+// ready. It restarts all of 20 limiters with SIGTERM, a tenth at a time, with the endpoint list of their first start,
+// while discovery answers 3 s late or not at all. 90 % must be ready within 10 s of exec and all within 30 s, the rules
+// must hold, and at most one limiter in ten may have an outage. In the third case a ceiling takes longer than 10 s to
+// fill.
+// With -short, six limiters are restarted, half of them at a time.
 func TestRestartedLimitersAreReady(t *testing.T) {
 	t.Parallel()
-	program := build(t)
+	program := buildLimiter(t)
 	for _, c := range []struct {
 		name, fault string
 		length      float64
 		plan        string
-		short       bool // it is played with -short as well
+		short       bool // the case runs with -short too
 	}{
 		{"discovery slow", discoverySlow, 20, "[settings.family-info]", true},
 		{"discovery down", discoveryDown, 20, "[settings.family-info]", true},
@@ -79,7 +82,7 @@
 				limiters, c.length = 6, 7
 				replace = append(replace, "share = 0.1", "share = 0.5")
 			}
-			r, _ := played(t, smaller(t, restart(t, program, replace...), limiters, c.length))
+			r, _ := runExperiment(t, resize(t, restartExperiment(t, program, replace...), limiters, c.length))
 			if !r.Verdict.Pass {
 				t.Errorf("%+v\n%v", r.Verdict.Breaches, r.Failures)
 			}
@@ -89,13 +92,13 @@
 				c.name,
 				restarts.Ready,
 				restarts.Count,
-				restarts.Soon,
-				seconds(restarts.P50),
-				seconds(restarts.P90),
-				seconds(restarts.Max),
+				restarts.ReadyInTime,
+				formatSeconds(restarts.P50),
+				formatSeconds(restarts.P90),
+				formatSeconds(restarts.Max),
 			)
-			if restarts.Count != limiters || !restarts.NineInTen() || restarts.Ready < limiters ||
-				restarts.Max > int64(readyWithin) {
+			if restarts.Count != limiters || !restarts.MeetsTarget() || restarts.Ready < limiters ||
+				restarts.Max > int64(defaultReadyTimeout) {
 				t.Errorf("%+v of %d limiters", restarts, limiters)
 			}
 			s := &r.Verdict.Service
@@ -106,59 +109,74 @@
 	}
 }
 
-// TestLimiterThatAwaitsDiscoveryIsCaught: a limiter that is not ready before discovery has answered is seen never to be
-// ready while discovery is down.
+// TestLimiterThatAwaitsDiscoveryIsCaught runs a limiter that is not ready before discovery has answered it: with
+// discovery down, the summary must report that it never becomes ready.
 func TestLimiterThatAwaitsDiscoveryIsCaught(t *testing.T) {
 	if testing.Short() {
 		t.Skip("6 s of load")
 	}
 	t.Parallel()
-	r, _ := played(
+	r, _ := runExperiment(
 		t,
-		smaller(
+		resize(
 			t,
-			restart(t, broken(t, mutants.Await), discoverySlow, discoveryDown, "share = 0.1", "share = 1.0"),
+			restartExperiment(t, brokenLimiter(t, mutants.Await), discoverySlow, discoveryDown, "share = 0.1", "share = 1.0"),
 			2,
 			6,
 		),
 	)
 	restarts := RestartsOf(r.Run)
-	if restarts.Count != 2 || restarts.Ready > 0 || restarts.NineInTen() || restarts.P50 != -1 {
+	if restarts.Count != 2 || restarts.Ready > 0 || restarts.MeetsTarget() || restarts.P50 != -1 {
 		t.Errorf("%+v", restarts)
 	}
-	wantLines(t, r, "restarts count=2 ready=0 within_10s=0 ready50=never ready90=never ready100=never")
+	wantSummaryLines(t, r, "restarts count=2 ready=0 within_10s=0 ready50=never ready90=never ready100=never")
 }
 
-// TestRestartsOf reckons from records: first processes and those that were ended before they were ready do not count,
-// and those that were not ready at the run's end do.
+// TestRestartsOf: first processes and processes that ended before they were ready do not count; processes that were not
+// ready at the end of the run do.
 func TestRestartsOf(t *testing.T) {
 	const second = int64(1e9)
-	lives := []history.Process{
+	processes := []history.Process{
 		{Limiter: 0, Started: 1, Ready: 25 * second},
 		{Limiter: 1, Started: 2, Ready: 25 * second},
 	}
 	for i := range int64(10) {
-		lives = append(lives, history.Process{Limiter: int(i % 2), Started: 30 * second, Ready: (31 + i) * second})
+		processes = append(processes, history.Process{Limiter: int(i % 2), Started: 30 * second, Ready: (31 + i) * second})
 	}
 	ended := history.Process{Limiter: 1, Started: 30 * second, Ended: 31 * second}
 	never := history.Process{Limiter: 1, Started: 30 * second}
-	over := history.Process{Limiter: 1, Started: 30 * second, Ready: 40*second + 1}
+	late := history.Process{Limiter: 1, Started: 30 * second, Ready: 40*second + 1}
 	for _, c := range []struct {
-		name      string
-		lives     []history.Process
-		want      Restarts
-		nineInTen bool
+		name        string
+		processes   []history.Process
+		want        Restarts
+		meetsTarget bool
 	}{
-		{"all within 10 s", append(lives[:12:12], ended), Restarts{10, 10, 10, 5 * second, 9 * second, 10 * second}, true},
-		{"one of ten over 10 s", append(lives[:11:11], over), Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true},
-		{"the slowest one first", append(append(lives[:2:2], over), lives[2:11]...), Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true},
-		{"one of ten never", append(lives[:11:11], never), Restarts{10, 9, 9, 5 * second, 9 * second, -1}, true},
-		{"two of ten over 10 s", append(lives[:10:10], over, over), Restarts{10, 10, 8, 5 * second, 10*second + 1, 10*second + 1}, false},
-		{"none restarted", lives[:2], Restarts{0, 0, 0, -1, -1, -1}, true},
+		{
+			"all within 10 s", append(processes[:12:12], ended),
+			Restarts{10, 10, 10, 5 * second, 9 * second, 10 * second}, true,
+		},
+		{
+			"one of ten over 10 s", append(processes[:11:11], late),
+			Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true,
+		},
+		{
+			"the slowest one first", append(append(processes[:2:2], late), processes[2:11]...),
+			Restarts{10, 10, 9, 5 * second, 9 * second, 10*second + 1}, true,
+		},
+		{
+			"one of ten never", append(processes[:11:11], never),
+			Restarts{10, 9, 9, 5 * second, 9 * second, -1}, true,
+		},
+		{
+			"two of ten over 10 s", append(processes[:10:10], late, late),
+			Restarts{10, 10, 8, 5 * second, 10*second + 1, 10*second + 1}, false,
+		},
+		{"none restarted", processes[:2], Restarts{0, 0, 0, -1, -1, -1}, true},
 	} {
-		got := RestartsOf(&history.Run{Processes: c.lives})
-		if got != c.want || got.NineInTen() != c.nineInTen {
-			t.Errorf("%s: %+v, nine in ten %v; want %+v", c.name, got, got.NineInTen(), c.want)
+		got := RestartsOf(&history.Run{Processes: c.processes})
+		if got != c.want || got.MeetsTarget() != c.meetsTarget {
+			t.Errorf("%s: %+v, nine in ten %v; want %+v", c.name, got, got.MeetsTarget(), c.want)
 		}
 		var line bytes.Buffer
 		if got.Write(&line); (line.Len() > 0) != (got.Count > 0) {
--- a/internal/lab/runner/state.go
+++ b/internal/lab/runner/state.go
@@ -1,60 +1,60 @@
 package runner
 
-// This file has the state machine of a limiter's process.
+// This file contains the state machine of a limiter's process.
 
-// state is where a limiter's process stands.
+// state is the lifecycle state of a limiter's process.
 type state uint8
 
 const (
-	absent   state = iota // no process
-	starting              // it has not answered +PONG
-	ready
-	paused  // SIGSTOP
-	leaving // SIGTERM
-	killed  // SIGKILL, not ended yet
+	absent      state = iota // no process
+	starting                 // running, has not answered PING with +PONG yet
+	ready                    // has answered +PONG
+	paused                   // stopped by SIGSTOP
+	terminating              // sent SIGTERM, has not ended yet
+	killed                   // sent SIGKILL, has not ended yet
 )
 
-// processEvent is what befalls a process.
+// processEvent is an input of the state machine: a signal sent to the process, or something observed of it.
 type processEvent uint8
 
 const (
-	begun processEvent = iota
-	answered
-	stopped
-	continued
-	asked // to end
-	shot  // killed
-	exited
+	startedEvent  processEvent = iota
+	readyEvent                 // answered PING with +PONG
+	stopEvent                  // SIGSTOP
+	continueEvent              // SIGCONT
+	termEvent                  // SIGTERM
+	killEvent                  // SIGKILL
+	exitEvent                  // the process ended
 )
 
-// next is the one function by which a process's state changes; crash tells that it ended unasked. What cannot be in a
-// state leaves it as it is, and ok is false.
-func next(s state, h processEvent) (to state, crash, ok bool) {
-	switch h {
-	case begun:
-		return starting, false, s == absent
-	case answered:
-		if s == starting {
+// nextState returns the state that follows from an event; every state change of a process goes through it. crash
+// reports that the process ended without SIGTERM or SIGKILL. ok is false if the event cannot happen in the state.
+func nextState(from state, event processEvent) (to state, crash, ok bool) {
+	switch event {
+	case startedEvent:
+		return starting, false, from == absent
+	case readyEvent:
+		if from == starting {
 			return ready, false, true
 		}
-	case stopped:
-		if s == ready || s == starting {
+	case stopEvent:
+		if from == ready || from == starting {
 			return paused, false, true
 		}
-	case continued:
-		if s == paused {
+	case continueEvent:
+		if from == paused {
 			return ready, false, true
 		}
-	case asked:
-		if s == ready || s == starting || s == paused {
-			return leaving, false, true
+	case termEvent:
+		if from == ready || from == starting || from == paused {
+			return terminating, false, true
 		}
-	case shot:
-		if s != absent && s != killed {
+	case killEvent:
+		if from != absent && from != killed {
 			return killed, false, true
 		}
-	case exited:
-		return absent, s == ready || s == starting || s == paused, s != absent
+	case exitEvent:
+		return absent, from == ready || from == starting || from == paused, from != absent
 	}
-	return s, false, false
+	return from, false, false
 }
--- a/internal/lab/runner/summary.go
+++ b/internal/lab/runner/summary.go
@@ -12,7 +12,7 @@
 	"ospreycroft/internal/lab/invariants"
 )
 
-// Latency is one class's answer times for done requests, in microseconds.
+// Latency is the distribution of answer times of one class's successful requests, in microseconds.
 type Latency struct {
 	Track string `json:"track"`
 	Count int64  `json:"count"`
@@ -22,30 +22,32 @@
 	Max   int64  `json:"max_us"`
 }
 
-// Latencies are the percentiles of each class's done requests, from HDR histograms of three significant figures.
-func Latencies(jobs []history.Request) []Latency {
-	hists := map[string]*hdrhistogram.Histogram{}
-	for _, j := range jobs {
+// Latencies returns the latency percentiles of the successful requests, one entry for each class, sorted by class. They
+// are read from HDR histograms of three significant figures.
+func Latencies(requests []history.Request) []Latency {
+	histograms := map[string]*hdrhistogram.Histogram{}
+	for _, j := range requests {
 		if j.Outcome != history.Succeeded {
 			continue
 		}
-		h := hists[j.Class]
+		h := histograms[j.Class]
 		if h == nil {
 			h = hdrhistogram.New(1, 120_000_000, 3)
-			hists[j.Class] = h
+			histograms[j.Class] = h
 		}
 		_ = h.RecordValue(max(1, (j.Answered-j.Sent)/1000))
 	}
-	out := []Latency{}
-	for track, h := range hists {
-		out = append(out, Latency{Track: track, Count: h.TotalCount(), P50: h.ValueAtQuantile(50),
+	latencies := []Latency{}
+	for track, h := range histograms {
+		latencies = append(latencies, Latency{Track: track, Count: h.TotalCount(), P50: h.ValueAtQuantile(50),
 			P90: h.ValueAtQuantile(90), P99: h.ValueAtQuantile(99), Max: h.Max()})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Track < out[j].Track })
-	return out
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i].Track < latencies[j].Track })
+	return latencies
 }
 
-// Summarise writes the verdict's line, its first breaches and the latencies.
+// Summarise writes the verdict, the breaches that it lists, failures, fleet, restarts, service, quota use and latencies
+// of a run.
 func Summarise(w io.Writer, r *Result) {
 	_, _ = fmt.Fprintln(w, r.Verdict.Line())
 	for _, b := range r.Verdict.Breaches {
@@ -64,10 +66,10 @@
 		restarts.Write(w)
 	}
 	writeService(w, &r.Verdict.Service)
-	set, err := experiment.SettingsOnly(r.Run.Settings)
+	settings, err := experiment.SettingsOnly(r.Run.Settings)
 	if err == nil {
-		uses := invariants.Quotas(r.Run.Requests, r.Run.Attempts, set)
-		for _, u := range uses {
+		quotaUses := invariants.Quotas(r.Run.Requests, r.Run.Attempts, settings)
+		for _, u := range quotaUses {
 			_, _ = fmt.Fprintf(
 				w,
 				"  use customer=%s plan=%s sent=%.0f excess=%.1f rejected=%d wrongly=%d\n",
@@ -80,7 +82,7 @@
 			)
 		}
 		if first, last, seen := counterFaults(r.Run.Events); seen {
-			if took := invariants.Recovery(uses, first, last, r.Run.Length); took < 0 {
+			if took := invariants.Recovery(quotaUses, first, last, r.Run.Length); took < 0 {
 				_, _ = fmt.Fprintln(w, "  recovery after the counter's faults: not within the run")
 			} else {
 				_, _ = fmt.Fprintf(w, "  recovery after the counter's faults: %.0f s after %.1f s\n", float64(took)/1e9,
@@ -94,7 +96,8 @@
 	}
 }
 
-// writeService writes the requests without an answer and the processes that served nobody, also where there are none.
+// writeService writes the requests without an answer in time and the outages of processes. It writes the totals even if
+// they are zero.
 func writeService(w io.Writer, s *invariants.Service) {
 	late, lost := s.Missed()
 	_, _ = fmt.Fprintf(w, "  unanswered late=%d lost=%d\n", late, lost)
@@ -132,7 +135,8 @@
 	}
 }
 
-// counterFaults is when the counter's first fault began and its last one ended.
+// counterFaults returns the times of the first and the last event of the counter's faults, in nanoseconds; seen is
+// false if there is none.
 func counterFaults(events []history.Event) (first, last int64, seen bool) {
 	for _, e := range events {
 		if e.Target != "counter" {
