--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -159,44 +159,44 @@
 	Attempts []Attempt `json:"shots"`
 	Events   []Event   `json:"events"`
 
-	calls      []Call
-	falls      []OverloadCrash
-	handshakes map[string][]int // by server, connections accepted in each second
-	counts     map[int][]int    // by limiter, calls that the counter added in each second
+	calls           []Call
+	overloadCrashes []OverloadCrash
+	handshakes      map[string][]int // by server, connections accepted in each second
+	counts          map[int][]int    // by limiter, calls that the counter added in each second
 }
 
 // AddCall writes down a call to discovery, once it has ended.
-func (b *Recorder) AddCall(c Call) { b.mu.Lock(); b.calls = append(b.calls, c); b.mu.Unlock() }
+func (r *Recorder) AddCall(c Call) { r.mu.Lock(); r.calls = append(r.calls, c); r.mu.Unlock() }
 
 // AddOverloadCrash writes down that a cold server was overloaded and crashed.
-func (b *Recorder) AddOverloadCrash(f OverloadCrash) {
-	b.mu.Lock()
-	b.falls = append(b.falls, f)
-	b.mu.Unlock()
+func (r *Recorder) AddOverloadCrash(crash OverloadCrash) {
+	r.mu.Lock()
+	r.overloadCrashes = append(r.overloadCrashes, crash)
+	r.mu.Unlock()
 }
 
 // AddHandshake counts a connection that a server accepted at now.
-func (b *Recorder) AddHandshake(server string, now int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.handshakes == nil {
-		b.handshakes = map[string][]int{}
+func (r *Recorder) AddHandshake(server string, now int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.handshakes == nil {
+		r.handshakes = map[string][]int{}
 	}
-	b.handshakes[server] = another(b.handshakes[server], now)
+	r.handshakes[server] = countInSecond(r.handshakes[server], now)
 }
 
 // AddCount counts a call of a limiter that the counter added at now.
-func (b *Recorder) AddCount(limiter int, now int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.counts == nil {
-		b.counts = map[int][]int{}
+func (r *Recorder) AddCount(limiter int, now int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.counts == nil {
+		r.counts = map[int][]int{}
 	}
-	b.counts[limiter] = another(b.counts[limiter], now)
+	r.counts[limiter] = countInSecond(r.counts[limiter], now)
 }
 
-// another counts one more in the second of now.
-func another(seconds []int, now int64) []int {
+// countInSecond counts one more in the second of now.
+func countInSecond(seconds []int, now int64) []int {
 	second := int(now / int64(time.Second))
 	for len(seconds) <= second {
 		seconds = append(seconds, 0)
@@ -206,11 +206,11 @@
 }
 
 // Counts copies the calls that the counter added, by limiter, second by second.
-func (b *Recorder) Counts() map[int][]int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) Counts() map[int][]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	out := map[int][]int{}
-	for limiter, seconds := range b.counts {
+	for limiter, seconds := range r.counts {
 		out[limiter] = append([]int(nil), seconds...)
 	}
 	return out
@@ -218,45 +218,45 @@
 
 // DiscoveryAndServers copies what the list service and the servers wrote down beside attempts: calls in the order of
 // their times, falls, and each server's handshakes second by second.
-func (b *Recorder) DiscoveryAndServers() (calls []Call, falls []OverloadCrash, handshakes map[string][]int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	calls, falls, handshakes = append(calls, b.calls...), append(falls, b.falls...), map[string][]int{}
-	for server, seconds := range b.handshakes {
+func (r *Recorder) DiscoveryAndServers() (calls []Call, overloadCrashes []OverloadCrash, handshakes map[string][]int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	calls, overloadCrashes, handshakes = append(calls, r.calls...), append(overloadCrashes, r.overloadCrashes...), map[string][]int{}
+	for server, seconds := range r.handshakes {
 		handshakes[server] = append([]int(nil), seconds...)
 	}
 	sort.SliceStable(calls, func(i, j int) bool { return calls[i].At < calls[j].At })
-	return calls, falls, handshakes
+	return calls, overloadCrashes, handshakes
 }
 
 // AddRequest writes down a request, once its client has done with it.
-func (b *Recorder) AddRequest(j Request) {
-	b.mu.Lock()
-	b.Requests = append(b.Requests, j)
-	b.mu.Unlock()
+func (r *Recorder) AddRequest(request Request) {
+	r.mu.Lock()
+	r.Requests = append(r.Requests, request)
+	r.mu.Unlock()
 }
 
 // AddAttempt writes down an attempt that a server read whole.
-func (b *Recorder) AddAttempt(s Attempt) {
-	b.mu.Lock()
-	b.Attempts = append(b.Attempts, s)
-	b.mu.Unlock()
+func (r *Recorder) AddAttempt(attempt Attempt) {
+	r.mu.Lock()
+	r.Attempts = append(r.Attempts, attempt)
+	r.mu.Unlock()
 }
 
 // AddEvent writes down what the run played or saw.
-func (b *Recorder) AddEvent(e Event) { b.mu.Lock(); b.Events = append(b.Events, e); b.mu.Unlock() }
+func (r *Recorder) AddEvent(e Event) { r.mu.Lock(); r.Events = append(r.Events, e); r.mu.Unlock() }
 
 // Copy returns what is held now, safe to read while the run goes on.
-func (b *Recorder) Copy() (jobs []Request, shots []Attempt, events []Event) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) Copy() (requests []Request, attempts []Attempt, events []Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return append(
 			[]Request(nil),
-			b.Requests...), append(
+			r.Requests...), append(
 			[]Attempt(nil),
-			b.Attempts...), append(
+			r.Attempts...), append(
 			[]Event(nil),
-			b.Events...)
+			r.Events...)
 }
 
 // Run is the whole record of one run as written to JSON.
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -78,12 +78,12 @@
 	)
 }
 
-// mostKept is how many breaches of each rule the verdict lists; the counts hold all.
-const mostKept = 20
+// maxListedBreaches is how many breaches of each rule the verdict lists; the counts hold all.
+const maxListedBreaches = 20
 
-func (v *Verdict) breach(b Breach) {
+func (v *Verdict) addBreach(b Breach) {
 	v.Counts[b.Rule]++
-	if v.Counts[b.Rule] <= mostKept {
+	if v.Counts[b.Rule] <= maxListedBreaches {
 		v.Breaches = append(v.Breaches, b)
 	}
 }
@@ -91,134 +91,134 @@
 // Judge applies the five rules to the records of clients, servers and the timeline alone: a change of the list counts
 // as told to all limiters when the timeline made it.
 func Judge(
-	jobs []history.Request,
-	shots []history.Attempt,
+	requests []history.Request,
+	attempts []history.Attempt,
 	events []history.Event,
 	set *settings.Settings,
 	t Terms,
 ) *Verdict {
-	return JudgeRun(&history.Run{Requests: jobs, Attempts: shots, Events: events}, set, t)
+	return JudgeRun(&history.Run{Requests: requests, Attempts: attempts, Events: events}, set, t)
 }
 
 // JudgeRun applies the five rules to a run's whole record; rule 3 goes by the list's clock for each limiter.
 func JudgeRun(r *history.Run, set *settings.Settings, t Terms) *Verdict {
-	jobs := r.Requests
-	shots := r.Attempts
+	requests := r.Requests
+	attempts := r.Attempts
 	events := r.Events
-	v := &Verdict{Requests: len(jobs), Outcomes: map[history.Outcome]int{}, Attempts: len(shots)}
-	sort.SliceStable(shots, func(i, j int) bool { return shots[i].At < shots[j].At })
+	v := &Verdict{Requests: len(requests), Outcomes: map[history.Outcome]int{}, Attempts: len(attempts)}
+	sort.SliceStable(attempts, func(i, j int) bool { return attempts[i].At < attempts[j].At })
 	byID := map[string]*history.Request{}
-	for i := range jobs {
-		byID[jobs[i].ID] = &jobs[i]
+	for i := range requests {
+		byID[requests[i].ID] = &requests[i]
 	}
 	for _, e := range events {
-		if failures[e.Kind] {
-			v.breach(Breach{Rule: 0, At: e.At, What: e.Target, Detail: e.Kind + ": " + e.Detail})
+		if limiterFailures[e.Kind] {
+			v.addBreach(Breach{Rule: 0, At: e.At, What: e.Target, Detail: e.Kind + ": " + e.Detail})
 		}
 	}
-	kills, stops := downs(events, "kill", "restart"), downs(events, "stop", "continue")
-	cuts := map[int][]history.LinkFault{}
+	kills, stops := downtimes(events, "kill", "restart"), downtimes(events, "stop", "continue")
+	linkFaults := map[int][]history.LinkFault{}
 	excused := map[string]bool{}
-	for _, c := range r.LinkFaults {
-		cuts[c.Limiter] = append(cuts[c.Limiter], c)
+	for _, fault := range r.LinkFaults {
+		linkFaults[fault.Limiter] = append(linkFaults[fault.Limiter], fault)
 	}
-	for _, j := range jobs {
-		v.Outcomes[j.Outcome]++
-		if hit := cutOff(j, cuts[j.Limiter], t); hit {
-			excused[j.ID] = true
-			if !clean[j.Outcome] || j.Answered > j.Deadline {
+	for _, request := range requests {
+		v.Outcomes[request.Outcome]++
+		if affected := affectedByLinkFault(request, linkFaults[request.Limiter], t); affected {
+			excused[request.ID] = true
+			if !acceptableOutcomes[request.Outcome] || request.Answered > request.Deadline {
 				v.CutOff++
 			}
 			continue
 		}
-		if clean[j.Outcome] && j.Answered <= j.Deadline+t.Late || !stoppedOn(j, stops) {
-			answered(v, j, kills, t)
+		if acceptableOutcomes[request.Outcome] && request.Answered <= request.Deadline+t.Late || !stoppedDuring(request, stops) {
+			checkAnswer(v, request, kills, t)
 		} else {
 			v.Stopped++
 		}
 	}
-	crossed(v, shots, byID)
-	departures(v, shots, byID, t)
-	once(v, shots, byID, excused, set, t)
-	drains(v, r, byID, t)
-	for _, s := range shots {
-		if s.Overloaded {
-			v.breach(Breach{Rule: 4, At: s.At, What: s.Server, Detail: "began over what the cold server bore"})
+	checkResent(v, attempts, byID)
+	checkClientTime(v, attempts, byID, t)
+	checkExecutedOnce(v, attempts, byID, excused, set, t)
+	checkDrains(v, r, byID, t)
+	for _, attempt := range attempts {
+		if attempt.Overloaded {
+			v.addBreach(Breach{Rule: 4, At: attempt.At, What: attempt.Server, Detail: "began over what the cold server bore"})
 		}
 	}
-	falls(v, r, byID)
-	ceilings(v, shots, byID, set, t)
+	checkOverloadCrashes(v, r, byID)
+	checkCeilings(v, attempts, byID, set, t)
 	v.Service = ServiceOf(r, t)
 	v.Pass = v.Counts == [6]int{}
 	return v
 }
 
-// failures are the events by which a limiter fails a run, whatever it did with requests.
-var failures = map[string]bool{"never-started": true, "never-ready": true, "crash": true, "not-together": true}
+// limiterFailures are the events by which a limiter fails a run, whatever it did with requests.
+var limiterFailures = map[string]bool{"never-started": true, "never-ready": true, "crash": true, "not-together": true}
 
-// crossed is the part of rule 1 that a client cannot see. A request whose connection ended at once was sent again, as
+// checkResent is the part of rule 1 that a client cannot see. A request whose connection ended at once was sent again, as
 // if no limiter had read it; an attempt of it that began before shows that one had, and let it go without an answer.
-func crossed(v *Verdict, shots []history.Attempt, byID map[string]*history.Request) {
+func checkResent(v *Verdict, attempts []history.Attempt, byID map[string]*history.Request) {
 	seen := map[string]bool{}
-	for _, s := range shots {
-		if j := byID[s.ID]; j != nil && j.Resent && s.At < j.Sent && !seen[s.ID] {
-			seen[s.ID] = true
-			v.breach(
-				Breach{Rule: 1, At: s.At, What: s.ID, Detail: "sent on, then its connection was ended with no answer"},
+	for _, attempt := range attempts {
+		if request := byID[attempt.ID]; request != nil && request.Resent && attempt.At < request.Sent && !seen[attempt.ID] {
+			seen[attempt.ID] = true
+			v.addBreach(
+				Breach{Rule: 1, At: attempt.At, What: attempt.ID, Detail: "sent on, then its connection was ended with no answer"},
 			)
 		}
 	}
 }
 
-// departures is the part of rule 1 about clients' time: no attempt begins once its client has left, or tells its server of
+// checkClientTime is the part of rule 1 about clients' time: no attempt begins once its client has left, or tells its server of
 // more time than its client has.
-func departures(v *Verdict, shots []history.Attempt, byID map[string]*history.Request, t Terms) {
-	for _, s := range shots {
-		j := byID[s.ID]
-		if j == nil {
+func checkClientTime(v *Verdict, attempts []history.Attempt, byID map[string]*history.Request, t Terms) {
+	for _, attempt := range attempts {
+		request := byID[attempt.ID]
+		if request == nil {
 			continue
 		}
-		if t.LeaveGrace > 0 && j.Outcome == history.GaveUp && s.At > j.Answered+t.LeaveGrace {
-			v.breach(Breach{Rule: 1, At: s.At, What: s.ID,
-				Detail: fmt.Sprintf("an attempt began %d ms after its client had left", (s.At-j.Answered)/1e6)})
+		if t.LeaveGrace > 0 && request.Outcome == history.GaveUp && attempt.At > request.Answered+t.LeaveGrace {
+			v.addBreach(Breach{Rule: 1, At: attempt.At, What: attempt.ID,
+				Detail: fmt.Sprintf("an attempt began %d ms after its client had left", (attempt.At-request.Answered)/1e6)})
 		}
-		if over := s.At + s.TimeLeft - j.Deadline; t.TimeLeftSlack > 0 && s.TimeLeft > 0 && over > t.TimeLeftSlack {
-			v.breach(Breach{Rule: 1, At: s.At, What: s.ID,
-				Detail: fmt.Sprintf("its server was told %d ms more than its client had left", over/1e6)})
+		if excess := attempt.At + attempt.TimeLeft - request.Deadline; t.TimeLeftSlack > 0 && attempt.TimeLeft > 0 && excess > t.TimeLeftSlack {
+			v.addBreach(Breach{Rule: 1, At: attempt.At, What: attempt.ID,
+				Detail: fmt.Sprintf("its server was told %d ms more than its client had left", excess/1e6)})
 		}
 	}
 }
 
-// down is a time in which a limiter was dead or stopped: from its kill to its restart (forever if none came).
-type down struct{ from, until int64 }
+// downtime is a time in which a limiter was dead or stopped: from its kill to its restart (forever if none came).
+type downtime struct{ from, until int64 }
 
-// downs is when each limiter was down, from events of one kind to those of another.
-func downs(events []history.Event, from, until string) map[string][]down {
-	out := map[string][]down{}
+// downtimes is when each limiter was down, from events of one kind to those of another.
+func downtimes(events []history.Event, from, until string) map[string][]downtime {
+	out := map[string][]downtime{}
 	for _, e := range events {
-		switch held := out[e.Target]; {
+		switch periods := out[e.Target]; {
 		case e.Kind == from:
-			out[e.Target] = append(held, down{e.At, 1<<63 - 1})
-		case e.Kind == until && len(held) > 0:
-			held[len(held)-1].until = min(held[len(held)-1].until, e.At)
+			out[e.Target] = append(periods, downtime{e.At, 1<<63 - 1})
+		case e.Kind == until && len(periods) > 0:
+			periods[len(periods)-1].until = min(periods[len(periods)-1].until, e.At)
 		}
 	}
 	return out
 }
 
-// stoppedOn tells whether a request was under way while its limiter was stopped: a stopped process cannot answer. What
+// stoppedDuring tells whether a request was under way while its limiter was stopped: a stopped process cannot answer. What
 // it sends on once it goes on is judged as ever.
-func stoppedOn(j history.Request, stops map[string][]down) bool {
-	for _, d := range stops[limiterTarget(j.Limiter)] {
-		if d.from <= j.Answered && d.until >= j.Sent {
+func stoppedDuring(request history.Request, stops map[string][]downtime) bool {
+	for _, d := range stops[limiterTarget(request.Limiter)] {
+		if d.from <= request.Answered && d.until >= request.Sent {
 			return true
 		}
 	}
 	return false
 }
 
-// clean are the outcomes that break nothing by themselves.
-var clean = map[history.Outcome]bool{
+// acceptableOutcomes are the outcomes that break nothing by themselves.
+var acceptableOutcomes = map[history.Outcome]bool{
 	history.NotAccepted: true,
 	history.Succeeded:   true,
 	history.Rejected:    true,
@@ -226,118 +226,118 @@
 	history.GaveUp:      true,
 }
 
-// cutOff tells whether a request was under way while the clients' link to its limiter had a fault: what came of it at
+// affectedByLinkFault tells whether a request was under way while the clients' link to its limiter had a fault: what came of it at
 // the client, and when it came to the limiter, is not the limiter's doing then.
-func cutOff(j history.Request, cuts []history.LinkFault, t Terms) bool {
-	for _, c := range cuts {
-		if c.From <= j.Answered && (c.Until == 0 || c.Until+t.Late >= j.Sent) {
+func affectedByLinkFault(request history.Request, faults []history.LinkFault, t Terms) bool {
+	for _, fault := range faults {
+		if fault.From <= request.Answered && (fault.Until == 0 || fault.Until+t.Late >= request.Sent) {
 			return true
 		}
 	}
 	return false
 }
 
-// answered is rule 1 from the client's side: one answer, in time.
-func answered(v *Verdict, j history.Request, kills map[string][]down, t Terms) {
-	switch j.Outcome {
+// checkAnswer is rule 1 from the client's side: one answer, in time.
+func checkAnswer(v *Verdict, request history.Request, kills map[string][]downtime, t Terms) {
+	switch request.Outcome {
 	case history.NotAccepted:
 		return
 	case history.Succeeded, history.Rejected, history.Failed, history.GaveUp:
-		if j.Answered > j.Deadline+t.Late {
-			v.breach(Breach{Rule: 1, At: j.Answered, What: j.ID, Detail: "answered after its cut-off"})
+		if request.Answered > request.Deadline+t.Late {
+			v.addBreach(Breach{Rule: 1, At: request.Answered, What: request.ID, Detail: "answered after its cut-off"})
 		}
 		return
 	}
-	for _, d := range kills[limiterTarget(j.Limiter)] {
-		if d.from <= j.Answered && d.until >= j.Sent { // what a dead limiter held, or was sent, is lost
+	for _, d := range kills[limiterTarget(request.Limiter)] {
+		if d.from <= request.Answered && d.until >= request.Sent { // what a dead limiter held, or was sent, is lost
 			v.Killed++
 			return
 		}
 	}
-	detail := string(j.Outcome)
-	if j.Outcome == history.Late {
-		detail += fmt.Sprintf(" by %v, %v of its time unread", time.Duration(j.Answered-j.Deadline), time.Duration(j.AnswerUnread))
+	detail := string(request.Outcome)
+	if request.Outcome == history.Late {
+		detail += fmt.Sprintf(" by %v, %v of its time unread", time.Duration(request.Answered-request.Deadline), time.Duration(request.AnswerUnread))
 	}
-	v.breach(Breach{Rule: 1, At: j.Deadline, What: j.ID, Detail: detail})
+	v.addBreach(Breach{Rule: 1, At: request.Deadline, What: request.ID, Detail: detail})
 }
 
-// once is rule 2 from the servers' side, and the half of rule 1 that says nothing is sent after the deadline.
-func once(
+// checkExecutedOnce is rule 2 from the servers' side, and the half of rule 1 that says nothing is sent after the deadline.
+func checkExecutedOnce(
 	v *Verdict,
-	shots []history.Attempt,
+	attempts []history.Attempt,
 	byID map[string]*history.Request,
 	excused map[string]bool,
 	set *settings.Settings,
 	t Terms,
 ) {
-	ran := map[string]history.Attempt{} // a request's first attempt that may have had its effect
-	for _, s := range shots {
-		j := byID[s.ID]
-		if j != nil && s.At > j.Deadline+t.Late && !excused[s.ID] {
-			v.breach(Breach{Rule: 1, At: s.At, What: s.ID, Detail: "an attempt began after the client's cut-off"})
+	mayHaveRun := map[string]history.Attempt{} // a request's first attempt that may have had its effect
+	for _, attempt := range attempts {
+		request := byID[attempt.ID]
+		if request != nil && attempt.At > request.Deadline+t.Late && !excused[attempt.ID] {
+			v.addBreach(Breach{Rule: 1, At: attempt.At, What: attempt.ID, Detail: "an attempt began after the client's cut-off"})
 		}
-		track := set.Classes[s.Class]
-		if track == nil || track.Idempotency == choice.Idempotent {
+		class := set.Classes[attempt.Class]
+		if class == nil || class.Idempotency == choice.Idempotent {
 			continue
 		}
-		if first, seen := ran[s.ID]; seen {
-			if track.Idempotency == choice.NonIdempotent || first.Group != s.Group || s.Key == "" {
-				v.breach(Breach{Rule: 2, At: s.At, What: s.ID,
-					Detail: fmt.Sprintf("attempt at %s after one at %s that may have run", s.Server, first.Server)})
+		if first, seen := mayHaveRun[attempt.ID]; seen {
+			if class.Idempotency == choice.NonIdempotent || first.Group != attempt.Group || attempt.Key == "" {
+				v.addBreach(Breach{Rule: 2, At: attempt.At, What: attempt.ID,
+					Detail: fmt.Sprintf("attempt at %s after one at %s that may have run", attempt.Server, first.Server)})
 			}
 			continue
 		}
-		if s.MayHaveRun {
-			ran[s.ID] = s
+		if attempt.MayHaveRun {
+			mayHaveRun[attempt.ID] = attempt
 		}
 	}
 	// A non-idempotent request may be rejected only while every attempt of it is known not to have run.
-	ids := make([]string, 0, len(ran))
-	for id := range ran {
+	ids := make([]string, 0, len(mayHaveRun))
+	for id := range mayHaveRun {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids) // breaches in one order every run
 	for _, id := range ids {
-		first := ran[id]
-		if j := byID[id]; j != nil && j.Outcome == history.Rejected && set.Classes[j.Class] != nil &&
-			set.Classes[j.Class].Idempotency == choice.NonIdempotent {
-			v.breach(Breach{Rule: 2, At: j.Answered, What: id,
+		first := mayHaveRun[id]
+		if request := byID[id]; request != nil && request.Outcome == history.Rejected && set.Classes[request.Class] != nil &&
+			set.Classes[request.Class].Idempotency == choice.NonIdempotent {
+			v.addBreach(Breach{Rule: 2, At: request.Answered, What: id,
 				Detail: fmt.Sprintf("rejected after an attempt at %s that may have run", first.Server)})
 		}
 	}
 }
 
-// ceilings is rule 5: what reached servers for one customer, each request counted at its first attempt, kept in a
+// checkCeilings is rule 5: what reached servers for one customer, each request counted at its first attempt, kept in a
 // bucket that drains at the plan's hard rate; its depth may not pass the ceiling's depth and slack.
-func ceilings(v *Verdict, shots []history.Attempt, byID map[string]*history.Request, set *settings.Settings, t Terms) {
+func checkCeilings(v *Verdict, attempts []history.Attempt, byID map[string]*history.Request, set *settings.Settings, t Terms) {
 	type bucket struct {
 		level float64
 		at    int64
 	}
 	buckets := map[string]*bucket{}
 	counted := map[string]bool{}
-	for _, s := range shots {
-		j := byID[s.ID]
-		if j == nil || counted[s.ID] || s.Answer == "busy" {
+	for _, attempt := range attempts {
+		request := byID[attempt.ID]
+		if request == nil || counted[attempt.ID] || attempt.Answer == "busy" {
 			continue
 		}
-		counted[s.ID] = true
-		plan := set.Plans[j.Plan]
+		counted[attempt.ID] = true
+		plan := set.Plans[request.Plan]
 		if plan == nil || plan.CeilingRate <= 0 {
 			continue
 		}
-		b := buckets[j.Customer]
+		b := buckets[request.Customer]
 		if b == nil {
-			b = &bucket{at: s.At}
-			buckets[j.Customer] = b
+			b = &bucket{at: attempt.At}
+			buckets[request.Customer] = b
 		}
 		rate := plan.CeilingRate * (1 + t.SlackShare)
-		b.level = max(0, b.level-rate*float64(s.At-b.at)/1e9) + j.Units
-		b.at = s.At
+		b.level = max(0, b.level-rate*float64(attempt.At-b.at)/1e9) + request.Units
+		b.at = attempt.At
 		depth := max(plan.CeilingBurst*(1+t.SlackShare), plan.CeilingBurst+t.SlackUnits)
-		if most := depth + plan.CeilingRate*float64(t.Slack)/1e9; b.level > most {
-			v.breach(Breach{Rule: 5, At: s.At, What: j.Customer,
-				Detail: fmt.Sprintf("%.1f units held against a ceiling of %.1f", b.level, most)})
+		if limit := depth + plan.CeilingRate*float64(t.Slack)/1e9; b.level > limit {
+			v.addBreach(Breach{Rule: 5, At: attempt.At, What: request.Customer,
+				Detail: fmt.Sprintf("%.1f units held against a ceiling of %.1f", b.level, limit)})
 		}
 	}
 }
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -8,7 +8,7 @@
 	"ospreycroft/internal/settings"
 )
 
-const text = `{"balancers":2,"granularity":0.004,
+const settingsText = `{"balancers":2,"granularity":0.004,
  "classes":[{"name":"fetch","aim":0.8,"effect":"free","group":"all"},
   {"name":"order","aim":2,"effect":"single_shot","group":"all"},
   {"name":"keyed","aim":1,"effect":"guarded","group":"zone","dedup-window":10}],
@@ -18,55 +18,55 @@
 
 var terms = Terms{Late: 50e6, Grace: 300e6, Slack: 150e6}
 
-func judge(t *testing.T, jobs []history.Request, shots []history.Attempt, events []history.Event) *Verdict {
+func judgeRecords(t *testing.T, requests []history.Request, attempts []history.Attempt, events []history.Event) *Verdict {
 	t.Helper()
-	return judgeRun(t, &history.Run{Requests: jobs, Attempts: shots, Events: events})
+	return judgeRun(t, &history.Run{Requests: requests, Attempts: attempts, Events: events})
 }
 
 func judgeRun(t *testing.T, run *history.Run) *Verdict {
 	t.Helper()
-	set, err := settings.Decode(json.RawMessage(text))
+	set, err := settings.Decode(json.RawMessage(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return JudgeRun(run, set, terms)
 }
 
-func job(id, track string, units float64, sent int64) history.Request {
-	return history.Request{ID: id, Customer: "c1", Plan: "house", Class: track, Units: units, Sent: sent,
+func newRequest(id, class string, units float64, sent int64) history.Request {
+	return history.Request{ID: id, Customer: "c1", Plan: "house", Class: class, Units: units, Sent: sent,
 		Deadline: sent + 2e9, Answered: sent + 1e8, Outcome: history.Succeeded}
 }
 
-func shot(id, server, group, track string, at int64, ran bool) history.Attempt {
+func newAttempt(id, server, group, class string, at int64, mayHaveRun bool) history.Attempt {
 	answer := "done"
-	if !ran {
+	if !mayHaveRun {
 		answer = "busy"
 	}
-	return history.Attempt{ID: id, Server: server, Group: group, Class: track, At: at, MayHaveRun: ran, Answer: answer}
+	return history.Attempt{ID: id, Server: server, Group: group, Class: class, At: at, MayHaveRun: mayHaveRun, Answer: answer}
 }
 
 func TestCleanRunPasses(t *testing.T) {
-	v := judge(t, []history.Request{job("j1", "order", 1, 0), job("j2", "fetch", 1, 0)},
-		[]history.Attempt{shot("j1", "s1", "a", "order", 1e6, false), shot("j1", "s2", "a", "order", 2e6, true),
-			shot("j2", "s1", "a", "fetch", 1e6, true), shot("j2", "s2", "a", "fetch", 3e6, true)}, nil)
+	v := judgeRecords(t, []history.Request{newRequest("j1", "order", 1, 0), newRequest("j2", "fetch", 1, 0)},
+		[]history.Attempt{newAttempt("j1", "s1", "a", "order", 1e6, false), newAttempt("j1", "s2", "a", "order", 2e6, true),
+			newAttempt("j2", "s1", "a", "fetch", 1e6, true), newAttempt("j2", "s2", "a", "fetch", 3e6, true)}, nil)
 	if !v.Pass {
 		t.Fatalf("a refused first shot and retriable repeats broke a rule: %+v", v.Breaches)
 	}
 }
 
-func TestBindingJobRunTwiceIsCaught(t *testing.T) {
-	v := judge(t, []history.Request{job("j1", "order", 1, 0)},
-		[]history.Attempt{shot("j1", "s1", "a", "order", 1e6, true), shot("j1", "s2", "a", "order", 5e8, false)}, nil)
+func TestNonIdempotentRequestRunTwice(t *testing.T) {
+	v := judgeRecords(t, []history.Request{newRequest("j1", "order", 1, 0)},
+		[]history.Attempt{newAttempt("j1", "s1", "a", "order", 1e6, true), newAttempt("j1", "s2", "a", "order", 5e8, false)}, nil)
 	if v.Pass || v.Counts[2] != 1 {
 		t.Fatalf("an attempt after one that may have run passed: %s", v.Line())
 	}
 }
 
-func TestFingerprintedRepeatOnlyWithinItsGroup(t *testing.T) {
-	same := judge(t, []history.Request{job("k1", "keyed", 1, 0)}, []history.Attempt{
+func TestKeyedRetryOnlyWithinItsGroup(t *testing.T) {
+	same := judgeRecords(t, []history.Request{newRequest("k1", "keyed", 1, 0)}, []history.Attempt{
 		{ID: "k1", Server: "s1", Group: "a", Class: "keyed", Key: "f", At: 1e6, MayHaveRun: true},
 		{ID: "k1", Server: "s2", Group: "a", Class: "keyed", Key: "f", At: 2e6, MayHaveRun: false}}, nil)
-	other := judge(t, []history.Request{job("k1", "keyed", 1, 0)}, []history.Attempt{
+	other := judgeRecords(t, []history.Request{newRequest("k1", "keyed", 1, 0)}, []history.Attempt{
 		{ID: "k1", Server: "s1", Group: "a", Class: "keyed", Key: "f", At: 1e6, MayHaveRun: true},
 		{ID: "k1", Server: "s3", Group: "b", Class: "keyed", Key: "f", At: 2e6, MayHaveRun: true}}, nil)
 	if !same.Pass || other.Counts[2] != 1 {
@@ -75,69 +75,69 @@
 }
 
 func TestUnansweredLateAndKilled(t *testing.T) {
-	lost, late, killed := job("a", "fetch", 1, 0), job("b", "fetch", 1, 0), job("c", "fetch", 1, 0)
+	lost, late, killed := newRequest("a", "fetch", 1, 0), newRequest("b", "fetch", 1, 0), newRequest("c", "fetch", 1, 0)
 	lost.Outcome, late.Answered = history.Unanswered, late.Deadline+1e8
 	killed.Outcome, killed.Limiter = history.ConnectionBroken, 1
-	v := judge(t, []history.Request{lost, late, killed, job("d", "fetch", 1, 0)},
-		[]history.Attempt{shot("d", "s1", "a", "fetch", 3e9, true)},
+	v := judgeRecords(t, []history.Request{lost, late, killed, newRequest("d", "fetch", 1, 0)},
+		[]history.Attempt{newAttempt("d", "s1", "a", "fetch", 3e9, true)},
 		[]history.Event{{At: 5e7, Kind: "kill", Target: "limiter:1"}, {At: 9e8, Kind: "restart", Target: "limiter:1"}})
 	if v.Counts[1] != 3 || v.Killed != 1 {
 		t.Fatalf("want unanswered, late and a shot after the cut-off, and one killed: %s %+v", v.Line(), v.Breaches)
 	}
 }
 
-// TestLateAnswerTellsByHowMuch: a late answer is a breach however little it was late by, and says by how much.
-func TestLateAnswerTellsByHowMuch(t *testing.T) {
-	late := job("a", "fetch", 1, 0)
+// TestLateAnswerStatesDelay: a late answer is a breach however little it was late by, and says by how much.
+func TestLateAnswerStatesDelay(t *testing.T) {
+	late := newRequest("a", "fetch", 1, 0)
 	late.Outcome, late.Answered, late.AnswerUnread = history.Late, late.Deadline+1e6, 4e6
-	v := judge(t, []history.Request{late}, nil, nil)
+	v := judgeRecords(t, []history.Request{late}, nil, nil)
 	if v.Counts[1] != 1 || v.Breaches[0].Detail != "late by 1ms, 4ms of its time unread" {
 		t.Fatalf("%s %+v", v.Line(), v.Breaches)
 	}
 }
 
-func TestShotAfterDrainGrace(t *testing.T) {
-	v := judge(t, []history.Request{job("a", "fetch", 1, 0), job("b", "fetch", 1, 0)},
-		[]history.Attempt{shot("a", "s1", "a", "fetch", 2e8, true), shot("b", "s1", "a", "fetch", 5e8, true)},
+func TestAttemptAfterDrainGrace(t *testing.T) {
+	v := judgeRecords(t, []history.Request{newRequest("a", "fetch", 1, 0), newRequest("b", "fetch", 1, 0)},
+		[]history.Attempt{newAttempt("a", "s1", "a", "fetch", 2e8, true), newAttempt("b", "s1", "a", "fetch", 5e8, true)},
 		[]history.Event{{At: 1e8, Kind: "drain", Target: "s1"}})
 	if v.Counts[3] != 1 {
 		t.Fatalf("one shot past the grace: %s", v.Line())
 	}
 }
 
-func TestCeilingAndColdOverrun(t *testing.T) {
-	var jobs []history.Request
-	var shots []history.Attempt
+func TestCeilingAndColdServerOverload(t *testing.T) {
+	var requests []history.Request
+	var attempts []history.Attempt
 	for i := range 25 { // 25 units at once against a depth of 20 and a slack of 1.5
 		id := string(rune('a' + i))
-		jobs = append(jobs, job(id, "fetch", 1, 0))
-		shots = append(shots, shot(id, "s1", "a", "fetch", int64(i), true))
+		requests = append(requests, newRequest(id, "fetch", 1, 0))
+		attempts = append(attempts, newAttempt(id, "s1", "a", "fetch", int64(i), true))
 	}
-	shots[0].Overloaded = true
-	v := judge(t, jobs, shots, nil)
+	attempts[0].Overloaded = true
+	v := judgeRecords(t, requests, attempts, nil)
 	if v.Counts[5] != 4 || v.Counts[4] != 1 {
 		t.Fatalf("want units 22 to 25 past the ceiling and one overrun: %s", v.Line())
 	}
-	for i := range shots { // at one unit in 50 ms the bucket fills by half a unit an attempt
-		shots[i].At, shots[i].Overloaded = int64(i)*5e7, false
+	for i := range attempts { // at one unit in 50 ms the bucket fills by half a unit an attempt
+		attempts[i].At, attempts[i].Overloaded = int64(i)*5e7, false
 	}
-	paced := judge(t, jobs, shots, nil)
+	paced := judgeRecords(t, requests, attempts, nil)
 	if !paced.Pass {
 		t.Fatal(paced.Line())
 	}
 }
 
-func TestSlackOfUnitsOrShare(t *testing.T) {
-	set, _ := settings.Decode(json.RawMessage(text))
-	var jobs []history.Request
-	var shots []history.Attempt
+func TestCeilingSlackInUnitsOrShare(t *testing.T) {
+	set, _ := settings.Decode(json.RawMessage(settingsText))
+	var requests []history.Request
+	var attempts []history.Attempt
 	for i := range 25 {
 		id := string(rune('a' + i))
-		jobs = append(jobs, job(id, "fetch", 1, 0))
-		shots = append(shots, shot(id, "s1", "a", "fetch", int64(i), true))
+		requests = append(requests, newRequest(id, "fetch", 1, 0))
+		attempts = append(attempts, newAttempt(id, "s1", "a", "fetch", int64(i), true))
 	}
-	units := Judge(jobs, shots, nil, set, Terms{Slack: 150e6, SlackUnits: 4})   // 20 + 4 + 1.5
-	share := Judge(jobs, shots, nil, set, Terms{Slack: 150e6, SlackShare: 0.1}) // 22 + 1.5: 24 and 25 pass it
+	units := Judge(requests, attempts, nil, set, Terms{Slack: 150e6, SlackUnits: 4})   // 20 + 4 + 1.5
+	share := Judge(requests, attempts, nil, set, Terms{Slack: 150e6, SlackShare: 0.1}) // 22 + 1.5: 24 and 25 pass it
 	if !units.Pass || share.Counts[5] != 2 {
 		t.Fatalf("units %s; share %s", units.Line(), share.Line())
 	}
@@ -154,23 +154,23 @@
 	// One a second before the faults at 4 s; five a second in seconds 6 and 7; back to one from 8 s.
 	calm := []float64{0.5, 1.5, 2.5, 3.5}
 	bad := []float64{6.1, 6.2, 6.3, 6.4, 6.5, 7.1, 7.2, 7.3, 7.4, 7.5, 8.5, 9.5}
-	uses := []Use{{WronglyAt: at(append(calm, bad...)...)}}
+	uses := []QuotaUsage{{WronglyRejectedAt: at(append(calm, bad...)...)}}
 	if got := Recovery(uses, 4e9, 5e9, 10e9); got != 3e9 {
 		t.Fatalf("recovered after %v, want 3 s after the counter came back at 5 s", got)
 	}
-	uses[0].WronglyAt = append(uses[0].WronglyAt, at(9.1, 9.2, 9.3, 9.4)...)
+	uses[0].WronglyRejectedAt = append(uses[0].WronglyRejectedAt, at(9.1, 9.2, 9.3, 9.4)...)
 	if got := Recovery(uses, 4e9, 5e9, 10e9); got != -1 {
 		t.Fatalf("never recovered, got %v", got)
 	}
 }
 
-func TestBindingJobRejectedAfterAMaybeIsCaught(t *testing.T) {
-	rejected := job("j1", "order", 1, 0)
+func TestNonIdempotentRequestRejectedAfterPossibleExecution(t *testing.T) {
+	rejected := newRequest("j1", "order", 1, 0)
 	rejected.Outcome = history.Rejected
-	maybe := shot("j1", "s1", "a", "order", 1e6, true)
-	maybe.Answer = "reset"
-	v := judge(t, []history.Request{rejected}, []history.Attempt{maybe}, nil)
-	refused := judge(t, []history.Request{rejected}, []history.Attempt{shot("j1", "s1", "a", "order", 1e6, false)}, nil)
+	possiblyRun := newAttempt("j1", "s1", "a", "order", 1e6, true)
+	possiblyRun.Answer = "reset"
+	v := judgeRecords(t, []history.Request{rejected}, []history.Attempt{possiblyRun}, nil)
+	refused := judgeRecords(t, []history.Request{rejected}, []history.Attempt{newAttempt("j1", "s1", "a", "order", 1e6, false)}, nil)
 	if v.Counts[2] != 1 || !refused.Pass {
 		t.Fatalf("after a reset: %s; after -BUSY: %s", v.Line(), refused.Line())
 	}
--- a/internal/lab/invariants/outages.go
+++ b/internal/lab/invariants/outages.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	outageLength   = 4e9 // a process that serves nobody for so long, in nanoseconds,
-	outageRequests = 15  // and is sent so many requests in that time, has an outage
+	outageMinDuration = 4e9 // a process that serves nobody for so long, in nanoseconds,
+	outageMinRequests = 15  // and is sent so many requests in that time, has an outage
 	// OutageGate is the largest share of limiters that may have an outage on calm days and in rolling restarts.
 	OutageGate = 0.1
 )
@@ -75,12 +75,12 @@
 
 // process is one process of a limiter with what the records tell of it; slices of times are ascending once sorted.
 type process struct {
-	limiter, life  int
-	started, ended int64
-	rejected       []*history.Request // answered by anything but a server's value
-	unanswered     []*history.Request // lost while the process could have answered
-	served         []int64            // attempts, and answers with a server's value
-	answers        []int64
+	limiter, incarnation int
+	started, ended       int64
+	rejected             []*history.Request // answered by anything but a server's value
+	unanswered           []*history.Request // lost while the process could have answered
+	served               []int64            // attempts, and answers with a server's value
+	answers              []int64
 }
 
 // processes are the processes of each limiter in the order of their starts.
@@ -88,20 +88,20 @@
 
 func newProcesses(r *history.Run) processes {
 	out := processes{}
-	for _, l := range r.Processes {
-		p := &process{limiter: l.Limiter, life: len(out[l.Limiter]) + 1, started: l.Started, ended: l.Ended}
+	for _, recorded := range r.Processes {
+		p := &process{limiter: recorded.Limiter, incarnation: len(out[recorded.Limiter]) + 1, started: recorded.Started, ended: recorded.Ended}
 		if p.ended == 0 {
 			p.ended = math.MaxInt64
 		}
-		out[l.Limiter] = append(out[l.Limiter], p)
+		out[recorded.Limiter] = append(out[recorded.Limiter], p)
 	}
 	return out
 }
 
-// at is the process of a limiter that lived at a time, nil for none. A record without lives has one process a limiter.
-func (ps processes) at(limiter int, at int64) *process {
+// runningAt is the process of a limiter that lived at a time, nil for none. A record without lives has one process a limiter.
+func (ps processes) runningAt(limiter int, at int64) *process {
 	if len(ps[limiter]) == 0 {
-		ps[limiter] = []*process{{limiter: limiter, life: 1, started: math.MinInt64, ended: math.MaxInt64}}
+		ps[limiter] = []*process{{limiter: limiter, incarnation: 1, started: math.MinInt64, ended: math.MaxInt64}}
 	}
 	var found *process
 	for _, p := range ps[limiter] {
@@ -112,47 +112,47 @@
 	return found
 }
 
-// take adds a request to what is told of a process.
-func (p *process) take(j *history.Request, why *causes) {
-	switch j.Outcome {
+// addRequest adds a request to what is told of a process.
+func (p *process) addRequest(request *history.Request, finder *causeFinder) {
+	switch request.Outcome {
 	case history.Succeeded:
-		p.served = append(p.served, j.Answered)
-		p.answers = append(p.answers, j.Answered)
+		p.served = append(p.served, request.Answered)
+		p.answers = append(p.answers, request.Answered)
 	case history.Rejected, history.Failed:
-		p.rejected = append(p.rejected, j)
-		p.answers = append(p.answers, j.Answered)
+		p.rejected = append(p.rejected, request)
+		p.answers = append(p.answers, request.Answered)
 	case history.Late:
-		p.answers = append(p.answers, j.Answered)
+		p.answers = append(p.answers, request.Answered)
 	case history.Unanswered, history.ConnectionBroken:
-		if why.of(j) == LimiterAlive {
-			p.unanswered = append(p.unanswered, j)
+		if finder.causeOf(request) == LimiterAlive {
+			p.unanswered = append(p.unanswered, request)
 		}
 	}
 }
 
 // OutagesOf finds the times in which processes served nobody, by limiter and time.
 func OutagesOf(r *history.Run, t Terms) []Outage {
-	all, why, byID := newProcesses(r), newCauses(r, t), map[string]*history.Request{}
+	byLimiter, finder, byID := newProcesses(r), newCauseFinder(r, t), map[string]*history.Request{}
 	for i := range r.Requests {
-		j := &r.Requests[i]
-		byID[j.ID] = j
-		if p := all.at(j.Limiter, j.Sent); p != nil {
-			p.take(j, why)
+		request := &r.Requests[i]
+		byID[request.ID] = request
+		if p := byLimiter.runningAt(request.Limiter, request.Sent); p != nil {
+			p.addRequest(request, finder)
 		}
 	}
-	for _, s := range r.Attempts {
-		j := byID[s.ID]
+	for _, attempt := range r.Attempts {
+		request := byID[attempt.ID]
 		// one sent before belongs to the limiter that a crossed request was sent to first
-		if j == nil || s.At < j.Sent {
+		if request == nil || attempt.At < request.Sent {
 			continue
 		}
-		if p := all.at(j.Limiter, j.Sent); p != nil {
-			p.served = append(p.served, s.At)
+		if p := byLimiter.runningAt(request.Limiter, request.Sent); p != nil {
+			p.served = append(p.served, attempt.At)
 		}
 	}
 	out := []Outage{}
-	for _, of := range all {
-		for _, p := range of {
+	for _, limiterProcesses := range byLimiter {
+		for _, p := range limiterProcesses {
 			out = append(out, p.outages()...)
 		}
 	}
@@ -167,44 +167,46 @@
 	slices.Sort(p.served)
 	slices.Sort(p.answers)
 	out := []Outage{}
-	for _, o := range p.spans(Rejecting, p.rejected, p.served) {
-		if o.long() {
+	for _, o := range p.candidates(Rejecting, p.rejected, p.served) {
+		if o.isOutage() {
 			out = append(out, o)
 		}
 	}
-	for _, o := range p.spans(Silent, p.unanswered, p.answers) {
-		if o.long() || len(p.answers) == 0 { // a process that never answers needs no number of requests to be told
+	for _, o := range p.candidates(Silent, p.unanswered, p.answers) {
+		if o.isOutage() || len(p.answers) == 0 { // a process that never answers needs no number of requests to be told
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// spans are the longest times that hold requests and none of the breaks.
-func (p *process) spans(kind OutageKind, requests []*history.Request, breaks []int64) []Outage {
+// candidates are the longest times that hold requests and none of the breaks.
+func (p *process) candidates(kind OutageKind, requests []*history.Request, boundaries []int64) []Outage {
 	slices.SortStableFunc(requests, func(a, b *history.Request) int { return cmp.Compare(a.Answered, b.Answered) })
 	var out []Outage
-	last := -1 // how many breaks lie before the latest span
-	for _, j := range requests {
-		before := sort.Search(len(breaks), func(i int) bool { return breaks[i] > j.Answered })
-		from := j.Sent
+	lastBefore := -1 // how many breaks lie before the latest span
+	for _, request := range requests {
+		before := sort.Search(len(boundaries), func(i int) bool { return boundaries[i] > request.Answered })
+		from := request.Sent
 		if before > 0 {
-			from = max(from, breaks[before-1])
+			from = max(from, boundaries[before-1])
 		}
-		if before != last {
-			out = append(out, Outage{Limiter: p.limiter, Life: p.life, Kind: kind, From: from})
-			last = before
+		if before != lastBefore {
+			out = append(out, Outage{Limiter: p.limiter, Life: p.incarnation, Kind: kind, From: from})
+			lastBefore = before
 		}
-		span := &out[len(out)-1]
-		span.From = min(span.From, from)
-		span.Until = j.Answered
-		span.Requests++
+		candidate := &out[len(out)-1]
+		candidate.From = min(candidate.From, from)
+		candidate.Until = request.Answered
+		candidate.Requests++
 	}
 	return out
 }
 
-// long tells whether a span lasts long enough and holds enough requests to be an outage.
-func (o *Outage) long() bool { return o.Until-o.From >= outageLength && o.Requests >= outageRequests }
+// isOutage tells whether a span lasts long enough and holds enough requests to be an outage.
+func (o *Outage) isOutage() bool {
+	return o.Until-o.From >= outageMinDuration && o.Requests >= outageMinRequests
+}
 
 // limiterTarget is a limiter's name in the timeline.
 func limiterTarget(limiter int) string { return fmt.Sprintf("limiter:%d", limiter) }
--- a/internal/lab/invariants/outages_test.go
+++ b/internal/lab/invariants/outages_test.go
@@ -10,108 +10,108 @@
 
 const ms = int64(1e6)
 
-// steady is so many requests to limiter 3, one each gap nanoseconds from from, with answers after 100 ms.
-func steady(count int, from, gap int64, outcome history.Outcome) []history.Request {
+// requestSeries is so many requests to limiter 3, one each gap nanoseconds from from, with answers after 100 ms.
+func requestSeries(count int, from, gap int64, outcome history.Outcome) []history.Request {
 	var out []history.Request
 	for i := range count {
 		at := from + int64(i)*gap
-		j := missed(fmt.Sprintf("%d-%d", from, i), 3, at, at+100*ms, outcome)
+		request := finishedRequest(fmt.Sprintf("%d-%d", from, i), 3, at, at+100*ms, outcome)
 		if outcome == history.Unanswered {
-			j.Answered = j.Deadline + 200*ms
+			request.Answered = request.Deadline + 200*ms
 		}
-		out = append(out, j)
+		out = append(out, request)
 	}
 	return out
 }
 
-// outagesOf judges a run of 20 limiters.
-func outagesOf(t *testing.T, r *history.Run) Service {
+// judgeService judges a run of 20 limiters.
+func judgeService(t *testing.T, r *history.Run) Service {
 	t.Helper()
 	r.Limiters = 20
 	return judgeRun(t, r).Service
 }
 
-// lives are limiter 3's: from 0 until 10 s, and from 11 s on.
-var lives = []history.Process{
+// limiterProcesses are limiter 3's: from 0 until 10 s, and from 11 s on.
+var limiterProcesses = []history.Process{
 	{Limiter: 3, Started: 0, Ready: 1, Ended: 10000 * ms},
 	{Limiter: 3, Started: 11000 * ms, Ready: 11300 * ms},
 }
 
-// TestProcessThatTurnsAllAway: 4 s and 15 requests make an outage, each alone does not, and neither an attempt nor a
+// TestProcessRejectingAllRequests: 4 s and 15 requests make an outage, each alone does not, and neither an attempt nor a
 // value lies in one.
-func TestProcessThatTurnsAllAway(t *testing.T) {
-	away := steady(14, 1000*ms, 300*ms, history.Rejected) // until 5.0 s
-	last := missed("last", 3, 4900*ms, 5000*ms, history.Rejected)
-	all := append(append([]history.Request{}, away...), last)
-	whole := []Outage{{Limiter: 3, Life: 1, Kind: Rejecting, From: 1000 * ms, Until: 5000 * ms, Requests: 15}}
+func TestProcessRejectingAllRequests(t *testing.T) {
+	rejected := requestSeries(14, 1000*ms, 300*ms, history.Rejected) // until 5.0 s
+	last := finishedRequest("last", 3, 4900*ms, 5000*ms, history.Rejected)
+	all := append(append([]history.Request{}, rejected...), last)
+	oneOutage := []Outage{{Limiter: 3, Life: 1, Kind: Rejecting, From: 1000 * ms, Until: 5000 * ms, Requests: 15}}
 	for _, c := range []struct {
-		name  string
-		jobs  []history.Request
-		shots []history.Attempt
-		want  []Outage
+		name     string
+		requests []history.Request
+		attempts []history.Attempt
+		want     []Outage
 	}{
-		{"15 in 4 s", all, nil, whole},
-		{"14 in 4 s", append(append([]history.Request{last}, away[0]), away[2:]...), nil, []Outage{}},
-		{"many in less than 4 s", steady(40, 1000*ms, 99*ms, history.Rejected), nil, []Outage{}},
-		{"errors are no service either", steady(20, 1000*ms, 300*ms, history.Failed), nil,
+		{"15 in 4 s", all, nil, oneOutage},
+		{"14 in 4 s", append(append([]history.Request{last}, rejected[0]), rejected[2:]...), nil, []Outage{}},
+		{"many in less than 4 s", requestSeries(40, 1000*ms, 99*ms, history.Rejected), nil, []Outage{}},
+		{"errors are no service either", requestSeries(20, 1000*ms, 300*ms, history.Failed), nil,
 			[]Outage{{3, 1, Rejecting, 1000 * ms, 6800 * ms, 20}}},
-		{"a value in between", append(append([]history.Request{}, all...), missed("done", 3, 2900*ms, 3000*ms, history.Succeeded)), nil, []Outage{}},
-		{"a value in between, read behind later ones", append([]history.Request{missed("after", 3, 6900*ms, 7000*ms, history.Succeeded),
-			missed("then", 3, 7000*ms, 7100*ms, history.Succeeded),
-			missed("done", 3, 2900*ms, 3000*ms, history.Succeeded)}, all...), nil, []Outage{}},
-		{"an attempt in between", all, []history.Attempt{shot(away[5].ID, "s1", "a", "fetch", 2600*ms, true)}, []Outage{}},
-		{"an attempt of another limiter", append(append([]history.Request{}, all...), job("else", "fetch", 1, 2500*ms)),
-			[]history.Attempt{shot("else", "s1", "a", "fetch", 2600*ms, true)}, whole},
+		{"a value in between", append(append([]history.Request{}, all...), finishedRequest("done", 3, 2900*ms, 3000*ms, history.Succeeded)), nil, []Outage{}},
+		{"a value in between, read behind later ones", append([]history.Request{finishedRequest("after", 3, 6900*ms, 7000*ms, history.Succeeded),
+			finishedRequest("then", 3, 7000*ms, 7100*ms, history.Succeeded),
+			finishedRequest("done", 3, 2900*ms, 3000*ms, history.Succeeded)}, all...), nil, []Outage{}},
+		{"an attempt in between", all, []history.Attempt{newAttempt(rejected[5].ID, "s1", "a", "fetch", 2600*ms, true)}, []Outage{}},
+		{"an attempt of another limiter", append(append([]history.Request{}, all...), newRequest("else", "fetch", 1, 2500*ms)),
+			[]history.Attempt{newAttempt("else", "s1", "a", "fetch", 2600*ms, true)}, oneOutage},
 		{"an attempt in between by the limiter that a crossed request was sent to first",
-			append(append([]history.Request{}, all...), missed("crossed", 3, 3000*ms, 3100*ms, history.Rejected)),
-			[]history.Attempt{shot("crossed", "s1", "a", "fetch", 2999*ms, true)}, []Outage{{3, 1, Rejecting, 1000 * ms, 5000 * ms, 16}}},
+			append(append([]history.Request{}, all...), finishedRequest("crossed", 3, 3000*ms, 3100*ms, history.Rejected)),
+			[]history.Attempt{newAttempt("crossed", "s1", "a", "fetch", 2999*ms, true)}, []Outage{{3, 1, Rejecting, 1000 * ms, 5000 * ms, 16}}},
 		{"the first that was sent is the second that was answered",
-			append(append([]history.Request{}, all...), missed("slow", 3, 900*ms, 1150*ms, history.Rejected)), nil,
+			append(append([]history.Request{}, all...), finishedRequest("slow", 3, 900*ms, 1150*ms, history.Rejected)), nil,
 			[]Outage{{3, 1, Rejecting, 900 * ms, 5000 * ms, 16}}},
 		{"a request before it that was served, and one after",
-			append(append([]history.Request{}, all...), missed("before", 3, 100*ms, 1050*ms, history.Succeeded), missed("after", 3, 5000*ms, 5200*ms, history.Succeeded)),
+			append(append([]history.Request{}, all...), finishedRequest("before", 3, 100*ms, 1050*ms, history.Succeeded), finishedRequest("after", 3, 5000*ms, 5200*ms, history.Succeeded)),
 			nil, []Outage{}},
-		{"a request of the process before it", append(append([]history.Request{}, all...), missed("dead", 3, 10500*ms, 10600*ms, history.Rejected)),
-			nil, whole},
-		{"an attempt before, which ends no outage", append(append([]history.Request{}, all...), missed("done", 3, 500*ms, 600*ms, history.Succeeded)),
-			[]history.Attempt{shot("done", "s1", "a", "fetch", 550*ms, true)}, whole},
+		{"a request of the process before it", append(append([]history.Request{}, all...), finishedRequest("dead", 3, 10500*ms, 10600*ms, history.Rejected)),
+			nil, oneOutage},
+		{"an attempt before, which ends no outage", append(append([]history.Request{}, all...), finishedRequest("done", 3, 500*ms, 600*ms, history.Succeeded)),
+			[]history.Attempt{newAttempt("done", "s1", "a", "fetch", 550*ms, true)}, oneOutage},
 	} {
-		got := outagesOf(t, &history.Run{Requests: c.jobs, Attempts: c.shots, Processes: lives})
+		got := judgeService(t, &history.Run{Requests: c.requests, Attempts: c.attempts, Processes: limiterProcesses})
 		if !reflect.DeepEqual(got.Outages, c.want) {
 			t.Errorf("%s: %+v, want %+v", c.name, got.Outages, c.want)
 		}
 	}
 }
 
-// TestOutageOfEachProcess: two processes of a limiter are told apart, the limiter counts once in the share, and a
+// TestOutagesPerProcess: two processes of a limiter are told apart, the limiter counts once in the share, and a
 // record without lives holds one process a limiter.
-func TestOutageOfEachProcess(t *testing.T) {
-	jobs := append(steady(20, 5000*ms, 240*ms, history.Rejected), steady(20, 12000*ms, 300*ms, history.Rejected)...)
-	s := outagesOf(t, &history.Run{Requests: jobs, Processes: lives})
+func TestOutagesPerProcess(t *testing.T) {
+	requests := append(requestSeries(20, 5000*ms, 240*ms, history.Rejected), requestSeries(20, 12000*ms, 300*ms, history.Rejected)...)
+	s := judgeService(t, &history.Run{Requests: requests, Processes: limiterProcesses})
 	want := []Outage{{3, 1, Rejecting, 5000 * ms, 9660 * ms, 20}, {3, 2, Rejecting, 12000 * ms, 17800 * ms, 20}}
 	if !reflect.DeepEqual(s.Outages, want) || s.LimitersOut() != 1 || s.OutageShare() != 0.05 {
 		t.Errorf("%+v, %d limiters, a share of %v", s.Outages, s.LimitersOut(), s.OutageShare())
 	}
-	s = outagesOf(t, &history.Run{Requests: jobs})
+	s = judgeService(t, &history.Run{Requests: requests})
 	if one := []Outage{{3, 1, Rejecting, 5000 * ms, 17800 * ms, 40}}; !reflect.DeepEqual(s.Outages, one) {
 		t.Errorf("without lives: %+v", s.Outages)
 	}
-	short := append(steady(14, 8000*ms, 145*ms, history.Rejected), steady(14, 12000*ms, 150*ms, history.Rejected)...)
-	if s = outagesOf(t, &history.Run{Requests: short, Processes: lives}); len(s.Outages) > 0 {
+	short := append(requestSeries(14, 8000*ms, 145*ms, history.Rejected), requestSeries(14, 12000*ms, 150*ms, history.Rejected)...)
+	if s = judgeService(t, &history.Run{Requests: short, Processes: limiterProcesses}); len(s.Outages) > 0 {
 		t.Errorf("two processes' rejections were added up: %+v", s.Outages)
 	}
 }
 
-// TestOutagesInOrder: they are told by limiter, whatever the order of the record.
-func TestOutagesInOrder(t *testing.T) {
-	var jobs []history.Request
+// TestOutagesSortedByLimiter: they are told by limiter, whatever the order of the record.
+func TestOutagesSortedByLimiter(t *testing.T) {
+	var requests []history.Request
 	for n := range 8 {
-		for _, j := range steady(15, 1000*ms, 300*ms, history.Rejected) {
-			j.ID, j.Limiter = fmt.Sprint(j.ID, "-", n), 7-n
-			jobs = append(jobs, j)
+		for _, request := range requestSeries(15, 1000*ms, 300*ms, history.Rejected) {
+			request.ID, request.Limiter = fmt.Sprint(request.ID, "-", n), 7-n
+			requests = append(requests, request)
 		}
 	}
-	s := outagesOf(t, &history.Run{Requests: jobs})
+	s := judgeService(t, &history.Run{Requests: requests})
 	for n, o := range s.Outages {
 		if o.Limiter != n {
 			t.Fatalf("%+v", s.Outages)
@@ -122,33 +122,33 @@
 	}
 }
 
-// TestProcessThatAnswersNothing: one answer is all that it takes for a process with few requests; one that has answered
+// TestProcessAnsweringNothing: one answer is all that it takes for a process with few requests; one that has answered
 // before has an outage by the same bounds as one that rejects. What a kill or SIGSTOP kept is none.
-func TestProcessThatAnswersNothing(t *testing.T) {
-	few := steady(2, 1000*ms, 100*ms, history.Unanswered)
-	many := steady(20, 1000*ms, 100*ms, history.Unanswered)
-	answered := missed("done", 3, 500*ms, 600*ms, history.Rejected)
+func TestProcessAnsweringNothing(t *testing.T) {
+	few := requestSeries(2, 1000*ms, 100*ms, history.Unanswered)
+	many := requestSeries(20, 1000*ms, 100*ms, history.Unanswered)
+	answered := finishedRequest("done", 3, 500*ms, 600*ms, history.Rejected)
 	for _, c := range []struct {
-		name   string
-		jobs   []history.Request
-		events []history.Event
-		want   []Outage
+		name     string
+		requests []history.Request
+		events   []history.Event
+		want     []Outage
 	}{
 		{"two requests and no answer ever", few, nil, []Outage{{3, 1, Silent, 1000 * ms, 3300 * ms, 2}}},
 		{"two requests behind an answer", append(append([]history.Request{}, few...), answered), nil, []Outage{}},
 		{"many behind an answer", append(append([]history.Request{}, many...), answered), nil,
 			[]Outage{{3, 1, Silent, 1000 * ms, 5100 * ms, 20}}},
-		{"many with an answer in between", append(append([]history.Request{}, many...), missed("late", 3, 2000*ms, 4100*ms, history.Late)), nil,
+		{"many with an answer in between", append(append([]history.Request{}, many...), finishedRequest("late", 3, 2000*ms, 4100*ms, history.Late)), nil,
 			[]Outage{}},
-		{"many with an answer in between, read behind later ones", append([]history.Request{missed("after", 3, 6900*ms, 7000*ms, history.Rejected),
-			missed("then", 3, 7000*ms, 7100*ms, history.Rejected),
-			missed("between", 3, 2000*ms, 4100*ms, history.Rejected)}, many...), nil, []Outage{}},
+		{"many with an answer in between, read behind later ones", append([]history.Request{finishedRequest("after", 3, 6900*ms, 7000*ms, history.Rejected),
+			finishedRequest("then", 3, 7000*ms, 7100*ms, history.Rejected),
+			finishedRequest("between", 3, 2000*ms, 4100*ms, history.Rejected)}, many...), nil, []Outage{}},
 		{"killed", many, []history.Event{{At: 2500 * ms, Kind: "kill", Target: "limiter:3"}}, []Outage{}},
 		{"stopped", many, []history.Event{{At: 900 * ms, Kind: "stop", Target: "limiter:3"}}, []Outage{}},
 		{"nothing was sent", nil, nil, []Outage{}},
-		{"nobody took it", steady(20, 1000*ms, 300*ms, history.NotAccepted), nil, []Outage{}},
+		{"nobody took it", requestSeries(20, 1000*ms, 300*ms, history.NotAccepted), nil, []Outage{}},
 	} {
-		got := outagesOf(t, &history.Run{Requests: c.jobs, Events: c.events, Processes: lives})
+		got := judgeService(t, &history.Run{Requests: c.requests, Events: c.events, Processes: limiterProcesses})
 		if !reflect.DeepEqual(got.Outages, c.want) {
 			t.Errorf("%s: %+v, want %+v", c.name, got.Outages, c.want)
 		}
--- a/internal/lab/invariants/quota.go
+++ b/internal/lab/invariants/quota.go
@@ -7,74 +7,74 @@
 	"ospreycroft/internal/settings"
 )
 
-// Use is how one customer's use stood against its quota over a run: not a rule, a measure. Units are counted at
+// QuotaUsage is how one customer's use stood against its quota over a run: not a rule, a measure. Units are counted at
 // a request's first attempt, as for ceilings, in a bucket of the plan's burst that drains at its rate.
-type Use struct {
+type QuotaUsage struct {
 	Customer string  `json:"customer"`
 	Plan     string  `json:"plan"`
 	Sent     float64 `json:"sent"`     // units that reached servers
 	Excess   float64 `json:"excess"`   // the most the bucket held beyond the burst
 	Rejected int     `json:"rejected"` // requests rejected
 	Wrongly  int     `json:"wrongly"`  // of them, rejected while the bucket had room for their units
-	// WronglyAt are the times of those rejections, nanoseconds on the run's clock, for recovery to be seen.
-	WronglyAt []int64 `json:"wrongly_at,omitempty"`
+	// WronglyRejectedAt are the times of those rejections, nanoseconds on the run's clock, for recovery to be seen.
+	WronglyRejectedAt []int64 `json:"wrongly_at,omitempty"`
 }
 
 // Quotas measures every customer's use against its quota, in customer order.
-func Quotas(jobs []history.Request, shots []history.Attempt, set *settings.Settings) []Use {
+func Quotas(requests []history.Request, attempts []history.Attempt, set *settings.Settings) []QuotaUsage {
 	type event struct {
-		at      int64
-		job     *history.Request
-		sending bool
+		at        int64
+		request   *history.Request
+		forwarded bool
 	}
 	byID := map[string]*history.Request{}
-	for i := range jobs {
-		byID[jobs[i].ID] = &jobs[i]
+	for i := range requests {
+		byID[requests[i].ID] = &requests[i]
 	}
 	var events []event
 	counted := map[string]bool{}
-	for _, s := range shots {
-		if j := byID[s.ID]; j != nil && !counted[s.ID] && s.Answer != "busy" {
-			counted[s.ID] = true
-			events = append(events, event{s.At, j, true})
+	for _, attempt := range attempts {
+		if request := byID[attempt.ID]; request != nil && !counted[attempt.ID] && attempt.Answer != "busy" {
+			counted[attempt.ID] = true
+			events = append(events, event{attempt.At, request, true})
 		}
 	}
-	for i := range jobs {
-		if jobs[i].Outcome == history.Rejected {
-			events = append(events, event{jobs[i].Answered, &jobs[i], false})
+	for i := range requests {
+		if requests[i].Outcome == history.Rejected {
+			events = append(events, event{requests[i].Answered, &requests[i], false})
 		}
 	}
 	sort.SliceStable(events, func(a, b int) bool { return events[a].at < events[b].at })
 	type bucket struct {
-		use   Use
+		use   QuotaUsage
 		level float64
 		at    int64
 	}
 	buckets := map[string]*bucket{}
 	for _, e := range events {
-		plan := set.Plans[e.job.Plan]
+		plan := set.Plans[e.request.Plan]
 		if plan == nil || plan.Rate <= 0 {
 			continue
 		}
-		b := buckets[e.job.Customer]
+		b := buckets[e.request.Customer]
 		if b == nil {
-			b = &bucket{use: Use{Customer: e.job.Customer, Plan: e.job.Plan}, at: e.at}
-			buckets[e.job.Customer] = b
+			b = &bucket{use: QuotaUsage{Customer: e.request.Customer, Plan: e.request.Plan}, at: e.at}
+			buckets[e.request.Customer] = b
 		}
 		b.level, b.at = max(0, b.level-plan.Rate*float64(e.at-b.at)/1e9), e.at
-		if !e.sending {
+		if !e.forwarded {
 			b.use.Rejected++
-			if b.level+e.job.Units <= plan.Burst {
+			if b.level+e.request.Units <= plan.Burst {
 				b.use.Wrongly++
-				b.use.WronglyAt = append(b.use.WronglyAt, e.at)
+				b.use.WronglyRejectedAt = append(b.use.WronglyRejectedAt, e.at)
 			}
 			continue
 		}
-		b.level += e.job.Units
-		b.use.Sent += e.job.Units
+		b.level += e.request.Units
+		b.use.Sent += e.request.Units
 		b.use.Excess = max(b.use.Excess, b.level-plan.Burst)
 	}
-	out := make([]Use, 0, len(buckets))
+	out := make([]QuotaUsage, 0, len(buckets))
 	for _, b := range buckets {
 		out = append(out, b.use)
 	}
@@ -86,14 +86,14 @@
 // they were a second before the first fault, at faults: the first second from which on no second of the run
 // up to end holds more than half as many again as that, and one more. It is from itself where none does,
 // and -1 where they never come back before end.
-func Recovery(uses []Use, faults, from, end int64) int64 {
+func Recovery(uses []QuotaUsage, firstFault, from, end int64) int64 {
 	const sec = int64(1e9)
-	if faults < sec || end <= from {
+	if firstFault < sec || end <= from {
 		return -1
 	}
 	var counts []int
 	for _, u := range uses {
-		for _, at := range u.WronglyAt {
+		for _, at := range u.WronglyRejectedAt {
 			if at >= 0 && at < end {
 				for int(at/sec) >= len(counts) {
 					counts = append(counts, 0)
@@ -106,18 +106,18 @@
 		counts = append(counts, 0)
 	}
 	before := 0
-	for s := int64(0); s < faults/sec; s++ {
+	for s := int64(0); s < firstFault/sec; s++ {
 		before += counts[s]
 	}
-	limit := float64(before)/float64(faults/sec)*1.5 + 1
-	last := from/sec - 1 // the last second over the limit
+	limit := float64(before)/float64(firstFault/sec)*1.5 + 1
+	lastOverLimit := from/sec - 1 // the last second over the limit
 	for s := from / sec; s < int64(len(counts)); s++ {
 		if float64(counts[s]) > limit {
-			last = s
+			lastOverLimit = s
 		}
 	}
-	if last == int64(len(counts))-1 && last >= from/sec {
+	if lastOverLimit == int64(len(counts))-1 && lastOverLimit >= from/sec {
 		return -1
 	}
-	return max(0, (last+1)*sec-from)
+	return max(0, (lastOverLimit+1)*sec-from)
 }
--- a/internal/lab/invariants/unanswered.go
+++ b/internal/lab/invariants/unanswered.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// lateWithin is how long after its deadline an answer counts as late; one that comes later counts as lost, in
+	// lateLimit is how long after its deadline an answer counts as late; one that comes later counts as lost, in
 	// nanoseconds.
-	lateWithin = 500e6
-	// crashSeenWithin is how long after a crash the runner may have noticed it, in nanoseconds.
-	crashSeenWithin = 100e6
+	lateLimit = 500e6
+	// crashDetectionDelay is how long after a crash the runner may have noticed it, in nanoseconds.
+	crashDetectionDelay = 100e6
 )
 
 // Cause is what the records tell of why a request had no answer in time.
@@ -34,60 +34,60 @@
 	Lost    int   `json:"lost"` // answered later than that, or never
 }
 
-// delay is whether and how a request missed its time.
-type delay uint8
+// timeliness is whether and how a request missed its time.
+type timeliness uint8
 
 const (
-	inTime delay = iota // answered in time, given up by its client, or never taken
+	inTime timeliness = iota // answered in time, given up by its client, or never taken
 	late
 	lost
 )
 
-// delayOf tells how a request missed its time.
-func delayOf(j *history.Request) delay {
-	switch j.Outcome {
+// timelinessOf tells how a request missed its time.
+func timelinessOf(request *history.Request) timeliness {
+	switch request.Outcome {
 	case history.NotAccepted, history.GaveUp:
 		return inTime
 	case history.Unanswered, history.ConnectionBroken:
 		return lost
 	}
-	switch over := j.Answered - j.Deadline; {
-	case over <= 0:
+	switch lateBy := request.Answered - request.Deadline; {
+	case lateBy <= 0:
 		return inTime
-	case over <= lateWithin:
+	case lateBy <= lateLimit:
 		return late
 	}
 	return lost
 }
 
-// causes finds out why requests had no answer in time.
-type causes struct {
-	cuts          map[int][]history.LinkFault
-	deaths, stops map[string][]down
-	terms         Terms
+// causeFinder finds out why requests had no answer in time.
+type causeFinder struct {
+	linkFaults          map[int][]history.LinkFault
+	terminations, stops map[string][]downtime
+	terms               Terms
 }
 
-func newCauses(r *history.Run, t Terms) *causes {
-	c := &causes{
-		cuts:   map[int][]history.LinkFault{},
-		deaths: deaths(r.Events),
-		stops:  downs(r.Events, "stop", "continue"),
-		terms:  t,
+func newCauseFinder(r *history.Run, t Terms) *causeFinder {
+	c := &causeFinder{
+		linkFaults:   map[int][]history.LinkFault{},
+		terminations: terminations(r.Events),
+		stops:        downtimes(r.Events, "stop", "continue"),
+		terms:        t,
 	}
-	for _, cut := range r.LinkFaults {
-		c.cuts[cut.Limiter] = append(c.cuts[cut.Limiter], cut)
+	for _, fault := range r.LinkFaults {
+		c.linkFaults[fault.Limiter] = append(c.linkFaults[fault.Limiter], fault)
 	}
 	return c
 }
 
-// deaths are the times in which each limiter had no process because it was killed or had crashed.
-func deaths(events []history.Event) map[string][]down {
-	out := map[string][]down{}
+// terminations are the times in which each limiter had no process because it was killed or had crashed.
+func terminations(events []history.Event) map[string][]downtime {
+	out := map[string][]downtime{}
 	for _, kind := range []string{"kill", "term-kill", "crash"} {
-		for target, times := range downs(events, kind, "restart") {
+		for target, times := range downtimes(events, kind, "restart") {
 			for _, d := range times {
 				if kind == "crash" {
-					d.from -= crashSeenWithin
+					d.from -= crashDetectionDelay
 				}
 				out[target] = append(out[target], d)
 			}
@@ -96,26 +96,26 @@
 	return out
 }
 
-// of is why a request that was late or lost had no answer in time. What befell its limiter after its time was up is no
+// causeOf is why a request that was late or lost had no answer in time. What befell its limiter after its time was up is no
 // cause.
-func (c *causes) of(j *history.Request) Cause {
-	if cutOff(*j, c.cuts[j.Limiter], c.terms) {
+func (c *causeFinder) causeOf(request *history.Request) Cause {
+	if affectedByLinkFault(*request, c.linkFaults[request.Limiter], c.terms) {
 		return LinkFault
 	}
-	out := down{from: j.Sent, until: min(j.Answered, j.Deadline)}
-	target := limiterTarget(j.Limiter)
+	outstanding := downtime{from: request.Sent, until: min(request.Answered, request.Deadline)}
+	target := limiterTarget(request.Limiter)
 	switch {
-	case out.overlapsAny(c.deaths[target]):
+	case outstanding.overlapsAny(c.terminations[target]):
 		return LimiterKilled
-	case out.overlapsAny(c.stops[target]):
+	case outstanding.overlapsAny(c.stops[target]):
 		return LimiterStopped
 	}
 	return LimiterAlive
 }
 
 // overlapsAny tells whether a time has an instant in common with one of others.
-func (d down) overlapsAny(others []down) bool {
-	return slices.ContainsFunc(others, func(o down) bool { return o.from <= d.until && o.until >= d.from })
+func (d downtime) overlapsAny(others []downtime) bool {
+	return slices.ContainsFunc(others, func(o downtime) bool { return o.from <= d.until && o.until >= d.from })
 }
 
 // UnansweredOf counts the requests of a run that had no answer when their time was up, by limiter and cause.
@@ -124,19 +124,19 @@
 		limiter int
 		cause   Cause
 	}
-	why := newCauses(r, t)
+	finder := newCauseFinder(r, t)
 	counts := map[key]*Unanswered{}
 	for i := range r.Requests {
-		j := &r.Requests[i]
-		missed := delayOf(j)
-		if missed == inTime {
+		request := &r.Requests[i]
+		result := timelinessOf(request)
+		if result == inTime {
 			continue
 		}
-		k := key{j.Limiter, why.of(j)}
+		k := key{request.Limiter, finder.causeOf(request)}
 		if counts[k] == nil {
 			counts[k] = &Unanswered{Limiter: k.limiter, Cause: k.cause}
 		}
-		if missed == late {
+		if result == late {
 			counts[k].Late++
 		} else {
 			counts[k].Lost++
--- a/internal/lab/logsummary/logsummary.go
+++ b/internal/lab/logsummary/logsummary.go
@@ -15,56 +15,56 @@
 
 // Row is one thing that limiters log: how often in all, at how many limiters, and the most at one of them.
 type Row struct {
-	Name     string
-	Total    int64
-	Limiters int
-	Most     int64
-	Where    string // the limiter with the most, the first by name
+	Name       string
+	Total      int64
+	Limiters   int
+	Max        int64
+	MaxLimiter string // the limiter with the most, the first by name
 }
 
 // Summary collects logs, one limiter's after the other.
 type Summary struct {
-	counts map[string]map[string]int64 // by what is counted, then by limiter
-	names  []string
+	counts   map[string]map[string]int64 // by what is counted, then by limiter
+	limiters []string
 }
 
 // New makes an empty summary.
 func New() *Summary { return &Summary{counts: map[string]map[string]int64{}} }
 
 var (
-	event    = regexp.MustCompile(`event=(\S+)`)
-	decision = regexp.MustCompile(`text="server \S+ ([^"]*)"`)
-	figure   = regexp.MustCompile(`(\S+)=(\d+)`)
+	eventPattern    = regexp.MustCompile(`event=(\S+)`)
+	decisionPattern = regexp.MustCompile(`text="server \S+ ([^"]*)"`)
+	countPattern    = regexp.MustCompile(`(\S+)=(\d+)`)
 )
 
 // Read takes one limiter's log. Lines without an event are passed over: others may write there too.
-func (c *Summary) Read(limiter string, log io.Reader) error {
-	c.names = append(c.names, limiter)
+func (s *Summary) Read(limiter string, log io.Reader) error {
+	s.limiters = append(s.limiters, limiter)
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		line := lines.Text()
-		found := event.FindStringSubmatchIndex(line)
-		if found == nil {
+		match := eventPattern.FindStringSubmatchIndex(line)
+		if match == nil {
 			continue
 		}
-		name := line[found[2]:found[3]]
-		rest := line[found[1]:]
+		name := line[match[2]:match[3]]
+		rest := line[match[1]:]
 		switch name {
 		case "requests", "closes", "input-errors", "turned-away": // lines of counts; the last is the older name of the third
-			for _, f := range figure.FindAllStringSubmatch(rest, -1) {
-				if n, err := strconv.ParseInt(f[2], 10, 64); err == nil && n > 0 {
-					c.add(name+" "+f[1], limiter, n)
+			for _, count := range countPattern.FindAllStringSubmatch(rest, -1) {
+				if n, err := strconv.ParseInt(count[2], 10, 64); err == nil && n > 0 {
+					s.add(name+" "+count[1], limiter, n)
 				}
 			}
 		case "decision":
-			if what := decision.FindStringSubmatch(rest); what != nil {
-				c.add("server "+what[1], limiter, 1)
+			if text := decisionPattern.FindStringSubmatch(rest); text != nil {
+				s.add("server "+text[1], limiter, 1)
 				break
 			}
-			c.add(name, limiter, 1)
+			s.add(name, limiter, 1)
 		default:
-			c.add(name, limiter, 1)
+			s.add(name, limiter, 1)
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -73,23 +73,23 @@
 	return nil
 }
 
-func (c *Summary) add(what, limiter string, n int64) {
-	if c.counts[what] == nil {
-		c.counts[what] = map[string]int64{}
+func (s *Summary) add(name, limiter string, n int64) {
+	if s.counts[name] == nil {
+		s.counts[name] = map[string]int64{}
 	}
-	c.counts[what][limiter] += n
+	s.counts[name][limiter] += n
 }
 
 // Rows are all counts, the largest first.
-func (c *Summary) Rows() []Row {
+func (s *Summary) Rows() []Row {
 	var rows []Row
-	for what, by := range c.counts {
-		r := Row{Name: what, Limiters: len(by)}
-		for limiter, n := range by {
+	for name, byLimiter := range s.counts {
+		r := Row{Name: name, Limiters: len(byLimiter)}
+		for limiter, n := range byLimiter {
 			r.Total += n
-			if n > r.Most || n == r.Most && limiter < r.Where {
-				r.Most = n
-				r.Where = limiter
+			if n > r.Max || n == r.Max && limiter < r.MaxLimiter {
+				r.Max = n
+				r.MaxLimiter = limiter
 			}
 		}
 		rows = append(rows, r)
@@ -102,20 +102,20 @@
 }
 
 // Write prints the rows as a table.
-func (c *Summary) Write(to io.Writer) error {
+func (s *Summary) Write(to io.Writer) error {
 	_, err := fmt.Fprintf(
 		to,
 		"%d limiters\n%-32s %10s %9s %9s  %s\n",
-		len(c.names),
+		len(s.limiters),
 		"what",
 		"total",
 		"limiters",
 		"most",
 		"at",
 	)
-	for _, r := range c.Rows() {
+	for _, r := range s.Rows() {
 		if err == nil {
-			_, err = fmt.Fprintf(to, "%-32s %10d %9d %9d  %s\n", r.Name, r.Total, r.Limiters, r.Most, r.Where)
+			_, err = fmt.Fprintf(to, "%-32s %10d %9d %9d  %s\n", r.Name, r.Total, r.Limiters, r.Max, r.MaxLimiter)
 		}
 	}
 	return err
--- a/internal/lab/logsummary/logsummary_test.go
+++ b/internal/lab/logsummary/logsummary_test.go
@@ -8,7 +8,7 @@
 
 // TestReadsLogsOfEarlierVersions: lines of the form that limiters wrote up to version f99e54e.
 func TestReadsLogsOfEarlierVersions(t *testing.T) {
-	c := New()
+	summary := New()
 	for name, log := range map[string]string{
 		"n0": "1.2 2026/12/01 10:00:00 event=requests taken=9 succeeded=5 plan=0 room=3 ceiling=1\nnoise\n" +
 			"event=list-turned-away status=503\nevent=list-turned-away status=503\n" +
@@ -16,7 +16,7 @@
 		"n1": "event=requests taken=4 room=4 quota=99999999999999999999\nevent=decision text=\"odd\"\n" +
 			"event=decision text=\"server s-2 is silent, set aside\"\n",
 	} {
-		if err := c.Read(name, strings.NewReader(log)); err != nil {
+		if err := summary.Read(name, strings.NewReader(log)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -24,11 +24,11 @@
 		{"requests taken", 15, 2, 11, "n0"}, {"requests room", 9, 2, 5, "n0"}, {"requests ceiling", 1, 1, 1, "n0"},
 		{"list-turned-away", 2, 1, 2, "n0"}, {"server is silent, set aside", 2, 2, 1, "n0"}, {"decision", 1, 1, 1, "n1"},
 	} {
-		if rows := c.Rows(); !slices.Contains(rows, want) {
+		if rows := summary.Rows(); !slices.Contains(rows, want) {
 			t.Errorf("no %+v in %+v", want, rows)
 		}
 	}
-	if rows := c.Rows(); rows[0].Name != "requests taken" ||
+	if rows := summary.Rows(); rows[0].Name != "requests taken" ||
 		slices.ContainsFunc(rows, func(r Row) bool { return r.Name == "requests quota" }) {
 		t.Errorf("%+v", rows)
 	}
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -80,10 +80,10 @@
 		time.AfterFunc(2*time.Second, func() { os.Exit(3) })
 	}
 	if mode != Drop {
-		go leave(l)
+		go exitAfterClients(l)
 	}
 	if mode == Deaf {
-		go hear(config.Discovery, config.Known.Generation)
+		go watchAndDiscard(config.Discovery, config.Known.Generation)
 	}
 	if mode == Await {
 		awaitList(config.Discovery)
@@ -93,26 +93,26 @@
 		if err != nil {
 			select {} // it is leaving
 		}
-		open.Add(1)
-		go func() { defer open.Done(); serve(c, servers, mode) }()
+		clientConns.Add(1)
+		go func() { defer clientConns.Done(); serve(c, servers, mode) }()
 	}
 }
 
-// open are the connections of clients.
-var open sync.WaitGroup
+// clientConns are the connections of clients.
+var clientConns sync.WaitGroup
 
-// leave ends the program on SIGTERM once all clients have gone.
-func leave(l net.Listener) {
+// exitAfterClients ends the program on SIGTERM once all clients have gone.
+func exitAfterClients(listener net.Listener) {
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
 	<-term
-	_ = l.Close()
-	open.Wait()
+	_ = listener.Close()
+	clientConns.Wait()
 	os.Exit(0)
 }
 
-// hear watches the list and forgets what it is told.
-func hear(discovery string, generation int64) {
+// watchAndDiscard watches the list and forgets what it is told.
+func watchAndDiscard(discovery string, generation int64) {
 	for {
 		answer, err := http.Get(fmt.Sprintf("http://%s/discovery/hosts?from=%d&hold_ms=1000", discovery, generation))
 		if err == nil {
@@ -134,11 +134,11 @@
 	}
 }
 
-// lateBy is how long after a request's time is up a limiter of mode Late answers it.
-const lateBy = 100 * time.Millisecond
+// lateDelay is how long after a request's time is up a limiter of mode Late answers it.
+const lateDelay = 100 * time.Millisecond
 
-// timeOf is how long a request's client waits, 0 where the request tells none.
-func timeOf(words [][]byte) time.Duration {
+// clientTimeout is how long a request's client waits, 0 where the request tells none.
+func clientTimeout(words [][]byte) time.Duration {
 	if len(words) < 4 {
 		return 0
 	}
@@ -151,8 +151,8 @@
 	return 0
 }
 
-// turns deals requests round the servers.
-var turns atomic.Int64
+// nextServer deals requests round the servers.
+var nextServer atomic.Int64
 
 func serve(c net.Conn, servers []emulator.Instance, mode string) {
 	defer func() { _ = c.Close() }()
@@ -168,18 +168,18 @@
 		case Mute:
 			return true
 		case Late:
-			time.Sleep(timeOf(words) + lateBy)
+			time.Sleep(clientTimeout(words) + lateDelay)
 			_, err := c.Write([]byte("-ERR late\r\n"))
 			return err == nil
 		}
-		value, turn, tries, wait := "-ERR no server\r\n", int(turns.Add(1)), 1, 2*time.Second
+		value, firstServer, attempts, wait := "-ERR no server\r\n", int(nextServer.Add(1)), 1, 2*time.Second
 		if mode == Again {
-			tries = 3
+			attempts = 3
 			wait = 300 * time.Millisecond
 		}
-		for try := range tries {
-			server := servers[(turn+try)%len(servers)]
-			if v, ok := shoot(server.HostPort, words, wait); ok {
+		for attempt := range attempts {
+			server := servers[(firstServer+attempt)%len(servers)]
+			if v, ok := forward(server.HostPort, words, wait); ok {
 				value = v
 				break
 			}
@@ -189,22 +189,22 @@
 	})
 }
 
-func shoot(address string, words [][]byte, wait time.Duration) (string, bool) {
-	s, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
+func forward(address string, words [][]byte, wait time.Duration) (string, bool) {
+	conn, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
 	if err != nil {
 		return "", false
 	}
-	defer func() { _ = s.Close() }()
-	_ = s.SetDeadline(time.Now().Add(wait))
-	if _, err := s.Write(resp.AppendCommand(nil, words...)); err != nil {
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(wait))
+	if _, err := conn.Write(resp.AppendCommand(nil, words...)); err != nil {
 		return "", false
 	}
 	buf := make([]byte, 4096)
-	var got []byte
+	var received []byte
 	for {
-		n, err := s.Read(buf)
-		got = append(got, buf[:n]...)
-		if v, used, perr := resp.ReadAnswer(got); perr == nil && used > 0 && len(v.List) > 0 {
+		n, err := conn.Read(buf)
+		received = append(received, buf[:n]...)
+		if v, used, perr := resp.ReadAnswer(received); perr == nil && used > 0 && len(v.List) > 0 {
 			return string(resp.AppendBulk(nil, v.List[0].Text)), true
 		} else if perr != nil || err != nil {
 			return "", false
