--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,5 +1,6 @@
-// Package history holds what a lab run writes down: every request as its client saw it, every attempt as a server saw
-// it, every fault as the run played it, and the clock they are all timed by. The rules are judged from these alone.
+// Package history defines the record of a lab run: each request as its client saw it, each attempt as a server saw it,
+// each fault that was injected, and the clock that times them all. Package invariants judges a run from this record
+// alone.
 package history
 
 import (
@@ -11,41 +12,43 @@
 	"time"
 )
 
-// Clock gives whole nanoseconds since the run began, from the monotonic clock.
+// Clock measures the time since the start of a run on the monotonic clock. NewClock makes one; the zero value is not
+// usable.
 type Clock struct{ start atomic.Pointer[time.Time] }
 
-// NewClock starts a clock at zero now.
+// NewClock returns a clock that starts at zero now.
 func NewClock() *Clock {
 	c := &Clock{}
 	c.Restart()
 	return c
 }
 
-// Restart sets the clock to zero; what was timed before lies before zero only if it is held as such.
+// Restart sets the clock back to zero. Times that were read before are not adjusted.
 func (c *Clock) Restart() {
 	now := time.Now()
 	c.start.Store(&now)
 }
 
-// Now is nanoseconds since the clock's start.
+// Now returns the time since the clock's start, in nanoseconds.
 func (c *Clock) Now() int64 { return int64(time.Since(*c.start.Load())) }
 
-// Outcome is what the client got for a request.
+// Outcome is how a request ended for its client.
 type Outcome string
 
-// The outcomes a client can see. Unanswered and Late break rule 1 unless the request's limiter was killed.
+// The outcomes of a request. Unanswered, Late and ConnectionBroken break rule 1 unless a fault of the run accounts for
+// them, such as a kill of the limiter.
 const (
-	Succeeded        Outcome = "done"        // a value that a server made
-	Rejected         Outcome = "rejected"    // -BUSY, perhaps with a retry-after
+	Succeeded        Outcome = "done"        // a value that a server returned
+	Rejected         Outcome = "rejected"    // -BUSY, with or without a Retry-After
 	Failed           Outcome = "written-off" // any other answer
-	Unanswered       Outcome = "unanswered"  // nothing by the deadline
+	Unanswered       Outcome = "unanswered"  // no answer by the deadline
 	Late             Outcome = "late"        // an answer after the deadline
 	ConnectionBroken Outcome = "broken"      // the connection ended with no answer
-	GaveUp           Outcome = "gave-up"     // the client went away first, as the load asked
-	NotAccepted      Outcome = "not-taken"   // the limiter could not be reached: the request was never taken
+	GaveUp           Outcome = "gave-up"     // the client disconnected first, as the load profile demands
+	NotAccepted      Outcome = "not-taken"   // the limiter could not be reached, so it never read the request
 )
 
-// Request is one request as its client saw it; times are nanoseconds on the run's clock.
+// Request is one request as its client saw it. Times are in nanoseconds on the run's clock.
 type Request struct {
 	ID            string  `json:"id"`
 	Customer      string  `json:"customer"`
@@ -56,18 +59,20 @@
 	Limiter       int     `json:"limiter"`
 	Retry         bool    `json:"retry,omitempty"`
 	Sent          int64   `json:"sent"`
-	Deadline      int64   `json:"cut_off"` // when the client stops waiting
+	Deadline      int64   `json:"cut_off"` // when the client stops waiting for an answer
 	Answered      int64   `json:"answered"`
-	// AnswerUnread is how long the answer lay in the client's kernel before the lab read it, nanoseconds. It is part of
-	// the time to Answered, and is the lab's own delay; the kernel tells it in steps of its timer.
+	// AnswerUnread is how long the answer waited in the client's receive buffer before the lab read it, in nanoseconds.
+	// This delay is the lab's own and is included in Answered. Its resolution is that of the kernel's timer.
 	AnswerUnread int64   `json:"answer_unread,omitempty"`
 	Outcome      Outcome `json:"outcome"`
-	// Resent: the connection it was first sent on ended at once, so it went once more on a new one, at Sent again.
+	// Resent tells that the first connection was closed at once, so that the client sent the request again on a new
+	// connection. Sent is the time of the second sending.
 	Resent     bool  `json:"crossed,omitempty"`
-	RetryAfter int64 `json:"retry_after,omitempty"` // nanoseconds, where a rejection said when to return
+	RetryAfter int64 `json:"retry_after,omitempty"` // of a rejection, in nanoseconds; 0 if it had none
 }
 
-// Attempt is one command a stand-in server read whole; Ran says whether it may have had its effect.
+// Attempt is one command that an emulated server read completely. MayHaveRun tells whether the server may have executed
+// it.
 type Attempt struct {
 	Server      string  `json:"server"`
 	Group       string  `json:"group"`
@@ -79,72 +84,73 @@
 	At          int64   `json:"at"`
 	MayHaveRun  bool    `json:"ran"`
 	Answer      string  `json:"answer"`              // done, error, busy, silent, reset, spoilt, repeat
-	Overloaded  bool    `json:"overrun,omitempty"`   // began while cold and over what the server bore then
-	TimeLeft    int64   `json:"time_left,omitempty"` // nanoseconds that the command said its client would still wait
-	ServiceTime int64   `json:"work,omitempty"`      // nanoseconds the server spent on it before answering
+	Overloaded  bool    `json:"overrun,omitempty"`   // beyond the capacity of a server that was warming up
+	TimeLeft    int64   `json:"time_left,omitempty"` // the client's remaining wait, from the command, nanoseconds
+	ServiceTime int64   `json:"work,omitempty"`      // time that the server spent before it answered, nanoseconds
 }
 
-// Event is a fault or a change the run played, or a limiter's end that it saw.
+// Event is a fault or a change that the run made, or the end of a limiter that it observed.
 type Event struct {
 	At     int64  `json:"at"`
 	Kind   string `json:"kind"`
 	Target string `json:"target"`
 	Detail string `json:"detail,omitempty"`
-	// Generation is the list's, of an event that changed it (drain, gone, back); 0 where none is told.
+	// Generation is the endpoint list's generation after an event that changed the list (drain, gone, back); 0 if it is
+	// not known.
 	Generation int64 `json:"generation,omitempty"`
 }
 
-// The ways in which a call to discovery can end.
+// The values of Call.End.
 const (
-	Answered   = "answered"    // a list was written
-	Throttled  = "turned-away" // 503: discovery had too much to do
-	NoResponse = "silent"      // nothing was said, since discovery was down
-	CallerGone = "left"        // the caller went away first
+	Answered   = "answered"    // a list was written as the answer
+	Throttled  = "turned-away" // 503: discovery was overloaded
+	NoResponse = "silent"      // no answer, since discovery was down
+	CallerGone = "left"        // the caller disconnected first
 )
 
-// Call is one call to discovery as its stand-in saw it; times are nanoseconds on the run's clock.
+// Call is one call to discovery as its emulator saw it. Times are in nanoseconds on the run's clock.
 type Call struct {
 	Limiter    int    `json:"limiter"`
 	At         int64  `json:"at"`
-	Whole      bool   `json:"whole,omitempty"` // it asked for the whole list; else it is a watch
-	Until      int64  `json:"until,omitempty"` // when a watch's wait is over
-	EndedAt    int64  `json:"done"`            // when it ended: for an answered one, when the list was written
+	Whole      bool   `json:"whole,omitempty"` // a request for the complete list; otherwise a watch
+	Until      int64  `json:"until,omitempty"` // when the hold time of a watch ends
+	EndedAt    int64  `json:"done"`            // when the call ended; for an answered call, when the list was written
 	End        string `json:"end"`
 	Generation int64  `json:"generation,omitempty"` // of the list that was written
 }
 
-// Process is one process of a limiter, from its start to its end; times are 0 for what has not come.
+// Process is one process of a limiter. Times are in nanoseconds on the run's clock, and 0 for what has not happened.
 type Process struct {
 	Limiter        int    `json:"limiter"`
 	Started        int64  `json:"started"`
 	Ready          int64  `json:"ready,omitempty"` // when it first answered +PONG
 	Ended          int64  `json:"ended,omitempty"`
-	ListGeneration int64  `json:"known"` // generation of the list in its configuration
+	ListGeneration int64  `json:"known"` // generation of the endpoint list in its configuration
 	End            string `json:"end,omitempty"`
 }
 
-// Silence is a time in which a limiter's link to discovery, or discovery itself, let nothing new through. Lost says
-// that what discovery wrote in it did not arrive, or with Held only at its end; else answers still came and only the
-// calls were lost.
+// Silence is a period in which a limiter could not get news of the endpoint list, because of a fault of its link to
+// discovery or of discovery itself. If Lost is set, answers that discovery wrote in this period did not arrive, or with
+// Held arrived at its end. Otherwise only calls were lost, and answers to earlier calls still arrived.
 type Silence struct {
 	Limiter int   `json:"limiter"`
 	From    int64 `json:"from"`
-	Until   int64 `json:"until"` // 0 for good
+	Until   int64 `json:"until"` // 0 if it did not end
 	Lost    bool  `json:"lost"`
 	Held    bool  `json:"held,omitempty"`
 }
 
-// LinkFault is a time in which the link from the clients to a limiter had a fault: what clients see then is not the
-// limiter's doing.
+// LinkFault is a period in which the link from the clients to a limiter had a fault. The limiter is not to blame for
+// what clients see in it.
 type LinkFault struct {
 	Limiter int    `json:"limiter"`
 	Kind    string `json:"kind"`
 	From    int64  `json:"from"`
-	Until   int64  `json:"until"` // 0 for good
+	Until   int64  `json:"until"` // 0 if it did not end
 }
 
-// OverloadCrash is a cold server pushed over: the requests that it was sent within the window before At, and what it
-// bears in it then.
+// OverloadCrash is the crash of a server that was overloaded while warming up. It holds the requests that the server
+// received in the window before At, and its capacity in that window.
 type OverloadCrash struct {
 	Server   string   `json:"server"`
 	At       int64    `json:"at"`
@@ -152,7 +158,7 @@
 	Capacity float64  `json:"bears"`
 }
 
-// Recorder gathers records from many goroutines.
+// Recorder collects records. It is safe for concurrent use; the zero value is an empty recorder.
 type Recorder struct {
 	mu       sync.Mutex
 	Requests []Request `json:"jobs"`
@@ -161,21 +167,21 @@
 
 	calls           []Call
 	overloadCrashes []OverloadCrash
-	handshakes      map[string][]int // by server, connections accepted in each second
-	counts          map[int][]int    // by limiter, calls that the counter added in each second
+	handshakes      map[string][]int // by server, connections accepted in each second of the run
+	counts          map[int][]int    // by limiter, calls that the shared counter counted in each second of the run
 }
 
-// AddCall writes down a call to discovery, once it has ended.
+// AddCall records a call to discovery that has ended.
 func (r *Recorder) AddCall(c Call) { r.mu.Lock(); r.calls = append(r.calls, c); r.mu.Unlock() }
 
-// AddOverloadCrash writes down that a cold server was overloaded and crashed.
+// AddOverloadCrash records that a server was overloaded while warming up and crashed.
 func (r *Recorder) AddOverloadCrash(crash OverloadCrash) {
 	r.mu.Lock()
 	r.overloadCrashes = append(r.overloadCrashes, crash)
 	r.mu.Unlock()
 }
 
-// AddHandshake counts a connection that a server accepted at now.
+// AddHandshake counts a connection that a server accepted at now, in nanoseconds on the run's clock.
 func (r *Recorder) AddHandshake(server string, now int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +191,7 @@
 	r.handshakes[server] = countInSecond(r.handshakes[server], now)
 }
 
-// AddCount counts a call of a limiter that the counter added at now.
+// AddCount counts a call of a limiter that the shared counter counted at now, in nanoseconds on the run's clock.
 func (r *Recorder) AddCount(limiter int, now int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,7 +201,7 @@
 	r.counts[limiter] = countInSecond(r.counts[limiter], now)
 }
 
-// countInSecond counts one more in the second of now.
+// countInSecond increments the count of the second that now lies in, and returns the counts by second.
 func countInSecond(seconds []int, now int64) []int {
 	second := int(now / int64(time.Second))
 	for len(seconds) <= second {
@@ -205,7 +211,7 @@
 	return seconds
 }
 
-// Counts copies the calls that the counter added, by limiter, second by second.
+// Counts returns a copy of the calls that the shared counter counted, by limiter and second.
 func (r *Recorder) Counts() map[int][]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -216,12 +222,13 @@
 	return out
 }
 
-// DiscoveryAndServers copies what the list service and the servers wrote down beside attempts: calls in the order of
-// their times, falls, and each server's handshakes second by second.
+// DiscoveryAndServers returns copies of the records of discovery and of the servers other than attempts: calls ordered
+// by time, crashes by overload, and accepted connections by server and second.
 func (r *Recorder) DiscoveryAndServers() (calls []Call, overloadCrashes []OverloadCrash, handshakes map[string][]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	calls, overloadCrashes, handshakes = append(calls, r.calls...), append(overloadCrashes, r.overloadCrashes...), map[string][]int{}
+	calls, overloadCrashes, handshakes = append(calls, r.calls...),
+		append(overloadCrashes, r.overloadCrashes...), map[string][]int{}
 	for server, seconds := range r.handshakes {
 		handshakes[server] = append([]int(nil), seconds...)
 	}
@@ -229,24 +236,24 @@
 	return calls, overloadCrashes, handshakes
 }
 
-// AddRequest writes down a request, once its client has done with it.
+// AddRequest records a request that has ended for its client.
 func (r *Recorder) AddRequest(request Request) {
 	r.mu.Lock()
 	r.Requests = append(r.Requests, request)
 	r.mu.Unlock()
 }
 
-// AddAttempt writes down an attempt that a server read whole.
+// AddAttempt records an attempt that a server read completely.
 func (r *Recorder) AddAttempt(attempt Attempt) {
 	r.mu.Lock()
 	r.Attempts = append(r.Attempts, attempt)
 	r.mu.Unlock()
 }
 
-// AddEvent writes down what the run played or saw.
+// AddEvent records a fault or change that the run made, or the end of a limiter.
 func (r *Recorder) AddEvent(e Event) { r.mu.Lock(); r.Events = append(r.Events, e); r.mu.Unlock() }
 
-// Copy returns what is held now, safe to read while the run goes on.
+// Copy returns copies of the requests, attempts and events recorded so far.
 func (r *Recorder) Copy() (requests []Request, attempts []Attempt, events []Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -259,30 +266,30 @@
 			r.Events...)
 }
 
-// Run is the whole record of one run as written to JSON.
+// Run is the complete record of one run, as it is written to a JSON file.
 type Run struct {
 	Name            string           `json:"name"`
 	Seed            uint64           `json:"seed"`
-	Length          int64            `json:"length"` // nanoseconds of load
+	Length          int64            `json:"length"` // duration of the load, in nanoseconds
 	Limiters        int              `json:"limiters"`
 	Settings        json.RawMessage  `json:"settings"`
 	Requests        []Request        `json:"jobs"`
 	Attempts        []Attempt        `json:"shots"`
 	Events          []Event          `json:"events"`
-	Calls           []Call           `json:"calls,omitempty"`      // to discovery
-	Processes       []Process        `json:"lives,omitempty"`      // of limiters' processes
-	Silences        []Silence        `json:"silences,omitempty"`   // between limiters and discovery
-	LinkFaults      []LinkFault      `json:"cuts,omitempty"`       // between clients and limiters
-	OverloadCrashes []OverloadCrash  `json:"falls,omitempty"`      // of cold servers
+	Calls           []Call           `json:"calls,omitempty"`      // calls to discovery
+	Processes       []Process        `json:"lives,omitempty"`      // the limiters' processes
+	Silences        []Silence        `json:"silences,omitempty"`   // faults between limiters and discovery
+	LinkFaults      []LinkFault      `json:"cuts,omitempty"`       // faults between clients and limiters
+	OverloadCrashes []OverloadCrash  `json:"falls,omitempty"`      // of servers that were warming up
 	Handshakes      map[string][]int `json:"handshakes,omitempty"` // by server, connections accepted in each second
-	// by limiter, calls that the counter added in each second
+	// by limiter, calls that the shared counter counted in each second
 	Counts  map[int][]int   `json:"counts,omitempty"`
 	Verdict json.RawMessage `json:"verdict,omitempty"`
-	// percentiles of done requests by class, from HDR histograms
+	// latency percentiles of the succeeded requests by class, from HDR histograms
 	Latency json.RawMessage `json:"latency,omitempty"`
 }
 
-// Write writes a run's record to a file as JSON.
+// Write writes the record of a run to a file as JSON.
 func Write(path string, r *Run) error {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -291,7 +298,7 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// Read reads a run's record written by Write.
+// Read reads the record of a run that Write wrote.
 func Read(path string) (*Run, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/logsummary/logsummary.go
+++ b/internal/lab/logsummary/logsummary.go
@@ -1,5 +1,5 @@
-// Package logsummary counts what the logs of many limiters say, over the whole fleet: what is rare in each of eighty
-// limiters may be the largest loss of all.
+// Package logsummary counts log events over a whole fleet of limiters. An event that is rare in the log of each of
+// eighty limiters may still be the largest cause of loss.
 package logsummary
 
 import (
@@ -13,22 +13,22 @@
 	"strings"
 )
 
-// Row is one thing that limiters log: how often in all, at how many limiters, and the most at one of them.
+// Row is the count of one event, attribute or decision text in the logs.
 type Row struct {
 	Name       string
-	Total      int64
-	Limiters   int
-	Max        int64
-	MaxLimiter string // the limiter with the most, the first by name
+	Total      int64  // over all limiters
+	Limiters   int    // number of limiters that logged it
+	Max        int64  // largest count of one limiter
+	MaxLimiter string // limiter with that count, the first by name if several have it
 }
 
-// Summary collects logs, one limiter's after the other.
+// Summary collects counts from the logs of many limiters. New makes one.
 type Summary struct {
-	counts   map[string]map[string]int64 // by what is counted, then by limiter
+	counts   map[string]map[string]int64 // by row name, then by limiter
 	limiters []string
 }
 
-// New makes an empty summary.
+// New returns an empty summary.
 func New() *Summary { return &Summary{counts: map[string]map[string]int64{}} }
 
 var (
@@ -37,7 +37,8 @@
 	countPattern    = regexp.MustCompile(`(\S+)=(\d+)`)
 )
 
-// Read takes one limiter's log. Lines without an event are passed over: others may write there too.
+// Read adds the log of one limiter. Lines without an event are skipped, since other programs may write to the same
+// file. It returns the error of the reader, and fails on a line of more than 1 MiB.
 func (s *Summary) Read(limiter string, log io.Reader) error {
 	s.limiters = append(s.limiters, limiter)
 	lines := bufio.NewScanner(log)
@@ -51,7 +52,8 @@
 		name := line[match[2]:match[3]]
 		rest := line[match[1]:]
 		switch name {
-		case "requests", "closes", "input-errors", "turned-away": // lines of counts; the last is the older name of the third
+		// Each attribute of these events is a count. turned-away is the former name of input-errors.
+		case "requests", "closes", "input-errors", "turned-away":
 			for _, count := range countPattern.FindAllStringSubmatch(rest, -1) {
 				if n, err := strconv.ParseInt(count[2], 10, 64); err == nil && n > 0 {
 					s.add(name+" "+count[1], limiter, n)
@@ -80,7 +82,7 @@
 	s.counts[name][limiter] += n
 }
 
-// Rows are all counts, the largest first.
+// Rows returns all counts, the largest total first.
 func (s *Summary) Rows() []Row {
 	var rows []Row
 	for name, byLimiter := range s.counts {
@@ -101,7 +103,7 @@
 	return rows
 }
 
-// Write prints the rows as a table.
+// Write prints the rows as a text table.
 func (s *Summary) Write(to io.Writer) error {
 	_, err := fmt.Fprintf(
 		to,
--- a/internal/lab/logsummary/logsummary_test.go
+++ b/internal/lab/logsummary/logsummary_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestReadsLogsOfEarlierVersions: lines of the form that limiters wrote up to version f99e54e.
+// Guards against losing counts from logs in the format that limiters wrote up to version f99e54e.
 func TestReadsLogsOfEarlierVersions(t *testing.T) {
 	summary := New()
 	for name, log := range map[string]string{
@@ -25,19 +25,19 @@
 		{"list-turned-away", 2, 1, 2, "n0"}, {"server is silent, set aside", 2, 2, 1, "n0"}, {"decision", 1, 1, 1, "n1"},
 	} {
 		if rows := summary.Rows(); !slices.Contains(rows, want) {
-			t.Errorf("no %+v in %+v", want, rows)
+			t.Errorf("row %+v is missing in %+v", want, rows)
 		}
 	}
 	if rows := summary.Rows(); rows[0].Name != "requests taken" ||
 		slices.ContainsFunc(rows, func(r Row) bool { return r.Name == "requests quota" }) {
-		t.Errorf("%+v", rows)
+		t.Errorf("want requests taken first and no row for an unparsable count: %+v", rows)
 	}
 	if err := New().Read("n2", strings.NewReader(strings.Repeat("x", 2<<20))); err == nil {
-		t.Error("a line without end is taken")
+		t.Error("a line longer than the limit was accepted")
 	}
 }
 
-// TestReadsLogs: lines as limiters write them now.
+// Guards against losing counts from logs in the current format.
 func TestReadsLogs(t *testing.T) {
 	summary := New()
 	log := "time=2026-12-02T15:00:00.000Z level=INFO event=requests accepted=9 succeeded=5 plan=0 capacity=3 local_quota=1\n" +
@@ -53,7 +53,7 @@
 		{"server is silent, ejected", 1, 1, 1, "n0"},
 	} {
 		if rows := summary.Rows(); !slices.Contains(rows, want) {
-			t.Errorf("no %+v in %+v", want, rows)
+			t.Errorf("row %+v is missing in %+v", want, rows)
 		}
 	}
 }
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -1,5 +1,5 @@
-// Package mutants is a deliberately broken limiter for the lab's own tests: what it does wrong is its mode. It forwards
-// every request to a server, and it is never part of the real program. The lab must find each of its faults.
+// Package mutants is a deliberately broken limiter for the lab's own tests. Its mode selects the fault, and the lab
+// must detect each of them. It is never part of the real program.
 package mutants
 
 import (
@@ -20,26 +20,27 @@
 	"ospreycroft/internal/resp"
 )
 
-// The modes. Each also does what all do: it asks neither the counter nor discovery, and keeps to no quota or ceiling.
+// The modes. Except as stated, the mutant forwards requests to the servers in turn, applies no quota or ceiling, and
+// uses neither the shared counter nor discovery.
 const (
-	// no answer within a short wait: the request goes to the next server, non-idempotent or not (rule 2)
+	// after a short wait without an answer it retries at the next server, even a non-idempotent request (breaks rule 2)
 	Again = "again"
-	Drop  = "drop"  // it ends at SIGTERM at once, with all that it holds (rule 1)
-	Deaf  = "deaf"  // it has the list's changes told to it and takes none in (rule 3)
-	Cold  = "cold"  // it prefers servers that have just been started (rule 4)
-	Over  = "over"  // it takes whatever comes (rule 5)
-	Crash = "crash" // it ends by itself after two seconds
-	Stay  = "stay"  // it does not end at SIGTERM while clients hold on to it
-	Busy  = "busy"  // it turns every request away (an outage)
-	Mute  = "mute"  // it answers PING and nothing else (lost requests, an outage)
-	Late  = "late"  // it answers 100 ms after a request's time is up (late requests)
-	Await = "await" // it is not ready before discovery has answered it
+	Drop  = "drop"  // it exits at once on SIGTERM and loses the requests in flight (breaks rule 1)
+	Deaf  = "deaf"  // it watches the endpoint list and ignores every change (breaks rule 3)
+	Cold  = "cold"  // it forwards only to servers that the list gives a start time (breaks rule 4)
+	Over  = "over"  // it accepts every request (breaks rule 5)
+	Crash = "crash" // it exits by itself after two seconds
+	Stay  = "stay"  // on SIGTERM it does not exit while clients stay connected
+	Busy  = "busy"  // it rejects every request (an outage)
+	Mute  = "mute"  // it answers PING and no request (lost requests, an outage)
+	Late  = "late"  // it answers 100 ms after the request's deadline (late requests)
+	Await = "await" // it does not become ready before discovery has answered it
 )
 
-// Name is how a program must be named to be this one in a mode, such as "mutant-drop".
+// Name is the prefix of the mutant's program name. The mode follows, as in "mutant-drop".
 const Name = "mutant-"
 
-// Mode is the mode that a program's path names, "" where it is another program.
+// Mode returns the mode in the program name at the end of path, or "" if the program is no mutant.
 func Mode(path string) string {
 	base := path[strings.LastIndexByte(path, '/')+1:]
 	if mode, is := strings.CutPrefix(base, Name); is {
@@ -48,7 +49,7 @@
 	return ""
 }
 
-// Main runs the stand-in with the configuration GW_CONFIG names, until it is killed.
+// Main runs the mutant with the configuration file that GW_CONFIG names. It returns only if it cannot start.
 func Main(mode string) error {
 	text, err := os.ReadFile(os.Getenv("GW_CONFIG"))
 	if err != nil {
@@ -91,17 +92,17 @@
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			select {} // it is leaving
+			select {} // the listener is closed on SIGTERM; exitAfterClients ends the process
 		}
 		clientConns.Add(1)
 		go func() { defer clientConns.Done(); serve(c, servers, mode) }()
 	}
 }
 
-// clientConns are the connections of clients.
+// clientConns counts the open connections of clients.
 var clientConns sync.WaitGroup
 
-// exitAfterClients ends the program on SIGTERM once all clients have gone.
+// exitAfterClients waits for SIGTERM, stops accepting connections, and exits once all clients have disconnected.
 func exitAfterClients(listener net.Listener) {
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
@@ -111,7 +112,7 @@
 	os.Exit(0)
 }
 
-// watchAndDiscard watches the list and forgets what it is told.
+// watchAndDiscard watches the endpoint list and discards the answers.
 func watchAndDiscard(discovery string, generation int64) {
 	for {
 		answer, err := http.Get(fmt.Sprintf("http://%s/discovery/hosts?from=%d&hold_ms=1000", discovery, generation))
@@ -122,7 +123,7 @@
 	}
 }
 
-// awaitList waits until discovery has given its whole list.
+// awaitList waits until discovery has answered a request for the complete endpoint list.
 func awaitList(discovery string) {
 	for {
 		answer, err := http.Get("http://" + discovery + "/discovery/hosts")
@@ -134,10 +135,10 @@
 	}
 }
 
-// lateDelay is how long after a request's time is up a limiter of mode Late answers it.
+// lateDelay is how long after a request's deadline the mutant in mode Late answers it.
 const lateDelay = 100 * time.Millisecond
 
-// clientTimeout is how long a request's client waits, 0 where the request tells none.
+// clientTimeout is how long the client of a request waits for an answer, 0 if the request does not state it.
 func clientTimeout(words [][]byte) time.Duration {
 	if len(words) < 4 {
 		return 0
@@ -151,9 +152,10 @@
 	return 0
 }
 
-// nextServer deals requests round the servers.
+// nextServer counts requests, to spread them round-robin over the servers.
 var nextServer atomic.Int64
 
+// serve answers the commands of one client connection until it ends.
 func serve(c net.Conn, servers []emulator.Instance, mode string) {
 	defer func() { _ = c.Close() }()
 	_ = emulator.Commands(c, func(words [][]byte) bool {
@@ -189,6 +191,8 @@
 	})
 }
 
+// forward sends a request to a server on a new connection, and returns the server's value as a RESP bulk string. It
+// returns false if no value arrives within wait.
 func forward(address string, words [][]byte, wait time.Duration) (string, bool) {
 	conn, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
 	if err != nil {
