--- a/internal/lab/testbed/clients_test.go
+++ b/internal/lab/testbed/clients_test.go
@@ -19,90 +19,90 @@
 	"ospreycroft/internal/settings"
 )
 
-// counter is a stand-in that adds at once and answers once it is let go.
-type counter struct {
+// counterStub is a stand-in that adds at once and answers once it is let go.
+type counterStub struct {
 	*Peer
-	mutex sync.Mutex
-	adds  []float64
-	sum   float64
-	free  chan struct{}
+	mutex   sync.Mutex
+	amounts []float64
+	sum     float64
+	release chan struct{}
 }
 
-func counts(t *testing.T, config *settings.Config) *counter {
-	k := &counter{Peer: Listen(t), free: make(chan struct{})}
-	config.Counter, config.Settings.CounterTimeout, config.Settings.MaxActualUnits = k.Address, 4e9, 64
+func startCounterStub(t *testing.T, config *settings.Config) *counterStub {
+	stub := &counterStub{Peer: Listen(t), release: make(chan struct{})}
+	config.Counter, config.Settings.CounterTimeout, config.Settings.MaxActualUnits = stub.Address, 4e9, 64
 	go func() {
-		for c, err := k.ln.Accept(); err == nil; c, err = k.ln.Accept() {
-			go k.answers(c)
+		for c, err := stub.ln.Accept(); err == nil; c, err = stub.ln.Accept() {
+			go stub.serve(c)
 		}
 	}()
-	return k
+	return stub
 }
 
-func (k *counter) answers(c net.Conn) {
-	owed := make(chan string, 1<<10)
+func (s *counterStub) serve(c net.Conn) {
+	answers := make(chan string, 1<<10)
 	go func() {
-		for answer := range owed {
+		for answer := range answers {
 			if answer != "pong\r\n" {
-				<-k.free
+				<-s.release
 			}
 			_, _ = io.WriteString(c, answer)
 		}
 		_ = c.Close()
 	}()
-	for in := bufio.NewScanner(c); in.Scan(); {
-		answer, amount, name, life := "pong\r\n", 0.0, 0, 0
-		if _, err := fmt.Sscanf(in.Text(), "tally %d %g %d", &name, &amount, &life); err == nil {
-			k.mutex.Lock()
-			k.adds, k.sum = append(k.adds, amount), k.sum+amount
-			answer = fmt.Sprintf("ok %g\r\n", k.sum)
-			k.mutex.Unlock()
+	for scanner := bufio.NewScanner(c); scanner.Scan(); {
+		answer, amount, key, incarnation := "pong\r\n", 0.0, 0, 0
+		if _, err := fmt.Sscanf(scanner.Text(), "tally %d %g %d", &key, &amount, &incarnation); err == nil {
+			s.mutex.Lock()
+			s.amounts, s.sum = append(s.amounts, amount), s.sum+amount
+			answer = fmt.Sprintf("ok %g\r\n", s.sum)
+			s.mutex.Unlock()
 		}
-		owed <- answer
+		answers <- answer
 	}
-	close(owed)
+	close(answers)
 }
 
-func (k *counter) total() float64 {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.sum
+func (s *counterStub) total() float64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.sum
 }
 
-// made waits for so many calls and gives the first one's amount.
-func (k *counter) made(t *testing.T, calls int) float64 {
+// waitForCalls waits for so many calls and gives the first one's amount.
+func (s *counterStub) waitForCalls(t *testing.T, calls int) float64 {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		k.mutex.Lock()
-		defer k.mutex.Unlock()
-		return len(k.adds) >= calls
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		return len(s.amounts) >= calls
 	}, Patience, time.Millisecond)
-	return k.adds[0]
+	return s.amounts[0]
 }
 
-// comesTo fails the test unless all adds come to that many units, and stay there.
-func (k *counter) comesTo(t *testing.T, units float64) {
+// requireTotal fails the test unless all adds come to that many units, and stay there.
+func (s *counterStub) requireTotal(t *testing.T, units float64) {
 	t.Helper()
 	require.Eventually(
 		t,
-		func() bool { return math.Abs(k.total()-units) < 1e-6 },
+		func() bool { return math.Abs(s.total()-units) < 1e-6 },
 		Patience,
 		time.Millisecond,
 		"want %v",
 		units,
 	)
 	time.Sleep(50 * time.Millisecond)
-	require.InDelta(t, units, k.total(), 1e-6)
+	require.InDelta(t, units, s.total(), 1e-6)
 }
 
-// soon is when none of the requests that waited as their client closed may be sent on any more, by the standing test.
-const soon = 300 * time.Millisecond
+// discardDelay is when none of the requests that waited as their client closed may be sent on any more, by the standing test.
+const discardDelay = 300 * time.Millisecond
 
 // TestClientGone: requests that wait for their first attempt when their client closes are never sent, and their units
 // are given back once. One that was sent is settled at what it took, and its answer is for nobody.
 func TestClientGone(t *testing.T) {
-	for name, play := range map[string]func(t *testing.T, config *settings.Config, server *Peer, k *counter){
-		"its connection is being dialled": func(t *testing.T, config *settings.Config, server *Peer, k *counter) {
+	for name, run := range map[string]func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub){
+		"its connection is being dialled": func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub) {
 			config.Settings.DialTimeout = 3e9
 			raw, err := server.ln.(*net.TCPListener).SyscallConn()
 			require.NoError(t, err)
@@ -111,46 +111,46 @@
 			first, err := net.Dial("tcp", server.Address)
 			require.NoError(t, err)
 			defer func() { _ = first.Close() }()
-			close(k.free)
+			close(counter.release)
 			client := Start(t, config).Dial(t)
 			client.Say(t, Request("dialled", "write", 4000))
-			add := k.made(t, 1)
-			time.Sleep(soon) // by now it is dialled: a server that is gone from the list would not be
+			reserved := counter.waitForCalls(t, 1)
+			time.Sleep(discardDelay) // by now it is dialled: a server that is gone from the list would not be
 			_ = client.TCP.Close()
-			time.Sleep(soon)
-			require.InDelta(t, add, k.total(), 1e-6)
+			time.Sleep(discardDelay)
+			require.InDelta(t, reserved, counter.total(), 1e-6)
 			server.Accept(t)
-			server.Accept(t).Quiet(t, soon) // it comes up a second after it was dialled
-			k.comesTo(t, 0)
+			server.Accept(t).Quiet(t, discardDelay) // it comes up a second after it was dialled
+			counter.requireTotal(t, 0)
 		},
-		"one before it on its connection is out, and more wait for the counter": func(t *testing.T, config *settings.Config, server *Peer, k *counter) {
+		"one before it on its connection is out, and more wait for the counter": func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub) {
 			r := Start(t, config)
 			client := r.Dial(t)
 			client.Say(t, Request("out", "write", 4000))
-			unit := k.made(t, 1)
-			k.free <- struct{}{}
-			s := server.Accept(t)
-			require.Equal(t, "out", s.Command(t)[2])
+			reserved := counter.waitForCalls(t, 1)
+			counter.release <- struct{}{}
+			serverConn := server.Accept(t)
+			require.Equal(t, "out", serverConn.Command(t)[2])
 			client.Say(t, Request("w1", "write", 4000)+Request("w2", "read", 4000)+Request("w3", "keyed", 4000))
-			k.made(t, 4)
+			counter.waitForCalls(t, 4)
 			_ = client.TCP.Close()
-			time.Sleep(soon)
-			s.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
-			close(k.free)
-			server.None(t, soon)
-			s.Quiet(t, soon)
-			k.comesTo(t, 3*unit)
+			time.Sleep(discardDelay)
+			serverConn.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+			close(counter.release)
+			server.None(t, discardDelay)
+			serverConn.Quiet(t, discardDelay)
+			counter.requireTotal(t, 3*reserved)
 		},
-		"many clients, all waiting for the counter": func(t *testing.T, config *settings.Config, server *Peer, k *counter) {
+		"many clients, all waiting for the counter": func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub) {
 			config.Sockets = 1024
 			r := Start(t, config)
-			const many = 200
-			clients := make([]*Conn, many)
+			const clientCount = 200
+			clients := make([]*Conn, clientCount)
 			for i := range clients {
 				clients[i] = r.Dial(t)
 				clients[i].Say(t, Request(fmt.Sprint("many", i), "write", 4000))
 			}
-			k.made(t, many)
+			counter.waitForCalls(t, clientCount)
 			for i, c := range clients {
 				if i%2 == 0 {
 					c.Reset()
@@ -158,58 +158,58 @@
 					_ = c.TCP.Close()
 				}
 			}
-			time.Sleep(soon)
-			close(k.free)
-			server.None(t, soon)
-			k.comesTo(t, 0)
+			time.Sleep(discardDelay)
+			close(counter.release)
+			server.None(t, discardDelay)
+			counter.requireTotal(t, 0)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := Listen(t)
 			config := Config(server)
-			play(t, config, server, counts(t, config))
+			run(t, config, server, startCounterStub(t, config))
 		})
 	}
 }
 
-// serves answers each request on each connection until the test ends.
-func serves(p *Peer) {
+// serveAll answers each request on each connection until the test ends.
+func serveAll(p *Peer) {
 	for c, err := p.ln.Accept(); err == nil; c, err = p.ln.Accept() {
 		go func() {
 			b := make([]byte, 1<<16)
 			for n, err := c.Read(b); err == nil; n, err = c.Read(b) {
-				_, _ = io.WriteString(c, strings.Repeat(Served("value"), strings.Count(string(b[:n]), "SVC.")))
+				_, _ = io.WriteString(c, strings.Repeat(ServedAnswer("value"), strings.Count(string(b[:n]), "SVC.")))
 			}
 		}()
 	}
 }
 
-func descriptors(t *testing.T) int {
+func openDescriptors(t *testing.T) int {
 	t.Helper()
 	list, err := os.ReadDir("/proc/self/fd")
 	require.NoError(t, err)
 	return len(list)
 }
 
-// TestBadClients: beside floods, and after hundreds of clients that send nonsense, half a value or much at once and
+// TestMisbehavingClients: beside floods, and after hundreds of clients that send nonsense, half a value or much at once and
 // go, or never read, others are served, and nothing of it stays: no descriptor, no goroutine, no place at the gate, no
 // memory.
-func TestBadClients(t *testing.T) {
+func TestMisbehavingClients(t *testing.T) {
 	server := Listen(t)
-	go serves(server)
+	go serveAll(server)
 	config := Config(server)
 	config.Sockets, config.Memory = 64, 1<<23
 	config.Settings.Plans["plain"].Rate = 0
 	r := Start(t, config)
-	served := func(id string) {
+	requireServed := func(id string) {
 		t.Helper()
 		c := r.Dial(t)
 		defer func() { _ = c.TCP.Close() }()
 		c.Say(t, Request(id, "read", 2000))
 		require.Equal(t, "$value", c.Answer(t))
 	}
-	served("first")
-	goroutines, held := runtime.NumGoroutine(), descriptors(t)
+	requireServed("first")
+	goroutinesBefore, descriptorsBefore := runtime.NumGoroutine(), openDescriptors(t)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -229,12 +229,12 @@
 		}()
 	}
 	for i := range 8 {
-		served(fmt.Sprint("beside", i))
+		requireServed(fmt.Sprint("beside", i))
 	}
 	for _, c := range flooders {
 		_ = c.TCP.Close()
 	}
-	bad := []string{
+	payloads := []string{
 		strings.Repeat("x", 1<<20),
 		"*5\r\n$10\r\nSVC.SUBMIT\r\n$65536\r\n" + strings.Repeat("y", 60000),
 		pings,
@@ -246,16 +246,18 @@
 		c, err := net.DialTimeout("tcp", r.Address, Patience)
 		require.NoError(t, err)
 		_ = c.SetWriteDeadline(time.Now().Add(Patience))
-		_, _ = io.WriteString(c, bad[i%len(bad)]) // it may be reset meanwhile
+		_, _ = io.WriteString(c, payloads[i%len(payloads)]) // it may be reset meanwhile
 		if i%3 == 0 {
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}
 		_ = c.Close()
 	}
-	served("last")
+	requireServed("last")
 	require.Eventually(
 		t,
-		func() bool { return descriptors(t) <= held+2 && runtime.NumGoroutine() <= goroutines+2 },
+		func() bool {
+			return openDescriptors(t) <= descriptorsBefore+2 && runtime.NumGoroutine() <= goroutinesBefore+2
+		},
 		2*Patience,
 		10*time.Millisecond,
 	)
@@ -263,9 +265,9 @@
 	runtime.ReadMemStats(&after)
 	t.Logf(
 		"descriptors %d, %d; goroutines %d, %d; heap %d, %d KB",
-		held,
-		descriptors(t),
-		goroutines,
+		descriptorsBefore,
+		openDescriptors(t),
+		goroutinesBefore,
 		runtime.NumGoroutine(),
 		before.HeapAlloc>>10,
 		after.HeapAlloc>>10,
--- a/internal/lab/testbed/evict_test.go
+++ b/internal/lab/testbed/evict_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEvictInUse: clients with open requests hold a quarter of the descriptors, and the server connections that serve
+// TestEvictOnlyIdleClients: clients with open requests hold a quarter of the descriptors, and the server connections that serve
 // them another. Room is made by closing clients that owe and are owed nothing, and only these; one request more is
 // rejected at once and never sent. Each open request is answered.
-func TestEvictInUse(t *testing.T) {
+func TestEvictOnlyIdleClients(t *testing.T) {
 	server := Listen(t)
 	config := Config(server)
 	config.Sockets = 64
@@ -33,8 +33,8 @@
 		serving.Reset() // so that each open request has a connection of its own
 		idle = append(idle, c)
 	}
-	const most = 64 / 4
-	var open [most]*Conn
+	const clientCount = 64 / 4
+	var open [clientCount]*Conn
 	serving := map[string]*Conn{}
 	for i := range open {
 		open[i] = r.Dial(t)
@@ -43,12 +43,12 @@
 		serving[c.Command(t)[2]] = c
 	}
 	for _, class := range classes {
-		one := r.Dial(t)
-		begun := time.Now()
-		one.Say(t, Request("more", class, 4000))
-		require.Regexp(t, "^-BUSY", one.Answer(t))
-		require.Less(t, time.Since(begun), time.Second)
-		idle = append(idle, one)
+		rejected := r.Dial(t)
+		start := time.Now()
+		rejected.Say(t, Request("more", class, 4000))
+		require.Regexp(t, "^-BUSY", rejected.Answer(t))
+		require.Less(t, time.Since(start), time.Second)
+		idle = append(idle, rejected)
 	}
 	for range 4 { // they say nothing
 		idle = append(idle, r.Dial(t))
@@ -66,28 +66,28 @@
 	}
 }
 
-// TestEvictGone: the list calls a server gone that has an attempt out. Its answer reaches the client; the connection
+// TestServerRemovedDuringAttempt: the list calls a server gone that has an attempt out. Its answer reaches the client; the connection
 // is closed and the server let go of only then.
-func TestEvictGone(t *testing.T) {
+func TestServerRemovedDuringAttempt(t *testing.T) {
 	for _, class := range []string{"read", "write", "keyed"} {
 		t.Run(class, func(t *testing.T) {
-			d := watch(t)
-			client := d.Dial(t)
+			f := newWatchFixture(t)
+			client := f.Dial(t)
 			client.Say(t, Request("out", class, 4000))
-			old := d.s0.Accept(t)
+			old := f.s0.Accept(t)
 			require.Equal(t, "out", old.Command(t)[2])
-			d.w.Say(t, sized(list(2, true, entry("s1", d.s1, "in_service", 0))))
-			require.Equal(t, "2", d.w.call(t))
-			d.serves(t, d.s1)
+			f.pollConn.Say(t, okResponse(listJSON(2, true, entryJSON("s1", f.s1, "in_service", 0))))
+			require.Equal(t, "2", f.pollConn.readPoll(t))
+			f.requireServed(t, f.s1)
 			old.Quiet(t, time.Millisecond)
 			old.Serve(t, "late")
 			require.Equal(t, "$late", client.Answer(t))
 			rest, err := old.Rest(t)
 			require.True(t, rest == "" && err == nil, "%q, %v", rest, err)
-			d.s0.None(t, time.Millisecond)
-			d.Sockets.Halt()
-			d.Finish(t, Patience)
-			pools := reflect.ValueOf(d.Limiter).Elem().FieldByName("servers").FieldByName("pools")
+			f.s0.None(t, time.Millisecond)
+			f.Sockets.Halt()
+			f.WaitDone(t, Patience)
+			pools := reflect.ValueOf(f.Limiter).Elem().FieldByName("servers").FieldByName("pools")
 			require.Equal(t, 1, pools.Len(), "%v", pools.MapKeys())
 		})
 	}
--- a/internal/lab/testbed/idle_timers_test.go
+++ b/internal/lab/testbed/idle_timers_test.go
@@ -37,10 +37,10 @@
 // but 8 ms are left behind an answer that is in time; held up by the runtime, two in five were late.
 func TestTimersOnIdleProcess(t *testing.T) {
 	const (
-		rounds      = 24
-		mayBeHeldUp = rounds / 8
-		quietTimers = 80 // behind 60 the runtime's monitor looks every 10 ms
-		deadline    = 16 * time.Millisecond
+		rounds       = 24
+		maxLate      = rounds / 8
+		timerWakeups = 80 // behind 60 the runtime's monitor looks every 10 ms
+		deadline     = 16 * time.Millisecond
 	)
 	processors := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(processors)
@@ -50,7 +50,7 @@
 	answer := make([]byte, 256)
 	late := 0
 	for round := range rounds {
-		for range quietTimers {
+		for range timerWakeups {
 			time.Sleep(2 * time.Millisecond)
 		}
 		command := []byte(Request(fmt.Sprint("request-", round), "read", int(deadline.Milliseconds())))
@@ -65,5 +65,5 @@
 			late++
 		}
 	}
-	assert.LessOrEqual(t, late, mayBeHeldUp)
+	assert.LessOrEqual(t, late, maxLate)
 }
--- a/internal/lab/testbed/notification_test.go
+++ b/internal/lab/testbed/notification_test.go
@@ -22,61 +22,61 @@
 	"ospreycroft/internal/settings"
 )
 
-// failure is how the list service fails until it is back.
-type failure uint8
+// failureMode is how the list service fails until it is back.
+type failureMode uint8
 
 const (
-	refuses    failure = iota // it refuses connections
-	turnsAway                 // it answers calls with 503
-	breaksOff                 // it resets connections in the middle of its answers
-	stopsShort                // it says nothing behind its headers
-	saysNone                  // it answers no call, until the limiter gives it up
-	hangs                     // it resets the first connection and answers no call behind that
+	refusesConnections  failureMode = iota // it refuses connections
+	respondsUnavailable                    // it answers calls with 503
+	resetsMidResponse                      // it resets connections in the middle of its answers
+	stallsAfterHeaders                     // it says nothing behind its headers
+	neverResponds                          // it answers no call, until the limiter gives it up
+	resetsThenHangs                        // it resets the first connection and answers no call behind that
 )
 
 const (
 	// the longest dial time-out of a call for a list, which makes the longest sum of pauses
-	listDial     = 500 * time.Millisecond
-	listPlace    = 19                     // a limiter whose pauses are among the longest, by its place
-	notified     = 6 * time.Second        // when what the list service has counts as told, from when it can be reached
-	movedWithin  = 4 * time.Second        // the same from a move by SIGHUP to where it can be reached
-	drainGrace   = 250 * time.Millisecond // how long after that a server may still be sent to
-	quietBehind  = 300 * time.Millisecond // how long the servers are watched once a request has gone elsewhere
-	betweenCalls = 20 * time.Millisecond
-	aroundRetry  = 100 * time.Millisecond
-	moveAfter    = 1500 * time.Millisecond // the limiter has made its first call by then
-	mostOutage   = 15 * time.Second
+	pollDialTimeout     = 500 * time.Millisecond
+	limiterPosition     = 19                     // a limiter whose pauses are among the longest, by its place
+	notificationTimeout = 6 * time.Second        // when what the list service has counts as told, from when it can be reached
+	moveTimeout         = 4 * time.Second        // the same from a move by SIGHUP to where it can be reached
+	drainGrace          = 250 * time.Millisecond // how long after that a server may still be sent to
+	observationTime     = 300 * time.Millisecond // how long the servers are watched once a request has gone elsewhere
+	requestInterval     = 20 * time.Millisecond
+	retryOffset         = 100 * time.Millisecond
+	moveDelay           = 1500 * time.Millisecond // the limiter has made its first call by then
+	maxOutage           = 15 * time.Second
 )
 
 // outage is a list service that fails until shift before or behind the time at which the limiter is due to try again
 // for the retry-th time. From then on it answers calls with news that it has had all the time. A call that it has not
 // answered by then is never answered.
 type outage struct {
-	failure failure
-	retry   int
-	shift   time.Duration
-	every   int64 // how often the limiter asks
-	address string
-	news    string // set before the limiter starts
+	mode         failureMode
+	retryNumber  int
+	shift        time.Duration
+	pollInterval int64 // how often the limiter asks
+	address      string
+	listBody     string // set before the limiter starts
 
-	mutex  sync.Mutex
-	fd     int              // the socket, bound to its address: it refuses connections until it listens
-	pacer  *pollpacer.Pacer // a copy of the limiter's, which tells when that is due
-	whole  bool             // the limiter asks for the whole list
-	failed int
-	back   time.Time // zero until it is known
+	mutex         sync.Mutex
+	fd            int              // the socket, bound to its address: it refuses connections until it listens
+	pacer         *pollpacer.Pacer // a copy of the limiter's, which tells when that is due
+	pollsFullList bool             // the limiter asks for the whole list
+	failedPolls   int
+	recoveredAt   time.Time // zero until it is known
 }
 
-func newOutage(t *testing.T, every int64, f failure, retry int, shift time.Duration) *outage {
+func newOutage(t *testing.T, pollInterval int64, mode failureMode, retryNumber int, shift time.Duration) *outage {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	bound, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
-	o := &outage{failure: f, retry: retry, shift: shift, fd: fd, every: every,
+	o := &outage{mode: mode, retryNumber: retryNumber, shift: shift, fd: fd, pollInterval: pollInterval,
 		address: fmt.Sprint("127.0.0.1:", bound.(*syscall.SockaddrInet4).Port),
-		pacer:   pollpacer.New(0, int64(listDial), listPlace, every)}
+		pacer:   pollpacer.New(0, int64(pollDialTimeout), limiterPosition, pollInterval)}
 	t.Cleanup(func() {
 		o.mutex.Lock()
 		defer o.mutex.Unlock()
@@ -103,106 +103,106 @@
 	}
 }
 
-// refused plays the refused dials in advance, the first of which comes at first: nobody sees them.
-func (o *outage) refused(t *testing.T, first time.Time) {
+// scheduleListen plays the scheduleListen dials in advance, the first of which comes at first: nobody sees them.
+func (o *outage) scheduleListen(t *testing.T, first time.Time) {
 	o.mutex.Lock()
 	due := first
-	for range o.retry {
+	for range o.retryNumber {
 		due = due.Add(time.Duration(o.pacer.RetryDelay(due.UnixNano(), pollpacer.Failed)))
 	}
-	o.back = due.Add(o.shift)
-	opens := time.AfterFunc(time.Until(o.back), func() { o.listen(t) })
+	o.recoveredAt = due.Add(o.shift)
+	timer := time.AfterFunc(time.Until(o.recoveredAt), func() { o.listen(t) })
 	o.mutex.Unlock()
-	t.Cleanup(func() { opens.Stop() })
+	t.Cleanup(func() { timer.Stop() })
 }
 
-// moved has the limiter ask here for the whole list from now on.
-func (o *outage) moved(now time.Time) {
+// serviceMoved has the limiter ask here for the whole list from now on.
+func (o *outage) serviceMoved(now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.whole = true
+	o.pollsFullList = true
 	o.pacer.ServiceMoved(now.UnixNano())
 }
 
-// returns has the service answer from now on.
-func (o *outage) returns(now time.Time) {
+// recoverAt has the service answer from now on.
+func (o *outage) recoverAt(now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.back = now
+	o.recoveredAt = now
 }
 
-// isBack tells whether the service answers, and when it has begun to.
-func (o *outage) isBack() (time.Time, bool) {
+// recovered tells whether the service answers, and when it has begun to.
+func (o *outage) recovered() (time.Time, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.back, !o.back.IsZero() && !time.Now().Before(o.back)
+	return o.recoveredAt, !o.recoveredAt.IsZero() && !time.Now().Before(o.recoveredAt)
 }
 
 // serve answers the calls of one connection.
 func (o *outage) serve(c *net.TCPConn) {
 	in := bufio.NewReader(c)
 	for {
-		call := ""
+		poll := ""
 		for line := "-"; line != ""; {
 			text, err := in.ReadString('\n')
 			if err != nil {
 				return
 			}
 			line = strings.TrimSpace(text)
-			call += line
+			poll += line
 		}
-		switch _, back := o.isBack(); {
-		case strings.Contains(call, "from=9"): // it has the news
-		case back:
-			_, _ = io.WriteString(c, sized(o.news))
+		switch _, up := o.recovered(); {
+		case strings.Contains(poll, "from=9"): // it has the news
+		case up:
+			_, _ = io.WriteString(c, okResponse(o.listBody))
 		default:
-			o.fail(c)
+			o.respondFailing(c)
 		}
 	}
 }
 
-// fail answers one call as the failure has it.
-func (o *outage) fail(c *net.TCPConn) {
-	answer := sized(o.news)
-	head := strings.Index(answer, "\r\n\r\n") + 4
-	switch o.note(time.Now()) {
-	case turnsAway:
+// respondFailing answers one call as the failure has it.
+func (o *outage) respondFailing(c *net.TCPConn) {
+	answer := okResponse(o.listBody)
+	headerLength := strings.Index(answer, "\r\n\r\n") + 4
+	switch o.recordFailure(time.Now()) {
+	case respondsUnavailable:
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-	case stopsShort:
-		_, _ = io.WriteString(c, answer[:head])
-	case breaksOff:
-		_, _ = io.WriteString(c, answer[:head+40])
+	case stallsAfterHeaders:
+		_, _ = io.WriteString(c, answer[:headerLength])
+	case resetsMidResponse:
+		_, _ = io.WriteString(c, answer[:headerLength+40])
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
 }
 
-// note counts a call that fails now, finds out when the limiter is due to try again, and tells how the call fails.
-func (o *outage) note(now time.Time) failure {
+// recordFailure counts a call that fails now, finds out when the limiter is due to try again, and tells how the call fails.
+func (o *outage) recordFailure(now time.Time) failureMode {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	failure := o.failure
-	if failure == hangs && o.failed == 0 {
-		failure = breaksOff
+	mode := o.mode
+	if mode == resetsThenHangs && o.failedPolls == 0 {
+		mode = resetsMidResponse
 	}
-	_, limit := o.pacer.NextPoll(now.UnixNano(), o.whole)
-	ends, end := now, pollpacer.Failed
-	switch failure {
-	case turnsAway:
-		end = pollpacer.Throttled
-	case stopsShort:
-		ends = now.Add(time.Duration(o.pacer.PartialResponseTimeout()))
-	case saysNone, hangs:
-		ends = now.Add(time.Duration(limit))
+	_, limit := o.pacer.NextPoll(now.UnixNano(), o.pollsFullList)
+	endedAt, reason := now, pollpacer.Failed
+	switch mode {
+	case respondsUnavailable:
+		reason = pollpacer.Throttled
+	case stallsAfterHeaders:
+		endedAt = now.Add(time.Duration(o.pacer.PartialResponseTimeout()))
+	case neverResponds, resetsThenHangs:
+		endedAt = now.Add(time.Duration(limit))
 	}
-	due := ends.Add(time.Duration(o.pacer.RetryDelay(ends.UnixNano(), end)))
-	if o.failed++; o.failed == o.retry {
-		o.back = due.Add(o.shift)
-		if o.back.Before(now) {
-			o.back = now
+	due := endedAt.Add(time.Duration(o.pacer.RetryDelay(endedAt.UnixNano(), reason)))
+	if o.failedPolls++; o.failedPolls == o.retryNumber {
+		o.recoveredAt = due.Add(o.shift)
+		if o.recoveredAt.Before(now) {
+			o.recoveredAt = now
 		}
 	}
-	return failure
+	return mode
 }
 
 // acceptAll serves all connections, and ends them with the test.
@@ -231,31 +231,31 @@
 	})
 }
 
-// counting is a server that serves all that comes and notes when it came.
-type counting struct {
+// recordingServer is a server that serves all that comes and notes when it came.
+type recordingServer struct {
 	*Peer
-	mutex  sync.Mutex
-	served []time.Time
+	mutex      sync.Mutex
+	receivedAt []time.Time
 }
 
-func serving(t *testing.T) *counting {
+func startRecordingServer(t *testing.T) *recordingServer {
 	t.Helper()
-	s := &counting{Peer: Listen(t)}
+	s := &recordingServer{Peer: Listen(t)}
 	acceptAll(t, s.ln, s.serve)
 	return s
 }
 
 // serve answers commands until the connection ends.
-func (s *counting) serve(c *net.TCPConn) {
+func (s *recordingServer) serve(c *net.TCPConn) {
 	in := bufio.NewReader(c)
 	for {
-		words, err := size(in, '*')
+		words, err := readLength(in, '*')
 		if err != nil {
 			return
 		}
-		came := time.Now()
+		received := time.Now()
 		for range words {
-			n, err := size(in, '$')
+			n, err := readLength(in, '$')
 			if err != nil {
 				return
 			}
@@ -264,87 +264,87 @@
 			}
 		}
 		s.mutex.Lock()
-		s.served = append(s.served, came)
+		s.receivedAt = append(s.receivedAt, received)
 		s.mutex.Unlock()
-		_, _ = io.WriteString(c, Served("value"))
+		_, _ = io.WriteString(c, ServedAnswer("value"))
 	}
 }
 
-// size reads a line of a mark and a number.
-func size(in *bufio.Reader, mark byte) (int, error) {
+// readLength reads a line of a mark and a number.
+func readLength(in *bufio.Reader, prefix byte) (int, error) {
 	line, err := in.ReadString('\n')
-	if err != nil || line[0] != mark {
+	if err != nil || line[0] != prefix {
 		return 0, cmp.Or(err, io.ErrUnexpectedEOF)
 	}
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
 
-// last is when the latest request came, and how many there were.
-func (s *counting) last() (at time.Time, n int) {
+// lastRequest is when the latest request came, and how many there were.
+func (s *recordingServer) lastRequest() (at time.Time, count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if n = len(s.served); n > 0 {
-		at = s.served[n-1]
+	if count = len(s.receivedAt); count > 0 {
+		at = s.receivedAt[count-1]
 	}
-	return at, n
+	return at, count
 }
 
-// bed is a limiter that knows s0, before requests and an outage.
-type bed struct {
+// outageFixture is a limiter that knows s0, before requests and an outage.
+type outageFixture struct {
 	*Rig
-	s0, s1 *counting
-	client *Conn
-	begun  time.Time
+	s0, s1    *recordingServer
+	client    *Conn
+	startedAt time.Time
 }
 
 // start starts a limiter that has its list service at an address, for requests and a list that says that s0 drains or
 // is gone.
-func (o *outage) start(t *testing.T, at string, gone bool) *bed {
+func (o *outage) start(t *testing.T, address string, gone bool) *outageFixture {
 	t.Helper()
-	b := &bed{s0: serving(t), s1: serving(t)}
+	f := &outageFixture{s0: startRecordingServer(t), s1: startRecordingServer(t)}
 	lifecycle := "terminating"
 	if gone {
 		lifecycle = "terminated"
 	}
-	o.news = list(9, true, entry("s0", b.s0.Peer, lifecycle, 0), entry("s1", b.s1.Peer, "in_service", 0))
-	config := Config(b.s0.Peer)
-	config.Discovery = at
-	config.Settings.PollInterval, config.Settings.DialTimeout = o.every, int64(listDial)
-	config.Settings.Position, config.Settings.Limiters = listPlace, listPlace+1
-	b.begun = time.Now()
-	b.Rig = Start(t, config)
-	b.client = b.Dial(t)
-	return b
+	o.listBody = listJSON(9, true, entryJSON("s0", f.s0.Peer, lifecycle, 0), entryJSON("s1", f.s1.Peer, "in_service", 0))
+	config := Config(f.s0.Peer)
+	config.Discovery = address
+	config.Settings.PollInterval, config.Settings.DialTimeout = o.pollInterval, int64(pollDialTimeout)
+	config.Settings.Position, config.Settings.Limiters = limiterPosition, limiterPosition+1
+	f.startedAt = time.Now()
+	f.Rig = Start(t, config)
+	f.client = f.Dial(t)
+	return f
 }
 
-// request has one request served.
-func (b *bed) request(t *testing.T) {
+// serveRequest has one serveRequest served.
+func (f *outageFixture) serveRequest(t *testing.T) {
 	t.Helper()
-	_, n := b.s0.last()
-	_, m := b.s1.last()
-	b.client.Say(t, Request(fmt.Sprint("id-", n+m), "read", 2000))
-	require.Equal(t, "$value", b.client.Answer(t))
-	time.Sleep(betweenCalls)
+	_, countS0 := f.s0.lastRequest()
+	_, countS1 := f.s1.lastRequest()
+	f.client.Say(t, Request(fmt.Sprint("id-", countS0+countS1), "read", 2000))
+	require.Equal(t, "$value", f.client.Answer(t))
+	time.Sleep(requestInterval)
 }
 
-// acted has requests come until one has gone to s1 and for a while behind that. None may reach s0 later than the
+// requireSwitch has requests come until one has gone to s1 and for a while behind that. None may reach s0 later than the
 // deadline, once that is known.
-func (b *bed) acted(t *testing.T, deadline func() (at time.Time, known bool)) {
+func (f *outageFixture) requireSwitch(t *testing.T, deadline func() (at time.Time, known bool)) {
 	t.Helper()
-	ends := time.Now().Add(mostOutage)
-	for elsewhere := false; time.Now().Before(ends); b.request(t) {
-		if _, n := b.s1.last(); n > 0 && !elsewhere {
-			elsewhere, ends = true, time.Now().Add(quietBehind)
+	end := time.Now().Add(maxOutage)
+	for switched := false; time.Now().Before(end); f.serveRequest(t) {
+		if _, n := f.s1.lastRequest(); n > 0 && !switched {
+			switched, end = true, time.Now().Add(observationTime)
 		}
-		if at, known := deadline(); known && !elsewhere && time.Now().After(at) {
+		if at, known := deadline(); known && !switched && time.Now().After(at) {
 			break
 		}
 	}
 	at, known := deadline()
 	require.True(t, known, "the list service has never been back")
-	last, n := b.s0.last()
-	_, there := b.s1.last()
-	require.True(t, n > 0 && there > 0, "%d requests to s0, %d to s1, %v behind the deadline", n, there, time.Since(at))
+	last, countS0 := f.s0.lastRequest()
+	_, countS1 := f.s1.lastRequest()
+	require.True(t, countS0 > 0 && countS1 > 0, "%d requests to s0, %d to s1, %v behind the deadline", countS0, countS1, time.Since(at))
 	require.False(t, last.After(at), "the last request to s0 came %v behind the deadline", last.Sub(at))
 	t.Logf("the last request to s0 came %v before the deadline", at.Sub(last).Round(time.Millisecond))
 }
@@ -355,88 +355,88 @@
 // agent has fallen silent.
 func TestNotificationDeadline(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		failure failure
-		every   time.Duration
-		retry   int
+		name         string
+		failure      failureMode
+		pollInterval time.Duration
+		retryNumber  int
 	}{
-		{"asked, refused", refuses, 2 * time.Second, 5},
-		{"asked, 503", turnsAway, 2 * time.Second, 1},
-		{"asked, reset in the middle of the answer", breaksOff, 2 * time.Second, 4},
-		{"asked, silent behind the headers", stopsShort, 2 * time.Second, 2},
-		{"asked, given up", saysNone, 2 * time.Second, 1},
-		{"asked, reset and then given up", hangs, 10 * time.Second, 1},
-		{"pushed, refused", refuses, 0, 9},
-		{"pushed, 503", turnsAway, 0, 9},
-		{"pushed, reset in the middle of the answer", breaksOff, 0, 9},
-		{"pushed, silent behind the headers", stopsShort, 0, 2},
-		{"pushed, given up", saysNone, 0, 1},
+		{"asked, refused", refusesConnections, 2 * time.Second, 5},
+		{"asked, 503", respondsUnavailable, 2 * time.Second, 1},
+		{"asked, reset in the middle of the answer", resetsMidResponse, 2 * time.Second, 4},
+		{"asked, silent behind the headers", stallsAfterHeaders, 2 * time.Second, 2},
+		{"asked, given up", neverResponds, 2 * time.Second, 1},
+		{"asked, reset and then given up", resetsThenHangs, 10 * time.Second, 1},
+		{"pushed, refused", refusesConnections, 0, 9},
+		{"pushed, 503", respondsUnavailable, 0, 9},
+		{"pushed, reset in the middle of the answer", resetsMidResponse, 0, 9},
+		{"pushed, silent behind the headers", stallsAfterHeaders, 0, 2},
+		{"pushed, given up", neverResponds, 0, 1},
 	} {
-		for _, shift := range []time.Duration{-aroundRetry, aroundRetry} {
+		for _, shift := range []time.Duration{-retryOffset, retryOffset} {
 			t.Run(fmt.Sprintf("%s, back %v from a retry", c.name, shift), func(t *testing.T) {
 				t.Parallel()
-				o := newOutage(t, int64(c.every), c.failure, c.retry, shift)
-				if c.failure != refuses {
+				o := newOutage(t, int64(c.pollInterval), c.failure, c.retryNumber, shift)
+				if c.failure != refusesConnections {
 					o.listen(t)
 				}
-				b := o.start(t, o.address, shift < 0)
-				if c.failure == refuses {
-					o.refused(t, b.begun.Add(time.Duration(o.pacer.FirstDelay())))
+				f := o.start(t, o.address, shift < 0)
+				if c.failure == refusesConnections {
+					o.scheduleListen(t, f.startedAt.Add(time.Duration(o.pacer.FirstDelay())))
 				}
-				within := notified
-				if c.every == 0 && c.failure < stopsShort {
-					within = 0
+				timeout := notificationTimeout
+				if c.pollInterval == 0 && c.failure < stallsAfterHeaders {
+					timeout = 0
 				}
-				b.acted(t, func() (time.Time, bool) {
-					back, is := o.isBack()
-					return back.Add(within + drainGrace), is
+				f.requireSwitch(t, func() (time.Time, bool) {
+					recoveredAt, known := o.recovered()
+					return recoveredAt.Add(timeout + drainGrace), known
 				})
 			})
 		}
 	}
 }
 
-// TestNotificationMoved moves the list service by SIGHUP in the middle of an outage: to where it can be reached, whose
+// TestNotificationDeadlineAfterMove moves the list service by SIGHUP in the middle of an outage: to where it can be reached, whose
 // news has to be acted on 4 s after the move, or to where it fails in the same way, from whose return on the ordinary
 // deadline holds.
-func TestNotificationMoved(t *testing.T) {
-	for _, every := range []time.Duration{2 * time.Second, 0} {
-		for f := refuses; f <= saysNone; f++ {
-			for _, shift := range []time.Duration{0, -aroundRetry, aroundRetry} {
+func TestNotificationDeadlineAfterMove(t *testing.T) {
+	for _, pollInterval := range []time.Duration{2 * time.Second, 0} {
+		for mode := refusesConnections; mode <= neverResponds; mode++ {
+			for _, shift := range []time.Duration{0, -retryOffset, retryOffset} {
 				t.Run(
-					fmt.Sprintf("asked every %v, failure %d, back %v from a retry", every, f, shift),
+					fmt.Sprintf("asked every %v, failure %d, back %v from a retry", pollInterval, mode, shift),
 					func(t *testing.T) {
 						t.Parallel()
 						first, next := newOutage(
 							t,
-							int64(every),
-							f,
+							int64(pollInterval),
+							mode,
 							math.MaxInt,
 							0,
 						), newOutage(
 							t,
-							int64(every),
-							f,
+							int64(pollInterval),
+							mode,
 							1,
 							shift,
 						)
-						b := next.start(t, first.address, shift < 0)
-						if first.news = next.news; f != refuses {
+						f := next.start(t, first.address, shift < 0)
+						if first.listBody = next.listBody; mode != refusesConnections {
 							first.listen(t)
 							next.listen(t)
 						}
-						for moves := b.begun.Add(moveAfter); time.Now().Before(moves); {
-							b.request(t)
+						for moveAt := f.startedAt.Add(moveDelay); time.Now().Before(moveAt); {
+							f.serveRequest(t)
 						}
-						b.moveTo(t, next)
+						f.moveDiscovery(t, next)
 						deadline := func() (time.Time, bool) {
-							back, is := next.isBack()
-							return back.Add(notified + drainGrace), is
+							recoveredAt, known := next.recovered()
+							return recoveredAt.Add(notificationTimeout + drainGrace), known
 						}
-						if moved := time.Now(); shift == 0 {
-							deadline = func() (time.Time, bool) { return moved.Add(movedWithin + drainGrace), true }
+						if movedAt := time.Now(); shift == 0 {
+							deadline = func() (time.Time, bool) { return movedAt.Add(moveTimeout + drainGrace), true }
 						}
-						b.acted(t, deadline)
+						f.requireSwitch(t, deadline)
 					},
 				)
 			}
@@ -444,19 +444,19 @@
 	}
 }
 
-// moveTo moves the list service to another address. Without a shift it can be reached there.
-func (b *bed) moveTo(t *testing.T, next *outage) {
+// moveDiscovery moves the list service to another address. Without a shift it can be reached there.
+func (f *outageFixture) moveDiscovery(t *testing.T, next *outage) {
 	t.Helper()
 	now := time.Now()
-	next.moved(now)
+	next.serviceMoved(now)
 	switch {
-	case next.shift == 0 && next.failure == refuses:
+	case next.shift == 0 && next.mode == refusesConnections:
 		next.listen(t)
-		next.returns(now)
+		next.recoverAt(now)
 	case next.shift == 0:
-		next.returns(now)
-	case next.failure == refuses:
-		next.refused(t, now)
+		next.recoverAt(now)
+	case next.mode == refusesConnections:
+		next.scheduleListen(t, now)
 	}
-	b.Renew(func(c *settings.Config) { c.Discovery = next.address })
+	f.Reload(func(c *settings.Config) { c.Discovery = next.address })
 }
--- a/internal/lab/testbed/renew_test.go
+++ b/internal/lab/testbed/reload_test.go
@@ -18,20 +18,20 @@
 	"ospreycroft/internal/settings"
 )
 
-// lines is a log that a test may read while the limiter writes it.
-type lines struct {
+// logBuffer is a log that a test may read while the limiter writes it.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(b)
 }
 
-// kept are the keys that the limiter has said it keeps, once it has said what it has read.
-func (l *lines) kept(t *testing.T) (keys []string) {
+// keptKeys are the keys that the limiter has said it keeps, once it has said what it has read.
+func (l *logBuffer) keptKeys(t *testing.T) (keys []string) {
 	t.Helper()
 	var text string
 	require.Eventually(t, func() bool {
@@ -41,47 +41,47 @@
 		return strings.Contains(text, "event=config-read")
 	}, Patience, time.Millisecond)
 	for line := range strings.Lines(text) {
-		if _, key, is := strings.Cut(strings.TrimSpace(line), "event=config-kept key="); is {
+		if _, key, found := strings.Cut(strings.TrimSpace(line), "event=config-kept key="); found {
 			keys = append(keys, strings.Trim(key, `"`))
 		}
 	}
 	return keys
 }
 
-// captureLog has the log lines written elsewhere, until the test ends.
-func captureLog(t *testing.T, to io.Writer) {
+// redirectLog has the log lines written elsewhere, until the test ends.
+func redirectLog(t *testing.T, w io.Writer) {
 	t.Helper()
 	previous := slog.Default()
 	t.Cleanup(func() { slog.SetDefault(previous) })
-	slog.SetDefault(slog.New(logging.NewHandler(to)))
+	slog.SetDefault(slog.New(logging.NewHandler(w)))
 }
 
-// hear takes the log for the test's time.
-func hear(t *testing.T) *lines {
-	l := &lines{}
-	captureLog(t, l)
-	return l
+// captureLog takes the log for the test's time.
+func captureLog(t *testing.T) *logBuffer {
+	b := &logBuffer{}
+	redirectLog(t, b)
+	return b
 }
 
-// TestRenewCounterGone brings a configuration without the counter and with another class, plan and limits: the
+// TestReloadWithoutCounter brings a configuration without the counter and with another class, plan and limits: the
 // settings that hold have a counter, so it is asked as before, on the line that it has, and each key that is not taken
 // is in the log.
-func TestRenewCounterGone(t *testing.T) {
-	said := hear(t)
+func TestReloadWithoutCounter(t *testing.T) {
+	logged := captureLog(t)
 	server, counter := Listen(t), Listen(t)
 	config := Config(server)
-	set := *config.Settings.Settings
-	set.CounterTimeout = int64(2 * time.Second)
+	base := *config.Settings.Settings
+	base.CounterTimeout = int64(2 * time.Second)
 	config.Counter, config.Settings = counter.Address, &settings.Settings{
-		Settings:  &set,
+		Settings:  &base,
 		IdleClose: config.Settings.IdleClose,
 	}
 	r := Start(t, config)
-	line, client := counter.Accept(t), r.Dial(t)
+	counterConn, client := counter.Accept(t), r.Dial(t)
 	serve := func(id string, c *Conn) *Conn {
 		client.Say(t, Request(id, "read", 2000))
-		require.True(t, strings.HasPrefix(line.Line(t), "tally "), "the counter is not asked")
-		line.Say(t, "ok 1\r\n")
+		require.True(t, strings.HasPrefix(counterConn.Line(t), "tally "), "the counter is not asked")
+		counterConn.Say(t, "ok 1\r\n")
 		if c == nil {
 			c = server.Accept(t)
 		}
@@ -92,12 +92,12 @@
 	}
 	c := serve("first", nil)
 	time.Sleep(50 * time.Millisecond) // the connection rests
-	r.Renew(func(next *settings.Config) {
-		other := set
+	r.Reload(func(next *settings.Config) {
+		other := base
 		other.CounterTimeout, other.MaxAttempts = 0, 9
 		other.Classes = map[string]*choice.Class{
-			"read":  set.Classes["read"],
-			"new":   set.Classes["read"],
+			"read":  base.Classes["read"],
+			"new":   base.Classes["read"],
 			"keyed": {LatencyObjective: 1, PriorityWeight: 1},
 		}
 		other.Plans = map[string]*choice.Plan{"plain": {}}
@@ -116,7 +116,7 @@
 			"settings: classes: write",
 			"settings: tariffs: plain",
 		},
-		said.kept(t),
+		logged.keptKeys(t),
 	)
 	serve("second", c)
 	counter.None(t, 20*time.Millisecond)
@@ -124,73 +124,73 @@
 	require.Equal(t, "-ERR unknown class", client.Answer(t))
 }
 
-// stall is a log in which the line that holds a word waits until it is let on: the reducer that writes it stands still.
-type stall struct {
-	word    string
-	stands  chan struct{}
+// blockingLog is a log in which the line that holds a word waits until it is let on: the reducer that writes it stands still.
+type blockingLog struct {
+	trigger string
+	blocked chan struct{}
 	release chan struct{}
 }
 
-func (s *stall) Write(b []byte) (int, error) {
-	if strings.Contains(string(b), s.word) {
-		close(s.stands)
+func (s *blockingLog) Write(b []byte) (int, error) {
+	if strings.Contains(string(b), s.trigger) {
+		close(s.blocked)
 		<-s.release
 	}
 	return len(b), nil
 }
 
-// TestStoodStill holds the reducer for longer than the grace, though not for two dial time-outs. Meanwhile a request
+// TestBlockedReducerPollsBeforeForwarding holds the reducer for longer than the grace, though not for two dial time-outs. Meanwhile a request
 // comes, and behind it the word that the only server drains. On waking the request is read first: the list has to be
 // known before it is sent on.
-func TestStoodStill(t *testing.T) {
-	for _, c := range []struct{ dial, grace, still time.Duration }{
+func TestBlockedReducerPollsBeforeForwarding(t *testing.T) {
+	for _, c := range []struct{ dialTimeout, drainGrace, block time.Duration }{
 		{250 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond},
 		{2 * time.Second, 100 * time.Millisecond, 300 * time.Millisecond}, // dials take long, and drains are quick
 	} {
-		server, disco := Listen(t), Listen(t)
+		server, discovery := Listen(t), Listen(t)
 		config := Config(server)
-		set := *config.Settings.Settings
-		set.DialTimeout = int64(c.dial)
-		config.Discovery = disco.Address
+		base := *config.Settings.Settings
+		base.DialTimeout = int64(c.dialTimeout)
+		config.Discovery = discovery.Address
 		config.Settings = &settings.Settings{
-			Settings:   &set,
+			Settings:   &base,
 			IdleClose:  config.Settings.IdleClose,
-			DrainGrace: int64(c.grace),
+			DrainGrace: int64(c.drainGrace),
 		}
 		r := Start(t, config)
-		watch, client := disco.Accept(t), r.Dial(t)
-		watch.call(t)
+		poll, client := discovery.Accept(t), r.Dial(t)
+		poll.readPoll(t)
 		client.Say(t, Request("first", "read", 2000))
 		conn := server.Accept(t)
 		conn.Command(t)
 		conn.Serve(t, "value")
 		require.Equal(t, "$value", client.Answer(t))
 		time.Sleep(50 * time.Millisecond) // the connection rests
-		s := &stall{word: "event=config-read", stands: make(chan struct{}), release: make(chan struct{})}
-		captureLog(t, s)
-		r.Renew(func(*settings.Config) {})
-		<-s.stands
+		s := &blockingLog{trigger: "event=config-read", blocked: make(chan struct{}), release: make(chan struct{})}
+		redirectLog(t, s)
+		r.Reload(func(*settings.Config) {})
+		<-s.blocked
 		body := `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"terminating"}]}`
-		drains := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		drainResponse := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		client.Say(t, Request("second", "read", 2000))
 		time.Sleep(20 * time.Millisecond) // it is read before the list
-		watch.Say(t, drains)
-		time.Sleep(c.still)
+		poll.Say(t, drainResponse)
+		time.Sleep(c.block)
 		close(s.release)
-		anew := disco.Accept(t)
-		anew.call(t)
-		anew.Say(t, drains)
+		newPoll := discovery.Accept(t)
+		newPoll.readPoll(t)
+		newPoll.Say(t, drainResponse)
 		sent, err := conn.Rest(t)
 		require.NoError(t, err)
 		require.Empty(t, sent, "it was sent on behind the grace")
 		require.Regexp(t, "^-BUSY", client.Answer(t))
 		client.Reset()
 		r.Stop()
-		defer r.Finish(t, Patience) // in order: it dials as it ends, which Halt does not wait for
+		defer r.WaitDone(t, Patience) // in order: it dials as it ends, which Halt does not wait for
 	}
 }
 
-const plainConfig = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","counter":%q,"seed":"ff",
+const configTemplate = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","counter":%q,"seed":"ff",
 	"limits":{"memory_mb":192,"sockets":1024},"known":%s,"settings":{"balancers":1,"classes":[
 	{"name":"read","aim":1,"effect":"free"},{"name":"write","aim":1,"effect":"single_shot"},
 	{"name":"keyed","aim":1,"effect":"guarded","group":"all","dedup-window":5}],
@@ -198,9 +198,9 @@
 	"contract":{"cold-from":0.5,"warm-within":10,"stop-sending-within":0.25},
 	"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15,"cancelling":true},"granularity":0.004}}`
 
-// TestOddSettings starts a whole limiter with each setting that is odd and accepted. It answers a request of each
+// TestExtremeSettings starts a whole limiter with each setting that is odd and accepted. It answers a request of each
 // class: served, but where that setting leaves no time or no quota rejected.
-func TestOddSettings(t *testing.T) {
+func TestExtremeSettings(t *testing.T) {
 	const served, rejected, either = `^\$value$`, `^-BUSY`, `^(\$value$|-BUSY)`
 	for _, c := range []struct{ old, new, answer string }{
 		{`"aim":1,`, `"aim":1e-4,`, either}, {`"aim":1,`, `"aim":1e8,`, served},
@@ -237,7 +237,7 @@
 		server, counter := Listen(t), Listen(t)
 		known := fmt.Sprintf(`{"generation":1,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"in_service",`+
 			`"startedAtMs":0}]}`, server.Address)
-		text := fmt.Sprintf(plainConfig, counter.Address, known)
+		text := fmt.Sprintf(configTemplate, counter.Address, known)
 		require.Contains(t, text, c.old)
 		config, err := settings.DecodeConfig([]byte(strings.Replace(text, c.old, c.new, 1)))
 		require.NoError(t, err)
@@ -247,7 +247,7 @@
 				go func() {
 					defer func() { _ = conn.Close() }()
 					_ = emulator.Commands(conn, func([][]byte) bool {
-						_, err := io.WriteString(conn, Served("value"))
+						_, err := io.WriteString(conn, ServedAnswer("value"))
 						return err == nil
 					})
 				}()
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -35,19 +35,19 @@
 // Patience is how long a test waits for what must happen.
 const Patience = 5 * time.Second
 
-// manyDescriptors: nbio's table is the process's, and limiters that have finished keep theirs until the tests end.
-const manyDescriptors = 1 << 13
+// maxDescriptors: nbio's table is the process's, and limiters that have finished keep theirs until the tests end.
+const maxDescriptors = 1 << 13
 
 // Rig is a running limiter.
 type Rig struct {
-	Address string
-	Limiter *limiter.Limiter // the reducer's own: only to be looked at before Stop or after Ended
-	Sockets *sockets.Sockets
-	stop    sync.Once
-	stopped chan struct{}
-	ended   chan struct{}
-	renewed chan *settings.Config
-	config  settings.Config
+	Address       string
+	Limiter       *limiter.Limiter // the reducer's own: only to be looked at before Stop or after Ended
+	Sockets       *sockets.Sockets
+	stopOnce      sync.Once
+	stopRequested chan struct{}
+	done          chan struct{}
+	reloads       chan *settings.Config
+	config        settings.Config
 }
 
 // Config is a configuration for these servers, named s0, s1 and so on: classes read (idempotent), write
@@ -83,31 +83,31 @@
 			DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: 2 * second, CanCancel: true, TimerResolution: 4e6}}}
 }
 
-var starting sync.Mutex
+var startMutex sync.Mutex
 
 // Start starts a limiter and ends it with the test, whether all was answered or not.
 func Start(t T, config *settings.Config) *Rig {
 	t.Helper()
-	starting.Lock() // nbio is set up by a variable of its package
-	defer starting.Unlock()
-	r := &Rig{Address: KeepPort(t).Address(), stopped: make(chan struct{}), ended: make(chan struct{}),
-		renewed: make(chan *settings.Config), config: *config}
+	startMutex.Lock() // nbio is set up by a variable of its package
+	defer startMutex.Unlock()
+	r := &Rig{Address: KeepPort(t).Address(), stopRequested: make(chan struct{}), done: make(chan struct{}),
+		reloads: make(chan *settings.Config), config: *config}
 	var err error
-	r.Sockets, err = sockets.Listen(r.Address, limiter.MaxClients(config), manyDescriptors)
+	r.Sockets, err = sockets.Listen(r.Address, limiter.MaxClients(config), maxDescriptors)
 	require.NoError(t, err)
 	start := time.Now()
 	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 	r.Limiter, err = limiter.New(clock(), config, r.Sockets)
 	require.NoError(t, err)
 	go func() {
-		r.Sockets.Run(clock, r.Limiter, r.stopped, r.renewed)
-		close(r.ended)
+		r.Sockets.Run(clock, r.Limiter, r.stopRequested, r.reloads)
+		close(r.done)
 	}()
 	t.Cleanup(func() {
 		r.Stop()
 		r.Sockets.Halt()
 		select {
-		case <-r.ended:
+		case <-r.done:
 		case <-time.After(Patience): // seen once: nbio waits for good for a connection to close as it stops
 		}
 	})
@@ -115,23 +115,23 @@
 }
 
 // Stop is SIGTERM; a second one changes nothing.
-func (r *Rig) Stop() { r.stop.Do(func() { close(r.stopped) }) }
+func (r *Rig) Stop() { r.stopOnce.Do(func() { close(r.stopRequested) }) }
 
-// Renew is SIGHUP with a configuration that change has changed.
-func (r *Rig) Renew(change func(*settings.Config)) {
+// Reload is SIGHUP with a configuration that change has changed.
+func (r *Rig) Reload(change func(*settings.Config)) {
 	next := r.config
 	change(&next)
-	r.renewed <- &next
+	r.reloads <- &next
 }
 
-// Ended is closed once the limiter has finished.
-func (r *Rig) Ended() <-chan struct{} { return r.ended }
+// Done is closed once the limiter has finished.
+func (r *Rig) Done() <-chan struct{} { return r.done }
 
-// Finish waits until the limiter has finished.
-func (r *Rig) Finish(t T, within time.Duration) {
+// WaitDone waits until the limiter has finished.
+func (r *Rig) WaitDone(t T, within time.Duration) {
 	t.Helper()
 	select {
-	case <-r.ended:
+	case <-r.done:
 	case <-time.After(within):
 		t.Fatal("the limiter has not finished")
 	}
@@ -187,7 +187,7 @@
 	c, err := p.ln.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}
+	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
 // None fails the test if the limiter opens a connection to the peer within a time.
@@ -205,8 +205,8 @@
 
 // Conn is one connection, from the peer's side.
 type Conn struct {
-	TCP *net.TCPConn
-	in  *bufio.Reader
+	TCP    *net.TCPConn
+	reader *bufio.Reader
 }
 
 // Dial connects a client.
@@ -215,13 +215,13 @@
 	c, err := net.DialTimeout("tcp", r.Address, Patience)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}
+	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
 // Request is one request's command; class read, write or keyed, with so many milliseconds to live.
-func Request(id, class string, left int) string {
-	list := fmt.Sprintf("c=%s,t=plain,d=%d,units=1,spread=1,first=0", class, left)
-	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(list)}
+func Request(id, class string, deadlineMillis int) string {
+	fields := fmt.Sprintf("c=%s,t=plain,d=%d,units=1,spread=1,first=0", class, deadlineMillis)
+	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(fields)}
 	if class != "read" {
 		words[0] = []byte("SVC.SUBMIT")
 		words = append(words, []byte("BODY"))
@@ -240,11 +240,11 @@
 // Serve answers a command with a value.
 func (c *Conn) Serve(t T, value string) {
 	t.Helper()
-	c.Say(t, Served(value))
+	c.Say(t, ServedAnswer(value))
 }
 
-// Served is a server's whole answer.
-func Served(value string) string {
+// ServedAnswer is a server's whole answer.
+func ServedAnswer(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
@@ -252,7 +252,7 @@
 func (c *Conn) Line(t T) string {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err, "read %q", line)
 	return strings.TrimRight(line, "\r\n")
 }
@@ -265,18 +265,18 @@
 	require.NoError(t, err)
 	words := make([]string, n)
 	for i := range words {
-		words[i] = c.bulk(t)
+		words[i] = c.readBulk(t)
 	}
 	return words
 }
 
-func (c *Conn) bulk(t T) string {
+func (c *Conn) readBulk(t T) string {
 	t.Helper()
 	var n int
 	_, err := fmt.Sscanf(c.Line(t), "$%d", &n)
 	require.NoError(t, err)
 	text := make([]byte, n+2)
-	_, err = io.ReadFull(c.in, text)
+	_, err = io.ReadFull(c.reader, text)
 	require.NoError(t, err)
 	return string(text[:n])
 }
@@ -292,7 +292,7 @@
 	_, err := fmt.Sscanf(line, "$%d", &n)
 	require.NoError(t, err)
 	text := make([]byte, n+2)
-	_, err = io.ReadFull(c.in, text)
+	_, err = io.ReadFull(c.reader, text)
 	require.NoError(t, err)
 	return "$" + string(text[:n])
 }
@@ -301,7 +301,7 @@
 func (c *Conn) Rest(t T) (string, error) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
-	text, err := io.ReadAll(c.in)
+	text, err := io.ReadAll(c.reader)
 	return string(text), err
 }
 
@@ -309,10 +309,10 @@
 func (c *Conn) Quiet(t T, within time.Duration) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(within))
-	_, err := c.in.Peek(1)
-	var slow net.Error
-	require.ErrorAs(t, err, &slow, "something has come")
-	require.True(t, slow.Timeout(), "the connection has ended: %v", err)
+	_, err := c.reader.Peek(1)
+	var timeout net.Error
+	require.ErrorAs(t, err, &timeout, "something has come")
+	require.True(t, timeout.Timeout(), "the connection has ended: %v", err)
 }
 
 // Reset breaks the connection off.
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -29,7 +29,7 @@
 	r.Stop()
 	_, err := client.Rest(t)
 	require.NoError(t, err)
-	r.Finish(t, Patience)
+	r.WaitDone(t, Patience)
 }
 
 // TestClosedPeerKeepsItsPort: CI failed in TestNeverUp, which closes its server and expects connections to be refused.
@@ -40,7 +40,7 @@
 func TestClosedPeerKeepsItsPort(t *testing.T) {
 	for name, listen := range map[string]func() *Peer{
 		"plain":  func() *Peer { return Listen(t) },
-		"narrow": func() *Peer { return listenNarrow(t) },
+		"narrow": func() *Peer { return listenLimitedBuffers(t) },
 		"full":   func() *Peer { return Full(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -48,18 +48,18 @@
 			peer.Close()
 			_, err := net.Dial("tcp", peer.Address)
 			require.ErrorIs(t, err, syscall.ECONNREFUSED)
-			require.ErrorIs(t, bindAlone(t, peer.Address), syscall.EADDRINUSE)
+			require.ErrorIs(t, bindExclusively(t, peer.Address), syscall.EADDRINUSE)
 		})
 	}
 }
 
-// bindAlone binds a socket that shares its address with nobody, and gives it up.
-func bindAlone(t *testing.T, address string) error {
+// bindExclusively binds a socket that shares its address with nobody, and gives it up.
+func bindExclusively(t *testing.T, address string) error {
 	t.Helper()
-	at, err := netip.ParseAddrPort(address)
+	addr, err := netip.ParseAddrPort(address)
 	require.NoError(t, err)
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	defer func() { _ = syscall.Close(fd) }()
-	return syscall.Bind(fd, &syscall.SockaddrInet4{Addr: at.Addr().As4(), Port: int(at.Port())})
+	return syscall.Bind(fd, &syscall.SockaddrInet4{Addr: addr.Addr().As4(), Port: int(addr.Port())})
 }
