--- a/internal/lab/testbed/answers_test.go
+++ b/internal/lab/testbed/answers_test.go
@@ -14,8 +14,8 @@
 	"ospreycroft/internal/resp"
 )
 
-// limitBuffers makes a socket so small that the other side's kernel takes but a part of 64 KiB before this one reads: small
-// segments keep its send buffer small, and our receive buffer is smaller still.
+// limitBuffers sets socket options by which the other side's kernel accepts only a part of 64 KiB before this side
+// reads: small segments keep the peer's send buffer small, and the receive buffer of this side is smaller still.
 func limitBuffers(_, _ string, c syscall.RawConn) error {
 	var err error
 	_ = c.Control(func(fd uintptr) {
@@ -26,7 +26,7 @@
 	return err
 }
 
-// listenLimitedBuffers is Listen with narrow connections.
+// listenLimitedBuffers is Listen with limitBuffers applied to accepted connections.
 func listenLimitedBuffers(t testing.TB) *Peer {
 	t.Helper()
 	ln, err := (&net.ListenConfig{Control: limitBuffers}).Listen(context.Background(), "tcp", KeepPort(t).Address())
@@ -35,7 +35,7 @@
 	return &Peer{Address: ln.Addr().String(), ln: ln}
 }
 
-// maxSizeRequest is a request with the longest body.
+// maxSizeRequest is Request with the longest body that is allowed; class must not be read.
 func maxSizeRequest(id, class string, deadlineMillis int) string {
 	return strings.Replace(
 		Request(id, class, deadlineMillis),
@@ -45,7 +45,7 @@
 	)
 }
 
-// acceptFromEither is the limiter's next connection to one of two peers, and the other peer.
+// acceptFromEither returns the limiter's next connection to one of two peers, and the other peer.
 func acceptFromEither(t testing.TB, a, b *Peer) (*Conn, *Peer) {
 	t.Helper()
 	for range int(Patience / (2 * time.Millisecond)) {
@@ -61,9 +61,9 @@
 	return nil, nil
 }
 
-// TestEarlyAnswer: a server answers a request of which it has but a part, as one with too many connections does. It
-// gets no more of it: the rest would follow from our queue, and the request would run there as well as at the other
-// server.
+// TestEarlyAnswer checks that a server which answers after it got only a part of a request, as a server with too many
+// connections does, gets no more of it. If the limiter sent the rest from its write queue, the request would run there
+// as well as at the server of the next attempt.
 func TestEarlyAnswer(t *testing.T) {
 	for _, early := range []string{"-BUSY\r\n", "-ERR failed\r\n", ServedAnswer("early")} {
 		t.Run(early[:4], func(t *testing.T) {
@@ -79,22 +79,22 @@
 			second.Serve(t, "value")
 			require.Equal(t, "$value", client.Answer(t))
 			text, _ := first.Rest(t)
-			require.Less(t, len(text), resp.MaxValueBytes, "it has got the whole request")
+			require.Less(t, len(text), resp.MaxValueBytes, "the server has received the complete request")
 		})
 	}
 }
 
-// TestAttemptEnds plays each way in which an attempt can end against each class: what may have run goes on only where a
-// repeat harms nothing, what cannot have run goes on in any case, and a whole answer is passed on whatever comes
-// behind it.
+// TestAttemptEnds combines each way in which an attempt can end with each class. A request that may have run is retried
+// only where it is idempotent and its deduplication window, if any, has not ended. A request that cannot have run is
+// always retried, and a complete answer is passed on whatever follows it.
 func TestAttemptEnds(t *testing.T) {
 	const (
-		notRun     = iota // it has not run
-		mayHaveRun        // it may have
-		windowOver        // it may have, and the time for which servers drop its repeat is over
-		answered          // it is answered
+		notRun     = iota // the request has not run
+		mayHaveRun        // it may have run
+		windowOver        // it may have run, and the deduplication window is over
+		answered          // it has been answered
 	)
-	truncated := ServedAnswer("a value that is cut")[:20]
+	truncated := ServedAnswer("a truncated value")[:20]
 	sends := func(text string) func(c *Conn) { return func(c *Conn) { _, _ = c.TCP.Write([]byte(text)) } }
 	halfCloses := func(c *Conn) { _ = c.TCP.CloseWrite() }
 	sequence := func(wait time.Duration, actions ...func(c *Conn)) func(c *Conn) {
@@ -108,7 +108,7 @@
 		}
 	}
 	sendsSlowly := func(c *Conn) {
-		for _, b := range []byte(ServedAnswer("a value that drips")) {
+		for _, b := range []byte(ServedAnswer("a slowly sent value")) {
 			if _, err := c.TCP.Write([]byte{b}); err != nil {
 				return
 			}
@@ -120,31 +120,31 @@
 		name         string
 		execution    int
 		action       func(c *Conn)
-		readsRequest bool // the server gets the whole request first
+		readsRequest bool // the server reads the complete request before action
 	}{
-		{"reset before its last byte", notRun, resets, false},
-		{"end before its last byte", notRun, halfCloses, false},
-		{"turned away", notRun, sends("-BUSY\r\n"), true},
-		{"turned away, and a reset", notRun, sequence(0, sends("-BUSY\r\n"), resets), true},
-		{"half of turned away, and an end", mayHaveRun, sequence(0, sends("-BUSY"), halfCloses), true},
+		{"reset before the last byte", notRun, resets, false},
+		{"half-close before the last byte", notRun, halfCloses, false},
+		{"rejected", notRun, sends("-BUSY\r\n"), true},
+		{"rejected, then reset", notRun, sequence(0, sends("-BUSY\r\n"), resets), true},
+		{"partial rejection, then half-close", mayHaveRun, sequence(0, sends("-BUSY"), halfCloses), true},
 		{"error", mayHaveRun, sends("-ERR failed\r\n"), true},
 		{"reset", mayHaveRun, resets, true},
-		{"end", mayHaveRun, halfCloses, true},
-		{"cut, and an end", mayHaveRun, sequence(0, sends(truncated), halfCloses), true},
-		{"cut, and a reset", mayHaveRun, sequence(0, sends(truncated), resets), true},
-		{"cut, and a reset long after", mayHaveRun, sequence(150*time.Millisecond, sends(truncated), resets), true},
-		{"cut, and silence", mayHaveRun, sends(truncated), true},
-		{"a byte at a time", mayHaveRun, sendsSlowly, true},
+		{"half-close", mayHaveRun, halfCloses, true},
+		{"partial answer, then half-close", mayHaveRun, sequence(0, sends(truncated), halfCloses), true},
+		{"partial answer, then reset", mayHaveRun, sequence(0, sends(truncated), resets), true},
+		{"partial answer, then late reset", mayHaveRun, sequence(150*time.Millisecond, sends(truncated), resets), true},
+		{"partial answer, then silence", mayHaveRun, sends(truncated), true},
+		{"one byte at a time", mayHaveRun, sendsSlowly, true},
 		{"garbage", mayHaveRun, sends("x"), true},
-		{"a null value", mayHaveRun, sends("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), true},
+		{"null value", mayHaveRun, sends("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), true},
 		{"reset after the window", windowOver, sequence(60*time.Millisecond, func(*Conn) {}, resets), true},
-		{"answer, and a reset", answered, sequence(0, sends(ServedAnswer("first")), resets), true},
-		{"answer, and an end", answered, sequence(0, sends(ServedAnswer("first")), halfCloses), true},
+		{"answer, then reset", answered, sequence(0, sends(ServedAnswer("first")), resets), true},
+		{"answer, then half-close", answered, sequence(0, sends(ServedAnswer("first")), halfCloses), true},
 		{"two answers", answered, sends(ServedAnswer("first") + ServedAnswer("second")), true},
 	} {
 		for _, class := range []string{"read", "write", "keyed"} {
 			if !tc.readsRequest && class == "read" {
-				continue // too short to be written in part
+				continue // a read has no body, so it is too short for a partial write
 			}
 			t.Run(tc.name+"/"+class, func(t *testing.T) {
 				one, two := Listen(t), Listen(t)
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestSlowReaderGetsAllAnswers: a client whose machine takes but a part gets all of its answers, whole and in order, though the
-// limiter is told to stop meanwhile, and then the end.
+// TestSlowReaderGetsAllAnswers checks that a client whose kernel accepts only a part of the data gets all of its
+// answers, complete and in order, and then a graceful close, although the limiter is told to stop meanwhile.
 func TestSlowReaderGetsAllAnswers(t *testing.T) {
 	server := Listen(t)
 	r := Start(t, Config(server))
@@ -221,8 +221,8 @@
 	r.Stop()
 	select {
 	case <-r.Done():
-		t.Fatal("it ended and owes answers")
-	case <-time.After(800 * time.Millisecond): // past the time for which clients still come
+		t.Fatal("the limiter finished before it sent all answers")
+	case <-time.After(800 * time.Millisecond): // longer than a stopping limiter accepts clients
 	}
 	for i := range serverConns {
 		require.Equal(t, "$"+value(i), client.Answer(t))
@@ -234,7 +234,8 @@
 	r.WaitDone(t, Patience)
 }
 
-// TestPartialAnswerAtStop: the limiter is told to stop while half an answer has come. What comes behind it decides.
+// TestPartialAnswerAtStop checks that a limiter which is told to stop after it received half an answer still waits for
+// the outcome: the rest of the answer is passed on, and a reset fails the request.
 func TestPartialAnswerAtStop(t *testing.T) {
 	firstPart, secondPart := ServedAnswer("value")[:8], ServedAnswer("value")[8:]
 	for want, action := range map[string]func(c *Conn){
@@ -249,7 +250,7 @@
 		c.Command(t)
 		c.Say(t, firstPart)
 		r.Stop()
-		time.Sleep(20 * time.Millisecond) // in which a limiter that owes nothing would have ended its connections
+		time.Sleep(20 * time.Millisecond) // long enough for a limiter without open requests to close its connections
 		action(c)
 		require.Equal(t, want, client.Answer(t))
 		_, err := client.Rest(t)
@@ -259,8 +260,9 @@
 	}
 }
 
-// TestServerUnreachable: no connection to the one server comes up, so nothing has run: each class is rejected, none fails.
-// Refused, or silent as a machine whose queue of connections is full.
+// TestServerUnreachable checks that requests of each class are rejected, not failed, if no connection to the only
+// server can be established, since none of them can have run. The server refuses connections, or does not answer
+// because its accept queue is full.
 func TestServerUnreachable(t *testing.T) {
 	for _, name := range []string{"refused", "silent"} {
 		t.Run(name, func(t *testing.T) {
@@ -281,9 +283,9 @@
 	}
 }
 
-// TestCounterConnectionEnds: a total of the counter's counts once its line is whole, whatever ends the connection behind it,
-// and not before: a customer whose total passes the quota is rejected, and one of whom only half a line came is served
-// by its slice.
+// TestCounterConnectionEnds checks that a total from the counter takes effect once its line is complete, however the
+// connection ends after it, and not before. A customer whose total exceeds the quota is rejected; one for whom only a
+// partial line arrived is served from the local share of the quota.
 func TestCounterConnectionEnds(t *testing.T) {
 	staysSilent := func(*Conn) {}
 	halfCloses := func(c *Conn) { _ = c.TCP.CloseWrite() }
--- a/internal/lab/testbed/client_gone_test.go
+++ b/internal/lab/testbed/client_gone_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestClientGoneDuringDial: a request waits for a connection to a server whose machine takes none in for a second.
-// Before the connection comes up the client goes, by an end, by a reset, or by the end of its sending alone, which
-// counts as gone: it finds its connection ended. Nothing is written to the server.
+// TestClientGoneDuringDial checks that nothing is written to a server if the client disconnects while its request waits
+// for the connection to that server, which takes a second to be established. The client closes, resets, or half-closes
+// its connection; a half-close counts as a disconnect, and the limiter closes the connection.
 func TestClientGoneDuringDial(t *testing.T) {
 	for name, disconnect := range map[string]func(c *Conn){
 		"close":      func(c *Conn) { _ = c.TCP.Close() },
@@ -24,10 +24,10 @@
 				config.Settings.DialTimeout = int64(3 * time.Second)
 				client := Start(t, config).Dial(t)
 				client.Say(t, Request("id", class, 4000))
-				// by now it is dialled, and the kernel asks again a second after that
+				// the limiter has dialled by now; the kernel repeats the SYN a second after the first one
 				time.Sleep(300 * time.Millisecond)
 				disconnect(client)
-				conn := accept(Patience) // the queue has room now, and the next try gets in
+				conn := accept(Patience) // makes room in the queue, so that the next SYN is accepted
 				require.NotNil(t, conn)
 				conn.Quiet(t, 300*time.Millisecond)
 				if name == "half-close" {
--- a/internal/lab/testbed/clients_test.go
+++ b/internal/lab/testbed/clients_test.go
@@ -19,7 +19,8 @@
 	"ospreycroft/internal/settings"
 )
 
-// counterStub is a stand-in that adds at once and answers once it is let go.
+// counterStub stands in for the counter. It adds amounts as they arrive; each answer to a tally waits for a receive
+// from release.
 type counterStub struct {
 	*Peer
 	mutex   sync.Mutex
@@ -28,6 +29,7 @@
 	release chan struct{}
 }
 
+// startCounterStub starts a counterStub and sets it as the counter of config.
 func startCounterStub(t *testing.T, config *settings.Config) *counterStub {
 	stub := &counterStub{Peer: Listen(t), release: make(chan struct{})}
 	config.Counter, config.Settings.CounterTimeout, config.Settings.MaxActualUnits = stub.Address, 4e9, 64
@@ -69,7 +71,7 @@
 	return s.sum
 }
 
-// waitForCalls waits for so many calls and gives the first one's amount.
+// waitForCalls waits until the given number of tallies has arrived and returns the amount of the first one.
 func (s *counterStub) waitForCalls(t *testing.T, calls int) float64 {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -80,7 +82,7 @@
 	return s.amounts[0]
 }
 
-// requireTotal fails the test unless all adds come to that many units, and stay there.
+// requireTotal fails the test unless the sum of all amounts reaches units and stays there.
 func (s *counterStub) requireTotal(t *testing.T, units float64) {
 	t.Helper()
 	require.Eventually(
@@ -95,18 +97,20 @@
 	require.InDelta(t, units, s.total(), 1e-6)
 }
 
-// discardDelay is when none of the requests that waited as their client closed may be sent on any more, by the standing test.
+// discardDelay is how long after a client has closed its waiting requests may at most still be forwarded, by the
+// standing test.
 const discardDelay = 300 * time.Millisecond
 
-// TestClientGone: requests that wait for their first attempt when their client closes are never sent, and their units
-// are given back once. One that was sent is settled at what it took, and its answer is for nobody.
+// TestClientGone checks that requests which wait for their first attempt when their client closes are never forwarded,
+// and that their units are returned once. A request that was forwarded is settled at its actual units, and its answer
+// is discarded.
 func TestClientGone(t *testing.T) {
 	for name, run := range map[string]func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub){
-		"its connection is being dialled": func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub) {
+		"server connection being dialled": func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub) {
 			config.Settings.DialTimeout = 3e9
 			raw, err := server.ln.(*net.TCPListener).SyscallConn()
 			require.NoError(t, err)
-			// takes in one, and no more
+			// a queue of length 0 takes one connection
 			require.NoError(t, raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }))
 			first, err := net.Dial("tcp", server.Address)
 			require.NoError(t, err)
@@ -115,15 +119,17 @@
 			client := Start(t, config).Dial(t)
 			client.Say(t, Request("dialled", "write", 4000))
 			reserved := counter.waitForCalls(t, 1)
-			time.Sleep(discardDelay) // by now it is dialled: a server that is gone from the list would not be
+			time.Sleep(discardDelay) // the limiter has dialled by now; it does not dial a server that is gone from the list
 			_ = client.TCP.Close()
 			time.Sleep(discardDelay)
 			require.InDelta(t, reserved, counter.total(), 1e-6)
 			server.Accept(t)
-			server.Accept(t).Quiet(t, discardDelay) // it comes up a second after it was dialled
+			server.Accept(t).Quiet(t, discardDelay) // the kernel repeats the SYN a second after the dial
 			counter.requireTotal(t, 0)
 		},
-		"one before it on its connection is out, and more wait for the counter": func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub) {
+		"one request forwarded, others waiting for the counter": func(
+			t *testing.T, config *settings.Config, server *Peer, counter *counterStub,
+		) {
 			r := Start(t, config)
 			client := r.Dial(t)
 			client.Say(t, Request("out", "write", 4000))
@@ -141,7 +147,9 @@
 			serverConn.Quiet(t, discardDelay)
 			counter.requireTotal(t, 3*reserved)
 		},
-		"many clients, all waiting for the counter": func(t *testing.T, config *settings.Config, server *Peer, counter *counterStub) {
+		"many clients, all waiting for the counter": func(
+			t *testing.T, config *settings.Config, server *Peer, counter *counterStub,
+		) {
 			config.Sockets = 1024
 			r := Start(t, config)
 			const clientCount = 200
@@ -172,7 +180,7 @@
 	}
 }
 
-// serveAll answers each request on each connection until the test ends.
+// serveAll answers each request on each connection until p is closed.
 func serveAll(p *Peer) {
 	for c, err := p.ln.Accept(); err == nil; c, err = p.ln.Accept() {
 		go func() {
@@ -184,6 +192,7 @@
 	}
 }
 
+// openDescriptors returns the number of this process's open descriptors.
 func openDescriptors(t *testing.T) int {
 	t.Helper()
 	list, err := os.ReadDir("/proc/self/fd")
@@ -191,9 +200,9 @@
 	return len(list)
 }
 
-// TestMisbehavingClients: beside floods, and after hundreds of clients that send nonsense, half a value or much at once and
-// go, or never read, others are served, and nothing of it stays: no descriptor, no goroutine, no place at the gate, no
-// memory.
+// TestMisbehavingClients checks that other clients are served during floods of commands, and after hundreds of clients
+// have sent invalid input, partial values or large amounts of data and disconnected, or never read. Afterwards nothing
+// of them is left: no descriptor, goroutine, client slot or memory.
 func TestMisbehavingClients(t *testing.T) {
 	server := Listen(t)
 	go serveAll(server)
@@ -217,7 +226,7 @@
 	flooders := make([]*Conn, 5) // the last of them never reads
 	for i := range flooders {
 		c := r.Dial(t)
-		// one that has brought a request is not closed as a stranger
+		// to make room, the limiter first closes clients that have sent no request
 		c.Say(t, Request(fmt.Sprint("flood", i), "read", 2000))
 		require.Equal(t, "$value", c.Answer(t))
 		if flooders[i] = c; i < len(flooders)-1 {
@@ -246,7 +255,7 @@
 		c, err := net.DialTimeout("tcp", r.Address, Patience)
 		require.NoError(t, err)
 		_ = c.SetWriteDeadline(time.Now().Add(Patience))
-		_, _ = io.WriteString(c, payloads[i%len(payloads)]) // it may be reset meanwhile
+		_, _ = io.WriteString(c, payloads[i%len(payloads)]) // fails if the limiter has reset the connection
 		if i%3 == 0 {
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}
--- a/internal/lab/testbed/counter_settlement_test.go
+++ b/internal/lab/testbed/counter_settlement_test.go
@@ -7,17 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnaddedReservationAddedBeforeExit: the counter turns a reservation away, the slice lets the request through, and the process is told
-// to end before another call could bring the units to the counter: they are added before it goes, once, and it waits
-// for the answer.
+// TestUnaddedReservationAddedBeforeExit checks that units which are not yet in the counter are added once before the
+// process exits, and that it waits for the counter's answer. The counter rejects the reservation, the local share of
+// the quota admits the request, and the process is told to stop before another call could add the units.
 func TestUnaddedReservationAddedBeforeExit(t *testing.T) {
-	if !runUnaddedReservationAddedBeforeExit(t) { // a window of the counter's has ended just then, but does not twice within seconds
+	// A run cannot compare the amounts if a counter window ends during it, which does not happen twice within seconds.
+	if !runUnaddedReservationAddedBeforeExit(t) {
 		require.True(t, runUnaddedReservationAddedBeforeExit(t))
 	}
 }
 
-// runUnaddedReservationAddedBeforeExit plays it, and tells whether the units were added in the window in which they were reserved. In the next
-// one they weigh less, by what has faded over a whole window.
+// runUnaddedReservationAddedBeforeExit runs the test once and reports whether the units were added in the counter
+// window in which they were reserved. In the next window the amount is smaller, by the decay over one window.
 func runUnaddedReservationAddedBeforeExit(t *testing.T) (sameWindow bool) {
 	t.Helper()
 	server, counter := Listen(t), Listen(t)
@@ -30,17 +31,17 @@
 	c := server.Accept(t)
 	require.Equal(t, "a", c.Command(t)[2])
 	r.Stop()
-	counterConn.Quiet(t, 700*time.Millisecond) // nothing is settled while the attempt is out
+	counterConn.Quiet(t, 700*time.Millisecond) // nothing is settled while the attempt is in flight
 	c.Serve(t, "value")
 	require.Equal(t, "$value", client.Answer(t))
 	windowAtEnd, added := counterConn.readTally(t)
 	sameWindow = window == windowAtEnd
 	if sameWindow {
-		require.InEpsilon(t, reserved, added, 0.2) // the same units, a little later
+		require.InEpsilon(t, reserved, added, 0.2) // the same units, decayed over the time since
 	}
 	select {
 	case <-r.Done():
-		t.Fatal("it has ended before the counter has answered")
+		t.Fatal("the limiter finished before the counter answered")
 	case <-time.After(50 * time.Millisecond):
 	}
 	counterConn.Say(t, "ok 1\r\n")
@@ -48,6 +49,6 @@
 	require.NoError(t, err)
 	_ = client.TCP.Close()
 	r.WaitDone(t, Patience)
-	counterConn.Quiet(t, 50*time.Millisecond) // it is added once
+	counterConn.Quiet(t, 50*time.Millisecond) // the units are added once only
 	return sameWindow
 }
--- a/internal/lab/testbed/deadlines_test.go
+++ b/internal/lab/testbed/deadlines_test.go
@@ -18,7 +18,7 @@
 	"ospreycroft/internal/settings"
 )
 
-// setSocketOption sets one of a listener's; connections accepted from then on have it.
+// setSocketOption applies set to the listening socket. Connections accepted from then on inherit the option.
 func (p *Peer) setSocketOption(t testing.TB, set func(fd int) error) *Peer {
 	t.Helper()
 	raw, err := p.ln.(*net.TCPListener).SyscallConn()
@@ -28,13 +28,14 @@
 	return p
 }
 
-// listenSmallBuffer is a server whose machine takes few bytes that it does not read.
+// listenSmallBuffer is Listen with a small receive buffer: the kernel accepts few bytes that the server does not read.
 func listenSmallBuffer(t testing.TB) *Peer {
 	limitBuffer := func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) }
 	return Listen(t).setSocketOption(t, limitBuffer)
 }
 
-// shrinkPeerSendBuffer has the limiter's kernel take few bytes at a time on a connection: the limiter's end is in this process, too.
+// shrinkPeerSendBuffer sets a small send buffer on the limiter's socket of this connection, so that the kernel takes
+// few bytes at a time. The limiter's socket is found among this process's descriptors.
 func (c *Conn) shrinkPeerSendBuffer(t testing.TB) {
 	t.Helper()
 	port := func(addr syscall.Sockaddr, err error) int {
@@ -50,10 +51,10 @@
 			return
 		}
 	}
-	t.Fatal("the limiter's end is not here")
+	t.Fatal("no descriptor of this process is the limiter's socket")
 }
 
-// waitReadable waits until something has come on one of the connections.
+// waitReadable waits until data has arrived on one of the connections and returns that connection.
 func waitReadable(t testing.TB, conns ...*Conn) *Conn {
 	t.Helper()
 	for end := time.Now().Add(Patience); time.Now().Before(end); {
@@ -68,13 +69,13 @@
 	return nil
 }
 
-// listenBacklogged is a server to which connections come up only once next was called: its queue of connections is full, and the
-// kernel drops what asks for one more, which asks again a second later. next gives the limiter's, nil if none comes up
-// within a time.
+// listenBacklogged opens a server whose accept queue is full: the kernel drops further SYNs, which the client's kernel
+// repeats a second later, so that connections are established only once accept was called. accept returns the limiter's
+// next connection, or nil if none is established within the given time.
 func listenBacklogged(t testing.TB) (p *Peer, accept func(within time.Duration) *Conn) {
 	p = Listen(t).setSocketOption(t, func(fd int) error { return syscall.Listen(fd, 0) })
 	fillers := map[string]bool{}
-	for { // until one does not come up
+	for { // until a dial times out because the queue is full
 		c, err := net.DialTimeout("tcp", p.Address, 100*time.Millisecond)
 		if err != nil {
 			break
@@ -97,14 +98,14 @@
 	}
 }
 
-// states of a connection, as the kernel writes them.
+// States of a TCP connection as in /proc/net/tcp; noConnection is the absence of one.
 const (
 	noConnection = ""
 	synSent      = "02"
 )
 
-// waitForState waits until the kernel's table has a connection to a port, from another one where that is given, in a waitForState;
-// or none in any.
+// waitForState waits until the kernel's table has a connection to the port of address to in the state want, or, with
+// noConnection, has none in any state. With a non-empty from only connections from its port count.
 func waitForState(t testing.TB, from, to, want string) {
 	t.Helper()
 	port := func(address string) string {
@@ -123,10 +124,10 @@
 			}
 		}
 		return want == noConnection
-	}, Patience, 50*time.Millisecond) // the table is long to read
+	}, Patience, 50*time.Millisecond) // reading the table takes long
 }
 
-// listEntry is a server in a list.
+// listEntry is a server in an endpoint list.
 type listEntry struct {
 	ID        string `json:"instanceId"`
 	HostPort  string `json:"hostPort"`
@@ -134,26 +135,27 @@
 	Lifecycle string `json:"lifecycle"`
 }
 
+// fullList returns an endpoint list that replaces the previous one.
 func fullList(generation int, entries ...listEntry) string {
 	text, _ := json.Marshal(map[string]any{"generation": generation, "reset": true, "instances": entries})
 	return string(text)
 }
 
-// discoveryStub is the list service, with the limiter's watch open.
+// discoveryStub stands in for discovery. conn holds the limiter's pending poll.
 type discoveryStub struct {
 	listener   *Peer
 	conn       *Conn
 	generation int
-	lastAnswer string // the latest
+	lastAnswer string // the latest response with a list
 }
 
-// awaitPoll waits for the next call: what was told before has been applied.
+// awaitPoll waits for the limiter's next poll, by which it has applied the latest list.
 func (d *discoveryStub) awaitPoll(t testing.TB) {
 	t.Helper()
 	for {
 		_ = d.conn.TCP.SetReadDeadline(time.Now().Add(Patience))
 		line, err := d.conn.reader.ReadString('\n')
-		// on a machine with much to do the limiter may have given its connection up, and asks on another one
+		// on a loaded machine the limiter may have timed out and polls again on a new connection
 		if err != nil {
 			d.conn = d.listener.Accept(t)
 			continue
@@ -167,6 +169,7 @@
 	}
 }
 
+// publish answers the pending poll with a list of the given entries and waits until the limiter has applied it.
 func (d *discoveryStub) publish(t testing.TB, entries ...listEntry) {
 	t.Helper()
 	d.generation++
@@ -176,8 +179,8 @@
 	d.awaitPoll(t)
 }
 
-// attemptFixture is a limiter that knows the server s0 in zone a, and more as the test tells it. Requests of the class near are
-// keyed, and the servers of one zone drop their repeats.
+// attemptFixture is a limiter that initially knows the server s0 in zone a; the test publishes further servers.
+// Requests of the class near are idempotent with a key that is deduplicated by the servers of one zone.
 type attemptFixture struct {
 	*Rig
 	discovery *discoveryStub
@@ -185,6 +188,8 @@
 	client    *Conn
 }
 
+// newAttemptFixture starts a limiter whose classes keyed and near have the given deduplication window. change, if not
+// nil, edits the configuration first.
 func newAttemptFixture(t testing.TB, window time.Duration, change func(*settings.Config)) *attemptFixture {
 	t.Helper()
 	s := &attemptFixture{s0: Listen(t)}
@@ -211,13 +216,16 @@
 	return s
 }
 
+// s0Entry returns the list entry of s0 in service in zone a.
 func (s *attemptFixture) s0Entry() listEntry { return listEntry{"s0", s.s0.Address, "a", "in_service"} }
 
+// inService returns the list entry of a server in service.
 func inService(id string, p *Peer, zone string) listEntry {
 	return listEntry{id, p.Address, zone, "in_service"}
 }
 
-// startAttempt sends a request that s0 gets whole; more servers are known from then on.
+// startAttempt sends the request text, which s0 receives completely, and then publishes the servers in more. It returns
+// the connection to s0.
 func (s *attemptFixture) startAttempt(t testing.TB, text string, more ...listEntry) *Conn {
 	t.Helper()
 	s.client.Say(t, text)
@@ -229,23 +237,24 @@
 	return c
 }
 
-// largeRequest is a request that no small buffer holds.
+// largeRequest is Request with a body too large for a small buffer; class must not be read.
 func largeRequest(id, class string, deadlineMillis int) string {
 	return strings.Replace(Request(id, class, deadlineMillis), "$4\r\nBODY", "$60000\r\n"+strings.Repeat("b", 60000), 1)
 }
 
-// requirePartialCommand checks that what a server got is a requirePartialCommand of a command only.
+// requirePartialCommand fails the test unless the server has received a part of a largeRequest, but not all of it.
 func requirePartialCommand(t testing.TB, c *Conn) {
 	t.Helper()
 	text, _ := c.Rest(t)
 	require.NotEmpty(t, text)
-	require.Less(t, len(text), 60000, "the command has become whole")
+	require.Less(t, len(text), 60000, "the command was completed")
 }
 
-// TestConnectionEstablishedLate: a connection comes up a second after it was asked for, and what has happened meanwhile counts for the
-// attempt that waits for it: it is judged when it is written.
+// TestConnectionEstablishedLate checks that events between the dial and the establishment of a connection, which takes
+// a second, count for the attempt that waits for it: whether it may be sent is decided when it is written.
 func TestConnectionEstablishedLate(t *testing.T) {
-	retries := func(class string, deadlineMillis int) func(*testing.T, *attemptFixture, listEntry) { // the first attempt, at s0, may have run
+	// retries has the first attempt, at s0, end so that it may have run.
+	retries := func(class string, deadlineMillis int) func(*testing.T, *attemptFixture, listEntry) {
 		return func(t *testing.T, s *attemptFixture, last listEntry) {
 			s.startAttempt(t, Request("id", class, deadlineMillis), last).Reset()
 		}
@@ -270,18 +279,37 @@
 	for name, c := range map[string]struct {
 		start, event func(*testing.T, *attemptFixture, listEntry)
 		window       time.Duration
-		answer       string // the client's, where nothing is written
-		notConnected bool   // the connection does not come up any more
+		answer       string // the client's answer where nothing is written to the server
+		notConnected bool   // the connection is not established any more
 	}{
-		"nothing":                {start: firstAttempt("write", 20000)},
-		"nothing, a repeat":      {start: retries("near", 20000), window: time.Minute},
-		"its deadline":           {start: firstAttempt("write", 500), answer: "-", notConnected: true},
-		"its deadline, keyed":    {start: retries("near", 700), window: time.Minute, answer: "-ERR written off", notConnected: true},
-		"the end of a window":    {start: retries("keyed", 20000), window: window, event: windowPasses, answer: "-BUSY"},
-		"its client leaves":      {start: firstAttempt("write", 20000), event: clientResets},
-		"its server drains":      {start: firstAttempt("write", 20000), event: serverDrains, answer: "-BUSY", notConnected: true},
-		"its server is moved":    {start: retries("near", 20000), window: time.Minute, event: zoneChanges, answer: "-ERR written off"},
-		"moved, and all drop it": {start: retries("keyed", 20000), window: time.Minute, event: zoneChanges},
+		"no event":        {start: firstAttempt("write", 20000)},
+		"no event, retry": {start: retries("near", 20000), window: time.Minute},
+		"deadline passes": {start: firstAttempt("write", 500), answer: "-", notConnected: true},
+		"deadline passes, keyed": {
+			start:        retries("near", 700),
+			window:       time.Minute,
+			answer:       "-ERR written off",
+			notConnected: true,
+		},
+		"deduplication window ends": {start: retries("keyed", 20000), window: window, event: windowPasses, answer: "-BUSY"},
+		"client disconnects":        {start: firstAttempt("write", 20000), event: clientResets},
+		"server drains": {
+			start:        firstAttempt("write", 20000),
+			event:        serverDrains,
+			answer:       "-BUSY",
+			notConnected: true,
+		},
+		"server changes zone": {
+			start:  retries("near", 20000),
+			window: time.Minute,
+			event:  zoneChanges,
+			answer: "-ERR written off",
+		},
+		"server changes zone, all zones deduplicate": {
+			start:  retries("keyed", 20000),
+			window: time.Minute,
+			event:  zoneChanges,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -289,7 +317,7 @@
 			server, accept := listenBacklogged(t)
 			last := inService("s1", server, "a")
 			c.start(t, s, last)
-			if !c.notConnected || c.event != nil { // else it ends by itself
+			if !c.notConnected || c.event != nil { // otherwise the deadline ends the attempt
 				waitForState(t, "", server.Address, synSent)
 			}
 			if c.event != nil {
@@ -303,9 +331,9 @@
 			conn := accept(Patience)
 			require.NotNil(t, conn)
 			switch {
-			case name == "its client leaves":
+			case name == "client disconnects":
 				conn.Quiet(t, 100*time.Millisecond)
-			case c.answer != "": // the attempt was judged, and it was the last
+			case c.answer != "": // the attempt was not sent, and there is no further one
 				require.Contains(t, s.client.Answer(t), c.answer)
 				conn.Quiet(t, 20*time.Millisecond)
 			default:
@@ -313,7 +341,7 @@
 				words := conn.Command(t)
 				_, err := fmt.Sscanf(words[3][strings.Index(words[3], "d="):], "d=%d", &left)
 				require.NoError(t, err)
-				require.LessOrEqual(t, left, 19000, "the time that is left")
+				require.LessOrEqual(t, left, 19000, "remaining time")
 				conn.Serve(t, "value")
 				require.Equal(t, "$value", s.client.Answer(t))
 			}
@@ -321,11 +349,13 @@
 	}
 }
 
-// TestAbandonedCommandNotCompleted: a command that the kernel took whole and the server's machine did not is not completed once its request
-// has ended.
+// TestAbandonedCommandNotCompleted checks that a command which the local kernel has taken completely, but the server's
+// kernel has not, is not completed at the server once its request has ended.
 func TestAbandonedCommandNotCompleted(t *testing.T) {
 	server := listenSmallBuffer(t)
-	s := newAttemptFixture(t, time.Second, func(c *settings.Config) { c.Known = []byte(fullList(1, inService("s0", server, "a"))) })
+	s := newAttemptFixture(t, time.Second, func(c *settings.Config) {
+		c.Known = []byte(fullList(1, inService("s0", server, "a")))
+	})
 	s.client.Say(t, largeRequest("id", "write", 400))
 	c := server.Accept(t)
 	require.Equal(t, "-ERR written off", s.client.Answer(t))
@@ -333,14 +363,14 @@
 	requirePartialCommand(t, c)
 }
 
-// TestWindowEndsDuringWrite: a keyed repeat of which the kernel has only a part is not completed past the window, though
-// its request lives.
+// TestWindowEndsDuringWrite checks that a retry with an idempotency key, of which the kernel has taken only a part, is
+// not completed after the deduplication window has ended, although its request still has time left.
 func TestWindowEndsDuringWrite(t *testing.T) {
 	servers := []*Peer{listenSmallBuffer(t), listenSmallBuffer(t)}
 	s := newAttemptFixture(t, 2*time.Second, func(c *settings.Config) {
 		c.Known = []byte(fullList(1, inService("s0", servers[0], "a"), inService("s1", servers[1], "a")))
 	})
-	var conns []*Conn // an open connection at least to each server, squeezed
+	var conns []*Conn // at least one connection to each server, with small send buffers
 	for connected := map[*Peer]bool{}; len(connected) < 2; {
 		s.client.Say(t, Request(fmt.Sprint("id-", len(conns)), "read", 20000))
 		for n := len(conns); len(conns) == n; {
@@ -359,7 +389,7 @@
 		require.Equal(t, "$value", s.client.Answer(t))
 		c.shrinkPeerSendBuffer(t)
 	}
-	time.Sleep(50 * time.Millisecond) // they rest
+	time.Sleep(50 * time.Millisecond) // the connections become idle
 	s.client.Say(t, largeRequest("id", "keyed", 30000))
 	first := waitReadable(t, conns...)
 	first.Command(t)
@@ -369,7 +399,8 @@
 	requirePartialCommand(t, second)
 }
 
-// TestRejectedAttemptIgnoresWindow: an attempt that was turned away has not run, and no window bounds the next one.
+// TestRejectedAttemptIgnoresWindow checks that a rejected attempt, which has not run, starts no deduplication window:
+// the retry may follow although the window's length has passed since.
 func TestRejectedAttemptIgnoresWindow(t *testing.T) {
 	s := newAttemptFixture(t, 100*time.Millisecond, nil)
 	server := Listen(t)
@@ -382,7 +413,8 @@
 	require.Equal(t, "$value", s.client.Answer(t))
 }
 
-// TestServerChangesZone: what counts is the group in which an attempt may have run, not the one that its server is in by now.
+// TestServerChangesZone checks that a retry stays within the zone in which the previous attempt may have run, even if
+// the server of that attempt has changed its zone since.
 func TestServerChangesZone(t *testing.T) {
 	s := newAttemptFixture(t, 5*time.Second, nil)
 	server := Listen(t)
--- a/internal/lab/testbed/evict_test.go
+++ b/internal/lab/testbed/evict_test.go
@@ -9,28 +9,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEvictOnlyIdleClients: clients with open requests hold a quarter of the descriptors, and the server connections that serve
-// them another. Room is made by closing clients that owe and are owed nothing, and only these; one request more is
-// rejected at once and never sent. Each open request is answered.
+// TestEvictOnlyIdleClients checks that a limiter at its client limit closes idle clients only. Clients with open
+// requests hold a quarter of the descriptors, and the connections to the server that serve them hold another quarter.
+// Further requests are rejected at once and never forwarded, and each open request is answered.
 func TestEvictOnlyIdleClients(t *testing.T) {
 	server := Listen(t)
 	config := Config(server)
 	config.Sockets = 64
-	config.Settings.DialTimeout = 8e8 // a client may say nothing for a fourth of it
+	config.Settings.DialTimeout = 8e8 // a new client may stay silent for a quarter of it
 	for _, class := range config.Settings.Classes {
-		class.LatencyObjective = 4e9 // nothing here is late
+		class.LatencyObjective = 4e9 // no request here exceeds it
 	}
 	r := Start(t, config)
 	classes := []string{"read", "write", "keyed"}
 	var idle []*Conn
-	for i := range 4 { // they have brought a request
+	for i := range 4 { // idle clients that have sent a request
 		c := r.Dial(t)
 		c.Say(t, Request(fmt.Sprint("first", i), "read", 4000))
 		serving := server.Accept(t)
 		serving.Command(t)
 		serving.Serve(t, "v")
 		require.Equal(t, "$v", c.Answer(t))
-		serving.Reset() // so that each open request has a connection of its own
+		serving.Reset() // so that each open request gets a connection of its own
 		idle = append(idle, c)
 	}
 	const clientCount = 64 / 4
@@ -50,7 +50,7 @@
 		require.Less(t, time.Since(start), time.Second)
 		idle = append(idle, rejected)
 	}
-	for range 4 { // they say nothing
+	for range 4 { // idle clients that have sent nothing
 		idle = append(idle, r.Dial(t))
 	}
 	for i, c := range idle {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestServerRemovedDuringAttempt: the list calls a server gone that has an attempt out. Its answer reaches the client; the connection
-// is closed and the server let go of only then.
+// TestServerRemovedDuringAttempt checks the removal of a server from the endpoint list while an attempt is in flight
+// there: the answer still reaches the client, and only then is the connection closed and the server forgotten.
 func TestServerRemovedDuringAttempt(t *testing.T) {
 	for _, class := range []string{"read", "write", "keyed"} {
 		t.Run(class, func(t *testing.T) {
--- a/internal/lab/testbed/idle_timers_test.go
+++ b/internal/lab/testbed/idle_timers_test.go
@@ -12,15 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// The story of answers that came behind their deadlines (docs/incidents/process-ended-by-itself.md, late answers).
+// Timers that run late on an idle process (docs/incidents/process-ended-by-itself.md, late answers).
 //
-// What users saw: on a limiter with little to do, a request that no server answered got its failure up to 12 ms behind its
-// deadline. The order of events: for a while timers alone wake the process, so that the runtime's monitor looks every 10 ms
-// only; a request comes; the poller reads it, goes back to wait in the kernel and keeps the one processor of the Go runtime.
-// The monitor takes it back the second time it looks, and no timer runs until then.
-// The evidence: each timer over 2 ms late in plays of the lab had one event before it, and ran 11 to 20 ms behind that event.
+// On a limiter with little load, a request that no server answered got its error up to 12 ms after its deadline. While
+// only timers wake the process, the Go runtime's monitor (sysmon) checks only every 10 ms. When a request comes then,
+// the poller reads it, waits in the kernel again and keeps the runtime's only processor. The monitor takes the
+// processor back at its second check, and no timer runs until then. In lab runs each timer that was more than 2 ms late
+// was preceded by one event and ran 11 to 20 ms after that event.
 
-// dialBlocking opens a connection to a limiter whose calls wait in the kernel, beside the Go runtime's own poller.
+// dialBlocking opens a client connection as a blocking descriptor. Its calls wait in the kernel and don't use the Go
+// runtime's poller.
 func dialBlocking(t *testing.T, address string) int {
 	t.Helper()
 	tcp, err := net.ResolveTCPAddr("tcp4", address)
@@ -32,14 +33,14 @@
 	return fd
 }
 
-// TestTimersOnIdleProcess: requests to a server that hangs come after times in which nothing but timers woke the process, on
-// one processor, as the program has. They are answered before their deadlines. The machine may hold up a few of them, since
-// but 8 ms are left behind an answer that is in time; held up by the runtime, two in five were late.
+// TestTimersOnIdleProcess checks that requests to a server that hangs are answered before their deadlines if only
+// timers woke the process before them. It uses one processor, as the program does. The machine may delay a few answers,
+// since an answer in time leaves only 8 ms; with the fault in the runtime, two in five were late.
 func TestTimersOnIdleProcess(t *testing.T) {
 	const (
 		rounds       = 24
 		maxLate      = rounds / 8
-		timerWakeups = 80 // behind 60 the runtime's monitor looks every 10 ms
+		timerWakeups = 80 // after 60 the runtime's monitor checks only every 10 ms
 		deadline     = 16 * time.Millisecond
 	)
 	processors := runtime.GOMAXPROCS(1)
--- a/internal/lab/testbed/notification_test.go
+++ b/internal/lab/testbed/notification_test.go
@@ -22,51 +22,61 @@
 	"ospreycroft/internal/settings"
 )
 
-// failureMode is how the list service fails until it is back.
+// failureMode is how discovery fails during an outage.
 type failureMode uint8
 
 const (
-	refusesConnections  failureMode = iota // it refuses connections
-	respondsUnavailable                    // it answers calls with 503
-	resetsMidResponse                      // it resets connections in the middle of its answers
-	stallsAfterHeaders                     // it says nothing behind its headers
-	neverResponds                          // it answers no call, until the limiter gives it up
-	resetsThenHangs                        // it resets the first connection and answers no call behind that
+	refusesConnections  failureMode = iota // connections are refused
+	respondsUnavailable                    // polls are answered with 503
+	resetsMidResponse                      // connections are reset in the middle of a response
+	stallsAfterHeaders                     // only the headers of a response are sent
+	neverResponds                          // polls get no response until the limiter gives them up
+	resetsThenHangs                        // the first connection is reset, later polls get no response
 )
 
 const (
-	// the longest dial time-out of a call for a list, which makes the longest sum of pauses
-	pollDialTimeout     = 500 * time.Millisecond
-	limiterPosition     = 19                     // a limiter whose pauses are among the longest, by its place
-	notificationTimeout = 6 * time.Second        // when what the list service has counts as told, from when it can be reached
-	moveTimeout         = 4 * time.Second        // the same from a move by SIGHUP to where it can be reached
-	drainGrace          = 250 * time.Millisecond // how long after that a server may still be sent to
-	observationTime     = 300 * time.Millisecond // how long the servers are watched once a request has gone elsewhere
-	requestInterval     = 20 * time.Millisecond
-	retryOffset         = 100 * time.Millisecond
-	moveDelay           = 1500 * time.Millisecond // the limiter has made its first call by then
-	maxOutage           = 15 * time.Second
+	// pollDialTimeout is the longest dial timeout of a poll. It gives the longest sum of backoffs.
+	pollDialTimeout = 500 * time.Millisecond
+	// limiterPosition makes the backoffs, which depend on the limiter's position, among the longest.
+	limiterPosition = 19
+	// notificationTimeout is how long after discovery can be reached its current list counts as notified.
+	notificationTimeout = 6 * time.Second
+	// moveTimeout is the same after a move by SIGHUP to an address at which discovery can be reached.
+	moveTimeout = 4 * time.Second
+	// drainGrace is how long after the notification requests may still be forwarded to s0.
+	drainGrace = 250 * time.Millisecond
+	// observationTime is how long requests go on after the first one that the other server got.
+	observationTime = 300 * time.Millisecond
+	// requestInterval is the pause after each request.
+	requestInterval = 20 * time.Millisecond
+	// retryOffset is how long before or after a due retry discovery recovers.
+	retryOffset = 100 * time.Millisecond
+	// moveDelay is how long after the start discovery moves; the limiter has made its first poll by then.
+	moveDelay = 1500 * time.Millisecond
+	// maxOutage bounds the time for which a test sends requests.
+	maxOutage = 15 * time.Second
 )
 
-// outage is a list service that fails until shift before or behind the time at which the limiter is due to try again
-// for the retry-th time. From then on it answers calls with news that it has had all the time. A call that it has not
-// answered by then is never answered.
+// outage stands in for a discovery service that fails at first and recovers at shift relative to the time at which the
+// limiter's retry with the number retryNumber is due. After that it answers polls with listBody, a list that has been
+// current all the time. Polls that are pending at the recovery are never answered.
 type outage struct {
 	mode         failureMode
 	retryNumber  int
 	shift        time.Duration
-	pollInterval int64 // how often the limiter asks
+	pollInterval int64 // the limiter's poll interval in nanoseconds, 0 where changes are pushed
 	address      string
-	listBody     string // set before the limiter starts
+	listBody     string // the current endpoint list; set before the limiter starts
 
 	mutex         sync.Mutex
-	fd            int              // the socket, bound to its address: it refuses connections until it listens
-	pacer         *pollpacer.Pacer // a copy of the limiter's, which tells when that is due
-	pollsFullList bool             // the limiter asks for the whole list
+	fd            int              // bound to address, so that connections are refused until it listens; -1 once it does
+	pacer         *pollpacer.Pacer // gets the same events as the limiter's pacer, to know when its retries are due
+	pollsFullList bool             // the limiter polls for the full list
 	failedPolls   int
-	recoveredAt   time.Time // zero until it is known
+	recoveredAt   time.Time // may be in the future; zero until it is known
 }
 
+// newOutage returns an outage with an address of its own that refuses connections until listen is called.
 func newOutage(t *testing.T, pollInterval int64, mode failureMode, retryNumber int, shift time.Duration) *outage {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -87,7 +97,7 @@
 	return o
 }
 
-// listen takes connections from now on.
+// listen starts to accept connections.
 func (o *outage) listen(t *testing.T) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -103,7 +113,8 @@
 	}
 }
 
-// scheduleListen plays the scheduleListen dials in advance, the first of which comes at first: nobody sees them.
+// scheduleListen computes from the time of the first refused dial when the outage ends, and schedules listen for that
+// time. It simulates all refused dials in advance, since a socket that refuses connections doesn't notice them.
 func (o *outage) scheduleListen(t *testing.T, first time.Time) {
 	o.mutex.Lock()
 	due := first
@@ -116,7 +127,7 @@
 	t.Cleanup(func() { timer.Stop() })
 }
 
-// serviceMoved has the limiter ask here for the whole list from now on.
+// serviceMoved notes that the limiter polls this service from now on, and for the full list.
 func (o *outage) serviceMoved(now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -124,21 +135,21 @@
 	o.pacer.ServiceMoved(now.UnixNano())
 }
 
-// recoverAt has the service answer from now on.
+// recoverAt ends the outage at the given time.
 func (o *outage) recoverAt(now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.recoveredAt = now
 }
 
-// recovered tells whether the service answers, and when it has begun to.
+// recovered returns the end of the outage, zero if it is not known, and reports whether the outage is over.
 func (o *outage) recovered() (time.Time, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.recoveredAt, !o.recoveredAt.IsZero() && !time.Now().Before(o.recoveredAt)
 }
 
-// serve answers the calls of one connection.
+// serve answers the polls of one connection.
 func (o *outage) serve(c *net.TCPConn) {
 	in := bufio.NewReader(c)
 	for {
@@ -152,7 +163,7 @@
 			poll += line
 		}
 		switch _, up := o.recovered(); {
-		case strings.Contains(poll, "from=9"): // it has the news
+		case strings.Contains(poll, "from=9"): // the limiter has the list
 		case up:
 			_, _ = io.WriteString(c, okResponse(o.listBody))
 		default:
@@ -161,7 +172,7 @@
 	}
 }
 
-// respondFailing answers one call as the failure has it.
+// respondFailing handles one poll in the way in which the service fails.
 func (o *outage) respondFailing(c *net.TCPConn) {
 	answer := okResponse(o.listBody)
 	headerLength := strings.Index(answer, "\r\n\r\n") + 4
@@ -177,7 +188,8 @@
 	}
 }
 
-// recordFailure counts a call that fails now, finds out when the limiter is due to try again, and tells how the call fails.
+// recordFailure counts a poll that fails now, determines when the limiter's next retry is due, and returns how the poll
+// fails.
 func (o *outage) recordFailure(now time.Time) failureMode {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -205,7 +217,7 @@
 	return mode
 }
 
-// acceptAll serves all connections, and ends them with the test.
+// acceptAll runs serve for each connection, and closes the connections and ln when the test ends.
 func acceptAll(t *testing.T, ln net.Listener, serve func(c *net.TCPConn)) {
 	var mutex sync.Mutex
 	var open []net.Conn
@@ -231,13 +243,14 @@
 	})
 }
 
-// recordingServer is a server that serves all that comes and notes when it came.
+// recordingServer is a server that answers all requests and records when they arrived.
 type recordingServer struct {
 	*Peer
 	mutex      sync.Mutex
 	receivedAt []time.Time
 }
 
+// startRecordingServer starts a recordingServer that runs until the test ends.
 func startRecordingServer(t *testing.T) *recordingServer {
 	t.Helper()
 	s := &recordingServer{Peer: Listen(t)}
@@ -270,7 +283,7 @@
 	}
 }
 
-// readLength reads a line of a mark and a number.
+// readLength reads a line that consists of prefix and a number, and returns the number.
 func readLength(in *bufio.Reader, prefix byte) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil || line[0] != prefix {
@@ -279,7 +292,7 @@
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
 
-// lastRequest is when the latest request came, and how many there were.
+// lastRequest returns when the latest request arrived, zero if none has, and the number of requests.
 func (s *recordingServer) lastRequest() (at time.Time, count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -289,7 +302,7 @@
 	return at, count
 }
 
-// outageFixture is a limiter that knows s0, before requests and an outage.
+// outageFixture is a limiter that initially knows s0 alone, with a client and two servers.
 type outageFixture struct {
 	*Rig
 	s0, s1    *recordingServer
@@ -297,8 +310,8 @@
 	startedAt time.Time
 }
 
-// start starts a limiter that has its list service at an address, for requests and a list that says that s0 drains or
-// is gone.
+// start starts a limiter that polls discovery at the given address, and sets the list that discovery returns after the
+// outage: s1 is in service, and s0 is terminated if gone is set, terminating otherwise.
 func (o *outage) start(t *testing.T, address string, gone bool) *outageFixture {
 	t.Helper()
 	f := &outageFixture{s0: startRecordingServer(t), s1: startRecordingServer(t)}
@@ -317,7 +330,7 @@
 	return f
 }
 
-// serveRequest has one serveRequest served.
+// serveRequest sends a request, waits for its answer, and pauses for requestInterval.
 func (f *outageFixture) serveRequest(t *testing.T) {
 	t.Helper()
 	_, countS0 := f.s0.lastRequest()
@@ -327,8 +340,8 @@
 	time.Sleep(requestInterval)
 }
 
-// requireSwitch has requests come until one has gone to s1 and for a while behind that. None may reach s0 later than the
-// deadline, once that is known.
+// requireSwitch sends requests until one has reached s1, and for observationTime after that. It fails the test if a
+// request reaches s0 after the deadline. deadline reports whether the time is known yet.
 func (f *outageFixture) requireSwitch(t *testing.T, deadline func() (at time.Time, known bool)) {
 	t.Helper()
 	end := time.Now().Add(maxOutage)
@@ -341,18 +354,26 @@
 		}
 	}
 	at, known := deadline()
-	require.True(t, known, "the list service has never been back")
+	require.True(t, known, "discovery has not recovered")
 	last, countS0 := f.s0.lastRequest()
 	_, countS1 := f.s1.lastRequest()
-	require.True(t, countS0 > 0 && countS1 > 0, "%d requests to s0, %d to s1, %v behind the deadline", countS0, countS1, time.Since(at))
-	require.False(t, last.After(at), "the last request to s0 came %v behind the deadline", last.Sub(at))
+	require.True(
+		t,
+		countS0 > 0 && countS1 > 0,
+		"%d requests to s0, %d to s1, %v after the deadline",
+		countS0,
+		countS1,
+		time.Since(at),
+	)
+	require.False(t, last.After(at), "the last request to s0 came %v after the deadline", last.Sub(at))
 	t.Logf("the last request to s0 came %v before the deadline", at.Sub(last).Round(time.Millisecond))
 }
 
-// TestNotificationDeadline has the list service fail in each way and come back 0.1 s before or behind a retry, with
-// word that s0 drains or is gone. Requests come all the time. Where lists are asked for none reaches s0 later than 6 s
-// after the return and the grace; where they are pushed none later than the grace, or than 6 s and the grace where the
-// agent has fallen silent.
+// TestNotificationDeadline checks how long requests reach s0 after an outage of discovery that hid a list in which s0
+// is terminating or terminated. Discovery fails in each way and recovers 0.1 s before or after a retry is due, while
+// requests arrive all the time. Where the limiter polls, no request may reach s0 later than 6 s and the drain grace
+// after the recovery. Where changes are pushed, the limit is the grace alone, or 6 s and the grace if the agent that
+// pushes them was silent.
 func TestNotificationDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -360,20 +381,20 @@
 		pollInterval time.Duration
 		retryNumber  int
 	}{
-		{"asked, refused", refusesConnections, 2 * time.Second, 5},
-		{"asked, 503", respondsUnavailable, 2 * time.Second, 1},
-		{"asked, reset in the middle of the answer", resetsMidResponse, 2 * time.Second, 4},
-		{"asked, silent behind the headers", stallsAfterHeaders, 2 * time.Second, 2},
-		{"asked, given up", neverResponds, 2 * time.Second, 1},
-		{"asked, reset and then given up", resetsThenHangs, 10 * time.Second, 1},
+		{"polled, refused", refusesConnections, 2 * time.Second, 5},
+		{"polled, 503", respondsUnavailable, 2 * time.Second, 1},
+		{"polled, reset in the middle of the response", resetsMidResponse, 2 * time.Second, 4},
+		{"polled, silent after the headers", stallsAfterHeaders, 2 * time.Second, 2},
+		{"polled, no response", neverResponds, 2 * time.Second, 1},
+		{"polled, reset and then no response", resetsThenHangs, 10 * time.Second, 1},
 		{"pushed, refused", refusesConnections, 0, 9},
 		{"pushed, 503", respondsUnavailable, 0, 9},
-		{"pushed, reset in the middle of the answer", resetsMidResponse, 0, 9},
-		{"pushed, silent behind the headers", stallsAfterHeaders, 0, 2},
-		{"pushed, given up", neverResponds, 0, 1},
+		{"pushed, reset in the middle of the response", resetsMidResponse, 0, 9},
+		{"pushed, silent after the headers", stallsAfterHeaders, 0, 2},
+		{"pushed, no response", neverResponds, 0, 1},
 	} {
 		for _, shift := range []time.Duration{-retryOffset, retryOffset} {
-			t.Run(fmt.Sprintf("%s, back %v from a retry", c.name, shift), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, recovered %v from a retry", c.name, shift), func(t *testing.T) {
 				t.Parallel()
 				o := newOutage(t, int64(c.pollInterval), c.failure, c.retryNumber, shift)
 				if c.failure != refusesConnections {
@@ -396,15 +417,15 @@
 	}
 }
 
-// TestNotificationDeadlineAfterMove moves the list service by SIGHUP in the middle of an outage: to where it can be reached, whose
-// news has to be acted on 4 s after the move, or to where it fails in the same way, from whose return on the ordinary
-// deadline holds.
+// TestNotificationDeadlineAfterMove moves discovery to another address by SIGHUP during an outage. If discovery can be
+// reached there, the limiter must act on its list within 4 s after the move. If it fails there in the same way, the
+// usual deadline counts from its recovery.
 func TestNotificationDeadlineAfterMove(t *testing.T) {
 	for _, pollInterval := range []time.Duration{2 * time.Second, 0} {
 		for mode := refusesConnections; mode <= neverResponds; mode++ {
 			for _, shift := range []time.Duration{0, -retryOffset, retryOffset} {
 				t.Run(
-					fmt.Sprintf("asked every %v, failure %d, back %v from a retry", pollInterval, mode, shift),
+					fmt.Sprintf("poll interval %v, failure %d, recovered %v from a retry", pollInterval, mode, shift),
 					func(t *testing.T) {
 						t.Parallel()
 						first, next := newOutage(
@@ -444,7 +465,7 @@
 	}
 }
 
-// moveDiscovery moves the list service to another address. Without a shift it can be reached there.
+// moveDiscovery moves discovery to the address of next, which is available at once if next.shift is 0.
 func (f *outageFixture) moveDiscovery(t *testing.T, next *outage) {
 	t.Helper()
 	now := time.Now()
--- a/internal/lab/testbed/reload_test.go
+++ b/internal/lab/testbed/reload_test.go
@@ -18,7 +18,7 @@
 	"ospreycroft/internal/settings"
 )
 
-// logBuffer is a log that a test may read while the limiter writes it.
+// logBuffer collects log lines; a test may read it while the limiter writes.
 type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -30,7 +30,7 @@
 	return l.text.Write(b)
 }
 
-// keptKeys are the keys that the limiter has said it keeps, once it has said what it has read.
+// keptKeys waits for the event config-read and returns the keys of the events config-kept, in order.
 func (l *logBuffer) keptKeys(t *testing.T) (keys []string) {
 	t.Helper()
 	var text string
@@ -48,7 +48,7 @@
 	return keys
 }
 
-// redirectLog has the log lines written elsewhere, until the test ends.
+// redirectLog sends the default logger's lines to w until the test ends.
 func redirectLog(t *testing.T, w io.Writer) {
 	t.Helper()
 	previous := slog.Default()
@@ -56,16 +56,16 @@
 	slog.SetDefault(slog.New(logging.NewHandler(w)))
 }
 
-// captureLog takes the log for the test's time.
+// captureLog collects the default logger's lines until the test ends.
 func captureLog(t *testing.T) *logBuffer {
 	b := &logBuffer{}
 	redirectLog(t, b)
 	return b
 }
 
-// TestReloadWithoutCounter brings a configuration without the counter and with another class, plan and limits: the
-// settings that hold have a counter, so it is asked as before, on the line that it has, and each key that is not taken
-// is in the log.
+// TestReloadWithoutCounter reloads a configuration that drops the counter and changes classes, plans and limits. None
+// of these can change at run time: the counter is used as before, on the existing connection, and each key that keeps
+// its value is logged.
 func TestReloadWithoutCounter(t *testing.T) {
 	logged := captureLog(t)
 	server, counter := Listen(t), Listen(t)
@@ -80,7 +80,7 @@
 	counterConn, client := counter.Accept(t), r.Dial(t)
 	serve := func(id string, c *Conn) *Conn {
 		client.Say(t, Request(id, "read", 2000))
-		require.True(t, strings.HasPrefix(counterConn.Line(t), "tally "), "the counter is not asked")
+		require.True(t, strings.HasPrefix(counterConn.Line(t), "tally "), "no tally was sent to the counter")
 		counterConn.Say(t, "ok 1\r\n")
 		if c == nil {
 			c = server.Accept(t)
@@ -91,7 +91,7 @@
 		return c
 	}
 	c := serve("first", nil)
-	time.Sleep(50 * time.Millisecond) // the connection rests
+	time.Sleep(50 * time.Millisecond) // the server connection becomes idle
 	r.Reload(func(next *settings.Config) {
 		other := base
 		other.CounterTimeout, other.MaxAttempts = 0, 9
@@ -124,7 +124,8 @@
 	require.Equal(t, "-ERR unknown class", client.Answer(t))
 }
 
-// blockingLog is a log in which the line that holds a word waits until it is let on: the reducer that writes it stands still.
+// blockingLog is a log writer that blocks the reducer. The write of the line that contains trigger closes blocked and
+// returns once release is closed.
 type blockingLog struct {
 	trigger string
 	blocked chan struct{}
@@ -139,13 +140,13 @@
 	return len(b), nil
 }
 
-// TestBlockedReducerPollsBeforeForwarding holds the reducer for longer than the grace, though not for two dial time-outs. Meanwhile a request
-// comes, and behind it the word that the only server drains. On waking the request is read first: the list has to be
-// known before it is sent on.
+// TestBlockedReducerPollsBeforeForwarding blocks the reducer for longer than the drain grace, but for less than two
+// dial timeouts. Meanwhile a request arrives, and after it a list in which the only server drains. When the reducer
+// continues it reads the request first. It must poll the list before it forwards the request.
 func TestBlockedReducerPollsBeforeForwarding(t *testing.T) {
 	for _, c := range []struct{ dialTimeout, drainGrace, block time.Duration }{
 		{250 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond},
-		{2 * time.Second, 100 * time.Millisecond, 300 * time.Millisecond}, // dials take long, and drains are quick
+		{2 * time.Second, 100 * time.Millisecond, 300 * time.Millisecond}, // long dial timeout, short drain grace
 	} {
 		server, discovery := Listen(t), Listen(t)
 		config := Config(server)
@@ -165,7 +166,7 @@
 		conn.Command(t)
 		conn.Serve(t, "value")
 		require.Equal(t, "$value", client.Answer(t))
-		time.Sleep(50 * time.Millisecond) // the connection rests
+		time.Sleep(50 * time.Millisecond) // the server connection becomes idle
 		s := &blockingLog{trigger: "event=config-read", blocked: make(chan struct{}), release: make(chan struct{})}
 		redirectLog(t, s)
 		r.Reload(func(*settings.Config) {})
@@ -173,7 +174,7 @@
 		body := `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"terminating"}]}`
 		drainResponse := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		client.Say(t, Request("second", "read", 2000))
-		time.Sleep(20 * time.Millisecond) // it is read before the list
+		time.Sleep(20 * time.Millisecond) // the request arrives before the list
 		poll.Say(t, drainResponse)
 		time.Sleep(c.block)
 		close(s.release)
@@ -182,14 +183,15 @@
 		newPoll.Say(t, drainResponse)
 		sent, err := conn.Rest(t)
 		require.NoError(t, err)
-		require.Empty(t, sent, "it was sent on behind the grace")
+		require.Empty(t, sent, "a request was forwarded after the drain grace")
 		require.Regexp(t, "^-BUSY", client.Answer(t))
 		client.Reset()
 		r.Stop()
-		defer r.WaitDone(t, Patience) // in order: it dials as it ends, which Halt does not wait for
+		defer r.WaitDone(t, Patience) // the limiter dials while it stops, and Halt does not wait for dials
 	}
 }
 
+// configTemplate is a configuration whose verbs take the counter's address and the endpoint list.
 const configTemplate = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","counter":%q,"seed":"ff",
 	"limits":{"memory_mb":192,"sockets":1024},"known":%s,"settings":{"balancers":1,"classes":[
 	{"name":"read","aim":1,"effect":"free"},{"name":"write","aim":1,"effect":"single_shot"},
@@ -198,8 +200,8 @@
 	"contract":{"cold-from":0.5,"warm-within":10,"stop-sending-within":0.25},
 	"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15,"cancelling":true},"granularity":0.004}}`
 
-// TestExtremeSettings starts a whole limiter with each setting that is odd and accepted. It answers a request of each
-// class: served, but where that setting leaves no time or no quota rejected.
+// TestExtremeSettings starts a limiter with each extreme value that the settings accept. A request of each class is
+// served, or rejected where the setting leaves no time or no quota.
 func TestExtremeSettings(t *testing.T) {
 	const served, rejected, either = `^\$value$`, `^-BUSY`, `^(\$value$|-BUSY)`
 	for _, c := range []struct{ old, new, answer string }{
--- a/internal/lab/testbed/stop_test.go
+++ b/internal/lab/testbed/stop_test.go
@@ -15,7 +15,7 @@
 	"ospreycroft/internal/settings"
 )
 
-// configWithCounter is a configuration with a counter at peer, which may take long to answer.
+// configWithCounter is Config with a counter, which may take 4 s to answer.
 func configWithCounter(counter *Peer, servers ...*Peer) *settings.Config {
 	config := Config(servers...)
 	config.Counter = counter.Address
@@ -23,14 +23,15 @@
 	return config
 }
 
-// readTallyAmount reads one call on the counter's line and gives its amount.
+// readTallyAmount reads one tally line at the counter and returns its amount.
 func (c *Conn) readTallyAmount(t testing.TB) float64 {
 	t.Helper()
 	_, amount := c.readTally(t)
 	return amount
 }
 
-// readTally reads one call on the counter's line and gives its name, which changes with each window, and its amount.
+// readTally reads one tally line at the counter and returns its key, which changes with each counter window, and its
+// amount.
 func (c *Conn) readTally(t testing.TB) (name string, amount float64) {
 	t.Helper()
 	words := strings.Fields(c.Line(t))
@@ -40,18 +41,19 @@
 	return words[1], amount
 }
 
-// requireRunning fails the test if the limiter ends sooner than a process may that owes nothing, and a little.
+// requireRunning fails the test if the limiter ends within 900 ms of since, which is a little longer than a process
+// without open work may take.
 func (r *Rig) requireRunning(t *testing.T, since time.Time) {
 	t.Helper()
 	select {
 	case <-r.Done():
-		t.Fatalf("it ended after %v and owed something", time.Since(since))
+		t.Fatalf("the limiter finished after %v with open work", time.Since(since))
 	case <-time.After(time.Until(since.Add(900 * time.Millisecond))):
 	}
 }
 
-// TestReservationsSettledBeforeExit: what a request has reserved is settled, or given back, before the process ends, in each state
-// in which SIGTERM may find the request, whether its client has gone or not.
+// TestReservationsSettledBeforeExit checks that the units reserved for a request are settled or returned before the
+// process ends, in each phase of the request in which SIGTERM can come, with and without the client still connected.
 func TestReservationsSettledBeforeExit(t *testing.T) {
 	for _, clientGone := range []bool{false, true} {
 		for _, phase := range []string{"reserving", "dialling", "sent"} {
@@ -61,9 +63,9 @@
 					server = Full(t)
 				}
 				config := configWithCounter(counter, server)
-				config.Settings.DialTimeout = 12e8 // the dial lasts beyond the end of a process that owes nothing
+				config.Settings.DialTimeout = 12e8 // longer than a process without open work takes to end
 				r := Start(t, config)
-				t.Parallel() // the start sets what all share
+				t.Parallel() // after Start, which sets a package variable of nbio
 				counterConn, client := counter.Accept(t), r.Dial(t)
 				client.Say(t, Request("id", "read", 4000))
 				reserved := counterConn.readTallyAmount(t)
@@ -91,8 +93,8 @@
 				}
 				if c != nil {
 					c.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
-					require.InDelta(t, 2, counterConn.readTallyAmount(t)/reserved, 1e-6, "the true units, less those reserved")
-				} else { // no server got it: all of it goes back
+					require.InDelta(t, 2, counterConn.readTallyAmount(t)/reserved, 1e-6, "the actual units less the reserved ones")
+				} else { // no server received the request, so all units are returned
 					require.InDelta(t, -1, counterConn.readTallyAmount(t)/reserved, 1e-6)
 				}
 				if !clientGone && c != nil {
@@ -100,9 +102,9 @@
 				} else if !clientGone {
 					require.Contains(t, client.Answer(t), "-BUSY")
 				}
-				select { // the counter may not have it yet
+				select { // the limiter has to wait for the counter's answer
 				case <-r.Done():
-					t.Fatal("it ended before the counter had answered")
+					t.Fatal("the limiter finished before the counter answered")
 				case <-time.After(50 * time.Millisecond):
 				}
 				counterConn.Say(t, "ok 1\r\n")
@@ -112,10 +114,11 @@
 	}
 }
 
-// TestExitDeadline: SIGKILL may come 3.7 s after SIGTERM. By then the process has ended, whatever clients do that owe it
-// nothing.
+// TestExitDeadline checks that the process ends in time, since SIGKILL may come 3.7 s after SIGTERM, whatever clients
+// without open requests do.
 func TestExitDeadline(t *testing.T) {
-	// floodUnread is a client whose machine takes few bytes, with so many answers of 23 bytes that it does not read.
+	// floodUnread connects a client with a small receive buffer that causes the given number of answers, 23 bytes each,
+	// and doesn't read them.
 	floodUnread := func(t *testing.T, r *Rig, answers int) {
 		small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(
@@ -127,11 +130,11 @@
 		t.Cleanup(func() { _ = c.Close() })
 		_, err = io.WriteString(c, strings.Repeat("*1\r\n$4\r\nECHO\r\n", answers))
 		require.NoError(t, err)
-		barrier := r.Dial(t) // these are read by then
+		barrier := r.Dial(t) // once it has an answer, the limiter has read the commands of c
 		barrier.Say(t, "*1\r\n$4\r\nPING\r\n")
 		_ = barrier.Answer(t)
 	}
-	// repeat does something at intervals until the limiter has ended.
+	// repeat runs action every 60 ms until it fails or the limiter has finished.
 	repeat := func(r *Rig, action func() error) {
 		go func() {
 			for tick := time.NewTicker(60 * time.Millisecond); ; {
@@ -147,9 +150,9 @@
 		}()
 	}
 	for name, load := range map[string]func(t *testing.T, r *Rig, server *Peer){
-		"one reads nothing":                 func(t *testing.T, r *Rig, _ *Peer) { floodUnread(t, r, 120e3) },
-		"one reads nothing, the kernel has": func(t *testing.T, r *Rig, _ *Peer) { floodUnread(t, r, 1e3) },
-		"one always has half a command": func(t *testing.T, r *Rig, server *Peer) {
+		"answers unread, in the limiter's buffer": func(t *testing.T, r *Rig, _ *Peer) { floodUnread(t, r, 120e3) },
+		"answers unread, in the kernel's buffer":  func(t *testing.T, r *Rig, _ *Peer) { floodUnread(t, r, 1e3) },
+		"partial command at all times": func(t *testing.T, r *Rig, server *Peer) {
 			client := r.Dial(t)
 			client.Say(t, Request("id", "read", 2000))
 			c := server.Accept(t)
@@ -162,7 +165,7 @@
 				return err
 			})
 		},
-		"they come and rest": func(t *testing.T, r *Rig, _ *Peer) {
+		"new idle clients": func(t *testing.T, r *Rig, _ *Peer) {
 			repeat(r, func() error {
 				c, err := net.Dial("tcp", r.Address)
 				if err == nil {
@@ -178,13 +181,14 @@
 			t.Parallel()
 			load(t, r, server)
 			r.Stop()
-			r.WaitDone(t, 4200*time.Millisecond) // 3.5 s, and what a crowded machine takes
+			r.WaitDone(t, 4200*time.Millisecond) // 3.5 s and a margin for a loaded machine
 		})
 	}
 }
 
-// TestClientsDuringShutdown: a client that rests reads an end in order, and nothing that it sends behind that is sent on;
-// one that sends again at once has each answer and then the end.
+// TestClientsDuringShutdown checks what clients get from a limiter that stops. The connection of an idle client is
+// closed gracefully, and nothing that the client sends after that is forwarded. A client with an open request that
+// sends another one gets an answer to each and then a graceful close.
 func TestClientsDuringShutdown(t *testing.T) {
 	server := Listen(t)
 	r := Start(t, Config(server))
@@ -200,11 +204,11 @@
 	server.None(t, 20*time.Millisecond)
 	c.Serve(t, "value")
 	require.Equal(t, "$value", active.Answer(t))
-	require.Contains(t, active.Answer(t), "-BUSY", "a request on a connection that is to end")
+	require.Contains(t, active.Answer(t), "-BUSY", "a request sent during the shutdown")
 	_, err = active.Rest(t)
 	require.NoError(t, err)
-	active.Say(t, Request("a2", "write", 3000)) // it has not been told that nobody reads
+	active.Say(t, Request("a2", "write", 3000)) // the limiter has closed its side only, so the write succeeds
 	r.WaitDone(t, 2*time.Second)
 	server.None(t, 10*time.Millisecond)
-	c.Quiet(t, 10*time.Millisecond) // nothing more was sent on
+	c.Quiet(t, 10*time.Millisecond) // nothing more was forwarded
 }
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package testbed runs one whole limiter in the test's own process, on real loopback sockets, before peers that the
-// test holds in its hand: each read, write, half-close and reset of a peer is a line of the test, so that the order of
-// events is the test's.
+// Package testbed runs one complete limiter in the test's own process, on real loopback sockets. Its peers are scripted
+// by the test: each read, write, half-close and reset of a peer is a statement of the test, so that the test determines
+// the order of events.
 package testbed
 
 import (
@@ -24,7 +24,7 @@
 	"ospreycroft/internal/sockets"
 )
 
-// T is what this package wants of a test; *testing.T has it.
+// T is the part of testing.TB that this package needs.
 type T interface {
 	require.TestingT
 	Helper()
@@ -32,16 +32,17 @@
 	Fatal(args ...any)
 }
 
-// Patience is how long a test waits for what must happen.
+// Patience is how long a test waits for an event that must happen before it fails.
 const Patience = 5 * time.Second
 
-// maxDescriptors: nbio's table is the process's, and limiters that have finished keep theirs until the tests end.
+// maxDescriptors sizes nbio's table of descriptors. The table has to cover all descriptors of the process, and limiters
+// that have finished keep theirs until the tests end.
 const maxDescriptors = 1 << 13
 
-// Rig is a running limiter.
+// Rig is a running limiter. With Address alone set, Dial connects to a limiter that was started elsewhere.
 type Rig struct {
 	Address       string
-	Limiter       *limiter.Limiter // the reducer's own: only to be looked at before Stop or after Ended
+	Limiter       *limiter.Limiter // owned by the reducer's goroutine; read it only once Done is closed
 	Sockets       *sockets.Sockets
 	stopOnce      sync.Once
 	stopRequested chan struct{}
@@ -50,9 +51,9 @@
 	config        settings.Config
 }
 
-// Config is a configuration for these servers, named s0, s1 and so on: classes read (idempotent), write
-// (non-idempotent) and keyed (all servers drop its repeats), one plan, no counter, and a list service at a port where
-// nobody is.
+// Config returns a configuration with the given servers, named s0, s1 and so on. It has the classes read (idempotent),
+// write (non-idempotent) and keyed (idempotent with a key that all servers deduplicate), one plan named plain, no
+// counter, and a discovery address at which nothing listens.
 func Config(servers ...*Peer) *settings.Config {
 	type entry struct {
 		ID        string `json:"instanceId"`
@@ -85,10 +86,10 @@
 
 var startMutex sync.Mutex
 
-// Start starts a limiter and ends it with the test, whether all was answered or not.
+// Start starts a limiter. It is stopped when the test ends, even if it still has requests without an answer.
 func Start(t T, config *settings.Config) *Rig {
 	t.Helper()
-	startMutex.Lock() // nbio is set up by a variable of its package
+	startMutex.Lock() // sockets.Listen sets a package variable of nbio
 	defer startMutex.Unlock()
 	r := &Rig{Address: KeepPort(t).Address(), stopRequested: make(chan struct{}), done: make(chan struct{}),
 		reloads: make(chan *settings.Config), config: *config}
@@ -108,26 +109,26 @@
 		r.Sockets.Halt()
 		select {
 		case <-r.done:
-		case <-time.After(Patience): // seen once: nbio waits for good for a connection to close as it stops
+		case <-time.After(Patience): // nbio may wait forever for a connection to close while it stops
 		}
 	})
 	return r
 }
 
-// Stop is SIGTERM; a second one changes nothing.
+// Stop has the effect of SIGTERM. Further calls have none.
 func (r *Rig) Stop() { r.stopOnce.Do(func() { close(r.stopRequested) }) }
 
-// Reload is SIGHUP with a configuration that change has changed.
+// Reload has the effect of SIGHUP after change was applied to a copy of the initial configuration.
 func (r *Rig) Reload(change func(*settings.Config)) {
 	next := r.config
 	change(&next)
 	r.reloads <- &next
 }
 
-// Done is closed once the limiter has finished.
+// Done returns a channel that is closed once the limiter has finished.
 func (r *Rig) Done() <-chan struct{} { return r.done }
 
-// WaitDone waits until the limiter has finished.
+// WaitDone waits until the limiter has finished, and fails the test if that takes longer than within.
 func (r *Rig) WaitDone(t T, within time.Duration) {
 	t.Helper()
 	select {
@@ -137,7 +138,7 @@
 	}
 }
 
-// KeepPort keeps a loopback port until the end of the test, for whatever is started there, once or again.
+// KeepPort reserves a loopback port until the end of the test. Listeners may be opened on it repeatedly.
 func KeepPort(t T) *ports.Kept {
 	t.Helper()
 	port, err := ports.Keep()
@@ -146,14 +147,14 @@
 	return port
 }
 
-// Peer is a listener: a server, the counter or the list service.
+// Peer is a listener that stands in for a server, the counter or discovery.
 type Peer struct {
 	Address string
 	ln      net.Listener
 }
 
-// Listen opens one on loopback. Its port stays kept when it is closed: connections to it are refused then, where
-// else another program could get the port and take them.
+// Listen opens a Peer on loopback. Its port stays reserved after Close, so that connections to it are refused; without
+// that another program could get the port and accept them.
 func Listen(t T) *Peer {
 	t.Helper()
 	ln, err := KeepPort(t).Listen()
@@ -162,16 +163,17 @@
 	return &Peer{Address: ln.Addr().String(), ln: ln}
 }
 
-// Full is a peer to which no connection comes up: its queue is full. Accept takes one out of it, and the next try gets
-// in.
+// Full opens a Peer whose accept queue is full, so that connection attempts time out. Each Accept takes one connection
+// from the queue and makes room for the next attempt.
 func Full(t T) *Peer {
 	t.Helper()
 	peer := Listen(t)
 	raw, err := peer.ln.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
-	require.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })) // again, for a short queue
+	// A second listen call shortens the queue.
+	require.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }))
 	require.NoError(t, err)
-	for { // until one does not come up
+	for { // until a dial times out because the queue is full
 		c, err := net.DialTimeout("tcp", peer.Address, 100*time.Millisecond)
 		if err != nil {
 			return peer
@@ -180,7 +182,7 @@
 	}
 }
 
-// Accept is the limiter's next connection to the peer.
+// Accept returns the next connection to the peer, and fails the test if none comes within Patience.
 func (p *Peer) Accept(t T) *Conn {
 	t.Helper()
 	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patience))
@@ -190,7 +192,7 @@
 	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
-// None fails the test if the limiter opens a connection to the peer within a time.
+// None fails the test if the limiter opens a connection to the peer within the given time.
 func (p *Peer) None(t T, within time.Duration) {
 	t.Helper()
 	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(within))
@@ -203,13 +205,13 @@
 // Close closes the listener: new connections are refused.
 func (p *Peer) Close() { _ = p.ln.Close() }
 
-// Conn is one connection, from the peer's side.
+// Conn is one connection of the limiter, seen from its peer or client.
 type Conn struct {
 	TCP    *net.TCPConn
 	reader *bufio.Reader
 }
 
-// Dial connects a client.
+// Dial opens a client connection to the limiter.
 func (r *Rig) Dial(t T) *Conn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", r.Address, Patience)
@@ -218,7 +220,8 @@
 	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
-// Request is one request's command; class read, write or keyed, with so many milliseconds to live.
+// Request returns the command of one request. class is read, write or keyed; deadlineMillis is the time until the
+// request's deadline in milliseconds.
 func Request(id, class string, deadlineMillis int) string {
 	fields := fmt.Sprintf("c=%s,t=plain,d=%d,units=1,spread=1,first=0", class, deadlineMillis)
 	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(fields)}
@@ -229,7 +232,7 @@
 	return string(resp.AppendCommand(nil, words...))
 }
 
-// Say writes.
+// Say writes text, and fails the test on an error.
 func (c *Conn) Say(t T, text string) {
 	t.Helper()
 	_ = c.TCP.SetWriteDeadline(time.Now().Add(Patience))
@@ -237,18 +240,18 @@
 	require.NoError(t, err)
 }
 
-// Serve answers a command with a value.
+// Serve answers a command successfully with value.
 func (c *Conn) Serve(t T, value string) {
 	t.Helper()
 	c.Say(t, ServedAnswer(value))
 }
 
-// ServedAnswer is a server's whole answer.
+// ServedAnswer returns a server's complete successful answer with value and two null fields.
 func ServedAnswer(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// Line reads one line, without its end.
+// Line reads one line and returns it without the line break.
 func (c *Conn) Line(t T) string {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
@@ -257,7 +260,7 @@
 	return strings.TrimRight(line, "\r\n")
 }
 
-// Command reads one command whole and gives its words.
+// Command reads one complete command and returns its words.
 func (c *Conn) Command(t T) []string {
 	t.Helper()
 	var n int
@@ -281,7 +284,7 @@
 	return string(text[:n])
 }
 
-// Answer reads one answer to a client: the value behind "$", or the line of an error, "-" and all.
+// Answer reads one answer to a client. It returns "$" followed by the value, or the line of an error with its "-".
 func (c *Conn) Answer(t T) string {
 	t.Helper()
 	line := c.Line(t)
@@ -297,7 +300,8 @@
 	return "$" + string(text[:n])
 }
 
-// Rest reads all that comes until the connection ends, and how it ended: nil for an end in order.
+// Rest reads until the connection ends. It returns the text read, and the error with which the connection ended, nil
+// for a graceful close.
 func (c *Conn) Rest(t T) (string, error) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
@@ -305,17 +309,17 @@
 	return string(text), err
 }
 
-// Quiet fails the test if anything comes, an end as well, within a time.
+// Quiet fails the test if data arrives or the connection ends within the given time.
 func (c *Conn) Quiet(t T, within time.Duration) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(within))
 	_, err := c.reader.Peek(1)
 	var timeout net.Error
-	require.ErrorAs(t, err, &timeout, "something has come")
+	require.ErrorAs(t, err, &timeout, "data has arrived")
 	require.True(t, timeout.Timeout(), "the connection has ended: %v", err)
 }
 
-// Reset breaks the connection off.
+// Reset closes the connection with a TCP reset.
 func (c *Conn) Reset() {
 	_ = c.TCP.SetLinger(0)
 	_ = c.TCP.Close()
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestServe plays one request of each class through, and the end of a limiter that owes nothing.
+// TestServe checks that one request of each class is served, and that a limiter without open requests stops.
 func TestServe(t *testing.T) {
 	server := Listen(t)
 	r := Start(t, Config(server))
@@ -24,7 +24,7 @@
 		require.Equal(t, "id-"+class, c.Command(t)[2])
 		c.Serve(t, "value")
 		require.Equal(t, "$value", client.Answer(t))
-		time.Sleep(50 * time.Millisecond) // the connection rests
+		time.Sleep(50 * time.Millisecond) // the server connection becomes idle
 	}
 	r.Stop()
 	_, err := client.Rest(t)
@@ -32,16 +32,16 @@
 	r.WaitDone(t, Patience)
 }
 
-// TestClosedPeerKeepsItsPort: CI failed in TestNeverUp, which closes its server and expects connections to be refused.
-// Twelve copies of it beside each other repeated that, 22 times in 96,000 runs: the answer was that of another
-// program's listener, or of another test's limiter ("id is in use"), to which the kernel had given the port meanwhile.
-// So nobody else may get the port of a closed peer until the test ends. This asks for it as a program does that is
-// handed one: without SO_REUSEADDR, by which a socket that is only bound can be joined.
+// TestClosedPeerKeepsItsPort checks that no other program can get the port of a closed peer until the test ends.
+// TestServerUnreachable, which closes its server and expects connections to be refused, failed in CI, and 22 times in
+// 96,000 runs of twelve copies in parallel: the kernel had meanwhile given the port to another program or to another
+// test's limiter ("id is in use"), which answered. The test binds the port without SO_REUSEADDR, as a program that is
+// assigned a port does; with that option a socket that is only bound could share the port.
 func TestClosedPeerKeepsItsPort(t *testing.T) {
 	for name, listen := range map[string]func() *Peer{
-		"plain":  func() *Peer { return Listen(t) },
-		"narrow": func() *Peer { return listenLimitedBuffers(t) },
-		"full":   func() *Peer { return Full(t) },
+		"plain":         func() *Peer { return Listen(t) },
+		"small buffers": func() *Peer { return listenLimitedBuffers(t) },
+		"full":          func() *Peer { return Full(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer := listen()
@@ -53,7 +53,7 @@
 	}
 }
 
-// bindExclusively binds a socket that shares its address with nobody, and gives it up.
+// bindExclusively binds a socket without SO_REUSEADDR to address, closes it, and returns the error of the bind.
 func bindExclusively(t *testing.T, address string) error {
 	t.Helper()
 	addr, err := netip.ParseAddrPort(address)
--- a/internal/lab/testbed/watch_test.go
+++ b/internal/lab/testbed/watch_test.go
@@ -15,8 +15,7 @@
 	"ospreycroft/internal/settings"
 )
 
-// entryJSON is a server of a list: its name, its address, and in service, terminating or started so many milliseconds
-// after 1970.
+// entryJSON returns the list entry of a server in JSON. startedMillis is its start time in milliseconds since 1970.
 func entryJSON(id string, p *Peer, lifecycle string, startedMillis int64) string {
 	return fmt.Sprintf(
 		`{"instanceId":%q,"hostPort":%q,"lifecycle":%q,"startedAtMs":%d}`,
@@ -27,16 +26,18 @@
 	)
 }
 
+// listJSON returns an endpoint list. It replaces the previous one if full is set, and changes it otherwise.
 func listJSON(generation int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, full, strings.Join(entries, ","))
 }
 
-// okResponse is an answer with its length.
+// okResponse returns an HTTP response with a Content-Length.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// readPoll reads one readPoll for a list and gives what it asks for: "whole", or the generation behind which it watches.
+// readPoll reads one poll and returns "whole" if it asks for the full list, or the generation whose successor it waits
+// for.
 func (c *Conn) readPoll(t testing.TB) string {
 	t.Helper()
 	first := c.Line(t)
@@ -50,15 +51,16 @@
 	return generation
 }
 
-// watchFixture is a limiter that knows s0, with its first watch at the list service. s1 is another server, for its lists to
-// tell of.
+// watchFixture is a limiter that initially knows s0, with its first poll pending at discovery. s1 is another server for
+// the lists that the test sends.
 type watchFixture struct {
 	*Rig
 	s0, s1, discovery *Peer
 	pollConn          *Conn
-	dialTimeout       time.Duration // the dial time-out, where it is not patient
+	dialTimeout       time.Duration // the limiter's dial timeout; shortDialTimeout if 0
 }
 
+// newWatchFixture starts a watchFixture with the default dial timeout.
 func newWatchFixture(t *testing.T) *watchFixture {
 	t.Helper()
 	f := &watchFixture{s0: Listen(t), s1: Listen(t), discovery: Listen(t)}
@@ -66,6 +68,7 @@
 	return f
 }
 
+// start starts the limiter and waits for its first poll.
 func (f *watchFixture) start(t *testing.T) {
 	t.Helper()
 	config := Config(f.s0)
@@ -76,18 +79,18 @@
 	require.Equal(t, "1", f.pollConn.readPoll(t))
 }
 
-// shortDialTimeout is a dial time-out; a process that has not run for two of them doubts its list.
+// shortDialTimeout is the default dial timeout. A limiter that has not run for two dial timeouts distrusts its list.
 const shortDialTimeout = 300 * time.Millisecond
 
-// pollDeadline is well before a watch that says nothing is given up, which is after six of them.
+// pollDeadline is well before the limiter gives up a poll without a response, which is after six dial timeouts.
 const pollDeadline = 5 * shortDialTimeout
 
-// drainList is a list of which s0 drainList and s1 is in service.
+// drainList returns a list in which s0 drains and s1 is in service.
 func (f *watchFixture) drainList(generation int) string {
 	return listJSON(generation, true, entryJSON("s0", f.s0, "terminating", 0), entryJSON("s1", f.s1, "in_service", 0))
 }
 
-// requireServed has a request served by a server on a connection that it gives, and by no other.
+// requireServed sends a request, which the given server must receive on a new connection, and returns that connection.
 func (f *watchFixture) requireServed(t *testing.T, server *Peer) *Conn {
 	t.Helper()
 	client := f.Dial(t)
@@ -99,35 +102,42 @@
 	return c
 }
 
+// moveDiscovery reloads a configuration in which discovery is at to.
 func (f *watchFixture) moveDiscovery(to *Peer) {
 	f.Reload(func(c *settings.Config) { c.Discovery = to.Address })
 }
 
-// TestWatchEnds ends a watch in each way, and has the first answer behind that tell of a drain. The old watch speaks
-// last then: it says that the server is in service, and the one that is, gone. Nothing new goes to the one that
-// drains.
+// TestWatchEnds ends a pending poll in each way and then answers the next poll with a list in which a server drains.
+// After that the old connection delivers a list in which this server is in service and the other one is missing. That
+// list must be ignored: the draining server gets no new request.
 func TestWatchEnds(t *testing.T) {
 	partialList := func(f *watchFixture) string { return okResponse(f.drainList(2))[:90] }
 	for _, c := range []struct {
 		name     string
 		endWatch func(t *testing.T, f *watchFixture) (next *Peer)
-		wantPoll string // the next call
+		wantPoll string // what the next poll asks for
 	}{
 		{"silent", func(_ *testing.T, f *watchFixture) *Peer { return f.discovery }, "1"},
 		{"reset", func(_ *testing.T, f *watchFixture) *Peer { f.pollConn.Reset(); return f.discovery }, "1"},
-		{"ended in order", func(_ *testing.T, f *watchFixture) *Peer { _ = f.pollConn.TCP.CloseWrite(); return f.discovery }, "1"},
-		{"half a list and silence", func(t *testing.T, f *watchFixture) *Peer { f.pollConn.Say(t, partialList(f)); return f.discovery }, "1"},
-		{"half a list and a reset", func(t *testing.T, f *watchFixture) *Peer {
+		{"closed gracefully", func(_ *testing.T, f *watchFixture) *Peer {
+			_ = f.pollConn.TCP.CloseWrite()
+			return f.discovery
+		}, "1"},
+		{"partial list, then silence", func(t *testing.T, f *watchFixture) *Peer {
+			f.pollConn.Say(t, partialList(f))
+			return f.discovery
+		}, "1"},
+		{"partial list, then reset", func(t *testing.T, f *watchFixture) *Peer {
 			f.pollConn.Say(t, partialList(f))
 			f.pollConn.Reset()
 			return f.discovery
 		}, "1"},
-		{"half a list and its end", func(t *testing.T, f *watchFixture) *Peer {
+		{"partial list, then closed", func(t *testing.T, f *watchFixture) *Peer {
 			f.pollConn.Say(t, partialList(f))
 			_ = f.pollConn.TCP.CloseWrite()
 			return f.discovery
 		}, "1"},
-		{"away and back", func(t *testing.T, f *watchFixture) *Peer {
+		{"unavailable, then back", func(t *testing.T, f *watchFixture) *Peer {
 			f.pollConn.Reset()
 			for range 3 {
 				f.discovery.Accept(t).Reset()
@@ -135,7 +145,7 @@
 			return f.discovery
 		}, "1"},
 		{"moved", func(t *testing.T, f *watchFixture) *Peer { to := Listen(t); f.moveDiscovery(to); return to }, "whole"},
-		{"moved in the middle of an answer", func(t *testing.T, f *watchFixture) *Peer {
+		{"moved in the middle of a response", func(t *testing.T, f *watchFixture) *Peer {
 			f.pollConn.Say(t, partialList(f))
 			to := Listen(t)
 			f.moveDiscovery(to)
@@ -147,11 +157,11 @@
 			f.moveDiscovery(to)
 			return to
 		}, "whole"},
-		{"moved to where nobody listens, and on", func(t *testing.T, f *watchFixture) *Peer {
+		{"moved to a closed port, then moved again", func(t *testing.T, f *watchFixture) *Peer {
 			closed, to := Listen(t), Listen(t)
 			closed.Close()
 			f.moveDiscovery(closed)
-			f.requireServed(t, f.s0) // by the list that it holds
+			f.requireServed(t, f.s0) // from the list that the limiter already has
 			f.moveDiscovery(to)
 			return to
 		}, "whole"},
@@ -164,7 +174,7 @@
 			require.True(
 				t,
 				c.name == "silent" || time.Since(start) < pollDeadline,
-				"asked again after %v",
+				"polled again after %v",
 				time.Since(start),
 			)
 			var indented bytes.Buffer
@@ -172,7 +182,7 @@
 			next.Say(t, okResponse(indented.String()))
 			require.Equal(t, "3", next.readPoll(t))
 			rest, _ := strings.CutPrefix(okResponse(listJSON(9, true, entryJSON("s0", f.s0, "in_service", 0))), partialList(f))
-			_, _ = io.WriteString(f.pollConn.TCP, rest) // it may be closed
+			_, _ = io.WriteString(f.pollConn.TCP, rest) // the limiter may have closed it
 			time.Sleep(5 * time.Millisecond)
 			f.requireServed(t, f.s1)
 			f.s0.None(t, time.Millisecond)
@@ -180,24 +190,24 @@
 	}
 }
 
-// TestListWithoutLength: the end of the connection ends an answer without a length, and a reset, silence or our own
-// close do not.
+// TestListWithoutLength checks that a response without Content-Length is complete when discovery closes the connection
+// gracefully, but not after a reset or without a close.
 func TestListWithoutLength(t *testing.T) {
 	halfCloses := func(c *Conn) { _ = c.TCP.CloseWrite() }
 	for _, c := range []struct {
 		name, head   string
-		missingBytes int // so much of the list does not come
+		missingBytes int // bytes at the end of the list that are not sent
 		end          func(c *Conn)
 		wantPoll     string
 	}{
-		{"ended in order", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 0, halfCloses, "2"},
-		{"no word of the end ahead", "HTTP/1.1 200 OK\r\n\r\n", 0, halfCloses, "2"},
-		{"older", "HTTP/1.0 200 OK\r\n\r\n", 0, halfCloses, "2"},
-		// no list: what is held may be of another count
-		{"cut, and ended in order", "HTTP/1.1 200 OK\r\n\r\n", 1, halfCloses, "whole"},
-		{"reset right behind it", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 0, (*Conn).Reset, "1"},
+		{"closed gracefully", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 0, halfCloses, "2"},
+		{"closed without Connection: close", "HTTP/1.1 200 OK\r\n\r\n", 0, halfCloses, "2"},
+		{"HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\n", 0, halfCloses, "2"},
+		// an invalid list: the cached one may be of another generation, so the full list is polled
+		{"truncated, then closed gracefully", "HTTP/1.1 200 OK\r\n\r\n", 1, halfCloses, "whole"},
+		{"reset right after the list", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 0, (*Conn).Reset, "1"},
 		{"reset later", "HTTP/1.0 200 OK\r\n\r\n", 0, func(c *Conn) { time.Sleep(20 * time.Millisecond); c.Reset() }, "1"},
-		{"never ended", "HTTP/1.1 200 OK\r\n\r\n", 0, func(*Conn) {}, "1"},
+		{"never closed", "HTTP/1.1 200 OK\r\n\r\n", 0, func(*Conn) {}, "1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newWatchFixture(t)
@@ -217,8 +227,8 @@
 	}
 }
 
-// TestDrainInOutage: discovery comes back and says that s0 drains, while a request waits for a connection to it. The
-// request is taken back and goes elsewhere at once; s0 gets nothing, not even the connection.
+// TestDrainInOutage checks a request that waits for a connection to s0 when discovery recovers and reports that s0
+// drains. The dial is cancelled and the request goes to s1 at once; s0 gets no data and no connection.
 func TestDrainInOutage(t *testing.T) {
 	for _, class := range []string{"read", "write", "keyed"} {
 		t.Run(class, func(t *testing.T) {
@@ -229,7 +239,7 @@
 			require.Equal(t, "1", pollConn.readPoll(t))
 			client := f.Dial(t)
 			client.Say(t, "*1\r\n$4\r\nPING\r\n"+Request("id", class, 2000))
-			client.Line(t) // the request was read together with it
+			client.Line(t) // the limiter has read the request together with the PING
 			pollConn.Say(t, okResponse(f.drainList(3)))
 			c := f.s1.Accept(t)
 			require.Equal(t, "id", c.Command(t)[2])
@@ -242,26 +252,32 @@
 	}
 }
 
-// TestListGenerationDecreases: a list that counts lower than what is held is of a discovery that has begun anew: what it says
-// counts, and where it is changes the whole of it is asked for.
+// TestListGenerationDecreases checks that a list with a lower generation than the cached one is accepted, since
+// discovery has restarted. Where it contains changes only, the full list is polled.
 func TestListGenerationDecreases(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		f := newWatchFixture(t)
-		f.pollConn.Say(t, okResponse(listJSON(0, whole, entryJSON("s0", f.s0, "terminating", 0), entryJSON("s1", f.s1, "in_service", 0))))
+		f.pollConn.Say(
+			t,
+			okResponse(
+				listJSON(0, whole, entryJSON("s0", f.s0, "terminating", 0), entryJSON("s1", f.s1, "in_service", 0)),
+			),
+		)
 		require.Equal(t, map[bool]string{true: "0", false: "whole"}[whole], f.pollConn.readPoll(t))
 		f.requireServed(t, f.s1)
 		f.s0.None(t, time.Millisecond)
 	}
 }
 
-// TestServerReplaced: a list names a server at another address, or started anew at the same one. What rests to the old
-// process takes no new request: it may be gone without a word.
+// TestServerReplaced checks that an idle connection to a server is closed and takes no new request when a list has the
+// server at another address, or with a later start time at the same one. The old process may have vanished without
+// closing the connection.
 func TestServerReplaced(t *testing.T) {
 	for _, addressChanges := range []bool{true, false} {
 		t.Run(fmt.Sprintf("moves=%v", addressChanges), func(t *testing.T) {
 			f := newWatchFixture(t)
 			old := f.requireServed(t, f.s0)
-			time.Sleep(50 * time.Millisecond) // the connection rests
+			time.Sleep(50 * time.Millisecond) // the server connection becomes idle
 			to, startedMillis := f.s0, time.Now().UnixMilli()
 			if addressChanges {
 				to, startedMillis = f.s1, 0
