--- a/internal/lab/testbed/deadlines_test.go
+++ b/internal/lab/testbed/deadlines_test.go
@@ -18,8 +18,8 @@
 	"ospreycroft/internal/settings"
 )
 
-// option sets one of a listener's; connections accepted from then on have it.
-func (p *Peer) option(t testing.TB, set func(fd int) error) *Peer {
+// setSocketOption applies set to the listening socket. Connections accepted from then on inherit the option.
+func (p *Peer) setSocketOption(t testing.TB, set func(fd int) error) *Peer {
 	t.Helper()
 	raw, err := p.ln.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
@@ -28,38 +28,39 @@
 	return p
 }
 
-// slow is a server whose machine takes few bytes that it does not read.
-func slow(t testing.TB) *Peer {
-	few := func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) }
-	return Listen(t).option(t, few)
+// listenSmallBuffer is Listen with a small receive buffer: the kernel accepts few bytes that the server does not read.
+func listenSmallBuffer(t testing.TB) *Peer {
+	limitBuffer := func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) }
+	return Listen(t).setSocketOption(t, limitBuffer)
 }
 
-// squeeze has the limiter's kernel take few bytes at a time on a connection: the limiter's end is in this process, too.
-func (c *Conn) squeeze(t testing.TB) {
+// shrinkPeerSendBuffer sets a small send buffer on the limiter's socket of this connection, so that the kernel takes
+// few bytes at a time. The limiter's socket is found among this process's descriptors.
+func (c *Conn) shrinkPeerSendBuffer(t testing.TB) {
 	t.Helper()
-	port := func(a syscall.Sockaddr, err error) int {
-		if in, is := a.(*syscall.SockaddrInet4); err == nil && is {
-			return in.Port
+	port := func(addr syscall.Sockaddr, err error) int {
+		if inet, ok := addr.(*syscall.SockaddrInet4); err == nil && ok {
+			return inet.Port
 		}
 		return 0
 	}
-	mine, others := c.TCP.LocalAddr().(*net.TCPAddr).Port, c.TCP.RemoteAddr().(*net.TCPAddr).Port
+	localPort, remotePort := c.TCP.LocalAddr().(*net.TCPAddr).Port, c.TCP.RemoteAddr().(*net.TCPAddr).Port
 	for fd := range 1024 {
-		if port(syscall.Getsockname(fd)) == others && port(syscall.Getpeername(fd)) == mine {
+		if port(syscall.Getsockname(fd)) == remotePort && port(syscall.Getpeername(fd)) == localPort {
 			require.NoError(t, syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, 1))
 			return
 		}
 	}
-	t.Fatal("the limiter's end is not here")
+	t.Fatal("no descriptor of this process is the limiter's socket")
 }
 
-// ready waits until something has come on one of the connections.
-func ready(t testing.TB, conns ...*Conn) *Conn {
+// waitReadable waits until data has arrived on one of the connections and returns that connection.
+func waitReadable(t testing.TB, conns ...*Conn) *Conn {
 	t.Helper()
 	for end := time.Now().Add(Patience); time.Now().Before(end); {
 		for _, c := range conns {
 			_ = c.TCP.SetReadDeadline(time.Now().Add(time.Millisecond))
-			if _, err := c.in.Peek(1); err == nil {
+			if _, err := c.reader.Peek(1); err == nil {
 				return c
 			}
 		}
@@ -68,13 +69,13 @@
 	return nil
 }
 
-// late is a server to which connections come up only once next was called: its queue of connections is full, and the
-// kernel drops what asks for one more, which asks again a second later. next gives the limiter's, nil if none comes up
-// within a time.
-func late(t testing.TB) (p *Peer, next func(within time.Duration) *Conn) {
-	p = Listen(t).option(t, func(fd int) error { return syscall.Listen(fd, 0) })
+// listenBacklogged opens a server whose accept queue is full: the kernel drops further SYNs, which the client's kernel
+// repeats a second later, so that connections are established only once accept was called. accept returns the limiter's
+// next connection, or nil if none is established within the given time.
+func listenBacklogged(t testing.TB) (p *Peer, accept func(within time.Duration) *Conn) {
+	p = Listen(t).setSocketOption(t, func(fd int) error { return syscall.Listen(fd, 0) })
 	fillers := map[string]bool{}
-	for { // until one does not come up
+	for { // until a dial times out because the queue is full
 		c, err := net.DialTimeout("tcp", p.Address, 100*time.Millisecond)
 		if err != nil {
 			break
@@ -91,21 +92,21 @@
 			}
 			t.Cleanup(func() { _ = c.Close() })
 			if !fillers[c.RemoteAddr().String()] {
-				return &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}
+				return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 			}
 		}
 	}
 }
 
-// states of a connection, as the kernel writes them.
+// States of a TCP connection as in /proc/net/tcp; noConnection is the absence of one.
 const (
-	none    = ""
-	synSent = "02"
+	noConnection = ""
+	synSent      = "02"
 )
 
-// state waits until the kernel's table has a connection to a port, from another one where that is given, in a state;
-// or none in any.
-func state(t testing.TB, from, to, want string) {
+// waitForState waits until the kernel's table has a connection to the port of address to in the state want, or, with
+// noConnection, has none in any state. With a non-empty from only connections from its port count.
+func waitForState(t testing.TB, from, to, want string) {
 	t.Helper()
 	port := func(address string) string {
 		var n int
@@ -118,85 +119,89 @@
 		for _, line := range strings.Split(string(table), "\n") {
 			f := strings.Fields(line)
 			if len(f) > 3 && (from == "" || strings.HasSuffix(f[1], port(from))) && strings.HasSuffix(f[2], port(to)) &&
-				(want == none || want == f[3]) {
-				return want != none
+				(want == noConnection || want == f[3]) {
+				return want != noConnection
 			}
 		}
-		return want == none
-	}, Patience, 50*time.Millisecond) // the table is long to read
+		return want == noConnection
+	}, Patience, 50*time.Millisecond) // reading the table takes long
 }
 
-// listed is a server in a list.
-type listed struct {
+// listEntry is a server in an endpoint list.
+type listEntry struct {
 	ID        string `json:"instanceId"`
 	HostPort  string `json:"hostPort"`
 	Zone      string `json:"zone"`
 	Lifecycle string `json:"lifecycle"`
 }
 
-func listing(generation int, entries ...listed) string {
+// fullList returns an endpoint list that replaces the previous one.
+func fullList(generation int, entries ...listEntry) string {
 	text, _ := json.Marshal(map[string]any{"generation": generation, "reset": true, "instances": entries})
 	return string(text)
 }
 
-// lists is the list service, with the limiter's watch open.
-type lists struct {
-	service    *Peer
-	c          *Conn
+// discoveryStub stands in for discovery. conn holds the limiter's pending poll.
+type discoveryStub struct {
+	listener   *Peer
+	conn       *Conn
 	generation int
-	answer     string // the latest
+	lastAnswer string // the latest response with a list
 }
 
-// watch waits for the next call: what was told before has been applied.
-func (l *lists) watch(t testing.TB) {
+// awaitPoll waits for the limiter's next poll, by which it has applied the latest list.
+func (d *discoveryStub) awaitPoll(t testing.TB) {
 	t.Helper()
 	for {
-		_ = l.c.TCP.SetReadDeadline(time.Now().Add(Patience))
-		line, err := l.c.in.ReadString('\n')
-		// on a machine with much to do the limiter may have given its connection up, and asks on another one
+		_ = d.conn.TCP.SetReadDeadline(time.Now().Add(Patience))
+		line, err := d.conn.reader.ReadString('\n')
+		// on a loaded machine the limiter may have timed out and polls again on a new connection
 		if err != nil {
-			l.c = l.service.Accept(t)
+			d.conn = d.listener.Accept(t)
 			continue
 		}
-		for l.c.Line(t) != "" {
+		for d.conn.Line(t) != "" {
 		}
-		if strings.Contains(line, fmt.Sprintf("from=%d&", l.generation)) {
+		if strings.Contains(line, fmt.Sprintf("from=%d&", d.generation)) {
 			return
 		}
-		l.c.Say(t, l.answer)
+		d.conn.Say(t, d.lastAnswer)
 	}
 }
 
-func (l *lists) tell(t testing.TB, entries ...listed) {
+// publish answers the pending poll with a list of the given entries and waits until the limiter has applied it.
+func (d *discoveryStub) publish(t testing.TB, entries ...listEntry) {
 	t.Helper()
-	l.generation++
-	body := listing(l.generation, entries...)
-	l.answer = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	l.c.Say(t, l.answer)
-	l.watch(t)
+	d.generation++
+	body := fullList(d.generation, entries...)
+	d.lastAnswer = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	d.conn.Say(t, d.lastAnswer)
+	d.awaitPoll(t)
 }
 
-// story is a limiter that knows the server s0 in zone a, and more as the test tells it. Requests of the class near are
-// keyed, and the servers of one zone drop their repeats.
-type story struct {
+// attemptFixture is a limiter that initially knows the server s0 in zone a; the test publishes further servers.
+// Requests of the class near are idempotent with a key that is deduplicated by the servers of one zone.
+type attemptFixture struct {
 	*Rig
-	lists  *lists
-	first  *Peer
-	client *Conn
+	discovery *discoveryStub
+	s0        *Peer
+	client    *Conn
 }
 
-func begin(t testing.TB, window time.Duration, change func(*settings.Config)) *story {
+// newAttemptFixture starts a limiter whose classes keyed and near have the given deduplication window. change, if not
+// nil, edits the configuration first.
+func newAttemptFixture(t testing.TB, window time.Duration, change func(*settings.Config)) *attemptFixture {
 	t.Helper()
-	s := &story{first: Listen(t)}
+	s := &attemptFixture{s0: Listen(t)}
 	service := Listen(t)
 	config := Config()
-	config.Discovery, config.Known = service.Address, []byte(listing(1, s.known()))
+	config.Discovery, config.Known = service.Address, []byte(fullList(1, s.s0Entry()))
 	config.Settings.DialTimeout = 8e9
-	for name, group := range map[string]choice.DeduplicationScope{"keyed": choice.ScopeAll, "near": choice.ScopeZone} {
+	for name, scope := range map[string]choice.DeduplicationScope{"keyed": choice.ScopeAll, "near": choice.ScopeZone} {
 		config.Settings.Classes[name] = &choice.Class{
 			LatencyObjective:    60e9,
 			Idempotency:         choice.IdempotentWithKey,
-			DeduplicationScope:  group,
+			DeduplicationScope:  scope,
 			DeduplicationWindow: int64(window),
 			PriorityWeight:      1,
 		}
@@ -205,103 +210,130 @@
 		change(config)
 	}
 	s.Rig = Start(t, config)
-	s.lists = &lists{service: service, c: service.Accept(t), generation: 1}
-	s.lists.watch(t)
+	s.discovery = &discoveryStub{listener: service, conn: service.Accept(t), generation: 1}
+	s.discovery.awaitPoll(t)
 	s.client = s.Dial(t)
 	return s
 }
 
-func (s *story) known() listed { return listed{"s0", s.first.Address, "a", "in_service"} }
+// s0Entry returns the list entry of s0 in service in zone a.
+func (s *attemptFixture) s0Entry() listEntry { return listEntry{"s0", s.s0.Address, "a", "in_service"} }
 
-func at(id string, p *Peer, zone string) listed { return listed{id, p.Address, zone, "in_service"} }
+// inService returns the list entry of a server in service.
+func inService(id string, p *Peer, zone string) listEntry {
+	return listEntry{id, p.Address, zone, "in_service"}
+}
 
-// run sends a request that s0 gets whole; more servers are known from then on.
-func (s *story) run(t testing.TB, text string, more ...listed) *Conn {
+// startAttempt sends the request text, which s0 receives completely, and then publishes the servers in more. It returns
+// the connection to s0.
+func (s *attemptFixture) startAttempt(t testing.TB, text string, more ...listEntry) *Conn {
 	t.Helper()
 	s.client.Say(t, text)
-	c := s.first.Accept(t)
+	c := s.s0.Accept(t)
 	c.Command(t)
 	if len(more) > 0 {
-		s.lists.tell(t, append([]listed{s.known()}, more...)...)
+		s.discovery.publish(t, append([]listEntry{s.s0Entry()}, more...)...)
 	}
 	return c
 }
 
-// large is a request that no small buffer holds.
-func large(id, class string, left int) string {
-	return strings.Replace(Request(id, class, left), "$4\r\nBODY", "$60000\r\n"+strings.Repeat("b", 60000), 1)
+// largeRequest is Request with a body too large for a small buffer; class must not be read.
+func largeRequest(id, class string, deadlineMillis int) string {
+	return strings.Replace(Request(id, class, deadlineMillis), "$4\r\nBODY", "$60000\r\n"+strings.Repeat("b", 60000), 1)
 }
 
-// part checks that what a server got is a part of a command only.
-func part(t testing.TB, c *Conn) {
+// requirePartialCommand fails the test unless the server has received a part of a largeRequest, but not all of it.
+func requirePartialCommand(t testing.TB, c *Conn) {
 	t.Helper()
 	text, _ := c.Rest(t)
 	require.NotEmpty(t, text)
-	require.Less(t, len(text), 60000, "the command has become whole")
+	require.Less(t, len(text), 60000, "the command was completed")
 }
 
-// TestLate: a connection comes up a second after it was asked for, and what has happened meanwhile counts for the
-// attempt that waits for it: it is judged when it is written.
-func TestLate(t *testing.T) {
-	again := func(class string, left int) func(*testing.T, *story, listed) { // the first attempt, at s0, may have run
-		return func(t *testing.T, s *story, last listed) { s.run(t, Request("id", class, left), last).Reset() }
+// TestConnectionEstablishedLate checks that events between the dial and the establishment of a connection, which takes
+// a second, count for the attempt that waits for it: whether it may be sent is decided when it is written.
+func TestConnectionEstablishedLate(t *testing.T) {
+	// retries has the first attempt, at s0, end so that it may have run.
+	retries := func(class string, deadlineMillis int) func(*testing.T, *attemptFixture, listEntry) {
+		return func(t *testing.T, s *attemptFixture, last listEntry) {
+			s.startAttempt(t, Request("id", class, deadlineMillis), last).Reset()
+		}
 	}
-	once := func(class string, left int) func(*testing.T, *story, listed) {
-		return func(t *testing.T, s *story, last listed) {
-			s.lists.tell(t, last)
-			s.client.Say(t, Request("id", class, left))
+	firstAttempt := func(class string, deadlineMillis int) func(*testing.T, *attemptFixture, listEntry) {
+		return func(t *testing.T, s *attemptFixture, last listEntry) {
+			s.discovery.publish(t, last)
+			s.client.Say(t, Request("id", class, deadlineMillis))
 		}
 	}
-	leaves := func(t *testing.T, s *story, _ listed) { s.client.Reset() }
-	drains := func(t *testing.T, s *story, last listed) {
+	clientResets := func(t *testing.T, s *attemptFixture, _ listEntry) { s.client.Reset() }
+	serverDrains := func(t *testing.T, s *attemptFixture, last listEntry) {
 		last.Lifecycle = "terminating"
-		s.lists.tell(t, last)
+		s.discovery.publish(t, last)
 	}
 	const window = 1500 * time.Millisecond
-	passes := func(*testing.T, *story, listed) { time.Sleep(window) }
-	moves := func(t *testing.T, s *story, last listed) {
+	windowPasses := func(*testing.T, *attemptFixture, listEntry) { time.Sleep(window) }
+	zoneChanges := func(t *testing.T, s *attemptFixture, last listEntry) {
 		last.Zone = "b"
-		s.lists.tell(t, s.known(), last)
+		s.discovery.publish(t, s.s0Entry(), last)
 	}
 	for name, c := range map[string]struct {
-		sends, happens func(*testing.T, *story, listed)
-		window         time.Duration
-		answer         string // the client's, where nothing is written
-		never          bool   // the connection does not come up any more
+		start, event func(*testing.T, *attemptFixture, listEntry)
+		window       time.Duration
+		answer       string // the client's answer where nothing is written to the server
+		notConnected bool   // the connection is not established any more
 	}{
-		"nothing":                {sends: once("write", 20000)},
-		"nothing, a repeat":      {sends: again("near", 20000), window: time.Minute},
-		"its deadline":           {sends: once("write", 500), answer: "-", never: true},
-		"its deadline, keyed":    {sends: again("near", 700), window: time.Minute, answer: "-ERR written off", never: true},
-		"the end of a window":    {sends: again("keyed", 20000), window: window, happens: passes, answer: "-BUSY"},
-		"its client leaves":      {sends: once("write", 20000), happens: leaves},
-		"its server drains":      {sends: once("write", 20000), happens: drains, answer: "-BUSY", never: true},
-		"its server is moved":    {sends: again("near", 20000), window: time.Minute, happens: moves, answer: "-ERR written off"},
-		"moved, and all drop it": {sends: again("keyed", 20000), window: time.Minute, happens: moves},
+		"no event":        {start: firstAttempt("write", 20000)},
+		"no event, retry": {start: retries("near", 20000), window: time.Minute},
+		"deadline passes": {start: firstAttempt("write", 500), answer: "-", notConnected: true},
+		"deadline passes, keyed": {
+			start:        retries("near", 700),
+			window:       time.Minute,
+			answer:       "-ERR written off",
+			notConnected: true,
+		},
+		"deduplication window ends": {start: retries("keyed", 20000), window: window, event: windowPasses, answer: "-BUSY"},
+		"client disconnects":        {start: firstAttempt("write", 20000), event: clientResets},
+		"server drains": {
+			start:        firstAttempt("write", 20000),
+			event:        serverDrains,
+			answer:       "-BUSY",
+			notConnected: true,
+		},
+		"server changes zone": {
+			start:  retries("near", 20000),
+			window: time.Minute,
+			event:  zoneChanges,
+			answer: "-ERR written off",
+		},
+		"server changes zone, all zones deduplicate": {
+			start:  retries("keyed", 20000),
+			window: time.Minute,
+			event:  zoneChanges,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := begin(t, c.window, nil)
-			server, next := late(t)
-			last := at("s1", server, "a")
-			c.sends(t, s, last)
-			if !c.never || c.happens != nil { // else it ends by itself
-				state(t, "", server.Address, synSent)
+			s := newAttemptFixture(t, c.window, nil)
+			server, accept := listenBacklogged(t)
+			last := inService("s1", server, "a")
+			c.start(t, s, last)
+			if !c.notConnected || c.event != nil { // otherwise the deadline ends the attempt
+				waitForState(t, "", server.Address, synSent)
 			}
-			if c.happens != nil {
-				c.happens(t, s, last)
+			if c.event != nil {
+				c.event(t, s, last)
 			}
-			if c.never {
+			if c.notConnected {
 				require.Contains(t, s.client.Answer(t), c.answer)
-				require.Nil(t, next(1200*time.Millisecond), "the limiter has opened a connection")
+				require.Nil(t, accept(1200*time.Millisecond), "the limiter has opened a connection")
 				return
 			}
-			conn := next(Patience)
+			conn := accept(Patience)
 			require.NotNil(t, conn)
 			switch {
-			case name == "its client leaves":
+			case name == "client disconnects":
 				conn.Quiet(t, 100*time.Millisecond)
-			case c.answer != "": // the attempt was judged, and it was the last
+			case c.answer != "": // the attempt was not sent, and there is no further one
 				require.Contains(t, s.client.Answer(t), c.answer)
 				conn.Quiet(t, 20*time.Millisecond)
 			default:
@@ -309,7 +341,7 @@
 				words := conn.Command(t)
 				_, err := fmt.Sscanf(words[3][strings.Index(words[3], "d="):], "d=%d", &left)
 				require.NoError(t, err)
-				require.LessOrEqual(t, left, 19000, "the time that is left")
+				require.LessOrEqual(t, left, 19000, "remaining time")
 				conn.Serve(t, "value")
 				require.Equal(t, "$value", s.client.Answer(t))
 			}
@@ -317,34 +349,36 @@
 	}
 }
 
-// TestGivenUp: a command that the kernel took whole and the server's machine did not is not completed once its request
-// has ended.
-func TestGivenUp(t *testing.T) {
-	server := slow(t)
-	s := begin(t, time.Second, func(c *settings.Config) { c.Known = []byte(listing(1, at("s0", server, "a"))) })
-	s.client.Say(t, large("id", "write", 400))
+// TestAbandonedCommandNotCompleted checks that a command which the local kernel has taken completely, but the server's
+// kernel has not, is not completed at the server once its request has ended.
+func TestAbandonedCommandNotCompleted(t *testing.T) {
+	server := listenSmallBuffer(t)
+	s := newAttemptFixture(t, time.Second, func(c *settings.Config) {
+		c.Known = []byte(fullList(1, inService("s0", server, "a")))
+	})
+	s.client.Say(t, largeRequest("id", "write", 400))
 	c := server.Accept(t)
 	require.Equal(t, "-ERR written off", s.client.Answer(t))
-	state(t, c.TCP.RemoteAddr().String(), server.Address, none) // the limiter has closed it
-	part(t, c)
+	waitForState(t, c.TCP.RemoteAddr().String(), server.Address, noConnection) // the limiter has closed it
+	requirePartialCommand(t, c)
 }
 
-// TestWindowInTheMiddle: a keyed repeat of which the kernel has only a part is not completed past the window, though
-// its request lives.
-func TestWindowInTheMiddle(t *testing.T) {
-	servers := []*Peer{slow(t), slow(t)}
-	s := begin(t, 2*time.Second, func(c *settings.Config) {
-		c.Known = []byte(listing(1, at("s0", servers[0], "a"), at("s1", servers[1], "a")))
+// TestWindowEndsDuringWrite checks that a retry with an idempotency key, of which the kernel has taken only a part, is
+// not completed after the deduplication window has ended, although its request still has time left.
+func TestWindowEndsDuringWrite(t *testing.T) {
+	servers := []*Peer{listenSmallBuffer(t), listenSmallBuffer(t)}
+	s := newAttemptFixture(t, 2*time.Second, func(c *settings.Config) {
+		c.Known = []byte(fullList(1, inService("s0", servers[0], "a"), inService("s1", servers[1], "a")))
 	})
-	var conns []*Conn // an open connection at least to each server, squeezed
-	for met := map[*Peer]bool{}; len(met) < 2; {
+	var conns []*Conn // at least one connection to each server, with small send buffers
+	for connected := map[*Peer]bool{}; len(connected) < 2; {
 		s.client.Say(t, Request(fmt.Sprint("id-", len(conns)), "read", 20000))
 		for n := len(conns); len(conns) == n; {
 			for _, p := range servers {
 				_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 				if c, err := p.ln.Accept(); err == nil {
 					t.Cleanup(func() { _ = c.Close() })
-					conns, met[p] = append(conns, &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}), true
+					conns, connected[p] = append(conns, &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}), true
 				}
 			}
 		}
@@ -353,23 +387,24 @@
 		c.Command(t)
 		c.Serve(t, "value")
 		require.Equal(t, "$value", s.client.Answer(t))
-		c.squeeze(t)
+		c.shrinkPeerSendBuffer(t)
 	}
-	time.Sleep(50 * time.Millisecond) // they rest
-	s.client.Say(t, large("id", "keyed", 30000))
-	first := ready(t, conns...)
+	time.Sleep(50 * time.Millisecond) // the connections become idle
+	s.client.Say(t, largeRequest("id", "keyed", 30000))
+	first := waitReadable(t, conns...)
 	first.Command(t)
 	first.Reset()
-	second := ready(t, slices.DeleteFunc(conns, func(c *Conn) bool { return c == first })...)
+	second := waitReadable(t, slices.DeleteFunc(conns, func(c *Conn) bool { return c == first })...)
 	require.Regexp(t, "^-BUSY", s.client.Answer(t))
-	part(t, second)
+	requirePartialCommand(t, second)
 }
 
-// TestTurnedAway: an attempt that was turned away has not run, and no window bounds the next one.
-func TestTurnedAway(t *testing.T) {
-	s := begin(t, 100*time.Millisecond, nil)
+// TestRejectedAttemptIgnoresWindow checks that a rejected attempt, which has not run, starts no deduplication window:
+// the retry may follow although the window's length has passed since.
+func TestRejectedAttemptIgnoresWindow(t *testing.T) {
+	s := newAttemptFixture(t, 100*time.Millisecond, nil)
 	server := Listen(t)
-	first := s.run(t, Request("id", "keyed", 5000), at("s1", server, "b"))
+	first := s.startAttempt(t, Request("id", "keyed", 5000), inService("s1", server, "b"))
 	time.Sleep(150 * time.Millisecond)
 	first.Say(t, "-BUSY\r\n")
 	c := server.Accept(t)
@@ -378,12 +413,13 @@
 	require.Equal(t, "$value", s.client.Answer(t))
 }
 
-// TestMoved: what counts is the group in which an attempt may have run, not the one that its server is in by now.
-func TestMoved(t *testing.T) {
-	s := begin(t, 5*time.Second, nil)
+// TestServerChangesZone checks that a retry stays within the zone in which the previous attempt may have run, even if
+// the server of that attempt has changed its zone since.
+func TestServerChangesZone(t *testing.T) {
+	s := newAttemptFixture(t, 5*time.Second, nil)
 	server := Listen(t)
-	first := s.run(t, Request("id", "near", 5000))
-	s.lists.tell(t, at("s0", s.first, "b"), at("s1", server, "b"))
+	first := s.startAttempt(t, Request("id", "near", 5000))
+	s.discovery.publish(t, inService("s0", s.s0, "b"), inService("s1", server, "b"))
 	first.Reset()
 	require.Equal(t, "-ERR written off", s.client.Answer(t))
 	c := server.Accept(t)
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package testbed runs one whole limiter in the test's own process, on real loopback sockets, before peers that the
-// test holds in its hand: each read, write, half-close and reset of a peer is a line of the test, so that the order of
-// events is the test's.
+// Package testbed runs one complete limiter in the test's own process, on real loopback sockets. Its peers are scripted
+// by the test: each read, write, half-close and reset of a peer is a statement of the test, so that the test determines
+// the order of events.
 package testbed
 
 import (
@@ -24,7 +24,7 @@
 	"ospreycroft/internal/sockets"
 )
 
-// T is what this package wants of a test; *testing.T has it.
+// T is the part of testing.TB that this package needs.
 type T interface {
 	require.TestingT
 	Helper()
@@ -32,27 +32,28 @@
 	Fatal(args ...any)
 }
 
-// Patience is how long a test waits for what must happen.
+// Patience is how long a test waits for an event that must happen before it fails.
 const Patience = 5 * time.Second
 
-// manyDescriptors: nbio's table is the process's, and limiters that have finished keep theirs until the tests end.
-const manyDescriptors = 1 << 13
+// maxDescriptors sizes nbio's table of descriptors. The table has to cover all descriptors of the process, and limiters
+// that have finished keep theirs until the tests end.
+const maxDescriptors = 1 << 13
 
-// Rig is a running limiter.
+// Rig is a running limiter. With Address alone set, Dial connects to a limiter that was started elsewhere.
 type Rig struct {
-	Address string
-	Limiter *limiter.Limiter // the reducer's own: only to be looked at before Stop or after Ended
-	Sockets *sockets.Sockets
-	stop    sync.Once
-	stopped chan struct{}
-	ended   chan struct{}
-	renewed chan *settings.Config
-	config  settings.Config
+	Address       string
+	Limiter       *limiter.Limiter // owned by the reducer's goroutine; read it only once Done is closed
+	Sockets       *sockets.Sockets
+	stopOnce      sync.Once
+	stopRequested chan struct{}
+	done          chan struct{}
+	reloads       chan *settings.Config
+	config        settings.Config
 }
 
-// Config is a configuration for these servers, named s0, s1 and so on: classes read (idempotent), write
-// (non-idempotent) and keyed (all servers drop its repeats), one plan, no counter, and a list service at a port where
-// nobody is.
+// Config returns a configuration with the given servers, named s0, s1 and so on. It has the classes read (idempotent),
+// write (non-idempotent) and keyed (idempotent with a key that all servers deduplicate), one plan named plain, no
+// counter, and a discovery address at which nothing listens.
 func Config(servers ...*Peer) *settings.Config {
 	type entry struct {
 		ID        string `json:"instanceId"`
@@ -83,61 +84,61 @@
 			DialTimeout: second / 4, MaxAttempts: 3, MaxRetryAfter: 2 * second, CanCancel: true, TimerResolution: 4e6}}}
 }
 
-var starting sync.Mutex
+var startMutex sync.Mutex
 
-// Start starts a limiter and ends it with the test, whether all was answered or not.
+// Start starts a limiter. It is stopped when the test ends, even if it still has requests without an answer.
 func Start(t T, config *settings.Config) *Rig {
 	t.Helper()
-	starting.Lock() // nbio is set up by a variable of its package
-	defer starting.Unlock()
-	r := &Rig{Address: KeepPort(t).Address(), stopped: make(chan struct{}), ended: make(chan struct{}),
-		renewed: make(chan *settings.Config), config: *config}
+	startMutex.Lock() // sockets.Listen sets a package variable of nbio
+	defer startMutex.Unlock()
+	r := &Rig{Address: KeepPort(t).Address(), stopRequested: make(chan struct{}), done: make(chan struct{}),
+		reloads: make(chan *settings.Config), config: *config}
 	var err error
-	r.Sockets, err = sockets.Listen(r.Address, limiter.MaxClients(config), manyDescriptors)
+	r.Sockets, err = sockets.Listen(r.Address, limiter.MaxClients(config), maxDescriptors)
 	require.NoError(t, err)
 	start := time.Now()
 	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 	r.Limiter, err = limiter.New(clock(), config, r.Sockets)
 	require.NoError(t, err)
 	go func() {
-		r.Sockets.Run(clock, r.Limiter, r.stopped, r.renewed)
-		close(r.ended)
+		r.Sockets.Run(clock, r.Limiter, r.stopRequested, r.reloads)
+		close(r.done)
 	}()
 	t.Cleanup(func() {
 		r.Stop()
 		r.Sockets.Halt()
 		select {
-		case <-r.ended:
-		case <-time.After(Patience): // seen once: nbio waits for good for a connection to close as it stops
+		case <-r.done:
+		case <-time.After(Patience): // nbio may wait forever for a connection to close while it stops
 		}
 	})
 	return r
 }
 
-// Stop is SIGTERM; a second one changes nothing.
-func (r *Rig) Stop() { r.stop.Do(func() { close(r.stopped) }) }
+// Stop has the effect of SIGTERM. Further calls have none.
+func (r *Rig) Stop() { r.stopOnce.Do(func() { close(r.stopRequested) }) }
 
-// Renew is SIGHUP with a configuration that change has changed.
-func (r *Rig) Renew(change func(*settings.Config)) {
+// Reload has the effect of SIGHUP after change was applied to a copy of the initial configuration.
+func (r *Rig) Reload(change func(*settings.Config)) {
 	next := r.config
 	change(&next)
-	r.renewed <- &next
+	r.reloads <- &next
 }
 
-// Ended is closed once the limiter has finished.
-func (r *Rig) Ended() <-chan struct{} { return r.ended }
+// Done returns a channel that is closed once the limiter has finished.
+func (r *Rig) Done() <-chan struct{} { return r.done }
 
-// Finish waits until the limiter has finished.
-func (r *Rig) Finish(t T, within time.Duration) {
+// WaitDone waits until the limiter has finished, and fails the test if that takes longer than within.
+func (r *Rig) WaitDone(t T, within time.Duration) {
 	t.Helper()
 	select {
-	case <-r.ended:
+	case <-r.done:
 	case <-time.After(within):
 		t.Fatal("the limiter has not finished")
 	}
 }
 
-// KeepPort keeps a loopback port until the end of the test, for whatever is started there, once or again.
+// KeepPort reserves a loopback port until the end of the test. Listeners may be opened on it repeatedly.
 func KeepPort(t T) *ports.Kept {
 	t.Helper()
 	port, err := ports.Keep()
@@ -146,14 +147,14 @@
 	return port
 }
 
-// Peer is a listener: a server, the counter or the list service.
+// Peer is a listener that stands in for a server, the counter or discovery.
 type Peer struct {
 	Address string
 	ln      net.Listener
 }
 
-// Listen opens one on loopback. Its port stays kept when it is closed: connections to it are refused then, where
-// else another program could get the port and take them.
+// Listen opens a Peer on loopback. Its port stays reserved after Close, so that connections to it are refused; without
+// that another program could get the port and accept them.
 func Listen(t T) *Peer {
 	t.Helper()
 	ln, err := KeepPort(t).Listen()
@@ -162,16 +163,17 @@
 	return &Peer{Address: ln.Addr().String(), ln: ln}
 }
 
-// Full is a peer to which no connection comes up: its queue is full. Accept takes one out of it, and the next try gets
-// in.
+// Full opens a Peer whose accept queue is full, so that connection attempts time out. Each Accept takes one connection
+// from the queue and makes room for the next attempt.
 func Full(t T) *Peer {
 	t.Helper()
 	peer := Listen(t)
 	raw, err := peer.ln.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
-	require.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })) // again, for a short queue
+	// A second listen call shortens the queue.
+	require.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }))
 	require.NoError(t, err)
-	for { // until one does not come up
+	for { // until a dial times out because the queue is full
 		c, err := net.DialTimeout("tcp", peer.Address, 100*time.Millisecond)
 		if err != nil {
 			return peer
@@ -180,17 +182,17 @@
 	}
 }
 
-// Accept is the limiter's next connection to the peer.
+// Accept returns the next connection to the peer, and fails the test if none comes within Patience.
 func (p *Peer) Accept(t T) *Conn {
 	t.Helper()
 	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patience))
 	c, err := p.ln.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}
+	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
-// None fails the test if the limiter opens a connection to the peer within a time.
+// None fails the test if the limiter opens a connection to the peer within the given time.
 func (p *Peer) None(t T, within time.Duration) {
 	t.Helper()
 	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(within))
@@ -203,25 +205,26 @@
 // Close closes the listener: new connections are refused.
 func (p *Peer) Close() { _ = p.ln.Close() }
 
-// Conn is one connection, from the peer's side.
+// Conn is one connection of the limiter, seen from its peer or client.
 type Conn struct {
-	TCP *net.TCPConn
-	in  *bufio.Reader
+	TCP    *net.TCPConn
+	reader *bufio.Reader
 }
 
-// Dial connects a client.
+// Dial opens a client connection to the limiter.
 func (r *Rig) Dial(t T) *Conn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", r.Address, Patience)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return &Conn{TCP: c.(*net.TCPConn), in: bufio.NewReader(c)}
+	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
-// Request is one request's command; class read, write or keyed, with so many milliseconds to live.
-func Request(id, class string, left int) string {
-	list := fmt.Sprintf("c=%s,t=plain,d=%d,units=1,spread=1,first=0", class, left)
-	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(list)}
+// Request returns the command of one request. class is read, write or keyed; deadlineMillis is the time until the
+// request's deadline in milliseconds.
+func Request(id, class string, deadlineMillis int) string {
+	fields := fmt.Sprintf("c=%s,t=plain,d=%d,units=1,spread=1,first=0", class, deadlineMillis)
+	words := [][]byte{[]byte("SVC.QUERY"), []byte("00000000000000ff"), []byte(id), []byte(fields)}
 	if class != "read" {
 		words[0] = []byte("SVC.SUBMIT")
 		words = append(words, []byte("BODY"))
@@ -229,7 +232,7 @@
 	return string(resp.AppendCommand(nil, words...))
 }
 
-// Say writes.
+// Say writes text, and fails the test on an error.
 func (c *Conn) Say(t T, text string) {
 	t.Helper()
 	_ = c.TCP.SetWriteDeadline(time.Now().Add(Patience))
@@ -237,27 +240,27 @@
 	require.NoError(t, err)
 }
 
-// Serve answers a command with a value.
+// Serve answers a command successfully with value.
 func (c *Conn) Serve(t T, value string) {
 	t.Helper()
-	c.Say(t, Served(value))
+	c.Say(t, ServedAnswer(value))
 }
 
-// Served is a server's whole answer.
-func Served(value string) string {
+// ServedAnswer returns a server's complete successful answer with value and two null fields.
+func ServedAnswer(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// Line reads one line, without its end.
+// Line reads one line and returns it without the line break.
 func (c *Conn) Line(t T) string {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err, "read %q", line)
 	return strings.TrimRight(line, "\r\n")
 }
 
-// Command reads one command whole and gives its words.
+// Command reads one complete command and returns its words.
 func (c *Conn) Command(t T) []string {
 	t.Helper()
 	var n int
@@ -265,23 +268,23 @@
 	require.NoError(t, err)
 	words := make([]string, n)
 	for i := range words {
-		words[i] = c.bulk(t)
+		words[i] = c.readBulk(t)
 	}
 	return words
 }
 
-func (c *Conn) bulk(t T) string {
+func (c *Conn) readBulk(t T) string {
 	t.Helper()
 	var n int
 	_, err := fmt.Sscanf(c.Line(t), "$%d", &n)
 	require.NoError(t, err)
 	text := make([]byte, n+2)
-	_, err = io.ReadFull(c.in, text)
+	_, err = io.ReadFull(c.reader, text)
 	require.NoError(t, err)
 	return string(text[:n])
 }
 
-// Answer reads one answer to a client: the value behind "$", or the line of an error, "-" and all.
+// Answer reads one answer to a client. It returns "$" followed by the value, or the line of an error with its "-".
 func (c *Conn) Answer(t T) string {
 	t.Helper()
 	line := c.Line(t)
@@ -292,30 +295,31 @@
 	_, err := fmt.Sscanf(line, "$%d", &n)
 	require.NoError(t, err)
 	text := make([]byte, n+2)
-	_, err = io.ReadFull(c.in, text)
+	_, err = io.ReadFull(c.reader, text)
 	require.NoError(t, err)
 	return "$" + string(text[:n])
 }
 
-// Rest reads all that comes until the connection ends, and how it ended: nil for an end in order.
+// Rest reads until the connection ends. It returns the text read, and the error with which the connection ended, nil
+// for a graceful close.
 func (c *Conn) Rest(t T) (string, error) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
-	text, err := io.ReadAll(c.in)
+	text, err := io.ReadAll(c.reader)
 	return string(text), err
 }
 
-// Quiet fails the test if anything comes, an end as well, within a time.
+// Quiet fails the test if data arrives or the connection ends within the given time.
 func (c *Conn) Quiet(t T, within time.Duration) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(within))
-	_, err := c.in.Peek(1)
-	var slow net.Error
-	require.ErrorAs(t, err, &slow, "something has come")
-	require.True(t, slow.Timeout(), "the connection has ended: %v", err)
+	_, err := c.reader.Peek(1)
+	var timeout net.Error
+	require.ErrorAs(t, err, &timeout, "data has arrived")
+	require.True(t, timeout.Timeout(), "the connection has ended: %v", err)
 }
 
-// Reset breaks the connection off.
+// Reset closes the connection with a TCP reset.
 func (c *Conn) Reset() {
 	_ = c.TCP.SetLinger(0)
 	_ = c.TCP.Close()
