--- a/internal/lab/scale/alike.go
+++ b/internal/lab/scale/alike.go
@@ -13,180 +13,181 @@
 // alike compares hollow limiters with real processes, as many of each: what one of them sends, is sent, holds and
 // spends.
 func (h *Harness) alike() error {
-	var real, hollow idleSeries
+	var realSeries, hollowSeries idleFigures
 	for _, limiters := range h.sizes([]int{1, 5}, []int{1, 10, 50}) {
-		one, err := h.realFleet(limiters)
+		realUsage, err := h.measureRealFleet(limiters)
 		if err != nil {
 			return err
 		}
-		other, err := h.hollowFleet(limiters)
+		hollowUsage, err := h.measureHollowFleet(limiters)
 		if err != nil {
 			return err
 		}
-		real.take(limiters, one.all, 0)
-		hollow.take(limiters, other.all, 0)
-		h.compare(limiters, one, other)
+		realSeries.addWindows(limiters, realUsage.windows, 0)
+		hollowSeries.addWindows(limiters, hollowUsage.windows, 0)
+		h.reportDifferences(limiters, realUsage, hollowUsage)
 	}
-	real.report(h, "alike, one real", "limiters")
-	hollow.report(h, "alike, one hollow", "limiters")
+	realSeries.report(h, "alike, one real", "limiters")
+	hollowSeries.report(h, "alike, one hollow", "limiters")
 	return nil
 }
 
-// fleet is what one limiter of a fleet spent on average, in several windows, and its heap.
-type fleet struct {
-	all  []spent
-	heap float64 // bytes, 0 where it is not known
+// fleetUsage is what one limiter of a fleetUsage spent on average, in several windows, and its heap.
+type fleetUsage struct {
+	windows   []usage
+	heapBytes float64 // bytes, 0 where it is not known
 }
 
-// compare states the differences of a hollow limiter from a real one.
-func (h *Harness) compare(limiters int, real, hollow fleet) {
-	for _, one := range []struct {
-		name   string
-		figure func(spent) float64
+// reportDifferences states the differences of a hollow limiter from a real one.
+func (h *Harness) reportDifferences(limiters int, real, hollow fleetUsage) {
+	for _, metric := range []struct {
+		name  string
+		value func(usage) float64
 	}{
-		{"messages", func(o spent) float64 { return o.traffic.messages() / o.seconds }},
-		{"bytes", func(o spent) float64 { return o.traffic.bytes() / o.seconds }},
-		{"processor time", func(o spent) float64 { return o.core }},
+		{"messages", func(o usage) float64 { return o.traffic.messages() / o.seconds }},
+		{"bytes", func(o usage) float64 { return o.traffic.bytes() / o.seconds }},
+		{"processor time", func(o usage) float64 { return o.coreShare }},
 	} {
-		a := Point{Samples: samples(real.all, one.figure)}.Middle()
-		b := Point{Samples: samples(hollow.all, one.figure)}.Middle()
-		if a == 0 {
+		realMedian := Point{Samples: samples(real.windows, metric.value)}.Median()
+		hollowMedian := Point{Samples: samples(hollow.windows, metric.value)}.Median()
+		if realMedian == 0 {
 			continue // a window of the short form saw none
 		}
-		h.figure(
-			Series{Experiment: "alike", Quantity: fmt.Sprintf("%s, hollow less real, %d of each", one.name, limiters),
+		h.addFigure(
+			Series{Experiment: "alike", Quantity: fmt.Sprintf("%s, hollow less real, %d of each", metric.name, limiters),
 				Unit: "% of the real one's"},
-			(b-a)/a*100,
+			(hollowMedian-realMedian)/realMedian*100,
 		)
 	}
-	h.figure(Series{Experiment: "alike", Quantity: fmt.Sprintf("heap, %d of each: real, hollow", limiters), Unit: "MB",
+	h.addFigure(Series{Experiment: "alike", Quantity: fmt.Sprintf("heap, %d of each: real, hollow", limiters), Unit: "MB",
 		Note: "the real one's behind its latest collection, in whole MB; the hollow one's behind a forced one"},
-		real.heap/1e6, hollow.heap/1e6)
+		real.heapBytes/1e6, hollow.heapBytes/1e6)
 }
 
-// alikeWindow is long enough for each limiter's pings of the counter, every 2 s, to be as many in each window.
-const alikeWindow = 6 * time.Second
+// alikeWindowLength is long enough for each limiter's pings of the counter, every 2 s, to be as many in each window.
+const alikeWindowLength = 6 * time.Second
 
-// fleetLength is the length of a window in which each limiter calls discovery at least once.
-func (h *Harness) fleetLength() time.Duration {
+// fleetWindowLength is the length of a window in which each limiter calls discovery at least once.
+func (h *Harness) fleetWindowLength() time.Duration {
 	if h.options.Short {
 		return 1200 * time.Millisecond
 	}
-	return alikeWindow
+	return alikeWindowLength
 }
 
-func (h *Harness) realFleet(limiters int) (f fleet, err error) {
-	s, err := newStands(standsSpec{limiters: limiters, servers: alikeServers})
+func (h *Harness) measureRealFleet(limiters int) (fleet fleetUsage, err error) {
+	s, err := newStandIns(standInsSpec{limiters: limiters, servers: alikeServers})
 	if err != nil {
-		return f, err
+		return fleet, err
 	}
 	defer s.close()
 	var pids []int
-	var all []*realLimiter
+	var limiterProcesses []*realLimiter
 	defer func() {
-		for _, l := range all {
+		for _, l := range limiterProcesses {
 			l.stop()
 		}
 	}()
-	known := s.known()
+	known := s.encodedList()
 	for n := range limiters {
-		l, err := h.startReal(s, n, realSockets, known)
+		l, err := h.startRealLimiter(s, n, realSockets, known)
 		if err != nil {
-			return f, err
+			return fleet, err
 		}
-		all, pids = append(all, l), append(pids, l.pid())
+		limiterProcesses, pids = append(limiterProcesses, l), append(pids, l.pid())
 	}
-	f.all, err = h.watchFleet(s, pids, limiters)
+	fleet.windows, err = h.measureFleet(s, pids, limiters)
 	if err != nil {
-		return f, err
+		return fleet, err
 	}
-	for _, l := range all {
-		f.heap += l.heap() / float64(limiters)
+	for _, l := range limiterProcesses {
+		fleet.heapBytes += l.heapBytes() / float64(limiters)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-func (h *Harness) hollowFleet(limiters int) (f fleet, err error) {
-	s, err := newStands(standsSpec{limiters: limiters, servers: alikeServers})
+func (h *Harness) measureHollowFleet(limiters int) (fleet fleetUsage, err error) {
+	s, err := newStandIns(standInsSpec{limiters: limiters, servers: alikeServers})
 	if err != nil {
-		return f, err
+		return fleet, err
 	}
 	defer s.close()
-	hosts, err := h.startHollow(s, 0, limiters, s.known())
+	hosts, err := h.startHollowLimiters(s, 0, limiters, s.encodedList())
 	if err != nil {
-		return f, err
+		return fleet, err
 	}
 	defer stopHosts(hosts)
-	f.all, err = h.watchFleet(s, pidsOf(hosts), limiters)
+	fleet.windows, err = h.measureFleet(s, hostPIDs(hosts), limiters)
 	if err != nil {
-		return f, err
+		return fleet, err
 	}
-	for _, one := range hosts {
-		heap, err := one.heap()
+	for _, hostProcess := range hosts {
+		heap, err := hostProcess.heapBytes()
 		if err != nil {
-			return f, err
+			return fleet, err
 		}
-		f.heap += heap / float64(limiters)
+		fleet.heapBytes += heap / float64(limiters)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-func pidsOf(hosts []*host) []int {
+func hostPIDs(hosts []*host) []int {
 	var pids []int
-	for _, one := range hosts {
-		pids = append(pids, one.pid())
+	for _, hostProcess := range hosts {
+		pids = append(pids, hostProcess.pid())
 	}
 	return pids
 }
 
-// watchFleet measures processes together and gives what each of so many limiters took on average.
-func (h *Harness) watchFleet(s *stands, pids []int, limiters int) (all []spent, err error) {
-	time.Sleep(h.window(3 * time.Second))
-	for range h.samples() {
-		one, err := fleetWindow(s, pids, limiters, func() { time.Sleep(h.fleetLength()) })
+// measureFleet measures processes together and gives what each of so many limiters took on average.
+func (h *Harness) measureFleet(s *standIns, pids []int, limiters int) (windows []usage, err error) {
+	time.Sleep(h.duration(3 * time.Second))
+	for range h.sampleCount() {
+		windowUsage, err := measureFleetWindow(s, pids, limiters, func() { time.Sleep(h.fleetWindowLength()) })
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, one)
+		windows = append(windows, windowUsage)
 	}
-	return all, nil
+	return windows, nil
 }
 
-// fleetWindow is what one of so many limiters took on average while something was done.
-func fleetWindow(s *stands, pids []int, limiters int, do func()) (one spent, err error) {
-	before, err := processorTimes(pids)
+// measureFleetWindow is what one of so many limiters took on average while something was done.
+func measureFleetWindow(s *standIns, pids []int, limiters int, do func()) (perLimiter usage, err error) {
+	before, err := totalProcessorTime(pids)
 	if err != nil {
-		return one, err
+		return perLimiter, err
 	}
-	crossed, began := s.traffic(), time.Now()
+	trafficBefore, start := s.traffic(), time.Now()
 	do()
-	after, err := processorTimes(pids)
+	after, err := totalProcessorTime(pids)
 	if err != nil {
-		return one, err
+		return perLimiter, err
 	}
-	n := float64(limiters)
-	one.seconds = time.Since(began).Seconds()
-	one.core = (after - before).Seconds() / one.seconds / n
+	limiterCount := float64(limiters)
+	perLimiter.seconds = time.Since(start).Seconds()
+	perLimiter.coreShare = (after - before).Seconds() / perLimiter.seconds / limiterCount
 	for _, pid := range pids {
-		held, err := procfs.Resident(pid)
+		resident, err := procfs.Resident(pid)
 		if err != nil {
-			return one, err
+			return perLimiter, err
 		}
-		one.resident += held / n
+		perLimiter.residentBytes += resident / limiterCount
 	}
-	t := s.traffic().since(crossed)
-	one.traffic = traffic{t.discoveryCalls / n, t.discoveryBytes / n, t.counterCalls / n, t.counterBytes / n}
-	return one, nil
+	crossed := s.traffic().since(trafficBefore)
+	perLimiter.traffic = traffic{crossed.discoveryCalls / limiterCount, crossed.discoveryBytes / limiterCount,
+		crossed.counterCalls / limiterCount, crossed.counterBytes / limiterCount}
+	return perLimiter, nil
 }
 
-// processorTimes is the time that all of several processes have run for.
-func processorTimes(pids []int) (sum time.Duration, err error) {
+// totalProcessorTime is the time that all of several processes have run for.
+func totalProcessorTime(pids []int) (sum time.Duration, err error) {
 	for _, pid := range pids {
-		one, err := procfs.ProcessorTime(pid)
+		processorTime, err := procfs.ProcessorTime(pid)
 		if err != nil {
 			return 0, err
 		}
-		sum += one
+		sum += processorTime
 	}
 	return sum, nil
 }
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -15,12 +15,12 @@
 	"ospreycroft/internal/resp"
 )
 
-// clients send requests to one address over connections that they keep.
-type clients struct {
+// clientPool send requests to one address over connections that they keep.
+type clientPool struct {
 	clock   *history.Clock
 	address string
 	idle    chan *clientConn
-	next    atomic.Int64 // of the requests' ids
+	lastID  atomic.Int64 // of the requests' ids
 }
 
 type clientConn struct {
@@ -28,26 +28,26 @@
 	in *bufio.Reader
 }
 
-// sent is one request as its client saw it; times are nanoseconds on the run's clock.
-type sent struct {
-	id       string
-	customer uint64
-	began    int64 // just before it was written
-	answered int64 // when the whole answer had been read
-	answer   byte  // its first byte, '$' for a value; 0 where none came
+// requestResult is one request as its client saw it; times are nanoseconds on the run's clock.
+type requestResult struct {
+	id         string
+	customer   uint64
+	sentAt     int64 // just before it was written
+	answeredAt int64 // when the whole answer had been read
+	firstByte  byte  // its first byte, '$' for a value; 0 where none came
 }
 
 const (
-	mostIdle     = 1024
-	clientWaits  = 3 * time.Second
-	firstOfLives = 1 << 20 // customers of this run are numbered from here on
+	maxIdleConns  = 1024
+	clientTimeout = 3 * time.Second
+	firstCustomer = 1 << 20 // customers of this run are numbered from here on
 )
 
-func newClients(clock *history.Clock, address string) *clients {
-	return &clients{clock: clock, address: address, idle: make(chan *clientConn, mostIdle)}
+func newClientPool(clock *history.Clock, address string) *clientPool {
+	return &clientPool{clock: clock, address: address, idle: make(chan *clientConn, maxIdleConns)}
 }
 
-func (c *clients) close() {
+func (c *clientPool) close() {
 	for {
 		select {
 		case conn := <-c.idle:
@@ -58,9 +58,9 @@
 	}
 }
 
-// command is a request's command.
-func command(id string, customer uint64) []byte {
-	list := fmt.Sprintf(
+// queryCommand is a request's queryCommand.
+func queryCommand(id string, customer uint64) []byte {
+	fields := fmt.Sprintf(
 		"c=%s,t=%s,d=%d,units=%d,spread=%d,first=0",
 		className,
 		planName,
@@ -68,52 +68,52 @@
 		requestUnits,
 		requestSpread,
 	)
-	return resp.AppendCommand(nil, []byte("SVC.QUERY"), fmt.Appendf(nil, "%016x", customer), []byte(id), []byte(list))
+	return resp.AppendCommand(nil, []byte("SVC.QUERY"), fmt.Appendf(nil, "%016x", customer), []byte(id), []byte(fields))
 }
 
 // send sends one request and waits for its answer.
-func (c *clients) send(customer uint64) sent {
-	one := sent{id: fmt.Sprintf("%016x", c.next.Add(1)), customer: customer}
-	text := command(one.id, customer)
-	conn, err := c.connection()
+func (c *clientPool) send(customer uint64) requestResult {
+	result := requestResult{id: fmt.Sprintf("%016x", c.lastID.Add(1)), customer: customer}
+	request := queryCommand(result.id, customer)
+	conn, err := c.takeConn()
 	if err != nil {
-		one.began = c.clock.Now()
-		return one
+		result.sentAt = c.clock.Now()
+		return result
 	}
-	_ = conn.SetDeadline(time.Now().Add(clientWaits))
-	one.began = c.clock.Now()
-	_, err = conn.Write(text)
+	_ = conn.SetDeadline(time.Now().Add(clientTimeout))
+	result.sentAt = c.clock.Now()
+	_, err = conn.Write(request)
 	if err == nil {
-		one.answer, err = conn.answer()
+		result.firstByte, err = conn.readAnswer()
 	}
-	one.answered = c.clock.Now()
+	result.answeredAt = c.clock.Now()
 	if err != nil {
 		_ = conn.Close()
-		return one
+		return result
 	}
 	select {
 	case c.idle <- conn:
 	default:
 		_ = conn.Close()
 	}
-	return one
+	return result
 }
 
-func (c *clients) connection() (*clientConn, error) {
+func (c *clientPool) takeConn() (*clientConn, error) {
 	select {
 	case conn := <-c.idle:
 		return conn, nil
 	default:
 	}
-	conn, err := net.DialTimeout("tcp", c.address, clientWaits)
+	conn, err := net.DialTimeout("tcp", c.address, clientTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &clientConn{conn, bufio.NewReader(conn)}, nil
 }
 
-// answer reads an answer, of a limiter (a bulk string or a line) or of a server (an array of bulk strings).
-func (c *clientConn) answer() (first byte, err error) {
+// readAnswer reads an readAnswer, of a limiter (a bulk string or a line) or of a server (an array of bulk strings).
+func (c *clientConn) readAnswer() (first byte, err error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
 		return 0, err
@@ -123,12 +123,12 @@
 	case '*':
 		items, err = strconv.Atoi(strings.TrimSpace(line[1:]))
 	case '$':
-		err = c.skip(line)
+		err = c.skipBulk(line)
 	}
 	for range items {
 		line, err = c.in.ReadString('\n')
 		if err == nil {
-			err = c.skip(line)
+			err = c.skipBulk(line)
 		}
 		if err != nil {
 			return 0, err
@@ -137,8 +137,8 @@
 	return line[0], err
 }
 
-// skip passes over a bulk string whose first line was read.
-func (c *clientConn) skip(line string) error {
+// skipBulk passes over a bulk string whose first line was read.
+func (c *clientConn) skipBulk(line string) error {
 	size, err := strconv.Atoi(strings.TrimSpace(line[1:]))
 	if err == nil && size >= 0 {
 		_, err = c.in.Discard(size + len("\r\n"))
@@ -146,70 +146,70 @@
 	return err
 }
 
-// open sends requests at random times, so many a second on average, of so many customers in turn, whatever the answers
+// sendAtRate sends requests at random times, so many a second on average, of so many customers in turn, whatever the answers
 // do, and gives what became of them.
-func (c *clients) open(rate float64, customers int, length time.Duration, seed uint64) []sent {
+func (c *clientPool) sendAtRate(rate float64, customers int, length time.Duration, seed uint64) []requestResult {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	var mutex sync.Mutex
-	var out []sent
-	var wait sync.WaitGroup
+	var results []requestResult
+	var pending sync.WaitGroup
 	end := c.clock.Now() + int64(length)
-	for at, i := c.clock.Now(), 0; ; i++ {
-		at += int64(rng.ExpFloat64() / rate * 1e9)
-		if at >= end {
+	for sendAt, i := c.clock.Now(), 0; ; i++ {
+		sendAt += int64(rng.ExpFloat64() / rate * 1e9)
+		if sendAt >= end {
 			break
 		}
-		if pause := time.Duration(at - c.clock.Now()); pause > 0 {
+		if pause := time.Duration(sendAt - c.clock.Now()); pause > 0 {
 			time.Sleep(pause)
 		}
-		wait.Add(1)
+		pending.Add(1)
 		go func() {
-			defer wait.Done()
-			one := c.send(uint64(firstOfLives + i%customers))
+			defer pending.Done()
+			result := c.send(uint64(firstCustomer + i%customers))
 			mutex.Lock()
-			out = append(out, one)
+			results = append(results, result)
 			mutex.Unlock()
 		}()
 	}
-	wait.Wait()
-	return out
+	pending.Wait()
+	return results
 }
 
-// each sends one request of each of so many customers, several at a time, and tells how many were answered: a limiter
+// sendForEach sends one request of sendForEach of so many customers, several at a time, and tells how many were answered: a limiter
 // knows the customer of one that it rejects for want of room as well.
-func (c *clients) each(customers, together int) (answered int) {
-	var wait sync.WaitGroup
+func (c *clientPool) sendForEach(customers, concurrency int) (answered int) {
+	var workers sync.WaitGroup
 	var count atomic.Int64
 	next := make(chan uint64)
-	for range together {
-		wait.Add(1)
+	for range concurrency {
+		workers.Add(1)
 		go func() {
-			defer wait.Done()
+			defer workers.Done()
 			for customer := range next {
-				if one := c.send(customer); one.answer != 0 {
+				if result := c.send(customer); result.firstByte != 0 {
 					count.Add(1)
 				}
 			}
 		}()
 	}
 	for i := range customers {
-		next <- uint64(firstOfLives + i)
+		next <- uint64(firstCustomer + i)
 	}
 	close(next)
-	wait.Wait()
+	workers.Wait()
 	return int(count.Load())
 }
 
 // servedShare is the share of requests that were answered with a value.
-func servedShare(all []sent) float64 {
-	if len(all) == 0 {
+func servedShare(results []requestResult) float64 {
+	if len(results) == 0 {
 		return 0
 	}
 	served := 0
-	for _, one := range all {
-		if one.answer == '$' {
+	for _, result := range results {
+		if result.firstByte == '$' {
 			served++
 		}
 	}
-	return float64(served) / float64(len(all))
+	return float64(served) / float64(len(results))
 }
--- a/internal/lab/scale/clients_test.go
+++ b/internal/lab/scale/clients_test.go
@@ -14,8 +14,8 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// TestAnswers: one answer is read whole, whoever gives it, and no byte behind it.
-func TestAnswers(t *testing.T) {
+// TestReadAnswer: one answer is read whole, whoever gives it, and no byte behind it.
+func TestReadAnswer(t *testing.T) {
 	const rest = "+rest\r\n"
 	for text, first := range map[string]byte{
 		"$5\r\nvalue\r\n": '$', "-BUSY 20\r\n": '-', "+PONG\r\n": '+',
@@ -24,11 +24,11 @@
 	} {
 		near, far := net.Pipe()
 		go func() { _, _ = far.Write([]byte(text + rest)) }()
-		c := &clientConn{near, bufio.NewReader(near)}
-		got, err := c.answer()
+		conn := &clientConn{near, bufio.NewReader(near)}
+		got, err := conn.readAnswer()
 		require.NoError(t, err, text)
 		require.Equal(t, first, got, text)
-		line, err := c.in.ReadString('\n')
+		line, err := conn.in.ReadString('\n')
 		require.NoError(t, err)
 		require.Equal(t, rest, line, text)
 		_ = near.Close()
@@ -42,17 +42,17 @@
 	defer runtime.UnlockOSThread()
 	before, err := procfs.ProcessorTime(os.Getpid())
 	require.NoError(t, err)
-	for began := time.Now(); time.Since(began) < 100*time.Millisecond; {
+	for start := time.Now(); time.Since(start) < 100*time.Millisecond; {
 	}
 	after, err := procfs.ProcessorTime(os.Getpid())
 	require.NoError(t, err)
 	require.Greater(t, after-before, 5*time.Millisecond)
-	held, err := procfs.Resident(os.Getpid())
+	resident, err := procfs.Resident(os.Getpid())
 	require.NoError(t, err)
-	require.Greater(t, held, 1e6)
+	require.Greater(t, resident, 1e6)
 }
 
-func TestProcessThatEnded(t *testing.T) {
+func TestEndedProcess(t *testing.T) {
 	var missing *procfs.Error
 	_, err := procfs.ProcessorTime(-1)
 	require.ErrorAs(t, err, &missing)
@@ -61,20 +61,20 @@
 	require.ErrorAs(t, err, &missing)
 }
 
-// TestLine: a row of the table tells the points, the slope, and whether it was reckoned.
-func TestLine(t *testing.T) {
+// TestSeriesRow: a row of the table tells the points, the slope, and whether it was reckoned.
+func TestSeriesRow(t *testing.T) {
 	h := &Harness{options: Options{Log: &strings.Builder{}}}
-	h.add(Series{Experiment: "e", Quantity: "q", Unit: "ms", Over: "servers", Mechanism: "m",
+	h.addSeries(Series{Experiment: "e", Quantity: "q", Unit: "ms", Over: "servers", Mechanism: "m",
 		Points: []Point{{20, []float64{1, 2, 3}}, {8500, []float64{11, 12, 13}}}})
-	h.figure(Series{Experiment: "e", Quantity: "r", Unit: "1", Reckoned: true}, 12345678)
+	h.addFigure(Series{Experiment: "e", Quantity: "r", Unit: "1", Estimated: true}, 12345678)
 	rows := h.report.Series
-	require.Contains(t, rows[0].line(), "e | q | ms | servers | 20: 2 (1..3), 8500: 12 (11..13) | 1.976 + 0.001179")
-	require.Contains(t, rows[0].line(), "residual 0.8165", "of all samples, not of their medians")
+	require.Contains(t, rows[0].row(), "e | q | ms | servers | 20: 2 (1..3), 8500: 12 (11..13) | 1.976 + 0.001179")
+	require.Contains(t, rows[0].row(), "residual 0.8165", "of all samples, not of their medians")
 	require.NotNil(t, rows[0].Line)
 	require.Nil(t, rows[1].Line)
-	require.Contains(t, rows[1].line(), "12.3M")
-	require.Contains(t, rows[1].line(), "reckoned")
+	require.Contains(t, rows[1].row(), "12.3M")
+	require.Contains(t, rows[1].row(), "reckoned")
 	var table strings.Builder
 	require.NoError(t, h.report.WriteTable(&table))
-	require.Contains(t, table.String(), rows[1].line())
+	require.Contains(t, table.String(), rows[1].row())
 }
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -20,9 +20,9 @@
 	requestBudget = 2500 // milliseconds
 )
 
-// settingsText are the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's store
+// limiterSettings are the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's store
 // lets all requests of a run through, and keeps a customer known for 30 s after its last request.
-func settingsText(position int) json.RawMessage {
+func limiterSettings(position int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"balancers":%d,"position":%d,
 "classes":[{"name":"fetch","aim":0.8,"deadline":2.5,"effect":"free","group":"all"},
  {"name":"order","aim":2.0,"deadline":8.0,"effect":"single_shot","group":"all"}],
@@ -47,25 +47,25 @@
 }
 
 type limits struct {
-	Cores   float64 `json:"cores"`
-	Memory  int     `json:"memory_mb"`
-	Sockets int     `json:"sockets"`
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
 }
 
-// configOf is the configuration of limiter n, which calls discovery and the counter at these addresses; known may be
+// newLimiterConfig is the configuration of limiter n, which calls discovery and the counter at these addresses; known may be
 // nil.
-func configOf(n int, listen, discovery, counter string, sockets int, known []byte) limiterConfig {
+func newLimiterConfig(n int, listen, discovery, counter string, sockets int, known []byte) limiterConfig {
 	return limiterConfig{Name: fmt.Sprintf("n%d", n), Listen: listen, Discovery: discovery, Counter: counter,
-		Seed: fmt.Sprintf("%016x", 0x51ca1e+uint64(n)*0x9e3779b97f4a7c15), Known: known, Settings: settingsText(n),
-		Limits: limits{Cores: 1, Memory: 128, Sockets: sockets}}
+		Seed: fmt.Sprintf("%016x", 0x51ca1e+uint64(n)*0x9e3779b97f4a7c15), Known: known, Settings: limiterSettings(n),
+		Limits: limits{Cores: 1, MemoryMB: 128, Sockets: sockets}}
 }
 
-// configText is a configuration as its file holds it.
-func configText(config limiterConfig) ([]byte, error) { return json.Marshal(config) }
+// encodeConfig is a configuration as its file holds it.
+func encodeConfig(config limiterConfig) ([]byte, error) { return json.Marshal(config) }
 
-// instances is a list of so many servers over the four zones; they stand at the addresses in turn, so that a few
+// newInstances is a list of so many servers over the four zones; they stand at the addresses in turn, so that a few
 // listeners do for thousands of servers.
-func instances(n int, addresses []string) []emulator.Instance {
+func newInstances(n int, addresses []string) []emulator.Instance {
 	list := make([]emulator.Instance, n)
 	for i := range list {
 		list[i] = emulator.Instance{
--- a/internal/lab/scale/counter.go
+++ b/internal/lab/scale/counter.go
@@ -18,17 +18,17 @@
 func (h *Harness) counter() error {
 	var calls, bytes []Point
 	for _, rate := range h.sizes([]int{40, 80}, []int{62, 124, 250, 500}) {
-		use, err := h.counterUse(rate, nil)
+		usage, err := h.measureCounterUsage(rate, nil)
 		if err != nil {
 			return err
 		}
-		calls = append(calls, Point{float64(rate), use.calls})
-		bytes = append(bytes, Point{float64(rate), use.bytes})
+		calls = append(calls, Point{float64(rate), usage.calls})
+		bytes = append(bytes, Point{float64(rate), usage.bytes})
 	}
 	mechanism := "choice.go reserve, release, settle; counter.go Count"
-	h.add(Series{Experiment: "counter", Quantity: "calls of one limiter", Unit: "/s", Over: "requests/s", Points: calls,
-		Mechanism: mechanism, Note: "no true units, no rejections: the least there is"})
-	h.add(
+	h.addSeries(Series{Experiment: "counter", Quantity: "calls of one limiter", Unit: "/s", Over: "requests/s",
+		Points: calls, Mechanism: mechanism, Note: "no true units, no rejections: the least there is"})
+	h.addSeries(
 		Series{
 			Experiment: "counter",
 			Quantity:   "bytes to and from the counter, one limiter",
@@ -39,112 +39,112 @@
 		},
 	)
 	for _, fault := range []emulator.Fault{{Kind: "busy"}, {Kind: "slow", Factor: 200}} {
-		use, err := h.counterUse(h.sizes([]int{80}, []int{124})[0], []emulator.Fault{fault})
+		usage, err := h.measureCounterUsage(h.sizes([]int{80}, []int{124})[0], []emulator.Fault{fault})
 		if err != nil {
 			return err
 		}
-		h.figure(
+		h.addFigure(
 			Series{Experiment: "counter", Quantity: "calls for a request while the counter is " + fault.Kind, Unit: "1",
 				Mechanism: "choice.go asked, Counted (asks thinned out)"},
-			use.ofRequest...)
+			usage.perRequest...)
 	}
-	return h.counterStandIn()
+	return h.measureCounterStandIn()
 }
 
-// counterUse is what one limiter asks of the counter at a load, in several samples.
-type counterUse struct{ calls, bytes, ofRequest []float64 }
+// counterUsage is what one limiter asks of the counter at a load, in several samples.
+type counterUsage struct{ calls, bytes, perRequest []float64 }
 
-func (h *Harness) counterUse(rate int, script []emulator.Fault) (use counterUse, err error) {
-	spec := standsSpec{limiters: 1, servers: 1000, work: 5 * time.Millisecond, counter: script}
-	err = h.withReal(spec, func(s *stands, l *realLimiter) error {
-		c := newClients(s.clock, l.address)
-		defer c.close()
-		time.Sleep(h.window(time.Second))
-		c.open(float64(rate), requestCustomers, h.window(3*time.Second), 1)
-		for i := range h.samples() {
-			crossed, began := s.traffic(), time.Now()
-			all := c.open(float64(rate), requestCustomers, h.window(3*time.Second), uint64(i+2))
-			seconds := time.Since(began).Seconds()
-			t := s.traffic().since(crossed)
-			use.calls = append(use.calls, t.counterCalls/seconds)
-			use.bytes = append(use.bytes, t.counterBytes/seconds)
-			use.ofRequest = append(use.ofRequest, t.counterCalls/float64(len(all)))
+func (h *Harness) measureCounterUsage(rate int, script []emulator.Fault) (usage counterUsage, err error) {
+	spec := standInsSpec{limiters: 1, servers: 1000, serviceTime: 5 * time.Millisecond, counterFaults: script}
+	err = h.withReal(spec, func(s *standIns, l *realLimiter) error {
+		pool := newClientPool(s.clock, l.address)
+		defer pool.close()
+		time.Sleep(h.duration(time.Second))
+		pool.sendAtRate(float64(rate), requestCustomers, h.duration(3*time.Second), 1)
+		for i := range h.sampleCount() {
+			trafficBefore, start := s.traffic(), time.Now()
+			results := pool.sendAtRate(float64(rate), requestCustomers, h.duration(3*time.Second), uint64(i+2))
+			seconds := time.Since(start).Seconds()
+			crossed := s.traffic().since(trafficBefore)
+			usage.calls = append(usage.calls, crossed.counterCalls/seconds)
+			usage.bytes = append(usage.bytes, crossed.counterBytes/seconds)
+			usage.perRequest = append(usage.perRequest, crossed.counterCalls/float64(len(results)))
 		}
 		return nil
 	})
-	return use, err
+	return usage, err
 }
 
 const (
-	callers     = 64  // connections to one stand-in of the counter
-	halfUsed    = 0.5 // of an instance's capacity, so that a call seldom waits
-	callsOfPeak = 1.0 // for a request, at least
+	counterConnections = 64  // connections to one stand-in of the counter
+	targetUtilization  = 0.5 // of an instance's capacity, so that a call seldom waits
+	callsPerRequest    = 1.0 // for a request, at least
 )
 
-// counterStandIn measures one stand-in in a process of its own, on one core, and reckons how many of them the peak
+// measureCounterStandIn measures one stand-in in a process of its own, on one core, and reckons how many of them the peak
 // takes.
-func (h *Harness) counterStandIn() error {
-	one, err := h.startCounterHost()
+func (h *Harness) measureCounterStandIn() error {
+	counterProcess, err := h.startCounterProcess()
 	if err != nil {
 		return err
 	}
-	defer one.stop()
-	capacity, cost, err := h.measureCounter(one)
+	defer counterProcess.stop()
+	capacity, cost, err := h.measureCounter(counterProcess)
 	if err != nil {
 		return err
 	}
-	held, err := procfs.Resident(one.pid())
+	resident, err := procfs.Resident(counterProcess.pid())
 	if err != nil {
 		return err
 	}
-	h.figure(Series{Experiment: "counter", Quantity: "processor time of a call at one stand-in", Unit: "us",
+	h.addFigure(Series{Experiment: "counter", Quantity: "processor time of a call at one stand-in", Unit: "us",
 		Mechanism: "emulator counter.go serve: a read and a write a call"}, cost.Samples...)
-	h.figure(Series{Experiment: "counter",
+	h.addFigure(Series{Experiment: "counter",
 		Quantity: "calls that one stand-in answers on the share of a core that it gets", Unit: "/s",
-		Note: fmt.Sprintf("%d connections, one call out on each", callers)}, capacity.Samples...)
-	h.figure(Series{Experiment: "counter",
-		Quantity: fmt.Sprintf("resident memory of one stand-in, %d names", Tenants), Unit: "MB"}, held/1e6)
-	h.counterInstances(1e6 / cost.Middle())
+		Note: fmt.Sprintf("%d connections, one call out on each", counterConnections)}, capacity.Samples...)
+	h.addFigure(Series{Experiment: "counter",
+		Quantity: fmt.Sprintf("resident memory of one stand-in, %d names", Customers), Unit: "MB"}, resident/1e6)
+	h.reportCounterInstances(1e6 / cost.Median())
 	return nil
 }
 
 // measureCounter calls a stand-in for a window a sample: capacity in calls a second, cost in microseconds of its
 // processor time a call.
-func (h *Harness) measureCounter(one *counterHost) (capacity, cost Point, err error) {
-	for range h.samples() {
-		before, err := procfs.ProcessorTime(one.pid())
+func (h *Harness) measureCounter(counterProcess *counterHost) (capacity, cost Point, err error) {
+	for range h.sampleCount() {
+		before, err := procfs.ProcessorTime(counterProcess.pid())
 		if err != nil {
 			return capacity, cost, err
 		}
-		began := time.Now()
-		calls, err := callCounter(one.address, h.window(3*time.Second))
+		start := time.Now()
+		calls, err := callCounter(counterProcess.address, h.duration(3*time.Second))
 		if err != nil {
 			return capacity, cost, err
 		}
-		after, err := procfs.ProcessorTime(one.pid())
+		after, err := procfs.ProcessorTime(counterProcess.pid())
 		if err != nil {
 			return capacity, cost, err
 		}
-		spent := (after - before).Seconds()
-		capacity.Samples = append(capacity.Samples, float64(calls)/time.Since(began).Seconds())
-		cost.Samples = append(cost.Samples, spent*1e6/float64(calls))
+		processorSeconds := (after - before).Seconds()
+		capacity.Samples = append(capacity.Samples, float64(calls)/time.Since(start).Seconds())
+		cost.Samples = append(cost.Samples, processorSeconds*1e6/float64(calls))
 	}
 	return capacity, cost, nil
 }
 
-// counterInstances reckons the instances that the peak takes where one answers callsPerSecond on a whole core, and how
+// reportCounterInstances reckons the instances that the peak takes where one answers callsPerSecond on a whole core, and how
 // evenly customers load them.
-func (h *Harness) counterInstances(callsPerSecond float64) {
-	instances := Instances(PeakRequests*callsOfPeak, callsPerSecond, halfUsed)
-	h.figure(Series{Experiment: "counter", Quantity: "instances for 68,000 requests/s, each half used", Unit: "1",
-		Reckoned: true}, float64(instances))
+func (h *Harness) reportCounterInstances(callsPerSecond float64) {
+	instances := InstancesNeeded(PeakRequests*callsPerRequest, callsPerSecond, targetUtilization)
+	h.addFigure(Series{Experiment: "counter", Quantity: "instances for 68,000 requests/s, each half used", Unit: "1",
+		Estimated: true}, float64(instances))
 	for _, n := range []int{instances, 2 * instances} {
 		for _, skew := range []float64{0, 1} {
-			share := LargestShare(Tenants, n, skew)
-			h.figure(Series{Experiment: "counter",
+			share := LargestShare(Customers, n, skew)
+			h.addFigure(Series{Experiment: "counter",
 				Quantity: fmt.Sprintf("load of the fullest of %d instances over an even share", n), Unit: "1",
-				Reckoned: true,
-				Note:     fmt.Sprintf("%d customers by the hash of their name; the k-th sends as 1/k^%g", Tenants, skew),
+				Estimated: true,
+				Note:      fmt.Sprintf("%d customers by the hash of their name; the k-th sends as 1/k^%g", Customers, skew),
 			}, share*float64(n))
 		}
 	}
@@ -156,40 +156,40 @@
 	address string
 }
 
-func (h *Harness) startCounterHost() (*counterHost, error) {
-	one, err := h.startHostOf(hostSpec{Counter: true, Processors: 1, Memory: mostMemory / 8})
+func (h *Harness) startCounterProcess() (*counterHost, error) {
+	hostProcess, err := h.startHostProcess(hostSpec{Counter: true, Processors: 1, MemoryBytes: maxHostMemory / 8})
 	if err != nil {
 		return nil, err
 	}
-	answer, err := one.answer()
+	answer, err := hostProcess.answer()
 	if err != nil {
-		one.stop()
-		return nil, &StartError{"counter", one.log, err}
+		hostProcess.stop()
+		return nil, &StartError{"counter", hostProcess.log, err}
 	}
-	return &counterHost{one, answer.Address}, nil
+	return &counterHost{hostProcess, answer.Address}, nil
 }
 
 // callCounter calls a counter on many connections, one call after the other on each, and tells how many were answered.
 func callCounter(address string, length time.Duration) (int64, error) {
 	var calls atomic.Int64
-	var wait sync.WaitGroup
-	errs := make(chan error, callers)
-	end := time.Now().Add(length)
-	for i := range callers {
-		c, err := net.DialTimeout("tcp", address, clientWaits)
+	var workers sync.WaitGroup
+	errs := make(chan error, counterConnections)
+	deadline := time.Now().Add(length)
+	for i := range counterConnections {
+		conn, err := net.DialTimeout("tcp", address, clientTimeout)
 		if err != nil {
 			return 0, err
 		}
-		wait.Add(1)
+		workers.Add(1)
 		go func() {
-			defer wait.Done()
-			defer func() { _ = c.Close() }()
-			in := bufio.NewReader(c)
-			for n := uint64(i); time.Now().Before(end); n += callers {
-				_ = c.SetDeadline(time.Now().Add(clientWaits))
-				_, err := c.Write(counterwire.AppendAdd(nil, mix(n%Tenants)>>1, 1, 60e9))
+			defer workers.Done()
+			defer func() { _ = conn.Close() }()
+			reader := bufio.NewReader(conn)
+			for customer := uint64(i); time.Now().Before(deadline); customer += counterConnections {
+				_ = conn.SetDeadline(time.Now().Add(clientTimeout))
+				_, err := conn.Write(counterwire.AppendAdd(nil, mixBits(customer%Customers)>>1, 1, 60e9))
 				if err == nil {
-					_, err = in.ReadString('\n')
+					_, err = reader.ReadString('\n')
 				}
 				if err != nil {
 					errs <- err
@@ -199,7 +199,7 @@
 			}
 		}()
 	}
-	wait.Wait()
+	workers.Wait()
 	select {
 	case err := <-errs:
 		return calls.Load(), err
--- a/internal/lab/scale/reckon.go
+++ b/internal/lab/scale/estimate.go
@@ -4,13 +4,13 @@
 
 // This file reckons sizes from slopes. It does no I/O.
 
-// Instances is how many instances bear so many calls a second, each of which bears capacity of them and is to be used
+// InstancesNeeded is how many instances bear so many calls a second, each of which bears capacity of them and is to be used
 // to a part of that at most.
-func Instances(calls, capacity, used float64) int {
-	if capacity <= 0 || used <= 0 {
+func InstancesNeeded(callsPerSecond, capacity, utilization float64) int {
+	if capacity <= 0 || utilization <= 0 {
 		return 0
 	}
-	return int(math.Ceil(calls / (capacity * used)))
+	return int(math.Ceil(callsPerSecond / (capacity * utilization)))
 }
 
 // LargestShare is the share of all load that the fullest of so many instances gets where customers are divided by the
@@ -20,7 +20,7 @@
 	total := 0.0
 	for k := range customers {
 		load := math.Pow(float64(k+1), -skew)
-		loads[mix(uint64(k))%uint64(instances)] += load
+		loads[mixBits(uint64(k))%uint64(instances)] += load
 		total += load
 	}
 	largest := 0.0
@@ -30,8 +30,8 @@
 	return largest / total
 }
 
-// mix spreads a number over all bits, as the counts' names are (choice.go).
-func mix(x uint64) uint64 {
+// mixBits spreads a number over all bits, as the counts' names are (choice.go).
+func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -41,7 +41,7 @@
 // countName is the name on which a customer's use is counted in the window that holds now, as choice.go names it:
 // windows are span long and begin at a time of the customer's own. Times are nanoseconds of the limiters' clock.
 func countName(customer uint64, now, span int64) uint64 {
-	phase := int64(mix(customer) >> 1)
+	phase := int64(mixBits(customer) >> 1)
 	window := (now + phase%span) / span
-	return mix(mix(customer)^uint64(window)) >> 1
+	return mixBits(mixBits(customer)^uint64(window)) >> 1
 }
--- a/internal/lab/scale/reckon_test.go
+++ b/internal/lab/scale/estimate_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestInstances(t *testing.T) {
-	require.Equal(t, 2, Instances(100, 100, 0.5))
-	require.Equal(t, 3, Instances(101, 100, 0.5), "rounded up")
-	require.Zero(t, Instances(100, 0, 0.5))
+	require.Equal(t, 2, InstancesNeeded(100, 100, 0.5))
+	require.Equal(t, 3, InstancesNeeded(101, 100, 0.5), "rounded up")
+	require.Zero(t, InstancesNeeded(100, 0, 0.5))
 }
 
 // TestLargestShare: one instance has all, and what one customer sends cannot be divided.
 func TestLargestShare(t *testing.T) {
 	require.InDelta(t, 1, LargestShare(100, 1, 0), 1e-9)
-	require.InDelta(t, 0.25, LargestShare(Tenants, 4, 0), 0.01)
+	require.InDelta(t, 0.25, LargestShare(Customers, 4, 0), 0.01)
 	largest := 0.0
 	for k := range 10 {
 		largest += 1 / float64(k+1)
@@ -51,7 +51,7 @@
 	require.EqualValues(t, 99, quantile(values, 0.99))
 	require.EqualValues(t, 7, quantile([]float64{7}, 0.99))
 	p := Point{Samples: []float64{3, 1, 2}}
-	require.Equal(t, []float64{1, 2, 3}, []float64{p.Low(), p.Middle(), p.High()})
+	require.Equal(t, []float64{1, 2, 3}, []float64{p.Min(), p.Median(), p.Max()})
 }
 
 // TestAppliedTimes: a limiter goes by a generation once it calls again after the answer that told it.
@@ -66,7 +66,7 @@
 		{Limiter: 0, At: 41, EndedAt: 50, End: history.Answered, Generation: 7},
 	}
 	require.Equal(t, []int64{25, 39}, appliedTimes(calls, 10, 7))
-	overlaps := []history.Call{ // of a life that has ended, and of the next one
+	overlapping := []history.Call{ // of a life that has ended, and of the next one
 		{
 			Limiter:    0,
 			At:         11,
@@ -74,47 +74,47 @@
 			End:        history.Answered,
 			Generation: 7,
 		}, {Limiter: 0, At: 45, EndedAt: 50, End: history.CallerGone}}
-	require.Empty(t, appliedTimes(overlaps, 10, 7))
+	require.Empty(t, appliedTimes(overlapping, 10, 7))
 	require.Empty(t, appliedTimes(calls[:3], 10, 7), "told, and not called since")
 	require.Empty(t, appliedTimes(calls, 10, 9))
 }
 
-// TestWindow joins what a client, the counter and a server saw, and leaves out what it cannot join.
-func TestWindow(t *testing.T) {
-	const customer, offset = uint64(77), int64(1e18)
-	name := countName(customer, 1e6+offset, countSpan)
-	m := newMarks()
-	m.counts[name] = []emulator.Tally{
+// TestJoinObservations joins what a client, the counter and a server saw, and leaves out what it cannot join.
+func TestJoinObservations(t *testing.T) {
+	const customer, clockOffset = uint64(77), int64(1e18)
+	name := countName(customer, 1e6+clockOffset, counterWindow)
+	observed := newObservations()
+	observed.calls[name] = []emulator.Tally{
 		{Read: 0.5e6, Answered: 0.6e6}, // of an earlier request
 		{Read: 2e6, Answered: 3e6},
 	}
-	m.served["a"] = emulator.Handled{ID: "a", Read: 5e6, Answered: 10e6}
-	m.served["b"] = emulator.Handled{ID: "b", Read: 5e6, Answered: 10e6}
-	w := m.window([]sent{
-		{id: "a", customer: customer, began: 1e6, answered: 12e6, answer: '$'},
-		{id: "b", customer: customer + 1, began: 1e6, answered: 12e6, answer: '$'}, // no call of its customer
-		{id: "c", customer: customer, began: 1e6, answered: 12e6, answer: '-'},     // rejected
-	}, offset)
-	require.Equal(t, 2, w.lost)
+	observed.handled["a"] = emulator.Handled{ID: "a", Read: 5e6, Answered: 10e6}
+	observed.handled["b"] = emulator.Handled{ID: "b", Read: 5e6, Answered: 10e6}
+	w := observed.join([]requestResult{
+		{id: "a", customer: customer, sentAt: 1e6, answeredAt: 12e6, firstByte: '$'},
+		{id: "b", customer: customer + 1, sentAt: 1e6, answeredAt: 12e6, firstByte: '$'}, // no call of its customer
+		{id: "c", customer: customer, sentAt: 1e6, answeredAt: 12e6, firstByte: '-'},     // rejected
+	}, clockOffset)
+	require.Equal(t, 2, w.excluded)
 	require.Equal(t, []float64{1}, w.parts[toCounter])
 	require.Equal(t, []float64{1}, w.parts[atCounter])
 	require.Equal(t, []float64{2}, w.parts[toServer])
-	require.Empty(t, w.parts[toServerNew])
+	require.Empty(t, w.parts[toServerNewConn])
 	require.Equal(t, []float64{2}, w.parts[backToClient])
 	require.Equal(t, []float64{6}, w.added)
 }
 
 // TestConfig: a limiter takes the lab's configuration, and the lists that it is told.
 func TestConfig(t *testing.T) {
-	text, err := configText(configOf(549, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1024, nil))
+	text, err := encodeConfig(newLimiterConfig(549, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1024, nil))
 	require.NoError(t, err)
 	config, err := settings.DecodeConfig(text)
 	require.NoError(t, err)
 	require.Equal(t, 549, config.Settings.Position)
 	require.Equal(t, Limiters, config.Settings.Limiters)
 	seen := map[string]bool{}
-	for _, in := range instances(Servers, []string{"127.0.0.1:4", "127.0.0.1:5"}) {
-		require.False(t, seen[in.ID], "ids are told apart")
-		seen[in.ID] = true
+	for _, instance := range newInstances(Servers, []string{"127.0.0.1:4", "127.0.0.1:5"}) {
+		require.False(t, seen[instance.ID], "ids are told apart")
+		seen[instance.ID] = true
 	}
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -40,25 +40,25 @@
 	}
 	meanX := sumX / n
 	meanY := sumY / n
-	var squares, products float64
+	var sumXX, sumXY float64
 	for i := range x {
-		squares += (x[i] - meanX) * (x[i] - meanX)
-		products += (x[i] - meanX) * (y[i] - meanY)
+		sumXX += (x[i] - meanX) * (x[i] - meanX)
+		sumXY += (x[i] - meanX) * (y[i] - meanY)
 	}
-	if len(x) < 2 || squares == 0 {
+	if len(x) < 2 || sumXX == 0 {
 		return Line{}, &FitError{"all points have the same x"}
 	}
-	line := Line{Slope: products / squares, Points: len(x)}
+	line := Line{Slope: sumXY / sumXX, Points: len(x)}
 	line.Intercept = meanY - line.Slope*meanX
-	var rest float64
+	var squaredResiduals float64
 	for i := range x {
-		distance := y[i] - line.At(x[i])
-		rest += distance * distance
-		line.Worst = math.Max(line.Worst, math.Abs(distance))
+		residual := y[i] - line.At(x[i])
+		squaredResiduals += residual * residual
+		line.Worst = math.Max(line.Worst, math.Abs(residual))
 	}
-	line.Residual = math.Sqrt(rest / n)
+	line.Residual = math.Sqrt(squaredResiduals / n)
 	if len(x) > 2 {
-		line.SlopeError = math.Sqrt(rest / (n - 2) / squares)
+		line.SlopeError = math.Sqrt(squaredResiduals / (n - 2) / sumXX)
 	}
 	return line, nil
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -23,30 +23,30 @@
 
 // hostSpec is the first line that a host reads.
 type hostSpec struct {
-	Limiters   []limiterConfig `json:"limiters"`
-	Known      json.RawMessage `json:"known"`      // the list that all of them begin with; one copy for all
-	Processors int             `json:"processors"` // GOMAXPROCS
-	Memory     int64           `json:"memory"`     // the runtime's soft limit, bytes
-	Counter    bool            `json:"counter"`    // it runs a counter's stand-in instead
+	Limiters    []limiterConfig `json:"limiters"`
+	Known       json.RawMessage `json:"known"`      // the list that all of them begin with; one copy for all
+	Processors  int             `json:"processors"` // GOMAXPROCS
+	MemoryBytes int64           `json:"memory"`     // the runtime's soft limit, bytes
+	Counter     bool            `json:"counter"`    // it runs a counter's stand-in instead
 }
 
 // hostCommand is a further line.
 type hostCommand struct {
-	Do      string  `json:"do"` // stats or profile
+	Command string  `json:"do"` // stats or profile
 	Seconds float64 `json:"seconds,omitempty"`
 	Path    string  `json:"path,omitempty"`
 }
 
 // hostAnswer is written once for the spec, when all limiters run, and for each command.
 type hostAnswer struct {
-	Error   string  `json:"error,omitempty"`
-	Address string  `json:"address,omitempty"` // of the counter
-	Heap    float64 `json:"heap"`              // bytes that are in use after a collection
-	Began   float64 `json:"began"`             // seconds that it took to make all limiters
+	Error        string  `json:"error,omitempty"`
+	Address      string  `json:"address,omitempty"` // of the counter
+	HeapBytes    float64 `json:"heap"`              // bytes that are in use after a collection
+	StartSeconds float64 `json:"began"`             // seconds that it took to make all limiters
 }
 
-// tableSize is how many descriptors each limiter's poller has places for: the table is the process's.
-const tableSize = 1 << 12
+// descriptorTableSize is how many descriptors each limiter's poller has places for: the table is the process's.
+const descriptorTableSize = 1 << 12
 
 // HostMain runs hollow limiters as in tells until it ends.
 func HostMain(in io.Reader, out io.Writer) error {
@@ -57,18 +57,18 @@
 		return err
 	}
 	runtime.GOMAXPROCS(spec.Processors)
-	debug.SetMemoryLimit(spec.Memory)
+	debug.SetMemoryLimit(spec.MemoryBytes)
 	if spec.Counter {
 		return counterMain(lines, answers)
 	}
-	began := time.Now()
+	start := time.Now()
 	for _, config := range spec.Limiters {
-		if err := startHollow(config, spec.Known); err != nil {
+		if err := startHollowLimiter(config, spec.Known); err != nil {
 			_ = answers.Encode(hostAnswer{Error: err.Error()})
 			return err
 		}
 	}
-	if err := answers.Encode(hostAnswer{Began: time.Since(began).Seconds()}); err != nil {
+	if err := answers.Encode(hostAnswer{StartSeconds: time.Since(start).Seconds()}); err != nil {
 		return err
 	}
 	for {
@@ -76,7 +76,7 @@
 		if err := readLine(lines, &command); err != nil {
 			return nil // the harness has ended
 		}
-		if err := answers.Encode(obey(command)); err != nil {
+		if err := answers.Encode(execute(command)); err != nil {
 			return err
 		}
 	}
@@ -84,12 +84,12 @@
 
 // counterMain runs a counter's stand-in until in ends.
 func counterMain(in *bufio.Reader, answers *json.Encoder) error {
-	k := emulator.NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
-	if err := k.Start(); err != nil {
+	counter := emulator.NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
+	if err := counter.Start(); err != nil {
 		return err
 	}
-	defer k.Close()
-	if err := answers.Encode(hostAnswer{Address: k.Address(0)}); err != nil {
+	defer counter.Close()
+	if err := answers.Encode(hostAnswer{Address: counter.Address(0)}); err != nil {
 		return err
 	}
 	_, _ = in.ReadBytes('\n')
@@ -104,48 +104,48 @@
 	return json.Unmarshal(text, into)
 }
 
-// startHollow runs one limiter for as long as the process lives.
-func startHollow(config limiterConfig, known []byte) error {
-	text, err := configText(config)
+// startHollowLimiter runs one limiter for as long as the process lives.
+func startHollowLimiter(config limiterConfig, known []byte) error {
+	text, err := encodeConfig(config)
 	if err != nil {
 		return err
 	}
-	read, err := settings.DecodeConfig(text)
+	decoded, err := settings.DecodeConfig(text)
 	if err != nil {
 		return err
 	}
-	read.Known = known
-	s, err := sockets.Listen(read.Listen, limiter.MaxClients(read), tableSize/2)
+	decoded.Known = known
+	network, err := sockets.Listen(decoded.Listen, limiter.MaxClients(decoded), descriptorTableSize/2)
 	if err != nil {
 		return err
 	}
 	start := time.Now()
 	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
-	l, err := limiter.New(clock(), read, s)
+	reducer, err := limiter.New(clock(), decoded, network)
 	if err != nil {
 		return err
 	}
-	go s.Run(clock, l, nil, nil)
+	go network.Run(clock, reducer, nil, nil)
 	return nil
 }
 
-func obey(command hostCommand) hostAnswer {
-	switch command.Do {
+func execute(command hostCommand) hostAnswer {
+	switch command.Command {
 	case "stats":
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return hostAnswer{Heap: float64(m.HeapAlloc)}
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		return hostAnswer{HeapBytes: float64(stats.HeapAlloc)}
 	case "profile":
-		if err := profile(command.Path, time.Duration(command.Seconds*float64(time.Second))); err != nil {
+		if err := writeProfile(command.Path, time.Duration(command.Seconds*float64(time.Second))); err != nil {
 			return hostAnswer{Error: err.Error()}
 		}
 		return hostAnswer{}
 	}
-	return hostAnswer{Error: fmt.Sprintf("command %q is not known", command.Do)}
+	return hostAnswer{Error: fmt.Sprintf("command %q is not known", command.Command)}
 }
 
-func profile(path string, length time.Duration) error {
+func writeProfile(path string, length time.Duration) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/lab/scale/idle.go
+++ b/internal/lab/scale/idle.go
@@ -20,44 +20,44 @@
 	stateMechanism = "choice state.go server; servers.go pool; config.Known"
 )
 
-// idleSeries are an idle limiter's figures over one size.
-type idleSeries struct{ core, resident, heap, bytes, messages []Point }
+// idleFigures are an idle limiter's figures over one size.
+type idleFigures struct{ core, resident, heap, bytes, messages []Point }
 
-// take adds the measurements at one size.
-func (s *idleSeries) take(x int, all []spent, heap float64) {
-	point := func(figure func(spent) float64) Point { return Point{float64(x), samples(all, figure)} }
-	s.core = append(s.core, point(func(o spent) float64 { return o.core * 100 }))
-	s.resident = append(s.resident, point(func(o spent) float64 { return o.resident / 1e6 }))
+// addWindows adds the measurements at one size.
+func (s *idleFigures) addWindows(x int, windows []usage, heap float64) {
+	point := func(value func(usage) float64) Point { return Point{float64(x), samples(windows, value)} }
+	s.core = append(s.core, point(func(o usage) float64 { return o.coreShare * 100 }))
+	s.resident = append(s.resident, point(func(o usage) float64 { return o.residentBytes / 1e6 }))
 	if heap > 0 {
 		s.heap = append(s.heap, Point{float64(x), []float64{heap / 1e6}})
 	}
-	s.bytes = append(s.bytes, point(func(o spent) float64 { return o.traffic.bytes() / o.seconds }))
-	s.messages = append(s.messages, point(func(o spent) float64 { return o.traffic.messages() / o.seconds }))
+	s.bytes = append(s.bytes, point(func(o usage) float64 { return o.traffic.bytes() / o.seconds }))
+	s.messages = append(s.messages, point(func(o usage) float64 { return o.traffic.messages() / o.seconds }))
 }
 
 // report adds the series.
-func (s *idleSeries) report(h *Harness, experiment, over string) {
-	for _, one := range []Series{
+func (s *idleFigures) report(h *Harness, experiment, over string) {
+	for _, series := range []Series{
 		{Quantity: "processor time", Unit: "% of a core", Points: s.core, Mechanism: tickMechanism},
 		{Quantity: "resident memory", Unit: "MB", Points: s.resident, Mechanism: stateMechanism},
 		{Quantity: "heap behind a collection", Unit: "MB", Points: s.heap, Mechanism: stateMechanism},
 		{Quantity: "control bytes", Unit: "B/s", Points: s.bytes, Mechanism: watchMechanism},
 		{Quantity: "control messages", Unit: "/s", Points: s.messages, Mechanism: watchMechanism},
 	} {
-		one.Experiment = experiment
-		one.Over = over
-		h.add(one)
+		series.Experiment = experiment
+		series.Over = over
+		h.addSeries(series)
 	}
 }
 
 func (h *Harness) idleOverServers() error {
-	var series idleSeries
+	var series idleFigures
 	for _, servers := range h.sizes([]int{20, 1000}, []int{20, 1000, 4000, Servers}) {
-		err := h.withReal(standsSpec{limiters: 1, servers: servers}, func(s *stands, l *realLimiter) error {
-			time.Sleep(h.window(2 * time.Second)) // what a start takes is over
-			all, err := watchProcess(l.process, s, h.window(3*time.Second), h.samples())
+		err := h.withReal(standInsSpec{limiters: 1, servers: servers}, func(s *standIns, l *realLimiter) error {
+			time.Sleep(h.duration(2 * time.Second)) // what a start takes is over
+			windows, err := measureProcess(l.process, s, h.duration(3*time.Second), h.sampleCount())
 			if err == nil {
-				series.take(servers, all, l.heap())
+				series.addWindows(servers, windows, l.heapBytes())
 			}
 			return err
 		})
@@ -69,24 +69,24 @@
 	return nil
 }
 
-// togetherSeen are the requests that are out at a time while customers make themselves known.
-const togetherSeen = 4
+// warmupConcurrency are the requests that are out at a time while customers make themselves known.
+const warmupConcurrency = 4
 
 func (h *Harness) idleOverCustomers() error {
-	var series idleSeries
-	for _, customers := range h.sizes([]int{20, 200}, []int{200, 5000, Tenants}) {
-		err := h.withReal(standsSpec{limiters: 1, servers: 20}, func(s *stands, l *realLimiter) error {
-			c := newClients(s.clock, l.address)
+	var series idleFigures
+	for _, customers := range h.sizes([]int{20, 200}, []int{200, 5000, Customers}) {
+		err := h.withReal(standInsSpec{limiters: 1, servers: 20}, func(s *standIns, l *realLimiter) error {
+			c := newClientPool(s.clock, l.address)
 			defer c.close()
 			began := time.Now()
-			if answered := c.each(customers, togetherSeen); answered < customers {
+			if answered := c.sendForEach(customers, warmupConcurrency); answered < customers {
 				return &LoadError{Sent: customers, Served: answered}
 			}
 			h.logf("%d customers seen in %.1f s", customers, time.Since(began).Seconds())
-			time.Sleep(h.window(time.Second))
-			all, err := watchProcess(l.process, s, h.window(3*time.Second), h.samples())
+			time.Sleep(h.duration(time.Second))
+			windows, err := measureProcess(l.process, s, h.duration(3*time.Second), h.sampleCount())
 			if err == nil {
-				series.take(customers, all, l.heap())
+				series.addWindows(customers, windows, l.heapBytes())
 			}
 			return err
 		})
@@ -112,13 +112,13 @@
 }
 
 // withReal runs one real limiter before stand-ins.
-func (h *Harness) withReal(spec standsSpec, do func(*stands, *realLimiter) error) error {
-	s, err := newStands(spec)
+func (h *Harness) withReal(spec standInsSpec, do func(*standIns, *realLimiter) error) error {
+	s, err := newStandIns(spec)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	l, err := h.startReal(s, 0, realSockets, s.known())
+	l, err := h.startRealLimiter(s, 0, realSockets, s.encodedList())
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -12,62 +12,62 @@
 
 // latency takes apart what a limiter adds to a request, over load.
 func (h *Harness) latency() error {
-	var all []leg
+	var results []latencyResult
 	for _, rate := range h.sizes([]int{60, 120}, []int{62, 124, 250, 500}) {
-		one, err := h.legs(
-			legSize{servers: h.sizes([]int{200}, []int{Servers})[0], rate: rate, customers: requestCustomers},
+		windows, err := h.measureLatency(
+			latencyCase{servers: h.sizes([]int{200}, []int{Servers})[0], rate: rate, customers: requestCustomers},
 		)
 		if err != nil {
 			return err
 		}
-		all = append(all, leg{float64(rate), one})
+		results = append(results, latencyResult{float64(rate), windows})
 	}
-	h.reportLegs("requests/s", all)
+	h.reportLatency("requests/s", results)
 	return h.latencyFloor()
 }
 
 // latencySizes takes it apart over servers and over customers, at the size's even load.
 func (h *Harness) latencySizes() error {
 	const rate = 124
-	var all []leg
+	var results []latencyResult
 	for _, servers := range h.sizes([]int{20, 200}, []int{20, 1000, Servers}) {
-		one, err := h.legs(legSize{servers: servers, rate: rate, customers: requestCustomers})
+		windows, err := h.measureLatency(latencyCase{servers: servers, rate: rate, customers: requestCustomers})
 		if err != nil {
 			return err
 		}
-		all = append(all, leg{float64(servers), one})
+		results = append(results, latencyResult{float64(servers), windows})
 	}
-	h.reportLegs("servers", all)
-	all = nil
-	for _, customers := range h.sizes([]int{50, 500}, []int{requestCustomers, 5000, Tenants}) {
-		one, err := h.legs(legSize{servers: 1000, rate: rate, customers: customers, seen: true})
+	h.reportLatency("servers", results)
+	results = nil
+	for _, customers := range h.sizes([]int{50, 500}, []int{requestCustomers, 5000, Customers}) {
+		windows, err := h.measureLatency(latencyCase{servers: 1000, rate: rate, customers: customers, seen: true})
 		if err != nil {
 			return err
 		}
-		all = append(all, leg{float64(customers), one})
+		results = append(results, latencyResult{float64(customers), windows})
 	}
-	h.reportLegs("customers", all)
+	h.reportLatency("customers", results)
 	return nil
 }
 
-// legSize is what one measurement is taken at.
-type legSize struct {
+// latencyCase is what one measurement is taken at.
+type latencyCase struct {
 	servers, rate, customers int
 	seen                     bool // all customers have been seen before
 }
 
-// leg is all samples at one size; each sample is one window.
-type leg struct {
+// latencyResult is all samples at one size; each sample is one window.
+type latencyResult struct {
 	x       float64
-	windows []window
+	windows []latencyWindow
 }
 
-// window is what became of the requests of one window.
-type window struct {
-	parts     [partsOfRequest][]float64 // ms, in the order of requests
+// latencyWindow is what became of the requests of one latencyWindow.
+type latencyWindow struct {
+	parts     [partCount][]float64 // ms, in the order of requests
 	added     []float64
 	connected int // requests for which a new connection to a server came up
-	lost      int // requests that were not served, or not found at the counter
+	excluded  int // requests that were not served, or not found at the counter
 }
 
 // The parts of what a limiter adds.
@@ -75,18 +75,18 @@
 	toCounter = iota
 	atCounter
 	toServer
-	toServerNew
+	toServerNewConn
 	backToClient
-	partsOfRequest
+	partCount
 )
 
-var partNames = [partsOfRequest]string{
+var partNames = [partCount]string{
 	"client's write until the counter has the call", "at the counter",
 	"counter's answer until the server has the request, kept connection",
 	"the same, new connection", "server's answer until the client has it",
 }
 
-var partMechanisms = [partsOfRequest]string{
+var partMechanisms = [partCount]string{
 	"poller.go pull and post, the reducer's queue, choice.go Request (able) and reserve, counter.go write",
 	"the counter's own round: emulator counter.go serve",
 	"poller, choice.go Counted and place (pick, able), servers.go use, sockets write",
@@ -94,159 +94,159 @@
 	"poller, servers.go read, choice.go Answer, clients.go flush, sockets write",
 }
 
-// legWindow is how long requests are sent for one sample.
-const legWindow = 5 * time.Second
+// latencyWindowLength is how long requests are sent for one sample.
+const latencyWindowLength = 5 * time.Second
 
-// legs measures the parts at one size.
-func (h *Harness) legs(size legSize) (windows []window, err error) {
-	marks := newMarks()
-	spec := standsSpec{
-		limiters: 1,
-		servers:  size.servers,
-		work:     2 * time.Millisecond,
-		tallied:  marks.tallied,
-		handled:  marks.handled,
+// measureLatency measures the parts at one size.
+func (h *Harness) measureLatency(params latencyCase) (windows []latencyWindow, err error) {
+	observed := newObservations()
+	spec := standInsSpec{
+		limiters:    1,
+		servers:     params.servers,
+		serviceTime: 2 * time.Millisecond,
+		onTally:     observed.addCall,
+		onHandled:   observed.addHandled,
 	}
-	err = h.withReal(spec, func(s *stands, l *realLimiter) error {
-		c := newClients(s.clock, l.address)
-		defer c.close()
-		if size.seen {
-			c.each(size.customers, togetherSeen)
+	err = h.withReal(spec, func(s *standIns, l *realLimiter) error {
+		pool := newClientPool(s.clock, l.address)
+		defer pool.close()
+		if params.seen {
+			pool.sendForEach(params.customers, warmupConcurrency)
 		}
-		c.open(float64(size.rate), size.customers, h.window(2*time.Second), 1)
-		offset := time.Now().UnixNano() - s.clock.Now()
-		for i := range h.samples() {
-			marks.clear()
-			sent := c.open(float64(size.rate), size.customers, h.window(legWindow), uint64(i+2))
-			windows = append(windows, marks.window(sent, offset))
+		pool.sendAtRate(float64(params.rate), params.customers, h.duration(2*time.Second), 1)
+		clockOffset := time.Now().UnixNano() - s.clock.Now()
+		for i := range h.sampleCount() {
+			observed.clear()
+			requests := pool.sendAtRate(float64(params.rate), params.customers, h.duration(latencyWindowLength), uint64(i+2))
+			windows = append(windows, observed.join(requests, clockOffset))
 		}
 		return nil
 	})
 	return windows, err
 }
 
-// marks are what the stand-ins saw, by request and by the counts' names.
-type marks struct {
-	mutex  sync.Mutex
-	served map[string]emulator.Handled
-	counts map[uint64][]emulator.Tally
+// observations are what the stand-ins saw, by request and by the counts' names.
+type observations struct {
+	mutex   sync.Mutex
+	handled map[string]emulator.Handled
+	calls   map[uint64][]emulator.Tally
 }
 
-func newMarks() *marks {
-	m := &marks{}
+func newObservations() *observations {
+	m := &observations{}
 	m.clear()
 	return m
 }
 
-func (m *marks) clear() {
+func (m *observations) clear() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.served = map[string]emulator.Handled{}
-	m.counts = map[uint64][]emulator.Tally{}
+	m.handled = map[string]emulator.Handled{}
+	m.calls = map[uint64][]emulator.Tally{}
 }
 
-func (m *marks) handled(one emulator.Handled) {
+func (m *observations) addHandled(observation emulator.Handled) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.served[one.ID] = one
+	m.handled[observation.ID] = observation
 }
 
-func (m *marks) tallied(one emulator.Tally) {
-	name, err := strconv.ParseUint(one.Name, 10, 64)
+func (m *observations) addCall(call emulator.Tally) {
+	name, err := strconv.ParseUint(call.Name, 10, 64)
 	if err != nil {
 		return
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.counts[name] = append(m.counts[name], one)
+	m.calls[name] = append(m.calls[name], call)
 }
 
-// countSpan is the length of a customer's windows on the counter with the settings of this lab.
-const countSpan = int64(30e9)
+// counterWindow is the length of a customer's windows on the counter with the settings of this lab.
+const counterWindow = int64(30e9)
 
-// window joins what clients and stand-ins saw of each request; offset is what a limiter's clock is ahead of the run's.
-func (m *marks) window(all []sent, offset int64) (w window) {
+// join joins what clients and stand-ins saw of each request; offset is what a limiter's clock is ahead of the run's.
+func (m *observations) join(requests []requestResult, clockOffset int64) (w latencyWindow) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	slices.SortFunc(all, func(a, b sent) int { return int(a.began - b.began) })
-	for _, one := range all {
-		server, handled := m.served[one.id]
-		count, counted := m.call(one, offset, server.Read)
-		if one.answer != '$' || !handled || !counted {
-			w.lost++
+	slices.SortFunc(requests, func(a, b requestResult) int { return int(a.sentAt - b.sentAt) })
+	for _, request := range requests {
+		server, handled := m.handled[request.id]
+		call, counted := m.counterCall(request, clockOffset, server.Read)
+		if request.firstByte != '$' || !handled || !counted {
+			w.excluded++
 			continue
 		}
 		if server.First {
 			w.connected++
 		}
-		w.take(one, count, server)
+		w.add(request, call, server)
 	}
 	return w
 }
 
-// call finds the call to the counter that was made for a request: on a name of its customer, between its begin and its
+// counterCall finds the counterCall to the counter that was made for a request: on a name of its customer, between its begin and its
 // server's.
-func (m *marks) call(one sent, offset, before int64) (emulator.Tally, bool) {
-	for _, at := range []int64{one.began, before} {
-		for _, t := range m.counts[countName(one.customer, at+offset, countSpan)] {
-			if t.Read >= one.began && t.Answered <= before {
-				return t, true
+func (m *observations) counterCall(request requestResult, clockOffset, serverRead int64) (emulator.Tally, bool) {
+	for _, at := range []int64{request.sentAt, serverRead} {
+		for _, tally := range m.calls[countName(request.customer, at+clockOffset, counterWindow)] {
+			if tally.Read >= request.sentAt && tally.Answered <= serverRead {
+				return tally, true
 			}
 		}
 	}
 	return emulator.Tally{}, false
 }
 
-// take adds one request's times.
-func (w *window) take(one sent, count emulator.Tally, server emulator.Handled) {
+// add adds one request's times.
+func (w *latencyWindow) add(request requestResult, tally emulator.Tally, server emulator.Handled) {
 	ms := func(from, to int64) float64 { return float64(to-from) / 1e6 }
-	w.parts[toCounter] = append(w.parts[toCounter], ms(one.began, count.Read))
-	w.parts[atCounter] = append(w.parts[atCounter], ms(count.Read, count.Answered))
-	way := toServer
+	w.parts[toCounter] = append(w.parts[toCounter], ms(request.sentAt, tally.Read))
+	w.parts[atCounter] = append(w.parts[atCounter], ms(tally.Read, tally.Answered))
+	part := toServer
 	if server.First {
-		way = toServerNew
+		part = toServerNewConn
 	}
-	w.parts[way] = append(w.parts[way], ms(count.Answered, server.Read))
-	w.parts[backToClient] = append(w.parts[backToClient], ms(server.Answered, one.answered))
-	w.added = append(w.added, ms(one.began, one.answered)-ms(server.Read, server.Answered))
+	w.parts[part] = append(w.parts[part], ms(tally.Answered, server.Read))
+	w.parts[backToClient] = append(w.parts[backToClient], ms(server.Answered, request.answeredAt))
+	w.added = append(w.added, ms(request.sentAt, request.answeredAt)-ms(server.Read, server.Answered))
 }
 
-// reportLegs adds the series of the parts and of their sum.
-func (h *Harness) reportLegs(over string, all []leg) {
-	var left []Point
-	for _, one := range all {
-		p := Point{X: one.x}
-		for _, w := range one.windows {
-			p.Samples = append(p.Samples, 100*float64(w.lost)/float64(max(1, w.lost+len(w.added))))
+// reportLatency adds the series of the parts and of their sum.
+func (h *Harness) reportLatency(over string, results []latencyResult) {
+	var excluded []Point
+	for _, result := range results {
+		p := Point{X: result.x}
+		for _, w := range result.windows {
+			p.Samples = append(p.Samples, 100*float64(w.excluded)/float64(max(1, w.excluded+len(w.added))))
 		}
-		left = append(left, p)
+		excluded = append(excluded, p)
 	}
-	h.add(Series{Experiment: "latency", Quantity: "requests left out", Unit: "%", Over: over, Points: left,
+	h.addSeries(Series{Experiment: "latency", Quantity: "requests left out", Unit: "%", Over: over, Points: excluded,
 		Note: "not served, or no call of theirs found at the counter"})
-	for _, part := range []struct {
+	for _, level := range []struct {
 		name string
 		of   float64
 	}{{"median", 0.5}, {"p99", 0.99}} {
-		points := pointsOf(all, func(w window) []float64 { return w.added }, part.of)
-		h.add(Series{Experiment: "latency", Quantity: "added, " + part.name, Unit: "ms", Over: over, Points: points,
-			Mechanism: "the sum of the parts", Note: lostNote(all)})
+		points := quantilePoints(results, func(w latencyWindow) []float64 { return w.added }, level.of)
+		h.addSeries(Series{Experiment: "latency", Quantity: "added, " + level.name, Unit: "ms", Over: over, Points: points,
+			Mechanism: "the sum of the parts", Note: exclusionNote(results)})
 		for i, name := range partNames {
-			points := pointsOf(all, func(w window) []float64 { return w.parts[i] }, part.of)
-			h.add(
-				Series{Experiment: "latency", Quantity: name + ", " + part.name, Unit: "ms", Over: over, Points: points,
+			points := quantilePoints(results, func(w latencyWindow) []float64 { return w.parts[i] }, level.of)
+			h.addSeries(
+				Series{Experiment: "latency", Quantity: name + ", " + level.name, Unit: "ms", Over: over, Points: points,
 					Mechanism: partMechanisms[i]},
 			)
 		}
 	}
 }
 
-// pointsOf are a quantile of some times at each size, one sample a window.
-func pointsOf(all []leg, times func(window) []float64, of float64) (points []Point) {
-	for _, one := range all {
-		p := Point{X: one.x}
-		for _, w := range one.windows {
+// quantilePoints are a quantile of some times at each size, one sample a window.
+func quantilePoints(results []latencyResult, times func(latencyWindow) []float64, level float64) (points []Point) {
+	for _, result := range results {
+		p := Point{X: result.x}
+		for _, w := range result.windows {
 			if sorted := slices.Sorted(slices.Values(times(w))); len(sorted) > 0 {
-				p.Samples = append(p.Samples, quantile(sorted, of))
+				p.Samples = append(p.Samples, quantile(sorted, level))
 			}
 		}
 		if len(p.Samples) > 0 {
@@ -256,15 +256,15 @@
 	return points
 }
 
-// lostNote tells how many requests the figures leave out, and how many opened a connection.
-func lostNote(all []leg) string {
+// exclusionNote tells how many requests the figures leave out, and how many opened a connection.
+func exclusionNote(results []latencyResult) string {
 	requests := 0
 	lost := 0
 	connected := 0
-	for _, one := range all {
-		for _, w := range one.windows {
-			requests += len(w.added) + w.lost
-			lost += w.lost
+	for _, result := range results {
+		for _, w := range result.windows {
+			requests += len(w.added) + w.excluded
+			lost += w.excluded
 			connected += w.connected
 		}
 	}
@@ -278,28 +278,29 @@
 
 // latencyFloor measures the lab itself: clients that send to a server with nothing between.
 func (h *Harness) latencyFloor() error {
-	marks := newMarks()
-	s, err := newStands(standsSpec{limiters: 1, servers: 1, work: 2 * time.Millisecond, handled: marks.handled})
+	observed := newObservations()
+	s, err := newStandIns(standInsSpec{limiters: 1, servers: 1, serviceTime: 2 * time.Millisecond,
+		onHandled: observed.addHandled})
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	c := newClients(s.clock, s.servers[0].Address())
-	defer c.close()
+	pool := newClientPool(s.clock, s.servers[0].Address())
+	defer pool.close()
 	var median, p99 []float64
-	for i := range h.samples() {
-		marks.clear()
+	for i := range h.sampleCount() {
+		observed.clear()
 		var added []float64
-		for _, one := range c.open(124, requestCustomers, h.window(legWindow), uint64(i+2)) {
-			if server, ok := marks.served[one.id]; ok {
-				added = append(added, float64(one.answered-one.began-(server.Answered-server.Read))/1e6)
+		for _, request := range pool.sendAtRate(124, requestCustomers, h.duration(latencyWindowLength), uint64(i+2)) {
+			if server, ok := observed.handled[request.id]; ok {
+				added = append(added, float64(request.answeredAt-request.sentAt-(server.Answered-server.Read))/1e6)
 			}
 		}
 		slices.Sort(added)
 		median, p99 = append(median, quantile(added, 0.5)), append(p99, quantile(added, 0.99))
 	}
 	note := "clients send to a server with nothing between: what the lab and the machine add themselves"
-	h.figure(Series{Experiment: "latency", Quantity: "the lab's own, median", Unit: "ms", Note: note}, median...)
-	h.figure(Series{Experiment: "latency", Quantity: "the lab's own, p99", Unit: "ms", Note: note}, p99...)
+	h.addFigure(Series{Experiment: "latency", Quantity: "the lab's own, median", Unit: "ms", Note: note}, median...)
+	h.addFigure(Series{Experiment: "latency", Quantity: "the lab's own, p99", Unit: "ms", Note: note}, p99...)
 	return nil
 }
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -13,16 +13,16 @@
 	for _, whole := range []bool{true, false} {
 		var bytes, processor []Point
 		for _, servers := range h.sizes([]int{20, 1000}, []int{20, 1000, 4000, Servers}) {
-			spec := standsSpec{limiters: 1, servers: servers, whole: whole}
-			err := h.withReal(spec, func(s *stands, l *realLimiter) error {
+			spec := standInsSpec{limiters: 1, servers: servers, wholeList: whole}
+			err := h.withReal(spec, func(s *standIns, l *realLimiter) error {
 				cost, err := h.changeCost(s, l)
 				bytes = append(
 					bytes,
-					Point{float64(servers), samples(cost, func(o spent) float64 { return o.traffic.discoveryBytes })},
+					Point{float64(servers), samples(cost, func(o usage) float64 { return o.traffic.discoveryBytes })},
 				)
 				processor = append(
 					processor,
-					Point{float64(servers), samples(cost, func(o spent) float64 { return o.core * 1e3 })},
+					Point{float64(servers), samples(cost, func(o usage) float64 { return o.coreShare * 1e3 })},
 				)
 				return err
 			})
@@ -30,26 +30,26 @@
 				return err
 			}
 		}
-		told := "the changed entry alone"
+		content := "the changed entry alone"
 		mechanism := "watch.go apply, choice.go Members and turnRing (sorts all servers)"
 		if whole {
-			told = "the whole list"
+			content = "the whole list"
 			mechanism = "discovery.go Decode, watch.go apply and missing, choice.go Members and turnRing"
 		}
-		h.add(
+		h.addSeries(
 			Series{
 				Experiment: "list",
-				Quantity:   "bytes of one change, told by " + told,
+				Quantity:   "bytes of one change, told by " + content,
 				Unit:       "B",
 				Over:       "servers",
 				Points:     bytes,
 				Mechanism:  "the list service's answer; discovery.go",
 			},
 		)
-		h.add(
+		h.addSeries(
 			Series{
 				Experiment: "list",
-				Quantity:   "processor time of one change, told by " + told,
+				Quantity:   "processor time of one change, told by " + content,
 				Unit:       "ms",
 				Over:       "servers",
 				Points:     processor,
@@ -61,43 +61,43 @@
 }
 
 const (
-	changesOfSample = 8
-	changeEvery     = 150 * time.Millisecond
+	changesPerSample = 8
+	changeInterval   = 150 * time.Millisecond
 )
 
 // changeCost is what one change of one server costs, in several samples: the processor time (s) stands in core, and
 // the bytes of watches that bring nothing are taken off.
-func (h *Harness) changeCost(s *stands, l *realLimiter) (all []spent, err error) {
-	time.Sleep(h.window(2 * time.Second))
-	idle, err := watchProcess(l.process, s, h.window(2*time.Second), 1)
+func (h *Harness) changeCost(s *standIns, l *realLimiter) (costs []usage, err error) {
+	time.Sleep(h.duration(2 * time.Second))
+	idle, err := measureProcess(l.process, s, h.duration(2*time.Second), 1)
 	if err != nil {
 		return nil, err
 	}
-	for sample := range h.samples() {
-		length := changesOfSample * changeEvery
+	for sample := range h.sampleCount() {
+		length := changesPerSample * changeInterval
 		before, err := procfs.ProcessorTime(l.pid())
 		if err != nil {
 			return nil, err
 		}
-		crossed := s.traffic()
-		for i := range changesOfSample {
-			in := s.list[(sample*changesOfSample+i)%len(s.list)]
-			in.Weight = 2 - in.Weight/2
-			s.discovery.Set(in)
-			time.Sleep(changeEvery)
+		trafficBefore := s.traffic()
+		for i := range changesPerSample {
+			instance := s.list[(sample*changesPerSample+i)%len(s.list)]
+			instance.Weight = 2 - instance.Weight/2
+			s.discovery.Set(instance)
+			time.Sleep(changeInterval)
 		}
-		time.Sleep(changeEvery)
+		time.Sleep(changeInterval)
 		after, err := procfs.ProcessorTime(l.pid())
 		if err != nil {
 			return nil, err
 		}
-		length += changeEvery
-		one := spent{seconds: length.Seconds(), traffic: s.traffic().since(crossed)}
-		one.core = ((after - before).Seconds() - idle[0].core*length.Seconds()) / changesOfSample
-		one.traffic.discoveryBytes /= changesOfSample
-		all = append(all, one)
+		length += changeInterval
+		cost := usage{seconds: length.Seconds(), traffic: s.traffic().since(trafficBefore)}
+		cost.coreShare = ((after - before).Seconds() - idle[0].coreShare*length.Seconds()) / changesPerSample
+		cost.traffic.discoveryBytes /= changesPerSample
+		costs = append(costs, cost)
 	}
-	return all, nil
+	return costs, nil
 }
 
 // startCost is the processor time of a limiter's process until it is ready, with the list in its configuration.
@@ -105,8 +105,8 @@
 	var points []Point
 	for _, servers := range h.sizes([]int{20, 1000}, []int{20, 1000, Servers}) {
 		point := Point{X: float64(servers)}
-		for range h.samples() {
-			err := h.withReal(standsSpec{limiters: 1, servers: servers}, func(_ *stands, l *realLimiter) error {
+		for range h.sampleCount() {
+			err := h.withReal(standInsSpec{limiters: 1, servers: servers}, func(_ *standIns, l *realLimiter) error {
 				took, err := procfs.ProcessorTime(l.pid())
 				point.Samples = append(point.Samples, took.Seconds()*1e3)
 				return err
@@ -117,7 +117,7 @@
 		}
 		points = append(points, point)
 	}
-	h.add(
+	h.addSeries(
 		Series{
 			Experiment: "list",
 			Quantity:   "processor time of a start until ready",
@@ -130,17 +130,17 @@
 	return nil
 }
 
-// zone is the first part of the list as it drains or comes back: one in so many servers.
-func (s *stands) zone(oneIn int, lifecycle string, started time.Time) []emulator.Instance {
-	part := append([]emulator.Instance(nil), s.list[:len(s.list)/oneIn]...)
-	for i := range part {
-		part[i].Lifecycle = lifecycle
-		part[i].StartedMs = started.UnixMilli()
+// firstWithLifecycle is the first part of the list as it drains or comes back: one in so many servers.
+func (s *standIns) firstWithLifecycle(divisor int, lifecycle string, started time.Time) []emulator.Instance {
+	changed := append([]emulator.Instance(nil), s.list[:len(s.list)/divisor]...)
+	for i := range changed {
+		changed[i].Lifecycle = lifecycle
+		changed[i].StartedMs = started.UnixMilli()
 	}
-	return part
+	return changed
 }
 
 // shareName names one in so many servers.
-func shareName(oneIn int) string {
-	return map[int]string{4: "a quarter", 2: "half"}[oneIn] + fmt.Sprintf(" of %d servers", Servers)
+func shareName(divisor int) string {
+	return map[int]string{4: "a quarter", 2: "half"}[divisor] + fmt.Sprintf(" of %d servers", Servers)
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -6,44 +6,44 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// spent is what one process, and all control connections, took in a time.
-type spent struct {
-	seconds  float64
-	core     float64 // share of a core
-	resident float64 // bytes, at the end
-	traffic  traffic
+// usage is what one process, and all control connections, took in a time.
+type usage struct {
+	seconds       float64
+	coreShare     float64 // share of a core
+	residentBytes float64 // bytes, at the end
+	traffic       traffic
 }
 
 // watch measures one process over so many windows in a row.
-func watchProcess(p *process, s *stands, window time.Duration, times int) ([]spent, error) {
-	var all []spent
-	for range times {
+func measureProcess(p *process, s *standIns, window time.Duration, count int) ([]usage, error) {
+	var windows []usage
+	for range count {
 		before, err := procfs.ProcessorTime(p.pid())
 		if err != nil {
 			return nil, err
 		}
-		crossed, began := s.traffic(), time.Now()
+		trafficBefore, start := s.traffic(), time.Now()
 		time.Sleep(window)
 		after, err := procfs.ProcessorTime(p.pid())
 		if err != nil {
 			return nil, err
 		}
-		took := time.Since(began).Seconds()
-		held, err := procfs.Resident(p.pid())
+		took := time.Since(start).Seconds()
+		resident, err := procfs.Resident(p.pid())
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, spent{seconds: took, core: (after - before).Seconds() / took, resident: held,
-			traffic: s.traffic().since(crossed)})
+		windows = append(windows, usage{seconds: took, coreShare: (after - before).Seconds() / took, residentBytes: resident,
+			traffic: s.traffic().since(trafficBefore)})
 	}
-	return all, nil
+	return windows, nil
 }
 
 // samples takes one figure out of each measurement.
-func samples(all []spent, figure func(spent) float64) []float64 {
-	out := make([]float64, len(all))
-	for i, one := range all {
-		out[i] = figure(one)
+func samples(windows []usage, value func(usage) float64) []float64 {
+	values := make([]float64, len(windows))
+	for i, window := range windows {
+		values[i] = value(window)
 	}
-	return out
+	return values
 }
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -22,10 +22,10 @@
 const HostVariable = "TESTLAB_SCALE_HOST"
 
 const (
-	mostInHost  = 100             // hollow limiters in one process
-	mostHosts   = 200             // processes in all
-	mostMemory  = 12 << 30        // bytes of all hosts together, half of the lab's machine
-	startWithin = 2 * time.Minute // hosts and limiters that take longer fail the run
+	maxLimitersPerHost = 100             // hollow limiters in one process
+	maxHosts           = 200             // processes in all
+	maxHostMemory      = 12 << 30        // bytes of all hosts together, half of the lab's machine
+	startTimeout       = 2 * time.Minute // hosts and limiters that take longer fail the run
 )
 
 // StartError is a process of a run that did not come up.
@@ -60,8 +60,8 @@
 
 // What a hollow limiter may take, bytes, before its garbage is collected: measured with room to spare.
 const (
-	hollowMemory      = 3e6
-	hollowServerBytes = 2e3
+	hollowLimiterBytes = 3e6
+	hollowServerBytes  = 2e3
 )
 
 // process is a limiter's or a host's; ended is closed once it has ended.
@@ -72,8 +72,8 @@
 	once  sync.Once
 }
 
-// begin starts a command whose output goes to a file, added to what the file holds.
-func begin(cmd *exec.Cmd, log string) (*process, error) {
+// startProcess starts a command whose output goes to a file, added to what the file holds.
+func startProcess(cmd *exec.Cmd, log string) (*process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -107,37 +107,37 @@
 // realLimiter is the program as it is started in production.
 type realLimiter struct {
 	*process
-	config  limiterConfig
-	path    string // of its configuration
-	port    *ports.Kept
-	address string
+	config     limiterConfig
+	configPath string // of its configuration
+	port       *ports.Kept
+	address    string
 }
 
-// startReal starts limiter n of the stand-ins and waits until it answers PING with +PONG. The runtime logs each
+// startRealLimiter starts limiter n of the stand-ins and waits until it answers PING with +PONG. The runtime logs each
 // collection, which tells its heap.
-func (h *Harness) startReal(s *stands, n, sockets int, known []byte) (*realLimiter, error) {
+func (h *Harness) startRealLimiter(s *standIns, n, sockets int, known []byte) (*realLimiter, error) {
 	port, err := ports.Keep()
 	if err != nil {
 		return nil, err
 	}
-	h.runs++
-	name := fmt.Sprintf("real-%d", h.runs)
-	l := &realLimiter{port: port, address: port.Address(), path: filepath.Join(h.options.Out, name+".json"),
-		config: configOf(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), sockets, known)}
-	if err := l.write(); err != nil {
+	h.processes++
+	name := fmt.Sprintf("real-%d", h.processes)
+	l := &realLimiter{port: port, address: port.Address(), configPath: filepath.Join(h.options.Out, name+".json"),
+		config: newLimiterConfig(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), sockets, known)}
+	if err := l.writeConfig(); err != nil {
 		return nil, err
 	}
 	cmd := exec.Command(h.options.Program)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+l.path, "GW_NAME="+l.config.Name, "GW_LISTEN="+l.address,
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+l.configPath, "GW_NAME="+l.config.Name, "GW_LISTEN="+l.address,
 		"GW_DISCOVERY="+l.config.Discovery, "GODEBUG=gctrace=1")
 	log := filepath.Join(h.options.Out, name+".log")
-	l.process, err = begin(cmd, log)
+	l.process, err = startProcess(cmd, log)
 	if err != nil {
 		return nil, &StartError{h.options.Program, log, err}
 	}
-	end := time.Now().Add(startWithin)
+	deadline := time.Now().Add(startTimeout)
 	for !ports.Pong(l.address) {
-		if over := time.Now().After(end); over || !l.runs() {
+		if expired := time.Now().After(deadline); expired || !l.running() {
 			l.stop()
 			return nil, &StartError{h.options.Program, log, errors.New("no +PONG")}
 		}
@@ -146,16 +146,16 @@
 	return l, nil
 }
 
-// write writes the limiter's configuration.
-func (l *realLimiter) write() error {
-	text, err := configText(l.config)
+// writeConfig writes the limiter's configuration.
+func (l *realLimiter) writeConfig() error {
+	text, err := encodeConfig(l.config)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(l.path, text, 0o644)
+	return os.WriteFile(l.configPath, text, 0o644)
 }
 
-func (l *realLimiter) runs() bool {
+func (l *realLimiter) running() bool {
 	select {
 	case <-l.ended:
 		return false
@@ -169,123 +169,123 @@
 	l.port.Close()
 }
 
-// collected finds the heap behind a collection, MB, in the runtime's own line on it.
-var collected = regexp.MustCompile(`(?m)^gc \d+ .* \d+->\d+->(\d+) MB`)
+// collectionLine finds the heap behind a collection, MB, in the runtime's own line on it.
+var collectionLine = regexp.MustCompile(`(?m)^gc \d+ .* \d+->\d+->(\d+) MB`)
 
-// heap is the memory in use behind the latest collection, bytes in steps of 1 MB; 0 where there was none yet.
-func (l *realLimiter) heap() float64 {
+// heapBytes is the memory in use behind the latest collection, bytes in steps of 1 MB; 0 where there was none yet.
+func (l *realLimiter) heapBytes() float64 {
 	text, err := os.ReadFile(l.log)
 	if err != nil {
 		return 0
 	}
-	all := collected.FindAllSubmatch(text, -1)
-	if len(all) == 0 {
+	matches := collectionLine.FindAllSubmatch(text, -1)
+	if len(matches) == 0 {
 		return 0
 	}
-	mb, _ := strconv.Atoi(string(all[len(all)-1][1]))
+	mb, _ := strconv.Atoi(string(matches[len(matches)-1][1]))
 	return float64(mb) * (1 << 20)
 }
 
 // host is a process of hollow limiters.
 type host struct {
 	*process
-	ports []*ports.Kept
-	in    *json.Encoder
-	out   *bufio.Reader
-	began float64
+	ports        []*ports.Kept
+	commands     *json.Encoder
+	answers      *bufio.Reader
+	startSeconds float64
 }
 
-// startHollow starts hollow limiters from number first on, in as many processes as are needed, and waits until all
+// startHollowLimiters starts hollow limiters from number first on, in as many processes as are needed, and waits until all
 // run. Each begins with the known list.
-func (h *Harness) startHollow(s *stands, first, count int, known []byte) ([]*host, error) {
-	hosts := (count + mostInHost - 1) / mostInHost
-	if hosts > mostHosts {
-		return nil, &StartError{"hosts", h.options.Out, fmt.Errorf("%d processes, %d at most", hosts, mostHosts)}
+func (h *Harness) startHollowLimiters(s *standIns, first, count int, known []byte) ([]*host, error) {
+	hosts := (count + maxLimitersPerHost - 1) / maxLimitersPerHost
+	if hosts > maxHosts {
+		return nil, &StartError{"hosts", h.options.Out, fmt.Errorf("%d processes, %d at most", hosts, maxHosts)}
 	}
-	need := float64(count) * (hollowMemory + hollowServerBytes*float64(len(s.list)))
-	if have := procfs.Available(); have < need || need > mostMemory {
-		return nil, &MemoryError{need, min(have, mostMemory)}
+	need := float64(count) * (hollowLimiterBytes + hollowServerBytes*float64(len(s.list)))
+	if have := procfs.Available(); have < need || need > maxHostMemory {
+		return nil, &MemoryError{need, min(have, maxHostMemory)}
 	}
-	var all []*host
+	var started []*host
 	errs := make(chan error, hosts)
 	for i := range hosts {
 		from := first + i*count/hosts
 		to := first + (i+1)*count/hosts
-		one, err := h.startHost(s, from, to, known, mostMemory/int64(hosts))
+		hostProcess, err := h.startHost(s, from, to, known, maxHostMemory/int64(hosts))
 		if err != nil {
-			stopHosts(all)
+			stopHosts(started)
 			return nil, err
 		}
-		all = append(all, one)
-		go func() { errs <- one.awaitStart() }()
+		started = append(started, hostProcess)
+		go func() { errs <- hostProcess.awaitStart() }()
 	}
 	var err error
 	for range hosts {
 		err = errors.Join(err, <-errs)
 	}
 	if err != nil {
-		stopHosts(all)
+		stopHosts(started)
 		return nil, err
 	}
-	return all, nil
+	return started, nil
 }
 
-func stopHosts(all []*host) {
-	for _, one := range all {
-		one.stop()
+func stopHosts(hosts []*host) {
+	for _, hostProcess := range hosts {
+		hostProcess.stop()
 	}
 }
 
-func (h *Harness) startHost(s *stands, from, to int, known []byte, memory int64) (*host, error) {
-	var kept []*ports.Kept
-	spec := hostSpec{Known: known, Processors: 2, Memory: memory}
+func (h *Harness) startHost(s *standIns, from, to int, known []byte, memory int64) (*host, error) {
+	var reserved []*ports.Kept
+	spec := hostSpec{Known: known, Processors: 2, MemoryBytes: memory}
 	for n := from; n < to; n++ {
 		port, err := ports.Keep()
 		if err != nil {
 			return nil, err
 		}
-		kept = append(kept, port)
+		reserved = append(reserved, port)
 		spec.Limiters = append(
 			spec.Limiters,
-			configOf(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), 1024, nil),
+			newLimiterConfig(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), 1024, nil),
 		)
 	}
-	one, err := h.startHostOf(spec)
+	hostProcess, err := h.startHostProcess(spec)
 	if err != nil {
 		return nil, err
 	}
-	one.ports = kept
-	return one, nil
+	hostProcess.ports = reserved
+	return hostProcess, nil
 }
 
-// startHostOf starts a host and tells it what to be; it waits for no answer.
-func (h *Harness) startHostOf(spec hostSpec) (*host, error) {
-	one := &host{}
-	h.runs++
-	log := filepath.Join(h.options.Out, fmt.Sprintf("host-%d.log", h.runs))
+// startHostProcess starts a host and tells it what to be; it waits for no answer.
+func (h *Harness) startHostProcess(spec hostSpec) (*host, error) {
+	hostProcess := &host{}
+	h.processes++
+	log := filepath.Join(h.options.Out, fmt.Sprintf("host-%d.log", h.processes))
 	cmd := exec.Command(h.options.Host[0], h.options.Host[1:]...)
 	cmd.Env = append(os.Environ(), HostVariable+"=1")
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, written, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	cmd.Stdout = written
-	one.process, err = begin(cmd, log)
-	_ = written.Close()
+	cmd.Stdout = writer
+	hostProcess.process, err = startProcess(cmd, log)
+	_ = writer.Close()
 	if err != nil {
 		return nil, &StartError{"host", log, err}
 	}
-	one.in, one.out = json.NewEncoder(in), bufio.NewReader(out)
-	go func() { <-one.ended; _ = out.Close() }()
-	if err := one.in.Encode(spec); err != nil {
-		one.stop()
+	hostProcess.commands, hostProcess.answers = json.NewEncoder(stdin), bufio.NewReader(reader)
+	go func() { <-hostProcess.ended; _ = reader.Close() }()
+	if err := hostProcess.commands.Encode(spec); err != nil {
+		hostProcess.stop()
 		return nil, &StartError{"host", log, err}
 	}
-	return one, nil
+	return hostProcess, nil
 }
 
 // awaitStart waits until all limiters of the host run.
@@ -294,30 +294,30 @@
 	if err != nil {
 		return &StartError{"host", o.log, err}
 	}
-	o.began = answer.Began
+	o.startSeconds = answer.StartSeconds
 	return nil
 }
 
 func (o *host) answer() (answer hostAnswer, err error) {
-	err = readLine(o.out, &answer)
+	err = readLine(o.answers, &answer)
 	if err == nil && answer.Error != "" {
 		err = errors.New(answer.Error)
 	}
 	return answer, err
 }
 
-// do has the host obey one command.
-func (o *host) do(command hostCommand) (hostAnswer, error) {
-	if err := o.in.Encode(command); err != nil {
+// execute has the host obey one command.
+func (o *host) execute(command hostCommand) (hostAnswer, error) {
+	if err := o.commands.Encode(command); err != nil {
 		return hostAnswer{}, err
 	}
 	return o.answer()
 }
 
-// heap is the memory in use by all limiters of the host, behind a collection.
-func (o *host) heap() (float64, error) {
-	answer, err := o.do(hostCommand{Do: "stats"})
-	return answer.Heap, err
+// heapBytes is the memory in use by all limiters of the host, behind a collection.
+func (o *host) heapBytes() (float64, error) {
+	answer, err := o.execute(hostCommand{Command: "stats"})
+	return answer.HeapBytes, err
 }
 
 func (o *host) stop() {
--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -7,29 +7,29 @@
 
 // profile writes processor profiles of one hollow limiter before 8,500 servers: idle, and while servers change.
 func (h *Harness) profile() error {
-	s, err := newStands(standsSpec{limiters: 1, servers: h.sizes([]int{100}, []int{Servers})[0]})
+	s, err := newStandIns(standInsSpec{limiters: 1, servers: h.sizes([]int{100}, []int{Servers})[0]})
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	hosts, err := h.startHollow(s, 0, 1, s.known())
+	hosts, err := h.startHollowLimiters(s, 0, 1, s.encodedList())
 	if err != nil {
 		return err
 	}
 	defer stopHosts(hosts)
-	length := h.window(10 * time.Second)
-	time.Sleep(h.window(3 * time.Second))
-	for _, part := range []string{"idle", "changes"} {
+	length := h.duration(10 * time.Second)
+	time.Sleep(h.duration(3 * time.Second))
+	for _, activity := range []string{"idle", "changes"} {
 		stop := make(chan struct{})
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			if part == "changes" {
-				s.change(stop, 100*time.Millisecond)
+			if activity == "changes" {
+				s.changeServers(stop, 100*time.Millisecond)
 			}
 		}()
-		path := filepath.Join(h.options.Out, "profile-"+part+".pprof")
-		_, err := hosts[0].do(hostCommand{Do: "profile", Seconds: length.Seconds(), Path: path})
+		path := filepath.Join(h.options.Out, "profile-"+activity+".pprof")
+		_, err := hosts[0].execute(hostCommand{Command: "profile", Seconds: length.Seconds(), Path: path})
 		close(stop)
 		<-done
 		if err != nil {
@@ -40,18 +40,18 @@
 	return nil
 }
 
-// change changes one server after the other until stop is closed.
-func (s *stands) change(stop chan struct{}, every time.Duration) {
-	tick := time.NewTicker(every)
+// changeServers changes one server after the other until stop is closed.
+func (s *standIns) changeServers(stop chan struct{}, interval time.Duration) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
 			return
 		case <-tick.C:
-			in := s.list[i%len(s.list)]
-			in.StartedMs = time.Now().UnixMilli()
-			s.discovery.Set(in)
+			instance := s.list[i%len(s.list)]
+			instance.StartedMs = time.Now().UnixMilli()
+			s.discovery.Set(instance)
 		}
 	}
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -16,21 +16,21 @@
 	Samples []float64 `json:"samples"`
 }
 
-// Low is the least sample.
-func (p Point) Low() float64 { return slices.Min(p.Samples) }
+// Min is the least sample.
+func (p Point) Min() float64 { return slices.Min(p.Samples) }
 
-// High is the largest sample.
-func (p Point) High() float64 { return slices.Max(p.Samples) }
+// Max is the largest sample.
+func (p Point) Max() float64 { return slices.Max(p.Samples) }
 
-// Middle is the median sample.
-func (p Point) Middle() float64 { return quantile(slices.Sorted(slices.Values(p.Samples)), 0.5) }
+// Median is the median sample.
+func (p Point) Median() float64 { return quantile(slices.Sorted(slices.Values(p.Samples)), 0.5) }
 
 // quantile is the value below which a part of the sorted values lies, by the nearest rank.
-func quantile(sorted []float64, part float64) float64 {
+func quantile(sorted []float64, level float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
 	}
-	rank := int(math.Ceil(part*float64(len(sorted)))) - 1
+	rank := int(math.Ceil(level*float64(len(sorted)))) - 1
 	return sorted[min(max(rank, 0), len(sorted)-1)]
 }
 
@@ -45,22 +45,22 @@
 	// Mechanism is what carries the quantity: the file and the function.
 	Mechanism string `json:"mechanism,omitempty"`
 	Note      string `json:"note,omitempty"`
-	Reckoned  bool   `json:"reckoned,omitempty"` // from other figures, not measured
+	Estimated bool   `json:"reckoned,omitempty"` // from other figures, not measured
 }
 
 // Report is what a run gives.
 type Report struct {
-	Command    string   `json:"command"`
-	Began      string   `json:"began"`
-	Took       float64  `json:"took_s"`
-	Short      bool     `json:"short"`
-	LoadBefore string   `json:"load_before"` // of the machine, its average over a minute
-	LoadAfter  string   `json:"load_after"`
-	Series     []Series `json:"series"`
+	Command     string   `json:"command"`
+	Began       string   `json:"began"`
+	TookSeconds float64  `json:"took_s"`
+	Short       bool     `json:"short"`
+	LoadBefore  string   `json:"load_before"` // of the machine, its average over a minute
+	LoadAfter   string   `json:"load_after"`
+	Series      []Series `json:"series"`
 }
 
-// add fits a series and keeps it; one that nothing was measured for is left out.
-func (h *Harness) add(s Series) {
+// addSeries fits a series and keeps it; one that nothing was measured for is left out.
+func (h *Harness) addSeries(s Series) {
 	if len(s.Points) == 0 {
 		return
 	}
@@ -74,37 +74,37 @@
 		s.Line = &line
 	}
 	h.report.Series = append(h.report.Series, s)
-	h.logf("%s", s.line())
+	h.logf("%s", s.row())
 }
 
-// figure keeps a quantity that stands alone.
-func (h *Harness) figure(s Series, samples ...float64) {
+// addFigure keeps a quantity that stands alone.
+func (h *Harness) addFigure(s Series, samples ...float64) {
 	s.Points = []Point{{Samples: samples}}
-	h.add(s)
+	h.addSeries(s)
 }
 
-// short writes a number in four digits.
-func short(x float64) string {
-	switch size := math.Abs(x); {
+// formatNumber writes a number in four digits.
+func formatNumber(value float64) string {
+	switch size := math.Abs(value); {
 	case size >= 1e6:
-		return fmt.Sprintf("%.3gM", x/1e6)
+		return fmt.Sprintf("%.3gM", value/1e6)
 	case size >= 1e4:
-		return fmt.Sprintf("%.4gk", x/1e3)
+		return fmt.Sprintf("%.4gk", value/1e3)
 	}
-	return fmt.Sprintf("%.4g", x)
+	return fmt.Sprintf("%.4g", value)
 }
 
 // String gives the word for log lines.
 func (p Point) String() string {
-	text := short(p.Middle())
+	text := formatNumber(p.Median())
 	if len(p.Samples) > 1 {
-		text += fmt.Sprintf(" (%s..%s)", short(p.Low()), short(p.High()))
+		text += fmt.Sprintf(" (%s..%s)", formatNumber(p.Min()), formatNumber(p.Max()))
 	}
 	return text
 }
 
-// line is one row of the table: what was measured at each size, and the slope.
-func (s Series) line() string {
+// row is one row of the table: what was measured at each size, and the slope.
+func (s Series) row() string {
 	var cells []string
 	for _, p := range s.Points {
 		cell := p.String()
@@ -115,15 +115,15 @@
 	}
 	text := fmt.Sprintf("%s | %s | %s | %s | %s", s.Experiment, s.Quantity, s.Unit, s.Over, strings.Join(cells, ", "))
 	if s.Line != nil {
-		text += fmt.Sprintf(" | %s + %s(+-%s) each, residual %s", short(s.Line.Intercept), short(s.Line.Slope),
-			short(s.Line.SlopeError), short(s.Line.Residual))
+		text += fmt.Sprintf(" | %s + %s(+-%s) each, residual %s", formatNumber(s.Line.Intercept), formatNumber(s.Line.Slope),
+			formatNumber(s.Line.SlopeError), formatNumber(s.Line.Residual))
 	} else {
 		text += " |"
 	}
-	for _, more := range []string{s.Note, s.Mechanism} {
-		text += " | " + more
+	for _, detail := range []string{s.Note, s.Mechanism} {
+		text += " | " + detail
 	}
-	if s.Reckoned {
+	if s.Estimated {
 		text += " | reckoned"
 	}
 	return text
@@ -131,16 +131,17 @@
 
 // WriteTable prints the figures, a line each.
 func (r *Report) WriteTable(out io.Writer) error {
-	head := fmt.Sprintf("run: %s, %s, %.0f s, load %s to %s\n", r.Command, r.Began, r.Took, r.LoadBefore, r.LoadAfter)
+	header := fmt.Sprintf("run: %s, %s, %.0f s, load %s to %s\n", r.Command, r.Began,
+		r.TookSeconds, r.LoadBefore, r.LoadAfter)
 	if r.Short {
-		head += "short form: it shows that the lab works; its figures count for nothing\n"
+		header += "short form: it shows that the lab works; its figures count for nothing\n"
 	}
-	head += "experiment | quantity | unit | over | measured: median (least..largest) | slope | note | mechanism\n"
-	if _, err := io.WriteString(out, head); err != nil {
+	header += "experiment | quantity | unit | over | measured: median (least..largest) | slope | note | mechanism\n"
+	if _, err := io.WriteString(out, header); err != nil {
 		return err
 	}
 	for _, s := range r.Series {
-		if _, err := fmt.Fprintln(out, s.line()); err != nil {
+		if _, err := fmt.Fprintln(out, s.row()); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/request.go
+++ b/internal/lab/scale/request.go
@@ -19,7 +19,7 @@
 		overServers = append(overServers, point)
 	}
 	mechanism := "choice.go able (walks the servers in the circle), reserve; internal/limiter and sockets for the rest"
-	h.add(
+	h.addSeries(
 		Series{
 			Experiment: "request",
 			Quantity:   "processor time of a request",
@@ -40,7 +40,7 @@
 			}
 			overLoad = append(overLoad, Point{float64(rate), point.Samples})
 		}
-		h.add(
+		h.addSeries(
 			Series{
 				Experiment: "request",
 				Quantity:   fmt.Sprintf("processor time of a request, %d servers", servers),
@@ -67,17 +67,17 @@
 
 const (
 	requestCustomers = 407 // of 28,000, each through 8 of 550 limiters, at one limiter
-	borne            = 0.95
-	tries            = 2
+	minServedShare   = 0.95
+	maxAttempts      = 2
 )
 
 // requestCost is the processor time of a request, ms, without what the limiter spends when idle. What the machine
 // beside it spoils is tried again.
 func (h *Harness) requestCost(servers, rate int) (point Point, err error) {
-	for range tries {
-		var refused *LoadError
+	for range maxAttempts {
+		var overload *LoadError
 		point, err = h.requestCostOnce(servers, rate)
-		if !errors.As(err, &refused) {
+		if !errors.As(err, &overload) {
 			break
 		}
 		h.logf("%d servers, %d requests/s, again: %v", servers, rate, err)
@@ -88,33 +88,33 @@
 func (h *Harness) requestCostOnce(servers, rate int) (point Point, err error) {
 	point.X = float64(servers)
 	err = h.withReal(
-		standsSpec{limiters: 1, servers: servers, work: 5 * time.Millisecond},
-		func(s *stands, l *realLimiter) error {
-			time.Sleep(h.window(time.Second))
-			idle, err := watchProcess(l.process, s, h.window(2*time.Second), 1)
+		standInsSpec{limiters: 1, servers: servers, serviceTime: 5 * time.Millisecond},
+		func(s *standIns, l *realLimiter) error {
+			time.Sleep(h.duration(time.Second))
+			idle, err := measureProcess(l.process, s, h.duration(2*time.Second), 1)
 			if err != nil {
 				return err
 			}
-			c := newClients(s.clock, l.address)
-			defer c.close()
-			c.open(float64(rate), requestCustomers, h.window(time.Second), 1) // connections come up
-			for i := range h.samples() {
+			pool := newClientPool(s.clock, l.address)
+			defer pool.close()
+			pool.sendAtRate(float64(rate), requestCustomers, h.duration(time.Second), 1) // connections come up
+			for i := range h.sampleCount() {
 				before, err := procfs.ProcessorTime(l.pid())
 				if err != nil {
 					return err
 				}
-				began := time.Now()
-				all := c.open(float64(rate), requestCustomers, h.window(2*time.Second), uint64(i+2))
-				took := time.Since(began).Seconds()
+				start := time.Now()
+				results := pool.sendAtRate(float64(rate), requestCustomers, h.duration(2*time.Second), uint64(i+2))
+				took := time.Since(start).Seconds()
 				after, err := procfs.ProcessorTime(l.pid())
 				if err != nil {
 					return err
 				}
-				if share := servedShare(all); share < borne {
-					return &LoadError{Sent: len(all), Served: int(share * float64(len(all)))}
+				if share := servedShare(results); share < minServedShare {
+					return &LoadError{Sent: len(results), Served: int(share * float64(len(results)))}
 				}
-				own := (after - before).Seconds() - idle[0].core*took
-				point.Samples = append(point.Samples, own*1e3/float64(len(all)))
+				processorSeconds := (after - before).Seconds() - idle[0].coreShare*took
+				point.Samples = append(point.Samples, processorSeconds*1e3/float64(len(results)))
 			}
 			return nil
 		},
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -57,17 +57,17 @@
 // Hint names those that there are.
 func (e *UnknownError) Hint() string {
 	var names []string
-	for _, one := range Experiments() {
-		names = append(names, one.Name)
+	for _, experiment := range Experiments() {
+		names = append(names, experiment.Name)
 	}
 	return "name one of " + strings.Join(names, ", ") + ", or none for all"
 }
 
 // Harness runs experiments and gathers their figures.
 type Harness struct {
-	options Options
-	report  Report
-	runs    int // processes started so far, for their files' names
+	options   Options
+	report    Report
+	processes int // processes started so far, for their files' names
 }
 
 // Run runs the named experiments, all where there is no name, and gives their figures; what was measured before an
@@ -88,55 +88,55 @@
 		LoadBefore: procfs.LoadAverage(),
 		Short:      options.Short,
 	}
-	for _, one := range Experiments() {
-		if len(names) > 0 && !slices.Contains(names, one.Name) {
+	for _, experiment := range Experiments() {
+		if len(names) > 0 && !slices.Contains(names, experiment.Name) {
 			continue
 		}
-		h.logf("experiment %s: %s", one.Name, one.Title)
-		if err := one.run(h); err != nil {
-			return &h.report, fmt.Errorf("%s: %w", one.Name, err)
+		h.logf("experiment %s: %s", experiment.Name, experiment.Title)
+		if err := experiment.run(h); err != nil {
+			return &h.report, fmt.Errorf("%s: %w", experiment.Name, err)
 		}
 	}
 	h.report.LoadAfter = procfs.LoadAverage()
-	h.report.Took = time.Since(began(h.report.Began)).Seconds()
+	h.report.TookSeconds = time.Since(parseStart(h.report.Began)).Seconds()
 	return &h.report, nil
 }
 
-func began(text string) time.Time {
-	at, _ := time.Parse(time.RFC3339, text)
-	return at
+func parseStart(text string) time.Time {
+	parsed, _ := time.Parse(time.RFC3339, text)
+	return parsed
 }
 
-func (h *Harness) logf(form string, args ...any) {
-	_, _ = fmt.Fprintf(h.options.Log, time.Now().UTC().Format("15:04:05 ")+form+"\n", args...)
+func (h *Harness) logf(format string, args ...any) {
+	_, _ = fmt.Fprintf(h.options.Log, time.Now().UTC().Format("15:04:05 ")+format+"\n", args...)
 }
 
 // sizes are the short form's or the whole ones.
-func (h *Harness) sizes(short, whole []int) []int {
+func (h *Harness) sizes(short, full []int) []int {
 	if h.options.Short {
 		return short
 	}
-	return whole
+	return full
 }
 
-// window is how long a step of a whole run takes in this one.
-func (h *Harness) window(whole time.Duration) time.Duration {
+// duration is how long a step of a whole run takes in this one.
+func (h *Harness) duration(full time.Duration) time.Duration {
 	if h.options.Short {
-		return min(whole, shortWindow)
+		return min(full, shortWindow)
 	}
-	return whole
+	return full
 }
 
-// samples is how many samples are taken at one size.
-func (h *Harness) samples() int {
+// sampleCount is how many sampleCount are taken at one size.
+func (h *Harness) sampleCount() int {
 	if h.options.Short {
 		return shortSamples
 	}
-	return wholeSamples
+	return fullSamples
 }
 
 const (
 	shortWindow  = 300 * time.Millisecond
 	shortSamples = 2
-	wholeSamples = 3
+	fullSamples  = 3
 )
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -24,42 +24,42 @@
 	return report
 }
 
-// shortRun is the same and gives the series by their quantities.
-func shortRun(t *testing.T, name string) map[string]Series {
+// shortSeries is the same and gives the series by their quantities.
+func shortSeries(t *testing.T, name string) map[string]Series {
 	t.Helper()
-	found := map[string]Series{}
+	byQuantity := map[string]Series{}
 	for _, s := range shortReport(t, name).Series {
 		require.NotEmpty(t, s.Points, s.Quantity)
-		found[strings.TrimSpace(s.Quantity+" "+s.Over)] = s
+		byQuantity[strings.TrimSpace(s.Quantity+" "+s.Over)] = s
 	}
-	return found
+	return byQuantity
 }
 
-// middle is the median at one of a series' sizes, from 0.
-func middle(t *testing.T, found map[string]Series, quantity string, size int) float64 {
+// median is the median at one of a series' sizes, from 0.
+func median(t *testing.T, byQuantity map[string]Series, quantity string, size int) float64 {
 	t.Helper()
-	s, ok := found[quantity]
+	s, ok := byQuantity[quantity]
 	require.True(t, ok, "no %q", quantity)
 	require.Greater(t, len(s.Points), size, quantity)
-	return s.Points[size].Middle()
+	return s.Points[size].Median()
 }
 
 func TestIdle(t *testing.T) {
-	found := shortRun(t, "idle")
+	found := shortSeries(t, "idle")
 	for _, over := range []string{"servers", "customers seen"} {
-		require.Greater(t, middle(t, found, "processor time "+over, 0), 0.0)
+		require.Greater(t, median(t, found, "processor time "+over, 0), 0.0)
 		require.Greater(
 			t,
-			middle(t, found, "resident memory "+over, 1),
-			middle(t, found, "resident memory "+over, 0),
+			median(t, found, "resident memory "+over, 1),
+			median(t, found, "resident memory "+over, 0),
 			over,
 		)
 	}
 }
 
-// TestHollowIsReal: a hollow limiter calls discovery and the counter as often as a real one, as far as short windows
+// TestHollowLimiterMatchesReal: a hollow limiter calls discovery and the counter as often as a real one, as far as short windows
 // tell.
-func TestHollowIsReal(t *testing.T) {
+func TestHollowLimiterMatchesReal(t *testing.T) {
 	found := map[string]Point{} // the figures of five limiters
 	for _, s := range shortReport(t, "alike").Series {
 		if s.Over == "limiters" {
@@ -71,75 +71,75 @@
 		require.True(t, ok, quantity)
 		hollow, ok := found["alike, one hollow: "+quantity]
 		require.True(t, ok, quantity)
-		require.Greater(t, real.High(), 0.0, quantity)
-		require.Less(t, hollow.Low(), 2*real.High(), quantity)
-		require.Greater(t, hollow.High(), real.Low()/2, quantity)
+		require.Greater(t, real.Max(), 0.0, quantity)
+		require.Less(t, hollow.Min(), 2*real.Max(), quantity)
+		require.Greater(t, hollow.Max(), real.Min()/2, quantity)
 	}
 }
 
 // TestList: the whole list costs bytes for each server, the changed entry alone does not.
 func TestList(t *testing.T) {
-	found := shortRun(t, "list")
-	whole, ok := found["bytes of one change, told by the whole list servers"]
+	found := shortSeries(t, "list")
+	wholeList, ok := found["bytes of one change, told by the whole list servers"]
 	require.True(t, ok)
-	require.InDelta(t, 150, whole.Line.Slope, 30)
-	one, ok := found["bytes of one change, told by the changed entry alone servers"]
+	require.InDelta(t, 150, wholeList.Line.Slope, 30)
+	changedEntry, ok := found["bytes of one change, told by the changed entry alone servers"]
 	require.True(t, ok)
-	require.InDelta(t, 0, one.Line.Slope, 0.5)
-	require.Less(t, one.Points[1].Middle(), 1000.0)
+	require.InDelta(t, 0, changedEntry.Line.Slope, 0.5)
+	require.Less(t, changedEntry.Points[1].Median(), 1000.0)
 }
 
 // TestFleet: calls to discovery follow the limiters.
 func TestFleet(t *testing.T) {
-	found := shortRun(t, "fleet")
-	calls, ok := found["calls to discovery, all limiters limiters"]
+	byQuantity := shortSeries(t, "fleet")
+	calls, ok := byQuantity["calls to discovery, all limiters limiters"]
 	require.True(t, ok)
-	require.Greater(t, calls.Points[1].High(), 0.0)
+	require.Greater(t, calls.Points[1].Max(), 0.0)
 }
 
 func TestWorst(t *testing.T) {
-	found := shortRun(t, "worst")
-	quarter := middle(t, found, shareName(4)+" come back: bytes for one limiter", 0)
-	half := middle(t, found, shareName(2)+" come back: bytes for one limiter", 0)
+	found := shortSeries(t, "worst")
+	quarter := median(t, found, shareName(4)+" come back: bytes for one limiter", 0)
+	half := median(t, found, shareName(2)+" come back: bytes for one limiter", 0)
 	require.InDelta(t, 2, half/quarter, 0.3)
-	from := middle(t, found, "all limiters restarted from no list: bytes to and from discovery", 0)
-	known := middle(
+	withoutList := median(t, found, "all limiters restarted from no list: bytes to and from discovery", 0)
+	withList := median(
 		t,
 		found,
 		"all limiters restarted from the list of their configurations: bytes to and from discovery",
 		0,
 	)
-	require.Greater(t, from, 10*known)
+	require.Greater(t, withoutList, 10*withList)
 }
 
 func TestRequest(t *testing.T) {
-	found := shortRun(t, "request")
-	require.Greater(t, middle(t, found, "processor time of a request servers", 0), 0.0)
+	found := shortSeries(t, "request")
+	require.Greater(t, median(t, found, "processor time of a request servers", 0), 0.0)
 }
 
 // TestCounter: a request costs a call, and few while the counter is busy.
 func TestCounter(t *testing.T) {
-	found := shortRun(t, "counter")
-	require.Greater(t, middle(t, found, "processor time of a call at one stand-in", 0), 0.0)
-	busy := middle(t, found, "calls for a request while the counter is busy", 0)
+	found := shortSeries(t, "counter")
+	require.Greater(t, median(t, found, "processor time of a call at one stand-in", 0), 0.0)
+	busy := median(t, found, "calls for a request while the counter is busy", 0)
 	require.Less(t, busy, 0.9)
 }
 
 func TestRenew(t *testing.T) {
-	found := shortRun(t, "renew")
-	require.Greater(t, middle(t, found, "processor time of a renewed configuration servers", 1), 0.0)
+	found := shortSeries(t, "renew")
+	require.Greater(t, median(t, found, "processor time of a renewed configuration servers", 1), 0.0)
 }
 
 // TestLatency finds each request's call at the counter by the name that choice.go gives it.
 func TestLatency(t *testing.T) {
-	found := shortRun(t, "latency")
-	added := middle(t, found, "added, median requests/s", 0)
-	require.Greater(t, added, middle(t, found, partNames[toCounter]+", median requests/s", 0))
-	require.Less(t, found["requests left out requests/s"].Points[0].Low(), 25.0)
+	found := shortSeries(t, "latency")
+	added := median(t, found, "added, median requests/s", 0)
+	require.Greater(t, added, median(t, found, partNames[toCounter]+", median requests/s", 0))
+	require.Less(t, found["requests left out requests/s"].Points[0].Min(), 25.0)
 }
 
 func TestLatencySizes(t *testing.T) {
-	found := shortRun(t, "latency-sizes")
+	found := shortSeries(t, "latency-sizes")
 	require.Contains(t, found, "added, p99 servers")
 	require.Contains(t, found, "added, p99 customers")
 }
@@ -161,17 +161,17 @@
 	}
 }
 
-func TestUnknown(t *testing.T) {
+func TestUnknownExperiment(t *testing.T) {
 	_, err := Run([]string{"nothing"}, Options{Out: t.TempDir(), Log: io.Discard})
 	var unknown *UnknownError
 	require.ErrorAs(t, err, &unknown)
 	require.Contains(t, unknown.Hint(), "idle")
 }
 
-// TestMemory: no fleet is started that the machine may not hold.
-func TestMemory(t *testing.T) {
+// TestMemoryLimit: no fleet is started that the machine may not hold.
+func TestMemoryLimit(t *testing.T) {
 	h := &Harness{options: Options{Out: t.TempDir(), Log: io.Discard, Host: []string{"/nowhere"}}}
-	_, err := h.startHollow(&stands{list: instances(Servers, []string{"127.0.0.1:1"})}, 0, 2000, nil)
+	_, err := h.startHollowLimiters(&standIns{list: newInstances(Servers, []string{"127.0.0.1:1"})}, 0, 2000, nil)
 	var short *MemoryError
 	require.ErrorAs(t, err, &short)
 	require.NotEmpty(t, short.Hint())
