--- a/internal/lab/scale/alike.go
+++ b/internal/lab/scale/alike.go
@@ -7,11 +7,11 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// alikeServers are the list's entries while real and hollow limiters are compared.
+// alikeServers is the number of servers on the endpoint list while real and hollow limiters are compared.
 const alikeServers = 1000
 
-// alike compares hollow limiters with real processes, as many of each: what one of them sends, is sent, holds and
-// spends.
+// alike compares hollow limiters with the same number of real limiter processes: their control messages and bytes,
+// memory and processor time.
 func (h *Harness) alike() error {
 	var realSeries, hollowSeries idleFigures
 	for _, limiters := range h.sizes([]int{1, 5}, []int{1, 10, 50}) {
@@ -32,13 +32,13 @@
 	return nil
 }
 
-// fleetUsage is what one limiter of a fleetUsage spent on average, in several windows, and its heap.
+// fleetUsage is the usage of one limiter of a fleet, averaged over the fleet, in several windows.
 type fleetUsage struct {
 	windows   []usage
-	heapBytes float64 // bytes, 0 where it is not known
+	heapBytes float64 // bytes of heap in use; 0 if unknown
 }
 
-// reportDifferences states the differences of a hollow limiter from a real one.
+// reportDifferences reports how far a hollow limiter's figures lie from a real one's.
 func (h *Harness) reportDifferences(limiters int, real, hollow fleetUsage) {
 	for _, metric := range []struct {
 		name  string
@@ -51,7 +51,7 @@
 		realMedian := Point{Samples: samples(real.windows, metric.value)}.Median()
 		hollowMedian := Point{Samples: samples(hollow.windows, metric.value)}.Median()
 		if realMedian == 0 {
-			continue // a window of the short form saw none
+			continue // in the short form a window may be too brief for any message
 		}
 		h.addFigure(
 			Series{Experiment: "alike", Quantity: fmt.Sprintf("%s, hollow less real, %d of each", metric.name, limiters),
@@ -64,10 +64,10 @@
 		real.heapBytes/1e6, hollow.heapBytes/1e6)
 }
 
-// alikeWindowLength is long enough for each limiter's pings of the counter, every 2 s, to be as many in each window.
+// alikeWindowLength covers the same number of counter pings in every window: a limiter pings the counter every 2 s.
 const alikeWindowLength = 6 * time.Second
 
-// fleetWindowLength is the length of a window in which each limiter calls discovery at least once.
+// fleetWindowLength returns the length of a window in which each limiter calls discovery at least once.
 func (h *Harness) fleetWindowLength() time.Duration {
 	if h.options.Short {
 		return 1200 * time.Millisecond
@@ -139,7 +139,8 @@
 	return pids
 }
 
-// measureFleet measures processes together and gives what each of so many limiters took on average.
+// measureFleet measures the given processes together, in several windows, and returns the usage of one limiter
+// averaged over all.
 func (h *Harness) measureFleet(s *standIns, pids []int, limiters int) (windows []usage, err error) {
 	time.Sleep(h.duration(3 * time.Second))
 	for range h.sampleCount() {
@@ -152,7 +153,7 @@
 	return windows, nil
 }
 
-// measureFleetWindow is what one of so many limiters took on average while something was done.
+// measureFleetWindow runs do and returns what one limiter used meanwhile, averaged over all limiters.
 func measureFleetWindow(s *standIns, pids []int, limiters int, do func()) (perLimiter usage, err error) {
 	before, err := totalProcessorTime(pids)
 	if err != nil {
@@ -180,7 +181,7 @@
 	return perLimiter, nil
 }
 
-// totalProcessorTime is the time that all of several processes have run for.
+// totalProcessorTime returns the processor time that the given processes have used so far, summed.
 func totalProcessorTime(pids []int) (sum time.Duration, err error) {
 	for _, pid := range pids {
 		processorTime, err := procfs.ProcessorTime(pid)
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -15,12 +15,12 @@
 	"ospreycroft/internal/resp"
 )
 
-// clientPool send requests to one address over connections that they keep.
+// clientPool sends requests to one address over connections that are kept open and reused.
 type clientPool struct {
 	clock   *history.Clock
 	address string
 	idle    chan *clientConn
-	lastID  atomic.Int64 // of the requests' ids
+	lastID  atomic.Int64 // id of the latest request
 }
 
 type clientConn struct {
@@ -28,19 +28,19 @@
 	in *bufio.Reader
 }
 
-// requestResult is one request as its client saw it; times are nanoseconds on the run's clock.
+// requestResult is one request as its client saw it. Times are nanoseconds on the run's clock.
 type requestResult struct {
 	id         string
 	customer   uint64
-	sentAt     int64 // just before it was written
-	answeredAt int64 // when the whole answer had been read
-	firstByte  byte  // its first byte, '$' for a value; 0 where none came
+	sentAt     int64 // just before the request was written
+	answeredAt int64 // after the whole answer was read
+	firstByte  byte  // of the answer: '$' for a value; 0 if no answer came
 }
 
 const (
 	maxIdleConns  = 1024
 	clientTimeout = 3 * time.Second
-	firstCustomer = 1 << 20 // customers of this run are numbered from here on
+	firstCustomer = 1 << 20 // number of the first customer that sends requests
 )
 
 func newClientPool(clock *history.Clock, address string) *clientPool {
@@ -58,7 +58,7 @@
 	}
 }
 
-// queryCommand is a request's queryCommand.
+// queryCommand encodes an SVC.QUERY request.
 func queryCommand(id string, customer uint64) []byte {
 	fields := fmt.Sprintf(
 		"c=%s,t=%s,d=%d,units=%d,spread=%d,first=0",
@@ -71,7 +71,7 @@
 	return resp.AppendCommand(nil, []byte("SVC.QUERY"), fmt.Appendf(nil, "%016x", customer), []byte(id), []byte(fields))
 }
 
-// send sends one request and waits for its answer.
+// send sends one request and waits for its answer, for clientTimeout at most.
 func (c *clientPool) send(customer uint64) requestResult {
 	result := requestResult{id: fmt.Sprintf("%016x", c.lastID.Add(1)), customer: customer}
 	request := queryCommand(result.id, customer)
@@ -112,7 +112,8 @@
 	return &clientConn{conn, bufio.NewReader(conn)}, nil
 }
 
-// readAnswer reads an readAnswer, of a limiter (a bulk string or a line) or of a server (an array of bulk strings).
+// readAnswer reads one answer and returns its first byte. A limiter answers with a bulk string or a line, a server
+// with an array of bulk strings, of which the last one's first byte is returned.
 func (c *clientConn) readAnswer() (first byte, err error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -137,7 +138,7 @@
 	return line[0], err
 }
 
-// skipBulk passes over a bulk string whose first line was read.
+// skipBulk discards the body of the bulk string whose header line is given; the null bulk string has no body.
 func (c *clientConn) skipBulk(line string) error {
 	size, err := strconv.Atoi(strings.TrimSpace(line[1:]))
 	if err == nil && size >= 0 {
@@ -146,8 +147,9 @@
 	return err
 }
 
-// sendAtRate sends requests at random times, so many a second on average, of so many customers in turn, whatever the answers
-// do, and gives what became of them.
+// sendAtRate sends requests as a Poisson process of rate requests per second, for the given length and for the
+// customers in turn. It is an open loop: a request is sent at its time whether or not earlier ones are answered. It
+// returns the results of all requests.
 func (c *clientPool) sendAtRate(rate float64, customers int, length time.Duration, seed uint64) []requestResult {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	var mutex sync.Mutex
@@ -175,8 +177,8 @@
 	return results
 }
 
-// sendForEach sends one request of sendForEach of so many customers, several at a time, and tells how many were answered: a limiter
-// knows the customer of one that it rejects for want of room as well.
+// sendForEach sends one request for each customer, several concurrently, and returns how many were answered.
+// Rejections count: a limiter also records the customer of a request that it rejects for lack of capacity.
 func (c *clientPool) sendForEach(customers, concurrency int) (answered int) {
 	var workers sync.WaitGroup
 	var count atomic.Int64
@@ -200,7 +202,7 @@
 	return int(count.Load())
 }
 
-// servedShare is the share of requests that were answered with a value.
+// servedShare returns the share of requests that were answered with a value; 0 if there are no requests.
 func servedShare(results []requestResult) float64 {
 	if len(results) == 0 {
 		return 0
--- a/internal/lab/scale/clients_test.go
+++ b/internal/lab/scale/clients_test.go
@@ -14,7 +14,8 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// TestReadAnswer: one answer is read whole, whoever gives it, and no byte behind it.
+// TestReadAnswer checks that exactly one answer of a limiter or a server is consumed and that the bytes after it stay
+// unread.
 func TestReadAnswer(t *testing.T) {
 	const rest = "+rest\r\n"
 	for text, first := range map[string]byte{
@@ -36,7 +37,8 @@
 	}
 }
 
-// TestProcessorTime grows by what a process works, and by little while it sleeps.
+// TestProcessorTime checks that the processor time read from /proc grows while the process is busy, and that its
+// resident memory is read.
 func TestProcessorTime(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -61,7 +63,7 @@
 	require.ErrorAs(t, err, &missing)
 }
 
-// TestSeriesRow: a row of the table tells the points, the slope, and whether it was reckoned.
+// TestSeriesRow checks that a row of the table holds the points, the fitted line, and the mark of an estimate.
 func TestSeriesRow(t *testing.T) {
 	h := &Harness{options: Options{Log: &strings.Builder{}}}
 	h.addSeries(Series{Experiment: "e", Quantity: "q", Unit: "ms", Over: "servers", Mechanism: "m",
@@ -69,7 +71,7 @@
 	h.addFigure(Series{Experiment: "e", Quantity: "r", Unit: "1", Estimated: true}, 12345678)
 	rows := h.report.Series
 	require.Contains(t, rows[0].row(), "e | q | ms | servers | 20: 2 (1..3), 8500: 12 (11..13) | 1.976 + 0.001179")
-	require.Contains(t, rows[0].row(), "residual 0.8165", "of all samples, not of their medians")
+	require.Contains(t, rows[0].row(), "residual 0.8165", "residual of all samples, not of their medians")
 	require.NotNil(t, rows[0].Line)
 	require.Nil(t, rows[1].Line)
 	require.Contains(t, rows[1].row(), "12.3M")
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -7,21 +7,20 @@
 	"ospreycroft/internal/lab/emulator"
 )
 
-// zoneNames are the zones of the size, two in each region.
+// zoneNames are the zones of the fleet, two in each region.
 var zoneNames = [Zones]string{"east-1", "east-2", "west-1", "west-2"}
 
-// The request that all runs send: its class, its plan, the units that it takes and the limiters that share its
-// customer.
+// The request that every experiment sends.
 const (
 	className     = "fetch"
 	planName      = "plain"
 	requestUnits  = 1
 	requestSpread = 8
-	requestBudget = 2500 // milliseconds
+	requestBudget = 2500 // milliseconds until the client's deadline
 )
 
-// limiterSettings are the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's store
-// lets all requests of a run through, and keeps a customer known for 30 s after its last request.
+// limiterSettings returns the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's
+// rate admits every request of a run, and a customer's state is kept for 30 s after its last request.
 func limiterSettings(position int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"balancers":%d,"position":%d,
 "classes":[{"name":"fetch","aim":0.8,"deadline":2.5,"effect":"free","group":"all"},
@@ -34,7 +33,7 @@
 "granularity":0.004}`, Limiters, position))
 }
 
-// limiterConfig is one limiter's configuration as its file holds it.
+// limiterConfig is the configuration file of one limiter.
 type limiterConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -52,19 +51,19 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// newLimiterConfig is the configuration of limiter n, which calls discovery and the counter at these addresses; known may be
-// nil.
+// newLimiterConfig returns the configuration of limiter n. The addresses are those of its own listener, of discovery
+// and of the counter; known is the endpoint list to begin with, or nil for none.
 func newLimiterConfig(n int, listen, discovery, counter string, sockets int, known []byte) limiterConfig {
 	return limiterConfig{Name: fmt.Sprintf("n%d", n), Listen: listen, Discovery: discovery, Counter: counter,
 		Seed: fmt.Sprintf("%016x", 0x51ca1e+uint64(n)*0x9e3779b97f4a7c15), Known: known, Settings: limiterSettings(n),
 		Limits: limits{Cores: 1, MemoryMB: 128, Sockets: sockets}}
 }
 
-// encodeConfig is a configuration as its file holds it.
+// encodeConfig encodes a configuration as the file's JSON.
 func encodeConfig(config limiterConfig) ([]byte, error) { return json.Marshal(config) }
 
-// newInstances is a list of so many servers over the four zones; they stand at the addresses in turn, so that a few
-// listeners do for thousands of servers.
+// newInstances returns a list of n servers spread over the four zones. The servers share the given addresses in turn,
+// so that a few listeners can serve thousands of servers.
 func newInstances(n int, addresses []string) []emulator.Instance {
 	list := make([]emulator.Instance, n)
 	for i := range list {
--- a/internal/lab/scale/counter.go
+++ b/internal/lab/scale/counter.go
@@ -13,8 +13,8 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// counter measures how often limiters call the counter, what a call costs at its stand-in, and how many stand-ins the
-// peak takes.
+// counter measures how often a limiter calls the counter, what a call costs the counter's stand-in, and how many
+// stand-ins the peak load needs.
 func (h *Harness) counter() error {
 	var calls, bytes []Point
 	for _, rate := range h.sizes([]int{40, 80}, []int{62, 124, 250, 500}) {
@@ -51,7 +51,8 @@
 	return h.measureCounterStandIn()
 }
 
-// counterUsage is what one limiter asks of the counter at a load, in several samples.
+// counterUsage is a limiter's calls to the counter at one load, one value per sample: calls and bytes per second, and
+// calls per request.
 type counterUsage struct{ calls, bytes, perRequest []float64 }
 
 func (h *Harness) measureCounterUsage(rate int, script []emulator.Fault) (usage counterUsage, err error) {
@@ -76,13 +77,13 @@
 }
 
 const (
-	counterConnections = 64  // connections to one stand-in of the counter
-	targetUtilization  = 0.5 // of an instance's capacity, so that a call seldom waits
-	callsPerRequest    = 1.0 // for a request, at least
+	counterConnections = 64  // connections to one stand-in of the counter, with one call at a time on each
+	targetUtilization  = 0.5 // share of an instance's capacity, low enough that calls seldom queue
+	callsPerRequest    = 1.0 // lower bound: true units and rejections add calls
 )
 
-// measureCounterStandIn measures one stand-in in a process of its own, on one core, and reckons how many of them the peak
-// takes.
+// measureCounterStandIn measures one stand-in in a process of its own, on one core, and estimates how many of them
+// the peak load needs.
 func (h *Harness) measureCounterStandIn() error {
 	counterProcess, err := h.startCounterProcess()
 	if err != nil {
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// measureCounter calls a stand-in for a window a sample: capacity in calls a second, cost in microseconds of its
-// processor time a call.
+// measureCounter loads a stand-in for one window per sample. The capacity is in calls per second, the cost in
+// microseconds of the stand-in's processor time per call.
 func (h *Harness) measureCounter(counterProcess *counterHost) (capacity, cost Point, err error) {
 	for range h.sampleCount() {
 		before, err := procfs.ProcessorTime(counterProcess.pid())
@@ -132,8 +133,8 @@
 	return capacity, cost, nil
 }
 
-// reportCounterInstances reckons the instances that the peak takes where one answers callsPerSecond on a whole core, and how
-// evenly customers load them.
+// reportCounterInstances reports an estimate of the instances that the peak load needs, where one answers
+// callsPerSecond on a whole core, and of how unevenly customers load them.
 func (h *Harness) reportCounterInstances(callsPerSecond float64) {
 	instances := InstancesNeeded(PeakRequests*callsPerRequest, callsPerSecond, targetUtilization)
 	h.addFigure(Series{Experiment: "counter", Quantity: "instances for 68,000 requests/s, each half used", Unit: "1",
@@ -150,7 +151,7 @@
 	}
 }
 
-// counterHost is a process that runs one counter.
+// counterHost is a process that runs one stand-in of the counter.
 type counterHost struct {
 	*host
 	address string
@@ -169,7 +170,8 @@
 	return &counterHost{hostProcess, answer.Address}, nil
 }
 
-// callCounter calls a counter on many connections, one call after the other on each, and tells how many were answered.
+// callCounter calls a counter for the given length over counterConnections connections, one call at a time on each,
+// and returns how many calls were answered.
 func callCounter(address string, length time.Duration) (int64, error) {
 	var calls atomic.Int64
 	var workers sync.WaitGroup
--- a/internal/lab/scale/estimate.go
+++ b/internal/lab/scale/estimate.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// This file reckons sizes from slopes. It does no I/O.
+// This file estimates sizes from measured slopes. It does no I/O.
 
-// InstancesNeeded is how many instances bear so many calls a second, each of which bears capacity of them and is to be used
-// to a part of that at most.
+// InstancesNeeded returns how many instances serve callsPerSecond, if each can serve capacity calls per second and is
+// to be used up to the share utilization of that. It returns 0 if capacity or utilization is not positive.
 func InstancesNeeded(callsPerSecond, capacity, utilization float64) int {
 	if capacity <= 0 || utilization <= 0 {
 		return 0
@@ -13,8 +13,8 @@
 	return int(math.Ceil(callsPerSecond / (capacity * utilization)))
 }
 
-// LargestShare is the share of all load that the fullest of so many instances gets where customers are divided by the
-// hash of their number, and the k-th customer sends as 1/k^skew.
+// LargestShare returns the share of all load that the most loaded instance gets if customers are assigned to
+// instances by the hash of their number and the k-th customer sends in proportion to 1/k^skew.
 func LargestShare(customers, instances int, skew float64) float64 {
 	loads := make([]float64, instances)
 	total := 0.0
@@ -30,7 +30,7 @@
 	return largest / total
 }
 
-// mixBits spreads a number over all bits, as the counts' names are (choice.go).
+// mixBits is the hash of SplitMix64, by which choice.go also makes the names for the counter.
 func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -38,8 +38,8 @@
 	return x ^ x>>31
 }
 
-// countName is the name on which a customer's use is counted in the window that holds now, as choice.go names it:
-// windows are span long and begin at a time of the customer's own. Times are nanoseconds of the limiters' clock.
+// countName returns the name on which a customer's use is counted at the time now, as choice.go computes it. Windows
+// are span long and begin at an offset of the customer's own. Times are nanoseconds on the limiters' clock.
 func countName(customer uint64, now, span int64) uint64 {
 	phase := int64(mixBits(customer) >> 1)
 	window := (now + phase%span) / span
--- a/internal/lab/scale/estimate_test.go
+++ b/internal/lab/scale/estimate_test.go
@@ -16,7 +16,7 @@
 	require.Zero(t, InstancesNeeded(100, 0, 0.5))
 }
 
-// TestLargestShare: one instance has all, and what one customer sends cannot be divided.
+// TestLargestShare checks that a single instance gets all load, and that the largest customer's load is not divided.
 func TestLargestShare(t *testing.T) {
 	require.InDelta(t, 1, LargestShare(100, 1, 0), 1e-9)
 	require.InDelta(t, 0.25, LargestShare(Customers, 4, 0), 0.01)
@@ -27,7 +27,8 @@
 	require.GreaterOrEqual(t, LargestShare(10, 1000, 1), 1/largest)
 }
 
-// TestCountName: a customer's windows change once in a span, at a time of its own.
+// TestCountName checks that a customer's counting window changes once per span, and that customers do not share
+// names.
 func TestCountName(t *testing.T) {
 	const span = int64(30e9)
 	for customer := range uint64(20) {
@@ -35,13 +36,13 @@
 		for at := int64(0); at < span; at += span / 100 {
 			names[countName(customer, at, span)] = true
 		}
-		require.LessOrEqual(t, len(names), 2, "in one span")
+		require.LessOrEqual(t, len(names), 2, "names in one span")
 		require.NotEqual(t, countName(customer, 0, span), countName(customer, span, span))
 		require.NotEqual(t, countName(customer, 0, span), countName(customer+1, 0, span))
 	}
 }
 
-// TestQuantile is by the nearest rank.
+// TestQuantile checks quantiles by the nearest rank.
 func TestQuantile(t *testing.T) {
 	values := make([]float64, 100)
 	for i := range values {
@@ -54,10 +55,11 @@
 	require.Equal(t, []float64{1, 2, 3}, []float64{p.Min(), p.Median(), p.Max()})
 }
 
-// TestAppliedTimes: a limiter goes by a generation once it calls again after the answer that told it.
+// TestAppliedTimes checks that a limiter counts as having applied a generation at its first call after the answer
+// that carried it, and not by a call of an earlier incarnation that overlaps.
 func TestAppliedTimes(t *testing.T) {
 	calls := []history.Call{
-		{Limiter: 0, At: 5, EndedAt: 20, End: history.Answered, Generation: 7}, // was out at the change
+		{Limiter: 0, At: 5, EndedAt: 20, End: history.Answered, Generation: 7}, // in flight at the change
 		{Limiter: 1, At: 6, EndedAt: 21, End: history.NoResponse},
 		{Limiter: 1, At: 22, EndedAt: 30, End: history.Answered, Generation: 6}, // an older list
 		{Limiter: 0, At: 25, EndedAt: 40, End: history.Answered, Generation: 7},
@@ -66,7 +68,7 @@
 		{Limiter: 0, At: 41, EndedAt: 50, End: history.Answered, Generation: 7},
 	}
 	require.Equal(t, []int64{25, 39}, appliedTimes(calls, 10, 7))
-	overlapping := []history.Call{ // of a life that has ended, and of the next one
+	overlapping := []history.Call{ // of an incarnation that has ended, and of the next one
 		{
 			Limiter:    0,
 			At:         11,
@@ -75,11 +77,12 @@
 			Generation: 7,
 		}, {Limiter: 0, At: 45, EndedAt: 50, End: history.CallerGone}}
 	require.Empty(t, appliedTimes(overlapping, 10, 7))
-	require.Empty(t, appliedTimes(calls[:3], 10, 7), "told, and not called since")
+	require.Empty(t, appliedTimes(calls[:3], 10, 7), "the answer arrived, and no call followed it")
 	require.Empty(t, appliedTimes(calls, 10, 9))
 }
 
-// TestJoinObservations joins what a client, the counter and a server saw, and leaves out what it cannot join.
+// TestJoinObservations checks that the records of a client, the counter and a server are joined by request, and that
+// a request is excluded if it was rejected or has no call at the counter.
 func TestJoinObservations(t *testing.T) {
 	const customer, clockOffset = uint64(77), int64(1e18)
 	name := countName(customer, 1e6+clockOffset, counterWindow)
@@ -104,7 +107,7 @@
 	require.Equal(t, []float64{6}, w.added)
 }
 
-// TestConfig: a limiter takes the lab's configuration, and the lists that it is told.
+// TestConfig checks that a limiter accepts the lab's configuration, and that the ids of the lab's servers are unique.
 func TestConfig(t *testing.T) {
 	text, err := encodeConfig(newLimiterConfig(549, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1024, nil))
 	require.NoError(t, err)
@@ -114,7 +117,7 @@
 	require.Equal(t, Limiters, config.Settings.Limiters)
 	seen := map[string]bool{}
 	for _, instance := range newInstances(Servers, []string{"127.0.0.1:4", "127.0.0.1:5"}) {
-		require.False(t, seen[instance.ID], "ids are told apart")
+		require.False(t, seen[instance.ID], "ids are unique")
 		seen[instance.ID] = true
 	}
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -8,30 +8,30 @@
 // Line is a straight line fitted by least squares.
 type Line struct {
 	Intercept float64 `json:"intercept"` // y at x = 0
-	Slope     float64 `json:"slope"`     // y for each x
-	// SlopeError is the standard error of Slope; 0 where two points leave none to be told.
+	Slope     float64 `json:"slope"`     // change of y per unit of x
+	// SlopeError is the standard error of Slope; 0 for two points, which always lie on the line.
 	SlopeError float64 `json:"slope_error"`
-	Residual   float64 `json:"residual"` // root of the mean square distance of y from the line
+	Residual   float64 `json:"residual"` // root mean square distance of y from the line
 	Worst      float64 `json:"worst"`    // largest distance of y from the line
 	Points     int     `json:"points"`
 }
 
-// At is the line's y at x.
+// At returns the line's y at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// FitError is for points through which no line goes.
+// FitError reports points through which no line can be fitted.
 type FitError struct{ Why string }
 
-// Error says what happened.
-func (e *FitError) Error() string { return "no line: " + e.Why }
+// Error describes why no line can be fitted.
+func (e *FitError) Error() string { return "cannot fit a line: " + e.Why }
 
-// Hint says what to do about it.
-func (e *FitError) Hint() string { return "measure at two sizes at least" }
+// Hint names the remedy.
+func (e *FitError) Hint() string { return "measure at two different sizes at least" }
 
-// FitLine fits a line through the points (x[i], y[i]) by least squares; the error is a *FitError.
+// FitLine fits a line through the points (x[i], y[i]) by least squares. Its error is a *FitError.
 func FitLine(x, y []float64) (Line, error) {
 	if len(x) != len(y) {
-		return Line{}, &FitError{fmt.Sprintf("%d x and %d y", len(x), len(y))}
+		return Line{}, &FitError{fmt.Sprintf("%d x values and %d y values", len(x), len(y))}
 	}
 	n := float64(len(x))
 	var sumX, sumY float64
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFitLine compares with a worked example: y = 2 + 3x with distances of +1, -1, -1 and +1.
+// TestFitLine checks the fit against a worked example: y = 2 + 3x with residuals of +1, -1, -1 and +1.
 func TestFitLine(t *testing.T) {
 	line, err := FitLine([]float64{0, 1, 2, 3}, []float64{3, 4, 7, 12})
 	require.NoError(t, err)
@@ -14,12 +14,12 @@
 	require.InDelta(t, 2, line.Intercept, 1e-12)
 	require.InDelta(t, 1, line.Residual, 1e-12)
 	require.InDelta(t, 1, line.Worst, 1e-12)
-	require.InDelta(t, 0.632456, line.SlopeError, 1e-6) // root of 4 / 2 / 5
+	require.InDelta(t, 0.632456, line.SlopeError, 1e-6) // sqrt(4 / 2 / 5)
 	require.Equal(t, 4, line.Points)
 	require.InDelta(t, 32, line.At(10), 1e-12)
 }
 
-// TestFitLineExact has no residual, and two points leave the slope's error untold.
+// TestFitLineExact checks that a line through two points has no residual and a zero slope error.
 func TestFitLineExact(t *testing.T) {
 	line, err := FitLine([]float64{20, 8500}, []float64{1, 9})
 	require.NoError(t, err)
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -9,7 +9,7 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// fleet measures what discovery and the counter bear from many idle limiters, over the limiters.
+// fleet measures the load of idle limiters on discovery and on the counter, over the number of limiters.
 func (h *Harness) fleet() error {
 	var calls, bytes, pings, core, startTimes []Point
 	for _, limiters := range h.sizes([]int{5, 10}, []int{10, 100, 300, Limiters}) {
@@ -49,10 +49,11 @@
 	return nil
 }
 
-// fleetServers are the list's entries while only the number of limiters matters.
+// fleetServers is the number of servers on the endpoint list while only the number of limiters varies.
 const fleetServers = 1000
 
-// worst plays the worst minutes of a list service's clients: all limiters before the whole list.
+// worst measures the events that load discovery most, with all limiters and the full endpoint list: a restart of all
+// limiters, a part of the servers draining at once, an outage of discovery, and steady restarts of servers.
 func (h *Harness) worst() error {
 	limiters, servers := h.sizes([]int{6}, []int{Limiters})[0], h.sizes([]int{200}, []int{Servers})[0]
 	s, err := newStandIns(standInsSpec{limiters: limiters, servers: servers})
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// worstRun is a fleet of hollow limiters whose worst minutes are played.
+// worstRun is the fleet of hollow limiters of the experiment worst.
 type worstRun struct {
 	h        *Harness
 	s        *standIns
@@ -82,7 +83,7 @@
 	size     string
 }
 
-// start starts all limiters anew and waits until all of them ask discovery.
+// start stops the limiters that run, starts all of them with the known list, and waits until they run.
 func (f *worstRun) start(known []byte) (err error) {
 	stopHosts(f.hosts)
 	f.hosts = nil
@@ -90,7 +91,7 @@
 	return err
 }
 
-// restartAll ends all limiters at once and starts them, from the list of their configurations and from none.
+// restartAll restarts all limiters at once, first with the endpoint list in their configurations, then with none.
 func (f *worstRun) restartAll() error {
 	heap := 0.0
 	for _, hostProcess := range f.hosts {
@@ -127,7 +128,7 @@
 	f.h.addFigure(Series{Experiment: "worst", Quantity: quantity, Unit: unit, Note: f.size}, values...)
 }
 
-// drainAndReturn lets a quarter and half of the servers drain and come back.
+// drainAndReturn takes a quarter and then half of the servers out of service and back, all of them in one change.
 func (f *worstRun) drainAndReturn() error {
 	for _, divisor := range []int{4, 2} {
 		for _, lifecycle := range []string{"terminated", "in_service"} {
@@ -144,12 +145,13 @@
 	return nil
 }
 
-// discoveryOutage lets discovery be silent while as many servers restart as do in ten minutes of the busiest two hours.
+// discoveryOutage stops discovery's answers while servers restart, as many as in ten minutes at the rate of a day's
+// restarts in two hours. The limiters get all the changes when discovery answers again.
 func (f *worstRun) discoveryOutage() error {
 	const tenMinutes = 600
 	restarted := min(RestartsPerDay*tenMinutes/(2*3600), len(f.s.list))
 	f.s.discovery.Down(true)
-	time.Sleep(f.h.duration(10 * time.Second)) // stands for the ten minutes: past two seconds only the changes matter
+	time.Sleep(f.h.duration(10 * time.Second)) // stands for 10 min: after 2 s of silence only the changes matter
 	var changed []emulator.Instance
 	for _, instance := range f.s.list[:restarted] {
 		instance.StartedMs = time.Now().UnixMilli()
@@ -166,7 +168,8 @@
 	)
 }
 
-// measureChange does something that changes the list and states what it costs until all limiters go by it.
+// measureChange runs change, which changes the endpoint list, and reports its cost until all limiters have applied
+// it.
 func (f *worstRun) measureChange(quantity string, change func()) error {
 	var took float64
 	changedAt := f.s.clock.Now()
@@ -183,9 +186,10 @@
 	return nil
 }
 
-// steadyRestarts lets servers restart at the rate of a day's restarts in two hours, each in three changes.
+// steadyRestarts restarts servers at the rate of a day's restarts in two hours; each restart makes changesPerRestart
+// changes of the list.
 func (f *worstRun) steadyRestarts() error {
-	rate := float64(RestartsPerDay*changesPerRestart) / (2 * 3600) // changes a second
+	rate := float64(RestartsPerDay*changesPerRestart) / (2 * 3600) // changes per second
 	length := f.h.duration(20 * time.Second)
 	perLimiter, err := measureFleetWindow(f.s, hostPIDs(f.hosts), f.limiters, func() {
 		stop := make(chan struct{})
@@ -203,11 +207,12 @@
 	return nil
 }
 
-// generation is discovery's present one.
+// generation returns the list's current generation at discovery.
 func (s *standIns) generation() int64 { return s.discovery.Whole(0).Generation }
 
-// awaitApplied waits until all limiters go by a generation of the list and tells how long that took from at on, seconds:
-// each calls again once it has awaitApplied the answer that told it.
+// awaitApplied waits until all limiters have applied a generation of the list and returns the seconds that it took,
+// counted from since, a time on the run's clock in nanoseconds. A limiter has applied an answer once it calls
+// discovery again. After the timeout the error is a *NotAppliedError.
 func (f *worstRun) awaitApplied(since, generation int64, timeout time.Duration) (float64, error) {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -223,8 +228,8 @@
 	}
 }
 
-// appliedTimes are when limiters first called after an answer of a generation, from at on, one for each limiter that
-// has. Calls are in the order of their times.
+// appliedTimes returns, for each limiter that has applied the generation, the time of its first call after the answer
+// that carried it. Calls that ended before since are ignored. The calls must be sorted by time.
 func appliedTimes(calls []history.Call, since, generation int64) []int64 {
 	answers := map[int]int64{}
 	var times []int64
@@ -244,18 +249,18 @@
 	return times
 }
 
-// NotAppliedError is for a change that did not reach all limiters in time.
+// NotAppliedError reports a change of the list that did not reach all limiters in time.
 type NotAppliedError struct {
 	Have, Want int
 	Within     time.Duration
 }
 
-// Error says what happened.
+// Error states how many limiters have applied the change.
 func (e *NotAppliedError) Error() string {
-	return fmt.Sprintf("%d of %d limiters go by the change after %v", e.Have, e.Want, e.Within)
+	return fmt.Sprintf("%d of %d limiters applied the change within %v", e.Have, e.Want, e.Within)
 }
 
-// Hint says what to do about it.
+// Hint names the remedy.
 func (e *NotAppliedError) Hint() string {
-	return "run with less beside it on the machine, and see the hosts' logs in the run's folder"
+	return "run again with less load on the machine, and see the hosts' logs in the run's folder"
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,37 +18,40 @@
 	"ospreycroft/internal/sockets"
 )
 
-// A hollow limiter is the limiter's own reducer, module and control clients over real connections, with no clients:
-// many in one process. HostMain is that process; it is told what to do in lines of JSON.
+// A hollow limiter runs the limiter's own reducer, decision module and control clients over real connections, but no
+// client connects to it, so that one process can run many. HostMain is that process, a host. It reads commands as
+// lines of JSON and answers each with a line of JSON.
 
 // hostSpec is the first line that a host reads.
 type hostSpec struct {
 	Limiters    []limiterConfig `json:"limiters"`
-	Known       json.RawMessage `json:"known"`      // the list that all of them begin with; one copy for all
-	Processors  int             `json:"processors"` // GOMAXPROCS
-	MemoryBytes int64           `json:"memory"`     // the runtime's soft limit, bytes
-	Counter     bool            `json:"counter"`    // it runs a counter's stand-in instead
+	Known       json.RawMessage `json:"known"`      // endpoint list that all limiters begin with, one copy for all
+	Processors  int             `json:"processors"` // value of GOMAXPROCS
+	MemoryBytes int64           `json:"memory"`     // soft memory limit of the Go runtime, bytes
+	Counter     bool            `json:"counter"`    // run a stand-in of the counter instead of limiters
 }
 
-// hostCommand is a further line.
+// hostCommand is each further line that a host reads.
 type hostCommand struct {
-	Command string  `json:"do"` // stats or profile
+	Command string  `json:"do"` // "stats" or "profile"
 	Seconds float64 `json:"seconds,omitempty"`
 	Path    string  `json:"path,omitempty"`
 }
 
-// hostAnswer is written once for the spec, when all limiters run, and for each command.
+// hostAnswer is written once after the spec, when all limiters run, and once after each command.
 type hostAnswer struct {
 	Error        string  `json:"error,omitempty"`
-	Address      string  `json:"address,omitempty"` // of the counter
-	HeapBytes    float64 `json:"heap"`              // bytes that are in use after a collection
-	StartSeconds float64 `json:"began"`             // seconds that it took to make all limiters
+	Address      string  `json:"address,omitempty"` // of the counter's stand-in
+	HeapBytes    float64 `json:"heap"`              // bytes in use after a garbage collection
+	StartSeconds float64 `json:"began"`             // seconds that starting all limiters took
 }
 
-// descriptorTableSize is how many descriptors each limiter's poller has places for: the table is the process's.
+// descriptorTableSize is the number of descriptors that each limiter's poller has entries for. Descriptors are
+// numbered per process, so the poller of each limiter in a host has to cover the descriptors of all.
 const descriptorTableSize = 1 << 12
 
-// HostMain runs hollow limiters as in tells until it ends.
+// HostMain is the main function of a host. It reads a hostSpec from in, starts its limiters or its counter, and then
+// answers the commands on in until in ends.
 func HostMain(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<20)
 	answers := json.NewEncoder(out)
@@ -74,7 +77,7 @@
 	for {
 		var command hostCommand
 		if err := readLine(lines, &command); err != nil {
-			return nil // the harness has ended
+			return nil // the harness closed its end or exited
 		}
 		if err := answers.Encode(execute(command)); err != nil {
 			return err
@@ -82,7 +85,7 @@
 	}
 }
 
-// counterMain runs a counter's stand-in until in ends.
+// counterMain runs a stand-in of the counter until in ends.
 func counterMain(in *bufio.Reader, answers *json.Encoder) error {
 	counter := emulator.NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
 	if err := counter.Start(); err != nil {
@@ -104,7 +107,7 @@
 	return json.Unmarshal(text, into)
 }
 
-// startHollowLimiter runs one limiter for as long as the process lives.
+// startHollowLimiter starts one limiter, which runs until the process exits.
 func startHollowLimiter(config limiterConfig, known []byte) error {
 	text, err := encodeConfig(config)
 	if err != nil {
@@ -142,9 +145,10 @@
 		}
 		return hostAnswer{}
 	}
-	return hostAnswer{Error: fmt.Sprintf("command %q is not known", command.Command)}
+	return hostAnswer{Error: fmt.Sprintf("unknown command %q", command.Command)}
 }
 
+// writeProfile writes a processor profile of the given length to a file.
 func writeProfile(path string, length time.Duration) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/lab/scale/idle.go
+++ b/internal/lab/scale/idle.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// idle measures a limiter that no client uses: over the servers of its list, then over the customers that it has seen.
+// idle measures a limiter without client traffic: over the servers on its list, then over the customers that it has
+// seen.
 func (h *Harness) idle() error {
 	if err := h.idleOverServers(); err != nil {
 		return err
@@ -13,17 +14,17 @@
 	return h.idleOverCustomers()
 }
 
-// The mechanisms that carry an idle limiter's cost.
+// The code that causes an idle limiter's cost, for Series.Mechanism.
 const (
 	tickMechanism  = "choice.go look and forget, each tick; limiter.go sweep"
 	watchMechanism = "watch.go ask: a watch a second (pollpacer holds); counter.go sweep: a ping each 40 waits"
 	stateMechanism = "choice state.go server; servers.go pool; config.Known"
 )
 
-// idleFigures are an idle limiter's figures over one size.
+// idleFigures holds an idle limiter's figures over one size.
 type idleFigures struct{ core, resident, heap, bytes, messages []Point }
 
-// addWindows adds the measurements at one size.
+// addWindows adds the measurements at size x. heap is in bytes and left out if 0.
 func (s *idleFigures) addWindows(x int, windows []usage, heap float64) {
 	point := func(value func(usage) float64) Point { return Point{float64(x), samples(windows, value)} }
 	s.core = append(s.core, point(func(o usage) float64 { return o.coreShare * 100 }))
@@ -35,7 +36,7 @@
 	s.messages = append(s.messages, point(func(o usage) float64 { return o.traffic.messages() / o.seconds }))
 }
 
-// report adds the series.
+// report adds one series per figure to the harness's report.
 func (s *idleFigures) report(h *Harness, experiment, over string) {
 	for _, series := range []Series{
 		{Quantity: "processor time", Unit: "% of a core", Points: s.core, Mechanism: tickMechanism},
@@ -54,7 +55,7 @@
 	var series idleFigures
 	for _, servers := range h.sizes([]int{20, 1000}, []int{20, 1000, 4000, Servers}) {
 		err := h.withReal(standInsSpec{limiters: 1, servers: servers}, func(s *standIns, l *realLimiter) error {
-			time.Sleep(h.duration(2 * time.Second)) // what a start takes is over
+			time.Sleep(h.duration(2 * time.Second)) // until the cost of the start has passed
 			windows, err := measureProcess(l.process, s, h.duration(3*time.Second), h.sampleCount())
 			if err == nil {
 				series.addWindows(servers, windows, l.heapBytes())
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// warmupConcurrency are the requests that are out at a time while customers make themselves known.
+// warmupConcurrency is the number of concurrent requests by which customers become known to a limiter.
 const warmupConcurrency = 4
 
 func (h *Harness) idleOverCustomers() error {
@@ -98,20 +99,20 @@
 	return nil
 }
 
-// LoadError is a load of which too little was served for its figures to mean anything.
+// LoadError reports that too few requests were served for the figures to be valid.
 type LoadError struct{ Sent, Served int }
 
-// Error says what happened.
+// Error states how many requests were served.
 func (e *LoadError) Error() string {
 	return fmt.Sprintf("%d of %d requests were served", e.Served, e.Sent)
 }
 
-// Hint says what to do about it.
+// Hint names the remedy.
 func (e *LoadError) Hint() string {
-	return "run with less beside it on the machine, and see the limiter's log in the run's folder"
+	return "run again with less load on the machine, and see the limiter's log in the run's folder"
 }
 
-// withReal runs one real limiter before stand-ins.
+// withReal starts stand-ins and one real limiter process that uses them, runs do, and stops them.
 func (h *Harness) withReal(spec standInsSpec, do func(*standIns, *realLimiter) error) error {
 	s, err := newStandIns(spec)
 	if err != nil {
@@ -126,5 +127,5 @@
 	return do(s, l)
 }
 
-// realSockets is the descriptors that a limiter's configuration gives it.
+// realSockets is the limit of descriptors in a real limiter's configuration.
 const realSockets = 1024
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -10,7 +10,7 @@
 	"ospreycroft/internal/lab/emulator"
 )
 
-// latency takes apart what a limiter adds to a request, over load.
+// latency measures the parts of the latency that a limiter adds to a request, over load.
 func (h *Harness) latency() error {
 	var results []latencyResult
 	for _, rate := range h.sizes([]int{60, 120}, []int{62, 124, 250, 500}) {
@@ -26,7 +26,8 @@
 	return h.latencyFloor()
 }
 
-// latencySizes takes it apart over servers and over customers, at the size's even load.
+// latencySizes measures the same parts over servers and over customers, at a load of 124 requests/s: the even share
+// of one of 550 limiters at the peak.
 func (h *Harness) latencySizes() error {
 	const rate = 124
 	var results []latencyResult
@@ -50,27 +51,27 @@
 	return nil
 }
 
-// latencyCase is what one measurement is taken at.
+// latencyCase is the size at which one measurement is made.
 type latencyCase struct {
 	servers, rate, customers int
-	seen                     bool // all customers have been seen before
+	seen                     bool // the limiter has seen a request of each customer before the measurement
 }
 
-// latencyResult is all samples at one size; each sample is one window.
+// latencyResult holds the measured windows, one per sample, at size x.
 type latencyResult struct {
 	x       float64
 	windows []latencyWindow
 }
 
-// latencyWindow is what became of the requests of one latencyWindow.
+// latencyWindow holds the latencies of the requests of one window, in milliseconds.
 type latencyWindow struct {
-	parts     [partCount][]float64 // ms, in the order of requests
+	parts     [partCount][]float64 // in the order of requests
 	added     []float64
-	connected int // requests for which a new connection to a server came up
-	excluded  int // requests that were not served, or not found at the counter
+	connected int // requests for which a connection to a server was opened
+	excluded  int // requests not served, or without a matching call at the counter
 }
 
-// The parts of what a limiter adds.
+// The parts of the latency that a limiter adds.
 const (
 	toCounter = iota
 	atCounter
@@ -94,10 +95,10 @@
 	"poller, servers.go read, choice.go Answer, clients.go flush, sockets write",
 }
 
-// latencyWindowLength is how long requests are sent for one sample.
+// latencyWindowLength is the time for which requests are sent for one sample.
 const latencyWindowLength = 5 * time.Second
 
-// measureLatency measures the parts at one size.
+// measureLatency measures the parts of the added latency at one size.
 func (h *Harness) measureLatency(params latencyCase) (windows []latencyWindow, err error) {
 	observed := newObservations()
 	spec := standInsSpec{
@@ -125,7 +126,8 @@
 	return windows, err
 }
 
-// observations are what the stand-ins saw, by request and by the counts' names.
+// observations holds what the stand-ins saw: the requests at servers by request id, and the calls to the counter by
+// the name on which they count.
 type observations struct {
 	mutex   sync.Mutex
 	handled map[string]emulator.Handled
@@ -161,10 +163,12 @@
 	m.calls[name] = append(m.calls[name], call)
 }
 
-// counterWindow is the length of a customer's windows on the counter with the settings of this lab.
+// counterWindow is the length in nanoseconds of a customer's counting windows at the counter under this lab's
+// settings.
 const counterWindow = int64(30e9)
 
-// join joins what clients and stand-ins saw of each request; offset is what a limiter's clock is ahead of the run's.
+// join matches each request with its call to the counter and its execution at a server, and computes the latencies.
+// clockOffset is the limiters' clock minus the run's clock, in nanoseconds.
 func (m *observations) join(requests []requestResult, clockOffset int64) (w latencyWindow) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -184,8 +188,8 @@
 	return w
 }
 
-// counterCall finds the counterCall to the counter that was made for a request: on a name of its customer, between its begin and its
-// server's.
+// counterCall finds the call to the counter that was made for a request: a call on one of its customer's names, after
+// the client sent the request and before the server read it.
 func (m *observations) counterCall(request requestResult, clockOffset, serverRead int64) (emulator.Tally, bool) {
 	for _, at := range []int64{request.sentAt, serverRead} {
 		for _, tally := range m.calls[countName(request.customer, at+clockOffset, counterWindow)] {
@@ -197,7 +201,7 @@
 	return emulator.Tally{}, false
 }
 
-// add adds one request's times.
+// add appends one request's latencies.
 func (w *latencyWindow) add(request requestResult, tally emulator.Tally, server emulator.Handled) {
 	ms := func(from, to int64) float64 { return float64(to-from) / 1e6 }
 	w.parts[toCounter] = append(w.parts[toCounter], ms(request.sentAt, tally.Read))
@@ -211,7 +215,7 @@
 	w.added = append(w.added, ms(request.sentAt, request.answeredAt)-ms(server.Read, server.Answered))
 }
 
-// reportLatency adds the series of the parts and of their sum.
+// reportLatency adds the series of the parts and of their sum to the report.
 func (h *Harness) reportLatency(over string, results []latencyResult) {
 	var excluded []Point
 	for _, result := range results {
@@ -240,7 +244,7 @@
 	}
 }
 
-// quantilePoints are a quantile of some times at each size, one sample a window.
+// quantilePoints returns a quantile of some latencies at each size, one sample per window.
 func quantilePoints(results []latencyResult, times func(latencyWindow) []float64, level float64) (points []Point) {
 	for _, result := range results {
 		p := Point{X: result.x}
@@ -256,7 +260,7 @@
 	return points
 }
 
-// exclusionNote tells how many requests the figures leave out, and how many opened a connection.
+// exclusionNote states how many requests the figures exclude, and how many opened a connection.
 func exclusionNote(results []latencyResult) string {
 	requests := 0
 	lost := 0
@@ -276,7 +280,7 @@
 	)
 }
 
-// latencyFloor measures the lab itself: clients that send to a server with nothing between.
+// latencyFloor measures the lab's own share: clients that send directly to a server, without a limiter.
 func (h *Harness) latencyFloor() error {
 	observed := newObservations()
 	s, err := newStandIns(standInsSpec{limiters: 1, servers: 1, serviceTime: 2 * time.Millisecond,
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -8,7 +8,8 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// list measures what one change of the list costs a limiter, told by the whole list and by the changed entries alone.
+// list measures what one change of the endpoint list costs a limiter, if discovery answers with the whole list and if
+// it answers with the changed entries alone.
 func (h *Harness) list() error {
 	for _, whole := range []bool{true, false} {
 		var bytes, processor []Point
@@ -65,8 +66,9 @@
 	changeInterval   = 150 * time.Millisecond
 )
 
-// changeCost is what one change of one server costs, in several samples: the processor time (s) stands in core, and
-// the bytes of watches that bring nothing are taken off.
+// changeCost measures what one change of one server costs, in several samples. The coreShare of each result holds the
+// processor time of one change in seconds, less the idle limiter's. The bytes are those of the whole window divided
+// by its changes; polls without a change are included.
 func (h *Harness) changeCost(s *standIns, l *realLimiter) (costs []usage, err error) {
 	time.Sleep(h.duration(2 * time.Second))
 	idle, err := measureProcess(l.process, s, h.duration(2*time.Second), 1)
@@ -100,7 +102,8 @@
 	return costs, nil
 }
 
-// startCost is the processor time of a limiter's process until it is ready, with the list in its configuration.
+// startCost measures the processor time of a limiter's process from its start until it is ready, with the list in its
+// configuration.
 func (h *Harness) startCost() error {
 	var points []Point
 	for _, servers := range h.sizes([]int{20, 1000}, []int{20, 1000, Servers}) {
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// firstWithLifecycle is the first part of the list as it drains or comes back: one in so many servers.
+// firstWithLifecycle returns the first 1/divisor of the list's servers with another lifecycle and start time.
 func (s *standIns) firstWithLifecycle(divisor int, lifecycle string, started time.Time) []emulator.Instance {
 	changed := append([]emulator.Instance(nil), s.list[:len(s.list)/divisor]...)
 	for i := range changed {
@@ -140,7 +143,7 @@
 	return changed
 }
 
-// shareName names one in so many servers.
+// shareName describes 1/divisor of the servers; divisor is 4 or 2.
 func shareName(divisor int) string {
 	return map[int]string{4: "a quarter", 2: "half"}[divisor] + fmt.Sprintf(" of %d servers", Servers)
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -6,15 +6,15 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// usage is what one process, and all control connections, took in a time.
+// usage is what one process used during a window, and what crossed all control connections meanwhile.
 type usage struct {
 	seconds       float64
-	coreShare     float64 // share of a core
-	residentBytes float64 // bytes, at the end
+	coreShare     float64 // of one core
+	residentBytes float64 // at the end of the window
 	traffic       traffic
 }
 
-// watch measures one process over so many windows in a row.
+// measureProcess measures one process over count windows in a row.
 func measureProcess(p *process, s *standIns, window time.Duration, count int) ([]usage, error) {
 	var windows []usage
 	for range count {
@@ -39,7 +39,7 @@
 	return windows, nil
 }
 
-// samples takes one figure out of each measurement.
+// samples returns one figure of each measurement.
 func samples(windows []usage, value func(usage) float64) []float64 {
 	values := make([]float64, len(windows))
 	for i, window := range windows {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -18,53 +18,56 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// HostVariable is set in the environment of a process that is to be a host of hollow limiters (HostMain).
+// HostVariable is the environment variable that makes a process a host of hollow limiters (HostMain); any value but
+// the empty one does.
 const HostVariable = "TESTLAB_SCALE_HOST"
 
 const (
-	maxLimitersPerHost = 100             // hollow limiters in one process
-	maxHosts           = 200             // processes in all
-	maxHostMemory      = 12 << 30        // bytes of all hosts together, half of the lab's machine
-	startTimeout       = 2 * time.Minute // hosts and limiters that take longer fail the run
+	maxLimitersPerHost = 100             // hollow limiters per process
+	maxHosts           = 200             // processes of one fleet
+	maxHostMemory      = 12 << 30        // bytes of all hosts together: half of the lab's machine
+	startTimeout       = 2 * time.Minute // a host or limiter that takes longer fails the run
 )
 
-// StartError is a process of a run that did not come up.
+// StartError reports a process of a run that did not start.
 type StartError struct {
 	What, Log string
 	Cause     error
 }
 
-// Error says what happened.
+// Error names the process and the cause.
 func (e *StartError) Error() string { return fmt.Sprintf("%s did not start: %v", e.What, e.Cause) }
 
-// Unwrap is why.
+// Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// Hint says what to do about it.
+// Hint names the remedy and the log.
 func (e *StartError) Hint() string {
 	return "build the programs (go build -o bin/ ./cmd/...) and see " + e.Log
 }
 
-// MemoryError is a fleet of hollow limiters for which the machine has too little memory.
+// MemoryError reports that a fleet of hollow limiters may need more memory than the machine has or the lab allows.
+// Need and Have are in bytes.
 type MemoryError struct{ Need, Have float64 }
 
-// Error says what happened.
+// Error states both amounts of memory.
 func (e *MemoryError) Error() string {
-	return fmt.Sprintf("hollow limiters may take %.1f GB, and %.1f GB can be had", e.Need/1e9, e.Have/1e9)
+	return fmt.Sprintf("hollow limiters may use %.1f GB of memory, but only %.1f GB are available", e.Need/1e9, e.Have/1e9)
 }
 
-// Hint says what to do about it.
+// Hint names the remedy.
 func (e *MemoryError) Hint() string {
-	return "end what holds the memory, or run with nothing beside it"
+	return "end other processes that use memory, or run on an idle machine"
 }
 
-// What a hollow limiter may take, bytes, before its garbage is collected: measured with room to spare.
+// Upper bounds of a hollow limiter's memory before a garbage collection, with a margin: bytes, and bytes for each
+// server on its list.
 const (
 	hollowLimiterBytes = 3e6
 	hollowServerBytes  = 2e3
 )
 
-// process is a limiter's or a host's; ended is closed once it has ended.
+// process is a child process. ended is closed once it has exited.
 type process struct {
 	cmd   *exec.Cmd
 	log   string
@@ -72,7 +75,8 @@
 	once  sync.Once
 }
 
-// startProcess starts a command whose output goes to a file, added to what the file holds.
+// startProcess starts a command and appends its output to the log file. Standard output goes elsewhere if cmd.Stdout
+// is set.
 func startProcess(cmd *exec.Cmd, log string) (*process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -82,7 +86,7 @@
 		cmd.Stdout = out
 	}
 	cmd.Stderr = out
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the harness
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the child dies with the harness
 	if err := cmd.Start(); err != nil {
 		_ = out.Close()
 		return nil, err
@@ -98,23 +102,23 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.once.Do(func() { _ = p.cmd.Process.Kill() })
 	<-p.ended
 }
 
-// realLimiter is the program as it is started in production.
+// realLimiter is a process of the limiter's program, started as in production.
 type realLimiter struct {
 	*process
 	config     limiterConfig
-	configPath string // of its configuration
+	configPath string // configuration file
 	port       *ports.Kept
 	address    string
 }
 
-// startRealLimiter starts limiter n of the stand-ins and waits until it answers PING with +PONG. The runtime logs each
-// collection, which tells its heap.
+// startRealLimiter starts limiter n against the stand-ins and waits until it answers PING with +PONG. The Go runtime
+// logs each garbage collection, from which heapBytes reads the heap.
 func (h *Harness) startRealLimiter(s *standIns, n, sockets int, known []byte) (*realLimiter, error) {
 	port, err := ports.Keep()
 	if err != nil {
@@ -139,14 +143,14 @@
 	for !ports.Pong(l.address) {
 		if expired := time.Now().After(deadline); expired || !l.running() {
 			l.stop()
-			return nil, &StartError{h.options.Program, log, errors.New("no +PONG")}
+			return nil, &StartError{h.options.Program, log, errors.New("it did not answer PING with +PONG")}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return l, nil
 }
 
-// writeConfig writes the limiter's configuration.
+// writeConfig writes the limiter's configuration file.
 func (l *realLimiter) writeConfig() error {
 	text, err := encodeConfig(l.config)
 	if err != nil {
@@ -169,10 +173,11 @@
 	l.port.Close()
 }
 
-// collectionLine finds the heap behind a collection, MB, in the runtime's own line on it.
+// collectionLine matches the runtime's log line of a garbage collection and captures the heap after it, MB.
 var collectionLine = regexp.MustCompile(`(?m)^gc \d+ .* \d+->\d+->(\d+) MB`)
 
-// heapBytes is the memory in use behind the latest collection, bytes in steps of 1 MB; 0 where there was none yet.
+// heapBytes returns the heap after the latest garbage collection in bytes, in steps of 1 MB; 0 before the first
+// collection.
 func (l *realLimiter) heapBytes() float64 {
 	text, err := os.ReadFile(l.log)
 	if err != nil {
@@ -186,7 +191,8 @@
 	return float64(mb) * (1 << 20)
 }
 
-// host is a process of hollow limiters.
+// host is a process that runs HostMain: hollow limiters or a stand-in of the counter. startSeconds is how long
+// starting the limiters took.
 type host struct {
 	*process
 	ports        []*ports.Kept
@@ -195,12 +201,13 @@
 	startSeconds float64
 }
 
-// startHollowLimiters starts hollow limiters from number first on, in as many processes as are needed, and waits until all
-// run. Each begins with the known list.
+// startHollowLimiters starts count hollow limiters, numbered from first, in as many hosts as needed, and waits until
+// all run. Each begins with the known list. It fails with a *MemoryError if the fleet may need more than the
+// available memory or maxHostMemory.
 func (h *Harness) startHollowLimiters(s *standIns, first, count int, known []byte) ([]*host, error) {
 	hosts := (count + maxLimitersPerHost - 1) / maxLimitersPerHost
 	if hosts > maxHosts {
-		return nil, &StartError{"hosts", h.options.Out, fmt.Errorf("%d processes, %d at most", hosts, maxHosts)}
+		return nil, &StartError{"hosts", h.options.Out, fmt.Errorf("%d processes needed, %d allowed", hosts, maxHosts)}
 	}
 	need := float64(count) * (hollowLimiterBytes + hollowServerBytes*float64(len(s.list)))
 	if have := procfs.Available(); have < need || need > maxHostMemory {
@@ -258,7 +265,7 @@
 	return hostProcess, nil
 }
 
-// startHostProcess starts a host and tells it what to be; it waits for no answer.
+// startHostProcess starts a host and sends it its spec. It does not wait for the answer.
 func (h *Harness) startHostProcess(spec hostSpec) (*host, error) {
 	hostProcess := &host{}
 	h.processes++
@@ -306,7 +313,7 @@
 	return answer, err
 }
 
-// execute has the host obey one command.
+// execute sends a command to the host and returns its answer.
 func (o *host) execute(command hostCommand) (hostAnswer, error) {
 	if err := o.commands.Encode(command); err != nil {
 		return hostAnswer{}, err
@@ -314,7 +321,7 @@
 	return o.answer()
 }
 
-// heapBytes is the memory in use by all limiters of the host, behind a collection.
+// heapBytes returns the heap of all limiters of the host in bytes, after a garbage collection.
 func (o *host) heapBytes() (float64, error) {
 	answer, err := o.execute(hostCommand{Command: "stats"})
 	return answer.HeapBytes, err
--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// profile writes processor profiles of one hollow limiter before 8,500 servers: idle, and while servers change.
+// profile writes processor profiles of one hollow limiter with 8,500 servers on its list: while idle, and while
+// servers change.
 func (h *Harness) profile() error {
 	s, err := newStandIns(standInsSpec{limiters: 1, servers: h.sizes([]int{100}, []int{Servers})[0]})
 	if err != nil {
@@ -35,12 +36,12 @@
 		if err != nil {
 			return err
 		}
-		h.logf("profile %s", path)
+		h.logf("wrote profile %s", path)
 	}
 	return nil
 }
 
-// changeServers changes one server after the other until stop is closed.
+// changeServers changes one server per interval, in turn, until stop is closed.
 func (s *standIns) changeServers(stop chan struct{}, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/lab/scale/renew.go
+++ b/internal/lab/scale/renew.go
@@ -10,7 +10,7 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// renew measures what a change of the configuration costs a limiter today: a new file and SIGHUP.
+// renew measures what a change of the configuration costs a limiter that gets it as a new file and SIGHUP.
 func (h *Harness) renew() error {
 	var processor, took []Point
 	for _, servers := range h.sizes([]int{20, 200}, []int{20, 1000, Servers}) {
@@ -57,10 +57,11 @@
 
 const renewSamples = 5
 
-// measureRenewals renews a limiter's configuration several times: the processor time and the time of each, ms.
+// measureRenewals renews a limiter's configuration several times and returns the processor time and the duration of
+// each renewal, in milliseconds.
 func (l *realLimiter) measureRenewals(times int) (costs, took []float64, err error) {
 	for i := range times {
-		l.config.Limits.Cores = 1 // no key differs: what is measured is the reading
+		l.config.Limits.Cores = 1 // no setting changes: the cost of reading is measured
 		if err := l.writeConfig(); err != nil {
 			return nil, nil, err
 		}
@@ -74,12 +75,12 @@
 		}
 		for l.countLogLines("event=config-read") <= i {
 			if time.Since(start) > clientTimeout {
-				return nil, nil, &StartError{"a renewal", l.log, os.ErrDeadlineExceeded}
+				return nil, nil, &StartError{"a configuration renewal", l.log, os.ErrDeadlineExceeded}
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 		took = append(took, time.Since(start).Seconds()*1e3)
-		time.Sleep(200 * time.Millisecond) // and what it leaves behind
+		time.Sleep(200 * time.Millisecond) // include the work that follows the renewal
 		after, err := procfs.ProcessorTime(l.pid())
 		if err != nil {
 			return nil, nil, err
@@ -89,7 +90,7 @@
 	return costs, took, nil
 }
 
-// countLogLines is how many lines of the limiter's log hold a text.
+// countLogLines returns how often a text occurs in the limiter's log; 0 if the log cannot be read.
 func (l *realLimiter) countLogLines(text string) int {
 	log, err := os.ReadFile(l.log)
 	if err != nil {
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -10,22 +10,23 @@
 	"strings"
 )
 
-// Point is what was measured at one size, once or several times.
+// Point holds the samples measured at one size X. X is 0 for a figure that does not depend on a size.
 type Point struct {
 	X       float64   `json:"x"`
 	Samples []float64 `json:"samples"`
 }
 
-// Min is the least sample.
+// Min returns the smallest sample.
 func (p Point) Min() float64 { return slices.Min(p.Samples) }
 
-// Max is the largest sample.
+// Max returns the largest sample.
 func (p Point) Max() float64 { return slices.Max(p.Samples) }
 
-// Median is the median sample.
+// Median returns the median sample, by the nearest rank; NaN without samples.
 func (p Point) Median() float64 { return quantile(slices.Sorted(slices.Values(p.Samples)), 0.5) }
 
-// quantile is the value below which a part of the sorted values lies, by the nearest rank.
+// quantile returns the value of a quantile level from 0 to 1 by the nearest rank; NaN without values. The values must
+// be sorted.
 func quantile(sorted []float64, level float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
@@ -34,32 +35,32 @@
 	return sorted[min(max(rank, 0), len(sorted)-1)]
 }
 
-// Series is one quantity over one size, with its slope.
+// Series is one measured quantity over a range of sizes, with the line fitted through its samples.
 type Series struct {
 	Experiment string  `json:"experiment"`
 	Quantity   string  `json:"quantity"`
 	Unit       string  `json:"unit"`
-	Over       string  `json:"over"` // the size, empty for a figure that stands alone
+	Over       string  `json:"over"` // name of the size; empty for a single figure
 	Points     []Point `json:"points"`
-	Line       *Line   `json:"line,omitempty"` // nil for fewer than two sizes
-	// Mechanism is what carries the quantity: the file and the function.
+	Line       *Line   `json:"line,omitempty"` // nil if there are fewer than two sizes
+	// Mechanism names the code that causes the quantity: files and functions.
 	Mechanism string `json:"mechanism,omitempty"`
 	Note      string `json:"note,omitempty"`
-	Estimated bool   `json:"reckoned,omitempty"` // from other figures, not measured
+	Estimated bool   `json:"reckoned,omitempty"` // computed from other figures, not measured
 }
 
-// Report is what a run gives.
+// Report is the result of a run.
 type Report struct {
 	Command     string   `json:"command"`
 	Began       string   `json:"began"`
 	TookSeconds float64  `json:"took_s"`
 	Short       bool     `json:"short"`
-	LoadBefore  string   `json:"load_before"` // of the machine, its average over a minute
+	LoadBefore  string   `json:"load_before"` // the machine's load average over one minute
 	LoadAfter   string   `json:"load_after"`
 	Series      []Series `json:"series"`
 }
 
-// addSeries fits a series and keeps it; one that nothing was measured for is left out.
+// addSeries fits a line through a series and adds it to the report. A series without points is dropped.
 func (h *Harness) addSeries(s Series) {
 	if len(s.Points) == 0 {
 		return
@@ -77,13 +78,13 @@
 	h.logf("%s", s.row())
 }
 
-// addFigure keeps a quantity that stands alone.
+// addFigure adds a quantity that is not measured over a size.
 func (h *Harness) addFigure(s Series, samples ...float64) {
 	s.Points = []Point{{Samples: samples}}
 	h.addSeries(s)
 }
 
-// formatNumber writes a number in four digits.
+// formatNumber formats a number with three or four significant digits.
 func formatNumber(value float64) string {
 	switch size := math.Abs(value); {
 	case size >= 1e6:
@@ -94,7 +95,7 @@
 	return fmt.Sprintf("%.4g", value)
 }
 
-// String gives the word for log lines.
+// String formats the median and, for several samples, their range.
 func (p Point) String() string {
 	text := formatNumber(p.Median())
 	if len(p.Samples) > 1 {
@@ -103,7 +104,7 @@
 	return text
 }
 
-// row is one row of the table: what was measured at each size, and the slope.
+// row formats the series as a row of the table.
 func (s Series) row() string {
 	var cells []string
 	for _, p := range s.Points {
@@ -129,7 +130,7 @@
 	return text
 }
 
-// WriteTable prints the figures, a line each.
+// WriteTable prints the series as a table, one row each.
 func (r *Report) WriteTable(out io.Writer) error {
 	header := fmt.Sprintf("run: %s, %s, %.0f s, load %s to %s\n", r.Command, r.Began,
 		r.TookSeconds, r.LoadBefore, r.LoadAfter)
--- a/internal/lab/scale/request.go
+++ b/internal/lab/scale/request.go
@@ -8,7 +8,8 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// request measures the processor time of one request, over servers at the size's even load and over the load.
+// request measures the processor time of one request, over servers at a load of 124 requests/s, the even share of one
+// of 550 limiters at the peak, and over the load.
 func (h *Harness) request() error {
 	var overServers []Point
 	for _, servers := range h.sizes([]int{20, 1000}, []int{20, 1000, Servers}) {
@@ -35,8 +36,8 @@
 		for _, rate := range h.loads(servers) {
 			point, err := h.requestCost(servers, rate)
 			if err != nil {
-				h.logf("%d servers, %d requests/s: %v", servers, rate, err)
-				continue // more than it bears
+				h.logf("%d servers, %d requests/s, skipped: %v", servers, rate, err)
+				continue // the limiter does not sustain this load
 			}
 			overLoad = append(overLoad, Point{float64(rate), point.Samples})
 		}
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// loads are the requests a second at which a limiter before so many servers is measured.
+// loads returns the loads, in requests per second, at which a limiter with the given number of servers is measured.
 func (h *Harness) loads(servers int) []int {
 	if h.options.Short {
 		return []int{50, 100}
@@ -66,13 +67,13 @@
 }
 
 const (
-	requestCustomers = 407 // of 28,000, each through 8 of 550 limiters, at one limiter
+	requestCustomers = 407 // customers of one limiter: 28,000, each on 8 of 550 limiters
 	minServedShare   = 0.95
 	maxAttempts      = 2
 )
 
-// requestCost is the processor time of a request, ms, without what the limiter spends when idle. What the machine
-// beside it spoils is tried again.
+// requestCost measures the processor time of a request in milliseconds, less what the limiter uses when idle. A
+// measurement with too few served requests is repeated, because load beside it on the machine may have spoilt it.
 func (h *Harness) requestCost(servers, rate int) (point Point, err error) {
 	for range maxAttempts {
 		var overload *LoadError
@@ -80,7 +81,7 @@
 		if !errors.As(err, &overload) {
 			break
 		}
-		h.logf("%d servers, %d requests/s, again: %v", servers, rate, err)
+		h.logf("%d servers, %d requests/s, retrying: %v", servers, rate, err)
 	}
 	return point, err
 }
@@ -97,7 +98,7 @@
 			}
 			pool := newClientPool(s.clock, l.address)
 			defer pool.close()
-			pool.sendAtRate(float64(rate), requestCustomers, h.duration(time.Second), 1) // connections come up
+			pool.sendAtRate(float64(rate), requestCustomers, h.duration(time.Second), 1) // opens the connections
 			for i := range h.sampleCount() {
 				before, err := procfs.ProcessorTime(l.pid())
 				if err != nil {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,7 +1,7 @@
-// Package scale measures how what a limiter spends grows with the size of the fleet around it: servers, customers,
-// limiters and load. Real limiter processes and hollow ones, hundreds in a process, run against the stand-ins of
-// package emulator; each experiment stands in a file of its own, and its figures are fitted to straight lines from
-// which a size is reckoned.
+// Package scale measures how the resources that a limiter uses grow with the fleet around it: servers, customers,
+// limiters and load. Real limiter processes and hollow limiters, hundreds of them in a few processes, run against the
+// stand-ins of package emulator. Each experiment has a file of its own. Its figures are fitted to straight lines,
+// from which the needs of another size are estimated.
 package scale
 
 import (
@@ -15,46 +15,46 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// Options say what to run.
+// Options configure a run.
 type Options struct {
-	Short   bool     // a few seconds for each experiment, small sizes: to see that it works
-	Out     string   // folder for the figures and the processes' logs; it is made
-	Program string   // the limiter's program
-	Host    []string // the command of a host of hollow limiters; HostVariable is set in its environment
-	Command string   // how the run was started, for the record
+	Short   bool     // a few seconds per experiment and small sizes, to check that they work
+	Out     string   // folder for the figures and the processes' logs; created if missing
+	Program string   // path of the limiter's program
+	Host    []string // command of a host of hollow limiters; runs with HostVariable set
+	Command string   // command line of the run, for the report
 	Log     io.Writer
 }
 
-// Experiment is one of those that this package knows.
+// Experiment is one experiment of this package.
 type Experiment struct {
 	Name, Title string
 	run         func(*Harness) error
 }
 
-// Experiments are all experiments in the order in which they are run.
+// Experiments returns all experiments in the order in which they run.
 func Experiments() []Experiment {
 	return []Experiment{
 		{"profile", "processor profiles of one hollow limiter", (*Harness).profile},
-		{"idle", "an idle limiter over servers and customers seen", (*Harness).idle},
-		{"alike", "hollow limiters beside real ones", (*Harness).alike},
-		{"list", "a change of the list over servers", (*Harness).list},
-		{"fleet", "idle limiters by the hundred before discovery", (*Harness).fleet},
-		{"worst", "the worst minutes of all limiters before the whole list", (*Harness).worst},
-		{"request", "the processor time of a request over servers and load", (*Harness).request},
-		{"counter", "calls to the counter, and what one costs there", (*Harness).counter},
-		{"renew", "a change of the configuration by file and SIGHUP", (*Harness).renew},
-		{"latency", "what a limiter adds to a request, taken apart, over load", (*Harness).latency},
-		{"latency-sizes", "the same over servers and customers", (*Harness).latencySizes},
+		{"idle", "an idle limiter's usage over servers and customers seen", (*Harness).idle},
+		{"alike", "hollow limiters compared with real processes", (*Harness).alike},
+		{"list", "cost of a change of the endpoint list over servers", (*Harness).list},
+		{"fleet", "load on discovery and the counter over idle limiters", (*Harness).fleet},
+		{"worst", "restarts and outages with all limiters and the full endpoint list", (*Harness).worst},
+		{"request", "processor time of a request over servers and load", (*Harness).request},
+		{"counter", "calls to the counter and their cost at the counter", (*Harness).counter},
+		{"renew", "cost of a change of the configuration by file and SIGHUP", (*Harness).renew},
+		{"latency", "the parts of the latency that a limiter adds, over load", (*Harness).latency},
+		{"latency-sizes", "the parts of the added latency over servers and customers", (*Harness).latencySizes},
 	}
 }
 
-// UnknownError is for an experiment that there is not.
+// UnknownError reports the name of an experiment that does not exist.
 type UnknownError struct{ Name string }
 
-// Error says what happened.
-func (e *UnknownError) Error() string { return fmt.Sprintf("no experiment is called %q", e.Name) }
+// Error states the unknown name.
+func (e *UnknownError) Error() string { return fmt.Sprintf("unknown experiment %q", e.Name) }
 
-// Hint names those that there are.
+// Hint lists the experiments.
 func (e *UnknownError) Hint() string {
 	var names []string
 	for _, experiment := range Experiments() {
@@ -63,15 +63,16 @@
 	return "name one of " + strings.Join(names, ", ") + ", or none for all"
 }
 
-// Harness runs experiments and gathers their figures.
+// Harness runs experiments and collects their series.
 type Harness struct {
 	options   Options
 	report    Report
-	processes int // processes started so far, for their files' names
+	processes int // number of processes started so far, for their file names
 }
 
-// Run runs the named experiments, all where there is no name, and gives their figures; what was measured before an
-// error is given with it.
+// Run runs the named experiments, or all if names is empty, and returns their report. If an experiment fails, Run
+// returns the report of what was measured before together with the error; for a folder that cannot be created or an
+// unknown name it returns a nil report.
 func Run(names []string, options Options) (*Report, error) {
 	h := &Harness{options: options}
 	if err := os.MkdirAll(options.Out, 0o755); err != nil {
@@ -111,7 +112,7 @@
 	_, _ = fmt.Fprintf(h.options.Log, time.Now().UTC().Format("15:04:05 ")+format+"\n", args...)
 }
 
-// sizes are the short form's or the whole ones.
+// sizes returns the sizes for the short form or those for the full run.
 func (h *Harness) sizes(short, full []int) []int {
 	if h.options.Short {
 		return short
@@ -119,7 +120,7 @@
 	return full
 }
 
-// duration is how long a step of a whole run takes in this one.
+// duration returns the length of a step: full, or at most shortWindow in the short form.
 func (h *Harness) duration(full time.Duration) time.Duration {
 	if h.options.Short {
 		return min(full, shortWindow)
@@ -127,7 +128,7 @@
 	return full
 }
 
-// sampleCount is how many sampleCount are taken at one size.
+// sampleCount returns the number of samples taken at one size.
 func (h *Harness) sampleCount() int {
 	if h.options.Short {
 		return shortSamples
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// shortReport runs one experiment in its short form.
+// shortReport runs one experiment in its short form and returns its report.
 func shortReport(t *testing.T, name string) *Report {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("processes")
 	}
-	t.Parallel() // nearly all of the time is waiting
+	t.Parallel() // the test waits nearly all of the time
 	options := Options{Short: true, Out: t.TempDir(), Program: program, Host: []string{os.Args[0]}, Log: io.Discard}
 	report, err := Run([]string{name}, options)
 	require.NoError(t, err)
@@ -24,7 +24,8 @@
 	return report
 }
 
-// shortSeries is the same and gives the series by their quantities.
+// shortSeries runs one experiment in its short form and returns its series, keyed by the quantity and what it is
+// measured over.
 func shortSeries(t *testing.T, name string) map[string]Series {
 	t.Helper()
 	byQuantity := map[string]Series{}
@@ -35,7 +36,7 @@
 	return byQuantity
 }
 
-// median is the median at one of a series' sizes, from 0.
+// median returns a series' median at one of its sizes, given by its index.
 func median(t *testing.T, byQuantity map[string]Series, quantity string, size int) float64 {
 	t.Helper()
 	s, ok := byQuantity[quantity]
@@ -57,10 +58,10 @@
 	}
 }
 
-// TestHollowLimiterMatchesReal: a hollow limiter calls discovery and the counter as often as a real one, as far as short windows
-// tell.
+// TestHollowLimiterMatchesReal checks that a hollow limiter calls discovery and the counter about as often as a real
+// one. The short windows allow a factor of two.
 func TestHollowLimiterMatchesReal(t *testing.T) {
-	found := map[string]Point{} // the figures of five limiters
+	found := map[string]Point{} // figures of the fleet of five limiters
 	for _, s := range shortReport(t, "alike").Series {
 		if s.Over == "limiters" {
 			found[s.Experiment+": "+s.Quantity] = s.Points[1]
@@ -77,7 +78,8 @@
 	}
 }
 
-// TestList: the whole list costs bytes for each server, the changed entry alone does not.
+// TestList checks that a change costs bytes for each server if discovery answers with the whole list, and does not if
+// it answers with the changed entry alone.
 func TestList(t *testing.T) {
 	found := shortSeries(t, "list")
 	wholeList, ok := found["bytes of one change, told by the whole list servers"]
@@ -89,7 +91,7 @@
 	require.Less(t, changedEntry.Points[1].Median(), 1000.0)
 }
 
-// TestFleet: calls to discovery follow the limiters.
+// TestFleet checks that the calls of a fleet of limiters to discovery are counted.
 func TestFleet(t *testing.T) {
 	byQuantity := shortSeries(t, "fleet")
 	calls, ok := byQuantity["calls to discovery, all limiters limiters"]
@@ -117,7 +119,8 @@
 	require.Greater(t, median(t, found, "processor time of a request servers", 0), 0.0)
 }
 
-// TestCounter: a request costs a call, and few while the counter is busy.
+// TestCounter checks that a call's cost is measured, and that a limiter calls the counter for fewer requests while
+// the counter is busy.
 func TestCounter(t *testing.T) {
 	found := shortSeries(t, "counter")
 	require.Greater(t, median(t, found, "processor time of a call at one stand-in", 0), 0.0)
@@ -130,7 +133,8 @@
 	require.Greater(t, median(t, found, "processor time of a renewed configuration servers", 1), 0.0)
 }
 
-// TestLatency finds each request's call at the counter by the name that choice.go gives it.
+// TestLatency checks that the requests are matched with their calls at the counter, which are found by the name that
+// choice.go computes.
 func TestLatency(t *testing.T) {
 	found := shortSeries(t, "latency")
 	added := median(t, found, "added, median requests/s", 0)
@@ -168,7 +172,7 @@
 	require.Contains(t, unknown.Hint(), "idle")
 }
 
-// TestMemoryLimit: no fleet is started that the machine may not hold.
+// TestMemoryLimit checks that a fleet which may exceed the machine's memory is not started.
 func TestMemoryLimit(t *testing.T) {
 	h := &Harness{options: Options{Out: t.TempDir(), Log: io.Discard, Host: []string{"/nowhere"}}}
 	_, err := h.startHollowLimiters(&standIns{list: newInstances(Servers, []string{"127.0.0.1:1"})}, 0, 2000, nil)
@@ -177,7 +181,8 @@
 	require.NotEmpty(t, short.Hint())
 }
 
-// TestProgramMissing: what does not start, or ends before it is ready, is told with its log.
+// TestProgramMissing checks that a program that does not start, or exits before it is ready, is reported with the
+// path of its log.
 func TestProgramMissing(t *testing.T) {
 	for _, program := range []string{"/nowhere", "/bin/false"} {
 		options := Options{Short: true, Out: t.TempDir(), Program: program, Log: io.Discard}
--- a/internal/lab/scale/standins.go
+++ b/internal/lab/scale/standins.go
@@ -9,10 +9,11 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// listenerCount are the ports that the servers of a list share.
+// listenerCount is the number of listeners that the servers of a list share.
 const listenerCount = 64
 
-// standIns are the stand-ins of one run: discovery, the counter and a few listeners behind all servers of the list.
+// standIns are the stand-ins of one run: discovery, the counter, and a few listeners that serve for all servers on
+// the list.
 type standIns struct {
 	clock     *history.Clock
 	recorder  *history.Recorder
@@ -22,18 +23,18 @@
 	list      []emulator.Instance
 }
 
-// standInsSpec says what the stand-ins are to be.
+// standInsSpec configures the stand-ins.
 type standInsSpec struct {
-	limiters      int // ports of discovery and the counter, one for each limiter
-	servers       int // entries of the list
+	limiters      int // number of ports of discovery and of the counter, one per limiter
+	servers       int // number of servers on the list
 	serviceTime   time.Duration
-	counterFaults []emulator.Fault // the counter's script
+	counterFaults []emulator.Fault // faults that the counter plays
 	onTally       func(emulator.Tally)
 	onHandled     func(emulator.Handled)
-	wholeList     bool // a watch is answered with the whole list, else with the changed entries
+	wholeList     bool // answer a poll with the whole list, not the changed entries alone
 }
 
-// newStandIns starts the stand-ins; the caller closes them.
+// newStandIns starts the stand-ins. The caller closes them.
 func newStandIns(spec standInsSpec) (s *standIns, err error) {
 	s = &standIns{clock: history.NewClock(), recorder: &history.Recorder{}}
 	defer func() {
@@ -91,16 +92,16 @@
 	}
 }
 
-// encodedList is the present list as a configuration holds it.
+// encodedList returns the current list in the form of a configuration's known list.
 func (s *standIns) encodedList() []byte {
 	text, err := json.Marshal(s.discovery.Whole(0))
 	if err != nil {
-		panic(err) // strings and numbers alone
+		panic(err) // impossible: the list holds strings and numbers only
 	}
 	return text
 }
 
-// traffic is what has crossed the control connections of all limiters since the start.
+// traffic counts the calls and bytes that crossed the control connections of all limiters.
 type traffic struct {
 	discoveryCalls, discoveryBytes float64
 	counterCalls, counterBytes     float64
@@ -113,13 +114,13 @@
 		float64(counter.Calls.Load()), float64(counter.Received.Load() + counter.Sent.Load())}
 }
 
-// since is what has crossed since an earlier time.
+// since returns the traffic after an earlier reading.
 func (t traffic) since(earlier traffic) traffic {
 	return traffic{t.discoveryCalls - earlier.discoveryCalls, t.discoveryBytes - earlier.discoveryBytes,
 		t.counterCalls - earlier.counterCalls, t.counterBytes - earlier.counterBytes}
 }
 
-// messages are calls and their answers.
+// messages counts calls and their answers.
 func (t traffic) messages() float64 { return 2 * (t.discoveryCalls + t.counterCalls) }
 
 func (t traffic) bytes() float64 { return t.discoveryBytes + t.counterBytes }
--- a/internal/lab/scale/testmain_test.go
+++ b/internal/lab/scale/testmain_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// program is the limiter that the tests run.
+// program is the path of the limiter that the tests run.
 var program string
 
-// TestMain makes this binary a host of hollow limiters where the harness starts it as one, and builds the limiter for
-// the tests.
+// TestMain runs this binary as a host of hollow limiters if the harness started it as one. Otherwise it builds the
+// limiter and runs the tests.
 func TestMain(m *testing.M) {
 	if os.Getenv(HostVariable) != "" {
 		if err := HostMain(os.Stdin, os.Stdout); err != nil {
