--- a/internal/lab/scale/alike.go
+++ b/internal/lab/scale/alike.go
@@ -175,9 +175,9 @@
 		}
 		perLimiter.residentBytes += resident / limiterCount
 	}
-	crossed := s.traffic().since(trafficBefore)
-	perLimiter.traffic = traffic{crossed.discoveryCalls / limiterCount, crossed.discoveryBytes / limiterCount,
-		crossed.counterCalls / limiterCount, crossed.counterBytes / limiterCount}
+	delta := s.traffic().since(trafficBefore)
+	perLimiter.traffic = traffic{delta.discoveryCalls / limiterCount, delta.discoveryBytes / limiterCount,
+		delta.counterCalls / limiterCount, delta.counterBytes / limiterCount}
 	return perLimiter, nil
 }
 
--- a/internal/lab/scale/counter.go
+++ b/internal/lab/scale/counter.go
@@ -66,10 +66,10 @@
 			trafficBefore, start := s.traffic(), time.Now()
 			results := pool.sendAtRate(float64(rate), requestCustomers, h.duration(3*time.Second), uint64(i+2))
 			seconds := time.Since(start).Seconds()
-			crossed := s.traffic().since(trafficBefore)
-			usage.calls = append(usage.calls, crossed.counterCalls/seconds)
-			usage.bytes = append(usage.bytes, crossed.counterBytes/seconds)
-			usage.perRequest = append(usage.perRequest, crossed.counterCalls/float64(len(results)))
+			delta := s.traffic().since(trafficBefore)
+			usage.calls = append(usage.calls, delta.counterCalls/seconds)
+			usage.bytes = append(usage.bytes, delta.counterBytes/seconds)
+			usage.perRequest = append(usage.perRequest, delta.counterCalls/float64(len(results)))
 		}
 		return nil
 	})
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -84,58 +84,58 @@
 }
 
 // start stops the limiters that run, starts all of them with the known list, and waits until they run.
-func (f *worstRun) start(known []byte) (err error) {
-	stopHosts(f.hosts)
-	f.hosts = nil
-	f.hosts, err = f.h.startHollowLimiters(f.s, 0, f.limiters, known)
+func (r *worstRun) start(known []byte) (err error) {
+	stopHosts(r.hosts)
+	r.hosts = nil
+	r.hosts, err = r.h.startHollowLimiters(r.s, 0, r.limiters, known)
 	return err
 }
 
 // restartAll restarts all limiters at once, first with the endpoint list in their configurations, then with none.
-func (f *worstRun) restartAll() error {
+func (r *worstRun) restartAll() error {
 	heap := 0.0
-	for _, hostProcess := range f.hosts {
+	for _, hostProcess := range r.hosts {
 		hostHeap, err := hostProcess.heapBytes()
 		if err != nil {
 			return err
 		}
 		heap += hostHeap
 	}
-	f.addFigure("heap of one hollow limiter", "MB", heap/1e6/float64(f.limiters))
+	r.addFigure("heap of one hollow limiter", "MB", heap/1e6/float64(r.limiters))
 	for _, source := range []string{"the list of their configurations", "no list"} {
-		known := f.s.encodedList()
+		known := r.s.encodedList()
 		if source == "no list" {
 			known = nil
 		}
-		trafficBefore, restartedAt := f.s.traffic(), f.s.clock.Now()
-		if err := f.start(known); err != nil {
+		trafficBefore, restartedAt := r.s.traffic(), r.s.clock.Now()
+		if err := r.start(known); err != nil {
 			return err
 		}
-		took, err := f.awaitApplied(restartedAt, f.s.generation(), 60*time.Second)
+		took, err := r.awaitApplied(restartedAt, r.s.generation(), 60*time.Second)
 		if err != nil {
 			return err
 		}
-		crossed := f.s.traffic().since(trafficBefore)
+		delta := r.s.traffic().since(trafficBefore)
 		quantity := "all limiters restarted from " + source
-		f.addFigure(quantity+": calls to discovery", "", crossed.discoveryCalls)
-		f.addFigure(quantity+": bytes to and from discovery", "B", crossed.discoveryBytes)
-		f.addFigure(quantity+": until the last has a list (the machine's own limit)", "s", took)
+		r.addFigure(quantity+": calls to discovery", "", delta.discoveryCalls)
+		r.addFigure(quantity+": bytes to and from discovery", "B", delta.discoveryBytes)
+		r.addFigure(quantity+": until the last has a list (the machine's own limit)", "s", took)
 	}
 	return nil
 }
 
-func (f *worstRun) addFigure(quantity, unit string, values ...float64) {
-	f.h.addFigure(Series{Experiment: "worst", Quantity: quantity, Unit: unit, Note: f.size}, values...)
+func (r *worstRun) addFigure(quantity, unit string, values ...float64) {
+	r.h.addFigure(Series{Experiment: "worst", Quantity: quantity, Unit: unit, Note: r.size}, values...)
 }
 
 // drainAndReturn takes a quarter and then half of the servers out of service and back, all of them in one change.
-func (f *worstRun) drainAndReturn() error {
+func (r *worstRun) drainAndReturn() error {
 	for _, divisor := range []int{4, 2} {
 		for _, lifecycle := range []string{"terminated", "in_service"} {
 			change := map[string]string{"terminated": " go", "in_service": " come back"}[lifecycle]
-			err := f.measureChange(
+			err := r.measureChange(
 				shareName(divisor)+change,
-				func() { f.s.discovery.SetAll(f.s.firstWithLifecycle(divisor, lifecycle, time.Now())) },
+				func() { r.s.discovery.SetAll(r.s.firstWithLifecycle(divisor, lifecycle, time.Now())) },
 			)
 			if err != nil {
 				return err
@@ -147,53 +147,53 @@
 
 // discoveryOutage stops discovery's answers while servers restart, as many as in ten minutes at the rate of a day's
 // restarts in two hours. The limiters get all the changes when discovery answers again.
-func (f *worstRun) discoveryOutage() error {
+func (r *worstRun) discoveryOutage() error {
 	const tenMinutes = 600
-	restarted := min(RestartsPerDay*tenMinutes/(2*3600), len(f.s.list))
-	f.s.discovery.Down(true)
-	time.Sleep(f.h.duration(10 * time.Second)) // stands for 10 min: after 2 s of silence only the changes matter
+	restarted := min(RestartsPerDay*tenMinutes/(2*3600), len(r.s.list))
+	r.s.discovery.Down(true)
+	time.Sleep(r.h.duration(10 * time.Second)) // stands for 10 min: after 2 s of silence only the changes matter
 	var changed []emulator.Instance
-	for _, instance := range f.s.list[:restarted] {
+	for _, instance := range r.s.list[:restarted] {
 		instance.StartedMs = time.Now().UnixMilli()
 		changed = append(changed, instance)
 	}
-	f.s.discovery.SetAll(changed)
-	trafficBefore := f.s.traffic()
-	time.Sleep(f.h.duration(4 * time.Second))
-	silent := f.s.traffic().since(trafficBefore)
-	f.addFigure("discovery silent: calls", "/s", silent.discoveryCalls/f.h.duration(4*time.Second).Seconds())
-	return f.measureChange(
+	r.s.discovery.SetAll(changed)
+	trafficBefore := r.s.traffic()
+	time.Sleep(r.h.duration(4 * time.Second))
+	silent := r.s.traffic().since(trafficBefore)
+	r.addFigure("discovery silent: calls", "/s", silent.discoveryCalls/r.h.duration(4*time.Second).Seconds())
+	return r.measureChange(
 		fmt.Sprintf("a region heals with %d changed servers", restarted),
-		func() { f.s.discovery.Down(false) },
+		func() { r.s.discovery.Down(false) },
 	)
 }
 
 // measureChange runs change, which changes the endpoint list, and reports its cost until all limiters have applied
 // it.
-func (f *worstRun) measureChange(quantity string, change func()) error {
+func (r *worstRun) measureChange(quantity string, change func()) error {
 	var took float64
-	changedAt := f.s.clock.Now()
-	perLimiter, err := measureFleetWindow(f.s, hostPIDs(f.hosts), f.limiters, func() {
+	changedAt := r.s.clock.Now()
+	perLimiter, err := measureFleetWindow(r.s, hostPIDs(r.hosts), r.limiters, func() {
 		change()
-		took, _ = f.awaitApplied(changedAt, f.s.generation(), 60*time.Second)
+		took, _ = r.awaitApplied(changedAt, r.s.generation(), 60*time.Second)
 	})
 	if err != nil {
 		return err
 	}
-	f.addFigure(quantity+": bytes for one limiter", "B", perLimiter.traffic.discoveryBytes)
-	f.addFigure(quantity+": processor time of one limiter", "ms", perLimiter.coreShare*perLimiter.seconds*1e3)
-	f.addFigure(quantity+": until the last limiter goes by it (the machine's own limit)", "s", took)
+	r.addFigure(quantity+": bytes for one limiter", "B", perLimiter.traffic.discoveryBytes)
+	r.addFigure(quantity+": processor time of one limiter", "ms", perLimiter.coreShare*perLimiter.seconds*1e3)
+	r.addFigure(quantity+": until the last limiter goes by it (the machine's own limit)", "s", took)
 	return nil
 }
 
 // steadyRestarts restarts servers at the rate of a day's restarts in two hours; each restart makes changesPerRestart
 // changes of the list.
-func (f *worstRun) steadyRestarts() error {
+func (r *worstRun) steadyRestarts() error {
 	rate := float64(RestartsPerDay*changesPerRestart) / (2 * 3600) // changes per second
-	length := f.h.duration(20 * time.Second)
-	perLimiter, err := measureFleetWindow(f.s, hostPIDs(f.hosts), f.limiters, func() {
+	length := r.h.duration(20 * time.Second)
+	perLimiter, err := measureFleetWindow(r.s, hostPIDs(r.hosts), r.limiters, func() {
 		stop := make(chan struct{})
-		go f.s.changeServers(stop, time.Duration(1e9/rate))
+		go r.s.changeServers(stop, time.Duration(1e9/rate))
 		time.Sleep(length)
 		close(stop)
 	})
@@ -201,9 +201,9 @@
 		return err
 	}
 	quantity := fmt.Sprintf("%.2f changes a second (%d restarts in two hours)", rate, RestartsPerDay)
-	f.addFigure(quantity+": calls of one limiter", "/s", perLimiter.traffic.discoveryCalls/perLimiter.seconds)
-	f.addFigure(quantity+": bytes of one limiter", "B/s", perLimiter.traffic.discoveryBytes/perLimiter.seconds)
-	f.addFigure(quantity+": processor time of one limiter", "% of a core", perLimiter.coreShare*100)
+	r.addFigure(quantity+": calls of one limiter", "/s", perLimiter.traffic.discoveryCalls/perLimiter.seconds)
+	r.addFigure(quantity+": bytes of one limiter", "B/s", perLimiter.traffic.discoveryBytes/perLimiter.seconds)
+	r.addFigure(quantity+": processor time of one limiter", "% of a core", perLimiter.coreShare*100)
 	return nil
 }
 
@@ -213,16 +213,16 @@
 // awaitApplied waits until all limiters have applied a generation of the list and returns the seconds that it took,
 // counted from since, a time on the run's clock in nanoseconds. A limiter has applied an answer once it calls
 // discovery again. After the timeout the error is a *NotAppliedError.
-func (f *worstRun) awaitApplied(since, generation int64, timeout time.Duration) (float64, error) {
+func (r *worstRun) awaitApplied(since, generation int64, timeout time.Duration) (float64, error) {
 	deadline := time.Now().Add(timeout)
 	for {
-		calls, _, _ := f.s.recorder.DiscoveryAndServers()
+		calls, _, _ := r.s.recorder.DiscoveryAndServers()
 		times := appliedTimes(calls, since, generation)
-		if len(times) >= f.limiters {
+		if len(times) >= r.limiters {
 			return float64(slices.Max(times)-since) / 1e9, nil
 		}
 		if time.Now().After(deadline) {
-			return timeout.Seconds(), &NotAppliedError{Have: len(times), Want: f.limiters, Within: timeout}
+			return timeout.Seconds(), &NotAppliedError{Have: len(times), Want: r.limiters, Within: timeout}
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
--- a/internal/lab/scale/idle.go
+++ b/internal/lab/scale/idle.go
@@ -77,13 +77,13 @@
 	var series idleFigures
 	for _, customers := range h.sizes([]int{20, 200}, []int{200, 5000, Customers}) {
 		err := h.withReal(standInsSpec{limiters: 1, servers: 20}, func(s *standIns, l *realLimiter) error {
-			c := newClientPool(s.clock, l.address)
-			defer c.close()
-			began := time.Now()
-			if answered := c.sendForEach(customers, warmupConcurrency); answered < customers {
+			pool := newClientPool(s.clock, l.address)
+			defer pool.close()
+			start := time.Now()
+			if answered := pool.sendForEach(customers, warmupConcurrency); answered < customers {
 				return &LoadError{Sent: customers, Served: answered}
 			}
-			h.logf("%d customers seen in %.1f s", customers, time.Since(began).Seconds())
+			h.logf("%d customers seen in %.1f s", customers, time.Since(start).Seconds())
 			time.Sleep(h.duration(time.Second))
 			windows, err := measureProcess(l.process, s, h.duration(3*time.Second), h.sampleCount())
 			if err == nil {
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -135,32 +135,32 @@
 }
 
 func newObservations() *observations {
-	m := &observations{}
-	m.clear()
-	return m
+	o := &observations{}
+	o.clear()
+	return o
 }
 
-func (m *observations) clear() {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.handled = map[string]emulator.Handled{}
-	m.calls = map[uint64][]emulator.Tally{}
+func (o *observations) clear() {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.handled = map[string]emulator.Handled{}
+	o.calls = map[uint64][]emulator.Tally{}
 }
 
-func (m *observations) addHandled(observation emulator.Handled) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.handled[observation.ID] = observation
+func (o *observations) addHandled(observation emulator.Handled) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.handled[observation.ID] = observation
 }
 
-func (m *observations) addCall(call emulator.Tally) {
+func (o *observations) addCall(call emulator.Tally) {
 	name, err := strconv.ParseUint(call.Name, 10, 64)
 	if err != nil {
 		return
 	}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.calls[name] = append(m.calls[name], call)
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.calls[name] = append(o.calls[name], call)
 }
 
 // counterWindow is the length in nanoseconds of a customer's counting windows at the counter under this lab's
@@ -169,13 +169,13 @@
 
 // join matches each request with its call to the counter and its execution at a server, and computes the latencies.
 // clockOffset is the limiters' clock minus the run's clock, in nanoseconds.
-func (m *observations) join(requests []requestResult, clockOffset int64) (w latencyWindow) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+func (o *observations) join(requests []requestResult, clockOffset int64) (w latencyWindow) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	slices.SortFunc(requests, func(a, b requestResult) int { return int(a.sentAt - b.sentAt) })
 	for _, request := range requests {
-		server, handled := m.handled[request.id]
-		call, counted := m.counterCall(request, clockOffset, server.Read)
+		server, handled := o.handled[request.id]
+		call, counted := o.counterCall(request, clockOffset, server.Read)
 		if request.firstByte != '$' || !handled || !counted {
 			w.excluded++
 			continue
@@ -190,9 +190,9 @@
 
 // counterCall finds the call to the counter that was made for a request: a call on one of its customer's names, after
 // the client sent the request and before the server read it.
-func (m *observations) counterCall(request requestResult, clockOffset, serverRead int64) (emulator.Tally, bool) {
+func (o *observations) counterCall(request requestResult, clockOffset, serverRead int64) (emulator.Tally, bool) {
 	for _, at := range []int64{request.sentAt, serverRead} {
-		for _, tally := range m.calls[countName(request.customer, at+clockOffset, counterWindow)] {
+		for _, tally := range o.calls[countName(request.customer, at+clockOffset, counterWindow)] {
 			if tally.Read >= request.sentAt && tally.Answered <= serverRead {
 				return tally, true
 			}
@@ -263,19 +263,19 @@
 // exclusionNote states how many requests the figures exclude, and how many opened a connection.
 func exclusionNote(results []latencyResult) string {
 	requests := 0
-	lost := 0
+	excluded := 0
 	connected := 0
 	for _, result := range results {
 		for _, w := range result.windows {
 			requests += len(w.added) + w.excluded
-			lost += w.excluded
+			excluded += w.excluded
 			connected += w.connected
 		}
 	}
 	return fmt.Sprintf(
 		"%d requests, %d left out (not served or no call found), %d on a new connection",
 		requests,
-		lost,
+		excluded,
 		connected,
 	)
 }
