--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -14,8 +14,8 @@
 const (
 	className     = "fetch"
 	planName      = "plain"
-	requestUnits  = 1
-	requestSpread = 8
+	requestUnits  = 1    // units that a request takes
+	requestSpread = 8    // limiters that share the customer
 	requestBudget = 2500 // milliseconds until the client's deadline
 )
 
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -14,7 +14,7 @@
 func shortReport(t *testing.T, name string) *Report {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("processes")
+		t.Skip("starts limiter processes")
 	}
 	t.Parallel() // the test waits nearly all of the time
 	options := Options{Short: true, Out: t.TempDir(), Program: program, Host: []string{os.Args[0]}, Log: io.Discard}
@@ -150,7 +150,7 @@
 
 func TestProfile(t *testing.T) {
 	if testing.Short() {
-		t.Skip("processes")
+		t.Skip("starts limiter processes")
 	}
 	out := t.TempDir()
 	_, err := Run(
