--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -7,22 +7,21 @@
 	"ospreycroft/internal/lab/emulator"
 )
 
-// zoneNames are the zones of the size, two in each region.
+// zoneNames are the zones of the fleet, two in each region.
 var zoneNames = [Zones]string{"east-1", "east-2", "west-1", "west-2"}
 
-// The request that all runs send: its class, its plan, the units that it takes and the limiters that share its
-// customer.
+// The request that every experiment sends.
 const (
 	className     = "fetch"
 	planName      = "plain"
-	requestUnits  = 1
-	requestSpread = 8
-	requestBudget = 2500 // milliseconds
+	requestUnits  = 1    // units that a request takes
+	requestSpread = 8    // limiters that share the customer
+	requestBudget = 2500 // milliseconds until the client's deadline
 )
 
-// settingsText are the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's store
-// lets all requests of a run through, and keeps a customer known for 30 s after its last request.
-func settingsText(position int) json.RawMessage {
+// limiterSettings returns the settings of one limiter of a fleet of 550, as its configuration holds them. The plan's
+// rate admits every request of a run, and a customer's state is kept for 30 s after its last request.
+func limiterSettings(position int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"balancers":%d,"position":%d,
 "classes":[{"name":"fetch","aim":0.8,"deadline":2.5,"effect":"free","group":"all"},
  {"name":"order","aim":2.0,"deadline":8.0,"effect":"single_shot","group":"all"}],
@@ -34,7 +33,7 @@
 "granularity":0.004}`, Limiters, position))
 }
 
-// limiterConfig is one limiter's configuration as its file holds it.
+// limiterConfig is the configuration file of one limiter.
 type limiterConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -47,25 +46,25 @@
 }
 
 type limits struct {
-	Cores   float64 `json:"cores"`
-	Memory  int     `json:"memory_mb"`
-	Sockets int     `json:"sockets"`
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
 }
 
-// configOf is the configuration of limiter n, which calls discovery and the counter at these addresses; known may be
-// nil.
-func configOf(n int, listen, discovery, counter string, sockets int, known []byte) limiterConfig {
+// newLimiterConfig returns the configuration of limiter n. The addresses are those of its own listener, of discovery
+// and of the counter; known is the endpoint list to begin with, or nil for none.
+func newLimiterConfig(n int, listen, discovery, counter string, sockets int, known []byte) limiterConfig {
 	return limiterConfig{Name: fmt.Sprintf("n%d", n), Listen: listen, Discovery: discovery, Counter: counter,
-		Seed: fmt.Sprintf("%016x", 0x51ca1e+uint64(n)*0x9e3779b97f4a7c15), Known: known, Settings: settingsText(n),
-		Limits: limits{Cores: 1, Memory: 128, Sockets: sockets}}
+		Seed: fmt.Sprintf("%016x", 0x51ca1e+uint64(n)*0x9e3779b97f4a7c15), Known: known, Settings: limiterSettings(n),
+		Limits: limits{Cores: 1, MemoryMB: 128, Sockets: sockets}}
 }
 
-// configText is a configuration as its file holds it.
-func configText(config limiterConfig) ([]byte, error) { return json.Marshal(config) }
+// encodeConfig encodes a configuration as the file's JSON.
+func encodeConfig(config limiterConfig) ([]byte, error) { return json.Marshal(config) }
 
-// instances is a list of so many servers over the four zones; they stand at the addresses in turn, so that a few
-// listeners do for thousands of servers.
-func instances(n int, addresses []string) []emulator.Instance {
+// newInstances returns a list of n servers spread over the four zones. The servers share the given addresses in turn,
+// so that a few listeners can serve thousands of servers.
+func newInstances(n int, addresses []string) []emulator.Instance {
 	list := make([]emulator.Instance, n)
 	for i := range list {
 		list[i] = emulator.Instance{
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -9,63 +9,64 @@
 	"ospreycroft/internal/lab/history"
 )
 
-// fleet measures what discovery and the counter bear from many idle limiters, over the limiters.
+// fleet measures the load of idle limiters on discovery and on the counter, over the number of limiters.
 func (h *Harness) fleet() error {
-	var calls, bytes, counter, core, began []Point
+	var calls, bytes, pings, core, startTimes []Point
 	for _, limiters := range h.sizes([]int{5, 10}, []int{10, 100, 300, Limiters}) {
-		s, err := newStands(standsSpec{limiters: limiters, servers: fleetServers})
+		s, err := newStandIns(standInsSpec{limiters: limiters, servers: fleetServers})
 		if err != nil {
 			return err
 		}
-		hosts, err := h.startHollow(s, 0, limiters, s.known())
+		hosts, err := h.startHollowLimiters(s, 0, limiters, s.encodedList())
 		if err != nil {
 			s.close()
 			return err
 		}
-		all, err := h.watchFleet(s, pidsOf(hosts), limiters)
-		began = append(began, Point{float64(limiters), []float64{hosts[0].began}})
+		windows, err := h.measureFleet(s, hostPIDs(hosts), limiters)
+		startTimes = append(startTimes, Point{float64(limiters), []float64{hosts[0].startSeconds}})
 		stopHosts(hosts)
 		s.close()
 		if err != nil {
 			return err
 		}
-		n := float64(limiters)
-		point := func(figure func(spent) float64) Point { return Point{n, samples(all, figure)} }
-		calls = append(calls, point(func(o spent) float64 { return o.traffic.discoveryCalls * n / o.seconds }))
-		bytes = append(bytes, point(func(o spent) float64 { return o.traffic.discoveryBytes * n / o.seconds }))
-		counter = append(counter, point(func(o spent) float64 { return o.traffic.counterCalls * n / o.seconds }))
-		core = append(core, point(func(o spent) float64 { return o.core * 100 }))
+		limiterCount := float64(limiters)
+		point := func(value func(usage) float64) Point { return Point{limiterCount, samples(windows, value)} }
+		calls = append(calls, point(func(o usage) float64 { return o.traffic.discoveryCalls * limiterCount / o.seconds }))
+		bytes = append(bytes, point(func(o usage) float64 { return o.traffic.discoveryBytes * limiterCount / o.seconds }))
+		pings = append(pings, point(func(o usage) float64 { return o.traffic.counterCalls * limiterCount / o.seconds }))
+		core = append(core, point(func(o usage) float64 { return o.coreShare * 100 }))
 	}
-	for _, one := range []Series{
+	for _, series := range []Series{
 		{Quantity: "calls to discovery, all limiters", Unit: "/s", Points: calls, Mechanism: watchMechanism},
 		{Quantity: "bytes to and from discovery, all limiters", Unit: "B/s", Points: bytes, Mechanism: watchMechanism},
-		{Quantity: "pings of the counter, all limiters", Unit: "/s", Points: counter, Mechanism: watchMechanism},
+		{Quantity: "pings of the counter, all limiters", Unit: "/s", Points: pings, Mechanism: watchMechanism},
 		{Quantity: "processor time of one hollow limiter", Unit: "% of a core", Points: core, Mechanism: tickMechanism},
-		{Quantity: "time to make the first host's limiters", Unit: "s", Points: began, Mechanism: "the lab's own"},
+		{Quantity: "time to make the first host's limiters", Unit: "s", Points: startTimes, Mechanism: "the lab's own"},
 	} {
-		one.Experiment, one.Over, one.Note = "fleet", "limiters", fmt.Sprintf("idle, %d servers", fleetServers)
-		h.add(one)
+		series.Experiment, series.Over, series.Note = "fleet", "limiters", fmt.Sprintf("idle, %d servers", fleetServers)
+		h.addSeries(series)
 	}
 	return nil
 }
 
-// fleetServers are the list's entries while only the number of limiters matters.
+// fleetServers is the number of servers on the endpoint list while only the number of limiters varies.
 const fleetServers = 1000
 
-// worst plays the worst minutes of a list service's clients: all limiters before the whole list.
+// worst measures the events that load discovery most, with all limiters and the full endpoint list: a restart of all
+// limiters, a part of the servers draining at once, an outage of discovery, and steady restarts of servers.
 func (h *Harness) worst() error {
 	limiters, servers := h.sizes([]int{6}, []int{Limiters})[0], h.sizes([]int{200}, []int{Servers})[0]
-	s, err := newStands(standsSpec{limiters: limiters, servers: servers})
+	s, err := newStandIns(standInsSpec{limiters: limiters, servers: servers})
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	f := &worstRun{h: h, s: s, limiters: limiters, name: fmt.Sprintf("%d limiters, %d servers", limiters, servers)}
-	defer func() { stopHosts(f.hosts) }()
-	if err := f.start(s.known()); err != nil {
+	run := &worstRun{h: h, s: s, limiters: limiters, size: fmt.Sprintf("%d limiters, %d servers", limiters, servers)}
+	defer func() { stopHosts(run.hosts) }()
+	if err := run.start(s.encodedList()); err != nil {
 		return err
 	}
-	for _, step := range []func() error{f.restartAll, f.zones, f.heal, f.stream} {
+	for _, step := range []func() error{run.restartAll, run.drainAndReturn, run.discoveryOutage, run.steadyRestarts} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -73,68 +74,68 @@
 	return nil
 }
 
-// worstRun is a fleet of hollow limiters whose worst minutes are played.
+// worstRun is the fleet of hollow limiters of the experiment worst.
 type worstRun struct {
 	h        *Harness
-	s        *stands
+	s        *standIns
 	limiters int
 	hosts    []*host
-	name     string
+	size     string
 }
 
-// start starts all limiters anew and waits until all of them ask discovery.
-func (f *worstRun) start(known []byte) (err error) {
-	stopHosts(f.hosts)
-	f.hosts = nil
-	f.hosts, err = f.h.startHollow(f.s, 0, f.limiters, known)
+// start stops the limiters that run, starts all of them with the known list, and waits until they run.
+func (r *worstRun) start(known []byte) (err error) {
+	stopHosts(r.hosts)
+	r.hosts = nil
+	r.hosts, err = r.h.startHollowLimiters(r.s, 0, r.limiters, known)
 	return err
 }
 
-// restartAll ends all limiters at once and starts them, from the list of their configurations and from none.
-func (f *worstRun) restartAll() error {
+// restartAll restarts all limiters at once, first with the endpoint list in their configurations, then with none.
+func (r *worstRun) restartAll() error {
 	heap := 0.0
-	for _, one := range f.hosts {
-		part, err := one.heap()
+	for _, hostProcess := range r.hosts {
+		hostHeap, err := hostProcess.heapBytes()
 		if err != nil {
 			return err
 		}
-		heap += part
+		heap += hostHeap
 	}
-	f.figure("heap of one hollow limiter", "MB", heap/1e6/float64(f.limiters))
-	for _, from := range []string{"the list of their configurations", "no list"} {
-		known := f.s.known()
-		if from == "no list" {
+	r.addFigure("heap of one hollow limiter", "MB", heap/1e6/float64(r.limiters))
+	for _, source := range []string{"the list of their configurations", "no list"} {
+		known := r.s.encodedList()
+		if source == "no list" {
 			known = nil
 		}
-		crossed, at := f.s.traffic(), f.s.clock.Now()
-		if err := f.start(known); err != nil {
+		trafficBefore, restartedAt := r.s.traffic(), r.s.clock.Now()
+		if err := r.start(known); err != nil {
 			return err
 		}
-		took, err := f.applied(at, f.s.generation(), 60*time.Second)
+		took, err := r.awaitApplied(restartedAt, r.s.generation(), 60*time.Second)
 		if err != nil {
 			return err
 		}
-		t := f.s.traffic().since(crossed)
-		what := "all limiters restarted from " + from
-		f.figure(what+": calls to discovery", "", t.discoveryCalls)
-		f.figure(what+": bytes to and from discovery", "B", t.discoveryBytes)
-		f.figure(what+": until the last has a list (the machine's own limit)", "s", took)
+		delta := r.s.traffic().since(trafficBefore)
+		quantity := "all limiters restarted from " + source
+		r.addFigure(quantity+": calls to discovery", "", delta.discoveryCalls)
+		r.addFigure(quantity+": bytes to and from discovery", "B", delta.discoveryBytes)
+		r.addFigure(quantity+": until the last has a list (the machine's own limit)", "s", took)
 	}
 	return nil
 }
 
-func (f *worstRun) figure(quantity, unit string, values ...float64) {
-	f.h.figure(Series{Experiment: "worst", Quantity: quantity, Unit: unit, Note: f.name}, values...)
+func (r *worstRun) addFigure(quantity, unit string, values ...float64) {
+	r.h.addFigure(Series{Experiment: "worst", Quantity: quantity, Unit: unit, Note: r.size}, values...)
 }
 
-// zones lets a quarter and half of the servers drain and come back.
-func (f *worstRun) zones() error {
-	for _, oneIn := range []int{4, 2} {
+// drainAndReturn takes a quarter and then half of the servers out of service and back, all of them in one change.
+func (r *worstRun) drainAndReturn() error {
+	for _, divisor := range []int{4, 2} {
 		for _, lifecycle := range []string{"terminated", "in_service"} {
-			what := map[string]string{"terminated": " go", "in_service": " come back"}[lifecycle]
-			err := f.play(
-				shareName(oneIn)+what,
-				func() { f.s.discovery.SetAll(f.s.zone(oneIn, lifecycle, time.Now())) },
+			change := map[string]string{"terminated": " go", "in_service": " come back"}[lifecycle]
+			err := r.measureChange(
+				shareName(divisor)+change,
+				func() { r.s.discovery.SetAll(r.s.firstWithLifecycle(divisor, lifecycle, time.Now())) },
 			)
 			if err != nil {
 				return err
@@ -144,118 +145,122 @@
 	return nil
 }
 
-// heal lets discovery be silent while as many servers restart as do in ten minutes of the busiest two hours.
-func (f *worstRun) heal() error {
+// discoveryOutage stops discovery's answers while servers restart, as many as in ten minutes at the rate of a day's
+// restarts in two hours. The limiters get all the changes when discovery answers again.
+func (r *worstRun) discoveryOutage() error {
 	const tenMinutes = 600
-	restarted := min(RestartsADay*tenMinutes/(2*3600), len(f.s.list))
-	f.s.discovery.Down(true)
-	time.Sleep(f.h.window(10 * time.Second)) // stands for the ten minutes: past two seconds only the changes matter
+	restarted := min(RestartsPerDay*tenMinutes/(2*3600), len(r.s.list))
+	r.s.discovery.Down(true)
+	time.Sleep(r.h.duration(10 * time.Second)) // stands for 10 min: after 2 s of silence only the changes matter
 	var changed []emulator.Instance
-	for _, in := range f.s.list[:restarted] {
-		in.StartedMs = time.Now().UnixMilli()
-		changed = append(changed, in)
+	for _, instance := range r.s.list[:restarted] {
+		instance.StartedMs = time.Now().UnixMilli()
+		changed = append(changed, instance)
 	}
-	f.s.discovery.SetAll(changed)
-	crossed := f.s.traffic()
-	time.Sleep(f.h.window(4 * time.Second))
-	silent := f.s.traffic().since(crossed)
-	f.figure("discovery silent: calls", "/s", silent.discoveryCalls/f.h.window(4*time.Second).Seconds())
-	return f.play(
+	r.s.discovery.SetAll(changed)
+	trafficBefore := r.s.traffic()
+	time.Sleep(r.h.duration(4 * time.Second))
+	silent := r.s.traffic().since(trafficBefore)
+	r.addFigure("discovery silent: calls", "/s", silent.discoveryCalls/r.h.duration(4*time.Second).Seconds())
+	return r.measureChange(
 		fmt.Sprintf("a region heals with %d changed servers", restarted),
-		func() { f.s.discovery.Down(false) },
+		func() { r.s.discovery.Down(false) },
 	)
 }
 
-// play does something that changes the list and states what it costs until all limiters go by it.
-func (f *worstRun) play(what string, change func()) error {
+// measureChange runs change, which changes the endpoint list, and reports its cost until all limiters have applied
+// it.
+func (r *worstRun) measureChange(quantity string, change func()) error {
 	var took float64
-	at := f.s.clock.Now()
-	one, err := fleetWindow(f.s, pidsOf(f.hosts), f.limiters, func() {
+	changedAt := r.s.clock.Now()
+	perLimiter, err := measureFleetWindow(r.s, hostPIDs(r.hosts), r.limiters, func() {
 		change()
-		took, _ = f.applied(at, f.s.generation(), 60*time.Second)
+		took, _ = r.awaitApplied(changedAt, r.s.generation(), 60*time.Second)
 	})
 	if err != nil {
 		return err
 	}
-	f.figure(what+": bytes for one limiter", "B", one.traffic.discoveryBytes)
-	f.figure(what+": processor time of one limiter", "ms", one.core*one.seconds*1e3)
-	f.figure(what+": until the last limiter goes by it (the machine's own limit)", "s", took)
+	r.addFigure(quantity+": bytes for one limiter", "B", perLimiter.traffic.discoveryBytes)
+	r.addFigure(quantity+": processor time of one limiter", "ms", perLimiter.coreShare*perLimiter.seconds*1e3)
+	r.addFigure(quantity+": until the last limiter goes by it (the machine's own limit)", "s", took)
 	return nil
 }
 
-// stream lets servers restart at the rate of a day's restarts in two hours, each in three changes.
-func (f *worstRun) stream() error {
-	rate := float64(RestartsADay*entriesOfRestart) / (2 * 3600) // changes a second
-	length := f.h.window(20 * time.Second)
-	one, err := fleetWindow(f.s, pidsOf(f.hosts), f.limiters, func() {
+// steadyRestarts restarts servers at the rate of a day's restarts in two hours; each restart makes changesPerRestart
+// changes of the list.
+func (r *worstRun) steadyRestarts() error {
+	rate := float64(RestartsPerDay*changesPerRestart) / (2 * 3600) // changes per second
+	length := r.h.duration(20 * time.Second)
+	perLimiter, err := measureFleetWindow(r.s, hostPIDs(r.hosts), r.limiters, func() {
 		stop := make(chan struct{})
-		go f.s.change(stop, time.Duration(1e9/rate))
+		go r.s.changeServers(stop, time.Duration(1e9/rate))
 		time.Sleep(length)
 		close(stop)
 	})
 	if err != nil {
 		return err
 	}
-	what := fmt.Sprintf("%.2f changes a second (%d restarts in two hours)", rate, RestartsADay)
-	f.figure(what+": calls of one limiter", "/s", one.traffic.discoveryCalls/one.seconds)
-	f.figure(what+": bytes of one limiter", "B/s", one.traffic.discoveryBytes/one.seconds)
-	f.figure(what+": processor time of one limiter", "% of a core", one.core*100)
+	quantity := fmt.Sprintf("%.2f changes a second (%d restarts in two hours)", rate, RestartsPerDay)
+	r.addFigure(quantity+": calls of one limiter", "/s", perLimiter.traffic.discoveryCalls/perLimiter.seconds)
+	r.addFigure(quantity+": bytes of one limiter", "B/s", perLimiter.traffic.discoveryBytes/perLimiter.seconds)
+	r.addFigure(quantity+": processor time of one limiter", "% of a core", perLimiter.coreShare*100)
 	return nil
 }
 
-// generation is discovery's present one.
-func (s *stands) generation() int64 { return s.discovery.Whole(0).Generation }
+// generation returns the list's current generation at discovery.
+func (s *standIns) generation() int64 { return s.discovery.Whole(0).Generation }
 
-// applied waits until all limiters go by a generation of the list and tells how long that took from at on, seconds:
-// each calls again once it has applied the answer that told it.
-func (f *worstRun) applied(at, generation int64, within time.Duration) (float64, error) {
-	end := time.Now().Add(within)
+// awaitApplied waits until all limiters have applied a generation of the list and returns the seconds that it took,
+// counted from since, a time on the run's clock in nanoseconds. A limiter has applied an answer once it calls
+// discovery again. After the timeout the error is a *NotAppliedError.
+func (r *worstRun) awaitApplied(since, generation int64, timeout time.Duration) (float64, error) {
+	deadline := time.Now().Add(timeout)
 	for {
-		calls, _, _ := f.s.book.DiscoveryAndServers()
-		times := appliedTimes(calls, at, generation)
-		if len(times) >= f.limiters {
-			return float64(slices.Max(times)-at) / 1e9, nil
+		calls, _, _ := r.s.recorder.DiscoveryAndServers()
+		times := appliedTimes(calls, since, generation)
+		if len(times) >= r.limiters {
+			return float64(slices.Max(times)-since) / 1e9, nil
 		}
-		if time.Now().After(end) {
-			return within.Seconds(), &NotAppliedError{Have: len(times), Want: f.limiters, Within: within}
+		if time.Now().After(deadline) {
+			return timeout.Seconds(), &NotAppliedError{Have: len(times), Want: r.limiters, Within: timeout}
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-// appliedTimes are when limiters first called after an answer of a generation, from at on, one for each limiter that
-// has. Calls are in the order of their times.
-func appliedTimes(calls []history.Call, at, generation int64) []int64 {
-	told := map[int]int64{}
+// appliedTimes returns, for each limiter that has applied the generation, the time of its first call after the answer
+// that carried it. Calls that ended before since are ignored. The calls must be sorted by time.
+func appliedTimes(calls []history.Call, since, generation int64) []int64 {
+	answers := map[int]int64{}
 	var times []int64
-	done := map[int]bool{}
-	for _, c := range calls {
-		if c.At < at && c.EndedAt < at {
+	seen := map[int]bool{}
+	for _, call := range calls {
+		if call.At < since && call.EndedAt < since {
 			continue
 		}
-		if since, has := told[c.Limiter]; has && c.At >= since && !done[c.Limiter] {
-			done[c.Limiter] = true
-			times = append(times, c.At)
+		if answeredAt, has := answers[call.Limiter]; has && call.At >= answeredAt && !seen[call.Limiter] {
+			seen[call.Limiter] = true
+			times = append(times, call.At)
 		}
-		if _, has := told[c.Limiter]; !has && c.End == history.Answered && c.Generation >= generation {
-			told[c.Limiter] = c.EndedAt
+		if _, has := answers[call.Limiter]; !has && call.End == history.Answered && call.Generation >= generation {
+			answers[call.Limiter] = call.EndedAt
 		}
 	}
 	return times
 }
 
-// NotAppliedError is for a change that did not reach all limiters in time.
+// NotAppliedError reports a change of the list that did not reach all limiters in time.
 type NotAppliedError struct {
 	Have, Want int
 	Within     time.Duration
 }
 
-// Error says what happened.
+// Error states how many limiters have applied the change.
 func (e *NotAppliedError) Error() string {
-	return fmt.Sprintf("%d of %d limiters go by the change after %v", e.Have, e.Want, e.Within)
+	return fmt.Sprintf("%d of %d limiters applied the change within %v", e.Have, e.Want, e.Within)
 }
 
-// Hint says what to do about it.
+// Hint names the remedy.
 func (e *NotAppliedError) Hint() string {
-	return "run with less beside it on the machine, and see the hosts' logs in the run's folder"
+	return "run again with less load on the machine, and see the hosts' logs in the run's folder"
 }
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -18,53 +18,56 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// HostVariable is set in the environment of a process that is to be a host of hollow limiters (HostMain).
+// HostVariable is the environment variable that makes a process a host of hollow limiters (HostMain); any value but
+// the empty one does.
 const HostVariable = "TESTLAB_SCALE_HOST"
 
 const (
-	mostInHost  = 100             // hollow limiters in one process
-	mostHosts   = 200             // processes in all
-	mostMemory  = 12 << 30        // bytes of all hosts together, half of the lab's machine
-	startWithin = 2 * time.Minute // hosts and limiters that take longer fail the run
+	maxLimitersPerHost = 100             // hollow limiters per process
+	maxHosts           = 200             // processes of one fleet
+	maxHostMemory      = 12 << 30        // bytes of all hosts together: half of the lab's machine
+	startTimeout       = 2 * time.Minute // a host or limiter that takes longer fails the run
 )
 
-// StartError is a process of a run that did not come up.
+// StartError reports a process of a run that did not start.
 type StartError struct {
 	What, Log string
 	Cause     error
 }
 
-// Error says what happened.
+// Error names the process and the cause.
 func (e *StartError) Error() string { return fmt.Sprintf("%s did not start: %v", e.What, e.Cause) }
 
-// Unwrap is why.
+// Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// Hint says what to do about it.
+// Hint names the remedy and the log.
 func (e *StartError) Hint() string {
 	return "build the programs (go build -o bin/ ./cmd/...) and see " + e.Log
 }
 
-// MemoryError is a fleet of hollow limiters for which the machine has too little memory.
+// MemoryError reports that a fleet of hollow limiters may need more memory than the machine has or the lab allows.
+// Need and Have are in bytes.
 type MemoryError struct{ Need, Have float64 }
 
-// Error says what happened.
+// Error states both amounts of memory.
 func (e *MemoryError) Error() string {
-	return fmt.Sprintf("hollow limiters may take %.1f GB, and %.1f GB can be had", e.Need/1e9, e.Have/1e9)
+	return fmt.Sprintf("hollow limiters may use %.1f GB of memory, but only %.1f GB are available", e.Need/1e9, e.Have/1e9)
 }
 
-// Hint says what to do about it.
+// Hint names the remedy.
 func (e *MemoryError) Hint() string {
-	return "end what holds the memory, or run with nothing beside it"
+	return "end other processes that use memory, or run on an idle machine"
 }
 
-// What a hollow limiter may take, bytes, before its garbage is collected: measured with room to spare.
+// Upper bounds of a hollow limiter's memory before a garbage collection, with a margin: bytes, and bytes for each
+// server on its list.
 const (
-	hollowMemory      = 3e6
-	hollowServerBytes = 2e3
+	hollowLimiterBytes = 3e6
+	hollowServerBytes  = 2e3
 )
 
-// process is a limiter's or a host's; ended is closed once it has ended.
+// process is a child process. ended is closed once it has exited.
 type process struct {
 	cmd   *exec.Cmd
 	log   string
@@ -72,8 +75,9 @@
 	once  sync.Once
 }
 
-// begin starts a command whose output goes to a file, added to what the file holds.
-func begin(cmd *exec.Cmd, log string) (*process, error) {
+// startProcess starts a command and appends its output to the log file. Standard output goes elsewhere if cmd.Stdout
+// is set.
+func startProcess(cmd *exec.Cmd, log string) (*process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -82,7 +86,7 @@
 		cmd.Stdout = out
 	}
 	cmd.Stderr = out
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the harness
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the child dies with the harness
 	if err := cmd.Start(); err != nil {
 		_ = out.Close()
 		return nil, err
@@ -98,64 +102,64 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.once.Do(func() { _ = p.cmd.Process.Kill() })
 	<-p.ended
 }
 
-// realLimiter is the program as it is started in production.
+// realLimiter is a process of the limiter's program, started as in production.
 type realLimiter struct {
 	*process
-	config  limiterConfig
-	path    string // of its configuration
-	port    *ports.Kept
-	address string
+	config     limiterConfig
+	configPath string // configuration file
+	port       *ports.Kept
+	address    string
 }
 
-// startReal starts limiter n of the stand-ins and waits until it answers PING with +PONG. The runtime logs each
-// collection, which tells its heap.
-func (h *Harness) startReal(s *stands, n, sockets int, known []byte) (*realLimiter, error) {
+// startRealLimiter starts limiter n against the stand-ins and waits until it answers PING with +PONG. The Go runtime
+// logs each garbage collection, from which heapBytes reads the heap.
+func (h *Harness) startRealLimiter(s *standIns, n, sockets int, known []byte) (*realLimiter, error) {
 	port, err := ports.Keep()
 	if err != nil {
 		return nil, err
 	}
-	h.runs++
-	name := fmt.Sprintf("real-%d", h.runs)
-	l := &realLimiter{port: port, address: port.Address(), path: filepath.Join(h.options.Out, name+".json"),
-		config: configOf(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), sockets, known)}
-	if err := l.write(); err != nil {
+	h.processes++
+	name := fmt.Sprintf("real-%d", h.processes)
+	l := &realLimiter{port: port, address: port.Address(), configPath: filepath.Join(h.options.Out, name+".json"),
+		config: newLimiterConfig(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), sockets, known)}
+	if err := l.writeConfig(); err != nil {
 		return nil, err
 	}
 	cmd := exec.Command(h.options.Program)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+l.path, "GW_NAME="+l.config.Name, "GW_LISTEN="+l.address,
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+l.configPath, "GW_NAME="+l.config.Name, "GW_LISTEN="+l.address,
 		"GW_DISCOVERY="+l.config.Discovery, "GODEBUG=gctrace=1")
 	log := filepath.Join(h.options.Out, name+".log")
-	l.process, err = begin(cmd, log)
+	l.process, err = startProcess(cmd, log)
 	if err != nil {
 		return nil, &StartError{h.options.Program, log, err}
 	}
-	end := time.Now().Add(startWithin)
+	deadline := time.Now().Add(startTimeout)
 	for !ports.Pong(l.address) {
-		if over := time.Now().After(end); over || !l.runs() {
+		if expired := time.Now().After(deadline); expired || !l.running() {
 			l.stop()
-			return nil, &StartError{h.options.Program, log, errors.New("no +PONG")}
+			return nil, &StartError{h.options.Program, log, errors.New("it did not answer PING with +PONG")}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return l, nil
 }
 
-// write writes the limiter's configuration.
-func (l *realLimiter) write() error {
-	text, err := configText(l.config)
+// writeConfig writes the limiter's configuration file.
+func (l *realLimiter) writeConfig() error {
+	text, err := encodeConfig(l.config)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(l.path, text, 0o644)
+	return os.WriteFile(l.configPath, text, 0o644)
 }
 
-func (l *realLimiter) runs() bool {
+func (l *realLimiter) running() bool {
 	select {
 	case <-l.ended:
 		return false
@@ -169,123 +173,126 @@
 	l.port.Close()
 }
 
-// collected finds the heap behind a collection, MB, in the runtime's own line on it.
-var collected = regexp.MustCompile(`(?m)^gc \d+ .* \d+->\d+->(\d+) MB`)
+// collectionLine matches the runtime's log line of a garbage collection and captures the heap after it, MB.
+var collectionLine = regexp.MustCompile(`(?m)^gc \d+ .* \d+->\d+->(\d+) MB`)
 
-// heap is the memory in use behind the latest collection, bytes in steps of 1 MB; 0 where there was none yet.
-func (l *realLimiter) heap() float64 {
+// heapBytes returns the heap after the latest garbage collection in bytes, in steps of 1 MB; 0 before the first
+// collection.
+func (l *realLimiter) heapBytes() float64 {
 	text, err := os.ReadFile(l.log)
 	if err != nil {
 		return 0
 	}
-	all := collected.FindAllSubmatch(text, -1)
-	if len(all) == 0 {
+	matches := collectionLine.FindAllSubmatch(text, -1)
+	if len(matches) == 0 {
 		return 0
 	}
-	mb, _ := strconv.Atoi(string(all[len(all)-1][1]))
+	mb, _ := strconv.Atoi(string(matches[len(matches)-1][1]))
 	return float64(mb) * (1 << 20)
 }
 
-// host is a process of hollow limiters.
+// host is a process that runs HostMain: hollow limiters or a stand-in of the counter. startSeconds is how long
+// starting the limiters took.
 type host struct {
 	*process
-	ports []*ports.Kept
-	in    *json.Encoder
-	out   *bufio.Reader
-	began float64
+	ports        []*ports.Kept
+	commands     *json.Encoder
+	answers      *bufio.Reader
+	startSeconds float64
 }
 
-// startHollow starts hollow limiters from number first on, in as many processes as are needed, and waits until all
-// run. Each begins with the known list.
-func (h *Harness) startHollow(s *stands, first, count int, known []byte) ([]*host, error) {
-	hosts := (count + mostInHost - 1) / mostInHost
-	if hosts > mostHosts {
-		return nil, &StartError{"hosts", h.options.Out, fmt.Errorf("%d processes, %d at most", hosts, mostHosts)}
+// startHollowLimiters starts count hollow limiters, numbered from first, in as many hosts as needed, and waits until
+// all run. Each begins with the known list. It fails with a *MemoryError if the fleet may need more than the
+// available memory or maxHostMemory.
+func (h *Harness) startHollowLimiters(s *standIns, first, count int, known []byte) ([]*host, error) {
+	hosts := (count + maxLimitersPerHost - 1) / maxLimitersPerHost
+	if hosts > maxHosts {
+		return nil, &StartError{"hosts", h.options.Out, fmt.Errorf("%d processes needed, %d allowed", hosts, maxHosts)}
 	}
-	need := float64(count) * (hollowMemory + hollowServerBytes*float64(len(s.list)))
-	if have := procfs.Available(); have < need || need > mostMemory {
-		return nil, &MemoryError{need, min(have, mostMemory)}
+	need := float64(count) * (hollowLimiterBytes + hollowServerBytes*float64(len(s.list)))
+	if have := procfs.Available(); have < need || need > maxHostMemory {
+		return nil, &MemoryError{need, min(have, maxHostMemory)}
 	}
-	var all []*host
+	var started []*host
 	errs := make(chan error, hosts)
 	for i := range hosts {
 		from := first + i*count/hosts
 		to := first + (i+1)*count/hosts
-		one, err := h.startHost(s, from, to, known, mostMemory/int64(hosts))
+		hostProcess, err := h.startHost(s, from, to, known, maxHostMemory/int64(hosts))
 		if err != nil {
-			stopHosts(all)
+			stopHosts(started)
 			return nil, err
 		}
-		all = append(all, one)
-		go func() { errs <- one.awaitStart() }()
+		started = append(started, hostProcess)
+		go func() { errs <- hostProcess.awaitStart() }()
 	}
 	var err error
 	for range hosts {
 		err = errors.Join(err, <-errs)
 	}
 	if err != nil {
-		stopHosts(all)
+		stopHosts(started)
 		return nil, err
 	}
-	return all, nil
+	return started, nil
 }
 
-func stopHosts(all []*host) {
-	for _, one := range all {
-		one.stop()
+func stopHosts(hosts []*host) {
+	for _, hostProcess := range hosts {
+		hostProcess.stop()
 	}
 }
 
-func (h *Harness) startHost(s *stands, from, to int, known []byte, memory int64) (*host, error) {
-	var kept []*ports.Kept
-	spec := hostSpec{Known: known, Processors: 2, Memory: memory}
+func (h *Harness) startHost(s *standIns, from, to int, known []byte, memory int64) (*host, error) {
+	var reserved []*ports.Kept
+	spec := hostSpec{Known: known, Processors: 2, MemoryBytes: memory}
 	for n := from; n < to; n++ {
 		port, err := ports.Keep()
 		if err != nil {
 			return nil, err
 		}
-		kept = append(kept, port)
+		reserved = append(reserved, port)
 		spec.Limiters = append(
 			spec.Limiters,
-			configOf(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), 1024, nil),
+			newLimiterConfig(n, port.Address(), s.discovery.Address(n), s.counter.Address(n), 1024, nil),
 		)
 	}
-	one, err := h.startHostOf(spec)
+	hostProcess, err := h.startHostProcess(spec)
 	if err != nil {
 		return nil, err
 	}
-	one.ports = kept
-	return one, nil
+	hostProcess.ports = reserved
+	return hostProcess, nil
 }
 
-// startHostOf starts a host and tells it what to be; it waits for no answer.
-func (h *Harness) startHostOf(spec hostSpec) (*host, error) {
-	one := &host{}
-	h.runs++
-	log := filepath.Join(h.options.Out, fmt.Sprintf("host-%d.log", h.runs))
+// startHostProcess starts a host and sends it its spec. It does not wait for the answer.
+func (h *Harness) startHostProcess(spec hostSpec) (*host, error) {
+	hostProcess := &host{}
+	h.processes++
+	log := filepath.Join(h.options.Out, fmt.Sprintf("host-%d.log", h.processes))
 	cmd := exec.Command(h.options.Host[0], h.options.Host[1:]...)
 	cmd.Env = append(os.Environ(), HostVariable+"=1")
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, written, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	cmd.Stdout = written
-	one.process, err = begin(cmd, log)
-	_ = written.Close()
+	cmd.Stdout = writer
+	hostProcess.process, err = startProcess(cmd, log)
+	_ = writer.Close()
 	if err != nil {
 		return nil, &StartError{"host", log, err}
 	}
-	one.in, one.out = json.NewEncoder(in), bufio.NewReader(out)
-	go func() { <-one.ended; _ = out.Close() }()
-	if err := one.in.Encode(spec); err != nil {
-		one.stop()
+	hostProcess.commands, hostProcess.answers = json.NewEncoder(stdin), bufio.NewReader(reader)
+	go func() { <-hostProcess.ended; _ = reader.Close() }()
+	if err := hostProcess.commands.Encode(spec); err != nil {
+		hostProcess.stop()
 		return nil, &StartError{"host", log, err}
 	}
-	return one, nil
+	return hostProcess, nil
 }
 
 // awaitStart waits until all limiters of the host run.
@@ -294,30 +301,30 @@
 	if err != nil {
 		return &StartError{"host", o.log, err}
 	}
-	o.began = answer.Began
+	o.startSeconds = answer.StartSeconds
 	return nil
 }
 
 func (o *host) answer() (answer hostAnswer, err error) {
-	err = readLine(o.out, &answer)
+	err = readLine(o.answers, &answer)
 	if err == nil && answer.Error != "" {
 		err = errors.New(answer.Error)
 	}
 	return answer, err
 }
 
-// do has the host obey one command.
-func (o *host) do(command hostCommand) (hostAnswer, error) {
-	if err := o.in.Encode(command); err != nil {
+// execute sends a command to the host and returns its answer.
+func (o *host) execute(command hostCommand) (hostAnswer, error) {
+	if err := o.commands.Encode(command); err != nil {
 		return hostAnswer{}, err
 	}
 	return o.answer()
 }
 
-// heap is the memory in use by all limiters of the host, behind a collection.
-func (o *host) heap() (float64, error) {
-	answer, err := o.do(hostCommand{Do: "stats"})
-	return answer.Heap, err
+// heapBytes returns the heap of all limiters of the host in bytes, after a garbage collection.
+func (o *host) heapBytes() (float64, error) {
+	answer, err := o.execute(hostCommand{Command: "stats"})
+	return answer.HeapBytes, err
 }
 
 func (o *host) stop() {
