--- a/cmd/testlab/distribution.go
+++ b/cmd/testlab/distribution.go
@@ -10,15 +10,15 @@
 	"ospreycroft/internal/lab/distbench"
 )
 
-// distributionCommand measures the configuration distribution at its size; docs/distribution-measured.md holds its
-// figures.
+// distributionCommand measures how long published configuration takes to come into force in a fleet of full size. The
+// results are recorded in docs/distribution-measured.md.
 func distributionCommand() *cobra.Command {
 	options := distbench.Options{Log: os.Stderr, Hollow: 550, Hosts: 5, Real: 4, RelaysInZone: 2, Entries: 1000}
 	short := false
 	c := &cobra.Command{
 		Use:       "distribution [CASE ...]",
-		Short:     "measure how long published configuration takes to be in force",
-		Long:      "The cases are " + strings.Join(distbench.CaseNames, ", ") + "; without a name all of them are run.",
+		Short:     "measure how long published configuration takes to come into force",
+		Long:      "The cases are " + strings.Join(distbench.CaseNames, ", ") + "; without arguments all of them are run.",
 		ValidArgs: distbench.CaseNames,
 		RunE: func(c *cobra.Command, args []string) error {
 			executable, err := os.Executable()
@@ -42,21 +42,22 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&short, "short", false, "a few seconds for each case, to see that it works")
+	c.Flags().BoolVar(&short, "short", false, "run each case for a few seconds only, as a smoke test")
 	c.Flags().
-		StringVar(&options.Dir, "out", "lab-runs/distribution", "new folder for the figures and the processes' files")
-	c.Flags().StringVar(&options.Programs.Limiter, "limiter", "bin/ospreycroft", "the limiter's program")
-	c.Flags().StringVar(&options.Programs.Distribution, "distribution", "bin/configdist", "the distribution's program")
-	c.Flags().IntVar(&options.Hollow, "hollow", options.Hollow, "hollow limiters")
-	c.Flags().IntVar(&options.RelaysInZone, "relays", options.RelaysInZone, "relays in each of four zones")
+		StringVar(&options.Dir, "out", "lab-runs/distribution", "new directory for results and process files")
+	c.Flags().StringVar(&options.Programs.Limiter, "limiter", "bin/ospreycroft", "path of the limiter binary")
+	c.Flags().StringVar(&options.Programs.Distribution, "distribution", "bin/configdist", "path of the configdist binary")
+	c.Flags().IntVar(&options.Hollow, "hollow", options.Hollow, "number of hollow limiters")
+	c.Flags().IntVar(&options.RelaysInZone, "relays", options.RelaysInZone, "relays in each of the four zones")
 	return c
 }
 
-// distributionHostCommand is the process of hollow limiters that distributionCommand starts.
+// distributionHostCommand returns the hidden command of a process that distributionCommand starts to run hollow
+// limiters.
 func distributionHostCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "distribution-host",
-		Short:  "hollow limiters, as distribution tells",
+		Short:  "run hollow limiters for the distribution command",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE:   func(*cobra.Command, []string) error { return distbench.HostMain(os.Stdin, os.Stdout) },
--- a/cmd/testlab/main.go
+++ b/cmd/testlab/main.go
@@ -1,5 +1,5 @@
-// Command testlab is the project's laboratory: it plays an experiment file against real limiters and the lab's
-// stand-ins, judges the run by the five rules and writes its record.
+// Command testlab is the project's test lab. It runs an experiment file against real limiters and emulated servers,
+// discovery and counter, checks the run against the five invariants and writes its record.
 package main
 
 import (
@@ -29,7 +29,7 @@
 }
 
 func rootCommand() *cobra.Command {
-	root := &cobra.Command{Use: "testlab", Short: "the ospreycroft laboratory", SilenceUsage: true}
+	root := &cobra.Command{Use: "testlab", Short: "the ospreycroft test lab", SilenceUsage: true}
 	root.AddCommand(runCommand(), checkCommand(), judgeCommand(), reportCommand(), sweepCommand(), censusCommand(),
 		scaleCommand(), scaleHostCommand(), distributionCommand(), distributionHostCommand(),
 		soakCommand())
@@ -39,7 +39,7 @@
 func runCommand() *cobra.Command {
 	var out string
 	var quiet bool
-	c := &cobra.Command{Use: "run EXPERIMENT.toml", Short: "play an experiment and judge it", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "run EXPERIMENT.toml", Short: "run an experiment and check it", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
 			if err != nil {
@@ -68,12 +68,12 @@
 			runner.Summarise(os.Stdout, result)
 			fmt.Printf("record=%s\n", path)
 			if !result.Verdict.Pass {
-				return fmt.Errorf("a rule was broken")
+				return fmt.Errorf("an invariant was violated")
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&out, "out", "", "folder for the record and the limiters' files (lab-runs/NAME)")
-	c.Flags().BoolVar(&quiet, "quiet", false, "no progress bar")
+	c.Flags().StringVar(&out, "out", "", "directory for the record and the limiters' files (default lab-runs/NAME)")
+	c.Flags().BoolVar(&quiet, "quiet", false, "do not show a progress bar")
 	return c
 }
 
@@ -87,7 +87,7 @@
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check EXPERIMENT.toml", Short: "read an experiment file and say what is wrong",
+	return &cobra.Command{Use: "check EXPERIMENT.toml", Short: "validate an experiment file and report errors",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
 			if err != nil {
@@ -101,7 +101,7 @@
 
 func judgeCommand() *cobra.Command {
 	var grace, slack float64
-	c := &cobra.Command{Use: "judge RECORD.json", Short: "judge a written record again", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "judge RECORD.json", Short: "check a stored record again", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			r, err := history.Read(args[0])
 			if err != nil {
@@ -115,18 +115,18 @@
 				Grace: experiment.Nanos(grace), Slack: experiment.Nanos(slack)})
 			runner.Summarise(os.Stdout, &runner.Result{Run: r, Verdict: v})
 			if !v.Pass {
-				return fmt.Errorf("a rule was broken")
+				return fmt.Errorf("an invariant was violated")
 			}
 			return nil
 		}}
-	c.Flags().Float64Var(&grace, "grace", 0.3, "seconds after a drain notice a shot may still begin")
-	c.Flags().Float64Var(&slack, "slack", 0.15, "seconds of a ceiling's rate allowed beyond it")
+	c.Flags().Float64Var(&grace, "grace", 0.3, "seconds after a drain notice during which an attempt may still start")
+	c.Flags().Float64Var(&slack, "slack", 0.15, "allowance above a rate ceiling, in seconds of that rate")
 	return c
 }
 
 func reportCommand() *cobra.Command {
 	var out string
-	c := &cobra.Command{Use: "report [LABEL=]RECORD.json ...", Short: "an HTML page with plots of one run or more",
+	c := &cobra.Command{Use: "report [LABEL=]RECORD.json ...", Short: "write an HTML page with plots of one or more runs",
 		Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			var runs []report.Labelled
 			for _, arg := range args {
@@ -156,7 +156,7 @@
 			fmt.Printf("report=%s\n", out)
 			return f.Close()
 		}}
-	c.Flags().StringVar(&out, "out", "report.html", "the page to write")
+	c.Flags().StringVar(&out, "out", "report.html", "path of the HTML page")
 	return c
 }
 
@@ -164,7 +164,7 @@
 	var sizes []int
 	var perLimiter float64
 	var out string
-	c := &cobra.Command{Use: "sweep EXPERIMENT.toml", Short: "play an experiment at several fleet sizes",
+	c := &cobra.Command{Use: "sweep EXPERIMENT.toml", Short: "run an experiment at several fleet sizes",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			e, err := experiment.Read(args[0])
 			if err != nil {
@@ -178,16 +178,16 @@
 			return os.WriteFile(filepath.Join(out, "sweep.json"), text, 0o644)
 		}}
 	c.Flags().IntSliceVar(&sizes, "limiters", []int{1, 4, 16, 64}, "fleet sizes")
-	c.Flags().Float64Var(&perLimiter, "rate", 40, "jobs a second offered for each limiter")
-	c.Flags().StringVar(&out, "out", "lab-runs/sweep", "folder for the records")
+	c.Flags().Float64Var(&perLimiter, "rate", 40, "offered load, in jobs per second per limiter")
+	c.Flags().StringVar(&out, "out", "lab-runs/sweep", "directory for the records")
 	return c
 }
 
-// censusCommand counts what limiters logged, over the whole fleet.
+// censusCommand aggregates the logs of all limiters of a fleet.
 func censusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "census LOG ...",
-		Short: "count what the logs of many limiters say, over the whole fleet",
+		Short: "aggregate log events over the logs of a fleet of limiters",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			summary := logsummary.New()
--- a/cmd/testlab/scale.go
+++ b/cmd/testlab/scale.go
@@ -11,7 +11,8 @@
 	"ospreycroft/internal/lab/scale"
 )
 
-// scaleCommand measures the slopes from which docs/CAPACITY.md reckons a size.
+// scaleCommand measures how a limiter's resource use grows with the fleet. The capacity formulas in docs/CAPACITY.md
+// use the slopes that it reports.
 func scaleCommand() *cobra.Command {
 	options := scale.Options{Log: os.Stderr, Command: strings.Join(append([]string{"testlab"}, os.Args[1:]...), " ")}
 	var names []string
@@ -20,8 +21,8 @@
 	}
 	c := &cobra.Command{
 		Use:       "scale [EXPERIMENT ...]",
-		Short:     "measure how a limiter's cost grows with the fleet around it",
-		Long:      "The experiments are " + strings.Join(names, ", ") + "; without a name all of them are run.",
+		Short:     "measure how a limiter's resource use grows with the size of the fleet",
+		Long:      "The experiments are " + strings.Join(names, ", ") + "; without arguments all of them are run.",
 		ValidArgs: names,
 		RunE: func(c *cobra.Command, args []string) error {
 			executable, err := os.Executable()
@@ -44,14 +45,14 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&options.Short, "short", false, "a few seconds for each experiment, to see that it works")
-	c.Flags().StringVar(&options.Out, "out", "lab-runs/scale", "folder for the figures and the processes' logs")
-	c.Flags().StringVar(&options.Program, "program", "bin/ospreycroft", "the limiter's program")
+	c.Flags().BoolVar(&options.Short, "short", false, "run each experiment for a few seconds only, as a smoke test")
+	c.Flags().StringVar(&options.Out, "out", "lab-runs/scale", "directory for results and process logs")
+	c.Flags().StringVar(&options.Program, "program", "bin/ospreycroft", "path of the limiter binary")
 	return c
 }
 
-// scaleHostCommand is the process of hollow limiters that scaleCommand starts.
+// scaleHostCommand returns the hidden command of a process that scaleCommand starts to run hollow limiters.
 func scaleHostCommand() *cobra.Command {
-	return &cobra.Command{Use: "scale-host", Short: "hollow limiters, as scale tells", Hidden: true, Args: cobra.NoArgs,
+	return &cobra.Command{Use: "scale-host", Short: "run hollow limiters for scale", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return scale.HostMain(os.Stdin, os.Stdout) }}
 }
--- a/cmd/testlab/soak.go
+++ b/cmd/testlab/soak.go
@@ -13,8 +13,9 @@
 	var first uint64
 	var seeds int
 	options := soak.Options{Program: "bin/ospreycroft", Dir: "lab-runs/soak"}
-	c := &cobra.Command{Use: "soak", Short: "play seeded fault runs against real limiters, with failing system calls and clock steps",
-		Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "soak",
+		Short: "run seeded fault scenarios against real limiters, with failing system calls and clock steps",
+		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) (err error) {
 			options.Launcher, err = os.Executable()
 			if err != nil {
@@ -33,15 +34,15 @@
 			}
 			fmt.Printf("seeds=%d failed=%d\n", seeds, failed)
 			if failed > 0 {
-				return fmt.Errorf("%d of %d seeds have findings", failed, seeds)
+				return fmt.Errorf("%d of %d seeds failed", failed, seeds)
 			}
 			return nil
 		}}
 	c.Flags().Uint64Var(&first, "first", 1, "the first seed")
-	c.Flags().IntVar(&seeds, "seeds", 50, "how many seeds")
-	c.Flags().Float64Var(&options.Length, "seconds", 12, "seconds of load of each seed")
-	c.Flags().IntVar(&options.Limiters, "limiters", 0, "how many limiters, 0 for what each seed draws")
-	c.Flags().StringVar(&options.Program, "program", options.Program, "the limiter")
-	c.Flags().StringVar(&options.Dir, "out", options.Dir, "folder for the runs' files")
+	c.Flags().IntVar(&seeds, "seeds", 50, "number of seeds")
+	c.Flags().Float64Var(&options.Length, "seconds", 12, "seconds of load per seed")
+	c.Flags().IntVar(&options.Limiters, "limiters", 0, "number of limiters; 0 lets each seed choose")
+	c.Flags().StringVar(&options.Program, "program", options.Program, "path of the limiter binary")
+	c.Flags().StringVar(&options.Dir, "out", options.Dir, "directory for the files of the runs")
 	return c
 }
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy plays the other sides of a limiter, so that one can be tried by hand: two servers, discovery and a
-// counter. Each takes one more second for each "slow" at the front of a job's body; "fail" gets an error.
+// Command toy emulates the peers of a limiter, so that one can be tried by hand: two servers, discovery and the shared
+// counter. A server delays its reply by one second for each "slow" at the start of a job's body; the body "fail" gets
+// an error reply.
 package main
 
 import (
@@ -20,9 +21,9 @@
 )
 
 func main() {
-	servers := flag.String("servers", "127.0.0.1:7101,127.0.0.1:7102", "addresses of the servers")
-	discovery := flag.String("discovery", "127.0.0.1:8500", "address of discovery")
-	counter := flag.String("counter", "127.0.0.1:6400", "address of the counter")
+	servers := flag.String("servers", "127.0.0.1:7101,127.0.0.1:7102", "comma-separated listen addresses of the servers")
+	discovery := flag.String("discovery", "127.0.0.1:8500", "listen address of discovery")
+	counter := flag.String("counter", "127.0.0.1:6400", "listen address of the shared counter")
 	flag.Parse()
 	list := strings.Split(*servers, ",")
 	for i, address := range list {
@@ -54,7 +55,7 @@
 	}()
 }
 
-// serveCommands answers each command with the server's name, the job's id and its body.
+// serveCommands replies to each submitted job with the server's name, the job's id and its body.
 func serveCommands(c net.Conn, name string) {
 	var unread []byte
 	chunk := make([]byte, 4096)
@@ -103,11 +104,12 @@
 	return append(value, "$-1\r\n$-1\r\n"...)
 }
 
-// serveHosts tells the list; nothing ever changes, so a watch ends when its time is over.
+// serveHosts serves the endpoint list. The list never changes, so a poll that names a generation is held until its hold
+// time ends and then gets an empty answer.
 func serveHosts(w http.ResponseWriter, r *http.Request, list []string) {
 	entries := []byte{}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	// its one list has the number 1
+	// The only generation is 1: a client that has any generation is up to date.
 	if holdMS, err := strconv.Atoi(r.URL.Query().Get("hold_ms")); err == nil && from > 0 {
 		select {
 		case <-time.After(time.Duration(holdMS) * time.Millisecond):
@@ -143,7 +145,7 @@
 	}
 }
 
-// reply adds to a count, whose life the toy does not end.
+// reply adds to a total and returns the new one. Totals are never reset.
 func (s *sharedCounter) reply(words []string) string {
 	if len(words) == 1 && words[0] == "ping" {
 		return "pong\r\n"
--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -1,5 +1,5 @@
-// Package knownred plans the run of the tests when KNOWN-RED.txt names tests that are known to be red. It reads and
-// writes nothing itself. The form of a line is told at the top of .ci/run.
+// Package knownred decides how the tests are run when KNOWN-RED.txt lists tests that are known to fail ("red"). It does
+// no I/O. The format of a line is described at the top of .ci/run.
 package knownred
 
 import (
@@ -9,17 +9,18 @@
 	"strings"
 )
 
-// MaxEntries is how many lines the file may have.
+// MaxEntries is the largest number of lines that the file may have.
 const MaxEntries = 3
 
-// Entry is one line of the file.
+// Entry is one line of the file. Line is its whole text, the other fields are its parts.
 type Entry struct {
 	Line, Package, Test, Cause, Issue string
 }
 
 var entryPattern = regexp.MustCompile(`^([^\s:]+) ((?:Test|Fuzz|Example)\S*): (\S(?:.*\S)?) \(issue ([1-9][0-9]*)\)$`)
 
-// Parse reads the file's text. Every line is an entry: there are no comments and no blank lines.
+// Parse parses the text of the file. Every line has to be an entry: comments and blank lines are errors, as are more
+// than MaxEntries lines and two entries that cover the same test. An empty text has no entries.
 func Parse(text string) ([]Entry, error) {
 	if text == "" {
 		return nil, nil
@@ -27,16 +28,16 @@
 	var entries []Entry
 	for i, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		if i == MaxEntries {
-			return nil, fmt.Errorf("line %d: at most %d tests may be known red", i+1, MaxEntries)
+			return nil, fmt.Errorf("line %d: at most %d tests may be listed", i+1, MaxEntries)
 		}
 		match := entryPattern.FindStringSubmatch(line)
 		if match == nil || slices.Contains(strings.Split(match[2], "/"), "") {
-			return nil, fmt.Errorf("line %d: %q is not of the form 'PACKAGE TEST: CAUSE (issue N)'", i+1, line)
+			return nil, fmt.Errorf("line %d: %q does not match the format 'PACKAGE TEST: CAUSE (issue N)'", i+1, line)
 		}
 		e := Entry{Line: line, Package: match[1], Test: match[2], Cause: match[3], Issue: match[4]}
 		for _, earlier := range entries {
 			if earlier.Package == e.Package && (sameOrSubtest(earlier.Test, e.Test) || sameOrSubtest(e.Test, earlier.Test)) {
-				return nil, fmt.Errorf("line %d: %s is named twice", i+1, e.Test)
+				return nil, fmt.Errorf("line %d: %s is covered by an earlier line, or covers one", i+1, e.Test)
 			}
 		}
 		entries = append(entries, e)
@@ -44,7 +45,7 @@
 	return entries, nil
 }
 
-// sameOrSubtest tells whether test is whole or one of its sub-tests.
+// sameOrSubtest reports whether test is parent or one of its sub-tests.
 func sameOrSubtest(test, parent string) bool {
 	return test == parent || strings.HasPrefix(test, parent+"/")
 }
@@ -55,29 +56,30 @@
 	selectionFlag   = regexp.MustCompile(`^--?(test\.)?(run|skip|list|json|C|c|exec)(=|$)`)
 )
 
-// Flags takes the test command out of README's text, 'go test FLAGS ./...', and returns its flags. The command is the
-// one indented line that begins with 'go test'; it needs no shell, tests every package and leaves the choice of tests
-// to this program.
+// Flags finds the test command in README's text, 'go test FLAGS ./...', and returns its flags. The command is the only
+// indented line that begins with 'go test'. It is an error if the command needs a shell, does not test all packages, or
+// has a flag that selects tests or changes the output, since this program adds those flags itself.
 func Flags(readme string) ([]string, error) {
 	matches := testCommandLine.FindAllStringSubmatch(readme, -1)
 	if len(matches) != 1 {
-		return nil, fmt.Errorf("README has %d indented lines that begin with 'go test': one is wanted", len(matches))
+		return nil, fmt.Errorf("README has %d indented lines that begin with 'go test', want exactly one", len(matches))
 	}
 	words := strings.Fields(matches[0][1])
 	last := len(words) - 1
 	if words[last] != "./..." {
-		return nil, fmt.Errorf("./... is wanted at the end of README's test command %q", matches[0][1])
+		return nil, fmt.Errorf("README's test command %q does not end with './...'", matches[0][1])
 	}
 	for _, w := range words {
 		if !plainWord.MatchString(w) || selectionFlag.MatchString(w) {
-			return nil, fmt.Errorf("README's test command %q: %q cannot stand in it", matches[0][1], w)
+			return nil, fmt.Errorf("README's test command %q: argument %q is not allowed", matches[0][1], w)
 		}
 	}
 	return words[2:last], nil
 }
 
-// Check finds an entry of a package that there is not, or of a test that its package has not. tests are the names
-// that 'go test -list' prints, by package; sub-tests show only when they are run.
+// Check returns an error if an entry names a package that does not exist, or a test that its package does not have.
+// tests maps a package to the names that 'go test -list' prints; that list has no sub-tests, so only the top-level test
+// is checked.
 func Check(entries []Entry, packages []string, tests map[string][]string) error {
 	for _, e := range entries {
 		if !slices.Contains(packages, e.Package) {
@@ -91,9 +93,10 @@
 	return nil
 }
 
-// Commands is how all tests but the named ones are run: README's command as it stands where none is named; else the
-// packages that none is named of together, and each other package with its own tests passed over. -skip knows no
-// package, so that one command for all would pass over tests of the same name elsewhere.
+// Commands returns the commands that run all tests except the listed ones. Without entries this is README's command
+// unchanged. Otherwise one command runs all packages without an entry, and each other package has a command of its own
+// that skips the listed tests: -skip applies to every package of a command, so a single command would also skip tests
+// of the same name in other packages.
 func Commands(flags, packages []string, entries []Entry) [][]string {
 	test := append([]string{"go", "test"}, flags...)
 	if len(entries) == 0 {
@@ -118,7 +121,7 @@
 	return commands
 }
 
-// SingleTestCommand is how one named test is run apart; its events come as JSON.
+// SingleTestCommand returns the command that runs only the listed test and prints its events as JSON.
 func SingleTestCommand(flags []string, e Entry) []string {
 	return slices.Concat(
 		[]string{"go", "test"},
@@ -127,7 +130,7 @@
 	)
 }
 
-// ExactPattern is the pattern that -run and -skip take for one test and no other.
+// ExactPattern returns a pattern for -run and -skip that matches one test and no other.
 func ExactPattern(test string) string {
 	parts := strings.Split(test, "/")
 	for i, part := range parts {
@@ -136,12 +139,13 @@
 	return strings.Join(parts, "/")
 }
 
-// Event is one of test2json's lines, as far as it is of use here.
+// Event is one event of test2json's output, with only the fields that Judge needs.
 type Event struct {
 	Action, Test string
 }
 
-// Judge tells from a test's run alone what became of it, and whether its line may stay.
+// Judge returns a verdict on a listed test from the events of a run of that test alone, and whether its line may stay
+// in the file: only if the test still fails.
 func Judge(e Entry, events []Event) (verdict string, keep bool) {
 	started := false
 	for _, ev := range events {
@@ -156,11 +160,11 @@
 		case "pass":
 			return "passes now: take the line out", false
 		case "skip":
-			return "passes itself over, which is not red: take the line out", false
+			return "skips itself, which is not red: take the line out", false
 		}
 	}
-	if started { // the process ended under it
+	if started { // the process ended before the test did
 		return "still red", true
 	}
-	return "did not run: there is no such test, or what holds it does not come to it", false
+	return "did not run: there is no such test, or its parent test does not reach it", false
 }
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -37,7 +37,7 @@
 		validEntry + validEntry, validEntry + "m/a TestRed/sub: c (issue 8)\n", "m/a TestRed/sub: c (issue 8)\n" + validEntry,
 	} {
 		if entries, err := Parse(bad); err == nil {
-			t.Errorf("%q is taken: %v", bad, entries)
+			t.Errorf("%q was accepted: %v", bad, entries)
 		}
 	}
 	if _, err := Parse(validEntry + "m/a TestRedder: c (issue 8)\nm/b TestRed: c (issue 8)\n"); err != nil {
@@ -60,7 +60,7 @@
 		"    go test -skip=TestA ./...\n", "    go test --test.skip TestA ./...\n", "    go testing ./...\n",
 	} {
 		if flags, err := Flags(bad); err == nil {
-			t.Errorf("%q is taken: %q", bad, flags)
+			t.Errorf("%q was accepted: %q", bad, flags)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		{[]Event{{"run", "TestA"}, {"fail", "TestA"}, {"fail", ""}}, "still red", true},
 		{[]Event{{"run", "TestA"}, {"fail", ""}}, "still red", true},
 		{[]Event{{"run", "TestA"}, {"fail", "TestA/x"}, {"pass", "TestA"}}, "passes now", false},
-		{[]Event{{"run", "TestA"}, {"skip", "TestA"}}, "passes itself over", false},
+		{[]Event{{"run", "TestA"}, {"skip", "TestA"}}, "skips itself", false},
 		{[]Event{{"run", "TestAB"}, {"fail", "TestAB"}}, "did not run", false},
 		{nil, "did not run", false},
 	} {
--- a/internal/ci/knownred/main/main.go
+++ b/internal/ci/knownred/main/main.go
@@ -1,5 +1,5 @@
-// The program runs README's test command from the root of the repository, but for the tests that KNOWN-RED.txt names;
-// those it runs apart. .ci/run calls it and tells the form of the file.
+// Command main runs README's test command in the root of the repository, without the tests that KNOWN-RED.txt lists. It
+// then runs each listed test alone and fails if one no longer fails. .ci/run calls it and describes the file's format.
 package main
 
 import (
@@ -50,14 +50,14 @@
 		}
 		tests := map[string][]string{}
 		for _, e := range entries {
-			_, _ = fmt.Fprintln(out, "known red, passed over:", e.Line)
+			_, _ = fmt.Fprintln(out, "known red, skipped:", e.Line)
 			if tests[e.Package] != nil || !slices.Contains(packages, e.Package) {
 				continue
 			}
 			listCommand := append(append([]string{"go", "test"}, flags...), "-list", "^(Test|Fuzz|Example)", e.Package)
 			tests[e.Package], err = outputLines(root, errOut, listCommand...)
 			if err != nil {
-				return fmt.Errorf("KNOWN-RED.txt: the tests of %s cannot be listed: %w", e.Package, err)
+				return fmt.Errorf("KNOWN-RED.txt: failed to list the tests of %s: %w", e.Package, err)
 			}
 		}
 		if err := knownred.Check(entries, packages, tests); err != nil {
@@ -73,7 +73,8 @@
 	}
 	for _, e := range entries {
 		var events bytes.Buffer
-		_ = command(root, &events, errOut, knownred.SingleTestCommand(flags, e)...).Run() // the events tell
+		// The exit status is ignored: the test is expected to fail, and its events hold the result.
+		_ = command(root, &events, errOut, knownred.SingleTestCommand(flags, e)...).Run()
 		verdict, keep := knownred.Judge(e, parseEvents(&events))
 		_, _ = fmt.Fprintf(out, "%s: %s\n", verdict, e.Line)
 		if !keep {
--- a/internal/ci/knownred/main/main_test.go
+++ b/internal/ci/knownred/main/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// scratchModule is a module of its own, in which a.TestRed and one sub-test fail.
+// scratchModule holds the files of a separate module in which a.TestRed and the sub-test a.TestTable/red fail.
 var scratchModule = map[string]string{
 	"go.mod":    "module scratch\n",
 	"README.md": "    go test -v ./...\n",
@@ -26,10 +26,10 @@
 	"c/c.go":      "package c\n",
 }
 
-func TestScratch(t *testing.T) {
+func TestRun(t *testing.T) {
 	const (
-		red = "scratch/a TestRed: red by its nature (issue 1)\n"
-		sub = "scratch/a TestTable/red: red by its nature (issue 2)\n"
+		red = "scratch/a TestRed: always fails (issue 1)\n"
+		sub = "scratch/a TestTable/red: always fails (issue 2)\n"
 	)
 	root := t.TempDir()
 	write := func(name, text string) {
@@ -53,7 +53,7 @@
 		{"no file", "-", "exit status", []string{"--- FAIL: TestRed ", "--- PASS: TestRedLonger"}, []string{"known red"}},
 		{"an empty file", "", "exit status", []string{"--- FAIL: TestRed "}, []string{"known red"}},
 		{"all that are red", red + sub, "",
-			[]string{"known red, passed over: " + red, "known red, passed over: " + sub,
+			[]string{"known red, skipped: " + red, "known red, skipped: " + sub,
 				"still red: " + red, "still red: " + sub,
 				"--- PASS: TestRedLonger", "--- PASS: TestTable/redder", "--- PASS: TestRed ", "ok  \tscratch/b"},
 			[]string{"--- FAIL", "=== RUN   TestTable/red\n"}},
@@ -75,16 +75,16 @@
 			var out strings.Builder
 			err := run(root, &out, &out)
 			if (err != nil) != (c.wantError != "") || err != nil && !strings.Contains(err.Error(), c.wantError) {
-				t.Errorf("%v: wanted %q", err, c.wantError)
+				t.Errorf("got error %v, want %q", err, c.wantError)
 			}
 			for _, s := range c.want {
 				if !strings.Contains(out.String(), s) {
-					t.Errorf("not seen: %q", s)
+					t.Errorf("output lacks %q", s)
 				}
 			}
 			for _, s := range c.unwanted {
 				if strings.Contains(out.String(), s) {
-					t.Errorf("seen: %q", s)
+					t.Errorf("output has unwanted %q", s)
 				}
 			}
 			if t.Failed() {
@@ -93,7 +93,7 @@
 		})
 	}
 	write("README.md", "Tests: see CI.\n")
-	if err := run(root, os.Stderr, os.Stderr); err == nil || !strings.Contains(err.Error(), "one is wanted") {
-		t.Error("a README without a test command is taken:", err)
+	if err := run(root, os.Stderr, os.Stderr); err == nil || !strings.Contains(err.Error(), "want exactly one") {
+		t.Error("a README without a test command was accepted:", err)
 	}
 }
--- a/internal/ci/sites/layout_test.go
+++ b/internal/ci/sites/layout_test.go
@@ -1,4 +1,4 @@
-// Package sites holds the test of deploy/sites/layout.sh.
+// Package sites tests deploy/sites/layout.sh, which derives a site's files from a given site and a list of changes.
 package sites
 
 import (
@@ -109,7 +109,7 @@
 			out := filepath.Join(base, "repo/deploy/sites/out/v")
 			if c.wantError != "" {
 				if _, statErr := os.Stat(out); err == nil || !strings.Contains(string(output), c.wantError) || statErr == nil {
-					t.Errorf("%v: %s (folder left: %v); wanted %q", err, output, statErr == nil, c.wantError)
+					t.Errorf("%v: %s (output directory left behind: %v); want %q", err, output, statErr == nil, c.wantError)
 				}
 				return
 			}
--- a/internal/lab/clockstep/clockstep.go
+++ b/internal/lab/clockstep/clockstep.go
@@ -1,6 +1,6 @@
-// Package clockstep steps the wall clock of one process, a real limiter under the lab's soak: a small library of the lab's
-// own (clockstep.c.txt), compiled when it is first needed and loaded into the process, adds what the lab says to its wall
-// clock. Monotonic clocks go on evenly, as they do when a machine's time is set.
+// Package clockstep changes the wall clock of one process, a real limiter in the lab's soak. A small shared library
+// (clockstep.c.txt), compiled when it is first needed and preloaded into the process, adds an offset to the process's
+// wall clock. Monotonic clocks are unaffected, as when a machine's time is set.
 package clockstep
 
 import (
@@ -16,27 +16,27 @@
 //go:embed clockstep.c.txt
 var librarySource []byte
 
-// stepFileSize is the size of the file that a process maps.
+// stepFileSize is the size in bytes of the file that a process maps, one page.
 const stepFileSize = 4096
 
-// BuildError is a library that could not be compiled.
+// BuildError reports that the library could not be compiled. Output is what the compiler printed.
 type BuildError struct {
 	Output string
 	Cause  error
 }
 
-// Error says what happened.
+// Error implements the error interface.
 func (e *BuildError) Error() string {
 	return fmt.Sprintf("clock step library: %v: %s", e.Cause, e.Output)
 }
 
-// Unwrap is what the compiler's end says.
+// Unwrap returns the error with which the compiler ended.
 func (e *BuildError) Unwrap() error { return e.Cause }
 
-// Hint says what to do about it.
-func (e *BuildError) Hint() string { return "install a C compiler (gcc), or play without clock steps" }
+// Hint tells the operator how to resolve the error.
+func (e *BuildError) Hint() string { return "install a C compiler (gcc), or run without clock steps" }
 
-// Build compiles the library into a directory and gives its path. Errors: *BuildError.
+// Build compiles the library in dir and returns its path. If the compiler fails, the error is a *BuildError.
 func Build(dir string) (string, error) {
 	sourcePath := filepath.Join(dir, "clockstep.c")
 	library := filepath.Join(dir, "clockstep.so")
@@ -50,10 +50,11 @@
 	return library, nil
 }
 
-// Clock is the wall clock of the processes that are started with its environment.
+// Clock controls the wall clock of the processes that are started with its Environment.
 type Clock struct{ library, path string }
 
-// New makes a clock that has not stepped, with its file in a directory.
+// New returns a clock whose offset is zero. library is the path that Build returned; New creates the file at path,
+// which holds the offset and is mapped by the processes.
 func New(library, path string) (*Clock, error) {
 	c := &Clock{library: library, path: path}
 	if err := os.WriteFile(path, make([]byte, stepFileSize), 0o600); err != nil {
@@ -62,12 +63,12 @@
 	return c, nil
 }
 
-// Environment is what a process has to be started with.
+// Environment returns the environment variables that a process needs to use the clock.
 func (c *Clock) Environment() []string {
 	return []string{"LD_PRELOAD=" + c.library, "CLOCK_STEP_FILE=" + c.path}
 }
 
-// Step sets how far the wall clock is from the machine's.
+// Step sets the offset between the wall clock of the processes and the machine's. It replaces any earlier offset.
 func (c *Clock) Step(offset time.Duration) error {
 	file, err := os.OpenFile(c.path, os.O_WRONLY, 0)
 	if err != nil {
--- a/internal/lab/clockstep/clockstep_test.go
+++ b/internal/lab/clockstep/clockstep_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStep: the wall clock of a process steps by an hour, its monotonic clock does not.
+// TestStep checks that a step changes the wall clock of a process and leaves its monotonic clock alone.
 func TestStep(t *testing.T) {
 	dir := t.TempDir()
 	library, err := Build(dir)
--- a/internal/lab/faultproxy/conn.go
+++ b/internal/lab/faultproxy/conn.go
@@ -11,39 +11,39 @@
 
 const (
 	chunkSize      = 16 << 10
-	maxQueuedBytes = 256 << 10 // bytes that wait in one direction; past that the sender's kernel holds them
+	maxQueuedBytes = 256 << 10 // bytes queued in one direction; beyond that, data waits in the sender's kernel
 )
 
-// chunk is what came at once, or how a direction ended.
+// chunk is the data of one read, or the end of a direction.
 type chunk struct {
 	data     []byte
 	received time.Time
-	endErr   error // io.EOF for an orderly end
+	endErr   error // nil for data; io.EOF if the source closed its side without a reset
 }
 
-// pipe is one direction of a connection.
+// pipe is one direction of a connection. Its queue is guarded by the connection's mutex.
 type pipe struct {
 	src, dst    net.Conn
-	toFar       bool // towards the far side
+	toFar       bool // from the near to the far side
 	queue       []chunk
 	queuedBytes int
 }
 
-// conn is one connection over a link.
+// conn is one proxied connection.
 type conn struct {
 	proxy      *Proxy
 	near       net.Conn
 	rng        *rand.Rand
-	draws      []float64 // for each fault of the script
-	resetToFar bool      // the direction in which a reset cuts
+	draws      []float64 // one per fault of the script, compared with its Share
+	resetToFar bool      // a Reset fault cuts a message to the far side; false for one to the near side
 
 	mu              sync.Mutex
 	changed         sync.Cond
 	current         condition
 	far             net.Conn
 	closed          bool
-	halfClosed      bool // a side has ended and the other was not told
-	endedDirections int  // directions that ended in order
+	halfClosed      bool // a side has closed and the close was withheld from the other
+	endedDirections int  // directions that ended with io.EOF
 }
 
 func newConn(p *Proxy, near net.Conn, rng *rand.Rand) *conn {
@@ -56,13 +56,14 @@
 	return c
 }
 
-// affected tells whether a fault of the script hits this connection.
+// affected reports whether fault i of the script applies to this connection.
 func (c *conn) affected(i int) bool {
 	share := c.proxy.script[i].Share
 	return share == 0 || c.draws[i] < share
 }
 
-// setCondition is the one function that changes a connection's condition, and what follows from one that is over.
+// setCondition applies a new condition; nothing else changes it. It resets the connection if a cut has ended, or if a
+// half-open fault has ended after a close was withheld.
 func (c *conn) setCondition(next condition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +75,7 @@
 	c.changed.Broadcast()
 }
 
-// closeBoth ends both sides, with a reset or in order.
+// closeBoth closes both sides, with a TCP reset or a regular close. The caller holds c.mu.
 func (c *conn) closeBoth(reset bool) {
 	if c.closed {
 		return
@@ -98,7 +99,7 @@
 	c.closeBoth(true)
 }
 
-// run brings the far side up, once nothing holds it, and carries bytes until the connection is over.
+// run connects to the far side once no fault pauses the connection, and forwards data until the connection is closed.
 func (c *conn) run(address string) {
 	defer c.proxy.remove(c)
 	c.mu.Lock()
@@ -127,7 +128,7 @@
 	pumps.Wait()
 }
 
-// readLoop takes what the source sends, and how it ends.
+// readLoop queues the data that the source sends, and its end.
 func (c *conn) readLoop(p *pipe) {
 	for {
 		buf := make([]byte, chunkSize)
@@ -152,12 +153,12 @@
 	}
 }
 
-// paused tells whether bytes of a direction wait.
+// paused reports whether data of a direction is held back. The caller holds c.mu.
 func (c *conn) paused(p *pipe) bool {
 	return p.toFar && c.current.pauseToFar || !p.toFar && c.current.pauseFromFar
 }
 
-// writeLoop passes on what may pass, when it may.
+// writeLoop forwards queued data to the destination as the condition allows.
 func (c *conn) writeLoop(p *pipe) {
 	for {
 		c.mu.Lock()
@@ -196,7 +197,7 @@
 		case cut:
 			c.closeBoth(true)
 		case err != nil && c.current.halfOpen:
-			c.halfClosed = true // its own end is not told either
+			c.halfClosed = true // the failure is withheld from the source too
 		case err != nil:
 			c.closeBoth(true)
 		}
@@ -204,8 +205,8 @@
 	}
 }
 
-// handleEnd takes the end of a direction, which the other side is told unless the connection is half open; it says whether
-// the direction is over.
+// handleEnd handles the end of a direction: it forwards a close or a reset to the other side, or withholds it while the
+// connection is half open. It reports whether the direction is finished. The caller holds c.mu.
 func (c *conn) handleEnd(p *pipe, err error) bool {
 	switch {
 	case c.current.halfOpen:
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -1,11 +1,11 @@
-// Package faultproxy is the lab's stand-in for the network: a loopback TCP forwarder for each pair of parties, with a
-// port of its own, so that each pair can be cut, held, slowed or reset alone. What a link does at a time is decided by
-// conditionOf, which does no I/O; Step applies it to the listener and to every connection.
+// Package faultproxy emulates network faults for the lab. Each pair of parties is connected by a loopback TCP proxy (a
+// link) with a port of its own, so that each pair can be cut, stalled, slowed or reset separately. conditionOf decides
+// what a link does at a given time and does no I/O; Step applies it to the listener and to every connection.
 package faultproxy
 
 import "fmt"
 
-// The kinds of faults.
+// The kinds of faults; Kinds describes them.
 const (
 	Cut      = "cut"
 	CutTo    = "cut_to"
@@ -16,71 +16,73 @@
 	HalfOpen = "half_open"
 )
 
-// Kinds says what each kind does. Near is the side that dials, far the one that listens.
+// Kinds describes the effect of each kind. The near side is the one that dials, the far side the one that listens; the
+// end is that of the fault.
 var Kinds = map[string]string{
-	Cut: "nothing passes: open connections stay open and silent, new ones never come up; when it heals the open " +
-		"ones are reset, as by a machine that is back",
-	CutTo:    "bytes towards the far side are held until it heals, the other way they pass; new connections never come up",
-	CutFrom:  "bytes from the far side are held until it heals, the other way they pass; new connections never come up",
-	Stall:    "bytes and ends wait, both ways, and come when it is over; new connections come up and wait too",
-	Slow:     "bytes and ends take Delay longer, each way",
-	Reset:    "a connection is reset on both sides in the middle of its next message, in a direction that the seed draws",
-	HalfOpen: "when one side ends, the other is never told; it is reset when this is over",
+	Cut: "no data passes: open connections stay open and silent, new ones are never established; at the end, the open " +
+		"ones are reset, as by a machine that has restarted",
+	CutTo:    "data to the far side is held back until the end, data from it passes; no new connection is established",
+	CutFrom:  "data from the far side is held back until the end, data to it passes; no new connection is established",
+	Stall:    "data and closes are held back in both directions until the end; new connections open and stall too",
+	Slow:     "data and closes are delayed by Delay in each direction",
+	Reset:    "a connection is reset on both sides in the middle of its next message, in a direction chosen by the seed",
+	HalfOpen: "when one side closes, the other is not notified; it is reset at the end",
 }
 
-// Fault is one entry of a link's script: from From until Until (nanoseconds on the caller's clock; Until 0 is for
-// good). Share is the share of connections that it hits, drawn by the seed for each; 0 for all.
+// Fault is one entry of a link's script. It is active from From until Until, in nanoseconds on the caller's clock; an
+// Until of 0 means that it never ends. Share is the fraction of connections that it affects, chosen by the seed; 0
+// means all connections.
 type Fault struct {
 	Kind        string
 	From, Until int64
 	Share       float64
-	Delay       int64 // nanoseconds, for Slow
+	Delay       int64 // nanoseconds; set for Slow alone
 }
 
-// FaultError is an entry that cannot work; Key is the one at fault.
+// FaultError reports an invalid entry. Key is the invalid field.
 type FaultError struct {
 	Key string // kind, from, until, share or delay
 	Why string
 }
 
-// Error says what happened.
+// Error implements the error interface.
 func (e *FaultError) Error() string { return "link fault: " + e.Key + ": " + e.Why }
 
-// Hint says what to do about it.
+// Hint tells the operator how to resolve the error.
 func (e *FaultError) Hint() string {
-	return "correct " + e.Key + "; docs/lab.md lists the kinds of a link"
+	return "correct " + e.Key + "; docs/lab.md lists the kinds of link faults"
 }
 
-// Check refuses an entry that cannot work, with a *BadFault.
+// Check returns a *FaultError if the entry is invalid.
 func (f Fault) Check() error {
 	switch {
 	case Kinds[f.Kind] == "":
-		return &FaultError{"kind", fmt.Sprintf("%q is not one of a link's", f.Kind)}
+		return &FaultError{"kind", fmt.Sprintf("%q is not a kind of link fault", f.Kind)}
 	case f.From < 0:
 		return &FaultError{"from", fmt.Sprintf("%v s", float64(f.From)/1e9)}
 	case f.Until != 0 && f.Until <= f.From:
 		return &FaultError{"until", fmt.Sprintf("%v s, from %v s", float64(f.Until)/1e9, float64(f.From)/1e9)}
 	case f.Share < 0 || f.Share > 1:
-		return &FaultError{"share", fmt.Sprintf("%v is not within 0 to 1", f.Share)}
+		return &FaultError{"share", fmt.Sprintf("%v is not between 0 and 1", f.Share)}
 	case (f.Kind == Slow) != (f.Delay > 0):
 		return &FaultError{"delay", fmt.Sprintf("%v ms with %s", float64(f.Delay)/1e6, f.Kind)}
 	}
 	return nil
 }
 
-// Holds tells whether the fault holds at now.
+// Holds reports whether the fault is active at now.
 func (f Fault) Holds(now int64) bool { return now >= f.From && (f.Until == 0 || now < f.Until) }
 
-// condition is what a link does to one connection, or to new ones.
+// condition is the combined effect of the active faults on one connection, or on new ones.
 type condition struct {
-	cut                      bool // both ways; its end resets
-	pauseToFar, pauseFromFar bool // bytes wait
-	delay                    int64
+	cut                      bool  // both directions; its end resets the connection
+	pauseToFar, pauseFromFar bool  // data in that direction is held back
+	delay                    int64 // nanoseconds
 	reset, halfOpen          bool
-	dropNew                  bool // new connections never come up
+	dropNew                  bool // packets to the listener are dropped, so that new connections are never established
 }
 
-// conditionOf is what holds at now, where hit says which faults of the script hit.
+// conditionOf combines the faults of a script that are active at now and for which affected returns true.
 func conditionOf(script []Fault, now int64, affected func(i int) bool) condition {
 	var c condition
 	for i, f := range script {
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -12,26 +12,26 @@
 	"ospreycroft/internal/lab/ports"
 )
 
-// ListenError is a link that could not listen, or could not be made deaf.
+// ListenError reports that a link failed to listen, or to start or stop dropping new connections.
 type ListenError struct {
 	Near, Far string // the parties
 	Cause     error
 }
 
-// Error says what happened.
+// Error implements the error interface.
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("the link from %s to %s: %v", e.Near, e.Far, e.Cause)
+	return fmt.Sprintf("link from %s to %s: %v", e.Near, e.Far, e.Cause)
 }
 
-// Hint says what to do about it.
+// Hint tells the operator how to resolve the error.
 func (e *ListenError) Hint() string {
-	return "let the lab open more files (ulimit -n); a link needs plain TCP on Linux, which lets a socket filter drop what comes"
+	return "raise the lab's limit of open files (ulimit -n); a link needs Linux, plain TCP and socket filters"
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// Proxy is the network from one party to another.
+// Proxy forwards the connections from one party to another, subject to a script of faults.
 type Proxy struct {
 	near, far string
 	address   string // where the far side listens
@@ -41,14 +41,15 @@
 
 	mu       sync.Mutex
 	now      int64
-	listener net.Listener // nil while it refuses
+	listener net.Listener // nil while connections are refused
 	dropNew  bool
 	closed   bool
 	conns    map[*conn]struct{}
-	accepted uint64 // connections so far
+	accepted uint64 // connections so far; each seeds its own random numbers
 }
 
-// New makes a link to the far side's address and listens for the near side.
+// New returns a proxy that listens for the near side and forwards to the far side's address. Its errors are
+// *ListenError.
 func New(near, far, address string, script []Fault, seed uint64) (*Proxy, error) {
 	port, err := ports.Keep()
 	if err != nil {
@@ -70,18 +71,18 @@
 	return l, nil
 }
 
-// Address is where the near side calls.
+// Address is the HOST:PORT to which the near side connects.
 func (p *Proxy) Address() string { return p.port.Address() }
 
-// SetRefusing makes it refuse new connections, as the far side's machine does while nobody listens there, or take them
-// again.
+// SetRefusing makes the link refuse new connections, as the far side's machine does while no process listens there, or
+// accept them again.
 func (p *Proxy) SetRefusing(on bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.setListener(!on && !p.closed, p.dropNew)
 }
 
-// Step applies what the script says for now.
+// Step applies the faults that are active at now, in nanoseconds on the caller's clock.
 func (p *Proxy) Step(now int64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,8 +95,8 @@
 	return err
 }
 
-// setListener is the one function that changes what the link does with new connections: whether it listens, and whether what
-// comes to the listener is dropped, so that a connection neither comes up nor is refused.
+// setListener is the only function that changes how new connections are handled: whether the link listens, and whether
+// packets to the listener are dropped, so that a connection is neither established nor refused. The caller holds p.mu.
 func (p *Proxy) setListener(listen, dropNew bool) (err error) {
 	if listen != (p.listener != nil) {
 		if !listen {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// setDropFilter has the kernel drop all that comes to a listener, or no longer.
+// setDropFilter makes the kernel drop all packets to a listener, or stop dropping them.
 func setDropFilter(l net.Listener, drop bool) error {
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -136,7 +137,7 @@
 	return err
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (p *Proxy) accept(listener net.Listener) {
 	for {
 		near, err := listener.Accept()
@@ -157,14 +158,14 @@
 	}
 }
 
-// remove drops a connection that is over.
+// remove removes a closed connection from the link's set.
 func (p *Proxy) remove(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// Close ends the link and resets its connections.
+// Close stops listening, resets all connections and releases the port.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -176,23 +177,23 @@
 	p.port.Close()
 }
 
-// Network is a set of links by the names of their parties. Its methods may be called from any goroutine.
+// Network is a set of links, keyed by the names of their parties. Its methods are safe for concurrent use.
 type Network struct {
 	seed  uint64
 	mu    sync.Mutex
 	links map[[2]string]*Proxy
 }
 
-// NewNetwork makes a network without links; all chance in it comes from seed.
+// NewNetwork returns a network without links. All of its random choices derive from seed.
 func NewNetwork(seed uint64) *Network { return &Network{seed: seed, links: map[[2]string]*Proxy{}} }
 
-// Join puts a link between two parties; an empty script puts none.
+// Join creates a link between two parties. With an empty script it creates none.
 func (n *Network) Join(near, far, address string, script []Fault) error {
 	if len(script) == 0 {
 		return nil
 	}
 	seed := n.seed
-	for _, b := range []byte(near + "-" + far) { // FNV-1a over the names, so that links do not share their draws
+	for _, b := range []byte(near + "-" + far) { // FNV-1a over the names: each link has its own random sequence
 		seed = (seed ^ uint64(b)) * 0x100000001b3
 	}
 	l, err := New(near, far, address, script, seed)
@@ -205,7 +206,7 @@
 	return nil
 }
 
-// Address is where near reaches far: the link's address, or direct where there is no link.
+// Address returns the address at which near reaches far: the link's address, or direct if there is no link.
 func (n *Network) Address(near, far, direct string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -215,7 +216,7 @@
 	return direct
 }
 
-// each calls do for every link and gives the first error.
+// each calls do for every link and returns the first error.
 func (n *Network) each(do func(*Proxy) error) (err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -227,10 +228,10 @@
 	return err
 }
 
-// Step applies what all scripts say for now.
+// Step calls Proxy.Step on every link and returns the first error.
 func (n *Network) Step(now int64) error { return n.each(func(l *Proxy) error { return l.Step(now) }) }
 
-// SetRefusing makes all links to a party refuse, or take connections again.
+// SetRefusing calls Proxy.SetRefusing on every link to a party.
 func (n *Network) SetRefusing(far string, on bool) error {
 	return n.each(func(l *Proxy) error {
 		if l.far != far {
@@ -240,8 +241,8 @@
 	})
 }
 
-// Close ends all links.
+// Close closes all links.
 func (n *Network) Close() { _ = n.each(func(l *Proxy) error { l.Close(); return nil }) }
 
-// dialTimeout is how long the far side may take to accept; on loopback it is there or refuses at once.
+// dialTimeout bounds the dial to the far side, which on loopback succeeds or is refused at once.
 const dialTimeout = 2 * time.Second
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	quietWait   = 80 * time.Millisecond // what does not come within it is taken not to come
+	quietWait   = 80 * time.Millisecond // nothing received within this time counts as silence
 	waitTimeout = 5 * time.Second
 )
 
-// linkTest is a link with the near end of one connection over it and the far end.
+// linkTest is a link and both ends of one connection over it. accepted receives each connection at the far side.
 type linkTest struct {
 	t         *testing.T
 	link      *Proxy
@@ -26,7 +26,7 @@
 	near, far net.Conn
 }
 
-// newLinkTest makes a link with a script whose faults hold from 1 to 2, and one connection that is up.
+// newLinkTest creates a link whose faults are active from time 1 to 2, with one established connection.
 func newLinkTest(t *testing.T, script ...Fault) *linkTest {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 	select {
 	case far = <-e.accepted:
 	case <-time.After(waitTimeout):
-		e.t.Fatal("no connection at the far side")
+		e.t.Fatal("no connection arrived at the far side")
 	}
 	return near, far
 }
@@ -71,7 +71,7 @@
 	require.NoError(e.t, e.link.Step(now))
 }
 
-// requireDelivered sends a word one way, which must come.
+// requireDelivered sends a word in one direction and requires that it arrives.
 func (e *linkTest) requireDelivered(from, to net.Conn) {
 	e.t.Helper()
 	_, _ = from.Write([]byte("word"))
@@ -87,7 +87,7 @@
 	require.Equal(e.t, "word", string(buf))
 }
 
-// requireSilent: nothing comes, not even an end.
+// requireSilent requires that neither data nor a close arrives within quietWait.
 func (e *linkTest) requireSilent(c net.Conn) {
 	e.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(quietWait))
@@ -95,20 +95,21 @@
 	require.ErrorIs(e.t, err, os.ErrDeadlineExceeded, "%d bytes", n)
 }
 
-// requireEnded reads until the end, before which so many bytes come at most; those of an end without a reset come all.
+// requireEnded reads until the connection ends. If reset is true, it requires a reset after at most maxBytes bytes,
+// else a close after exactly maxBytes.
 func (e *linkTest) requireEnded(c net.Conn, maxBytes int, reset bool) {
 	e.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	got, err := io.ReadAll(c)
-	require.False(e.t, errors.Is(err, os.ErrDeadlineExceeded), "it did not end")
-	require.Equal(e.t, reset, errors.Is(err, syscall.ECONNRESET), "a reset: %v", err)
-	require.True(e.t, len(got) == maxBytes || reset && len(got) < maxBytes, "%d bytes", len(got))
+	require.False(e.t, errors.Is(err, os.ErrDeadlineExceeded), "the connection did not end")
+	require.Equal(e.t, reset, errors.Is(err, syscall.ECONNRESET), "ended by a reset: %v", err)
+	require.True(e.t, len(got) == maxBytes || reset && len(got) < maxBytes, "%d bytes received", len(got))
 }
 
 func (e *linkTest) requireNoConnection() {
 	e.t.Helper()
 	_, err := net.DialTimeout("tcp", e.link.Address(), quietWait)
-	require.Error(e.t, err, "a new connection came up")
+	require.Error(e.t, err, "a new connection was established")
 	require.NotErrorIs(e.t, err, syscall.ECONNREFUSED)
 }
 
@@ -161,10 +162,11 @@
 	e.requireDelivered(e.near, e.far)
 	e.requireDelivered(e.far, e.near)
 	took := time.Since(began)
-	require.True(t, took >= 80*time.Millisecond, "there and back took %v", took)
+	require.True(t, took >= 80*time.Millisecond, "the round trip took %v", took)
 }
 
-// Of eight connections each is reset within its first message, some on the way there and some on the way back.
+// Each of eight connections has to be reset within its first message, and the seed has to choose both directions at
+// least once.
 func TestResetInTheMiddleOfAMessage(t *testing.T) {
 	e := newLinkTest(t, Fault{Kind: Reset})
 	toFar, toNear := 0, 0
@@ -175,16 +177,16 @@
 		_, _ = near.Write([]byte("ask"))
 		buf := make([]byte, 3)
 		_ = far.SetReadDeadline(time.Now().Add(waitTimeout))
-		if n, err := io.ReadFull(far, buf); err != nil { // a reset may overtake what came before it
+		if n, err := io.ReadFull(far, buf); err != nil { // a reset can discard data received before it
 			toFar++
-			assert.True(t, n < 3, "a whole message came before the reset: %v", err)
+			assert.True(t, n < 3, "a complete message arrived before the reset: %v", err)
 		} else {
 			toNear++
 			_, _ = far.Write([]byte("answer"))
 		}
 		e.requireEnded(near, 5, true)
 	}
-	assert.True(t, toFar != 0 && toNear != 0, "%d resets there, %d back", toFar, toNear)
+	assert.True(t, toFar != 0 && toNear != 0, "%d resets towards the far side, %d towards the near side", toFar, toNear)
 }
 
 func TestHalfOpenHidesCloseFromPeer(t *testing.T) {
@@ -197,16 +199,16 @@
 		e.step(1)
 		_ = first.Close()
 		e.requireSilent(other)
-		for range 2 { // nobody is there, and it is not told of that either
+		for range 2 { // the failed write to the closed side is withheld too
 			_, _ = other.Write([]byte("word"))
 			e.requireSilent(other)
 		}
 		e.step(2)
-		e.requireEnded(other, 0, true) // when the machine was back
+		e.requireEnded(other, 0, true) // reset when the fault ends
 	}
 }
 
-// A share of connections is hit, the same ones for one seed.
+// A fault with a Share has to affect some connections and not others, and the same ones whenever the seed is the same.
 func TestShareOfConnections(t *testing.T) {
 	var stalled [2][]bool
 	for run := range stalled {
@@ -221,14 +223,14 @@
 			e.step(0)
 		}
 	}
-	require.Equal(t, stalled[0], stalled[1], "one seed, two outcomes")
+	require.Equal(t, stalled[0], stalled[1], "the same seed affected different connections")
 	stalledCount := 0
 	for _, wasStalled := range stalled[0] {
 		if wasStalled {
 			stalledCount++
 		}
 	}
-	require.True(t, stalledCount >= 2 && stalledCount <= 10, "%d of 12 hit", stalledCount)
+	require.True(t, stalledCount >= 2 && stalledCount <= 10, "%d of 12 connections affected", stalledCount)
 }
 
 func TestRefusedWhileNobodyListens(t *testing.T) {
@@ -236,11 +238,11 @@
 	defer n.Close()
 	require.NoError(t, n.Join("a", "b", "127.0.0.1:9", []Fault{{Kind: Cut, From: 1, Until: 2}}))
 	got := n.Address("b", "a", "direct")
-	assert.True(t, got == "direct", "no link, but %s", got)
+	assert.True(t, got == "direct", "there is no link, but the address is %s", got)
 	for _, refuses := range []bool{true, false, true} {
 		require.NoError(t, n.SetRefusing("b", refuses))
 		c, err := net.DialTimeout("tcp", n.Address("a", "b", ""), waitTimeout)
-		require.True(t, errors.Is(err, syscall.ECONNREFUSED) == refuses, "refuses %v, but %v", refuses, err)
+		require.True(t, errors.Is(err, syscall.ECONNREFUSED) == refuses, "refuses is %v, but dial returned %v", refuses, err)
 		if err == nil {
 			_ = c.Close()
 		}
@@ -248,8 +250,8 @@
 }
 
 func TestBadFaultsNameTheirKey(t *testing.T) {
-	for key, f := range map[string]Fault{"kind": {Kind: "melt"}, "from": {Kind: Cut, From: -1}, "until": {Kind: Cut, From: 2, Until: 2},
-		"share": {Kind: Cut, Share: 2}, "delay": {Kind: Slow}} {
+	for key, f := range map[string]Fault{"kind": {Kind: "melt"}, "from": {Kind: Cut, From: -1},
+		"until": {Kind: Cut, From: 2, Until: 2}, "share": {Kind: Cut, Share: 2}, "delay": {Kind: Slow}} {
 		var bad *FaultError
 		err := f.Check()
 		assert.True(t, errors.As(err, &bad) && bad.Key == key && bad.Hint() != "", "%s: %v", key, err)
--- a/internal/lab/ports/ports.go
+++ b/internal/lab/ports/ports.go
@@ -1,7 +1,8 @@
-// Package ports keeps loopback ports for the parts of a lab run. A port that is asked of the kernel, closed and handed
-// to a process can be taken by another process before the first one listens; with hundreds of limiters that was seen.
-// So a port is kept by a socket that is bound to it and never listens: the kernel gives it to nobody who asks for any
-// port, yet whoever names it can listen, again and again, since neither socket minds sharing it (SO_REUSEADDR).
+// Package ports reserves loopback ports for the parts of a lab run. A port that was obtained from the kernel, closed
+// and handed to a process can be taken by another process before the first one listens; this happened with hundreds of
+// limiters. A reserved port is therefore bound by a socket that never listens. The kernel does not give it to a process
+// that asks for any free port, but a process that names it can listen on it, repeatedly, because both sockets set
+// SO_REUSEADDR.
 package ports
 
 import (
@@ -14,33 +15,33 @@
 	"time"
 )
 
-// Kept is one loopback port, held until Close.
+// Kept is a reserved loopback port. It stays reserved until Close.
 type Kept struct {
 	address   string
 	fd        int
 	closeOnce sync.Once
 }
 
-// KeepError is a port that could not be had.
+// KeepError reports that no port could be reserved.
 type KeepError struct {
 	Step  string // the system call that failed
 	Cause error
 }
 
-// Error says what happened.
+// Error implements the error interface.
 func (e *KeepError) Error() string {
-	return fmt.Sprintf("no loopback port could be kept: %s: %v", e.Step, e.Cause)
+	return fmt.Sprintf("failed to reserve a loopback port: %s: %v", e.Step, e.Cause)
 }
 
-// Hint says what to do about it.
+// Hint tells the operator how to resolve the error.
 func (e *KeepError) Hint() string {
-	return "let the lab open more files (ulimit -n), or free ports of net.ipv4.ip_local_port_range"
+	return "raise the lab's limit of open files (ulimit -n), or free ports in net.ipv4.ip_local_port_range"
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *KeepError) Unwrap() error { return e.Cause }
 
-// Keep holds a free port of 127.0.0.1; the error is a *KeepError.
+// Keep reserves a free port of 127.0.0.1. Its errors are *KeepError.
 func Keep() (*Kept, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -65,26 +66,26 @@
 	return &Kept{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", inet.Port)}, nil
 }
 
-// Address is HOST:PORT.
+// Address returns the reserved address as HOST:PORT.
 func (k *Kept) Address() string { return k.address }
 
-// Listen listens on the port, with plain TCP: multipath TCP, Go's own choice for listeners, takes no socket filter, by
-// which a link is cut.
+// Listen listens on the port with plain TCP. Go's default for listeners, multipath TCP, does not support the socket
+// filter by which package faultproxy drops connections.
 func (k *Kept) Listen() (net.Listener, error) {
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
 	return config.Listen(context.Background(), "tcp", k.address)
 }
 
-// Close gives the port up.
+// Close releases the port.
 func (k *Kept) Close() { k.closeOnce.Do(func() { _ = syscall.Close(k.fd) }) }
 
 const (
-	pingDialTimeout  = 200 * time.Millisecond // a limiter whose connection takes longer is not ready
-	pingReplyTimeout = time.Second            // nor is one that takes longer to answer
+	pingDialTimeout  = 200 * time.Millisecond // a limiter that takes longer to accept a connection is not ready
+	pingReplyTimeout = time.Second            // a limiter that takes longer to answer is not ready
 )
 
-// Pong tells whether the limiter at an address answers PING with +PONG, which says that it is ready.
+// Pong reports whether the limiter at an address is ready, which it shows by answering PING with +PONG.
 func Pong(address string) bool {
 	c, err := net.DialTimeout("tcp", address, pingDialTimeout)
 	if err != nil {
--- a/internal/lab/ports/ports_test.go
+++ b/internal/lab/ports/ports_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A kept port is handed to nobody who asks for any port, refuses while nobody listens, and can be listened on twice.
+// A reserved port must not be handed to anyone who asks for any free port, has to refuse connections while no process
+// listens, and has to allow listening more than once.
 func TestReservedPortIsNotHandedOut(t *testing.T) {
 	k, err := Keep()
 	require.NoError(t, err)
@@ -17,15 +18,15 @@
 		other, err := Keep()
 		require.NoError(t, err)
 		defer other.Close()
-		require.False(t, seen[other.Address()], "%s was kept twice", other.Address())
+		require.False(t, seen[other.Address()], "%s was reserved twice", other.Address())
 		seen[other.Address()] = true
 	}
 	for range 2 {
 		if c, err := net.Dial("tcp", k.Address()); err == nil {
 			_ = c.Close()
-			t.Fatal("a port on which nobody listens took a connection")
+			t.Fatal("a port without a listener accepted a connection")
 		}
-		l, err := net.Listen("tcp", k.Address()) // as the limiter does
+		l, err := net.Listen("tcp", k.Address()) // the limiter listens in the same way
 		require.NoError(t, err)
 		c, err := net.Dial("tcp", k.Address())
 		require.NoError(t, err)
--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -1,4 +1,4 @@
-// Package procfs reads from the kernel what processes and the machine use, for the lab's measurements.
+// Package procfs reads the resource use of processes and of the machine from /proc, for the lab's measurements.
 package procfs
 
 import (
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// Error is a figure that the kernel did not give for a process.
+// Error reports that a value of a process could not be read.
 type Error struct {
 	PID   int
 	Cause error
 }
 
-// Error says what happened.
+// Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("process %d: %v", e.PID, e.Cause) }
 
-// Unwrap is what the kernel said.
+// Unwrap returns Cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Hint says what to do about it.
+// Hint tells the operator how to resolve the error.
 func (e *Error) Hint() string {
-	return "see in the run's folder why the process has ended; /proc is needed"
+	return "check the logs in the run's directory for why the process has ended; the lab needs /proc"
 }
 
-// ProcessorTime is the time that all threads of a process have run for. Threads that have ended are not counted: the
-// Go runtime keeps its threads. Errors: *Error.
+// ProcessorTime returns the processor time used by all threads of a process. Threads that have exited are not counted:
+// the Go runtime keeps its threads. Its errors are *Error.
 func ProcessorTime(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err == nil && len(files) == 0 {
@@ -42,7 +42,7 @@
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		runTime, _, _ := strings.Cut(string(text), " ")
 		nanoseconds, err := strconv.ParseInt(runTime, 10, 64)
@@ -54,7 +54,7 @@
 	return sum, nil
 }
 
-// PeakResident is the most memory that a process has held since its exec, bytes. Errors: *Error.
+// PeakResident returns the largest resident memory of a process since its exec, in bytes. Its errors are *Error.
 func PeakResident(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -71,10 +71,10 @@
 		}
 		return kilobytes << 10, nil
 	}
-	return 0, &Error{pid, os.ErrNotExist} // it has ended, and is not waited for yet
+	return 0, &Error{pid, os.ErrNotExist} // a zombie process has no VmHWM line
 }
 
-// Resident is the memory that a process holds, bytes. Errors: *Error.
+// Resident returns the resident memory of a process, in bytes. Its errors are *Error.
 func Resident(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 	fields := bytes.Fields(text)
 	if len(fields) < 2 {
-		return 0, &Error{pid, fmt.Errorf("statm holds %q", text)}
+		return 0, &Error{pid, fmt.Errorf("unexpected content of statm: %q", text)}
 	}
 	pages, err := strconv.ParseInt(string(fields[1]), 10, 64)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return float64(pages) * float64(os.Getpagesize()), nil
 }
 
-// SystemCallBytes are the bytes that a process has read and written by system calls, those of its connections among
-// them, without the heads of TCP and IP. Errors: *Error.
+// SystemCallBytes returns the number of bytes that a process has read and written by system calls. This includes its
+// network connections, without TCP and IP headers. Its errors are *Error.
 func SystemCallBytes(pid int) (sum int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -112,7 +112,8 @@
 	return sum, nil
 }
 
-// Available is the memory that the machine can give without swapping, bytes; 0 where the kernel does not tell.
+// Available returns the memory that the machine can allocate without swapping, in bytes; 0 if the kernel does not
+// report it.
 func Available() float64 {
 	text, _ := os.ReadFile("/proc/meminfo")
 	for _, line := range strings.Split(string(text), "\n") {
@@ -124,7 +125,7 @@
 	return 0
 }
 
-// LoadAverage is the machine's load average over the last minute.
+// LoadAverage returns the machine's load average over the last minute, as the kernel prints it; empty if it is unknown.
 func LoadAverage() string {
 	text, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
--- a/internal/lab/syscallshim/launch.go
+++ b/internal/lab/syscallshim/launch.go
@@ -1,8 +1,9 @@
-// Package syscallshim makes system calls of a real limiter fail as Linux documents that they can, for the lab's soak. The
-// kernel hands chosen calls of that process alone to the lab (a seccomp filter with user notification, which needs no
-// special rights); the lab lets each go on, has it fail, or does a part of it. The program under test is unchanged.
+// Package syscallshim makes system calls of a real limiter fail in the ways that Linux documents, for the lab's soak.
+// The kernel reports selected calls of that process to the lab, by a seccomp filter with user notification, which needs
+// no privileges. The lab lets each call continue, makes it fail, or performs a part of it. The program under test is
+// unchanged.
 //
-// Launch runs in a process of its own, puts the filter on itself and becomes the program; Supervise runs in the lab.
+// Launch runs in the new process, installs the filter there and executes the program; Command runs in the lab.
 package syscallshim
 
 import (
@@ -14,41 +15,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// ChannelFD is the descriptor on which Launch hands the notifications' descriptor to the lab.
+// ChannelFD is the file descriptor over which Launch sends the seccomp listener to the lab.
 const ChannelFD = 3
 
-// LaunchVariable marks a process that is to call Launch, for programs that are their own launcher.
+// LaunchVariable is the environment variable that tells LaunchIfAsked to call Launch, for programs that are their own
+// launcher.
 const LaunchVariable = "OSPREYCROFT_SYSCALL_SHIM"
 
-// Error is a step of setting the shim up that failed.
+// Error reports a step of setting up the shim that failed.
 type Error struct {
 	Step  string
 	Cause error
 }
 
-// Error says what happened.
+// Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("system call shim: %s: %v", e.Step, e.Cause) }
 
-// Unwrap is what the kernel said.
+// Unwrap returns Cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Hint says what to do about it.
+// Hint tells the operator how to resolve the error.
 func (e *Error) Hint() string {
-	return "the shim needs Linux 5.19 on amd64 with seccomp; play without failing system calls elsewhere"
+	return "the shim needs Linux 5.19 or later on amd64 with seccomp; run without failing system calls elsewhere"
 }
 
-// intercepted are the calls that the kernel hands over.
+// intercepted lists the system calls that are reported to the lab.
 var intercepted = []uint32{
 	unix.SYS_READ, unix.SYS_WRITE, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_ACCEPT4, unix.SYS_OPENAT, unix.SYS_FSYNC,
 }
 
-// The offsets of a call's number and architecture in struct seccomp_data.
+// Offsets of the call number and of the architecture in struct seccomp_data.
 const (
 	offsetNumber       = 0
 	offsetArchitecture = 4
 )
 
-// filter hands the intercepted calls over and allows all others.
+// filter returns a program that reports the intercepted calls to the lab and allows all others.
 func filter() []unix.SockFilter {
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
@@ -65,10 +67,10 @@
 	return append(program, allow)
 }
 
-// Launch puts the filter on this process, hands its notifications over on ChannelFD and becomes the program. It returns
-// only where that fails. Errors: *Error.
+// Launch installs the filter on this process, sends the seccomp listener over ChannelFD and executes the program. It
+// returns only if that fails, with an *Error.
 func Launch(program string, arguments, environment []string) error {
-	runtime.LockOSThread() // the filter is the thread's, and exec keeps it
+	runtime.LockOSThread() // the filter applies to this thread, and exec keeps it
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return &Error{"no new privileges", err}
 	}
@@ -81,7 +83,7 @@
 		return &Error{"filter", errno}
 	}
 	err := unix.EINTR
-	for err == unix.EINTR { // by the Go runtime's own signals
+	for err == unix.EINTR { // signals of the Go runtime interrupt the call
 		err = errnoOf(unix.Sendmsg(ChannelFD, []byte{0}, unix.UnixRights(int(listener)), nil, 0))
 	}
 	if err != 0 {
@@ -92,8 +94,8 @@
 	return &Error{"exec", unix.Exec(program, arguments, environment)}
 }
 
-// LaunchIfAsked calls Launch with the program that the process's arguments name where the process was started by Command;
-// else it does nothing.
+// LaunchIfAsked calls Launch with the program in the process's arguments if the process was started by Command, and
+// exits if that fails. Otherwise it does nothing.
 func LaunchIfAsked() {
 	if os.Getenv(LaunchVariable) == "" {
 		return
--- a/internal/lab/syscallshim/process.go
+++ b/internal/lab/syscallshim/process.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// processOf is the process of a thread; 0 where it has ended.
+// processOf returns the process id of a thread, or 0 if the thread has exited.
 func processOf(thread int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", thread))
 	if err != nil {
@@ -22,11 +22,12 @@
 	return 0
 }
 
-// Path is what a descriptor of the call's process is open on: a file's path, or words such as socket:[1] where it is none.
+// Path returns the path of the file to which the call's first argument, a descriptor, refers. For other objects it is
+// the kernel's description, such as socket:[1]; it is empty if the descriptor cannot be read.
 func (c Call) Path() string {
 	path, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", c.PID, c.Args[0]))
 	return path
 }
 
-// IsSocket tells whether the call's first argument is a socket.
+// IsSocket reports whether the call's first argument is the descriptor of a socket.
 func (c Call) IsSocket() bool { return strings.HasPrefix(c.Path(), "socket:") }
--- a/internal/lab/syscallshim/supervise.go
+++ b/internal/lab/syscallshim/supervise.go
@@ -11,29 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Call is a system call that waits for a decision.
+// Call is an intercepted system call that waits for a decision.
 type Call struct {
-	PID    int
+	PID    int // id of the calling thread
 	Number int
 	Args   [6]uint64
 }
 
-// Decision is what becomes of a call. The zero value lets it go on.
+// Decision is how a call is handled. The zero value lets it continue unchanged.
 type Decision struct {
-	Errno unix.Errno // it fails so, without having done anything
-	// Bytes: a read or write of a socket takes so many bytes at most; 0 for no bound.
+	Errno unix.Errno // if not 0, the call fails with this error and is not performed
+	// Bytes limits a read or write of a socket to this many bytes; 0 means no limit.
 	Bytes int
-	// Break shuts the socket down as well, so that it stays broken behind the error.
+	// Break also shuts the socket down, so that it stays unusable after the error. It has no effect without Errno.
 	Break bool
 }
 
-// Decide is asked for each call, on one goroutine for each process.
+// Decide returns the decision for a call. It is called from one goroutine per process.
 type Decide func(Call) Decision
 
-// Counts are how many calls were handed over and failed or were cut short, for reports.
+// Counts counts the calls that were intercepted (Seen), made to fail (Failed) and limited to fewer bytes (Short).
 type Counts struct{ Seen, Failed, Short atomic.Int64 }
 
-// notification is struct seccomp_notif, response struct seccomp_notif_resp.
+// notification has the layout of struct seccomp_notif, response that of struct seccomp_notif_resp.
 type notification struct {
 	id           uint64
 	pid          uint32
@@ -51,8 +51,9 @@
 	flags uint32
 }
 
-// Command prepares a command to be run under the shim: launcher is a program that calls LaunchIfAsked first. The command's
-// process is the program's own from its exec on. What it returns is called once the command was started, or could not be.
+// Command prepares a command to run under the shim. launcher is a program that calls LaunchIfAsked first; the command's
+// process becomes the program itself by exec. The caller has to call started once it has started the command, or has
+// failed to. Errors of both are *Error.
 func Command(command *exec.Cmd, launcher string, decide Decide, counts *Counts) (started func() error, err error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -76,17 +77,17 @@
 	}, nil
 }
 
-// receiveTimeout bounds how long the launcher may take.
+// receiveTimeout bounds the time until the launcher sends the seccomp listener.
 const receiveTimeout = 5 * time.Second
 
-// receiveListener takes the notifications' descriptor from the launcher.
+// receiveListener receives the descriptor of the seccomp listener from the launcher.
 func receiveListener(channel *os.File) (int, error) {
 	fd := int(channel.Fd())
 	timeout := unix.NsecToTimeval(int64(receiveTimeout))
 	_ = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout)
 	rights := make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := unix.Recvmsg(fd, make([]byte, 1), rights, unix.MSG_CMSG_CLOEXEC)
-	for err == unix.EINTR { // by the Go runtime's own signals
+	for err == unix.EINTR { // signals of the Go runtime interrupt the call
 		_, n, _, _, err = unix.Recvmsg(fd, make([]byte, 1), rights, unix.MSG_CMSG_CLOEXEC)
 	}
 	if err != nil {
@@ -103,7 +104,7 @@
 	return descriptors[0], nil
 }
 
-// supervise decides on calls until the process has ended.
+// supervise handles intercepted calls until the process has exited.
 func supervise(listener int, decide Decide, counts *Counts) {
 	defer func() { _ = unix.Close(listener) }()
 	for {
@@ -112,11 +113,11 @@
 			continue
 		}
 		if pollFDs[0].Revents&unix.POLLIN == 0 {
-			return // the process has ended
+			return // the process has exited
 		}
 		var n notification
 		if errno := ioctl(listener, unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); errno != 0 {
-			continue // the call was interrupted
+			continue // a signal ended the call before it was received
 		}
 		counts.Seen.Add(1)
 		call := Call{PID: int(n.pid), Number: int(n.number), Args: n.args}
@@ -131,7 +132,7 @@
 	return errno
 }
 
-// respond makes the answer to a call from a decision.
+// respond carries out a decision and returns the response to the kernel.
 func respond(call Call, decision Decision, counts *Counts) response {
 	continueCall := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	if decision == (Decision{}) {
@@ -155,7 +156,7 @@
 	return response{value: int64(transferred), errno: -int32(errno)}
 }
 
-// Descriptor is a duplicate of the call's first argument, a descriptor of the process; the caller closes it.
+// Descriptor returns a duplicate of the call's first argument, a descriptor of the process. The caller has to close it.
 func (c Call) Descriptor() (int, error) {
 	process, err := unix.PidfdOpen(processOf(c.PID), 0)
 	if err != nil {
@@ -165,8 +166,8 @@
 	return unix.PidfdGetfd(process, int(c.Args[0]), 0)
 }
 
-// transferPartial does a read or write of a socket for the process, of so many bytes at most. done is false where it is to do the
-// whole call itself.
+// transferPartial performs a read or write of a socket on behalf of the process, limited to maxBytes bytes. done is
+// false if nothing was done and the process has to perform the whole call itself.
 func (c Call) transferPartial(maxBytes int) (transferred int, errno unix.Errno, done bool) {
 	size := int(c.Args[2])
 	if size <= maxBytes || maxBytes <= 0 {
@@ -199,7 +200,7 @@
 	return callResult(n, err)
 }
 
-// callResult is a call's value or error.
+// callResult returns the results of transferPartial for a call that was performed.
 func callResult(n int, err error) (int, unix.Errno, bool) {
 	if errno := errnoOf(err); errno != 0 {
 		return 0, errno, true
@@ -207,7 +208,7 @@
 	return n, 0, true
 }
 
-// errnoOf is the kernel's error, 0 for none.
+// errnoOf returns the system error in err, or 0 if there is none.
 func errnoOf(err error) unix.Errno {
 	var errno unix.Errno
 	_ = errors.As(err, &errno)
--- a/internal/lab/syscallshim/syscallshim_test.go
+++ b/internal/lab/syscallshim/syscallshim_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientAddressVariable has the test's own file act as the program under the shim.
+// clientAddressVariable makes the test binary run runClient with the address in its value.
 const clientAddressVariable = "SHIM_TEST_ACT"
 
 func TestMain(m *testing.M) {
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// runClient connects, sends a hundred bytes, reads them back and prints what came of it.
+// runClient connects, sends 100 bytes, reads them back and prints the result.
 func runClient(address string) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -43,7 +43,7 @@
 	fmt.Println("read:", n, err)
 }
 
-// runUnderShim plays act under a decision for each call and gives what it printed.
+// runUnderShim runs runClient in a process under the shim and returns its output.
 func runUnderShim(t *testing.T, decide Decide) (string, *Counts) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,8 @@
 	return out.String(), counts
 }
 
-// TestCallsContinue: undecided calls do what they do without the shim, also where reads and writes are cut short.
+// TestCallsContinue checks that calls work as without the shim, both when they continue unchanged and when reads and
+// writes are limited to a few bytes.
 func TestCallsContinue(t *testing.T) {
 	text, counts := runUnderShim(t, func(Call) Decision { return Decision{} })
 	require.Equal(t, "read: 100 <nil>\n", text)
@@ -83,7 +84,7 @@
 	require.GreaterOrEqual(t, counts.Short.Load(), int64(28))
 }
 
-// TestCallsFail: a call fails by the error that was decided on.
+// TestCallsFail checks that a call fails with the error in the decision.
 func TestCallsFail(t *testing.T) {
 	for _, c := range []struct {
 		number int
