--- a/internal/lab/ports/ports_test.go
+++ b/internal/lab/ports/ports_test.go
@@ -7,25 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A kept port is handed to nobody who asks for any port, refuses while nobody listens, and can be listened on twice.
-func TestKeptPortIsHeldWhileNobodyListens(t *testing.T) {
+// A reserved port must not be handed to anyone who asks for any free port, has to refuse connections while no process
+// listens, and has to allow listening more than once.
+func TestReservedPortIsNotHandedOut(t *testing.T) {
 	k, err := Keep()
 	require.NoError(t, err)
 	defer k.Close()
 	seen := map[string]bool{k.Address(): true}
 	for range 2000 {
-		o, err := Keep()
+		other, err := Keep()
 		require.NoError(t, err)
-		defer o.Close()
-		require.False(t, seen[o.Address()], "%s was kept twice", o.Address())
-		seen[o.Address()] = true
+		defer other.Close()
+		require.False(t, seen[other.Address()], "%s was reserved twice", other.Address())
+		seen[other.Address()] = true
 	}
 	for range 2 {
 		if c, err := net.Dial("tcp", k.Address()); err == nil {
 			_ = c.Close()
-			t.Fatal("a port on which nobody listens took a connection")
+			t.Fatal("a port without a listener accepted a connection")
 		}
-		l, err := net.Listen("tcp", k.Address()) // as the limiter does
+		l, err := net.Listen("tcp", k.Address()) // the limiter listens in the same way
 		require.NoError(t, err)
 		c, err := net.Dial("tcp", k.Address())
 		require.NoError(t, err)
