--- a/internal/lab/distbench/cases.go
+++ b/internal/lab/distbench/cases.go
@@ -9,54 +9,54 @@
 )
 
 // Lengths of the cases. Short ones show only that the run works.
-type lengths struct {
-	idle, settle, regionCut, changesEvery time.Duration
-	calm, regionChanges, changes          int
+type caseParameters struct {
+	idleTime, settleTime, regionCutTime, changeInterval time.Duration
+	calmChanges, regionChanges, changes                 int
 }
 
 var (
-	long = lengths{
-		idle:          20 * time.Second,
-		settle:        2 * time.Second,
-		regionCut:     time.Minute,
-		changesEvery:  1500 * time.Millisecond,
-		calm:          10,
-		regionChanges: 10,
-		changes:       40,
+	fullParameters = caseParameters{
+		idleTime:       20 * time.Second,
+		settleTime:     2 * time.Second,
+		regionCutTime:  time.Minute,
+		changeInterval: 1500 * time.Millisecond,
+		calmChanges:    10,
+		regionChanges:  10,
+		changes:        40,
 	}
-	short = lengths{
-		idle:          time.Second,
-		settle:        200 * time.Millisecond,
-		regionCut:     2 * time.Second,
-		changesEvery:  50 * time.Millisecond,
-		calm:          2,
-		regionChanges: 2,
-		changes:       4,
+	shortParameters = caseParameters{
+		idleTime:       time.Second,
+		settleTime:     200 * time.Millisecond,
+		regionCutTime:  2 * time.Second,
+		changeInterval: 50 * time.Millisecond,
+		calmChanges:    2,
+		regionChanges:  2,
+		changes:        4,
 	}
 )
 
-// caseEnd is how long after its publication a version is waited for.
-const caseEnd = 30 * time.Second
+// caseTimeout is how long after its publication a version is waited for.
+const caseTimeout = 30 * time.Second
 
 // Case is one row of the measurement.
 type Case struct {
-	Name   string `json:"name"`
-	Hollow Spread `json:"hollow"`
+	Name   string         `json:"name"`
+	Hollow LatencySummary `json:"hollow"`
 	// Real is the time until the new discovery was asked; of no limiters where none was moved in the case.
-	Real Spread `json:"real"`
+	Real LatencySummary `json:"real"`
 }
 
 // CaseNames are the cases, in their order.
 var CaseNames = []string{"calm", "killed", "stalled", "zone", "region", "restart", "changes", "cold"}
 
-// run plays one case. Errors: *UnknownCaseError, and those of the fleet.
-func (f *Fleet) run(name string, l lengths) ([]Case, error) {
-	play := map[string]func(lengths) ([]Case, error){"calm": f.calm, "killed": f.killed, "stalled": f.stalled, "zone": f.zoneCut,
-		"region": f.regionCut, "restart": f.restart, "changes": f.changes, "cold": f.cold}[name]
-	if play == nil {
+// runCase plays one case. Errors: *UnknownCaseError, and those of the fleet.
+func (f *Fleet) runCase(name string, parameters caseParameters) ([]Case, error) {
+	runNamed := map[string]func(caseParameters) ([]Case, error){"calm": f.runCalm, "killed": f.runKilled, "stalled": f.runStalled, "zone": f.runZoneCut,
+		"region": f.runRegionCut, "restart": f.runRestart, "changes": f.runChanges, "cold": f.runCold}[name]
+	if runNamed == nil {
 		return nil, &UnknownCaseError{Name: name}
 	}
-	return play(l)
+	return runNamed(parameters)
 }
 
 // UnknownCaseError is for a case that there is not.
@@ -68,42 +68,42 @@
 // Hint says what to do about it.
 func (e *UnknownCaseError) Hint() string { return "name some of " + strings.Join(CaseNames, ", ") }
 
-func anywhere(hollowLimiter) bool { return true }
+func anyLimiter(hollowLimiter) bool { return true }
 
 // measure waits for publications at limiters, and sums their times up.
-func (f *Fleet) measure(name string, limiters []int, all ...publication) Case {
-	var times []time.Duration
+func (f *Fleet) measure(name string, limiters []int, publications ...publication) Case {
+	var latencies []time.Duration
 	never := 0
-	for _, p := range all {
-		f.await(limiters, p.version, p.at, time.Until(p.at.Add(caseEnd)))
+	for _, p := range publications {
+		f.awaitVersion(limiters, p.version, p.at, time.Until(p.at.Add(caseTimeout)))
 		for _, limiter := range limiters {
-			if after, is := f.ledger.since(limiter, p.version, p.at); is {
-				times = append(times, after)
+			if latency, found := f.applyLog.applyLatency(limiter, p.version, p.at); found {
+				latencies = append(latencies, latency)
 			} else {
 				never++
 			}
 		}
 	}
-	return Case{Name: name, Hollow: spreadOf(times, never)}
+	return Case{Name: name, Hollow: summarize(latencies, never)}
 }
 
 // measureReal adds the real limiters' times for the newest publication.
 func (f *Fleet) measureReal(c *Case, p publication) {
-	var times []time.Duration
+	var latencies []time.Duration
 	never := 0
 	for _, l := range f.real {
-		place := l.places[l.at]
-		after, asked := place.since(p.at)
-		for end := p.at.Add(caseEnd); !asked && time.Now().Before(end); time.Sleep(pollEvery) {
-			after, asked = place.since(p.at)
+		discovery := l.discoveries[l.current]
+		latency, polled := discovery.pollLatency(p.at)
+		for deadline := p.at.Add(caseTimeout); !polled && time.Now().Before(deadline); time.Sleep(pollInterval) {
+			latency, polled = discovery.pollLatency(p.at)
 		}
-		if asked {
-			times = append(times, after)
+		if polled {
+			latencies = append(latencies, latency)
 		} else {
 			never++
 		}
 	}
-	c.Real = spreadOf(times, never)
+	c.Real = summarize(latencies, never)
 }
 
 // publishAndMeasure is one publication at all limiters.
@@ -112,24 +112,24 @@
 	if err != nil {
 		return nil, err
 	}
-	c := f.measure(name, f.all(anywhere), p)
+	c := f.measure(name, f.hollowNumbers(anyLimiter), p)
 	f.measureReal(&c, p)
 	return []Case{c}, nil
 }
 
-func (f *Fleet) calm(l lengths) ([]Case, error) {
+func (f *Fleet) runCalm(parameters caseParameters) ([]Case, error) {
 	var all []publication
 	var last Case
-	for range l.calm {
+	for range parameters.calmChanges {
 		p, err := f.publish()
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, p)
-		last = f.measure("", f.all(anywhere), p)
+		last = f.measure("", f.hollowNumbers(anyLimiter), p)
 		f.measureReal(&last, p)
 	}
-	c := f.measure(fmt.Sprintf("calm, %d changes", l.calm), f.all(anywhere), all...)
+	c := f.measure(fmt.Sprintf("calm, %d changes", parameters.calmChanges), f.hollowNumbers(anyLimiter), all...)
 	c.Real = last.Real
 	return []Case{c}, nil
 }
@@ -140,7 +140,7 @@
 	stalledRelay = 1
 )
 
-func (f *Fleet) killed(lengths) ([]Case, error) {
+func (f *Fleet) runKilled(caseParameters) ([]Case, error) {
 	relay := f.relays[killedRelay]
 	relay.Kill()
 	cases, err := f.publishAndMeasure("a relay killed as it is published")
@@ -150,7 +150,7 @@
 	return cases, f.startRelay(relay)
 }
 
-func (f *Fleet) stalled(lengths) ([]Case, error) {
+func (f *Fleet) runStalled(caseParameters) ([]Case, error) {
 	relay := f.relays[stalledRelay]
 	if err := relay.Signal(syscall.SIGSTOP); err != nil {
 		return nil, err
@@ -162,79 +162,79 @@
 	return cases, relay.Signal(syscall.SIGCONT)
 }
 
-// zoneCut cuts the last zone off. The limiters outside are measured from the publication, those inside from the heal.
-func (f *Fleet) zoneCut(l lengths) ([]Case, error) {
+// runZoneCut cuts the last zone off. The limiters outside are measured from the publication, those inside from the heal.
+func (f *Fleet) runZoneCut(parameters caseParameters) ([]Case, error) {
 	name := zones[len(zones)-1].name
-	return f.cutOff("a zone cut", 1, l.settle, func(zone string) bool { return zone == name })
+	return f.measurePartition("a zone cut", 1, parameters.settleTime, func(zone string) bool { return zone == name })
 }
 
-// regionCut cuts the region without the source off.
-func (f *Fleet) regionCut(l lengths) ([]Case, error) {
+// runRegionCut cuts the region without the source off.
+func (f *Fleet) runRegionCut(parameters caseParameters) ([]Case, error) {
 	inside := map[string]bool{}
 	for _, z := range zones {
 		inside[z.name] = z.region != zones[0].region
 	}
-	return f.cutOff(
-		fmt.Sprintf("a region cut for %v, %d changes", l.regionCut, l.regionChanges),
-		l.regionChanges,
-		l.regionCut,
+	return f.measurePartition(
+		fmt.Sprintf("a region cut for %v, %d changes", parameters.regionCutTime, parameters.regionChanges),
+		parameters.regionChanges,
+		parameters.regionCutTime,
 		func(zone string) bool { return inside[zone] },
 	)
 }
 
-// cutOff cuts zones off for a time, in which changes are published, and heals them.
-func (f *Fleet) cutOff(name string, changes int, length time.Duration, inside func(string) bool) ([]Case, error) {
-	if err := f.isolate(true, inside); err != nil {
+// measurePartition cuts zones off for a time, in which changes are published, and heals them.
+func (f *Fleet) measurePartition(name string, changes int, duration time.Duration, inside func(string) bool) ([]Case, error) {
+	if err := f.setPartition(true, inside); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	var all []publication
 	for range changes {
-		time.Sleep(length / time.Duration(changes+1))
+		time.Sleep(duration / time.Duration(changes+1))
 		p, err := f.publish()
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, p)
 	}
-	outside := f.measure(
+	outsideCase := f.measure(
 		name+": outside, from publication",
-		f.all(func(l hollowLimiter) bool { return !inside(l.zone.name) }),
+		f.hollowNumbers(func(l hollowLimiter) bool { return !inside(l.zone.name) }),
 		all...)
-	time.Sleep(time.Until(begun.Add(length)))
-	cut := f.all(func(l hollowLimiter) bool { return inside(l.zone.name) })
-	early := 0
-	for _, limiter := range cut {
-		if _, is := f.ledger.since(limiter, all[0].version, all[0].at); is {
-			early++
+	time.Sleep(time.Until(started.Add(duration)))
+	insideLimiters := f.hollowNumbers(func(l hollowLimiter) bool { return inside(l.zone.name) })
+	earlyCount := 0
+	for _, limiter := range insideLimiters {
+		if _, found := f.applyLog.applyLatency(limiter, all[0].version, all[0].at); found {
+			earlyCount++
 		}
 	}
-	healed := publication{f.head, time.Now()}
-	if err := f.isolate(false, inside); err != nil {
+	healed := publication{f.latest, time.Now()}
+	if err := f.setPartition(false, inside); err != nil {
 		return nil, err
 	}
-	within := f.measure(fmt.Sprintf("%s: inside, from the heal (%d had it before)", name, early), cut, healed)
-	return []Case{outside, within}, nil
+	insideCase := f.measure(fmt.Sprintf("%s: inside, from the heal (%d had it before)", name, earlyCount), insideLimiters, healed)
+	return []Case{outsideCase, insideCase}, nil
 }
 
-// restart restarts every tenth limiter, and publishes a change once all of them have begun again with the state on
+// runRestart restarts every tenth limiter, and publishes a change once all of them have begun again with the state on
 // their disks.
-func (f *Fleet) restart(lengths) ([]Case, error) {
-	begun := time.Now()
-	var tenth []int
+func (f *Fleet) runRestart(caseParameters) ([]Case, error) {
+	started := time.Now()
+	var restarted []int
 	for _, h := range f.hosts {
-		var command restart
+		var command restartCommand
 		for i, l := range h.limiters {
 			if i%10 == 0 {
 				command.Limiters = append(command.Limiters, l.Number)
 			}
 		}
-		tenth = append(tenth, command.Limiters...)
-		if err := h.tell(command); err != nil {
+		restarted = append(restarted, command.Limiters...)
+		if err := h.send(command); err != nil {
 			return nil, err
 		}
 	}
-	if !f.await(tenth, f.head, begun, caseEnd) {
+	if !f.awaitVersion(restarted, f.latest, started, caseTimeout) {
 		return nil, &StartError{
 			What:  "a tenth of the limiters",
 			Log:   "no state from the disk",
@@ -245,36 +245,36 @@
 	if err != nil {
 		return nil, err
 	}
-	all := f.measure("a tenth restarting from disk: all", f.all(anywhere), p)
+	all := f.measure("a tenth restarting from disk: all", f.hollowNumbers(anyLimiter), p)
 	f.measureReal(&all, p)
-	return []Case{all, f.measure("a tenth restarting from disk: that tenth", tenth, p)}, nil
+	return []Case{all, f.measure("a tenth restarting from disk: that tenth", restarted, p)}, nil
 }
 
-// changes publishes many changes one after another.
-func (f *Fleet) changes(l lengths) ([]Case, error) {
-	begun := time.Now()
+// runChanges publishes many runChanges one after another.
+func (f *Fleet) runChanges(parameters caseParameters) ([]Case, error) {
+	started := time.Now()
 	var all []publication
-	for i := range l.changes {
-		time.Sleep(time.Until(begun.Add(time.Duration(i) * l.changesEvery)))
+	for i := range parameters.changes {
+		time.Sleep(time.Until(started.Add(time.Duration(i) * parameters.changeInterval)))
 		p, err := f.publish()
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, p)
 	}
-	name := fmt.Sprintf("%d changes in %v", l.changes, time.Duration(l.changes)*l.changesEvery)
-	return []Case{f.measure(name, f.all(anywhere), all...)}, nil
+	name := fmt.Sprintf("%d changes in %v", parameters.changes, time.Duration(parameters.changes)*parameters.changeInterval)
+	return []Case{f.measure(name, f.hollowNumbers(anyLimiter), all...)}, nil
 }
 
-// cold ends all relays and hosts and starts them together, without states on disks.
-func (f *Fleet) cold(lengths) ([]Case, error) {
+// runCold ends all relays and hosts and starts them together, without states on disks.
+func (f *Fleet) runCold(caseParameters) ([]Case, error) {
 	for _, h := range f.hosts {
 		h.kill()
 	}
 	for _, r := range f.relays {
 		r.Kill()
 	}
-	begun := publication{f.head, time.Now()}
+	started := publication{f.latest, time.Now()}
 	for _, r := range f.relays {
 		if err := f.startRelay(r); err != nil {
 			return nil, err
@@ -285,5 +285,5 @@
 	if err := f.startHosts(); err != nil {
 		return nil, err
 	}
-	return []Case{f.measure("relays and limiters started cold, from the start", f.all(anywhere), begun)}, nil
+	return []Case{f.measure("relays and limiters started cold, from the start", f.hollowNumbers(anyLimiter), started)}, nil
 }
--- a/internal/lab/distbench/distbench_test.go
+++ b/internal/lab/distbench/distbench_test.go
@@ -41,7 +41,7 @@
 	names := ""
 	for _, c := range report.Cases {
 		names += c.Name + "\n"
-		require.Positive(t, c.Hollow.Limiters, c.Name)
+		require.Positive(t, c.Hollow.Samples, c.Name)
 		require.Zero(t, c.Hollow.Late, c.Name)
 		require.Zero(t, c.Real.Late, c.Name)
 		require.Positive(t, c.Hollow.P50, c.Name)
@@ -59,56 +59,56 @@
 	require.FileExists(t, path)
 }
 
-// TestLedger reads times from what was recorded: of a version or a newer one, not before the publication, in the order
+// TestApplyLog reads times from what was recorded: of a version or a newer one, not before the publication, in the order
 // of arrival.
-func TestLedger(t *testing.T) {
-	l, from := newLedger(), time.Unix(100, 0)
+func TestApplyLog(t *testing.T) {
+	l, from := newApplyLog(), time.Unix(100, 0)
 	version := func(n uint64) distribution.Version { return distribution.Version{Epoch: 1, Number: n} }
-	note := func(limiter int, n uint64, after time.Duration) {
-		l.note(applied{Limiter: limiter, Version: version(n), At: from.Add(after).UnixNano()})
+	add := func(limiter int, n uint64, after time.Duration) {
+		l.add(appliedVersion{Limiter: limiter, Version: version(n), At: from.Add(after).UnixNano()})
 	}
-	note(1, 5, -time.Second) // an earlier life's
-	note(1, 4, time.Second)
-	note(1, 6, 3*time.Second)
-	note(2, 5, 2*time.Second)
-	after, is := l.since(1, version(5), from)
-	require.True(t, is)
-	require.Equal(t, 3*time.Second, after)
-	require.True(t, l.inForce([]int{1, 2}, version(5), from))
-	require.False(t, l.inForce([]int{1, 2}, version(6), from))
-	require.False(t, l.inForce([]int{3}, version(1), from))
+	add(1, 5, -time.Second) // an earlier life's
+	add(1, 4, time.Second)
+	add(1, 6, 3*time.Second)
+	add(2, 5, 2*time.Second)
+	latency, found := l.applyLatency(1, version(5), from)
+	require.True(t, found)
+	require.Equal(t, 3*time.Second, latency)
+	require.True(t, l.allApplied([]int{1, 2}, version(5), from))
+	require.False(t, l.allApplied([]int{1, 2}, version(6), from))
+	require.False(t, l.allApplied([]int{3}, version(1), from))
 }
 
-// TestSpread sums times up: the late and those that never came are counted, and only what came has a time.
-func TestSpread(t *testing.T) {
-	var times []time.Duration
+// TestSummarize sums times up: the late and those that never came are counted, and only what came has a time.
+func TestSummarize(t *testing.T) {
+	var latencies []time.Duration
 	for i := 100; i > 0; i-- {
-		times = append(times, time.Duration(i)*time.Second/5)
+		latencies = append(latencies, time.Duration(i)*time.Second/5)
 	}
-	require.Equal(t, Spread{Limiters: 103, P50: 10, P99: 19.8, Max: 20, Late: 13, Never: 3}, spreadOf(times, 3))
-	require.Equal(t, Spread{Limiters: 2, Late: 2, Never: 2}, spreadOf(nil, 2))
-	require.Equal(t, Spread{Limiters: 1, P50: 1, P99: 1, Max: 1}, spreadOf([]time.Duration{time.Second}, 0))
+	require.Equal(t, LatencySummary{Samples: 103, P50: 10, P99: 19.8, Max: 20, Late: 13, Never: 3}, summarize(latencies, 3))
+	require.Equal(t, LatencySummary{Samples: 2, Late: 2, Never: 2}, summarize(nil, 2))
+	require.Equal(t, LatencySummary{Samples: 1, P50: 1, P99: 1, Max: 1}, summarize([]time.Duration{time.Second}, 0))
 }
 
 // TestLoad shares a process's use.
 func TestLoad(t *testing.T) {
 	at := time.Unix(0, 0)
-	before := usage{at: at, processor: time.Second, bytes: 1000}
-	behind := usage{at: at.Add(10 * time.Second), processor: 2 * time.Second, bytes: 21000}
-	require.Equal(t, Load{BytesPerSecond: 500, CorePercent: 2.5}, loadBetween(before, behind, 4))
-	own, err := usageOf(os.Getpid())
+	before := usage{at: at, cpuTime: time.Second, bytes: 1000}
+	after := usage{at: at.Add(10 * time.Second), cpuTime: 2 * time.Second, bytes: 21000}
+	require.Equal(t, Load{BytesPerSecond: 500, CorePercent: 2.5}, loadBetween(before, after, 4))
+	own, err := readUsage(os.Getpid())
 	require.NoError(t, err)
-	require.Positive(t, own.processor)
+	require.Positive(t, own.cpuTime)
 	require.Positive(t, own.bytes)
 	var failed *procfs.Error
-	_, err = usageOf(-1)
+	_, err = readUsage(-1)
 	require.ErrorAs(t, err, &failed)
 }
 
 // TestUnknownCase names a case that there is not.
 func TestUnknownCase(t *testing.T) {
 	f := &Fleet{}
-	_, err := f.run("quiet", short)
+	_, err := f.runCase("quiet", shortParameters)
 	var unknown *UnknownCaseError
 	require.ErrorAs(t, err, &unknown)
 	require.Contains(t, unknown.Hint(), "calm")
--- a/internal/lab/distbench/fleet.go
+++ b/internal/lab/distbench/fleet.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	callTimeout = 10 * time.Second // of the harness's own calls at the source
-	stateFill   = 200              // bytes of an entry's value
+	callTimeout     = 10 * time.Second // of the harness's own calls at the source
+	entryValueBytes = 200              // bytes of an entry's value
 )
 
 // zones are the zones of the fleet, the first two of the source's region.
@@ -46,38 +46,38 @@
 type relayProcess struct {
 	*Process
 	distribution.RelayAddress
-	region   string
-	toSource *wire
-	port     *ports.Kept // its own, also while it is down
+	region     string
+	sourceLink *link
+	port       *ports.Kept // its own, also while it is down
 }
 
-// wire is a link that is cut and healed any number of times.
-type wire struct {
+// link is a link that is cut and healed any number of times.
+type link struct {
 	*faultproxy.Proxy
-	far  string // the zone of the far side
-	near string
-	now  int64
+	farZone  string // the zone of the far side
+	nearZone string
+	step     int64
 }
 
 const maxCuts = 8
 
-// newWire makes a link whose script cuts it at each odd time.
-func newWire(near, far, address string) (*wire, error) {
+// newLink makes a link whose script cuts it at each odd time.
+func newLink(nearZone, farZone, address string) (*link, error) {
 	var script []faultproxy.Fault
 	for i := range int64(maxCuts) {
 		script = append(script, faultproxy.Fault{Kind: faultproxy.Cut, From: 2*i + 1, Until: 2*i + 2})
 	}
-	l, err := faultproxy.New(near, far, address, script, 1)
-	return &wire{Proxy: l, near: near, far: far}, err
+	proxy, err := faultproxy.New(nearZone, farZone, address, script, 1)
+	return &link{Proxy: proxy, nearZone: nearZone, farZone: farZone}, err
 }
 
-// cut cuts the wire or heals it; it does nothing where it is so already.
-func (w *wire) cut(on bool) error {
-	if on == (w.now%2 == 1) {
+// setCut cuts the wire or heals it; it does nothing where it is so already.
+func (l *link) setCut(cut bool) error {
+	if cut == (l.step%2 == 1) {
 		return nil
 	}
-	w.now++
-	return w.Step(w.now)
+	l.step++
+	return l.Step(l.step)
 }
 
 // hollowLimiter is where a hollow limiter is.
@@ -88,34 +88,34 @@
 
 // hostProcess is a host with its pipes. The bytes over them are no traffic of the limiters.
 type hostProcess struct {
-	command  *exec.Cmd
-	in       io.WriteCloser
-	limiters []hollowLimiter
-	mutex    sync.Mutex
-	piped    int64
-	ended    chan struct{}
+	command   *exec.Cmd
+	in        io.WriteCloser
+	limiters  []hollowLimiter
+	mutex     sync.Mutex
+	pipeBytes int64
+	ended     chan struct{}
 }
 
 // Fleet is the distribution at its size. It is for one goroutine.
 type Fleet struct {
-	options  Options
-	source   *Process
-	port     *ports.Kept // the source's
-	client   *transport.Client
-	relays   []*relayProcess
-	wires    map[[2]string]*wire // from a zone to a relay of another one, by zone and relay's name
-	hollow   []hollowLimiter
-	hosts    []*hostProcess
-	real     []*realLimiter
-	ledger   *ledger
-	head     distribution.Version
-	versions int // published
+	options        Options
+	source         *Process
+	sourcePort     *ports.Kept // the source's
+	client         *transport.Client
+	relays         []*relayProcess
+	relayLinks     map[[2]string]*link // from a zone to a relay of another one, by zone and relay's name
+	hollow         []hollowLimiter
+	hosts          []*hostProcess
+	real           []*realLimiter
+	applyLog       *applyLog
+	latest         distribution.Version
+	publishedCount int // published
 }
 
 // StartFleet starts a source with a state, its relays and all limiters; it does not wait until they have the state.
 // Errors: *StartError, *ports.KeepError, and those of transport.Client.
 func StartFleet(options Options) (*Fleet, error) {
-	f := &Fleet{options: options, ledger: newLedger(), wires: map[[2]string]*wire{}}
+	f := &Fleet{options: options, applyLog: newApplyLog(), relayLinks: map[[2]string]*link{}}
 	if err := f.start(); err != nil {
 		f.Stop()
 		return nil, err
@@ -128,16 +128,16 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	f.port, err = ports.Keep()
+	f.sourcePort, err = ports.Keep()
 	if err != nil {
 		return err
 	}
-	f.source, err = f.options.Programs.StartSource(dir, f.port)
+	f.source, err = f.options.Programs.StartSource(dir, f.sourcePort)
 	if err != nil {
 		return err
 	}
-	f.client = transport.NewClient(f.port.Address(), callTimeout)
-	if err := f.fill(); err != nil {
+	f.client = transport.NewClient(f.sourcePort.Address(), callTimeout)
+	if err := f.publishState(); err != nil {
 		return err
 	}
 	for _, z := range zones {
@@ -147,30 +147,30 @@
 			}
 		}
 	}
-	if err := f.place(); err != nil {
+	if err := f.placeHollow(); err != nil {
 		return err
 	}
 	if err := f.startHosts(); err != nil {
 		return err
 	}
 	for i := range f.options.Real {
-		servers, err := f.servers(zones[i%len(zones)], i/len(zones))
+		servers, err := f.relayServers(zones[i%len(zones)], i/len(zones))
 		if err != nil {
 			return err
 		}
-		one, err := startReal(f.options.Programs, f.options.Dir, i, servers)
+		limiter, err := startRealLimiter(f.options.Programs, f.options.Dir, i, servers)
 		if err != nil {
 			return err
 		}
-		f.real = append(f.real, one)
+		f.real = append(f.real, limiter)
 	}
 	return nil
 }
 
-// fill publishes the state: a third for every limiter, and a third for each region.
-func (f *Fleet) fill() error {
+// publishState publishes the state: a third for every limiter, and a third for each region.
+func (f *Fleet) publishState() error {
 	scopes := []string{"", "east", "west"}
-	value := fmt.Sprintf("%0*d", stateFill, 0)
+	value := fmt.Sprintf("%0*d", entryValueBytes, 0)
 	for from := 0; from < f.options.Entries; from += distribution.MaxMutations {
 		var mutations []distribution.Mutation
 		for i := from; i < min(from+distribution.MaxMutations, f.options.Entries); i++ {
@@ -180,15 +180,15 @@
 					Scope: scopes[i%len(scopes)], Name: fmt.Sprintf("tenant-%d", i)}, Value: value}},
 			)
 		}
-		if _, err := f.change(mutations); err != nil {
+		if _, err := f.publishMutations(mutations); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// change publishes a change.
-func (f *Fleet) change(mutations []distribution.Mutation) (distribution.Version, error) {
+// publishMutations publishes a publishMutations.
+func (f *Fleet) publishMutations(mutations []distribution.Mutation) (distribution.Version, error) {
 	change, err := f.client.Publish(
 		context.Background(),
 		transport.Publication{Epoch: 1, Mutations: mutations},
@@ -197,8 +197,8 @@
 	if err != nil {
 		return distribution.Version{}, err
 	}
-	f.head = change.Version
-	return f.head, nil
+	f.latest = change.Version
+	return f.latest, nil
 }
 
 // publication is a version with the time just before it was published.
@@ -209,47 +209,47 @@
 
 // publish publishes a change that concerns every limiter, and moves the real ones to their other place.
 func (f *Fleet) publish() (publication, error) {
-	f.versions++
+	f.publishedCount++
 	mutations := []distribution.Mutation{
 		{Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindPlans, Name: "gold"},
-			Value: fmt.Sprintf(`{"rate":%d}`, f.versions)}},
+			Value: fmt.Sprintf(`{"rate":%d}`, f.publishedCount)}},
 	}
 	for _, l := range f.real {
-		mutations = append(mutations, l.move())
+		mutations = append(mutations, l.moveMutation())
 	}
 	at := time.Now()
-	version, err := f.change(mutations)
+	version, err := f.publishMutations(mutations)
 	return publication{version, at}, err
 }
 
 func (f *Fleet) addRelay(z zone, name string) error {
-	way, err := newWire(z.name, "source", f.port.Address())
+	sourceLink, err := newLink(z.name, "source", f.sourcePort.Address())
 	if err != nil {
 		return err
 	}
 	port, err := ports.Keep()
 	if err != nil {
-		way.Close()
+		sourceLink.Close()
 		return err
 	}
-	r := &relayProcess{region: z.region, toSource: way, port: port}
+	r := &relayProcess{region: z.region, sourceLink: sourceLink, port: port}
 	r.RelayAddress = distribution.RelayAddress{Name: name, Zone: z.name, Address: port.Address()}
 	f.relays = append(f.relays, r)
 	return f.startRelay(r)
 }
 
 func (f *Fleet) startRelay(r *relayProcess) (err error) {
-	r.Process, err = f.options.Programs.StartRelay(r.toSource.Address(), r.Zone, r.Name, r.port)
+	r.Process, err = f.options.Programs.StartRelay(r.sourceLink.Address(), r.Zone, r.Name, r.port)
 	return err
 }
 
-// servers are the addresses of a limiter's two relays. The way to one of another zone is a wire.
-func (f *Fleet) servers(z zone, position int) (servers [2]string, err error) {
-	var all []distribution.RelayAddress
+// relayServers are the addresses of a limiter's two relays. The way to one of another zone is a wire.
+func (f *Fleet) relayServers(z zone, position int) (servers [2]string, err error) {
+	var candidates []distribution.RelayAddress
 	for _, r := range f.relays {
-		all = append(all, r.RelayAddress)
+		candidates = append(candidates, r.RelayAddress)
 	}
-	chosen, err := distribution.ChooseRelays(all, z.name, position)
+	chosen, err := distribution.ChooseRelays(candidates, z.name, position)
 	if err != nil {
 		return servers, err
 	}
@@ -259,22 +259,22 @@
 			continue
 		}
 		key := [2]string{z.name, r.Name}
-		if f.wires[key] == nil {
-			f.wires[key], err = newWire(z.name, r.Zone, r.Address)
+		if f.relayLinks[key] == nil {
+			f.relayLinks[key], err = newLink(z.name, r.Zone, r.Address)
 			if err != nil {
 				return servers, err
 			}
 		}
-		servers[i] = f.wires[key].Address()
+		servers[i] = f.relayLinks[key].Address()
 	}
 	return servers, nil
 }
 
-// place spreads the hollow limiters over the zones.
-func (f *Fleet) place() error {
+// placeHollow spreads the hollow limiters over the zones.
+func (f *Fleet) placeHollow() error {
 	for i := range f.options.Hollow {
 		z := zones[i%len(zones)]
-		servers, err := f.servers(z, i/len(zones))
+		servers, err := f.relayServers(z, i/len(zones))
 		if err != nil {
 			return err
 		}
@@ -317,51 +317,51 @@
 		return &StartError{What: "a host", Cause: err}
 	}
 	h.in = in
-	go f.read(h, out)
+	go f.readApplied(h, out)
 	spec := hostSpec{StateDir: stateDir}
 	for _, l := range h.limiters {
 		spec.Limiters = append(spec.Limiters, l.hollowSpec)
 	}
-	return h.tell(spec)
+	return h.send(spec)
 }
 
-// read notes what a host says until it ends.
-func (f *Fleet) read(h *hostProcess, out io.Reader) {
+// readApplied notes what a host says until it ends.
+func (f *Fleet) readApplied(h *hostProcess, out io.Reader) {
 	defer close(h.ended)
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
-		h.count(len(lines.Bytes()) + 1)
-		var a applied
-		if json.Unmarshal(lines.Bytes(), &a) == nil {
-			f.ledger.note(a)
+		h.addPipeBytes(len(lines.Bytes()) + 1)
+		var record appliedVersion
+		if json.Unmarshal(lines.Bytes(), &record) == nil {
+			f.applyLog.add(record)
 		}
 	}
 	_ = h.command.Wait()
 }
 
-// tell writes a line to a host.
-func (h *hostProcess) tell(what any) error {
-	text, err := json.Marshal(what)
+// send writes a line to a host.
+func (h *hostProcess) send(message any) error {
+	encoded, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	h.count(len(text) + 1)
-	_, err = h.in.Write(append(text, '\n'))
+	h.addPipeBytes(len(encoded) + 1)
+	_, err = h.in.Write(append(encoded, '\n'))
 	return err
 }
 
-func (h *hostProcess) count(bytes int) {
+func (h *hostProcess) addPipeBytes(count int) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.piped += int64(bytes)
+	h.pipeBytes += int64(count)
 }
 
 // usage is what the host has used, without the pipes. Errors: *procfs.Error.
 func (h *hostProcess) usage() (usage, error) {
-	u, err := usageOf(h.command.Process.Pid)
+	u, err := readUsage(h.command.Process.Pid)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	u.bytes -= h.piped
+	u.bytes -= h.pipeBytes
 	return u, err
 }
 
@@ -370,40 +370,40 @@
 	<-h.ended
 }
 
-// all are the numbers of the hollow limiters for which a condition holds.
-func (f *Fleet) all(where func(hollowLimiter) bool) (numbers []int) {
+// hollowNumbers are the numbers of the hollow limiters for which a condition holds.
+func (f *Fleet) hollowNumbers(match func(hollowLimiter) bool) (numbers []int) {
 	for _, l := range f.hollow {
-		if where(l) {
+		if match(l) {
 			numbers = append(numbers, l.Number)
 		}
 	}
 	return numbers
 }
 
-// await waits until limiters have a version in force, and tells whether it came in time.
-func (f *Fleet) await(limiters []int, version distribution.Version, from time.Time, within time.Duration) bool {
-	for end := time.Now().Add(within); ; time.Sleep(pollEvery) {
-		if f.ledger.inForce(limiters, version, from) {
+// awaitVersion waits until limiters have a version in force, and tells whether it came in time.
+func (f *Fleet) awaitVersion(limiters []int, version distribution.Version, from time.Time, timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
+		if f.applyLog.allApplied(limiters, version, from) {
 			return true
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return false
 		}
 	}
 }
 
-// isolate cuts every way between the places inside and those outside, or heals it. The source is in the first zone.
-func (f *Fleet) isolate(on bool, inside func(zone string) bool) error {
-	for _, w := range f.wires {
-		if inside(w.near) != inside(w.far) {
-			if err := w.cut(on); err != nil {
+// setPartition cuts every way between the places inside and those outside, or heals it. The source is in the first zone.
+func (f *Fleet) setPartition(cut bool, inside func(zone string) bool) error {
+	for _, l := range f.relayLinks {
+		if inside(l.nearZone) != inside(l.farZone) {
+			if err := l.setCut(cut); err != nil {
 				return err
 			}
 		}
 	}
 	for _, r := range f.relays {
 		if inside(r.Zone) != inside(zones[0].name) {
-			if err := r.toSource.cut(on); err != nil {
+			if err := r.sourceLink.setCut(cut); err != nil {
 				return err
 			}
 		}
@@ -423,12 +423,12 @@
 		if r.Process != nil {
 			r.Kill()
 		}
-		r.toSource.Close()
+		r.sourceLink.Close()
 		r.port.Close()
 	}
-	for _, w := range f.wires {
-		if w != nil {
-			w.Close()
+	for _, l := range f.relayLinks {
+		if l != nil {
+			l.Close()
 		}
 	}
 	if f.client != nil {
@@ -437,7 +437,7 @@
 	if f.source != nil {
 		f.source.Kill()
 	}
-	if f.port != nil {
-		f.port.Close()
+	if f.sourcePort != nil {
+		f.sourcePort.Close()
 	}
 }
--- a/internal/lab/distbench/hollow.go
+++ b/internal/lab/distbench/hollow.go
@@ -36,13 +36,13 @@
 	StateDir string       `json:"state_dir"` // for limiters that restart
 }
 
-// restart is a further line: these limiters end, and begin again with the state that they left on the disk.
-type restart struct {
+// restartCommand is a further line: these limiters end, and begin again with the state that they left on the disk.
+type restartCommand struct {
 	Limiters []int `json:"limiters"`
 }
 
-// applied is a line that a host writes: a version came in force at a limiter.
-type applied struct {
+// appliedVersion is a line that a host writes: a version came in force at a limiter.
+type appliedVersion struct {
 	Limiter int                  `json:"limiter"`
 	Version distribution.Version `json:"version"`
 	At      int64                `json:"at"` // Unix time in nanoseconds
@@ -55,14 +55,14 @@
 	if err := decoder.Decode(&spec); err != nil {
 		return err
 	}
-	h := &host{stateDir: spec.StateDir, encoder: json.NewEncoder(out), limiters: map[int]*hollow{}}
-	for _, one := range spec.Limiters {
-		if err := h.start(one); err != nil {
+	h := &host{stateDir: spec.StateDir, encoder: json.NewEncoder(out), limiters: map[int]*hollowFollower{}}
+	for _, limiter := range spec.Limiters {
+		if err := h.start(limiter); err != nil {
 			return err
 		}
 	}
 	for {
-		var command restart
+		var command restartCommand
 		if err := decoder.Decode(&command); err != nil {
 			return nil // the harness has ended
 		}
@@ -77,18 +77,18 @@
 // host is a process's hollow limiters.
 type host struct {
 	stateDir string
-	limiters map[int]*hollow
+	limiters map[int]*hollowFollower
 	mutex    sync.Mutex // over encoder
 	encoder  *json.Encoder
 }
 
-// hollow is one that runs.
-type hollow struct {
+// hollowFollower is one that runs.
+type hollowFollower struct {
 	hollowSpec
-	follower *transport.Follower
-	place    statefile.Place
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	follower  *transport.Follower
+	stateFile statefile.Place
+	cancel    context.CancelFunc
+	running   sync.WaitGroup
 }
 
 // recorder is the applier of one hollow limiter.
@@ -101,7 +101,7 @@
 func (r *recorder) Apply(update *distribution.Update) error {
 	r.host.mutex.Lock()
 	defer r.host.mutex.Unlock()
-	return r.host.encoder.Encode(applied{Limiter: r.number, Version: update.To, At: time.Now().UnixNano()})
+	return r.host.encoder.Encode(appliedVersion{Limiter: r.number, Version: update.To, At: time.Now().UnixNano()})
 }
 
 func (h *host) start(spec hollowSpec) error {
@@ -109,54 +109,54 @@
 	if err != nil {
 		return err
 	}
-	start := time.Now()
-	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
+	started := time.Now()
+	clock := func() int64 { return started.UnixNano() + int64(time.Since(started)) }
 	subscriber := distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: spec.name(), Scope: scope,
 		Applier: &recorder{h, spec.Number}})
-	one := &hollow{
+	limiter := &hollowFollower{
 		hollowSpec: spec,
-		place: statefile.Place{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
+		stateFile: statefile.Place{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
 			MaxAge: int64(time.Hour), Files: atomicfile.Disk{}},
 	}
-	held, err := one.place.Load(clock())
+	saved, err := limiter.stateFile.Load(clock())
 	if err != nil {
 		return err
 	}
-	if held != nil {
-		state, err := distribution.NewStateOf(held.Entries)
+	if saved != nil {
+		state, err := distribution.NewStateOf(saved.Entries)
 		if err != nil {
 			return err
 		}
-		if err := subscriber.Restore(held.Version, state, max(clock()-held.TakenAt, 0)); err != nil {
+		if err := subscriber.Restore(saved.Version, state, max(clock()-saved.TakenAt, 0)); err != nil {
 			return err
 		}
 	}
-	one.follower = transport.NewFollower(
+	limiter.follower = transport.NewFollower(
 		subscriber,
 		transport.FollowerOptions{Servers: spec.Servers, DialTimeout: dialTimeout,
 			Position: spec.Number, Clock: clock},
 	)
 	ctx, cancel := context.WithCancel(context.Background())
-	one.cancel = cancel
-	one.running.Go(func() { one.follower.Run(ctx) })
-	h.limiters[spec.Number] = one
+	limiter.cancel = cancel
+	limiter.running.Go(func() { limiter.follower.Run(ctx) })
+	h.limiters[spec.Number] = limiter
 	return nil
 }
 
 // restart ends a limiter, with its state on the disk, and starts it again.
 func (h *host) restart(number int) error {
-	one := h.limiters[number]
-	if one == nil {
+	limiter := h.limiters[number]
+	if limiter == nil {
 		return fmt.Errorf("limiter %d is of another host", number)
 	}
-	var held *distribution.Snapshot
-	one.follower.Do(func(now int64, s *distribution.Subscriber) { held = s.Snapshot(now) })
-	one.cancel()
-	one.running.Wait()
-	if held != nil {
-		if err := one.place.Save(held); err != nil {
+	var snapshot *distribution.Snapshot
+	limiter.follower.Do(func(now int64, s *distribution.Subscriber) { snapshot = s.Snapshot(now) })
+	limiter.cancel()
+	limiter.running.Wait()
+	if snapshot != nil {
+		if err := limiter.stateFile.Save(snapshot); err != nil {
 			return err
 		}
 	}
-	return h.start(one.hollowSpec)
+	return h.start(limiter.hollowSpec)
 }
--- a/internal/lab/distbench/process.go
+++ b/internal/lab/distbench/process.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	startWithin = 20 * time.Second // a process that takes longer to listen has not started
-	pollEvery   = 5 * time.Millisecond
+	startTimeout = 20 * time.Second // a process that takes longer to listen has not started
+	pollInterval = 5 * time.Millisecond
 )
 
 // Programs are the paths of the programs that a run starts.
@@ -62,7 +62,7 @@
 type Process struct {
 	command *exec.Cmd
 	ended   chan struct{}
-	err     error // of its end
+	exitErr error // of its end
 	mutex   sync.Mutex
 	log     []byte
 }
@@ -95,23 +95,23 @@
 	p.command.Stdout = p
 	p.command.Stderr = p
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
-	started := func() error { return nil }
+	afterStart := func() error { return nil }
 	if decide != nil {
 		var err error
-		started, err = syscallshim.Command(p.command, os.Args[0], decide, &syscallshim.Counts{})
+		afterStart, err = syscallshim.Command(p.command, os.Args[0], decide, &syscallshim.Counts{})
 		if err != nil {
 			return nil, &StartError{What: program, Cause: err}
 		}
 	}
 	err := p.command.Start()
 	if err == nil {
-		err = started()
+		err = afterStart()
 	}
 	if err != nil {
 		return nil, &StartError{What: program, Cause: err}
 	}
 	go func() {
-		p.err = p.command.Wait()
+		p.exitErr = p.command.Wait()
 		close(p.ended)
 	}()
 	return p, nil
@@ -130,22 +130,22 @@
 }
 
 // Ended waits for the process's own end, and tells whether it came in time and with what error.
-func (p *Process) Ended(within time.Duration) (ended bool, err error) {
+func (p *Process) Ended(timeout time.Duration) (ended bool, err error) {
 	select {
 	case <-p.ended:
-		return true, p.err
-	case <-time.After(within):
+		return true, p.exitErr
+	case <-time.After(timeout):
 		return false, nil
 	}
 }
 
 // Wrote waits until the process has written a text so many times, and tells whether it came in time.
-func (p *Process) Wrote(text string, times int, within time.Duration) bool {
-	for end := time.Now().Add(within); ; time.Sleep(pollEvery) {
+func (p *Process) Wrote(text string, times int, timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		if strings.Count(p.Log(), text) >= times {
 			return true
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return false
 		}
 	}
@@ -153,7 +153,7 @@
 
 // waitUntilListening waits until a process of configdist listens. Errors: *StartError.
 func (p *Process) waitUntilListening() error {
-	for end := time.Now().Add(startWithin); time.Now().Before(end); time.Sleep(pollEvery) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if strings.Contains(p.Log(), "event=listening address=") {
 			return nil
 		}
@@ -166,7 +166,7 @@
 
 // Reachable waits until something listens at an address. Errors: *StartError.
 func (p *Process) Reachable(address string) error {
-	for end := time.Now().Add(startWithin); time.Now().Before(end); time.Sleep(pollEvery) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if conn, err := net.Dial("tcp", address); err == nil {
 			return conn.Close()
 		}
@@ -179,8 +179,8 @@
 
 // StartSource starts a source that keeps its state in a directory. Its port is a kept one, so that it can be started there
 // again. Errors: *StartError.
-func (programs Programs) StartSource(dir string, port *ports.Kept, more ...string) (*Process, error) {
-	return programs.startListening(append([]string{"source", "--listen", port.Address(), "--dir", dir}, more...))
+func (programs Programs) StartSource(dir string, port *ports.Kept, extraArguments ...string) (*Process, error) {
+	return programs.startListening(append([]string{"source", "--listen", port.Address(), "--dir", dir}, extraArguments...))
 }
 
 // StartRelay starts a relay on a kept port, like StartSource. Errors: *StartError.
--- a/internal/lab/distbench/real.go
+++ b/internal/lab/distbench/real.go
@@ -16,31 +16,31 @@
 	"ospreycroft/internal/lab/ports"
 )
 
-// standIn is a discovery with an empty list that notes when it is asked first.
-type standIn struct {
-	listener net.Listener
-	server   *http.Server
-	mutex    sync.Mutex
-	asked    []time.Time
+// discoveryStub is a discovery with an empty list that notes when it is asked first.
+type discoveryStub struct {
+	listener  net.Listener
+	server    *http.Server
+	mutex     sync.Mutex
+	pollTimes []time.Time
 }
 
-func startStandIn() (*standIn, error) {
+func startDiscoveryStub() (*discoveryStub, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &standIn{listener: listener}
+	s := &discoveryStub{listener: listener}
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
 
-func (s *standIn) address() string { return s.listener.Addr().String() }
+func (s *discoveryStub) address() string { return s.listener.Addr().String() }
 
 // ServeHTTP answers with the list; a watch waits for its time.
-func (s *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
-	s.asked = append(s.asked, time.Now())
+	s.pollTimes = append(s.pollTimes, time.Now())
 	s.mutex.Unlock()
 	if hold, err := strconv.Atoi(r.URL.Query().Get("hold_ms")); err == nil {
 		timer := time.NewTimer(time.Duration(hold) * time.Millisecond)
@@ -53,11 +53,11 @@
 	_, _ = io.WriteString(w, `{"generation":1,"reset":true,"instances":[]}`)
 }
 
-// since is how long after a time it was asked first.
-func (s *standIn) since(from time.Time) (after time.Duration, asked bool) {
+// pollLatency is how long after a time it was asked first.
+func (s *discoveryStub) pollLatency(from time.Time) (latency time.Duration, polled bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, at := range s.asked {
+	for _, at := range s.pollTimes {
 		if at.After(from) {
 			return at.Sub(from), true
 		}
@@ -68,30 +68,30 @@
 // realLimiter is the limiter's program, and two stand-ins between which it is moved.
 type realLimiter struct {
 	*Process
-	number int
-	port   *ports.Kept
-	places [2]*standIn
-	at     int // the place that was published last
+	number      int
+	port        *ports.Kept
+	discoveries [2]*discoveryStub
+	current     int // the place that was published last
 }
 
 // scope is the part of the fleet that is this limiter alone.
 func (l *realLimiter) scope() string { return fmt.Sprintf("real-%d", l.number) }
 
-// move is the mutation that moves the limiter to its other place.
-func (l *realLimiter) move() distribution.Mutation {
-	l.at = 1 - l.at
+// moveMutation is the mutation that moves the limiter to its other place.
+func (l *realLimiter) moveMutation() distribution.Mutation {
+	l.current = 1 - l.current
 	return distribution.Mutation{
 		Entry: distribution.Entry{Key: distribution.Key{Kind: distribution.KindEndpoints, Scope: l.scope(),
-			Name: distribution.EndpointDiscovery}, Value: l.places[l.at].address()},
+			Name: distribution.EndpointDiscovery}, Value: l.discoveries[l.current].address()},
 	}
 }
 
-// startReal starts a real limiter that follows two relays. Errors: *StartError, *ports.KeepError.
-func startReal(programs Programs, dir string, number int, servers [2]string) (*realLimiter, error) {
+// startRealLimiter starts a real limiter that follows two relays. Errors: *StartError, *ports.KeepError.
+func startRealLimiter(programs Programs, dir string, number int, servers [2]string) (*realLimiter, error) {
 	l := &realLimiter{number: number}
 	var err error
-	for i := range l.places {
-		l.places[i], err = startStandIn()
+	for i := range l.discoveries {
+		l.discoveries[i], err = startDiscoveryStub()
 		if err != nil {
 			l.stop()
 			return nil, &StartError{What: "a stand-in of discovery", Cause: err}
@@ -102,7 +102,7 @@
 		l.stop()
 		return nil, err
 	}
-	environment, err := l.files(dir, servers)
+	environment, err := l.writeFiles(dir, servers)
 	if err == nil {
 		l.Process, err = Start(programs.Limiter, environment)
 	}
@@ -116,10 +116,10 @@
 	return l, nil
 }
 
-// files writes the limiter's files, and gives the variables that name them.
-func (l *realLimiter) files(dir string, servers [2]string) ([]string, error) {
-	state := filepath.Join(dir, l.scope())
-	if err := os.MkdirAll(state, 0o755); err != nil {
+// writeFiles writes the limiter's writeFiles, and gives the variables that name them.
+func (l *realLimiter) writeFiles(dir string, servers [2]string) ([]string, error) {
+	stateDir := filepath.Join(dir, l.scope())
+	if err := os.MkdirAll(stateDir, 0o755); err != nil {
 		return nil, err
 	}
 	name, err := json.Marshal(l.scope())
@@ -131,16 +131,16 @@
 		"settings":{"balancers":1,"classes":[{"name":"c","aim":2,"effect":"free","group":"all"}],"tariffs":[{"name":"p"}],
 		"family-info":{"has-counter":false,"units-top":16},"contract":{"cold-from":0.3,"warm-within":10},
 		"permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15,"retry-after":true,"max-retry-after":2},
-		"granularity":0.004}}`, name, l.port.Address(), l.places[0].address())
-	stated := fmt.Sprintf(
+		"granularity":0.004}}`, name, l.port.Address(), l.discoveries[0].address())
+	operatorConfig := fmt.Sprintf(
 		"installation = 'distlab'\n[distribution]\nrelays = [%q, %q]\nscope = 'endpoints@%s'\nstate_path = %q\noldest_s = 3600\n",
 		servers[0],
 		servers[1],
 		l.scope(),
-		state,
+		stateDir,
 	)
-	paths := [2]string{filepath.Join(state, "config.json"), filepath.Join(state, "operator.toml")}
-	for i, text := range []string{config, stated} {
+	paths := [2]string{filepath.Join(stateDir, "config.json"), filepath.Join(stateDir, "operator.toml")}
+	for i, text := range []string{config, operatorConfig} {
 		if err := os.WriteFile(paths[i], []byte(text), 0o644); err != nil {
 			return nil, err
 		}
@@ -152,9 +152,9 @@
 	if l.Process != nil {
 		l.Kill()
 	}
-	for _, place := range l.places {
-		if place != nil {
-			_ = place.server.Close()
+	for _, discovery := range l.discoveries {
+		if discovery != nil {
+			_ = discovery.server.Close()
 		}
 	}
 	if l.port != nil {
--- a/internal/lab/distbench/run.go
+++ b/internal/lab/distbench/run.go
@@ -22,19 +22,19 @@
 
 // Report is a run's outcome.
 type Report struct {
-	Date        string   `json:"date"`
-	Command     string   `json:"command"`
-	Hollow      int      `json:"hollow"`
-	Hosts       int      `json:"hosts"`
-	Real        int      `json:"real"`
-	Relays      int      `json:"relays"`
-	Entries     int      `json:"entries"`
-	LoadBefore  string   `json:"machine_load_before"`
-	LoadBehind  string   `json:"machine_load_behind"`
-	StartedCold Spread   `json:"started_cold"` // from the fleet's start, beside the case cold
-	Cases       []Case   `json:"cases"`
-	Loads       []Loads  `json:"loads"`
-	NotRun      []string `json:"not_run,omitempty"`
+	Date        string         `json:"date"`
+	Command     string         `json:"command"`
+	Hollow      int            `json:"hollow"`
+	Hosts       int            `json:"hosts"`
+	Real        int            `json:"real"`
+	Relays      int            `json:"relays"`
+	Entries     int            `json:"entries"`
+	LoadBefore  string         `json:"machine_load_before"`
+	LoadAfter   string         `json:"machine_load_behind"`
+	StartedCold LatencySummary `json:"started_cold"` // from the fleet's start, beside the case cold
+	Cases       []Case         `json:"cases"`
+	Loads       []Loads        `json:"loads"`
+	NotRun      []string       `json:"not_run,omitempty"`
 }
 
 // Run plays cases on one fleet; all where none is named. A report of what was measured comes with an error too. Errors:
@@ -43,9 +43,9 @@
 	if len(names) == 0 {
 		names = CaseNames
 	}
-	l := long
+	parameters := fullParameters
 	if isShort {
-		l = short
+		parameters = shortParameters
 	}
 	report := &Report{
 		Date:   time.Now().UTC().Format(time.DateTime),
@@ -59,33 +59,33 @@
 		LoadBefore: procfs.LoadAverage(),
 		NotRun:     names,
 	}
-	defer func() { report.LoadBehind = procfs.LoadAverage() }()
-	begun := time.Now()
-	f, err := StartFleet(options)
+	defer func() { report.LoadAfter = procfs.LoadAverage() }()
+	started := time.Now()
+	fleet, err := StartFleet(options)
 	if err != nil {
 		return report, err
 	}
-	defer f.Stop()
-	first := f.measure("", f.all(anywhere), publication{f.head, begun})
+	defer fleet.Stop()
+	first := fleet.measure("", fleet.hollowNumbers(anyLimiter), publication{fleet.latest, started})
 	report.StartedCold = first.Hollow
-	time.Sleep(l.settle)
+	time.Sleep(parameters.settleTime)
 	for i, name := range names {
-		cases, loads, err := f.runWithLoads(name, l)
+		cases, loads, err := fleet.runCaseWithLoads(name, parameters)
 		if err != nil {
 			return report, fmt.Errorf("%s: %w", name, err)
 		}
 		report.Cases = append(report.Cases, cases...)
 		report.Loads = append(report.Loads, loads...)
 		report.NotRun = names[i+1:]
-		time.Sleep(l.settle)
+		time.Sleep(parameters.settleTime)
 	}
 	return report, nil
 }
 
-// runWithLoads plays a case; the load is measured over an idle time before calm, over changes and over a cold start.
-func (f *Fleet) runWithLoads(name string, l lengths) (cases []Case, loads []Loads, err error) {
+// runCaseWithLoads plays a case; the load is measured over an idle time before calm, over changes and over a cold start.
+func (f *Fleet) runCaseWithLoads(name string, parameters caseParameters) (cases []Case, loads []Loads, err error) {
 	if name == "calm" {
-		idle, err := f.loads(fmt.Sprintf("idle for %v", l.idle), func() error { time.Sleep(l.idle); return nil })
+		idle, err := f.measureLoads(fmt.Sprintf("idle for %v", parameters.idleTime), func() error { time.Sleep(parameters.idleTime); return nil })
 		if err != nil {
 			return nil, nil, err
 		}
@@ -94,93 +94,93 @@
 	switch name {
 	case "changes":
 	case "cold":
-		return f.coldWithLoads(l)
+		return f.runColdWithLoads(parameters)
 	default:
-		cases, err = f.run(name, l)
+		cases, err = f.runCase(name, parameters)
 		return cases, loads, err
 	}
-	used, err := f.loads(name, func() error { cases, err = f.run(name, l); return err })
+	used, err := f.measureLoads(name, func() error { cases, err = f.runCase(name, parameters); return err })
 	return cases, append(loads, used), err
 }
 
-// coldWithLoads plays the case cold. Relays and hosts are new processes, which had used nothing before it.
-func (f *Fleet) coldWithLoads(l lengths) ([]Case, []Loads, error) {
-	before, err := f.usages()
+// runColdWithLoads plays the case cold. Relays and hosts are new processes, which had used nothing before it.
+func (f *Fleet) runColdWithLoads(parameters caseParameters) ([]Case, []Loads, error) {
+	before, err := f.readUsages()
 	if err != nil {
 		return nil, nil, err
 	}
 	before.hosts, before.relays = usage{at: time.Now()}, usage{at: time.Now()}
-	cases, err := f.cold(l)
+	cases, err := f.runCold(parameters)
 	if err != nil {
 		return nil, nil, err
 	}
-	behind, err := f.usages()
+	after, err := f.readUsages()
 	if err != nil {
 		return cases, nil, err
 	}
-	return cases, []Loads{f.between("a cold start until all have the state", before, behind)}, nil
+	return cases, []Loads{f.loadsBetween("a cold start until all have the state", before, after)}, nil
 }
 
-// loads is what the fleet's processes use while something runs.
-func (f *Fleet) loads(during string, run func() error) (Loads, error) {
-	before, err := f.usages()
+// measureLoads is what the fleet's processes use while something runs.
+func (f *Fleet) measureLoads(during string, run func() error) (Loads, error) {
+	before, err := f.readUsages()
 	if err != nil {
 		return Loads{}, err
 	}
 	if err := run(); err != nil {
 		return Loads{}, err
 	}
-	behind, err := f.usages()
+	after, err := f.readUsages()
 	if err != nil {
 		return Loads{}, err
 	}
-	return f.between(during, before, behind), nil
+	return f.loadsBetween(during, before, after), nil
 }
 
-func (f *Fleet) between(during string, before, behind usages) Loads {
-	return Loads{During: during, Limiter: loadBetween(before.hosts, behind.hosts, len(f.hollow)),
+func (f *Fleet) loadsBetween(during string, before, after usages) Loads {
+	return Loads{During: during, Limiter: loadBetween(before.hosts, after.hosts, len(f.hollow)),
 		Real: loadBetween(
 			before.real,
-			behind.real,
+			after.real,
 			max(len(f.real), 1),
-		), Relay: loadBetween(before.relays, behind.relays, len(f.relays)),
-		Source: loadBetween(before.source, behind.source, 1)}
+		), Relay: loadBetween(before.relays, after.relays, len(f.relays)),
+		Source: loadBetween(before.source, after.source, 1)}
 }
 
 // usages are those of the fleet's parts, each summed up.
 type usages struct{ hosts, real, relays, source usage }
 
-func (f *Fleet) usages() (all usages, err error) {
+func (f *Fleet) readUsages() (totals usages, err error) {
 	for _, h := range f.hosts {
 		u, err := h.usage()
 		if err != nil {
-			return all, err
+			return totals, err
 		}
-		all.hosts.add(u)
+		totals.hosts.add(u)
 	}
 	for _, l := range f.real {
-		if err := all.real.addOf(l.Process); err != nil {
-			return all, err
+		if err := totals.real.addProcess(l.Process); err != nil {
+			return totals, err
 		}
 	}
 	for _, r := range f.relays {
-		if err := all.relays.addOf(r.Process); err != nil {
-			return all, err
+		if err := totals.relays.addProcess(r.Process); err != nil {
+			return totals, err
 		}
 	}
-	return all, all.source.addOf(f.source)
+	return totals, totals.source.addProcess(f.source)
 }
 
-func (u *usage) addOf(p *Process) error {
-	one, err := usageOf(p.Pid())
-	u.add(one)
+func (u *usage) addProcess(p *Process) error {
+	processUsage, err := readUsage(p.Pid())
+	u.add(processUsage)
 	return err
 }
 
-func (u *usage) add(one usage) {
-	u.at = one.at
-	u.processor += one.processor
-	u.bytes += one.bytes
+func (u *usage) add(other usage) {
+	u.at = other.at
+	u.cpuTime += other.cpuTime
+	u.bytes += other.bytes
 }
 
 // WriteTable writes the report as tables for a page.
@@ -195,20 +195,20 @@
 		r.Relays,
 		r.Entries,
 		r.LoadBefore,
-		r.LoadBehind,
+		r.LoadAfter,
 	)
 	text += "| case | times measured | p50 s | p99 s | max s | late at 18 s | never | real: p50 s | real: max s | real: late |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 	for _, c := range append([]Case{{Name: "the run's own start, processes and first reads", Hollow: r.StartedCold}}, r.Cases...) {
 		real := "- | - | -"
-		if c.Real.Limiters > 0 {
+		if c.Real.Samples > 0 {
 			real = fmt.Sprintf("%.3f | %.3f | %d", c.Real.P50, c.Real.Max, c.Real.Late)
 		}
 		h := c.Hollow
 		text += fmt.Sprintf(
 			"| %s | %d | %.3f | %.3f | %.3f | %d | %d | %s |\n",
 			c.Name,
-			h.Limiters,
+			h.Samples,
 			h.P50,
 			h.P99,
 			h.Max,
--- a/internal/lab/distbench/usage.go
+++ b/internal/lab/distbench/usage.go
@@ -8,16 +8,16 @@
 
 // usage is what a process has used since it started.
 type usage struct {
-	at        time.Time
-	processor time.Duration
+	at      time.Time
+	cpuTime time.Duration
 	// read and written by system calls, those of its connections among them, without the heads of TCP and IP
 	bytes int64
 }
 
-// usageOf reads a process's usage. Errors: *procfs.Error.
-func usageOf(pid int) (u usage, err error) {
+// readUsage reads a process's usage. Errors: *procfs.Error.
+func readUsage(pid int) (u usage, err error) {
 	u.at = time.Now()
-	u.processor, err = procfs.ProcessorTime(pid)
+	u.cpuTime, err = procfs.ProcessorTime(pid)
 	if err != nil {
 		return u, err
 	}
@@ -32,8 +32,8 @@
 }
 
 // loadBetween is the load of one process between two readings, shared by so many.
-func loadBetween(before, after usage, sharers int) Load {
-	seconds := after.at.Sub(before.at).Seconds() * float64(sharers)
+func loadBetween(before, after usage, count int) Load {
+	seconds := after.at.Sub(before.at).Seconds() * float64(count)
 	return Load{BytesPerSecond: float64(after.bytes-before.bytes) / seconds,
-		CorePercent: 100 * (after.processor - before.processor).Seconds() / seconds}
+		CorePercent: 100 * (after.cpuTime - before.cpuTime).Seconds() / seconds}
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -13,13 +13,13 @@
 
 // systemCallFaults draws what becomes of a limiter's system calls. It is asked on one goroutine a process.
 type systemCallFaults struct {
-	mutex sync.Mutex
-	rng   *rand.Rand
-	share float64 // of calls that fail or are cut short
-	// dir is where files are that a full or broken disk refuses while diskFails is set.
-	dir       string
-	diskFails atomic.Bool
-	listening func(port int) bool // tells whether clients connect to a port
+	mutex      sync.Mutex
+	rng        *rand.Rand
+	faultShare float64 // of calls that fail or are cut short
+	// failingDir is where files are that a full or broken disk refuses while diskFails is set.
+	failingDir    string
+	diskFails     atomic.Bool
+	isLimiterPort func(port int) bool // tells whether clients connect to a port
 }
 
 // maxCutBytes bounds how much of a read or write that is cut short is done.
@@ -32,61 +32,61 @@
 	return f.rng.Float64() < share
 }
 
-func (f *systemCallFaults) upTo(most int) int {
+func (f *systemCallFaults) randomUpTo(limit int) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return 1 + f.rng.IntN(most)
+	return 1 + f.rng.IntN(limit)
 }
 
-// one draws one of some errors.
-func (f *systemCallFaults) one(errors ...unix.Errno) syscallshim.Decision {
-	return syscallshim.Decision{Errno: errors[f.upTo(len(errors))-1]}
+// randomError draws randomError of some errors.
+func (f *systemCallFaults) randomError(errors ...unix.Errno) syscallshim.Decision {
+	return syscallshim.Decision{Errno: errors[f.randomUpTo(len(errors))-1]}
 }
 
 // decide is a syscallshim.Decide.
 func (f *systemCallFaults) decide(call syscallshim.Call) syscallshim.Decision {
 	if f.diskFails.Load() {
-		if decision := f.disk(call); decision.Errno != 0 {
+		if decision := f.diskFault(call); decision.Errno != 0 {
 			return decision
 		}
 	}
-	if !f.chance(f.share) {
+	if !f.chance(f.faultShare) {
 		return syscallshim.Decision{}
 	}
 	switch call.Number {
 	case unix.SYS_SOCKET:
-		return f.one(unix.ENFILE, unix.ENOBUFS)
+		return f.randomError(unix.ENFILE, unix.ENOBUFS)
 	case unix.SYS_CONNECT:
-		return f.one(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EINTR)
+		return f.randomError(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EINTR)
 	case unix.SYS_ACCEPT4:
-		return f.one(unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.EINTR)
+		return f.randomError(unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.EINTR)
 	case unix.SYS_READ, unix.SYS_WRITE:
-		return f.transfer(call)
+		return f.transferFault(call)
 	}
 	return syscallshim.Decision{}
 }
 
-// breakShare is the share of the faults of a read or write that break the connection.
-const breakShare = 0.05
+// connectionBreakShare is the share of the faults of a read or write that break the connection.
+const connectionBreakShare = 0.05
 
-// transfer draws a fault of a read or write of a socket. Only connections that the limiter has dialled break: a client's
+// transferFault draws a fault of a read or write of a socket. Only connections that the limiter has dialled break: a client's
 // would be the client's loss.
-func (f *systemCallFaults) transfer(call syscallshim.Call) syscallshim.Decision {
+func (f *systemCallFaults) transferFault(call syscallshim.Call) syscallshim.Decision {
 	if !call.IsSocket() {
 		return syscallshim.Decision{}
 	}
 	switch {
-	case f.chance(breakShare):
+	case f.chance(connectionBreakShare):
 		if f.isClient(call) {
 			return syscallshim.Decision{}
 		}
-		broken := f.one(unix.ETIMEDOUT, unix.EHOSTUNREACH)
+		broken := f.randomError(unix.ETIMEDOUT, unix.EHOSTUNREACH)
 		broken.Break = true
 		return broken
 	case f.chance(0.3):
 		return syscallshim.Decision{Errno: unix.EINTR}
 	}
-	return syscallshim.Decision{Bytes: f.upTo(maxCutBytes)}
+	return syscallshim.Decision{Bytes: f.randomUpTo(maxCutBytes)}
 }
 
 // isClient tells whether a call is on a client's connection, or on one that cannot be told.
@@ -100,16 +100,16 @@
 	if err != nil {
 		return true
 	}
-	address, is := name.(*unix.SockaddrInet4)
-	return !is || f.listening(address.Port)
+	address, isIPv4 := name.(*unix.SockaddrInet4)
+	return !isIPv4 || f.isLimiterPort(address.Port)
 }
 
-// disk refuses writes and syncs of the files in the directory.
-func (f *systemCallFaults) disk(call syscallshim.Call) syscallshim.Decision {
+// diskFault refuses writes and syncs of the files in the directory.
+func (f *systemCallFaults) diskFault(call syscallshim.Call) syscallshim.Decision {
 	switch call.Number {
 	case unix.SYS_WRITE, unix.SYS_FSYNC:
-		if f.dir != "" && strings.HasPrefix(call.Path(), f.dir) {
-			return f.one(unix.ENOSPC, unix.EIO)
+		if f.failingDir != "" && strings.HasPrefix(call.Path(), f.failingDir) {
+			return f.randomError(unix.ENOSPC, unix.EIO)
 		}
 	}
 	return syscallshim.Decision{}
--- a/internal/lab/soak/memory.go
+++ b/internal/lab/soak/memory.go
@@ -10,18 +10,18 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// memoryInterval is how often the processes' memory is looked at.
-const memoryInterval = 100 * time.Millisecond
+// memorySampleInterval is how often the processes' memory is looked at.
+const memorySampleInterval = 100 * time.Millisecond
 
 // memoryMeter finds the most memory that one of the limiters' processes has held.
 type memoryMeter struct {
 	mutex     sync.Mutex
-	processes []measured
-	most      int64 // bytes
+	processes []measuredProcess
+	peakBytes int64 // bytes
 }
 
-// measured is a process and the program that it is to run: its launcher does not count.
-type measured struct {
+// measuredProcess is a process and the program that it is to run: its launcher does not count.
+type measuredProcess struct {
 	command *exec.Cmd
 	program os.FileInfo // nil where there is none
 }
@@ -31,7 +31,7 @@
 	info, _ := os.Stat(program)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.processes = append(m.processes, measured{command, info})
+	m.processes = append(m.processes, measuredProcess{command, info})
 }
 
 // run looks at the processes until stop.
@@ -40,13 +40,13 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(memoryInterval):
+		case <-time.After(memorySampleInterval):
 		}
-		m.look()
+		m.sample()
 	}
 }
 
-func (m *memoryMeter) look() {
+func (m *memoryMeter) sample() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, process := range m.processes {
@@ -55,8 +55,8 @@
 		if err != nil || !os.SameFile(running, process.program) {
 			continue
 		}
-		if held, err := procfs.PeakResident(pid); err == nil {
-			m.most = max(m.most, held)
+		if resident, err := procfs.PeakResident(pid); err == nil {
+			m.peakBytes = max(m.peakBytes, resident)
 		}
 	}
 }
@@ -65,13 +65,13 @@
 func (m *memoryMeter) peak() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.most
+	return m.peakBytes
 }
 
-// overMemory finds that a process held more than its limit, in MB.
-func overMemory(most int64, limit int) []Finding {
-	if most <= int64(limit)<<20 {
+// memoryFindings finds that a process held more than its limit, in MB.
+func memoryFindings(peakBytes int64, limitMB int) []Finding {
+	if peakBytes <= int64(limitMB)<<20 {
 		return nil
 	}
-	return []Finding{{What: "memory", Detail: fmt.Sprintf("a limiter held %d MB", most>>20)}}
+	return []Finding{{What: "memory", Detail: fmt.Sprintf("a limiter held %d MB", peakBytes>>20)}}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -40,13 +40,13 @@
 
 // Report is what a run left.
 type Report struct {
-	Scenario  *Scenario
-	Result    *runner.Result
-	Calls     *syscallshim.Counts
-	Lag       time.Duration // of the lab itself, at most
-	Memory    int64         // that one limiter's process held at most, bytes
-	Findings  []Finding
-	Directory string
+	Scenario   *Scenario
+	Result     *runner.Result
+	Calls      *syscallshim.Counts
+	Lag        time.Duration // of the lab itself, at most
+	PeakMemory int64         // that one limiter's process held at most, bytes
+	Findings   []Finding
+	Directory  string
 }
 
 // Pass tells whether the run showed nothing that it must not.
@@ -54,12 +54,12 @@
 
 // Write writes the report in a few lines.
 func (r *Report) Write(w io.Writer) {
-	word := "pass"
+	outcome := "pass"
 	if !r.Pass() {
-		word = "FAIL"
+		outcome = "FAIL"
 	}
-	_, _ = fmt.Fprintf(w, "soak=%s %v calls_seen=%d calls_failed=%d calls_short=%d lab_lag=%v memory_mb=%d\n", word, r.Scenario,
-		r.Calls.Seen.Load(), r.Calls.Failed.Load(), r.Calls.Short.Load(), r.Lag.Round(time.Millisecond), r.Memory>>20)
+	_, _ = fmt.Fprintf(w, "soak=%s %v calls_seen=%d calls_failed=%d calls_short=%d lab_lag=%v memory_mb=%d\n", outcome, r.Scenario,
+		r.Calls.Seen.Load(), r.Calls.Failed.Load(), r.Calls.Short.Load(), r.Lag.Round(time.Millisecond), r.PeakMemory>>20)
 	_, _ = fmt.Fprintf(w, "  %s\n", r.Result.Verdict.Line())
 	for _, f := range r.Findings {
 		_, _ = fmt.Fprintf(w, "  finding %s: %s\n", f.What, f.Detail)
@@ -85,18 +85,18 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	p := &play{scenario: scenario, options: o, dir: dir, counts: &syscallshim.Counts{}, ports: map[int]bool{}}
+	p := &seedRun{scenario: scenario, options: o, dir: dir, counts: &syscallshim.Counts{}, limiterPorts: map[int]bool{}}
 	if err := p.prepare(); err != nil {
 		return nil, err
 	}
 	result, err := runner.RunWith(scenario.Experiment, dir, slog.New(slog.DiscardHandler), nil, runner.Extras{
-		Command: p.command, Beside: p.beside, LeaveGrace: leaveGrace + recordMargin, TimeLeftSlack: timeLeftSlack + recordMargin,
-		Lag: func() time.Duration { return time.Duration(p.lag.Load()) },
+		Command: p.command, Beside: p.runAlongside, LeaveGrace: leaveGrace + recordMargin, TimeLeftSlack: timeLeftSlack + recordMargin,
+		Lag: func() time.Duration { return time.Duration(p.maxLag.Load()) },
 	})
 	if err != nil {
 		return nil, err
 	}
-	report := &Report{Scenario: scenario, Result: result, Calls: p.counts, Lag: time.Duration(p.lag.Load()), Memory: p.memory.peak(),
+	report := &Report{Scenario: scenario, Result: result, Calls: p.counts, Lag: time.Duration(p.maxLag.Load()), PeakMemory: p.memory.peak(),
 		Directory: dir}
 	for _, breach := range result.Verdict.Breaches {
 		report.Findings = append(report.Findings, Finding{
@@ -107,27 +107,27 @@
 	for _, failure := range result.Failures {
 		report.Findings = append(report.Findings, Finding{What: "process", Detail: failure.Error()})
 	}
-	report.Findings = append(report.Findings, overMemory(report.Memory, scenario.Experiment.Limiters.Memory)...)
+	report.Findings = append(report.Findings, memoryFindings(report.PeakMemory, scenario.Experiment.Limiters.Memory)...)
 	report.Findings = append(report.Findings, p.readLogs()...)
 	return report, nil
 }
 
-// play is one run.
-type play struct {
-	scenario *Scenario
-	options  Options
-	dir      string
-	clock    *clockstep.Clock // nil where the wall clock does not step
-	faults   *systemCallFaults
-	counts   *syscallshim.Counts
-	memory   memoryMeter
-	lag      atomic.Int64 // the longest time for which the lab's own goroutines had no processor, nanoseconds
-	mutex    sync.Mutex
-	ports    map[int]bool // on which limiters listen
+// seedRun is one run.
+type seedRun struct {
+	scenario     *Scenario
+	options      Options
+	dir          string
+	clock        *clockstep.Clock // nil where the wall clock does not step
+	faults       *systemCallFaults
+	counts       *syscallshim.Counts
+	memory       memoryMeter
+	maxLag       atomic.Int64 // the longest time for which the lab's own goroutines had no processor, nanoseconds
+	mutex        sync.Mutex
+	limiterPorts map[int]bool // on which limiters listen
 }
 
 // prepare makes what limiters are started with.
-func (p *play) prepare() error {
+func (p *seedRun) prepare() error {
 	if p.scenario.ClockSteps {
 		library, err := clockstep.Build(p.dir)
 		if err != nil {
@@ -137,37 +137,37 @@
 			return err
 		}
 	}
-	if p.scenario.SystemCalls > 0 || p.scenario.Disk {
-		p.faults = &systemCallFaults{rng: rand.New(rand.NewPCG(p.scenario.Seed, 0x5ca1)), share: p.scenario.SystemCalls,
-			listening: p.listening}
+	if p.scenario.SystemCallFaultShare > 0 || p.scenario.DiskFaults {
+		p.faults = &systemCallFaults{rng: rand.New(rand.NewPCG(p.scenario.Seed, 0x5ca1)), faultShare: p.scenario.SystemCallFaultShare,
+			isLimiterPort: p.isLimiterPort}
 	}
-	if !p.scenario.Disk {
+	if !p.scenario.DiskFaults {
 		return nil
 	}
-	p.faults.dir = filepath.Join(p.dir, "lists")
-	if err := os.MkdirAll(p.faults.dir, 0o755); err != nil {
+	p.faults.failingDir = filepath.Join(p.dir, "lists")
+	if err := os.MkdirAll(p.faults.failingDir, 0o755); err != nil {
 		return err
 	}
-	text := fmt.Sprintf("installation = \"soak\"\n[snapshot]\npath = %q\noldest_s = 60.0\n", p.faults.dir)
+	text := fmt.Sprintf("installation = \"soak\"\n[snapshot]\npath = %q\noldest_s = 60.0\n", p.faults.failingDir)
 	return os.WriteFile(p.operatorPath(), []byte(text), 0o600)
 }
 
-func (p *play) operatorPath() string { return filepath.Join(p.dir, "operator.toml") }
+func (p *seedRun) operatorPath() string { return filepath.Join(p.dir, "operator.toml") }
 
-// listening tells whether clients connect to a port.
-func (p *play) listening(port int) bool {
+// isLimiterPort tells whether clients connect to a port.
+func (p *seedRun) isLimiterPort(port int) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.ports[port]
+	return p.limiterPorts[port]
 }
 
 // command prepares a limiter's command: with its clock, its operator's file and the shim.
-func (p *play) command(_ int, command *exec.Cmd) (started func() error, err error) {
-	p.notePort(command.Env)
+func (p *seedRun) command(_ int, command *exec.Cmd) (started func() error, err error) {
+	p.recordPort(command.Env)
 	if p.clock != nil {
 		command.Env = append(command.Env, p.clock.Environment()...)
 	}
-	if p.scenario.Disk {
+	if p.scenario.DiskFaults {
 		command.Env = append(command.Env, "GW_OPERATOR="+p.operatorPath())
 	}
 	supervise := func() error { return nil }
@@ -182,8 +182,8 @@
 	}, nil
 }
 
-// notePort notes the port on which the limiter will listen.
-func (p *play) notePort(environment []string) {
+// recordPort notes the port on which the limiter will listen.
+func (p *seedRun) recordPort(environment []string) {
 	for _, variable := range environment {
 		address, found := strings.CutPrefix(variable, "GW_LISTEN=")
 		if !found {
@@ -192,31 +192,31 @@
 		_, text, _ := net.SplitHostPort(address)
 		port, _ := strconv.Atoi(text)
 		p.mutex.Lock()
-		p.ports[port] = true
+		p.limiterPorts[port] = true
 		p.mutex.Unlock()
 	}
 }
 
-// beside plays what is beside the experiment until stop.
-func (p *play) beside(lab *runner.Lab, stop <-chan struct{}) {
+// runAlongside plays what is runAlongside the experiment until stop.
+func (p *seedRun) runAlongside(lab *runner.Lab, stop <-chan struct{}) {
 	var running sync.WaitGroup
-	both := func(act func()) {
+	start := func(task func()) {
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			act()
+			task()
 		}()
 	}
-	both((&clients{scenario: p.scenario, lab: lab, stop: stop}).run)
-	both(func() { p.stepClock(stop) })
-	both(func() { p.failDisk(stop) })
-	both(func() { p.measureLag(stop) })
-	both(func() { p.memory.run(stop) })
+	start((&extraClients{scenario: p.scenario, lab: lab, stop: stop}).run)
+	start(func() { p.stepClock(stop) })
+	start(func() { p.failDisk(stop) })
+	start(func() { p.measureLag(stop) })
+	start(func() { p.memory.run(stop) })
 	running.Wait()
 }
 
 // measureLag measures how late the lab's own goroutines wake.
-func (p *play) measureLag(stop <-chan struct{}) {
+func (p *seedRun) measureLag(stop <-chan struct{}) {
 	for {
 		began := time.Now()
 		select {
@@ -224,7 +224,7 @@
 			return
 		case <-time.After(lagInterval):
 		}
-		p.lag.Store(max(p.lag.Load(), int64(time.Since(began)-lagInterval)))
+		p.maxLag.Store(max(p.maxLag.Load(), int64(time.Since(began)-lagInterval)))
 	}
 }
 
@@ -234,7 +234,7 @@
 }
 
 // stepClock steps the wall clock now and then.
-func (p *play) stepClock(stop <-chan struct{}) {
+func (p *seedRun) stepClock(stop <-chan struct{}) {
 	if p.clock == nil {
 		return
 	}
@@ -250,8 +250,8 @@
 }
 
 // failDisk has the disk refuse writes for some seconds, again and again.
-func (p *play) failDisk(stop <-chan struct{}) {
-	if !p.scenario.Disk {
+func (p *seedRun) failDisk(stop <-chan struct{}) {
+	if !p.scenario.DiskFaults {
 		return
 	}
 	rng := rand.New(rand.NewPCG(p.scenario.Seed, 0xd15c))
@@ -266,11 +266,11 @@
 	}
 }
 
-// bad are the beginnings of what no log may hold.
-var bad = []string{"event=panic", "panic:", "fatal error:", "event=failed"}
+// forbiddenLogTexts are the beginnings of what no log may hold.
+var forbiddenLogTexts = []string{"event=panic", "panic:", "fatal error:", "event=failed"}
 
 // readLogs finds what the limiters' logs may not hold.
-func (p *play) readLogs() (findings []Finding) {
+func (p *seedRun) readLogs() (findings []Finding) {
 	logs, _ := filepath.Glob(filepath.Join(p.dir, "n*.log"))
 	for _, path := range logs {
 		file, err := os.Open(path)
@@ -281,7 +281,7 @@
 		lines := bufio.NewScanner(file)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			for _, text := range bad {
+			for _, text := range forbiddenLogTexts {
 				if strings.Contains(lines.Text(), text) {
 					findings = append(findings, Finding{What: "log " + filepath.Base(path), Detail: lines.Text()})
 				}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -42,28 +42,28 @@
 	}
 }
 
-// TestDrawIsTheSame: a seed draws the same scenario each time, and the seeds of CI have every kind between them.
-func TestDrawIsTheSame(t *testing.T) {
-	var calls, steps, disk, crowd, leavers, pipelines, quiet bool
+// TestDrawIsDeterministic: a seed draws the same scenario each time, and the seeds of CI have every kind between them.
+func TestDrawIsDeterministic(t *testing.T) {
+	var systemCalls, steps, disk, crowd, leavers, pipelines, quiet bool
 	for _, seed := range ciSeeds {
-		one, err := Draw(seed, ciSeconds, "program", 0)
+		first, err := Draw(seed, ciSeconds, "program", 0)
 		require.NoError(t, err)
-		two, err := Draw(seed, ciSeconds, "program", 0)
+		second, err := Draw(seed, ciSeconds, "program", 0)
 		require.NoError(t, err)
-		require.Equal(t, one, two)
-		calls = calls || one.SystemCalls > 0
-		steps = steps || one.ClockSteps
-		disk = disk || one.Disk
-		crowd = crowd || one.Crowd > 0
-		leavers = leavers || one.Leavers > 0
-		pipelines = pipelines || one.Pipelines > 0
-		quiet = quiet || one.Quiet
+		require.Equal(t, first, second)
+		systemCalls = systemCalls || first.SystemCallFaultShare > 0
+		steps = steps || first.ClockSteps
+		disk = disk || first.DiskFaults
+		crowd = crowd || first.IdleClients > 0
+		leavers = leavers || first.LeavingClients > 0
+		pipelines = pipelines || first.PipeliningClients > 0
+		quiet = quiet || first.Quiet
 	}
-	require.Equal(t, []bool{true, true, true, true, true, true, true}, []bool{calls, steps, disk, crowd, leavers, pipelines, quiet})
+	require.Equal(t, []bool{true, true, true, true, true, true, true}, []bool{systemCalls, steps, disk, crowd, leavers, pipelines, quiet})
 }
 
-// TestEverySeedCanBePlayed: what is drawn passes the experiment's own checks, also for a fleet of a given size.
-func TestEverySeedCanBePlayed(t *testing.T) {
+// TestDrawnExperimentsAreValid: what is drawn passes the experiment's own checks, also for a fleet of a given size.
+func TestDrawnExperimentsAreValid(t *testing.T) {
 	for seed := range uint64(300) {
 		_, err := Draw(seed, 12, "program", 0)
 		require.NoError(t, err)
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestOverMemoryFinds: a process past its limit is a finding, and the meter sees what a process holds.
-func TestOverMemoryFinds(t *testing.T) {
-	require.Empty(t, overMemory(64<<20, 64))
-	require.Equal(t, []Finding{{What: "memory", Detail: "a limiter held 65 MB"}}, overMemory(65<<20, 64))
+// TestMemoryFindings: a process past its limit is a finding, and the meter sees what a process holds.
+func TestMemoryFindings(t *testing.T) {
+	require.Empty(t, memoryFindings(64<<20, 64))
+	require.Equal(t, []Finding{{What: "memory", Detail: "a limiter held 65 MB"}}, memoryFindings(65<<20, 64))
 	sleeper := exec.Command("sleep", "60")
 	require.NoError(t, sleeper.Start())
 	t.Cleanup(func() {
@@ -85,23 +85,23 @@
 	})
 	var other, same memoryMeter
 	other.add(sleeper, os.Args[0])
-	other.look()
+	other.sample()
 	require.Zero(t, other.peak(), "it is not the program that was to run")
 	same.add(sleeper, sleeper.Path)
-	require.Eventually(t, func() bool { same.look(); return same.peak() > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { same.sample(); return same.peak() > 0 }, 5*time.Second, time.Millisecond)
 }
 
-// TestReadLogsFinds: a log with a panic, a fatal error or a failed start is a finding.
-func TestReadLogsFinds(t *testing.T) {
+// TestReadLogsFindsFailures: a log with a panic, a fatal error or a failed start is a finding.
+func TestReadLogsFindsFailures(t *testing.T) {
 	dir := t.TempDir()
 	text := "time=x level=INFO event=started name=n0\ntime=x level=ERROR event=panic error=y\nfatal error: all goroutines are asleep\n"
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "n0.log"), []byte(text), 0o600))
-	findings := (&play{dir: dir}).readLogs()
+	findings := (&seedRun{dir: dir}).readLogs()
 	require.Len(t, findings, 2)
 }
 
-// TestDiskFaultsHitTheDirectoryAlone: writes elsewhere go on.
-func TestDiskFaultsHitTheDirectoryAlone(t *testing.T) {
+// TestDiskFaultsAffectOnlyTheDirectory: writes elsewhere go on.
+func TestDiskFaultsAffectOnlyTheDirectory(t *testing.T) {
 	dir := t.TempDir()
 	inside, err := os.Create(filepath.Join(dir, "n0.snapshot.new"))
 	require.NoError(t, err)
@@ -111,11 +111,11 @@
 	defer func() { _ = outside.Close() }()
 	scenario, err := Draw(1, ciSeconds, "program", 0)
 	require.NoError(t, err)
-	scenario.Disk = true
-	p := &play{scenario: scenario, dir: dir, ports: map[int]bool{}}
+	scenario.DiskFaults = true
+	p := &seedRun{scenario: scenario, dir: dir, limiterPorts: map[int]bool{}}
 	require.NoError(t, p.prepare())
-	p.faults.dir = dir
-	p.faults.share = 0
+	p.faults.failingDir = dir
+	p.faults.faultShare = 0
 	write := func(file *os.File) syscallshim.Decision {
 		return p.faults.decide(syscallshim.Call{
 			PID: os.Getpid(), Number: unix.SYS_WRITE, Args: [6]uint64{uint64(file.Fd()), 0, 10},
