--- a/internal/lab/distbench/cases.go
+++ b/internal/lab/distbench/cases.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// Lengths of the cases. Short ones show only that the run works.
+// caseParameters are the durations of the cases and the number of changes that they publish.
 type caseParameters struct {
 	idleTime, settleTime, regionCutTime, changeInterval time.Duration
 	calmChanges, regionChanges, changes                 int
 }
 
 var (
+	// fullParameters are those of a measurement.
 	fullParameters = caseParameters{
 		idleTime:       20 * time.Second,
 		settleTime:     2 * time.Second,
@@ -24,6 +25,7 @@
 		regionChanges:  10,
 		changes:        40,
 	}
+	// shortParameters only check that the cases run; their figures are not comparable.
 	shortParameters = caseParameters{
 		idleTime:       time.Second,
 		settleTime:     200 * time.Millisecond,
@@ -35,42 +37,45 @@
 	}
 )
 
-// caseTimeout is how long after its publication a version is waited for.
+// caseTimeout is how long after its publication a version is awaited at the limiters.
 const caseTimeout = 30 * time.Second
 
 // Case is one row of the measurement.
 type Case struct {
-	Name   string         `json:"name"`
+	Name string `json:"name"`
+	// Hollow is the time until the hollow limiters applied the version.
 	Hollow LatencySummary `json:"hollow"`
-	// Real is the time until the new discovery was asked; of no limiters where none was moved in the case.
+	// Real is the time until the real limiters polled the discovery that the version names. It has no samples in a case
+	// that does not measure the real limiters.
 	Real LatencySummary `json:"real"`
 }
 
-// CaseNames are the cases, in their order.
+// CaseNames are the names of all cases, in the order in which they are run.
 var CaseNames = []string{"calm", "killed", "stalled", "zone", "region", "restart", "changes", "cold"}
 
-// runCase plays one case. Errors: *UnknownCaseError, and those of the fleet.
+// runCase runs one case. Errors: *UnknownCaseError, and those of the fleet.
 func (f *Fleet) runCase(name string, parameters caseParameters) ([]Case, error) {
-	runNamed := map[string]func(caseParameters) ([]Case, error){"calm": f.runCalm, "killed": f.runKilled, "stalled": f.runStalled, "zone": f.runZoneCut,
-		"region": f.runRegionCut, "restart": f.runRestart, "changes": f.runChanges, "cold": f.runCold}[name]
+	runNamed := map[string]func(caseParameters) ([]Case, error){"calm": f.runCalm, "killed": f.runKilled,
+		"stalled": f.runStalled, "zone": f.runZoneCut, "region": f.runRegionCut, "restart": f.runRestart,
+		"changes": f.runChanges, "cold": f.runCold}[name]
 	if runNamed == nil {
 		return nil, &UnknownCaseError{Name: name}
 	}
 	return runNamed(parameters)
 }
 
-// UnknownCaseError is for a case that there is not.
+// UnknownCaseError reports a case name that is not in CaseNames.
 type UnknownCaseError struct{ Name string }
 
-// Error says what happened.
-func (e *UnknownCaseError) Error() string { return fmt.Sprintf("there is no case %q", e.Name) }
+// Error implements error.
+func (e *UnknownCaseError) Error() string { return fmt.Sprintf("unknown case %q", e.Name) }
 
-// Hint says what to do about it.
-func (e *UnknownCaseError) Hint() string { return "name some of " + strings.Join(CaseNames, ", ") }
+// Hint lists the valid names.
+func (e *UnknownCaseError) Hint() string { return "choose from " + strings.Join(CaseNames, ", ") }
 
 func anyLimiter(hollowLimiter) bool { return true }
 
-// measure waits for publications at limiters, and sums their times up.
+// measure waits until the hollow limiters have applied each publication, and summarizes how long that took.
 func (f *Fleet) measure(name string, limiters []int, publications ...publication) Case {
 	var latencies []time.Duration
 	never := 0
@@ -87,7 +92,7 @@
 	return Case{Name: name, Hollow: summarize(latencies, never)}
 }
 
-// measureReal adds the real limiters' times for the newest publication.
+// measureReal sets c.Real to the real limiters' latencies for p, which must be the newest publication.
 func (f *Fleet) measureReal(c *Case, p publication) {
 	var latencies []time.Duration
 	never := 0
@@ -106,7 +111,7 @@
 	c.Real = summarize(latencies, never)
 }
 
-// publishAndMeasure is one publication at all limiters.
+// publishAndMeasure publishes one change and measures it at all limiters.
 func (f *Fleet) publishAndMeasure(name string) ([]Case, error) {
 	p, err := f.publish()
 	if err != nil {
@@ -117,6 +122,7 @@
 	return []Case{c}, nil
 }
 
+// runCalm publishes changes one by one, each after the previous one has been measured.
 func (f *Fleet) runCalm(parameters caseParameters) ([]Case, error) {
 	var all []publication
 	var last Case
@@ -134,12 +140,14 @@
 	return []Case{c}, nil
 }
 
-// The relays that fail. Limiters of one that has failed ask their other relay for a while, so each case has its own.
+// The indices of the relays that fail. The limiters of a failed relay keep polling their other relay for a while, so
+// each case fails a relay of its own.
 const (
 	killedRelay  = 0
 	stalledRelay = 1
 )
 
+// runKilled kills a relay just before a publication, and restarts it after the measurement.
 func (f *Fleet) runKilled(caseParameters) ([]Case, error) {
 	relay := f.relays[killedRelay]
 	relay.Kill()
@@ -150,6 +158,7 @@
 	return cases, f.startRelay(relay)
 }
 
+// runStalled stops a relay with SIGSTOP just before a publication, and continues it after the measurement.
 func (f *Fleet) runStalled(caseParameters) ([]Case, error) {
 	relay := f.relays[stalledRelay]
 	if err := relay.Signal(syscall.SIGSTOP); err != nil {
@@ -162,13 +171,14 @@
 	return cases, relay.Signal(syscall.SIGCONT)
 }
 
-// runZoneCut cuts the last zone off. The limiters outside are measured from the publication, those inside from the heal.
+// runZoneCut partitions the last zone from the others. Limiters outside it are measured from the publication, limiters
+// inside it from the end of the partition.
 func (f *Fleet) runZoneCut(parameters caseParameters) ([]Case, error) {
 	name := zones[len(zones)-1].name
 	return f.measurePartition("a zone cut", 1, parameters.settleTime, func(zone string) bool { return zone == name })
 }
 
-// runRegionCut cuts the region without the source off.
+// runRegionCut partitions the region that does not hold the source from the other region.
 func (f *Fleet) runRegionCut(parameters caseParameters) ([]Case, error) {
 	inside := map[string]bool{}
 	for _, z := range zones {
@@ -182,8 +192,10 @@
 	)
 }
 
-// measurePartition cuts zones off for a time, in which changes are published, and heals them.
-func (f *Fleet) measurePartition(name string, changes int, duration time.Duration, inside func(string) bool) ([]Case, error) {
+// measurePartition partitions zones from the others for a duration, spreads publications over it and ends the
+// partition. It returns a case for the limiters outside, and one for those inside.
+func (f *Fleet) measurePartition(
+	name string, changes int, duration time.Duration, inside func(string) bool) ([]Case, error) {
 	if err := f.setPartition(true, inside); err != nil {
 		return nil, err
 	}
@@ -213,12 +225,13 @@
 	if err := f.setPartition(false, inside); err != nil {
 		return nil, err
 	}
-	insideCase := f.measure(fmt.Sprintf("%s: inside, from the heal (%d had it before)", name, earlyCount), insideLimiters, healed)
+	insideCase := f.measure(
+		fmt.Sprintf("%s: inside, from the heal (%d had it before)", name, earlyCount), insideLimiters, healed)
 	return []Case{outsideCase, insideCase}, nil
 }
 
-// runRestart restarts every tenth limiter, and publishes a change once all of them have begun again with the state on
-// their disks.
+// runRestart restarts every tenth hollow limiter, and publishes a change once all of them have restored their state
+// from disk.
 func (f *Fleet) runRestart(caseParameters) ([]Case, error) {
 	started := time.Now()
 	var restarted []int
@@ -237,7 +250,7 @@
 	if !f.awaitVersion(restarted, f.latest, started, caseTimeout) {
 		return nil, &StartError{
 			What:  "a tenth of the limiters",
-			Log:   "no state from the disk",
+			Log:   "state was not restored from disk in time",
 			Cause: os.ErrDeadlineExceeded,
 		}
 	}
@@ -250,7 +263,7 @@
 	return []Case{all, f.measure("a tenth restarting from disk: that tenth", restarted, p)}, nil
 }
 
-// runChanges publishes many runChanges one after another.
+// runChanges publishes changes at a fixed interval, without waiting for the limiters in between.
 func (f *Fleet) runChanges(parameters caseParameters) ([]Case, error) {
 	started := time.Now()
 	var all []publication
@@ -262,11 +275,12 @@
 		}
 		all = append(all, p)
 	}
-	name := fmt.Sprintf("%d changes in %v", parameters.changes, time.Duration(parameters.changes)*parameters.changeInterval)
+	name := fmt.Sprintf("%d changes in %v", parameters.changes,
+		time.Duration(parameters.changes)*parameters.changeInterval)
 	return []Case{f.measure(name, f.hollowNumbers(anyLimiter), all...)}, nil
 }
 
-// runCold ends all relays and hosts and starts them together, without states on disks.
+// runCold kills all relays and hosts and starts them together, without saved state. The time runs from the restart.
 func (f *Fleet) runCold(caseParameters) ([]Case, error) {
 	for _, h := range f.hosts {
 		h.kill()
@@ -285,5 +299,6 @@
 	if err := f.startHosts(); err != nil {
 		return nil, err
 	}
-	return []Case{f.measure("relays and limiters started cold, from the start", f.hollowNumbers(anyLimiter), started)}, nil
+	return []Case{f.measure("relays and limiters started cold, from the start",
+		f.hollowNumbers(anyLimiter), started)}, nil
 }
--- a/internal/lab/distbench/distbench_test.go
+++ b/internal/lab/distbench/distbench_test.go
@@ -12,7 +12,7 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// TestMain makes this binary a host of hollow limiters where the harness starts it as one.
+// TestMain runs the test binary as a host of hollow limiters if the harness started it with HostVariable.
 func TestMain(m *testing.M) {
 	if os.Getenv(HostVariable) != "" {
 		if err := HostMain(os.Stdin, os.Stdout); err != nil {
@@ -24,8 +24,9 @@
 	os.Exit(m.Run())
 }
 
-// TestShortRun plays cases at a small size: every change comes in force everywhere in time, also past a relay that is
-// killed, and no limiter that is cut off has it before the heal. All cases at full size: testlab distribution.
+// TestShortRun runs cases with a small fleet. It guards against changes that a limiter applies late or never, also when
+// a relay is killed, and against partitions that let a change through. testlab distribution runs all cases at full
+// size.
 func TestShortRun(t *testing.T) {
 	programs, err := Build(t.TempDir())
 	require.NoError(t, err)
@@ -48,7 +49,7 @@
 	}
 	require.Contains(t, names, "(0 had it before)")
 	require.Len(t, report.Loads, 3)
-	for _, l := range report.Loads[1:] { // an idle second may pass without a call
+	for _, l := range report.Loads[1:] { // the idle period may pass without any call
 		for _, part := range []Load{l.Limiter, l.Real, l.Relay, l.Source} {
 			require.Positive(t, part.BytesPerSecond, l.During)
 			require.Positive(t, part.CorePercent, l.During)
@@ -59,15 +60,15 @@
 	require.FileExists(t, path)
 }
 
-// TestApplyLog reads times from what was recorded: of a version or a newer one, not before the publication, in the order
-// of arrival.
+// TestApplyLog checks that a latency is taken from the first record, in order of arrival, of the version or a newer one
+// at or after the publication.
 func TestApplyLog(t *testing.T) {
 	l, from := newApplyLog(), time.Unix(100, 0)
 	version := func(n uint64) distribution.Version { return distribution.Version{Epoch: 1, Number: n} }
 	add := func(limiter int, n uint64, after time.Duration) {
 		l.add(appliedVersion{Limiter: limiter, Version: version(n), At: from.Add(after).UnixNano()})
 	}
-	add(1, 5, -time.Second) // an earlier life's
+	add(1, 5, -time.Second) // of an earlier incarnation
 	add(1, 4, time.Second)
 	add(1, 6, 3*time.Second)
 	add(2, 5, 2*time.Second)
@@ -79,18 +80,21 @@
 	require.False(t, l.allApplied([]int{3}, version(1), from))
 }
 
-// TestSummarize sums times up: the late and those that never came are counted, and only what came has a time.
+// TestSummarize checks that late samples and those never applied are counted, and that only applied samples enter the
+// quantiles.
 func TestSummarize(t *testing.T) {
 	var latencies []time.Duration
 	for i := 100; i > 0; i-- {
 		latencies = append(latencies, time.Duration(i)*time.Second/5)
 	}
-	require.Equal(t, LatencySummary{Samples: 103, P50: 10, P99: 19.8, Max: 20, Late: 13, Never: 3}, summarize(latencies, 3))
+	require.Equal(t,
+		LatencySummary{Samples: 103, P50: 10, P99: 19.8, Max: 20, Late: 13, Never: 3}, summarize(latencies, 3))
 	require.Equal(t, LatencySummary{Samples: 2, Late: 2, Never: 2}, summarize(nil, 2))
 	require.Equal(t, LatencySummary{Samples: 1, P50: 1, P99: 1, Max: 1}, summarize([]time.Duration{time.Second}, 0))
 }
 
-// TestLoad shares a process's use.
+// TestLoad checks that a process's usage is divided among its limiters, that the test's own usage can be read, and that
+// reading that of a process that does not exist fails.
 func TestLoad(t *testing.T) {
 	at := time.Unix(0, 0)
 	before := usage{at: at, cpuTime: time.Second, bytes: 1000}
@@ -105,7 +109,7 @@
 	require.ErrorAs(t, err, &failed)
 }
 
-// TestUnknownCase names a case that there is not.
+// TestUnknownCase checks that an unknown case name is an error whose hint lists the valid names.
 func TestUnknownCase(t *testing.T) {
 	f := &Fleet{}
 	_, err := f.runCase("quiet", shortParameters)
--- a/internal/lab/distbench/fleet.go
+++ b/internal/lab/distbench/fleet.go
@@ -20,48 +20,49 @@
 )
 
 const (
-	callTimeout     = 10 * time.Second // of the harness's own calls at the source
-	entryValueBytes = 200              // bytes of an entry's value
+	callTimeout     = 10 * time.Second // of the harness's own calls to the source
+	entryValueBytes = 200              // size of each entry's value, bytes
 )
 
-// zones are the zones of the fleet, the first two of the source's region.
+// zones are the zones of the fleet. The source is in the first one, and the first two are in its region.
 var zones = []zone{{"east-1", "east"}, {"east-2", "east"}, {"west-1", "west"}, {"west-2", "west"}}
 
 type zone struct{ name, region string }
 
-// Options are the size of a run.
+// Options describe the fleet of a run and its size.
 type Options struct {
 	Programs     Programs
-	Host         []string // the command of a host, whose environment has HostVariable
-	Dir          string   // of the run's files
-	Hollow       int      // hollow limiters
-	Hosts        int      // processes of them
-	Real         int      // real limiters
+	Host         []string // command and arguments of a host process; it is started with HostVariable set
+	Dir          string   // for the run's files
+	Hollow       int      // number of hollow limiters
+	Hosts        int      // number of host processes over which the hollow limiters are spread
+	Real         int      // number of real limiters
 	RelaysInZone int
-	Entries      int // of the state
-	Log          io.Writer
+	Entries      int       // number of entries in the published state
+	Log          io.Writer // receives the hosts' standard error
 }
 
-// relayProcess is a relay with the ways to it.
+// relayProcess is a relay with its link to the source.
 type relayProcess struct {
 	*Process
 	distribution.RelayAddress
 	region     string
 	sourceLink *link
-	port       *ports.Kept // its own, also while it is down
+	port       *ports.Kept // the relay's port, reserved also while the relay is down
 }
 
-// link is a link that is cut and healed any number of times.
+// link is a proxied connection path that can be cut and restored, up to maxCuts times.
 type link struct {
 	*faultproxy.Proxy
-	farZone  string // the zone of the far side
-	nearZone string
-	step     int64
+	farZone  string // zone of the proxied server
+	nearZone string // zone of the clients
+	step     int64  // step of the proxy's script; the link is cut while it is odd
 }
 
+// maxCuts is how often the script of a link can cut it.
 const maxCuts = 8
 
-// newLink makes a link whose script cuts it at each odd time.
+// newLink creates a link whose script cuts it at each odd step.
 func newLink(nearZone, farZone, address string) (*link, error) {
 	var script []faultproxy.Fault
 	for i := range int64(maxCuts) {
@@ -71,7 +72,7 @@
 	return &link{Proxy: proxy, nearZone: nearZone, farZone: farZone}, err
 }
 
-// setCut cuts the wire or heals it; it does nothing where it is so already.
+// setCut cuts or restores the link. It does nothing if the link is already in that state.
 func (l *link) setCut(cut bool) error {
 	if cut == (l.step%2 == 1) {
 		return nil
@@ -80,40 +81,41 @@
 	return l.Step(l.step)
 }
 
-// hollowLimiter is where a hollow limiter is.
+// hollowLimiter is a hollow limiter with its zone.
 type hollowLimiter struct {
 	hollowSpec
 	zone zone
 }
 
-// hostProcess is a host with its pipes. The bytes over them are no traffic of the limiters.
+// hostProcess is a host process with its pipes. The bytes over the pipes belong to the harness and are subtracted from
+// the host's usage.
 type hostProcess struct {
 	command   *exec.Cmd
 	in        io.WriteCloser
 	limiters  []hollowLimiter
 	mutex     sync.Mutex
-	pipeBytes int64
-	ended     chan struct{}
+	pipeBytes int64         // read and written over the pipes; guarded by mutex
+	ended     chan struct{} // closed when the process has exited
 }
 
-// Fleet is the distribution at its size. It is for one goroutine.
+// Fleet is a running source with its relays, hosts and real limiters. Its methods must be called from one goroutine.
 type Fleet struct {
 	options        Options
 	source         *Process
-	sourcePort     *ports.Kept // the source's
+	sourcePort     *ports.Kept // on which the source listens
 	client         *transport.Client
 	relays         []*relayProcess
-	relayLinks     map[[2]string]*link // from a zone to a relay of another one, by zone and relay's name
+	relayLinks     map[[2]string]*link // links from a zone to a relay in another zone, by zone and relay name
 	hollow         []hollowLimiter
 	hosts          []*hostProcess
 	real           []*realLimiter
 	applyLog       *applyLog
-	latest         distribution.Version
-	publishedCount int // published
+	latest         distribution.Version // newest published version
+	publishedCount int                  // number of calls of publish
 }
 
-// StartFleet starts a source with a state, its relays and all limiters; it does not wait until they have the state.
-// Errors: *StartError, *ports.KeepError, and those of transport.Client.
+// StartFleet starts a source with a published state, its relays and all limiters. It does not wait until the limiters
+// have applied the state. Errors: *StartError, *ports.KeepError, and those of transport.Client.
 func StartFleet(options Options) (*Fleet, error) {
 	f := &Fleet{options: options, applyLog: newApplyLog(), relayLinks: map[[2]string]*link{}}
 	if err := f.start(); err != nil {
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// publishState publishes the state: a third for every limiter, and a third for each region.
+// publishState publishes the initial state: one third of the entries for all limiters, and one third for each region.
 func (f *Fleet) publishState() error {
 	scopes := []string{"", "east", "west"}
 	value := fmt.Sprintf("%0*d", entryValueBytes, 0)
@@ -187,7 +189,7 @@
 	return nil
 }
 
-// publishMutations publishes a publishMutations.
+// publishMutations publishes mutations as one change and returns its version.
 func (f *Fleet) publishMutations(mutations []distribution.Mutation) (distribution.Version, error) {
 	change, err := f.client.Publish(
 		context.Background(),
@@ -201,13 +203,13 @@
 	return f.latest, nil
 }
 
-// publication is a version with the time just before it was published.
+// publication is a published version with the time just before its publication.
 type publication struct {
 	version distribution.Version
 	at      time.Time
 }
 
-// publish publishes a change that concerns every limiter, and moves the real ones to their other place.
+// publish publishes a change that concerns every limiter and moves each real limiter to its other discovery stub.
 func (f *Fleet) publish() (publication, error) {
 	f.publishedCount++
 	mutations := []distribution.Mutation{
@@ -243,7 +245,8 @@
 	return err
 }
 
-// relayServers are the addresses of a limiter's two relays. The way to one of another zone is a wire.
+// relayServers returns the addresses of the two relays of the limiter at a position in a zone. A relay in another zone
+// is reached through a link.
 func (f *Fleet) relayServers(z zone, position int) (servers [2]string, err error) {
 	var candidates []distribution.RelayAddress
 	for _, r := range f.relays {
@@ -270,7 +273,7 @@
 	return servers, nil
 }
 
-// placeHollow spreads the hollow limiters over the zones.
+// placeHollow assigns the hollow limiters to the zones in turn.
 func (f *Fleet) placeHollow() error {
 	for i := range f.options.Hollow {
 		z := zones[i%len(zones)]
@@ -325,7 +328,7 @@
 	return h.send(spec)
 }
 
-// readApplied notes what a host says until it ends.
+// readApplied adds the versions that a host reports to the apply log, until the host exits.
 func (f *Fleet) readApplied(h *hostProcess, out io.Reader) {
 	defer close(h.ended)
 	lines := bufio.NewScanner(out)
@@ -339,7 +342,7 @@
 	_ = h.command.Wait()
 }
 
-// send writes a line to a host.
+// send writes a message to the host, as one line of JSON.
 func (h *hostProcess) send(message any) error {
 	encoded, err := json.Marshal(message)
 	if err != nil {
@@ -356,7 +359,7 @@
 	h.pipeBytes += int64(count)
 }
 
-// usage is what the host has used, without the pipes. Errors: *procfs.Error.
+// usage returns what the host has used, without the bytes over its pipes. Errors: *procfs.Error.
 func (h *hostProcess) usage() (usage, error) {
 	u, err := readUsage(h.command.Process.Pid)
 	h.mutex.Lock()
@@ -370,7 +373,7 @@
 	<-h.ended
 }
 
-// hollowNumbers are the numbers of the hollow limiters for which a condition holds.
+// hollowNumbers returns the numbers of the hollow limiters that match.
 func (f *Fleet) hollowNumbers(match func(hollowLimiter) bool) (numbers []int) {
 	for _, l := range f.hollow {
 		if match(l) {
@@ -380,8 +383,10 @@
 	return numbers
 }
 
-// awaitVersion waits until limiters have a version in force, and tells whether it came in time.
-func (f *Fleet) awaitVersion(limiters []int, version distribution.Version, from time.Time, timeout time.Duration) bool {
+// awaitVersion waits until all limiters have applied a version or a newer one at or after from, and reports whether
+// they did so within the timeout.
+func (f *Fleet) awaitVersion(
+	limiters []int, version distribution.Version, from time.Time, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		if f.applyLog.allApplied(limiters, version, from) {
 			return true
@@ -392,7 +397,8 @@
 	}
 }
 
-// setPartition cuts every way between the places inside and those outside, or heals it. The source is in the first zone.
+// setPartition cuts or restores every link between a zone inside and one outside. The source counts as in the first
+// zone.
 func (f *Fleet) setPartition(cut bool, inside func(zone string) bool) error {
 	for _, l := range f.relayLinks {
 		if inside(l.nearZone) != inside(l.farZone) {
@@ -411,7 +417,7 @@
 	return nil
 }
 
-// Stop ends all processes.
+// Stop kills all processes, and closes the links and ports.
 func (f *Fleet) Stop() {
 	for _, l := range f.real {
 		l.stop()
--- a/internal/lab/distbench/hollow.go
+++ b/internal/lab/distbench/hollow.go
@@ -15,17 +15,18 @@
 	"ospreycroft/internal/distribution/transport"
 )
 
-// HostVariable is set in the environment of a process that is to be a host of hollow limiters (HostMain).
+// HostVariable is the environment variable that makes a program a host of hollow limiters. A program that finds it set
+// calls HostMain.
 const HostVariable = "TESTLAB_DISTRIBUTION_HOST"
 
-const dialTimeout = 250 * time.Millisecond // of limiters, as in the lab's configurations
+const dialTimeout = 250 * time.Millisecond // of hollow limiters; the same as in the lab's limiter configurations
 
-// hollowSpec is one hollow limiter: a real follower over real connections, with an applier that records what comes in
-// force.
+// hollowSpec describes one hollow limiter: a real follower over real connections, with an applier that records which
+// versions it applies.
 type hollowSpec struct {
-	Number  int       `json:"number"` // among all
+	Number  int       `json:"number"` // unique in the fleet
 	Scope   string    `json:"scope"`
-	Servers [2]string `json:"servers"`
+	Servers [2]string `json:"servers"` // addresses of its relays
 }
 
 func (s hollowSpec) name() string { return fmt.Sprintf("hollow-%d", s.Number) }
@@ -33,22 +34,24 @@
 // hostSpec is the first line that a host reads.
 type hostSpec struct {
 	Limiters []hollowSpec `json:"limiters"`
-	StateDir string       `json:"state_dir"` // for limiters that restart
+	StateDir string       `json:"state_dir"` // where limiters save their state when they restart
 }
 
-// restartCommand is a further line: these limiters end, and begin again with the state that they left on the disk.
+// restartCommand is each further line that a host reads: it stops these limiters and starts them again with the state
+// that they saved to disk.
 type restartCommand struct {
 	Limiters []int `json:"limiters"`
 }
 
-// appliedVersion is a line that a host writes: a version came in force at a limiter.
+// appliedVersion is a line that a host writes: a limiter applied a version.
 type appliedVersion struct {
 	Limiter int                  `json:"limiter"`
 	Version distribution.Version `json:"version"`
 	At      int64                `json:"at"` // Unix time in nanoseconds
 }
 
-// HostMain runs hollow limiters as in tells until it ends, and writes to out what comes in force.
+// HostMain runs the hollow limiters that in describes and writes each version that they apply to out. It returns nil
+// when in ends, and an error if a limiter cannot be started.
 func HostMain(in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(bufio.NewReader(in))
 	var spec hostSpec
@@ -64,7 +67,7 @@
 	for {
 		var command restartCommand
 		if err := decoder.Decode(&command); err != nil {
-			return nil // the harness has ended
+			return nil // the harness has closed the pipe
 		}
 		for _, number := range command.Limiters {
 			if err := h.restart(number); err != nil {
@@ -74,15 +77,15 @@
 	}
 }
 
-// host is a process's hollow limiters.
+// host runs the hollow limiters of one process.
 type host struct {
 	stateDir string
 	limiters map[int]*hollowFollower
-	mutex    sync.Mutex // over encoder
+	mutex    sync.Mutex // guards encoder
 	encoder  *json.Encoder
 }
 
-// hollowFollower is one that runs.
+// hollowFollower is a running hollow limiter.
 type hollowFollower struct {
 	hollowSpec
 	follower  *transport.Follower
@@ -91,19 +94,20 @@
 	running   sync.WaitGroup
 }
 
-// recorder is the applier of one hollow limiter.
+// recorder is the applier of one hollow limiter. It writes the versions that it is given to the harness.
 type recorder struct {
 	host   *host
 	number int
 }
 
-// Apply writes the version down as in force.
+// Apply reports the update's version as applied.
 func (r *recorder) Apply(update *distribution.Update) error {
 	r.host.mutex.Lock()
 	defer r.host.mutex.Unlock()
 	return r.host.encoder.Encode(appliedVersion{Limiter: r.number, Version: update.To, At: time.Now().UnixNano()})
 }
 
+// start starts a hollow limiter, with its saved state if there is one.
 func (h *host) start(spec hollowSpec) error {
 	scope, err := distribution.ParseScope(spec.Scope)
 	if err != nil {
@@ -143,11 +147,11 @@
 	return nil
 }
 
-// restart ends a limiter, with its state on the disk, and starts it again.
+// restart stops a limiter, saves its state to disk and starts it again.
 func (h *host) restart(number int) error {
 	limiter := h.limiters[number]
 	if limiter == nil {
-		return fmt.Errorf("limiter %d is of another host", number)
+		return fmt.Errorf("limiter %d does not run in this host", number)
 	}
 	var snapshot *distribution.Snapshot
 	limiter.follower.Do(func(now int64, s *distribution.Subscriber) { snapshot = s.Snapshot(now) })
--- a/internal/lab/distbench/ledger.go
+++ b/internal/lab/distbench/ledger.go
@@ -8,10 +8,10 @@
 	"ospreycroft/internal/distribution"
 )
 
-// applyLog holds when which version came in force at which limiter, as the appliers and the stand-ins recorded it.
+// applyLog holds which versions each hollow limiter applied and when, as its applier recorded them.
 type applyLog struct {
 	mutex   sync.Mutex
-	applied map[int][]appliedVersion // by limiter
+	applied map[int][]appliedVersion // by limiter number, in order of arrival
 }
 
 func newApplyLog() *applyLog { return &applyLog{applied: map[int][]appliedVersion{}} }
@@ -22,8 +22,10 @@
 	l.applied[a.Limiter] = append(l.applied[a.Limiter], a)
 }
 
-// applyLatency is how long after a time a limiter had a version or a newer one in force.
-func (l *applyLog) applyLatency(limiter int, version distribution.Version, from time.Time) (latency time.Duration, found bool) {
+// applyLatency returns how long after from a limiter first applied a version or a newer one. Records before from do not
+// count; found is false if there is no other.
+func (l *applyLog) applyLatency(
+	limiter int, version distribution.Version, from time.Time) (latency time.Duration, found bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, a := range l.applied[limiter] {
@@ -34,7 +36,7 @@
 	return 0, false
 }
 
-// allApplied tells whether all limiters have had a version or a newer one since a time.
+// allApplied reports whether all limiters have applied a version or a newer one at or after from.
 func (l *applyLog) allApplied(limiters []int, version distribution.Version, from time.Time) bool {
 	return !slices.ContainsFunc(limiters, func(limiter int) bool {
 		_, found := l.applyLatency(limiter, version, from)
@@ -42,20 +44,20 @@
 	})
 }
 
-// LateAfter is when a version that is still not in force counts as late.
+// LateAfter is the latency above which a version counts as applied late.
 const LateAfter = 18 * time.Second
 
-// LatencySummary is how long versions took to come in force.
+// LatencySummary summarizes how long limiters took to apply versions.
 type LatencySummary struct {
-	Samples int     `json:"limiters"` // times versions
+	Samples int     `json:"limiters"` // limiters times versions
 	P50     float64 `json:"p50_s"`
 	P99     float64 `json:"p99_s"`
 	Max     float64 `json:"max_s"`
-	Late    int     `json:"late"`  // not in force at Late
-	Never   int     `json:"never"` // not in force when the case ended; they are in Late too, and not in the times
+	Late    int     `json:"late"`  // not applied within LateAfter
+	Never   int     `json:"never"` // not applied when the case ended; counted in Late too, but not in the quantiles
 }
 
-// summarize sums up times, with those that never came.
+// summarize computes the summary of latencies, with never further samples that were not applied. It sorts latencies.
 func summarize(latencies []time.Duration, never int) LatencySummary {
 	s := LatencySummary{Samples: len(latencies) + never, Late: never, Never: never}
 	if len(latencies) == 0 {
@@ -71,7 +73,7 @@
 	return s
 }
 
-// quantile is the least of sorted times that a share of them does not pass, in seconds.
+// quantile returns the smallest of the sorted durations that a share of them does not exceed, in seconds.
 func quantile(sorted []time.Duration, share float64) float64 {
 	index := int(share*float64(len(sorted))+0.999999) - 1
 	return sorted[min(max(index, 0), len(sorted)-1)].Seconds()
--- a/internal/lab/distbench/process.go
+++ b/internal/lab/distbench/process.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	startTimeout = 20 * time.Second // a process that takes longer to listen has not started
-	pollInterval = 5 * time.Millisecond
+	startTimeout = 20 * time.Second     // a process that is not listening by then has failed to start
+	pollInterval = 5 * time.Millisecond // between two checks of a condition that is awaited
 )
 
-// Programs are the paths of the programs that a run starts.
+// Programs are the paths of the programs that a run starts: the limiter, and configdist for sources and relays.
 type Programs struct{ Limiter, Distribution string }
 
-// Build builds the programs into a directory. Errors: *StartError.
+// Build compiles the programs into a directory. Errors: *StartError.
 func Build(dir string) (Programs, error) {
 	command := exec.Command(
 		"go",
@@ -39,35 +39,35 @@
 	return Programs{Limiter: filepath.Join(dir, "ospreycroft"), Distribution: filepath.Join(dir, "configdist")}, nil
 }
 
-// StartError is for a process that did not come up.
+// StartError reports a process that did not start.
 type StartError struct {
-	What, Log string
+	What, Log string // the process, and what it wrote
 	Cause     error
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *StartError) Error() string {
 	return fmt.Sprintf("%s did not start: %v: %s", e.What, e.Cause, e.Log)
 }
 
-// Unwrap is why.
+// Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// Hint says what to do about it.
+// Hint tells how to find or fix the cause.
 func (e *StartError) Hint() string {
-	return "see what the process wrote; build the programs (go build -o bin/ ./cmd/...)"
+	return "read the process's output; check that the programs are built (go build -o bin/ ./cmd/...)"
 }
 
-// Process is one started process with what it has written. It may be used from any goroutine.
+// Process is a started process with its output. Its methods are safe for concurrent use.
 type Process struct {
 	command *exec.Cmd
-	ended   chan struct{}
-	exitErr error // of its end
+	ended   chan struct{} // closed when the process has exited
+	exitErr error         // result of Wait, valid once ended is closed
 	mutex   sync.Mutex
-	log     []byte
+	log     []byte // standard output and standard error; guarded by mutex
 }
 
-// Write takes what the process writes.
+// Write appends to the log. It implements io.Writer for the process's output.
 func (p *Process) Write(text []byte) (int, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -75,26 +75,27 @@
 	return len(text), nil
 }
 
-// Log is what the process has written so far.
+// Log returns what the process has written so far.
 func (p *Process) Log() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return string(p.log)
 }
 
-// Start starts a program with further variables in its environment. Errors: *StartError.
+// Start starts a program with additional environment variables. Errors: *StartError.
 func Start(program string, environment []string, arguments ...string) (*Process, error) {
 	return StartUnder(nil, program, environment, arguments...)
 }
 
-// StartUnder does so with the process's system calls decided on, nil for none; the calling program is the shim's launcher.
-// Errors: *StartError.
-func StartUnder(decide syscallshim.Decide, program string, environment []string, arguments ...string) (*Process, error) {
+// StartUnder is Start with the system call shim: decide chooses what becomes of the process's system calls, and the
+// calling program serves as the shim's launcher. If decide is nil, there is no shim. Errors: *StartError.
+func StartUnder(
+	decide syscallshim.Decide, program string, environment []string, arguments ...string) (*Process, error) {
 	p := &Process{command: exec.Command(program, arguments...), ended: make(chan struct{})}
 	p.command.Env = append(os.Environ(), environment...)
 	p.command.Stdout = p
 	p.command.Stderr = p
-	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the run
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // kills the process if the run ends first
 	afterStart := func() error { return nil }
 	if decide != nil {
 		var err error
@@ -117,19 +118,20 @@
 	return p, nil
 }
 
-// Pid is the process's id.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.command.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(signal os.Signal) error { return p.command.Process.Signal(signal) }
 
-// Kill ends the process and waits for its end.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill()
 	<-p.ended
 }
 
-// Ended waits for the process's own end, and tells whether it came in time and with what error.
+// Ended waits until the process exits of its own accord, and reports whether it did within the timeout. err is the
+// result of exec.Cmd.Wait.
 func (p *Process) Ended(timeout time.Duration) (ended bool, err error) {
 	select {
 	case <-p.ended:
@@ -139,7 +141,8 @@
 	}
 }
 
-// Wrote waits until the process has written a text so many times, and tells whether it came in time.
+// Wrote waits until the process's output contains a text at least a number of times, and reports whether it did within
+// the timeout.
 func (p *Process) Wrote(text string, times int, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		if strings.Count(p.Log(), text) >= times {
@@ -151,7 +154,7 @@
 	}
 }
 
-// waitUntilListening waits until a process of configdist listens. Errors: *StartError.
+// waitUntilListening waits until a configdist process logs that it is listening. Errors: *StartError.
 func (p *Process) waitUntilListening() error {
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if strings.Contains(p.Log(), "event=listening address=") {
@@ -164,7 +167,8 @@
 	return &StartError{What: p.command.Path, Log: p.Log(), Cause: os.ErrDeadlineExceeded}
 }
 
-// Reachable waits until something listens at an address. Errors: *StartError.
+// Reachable waits until a connection to an address succeeds, which the process is expected to listen on. Errors:
+// *StartError, if the process exits first or the wait times out.
 func (p *Process) Reachable(address string) error {
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if conn, err := net.Dial("tcp", address); err == nil {
@@ -177,19 +181,21 @@
 	return &StartError{What: p.command.Path, Log: p.Log(), Cause: os.ErrDeadlineExceeded}
 }
 
-// StartSource starts a source that keeps its state in a directory. Its port is a kept one, so that it can be started there
-// again. Errors: *StartError.
+// StartSource starts a source that keeps its state in a directory. The port is a reserved one, so that the source can
+// be restarted on the same address. Errors: *StartError.
 func (programs Programs) StartSource(dir string, port *ports.Kept, extraArguments ...string) (*Process, error) {
-	return programs.startListening(append([]string{"source", "--listen", port.Address(), "--dir", dir}, extraArguments...))
+	return programs.startListening(
+		append([]string{"source", "--listen", port.Address(), "--dir", dir}, extraArguments...))
 }
 
-// StartRelay starts a relay on a kept port, like StartSource. Errors: *StartError.
+// StartRelay starts a relay on a reserved port, like StartSource. Errors: *StartError.
 func (programs Programs) StartRelay(source, zone, name string, port *ports.Kept) (*Process, error) {
 	return programs.startListening(
 		[]string{"relay", "--listen", port.Address(), "--source", source, "--zone", zone, "--name", name},
 	)
 }
 
+// startListening starts configdist and waits until it is listening. Errors: *StartError.
 func (programs Programs) startListening(arguments []string) (*Process, error) {
 	p, err := Start(programs.Distribution, nil, arguments...)
 	if err != nil {
--- a/internal/lab/distbench/real.go
+++ b/internal/lab/distbench/real.go
@@ -16,7 +16,7 @@
 	"ospreycroft/internal/lab/ports"
 )
 
-// discoveryStub is a discovery with an empty list that notes when it is asked first.
+// discoveryStub is a discovery service with an empty endpoint list that records when it is polled.
 type discoveryStub struct {
 	listener  net.Listener
 	server    *http.Server
@@ -37,7 +37,7 @@
 
 func (s *discoveryStub) address() string { return s.listener.Addr().String() }
 
-// ServeHTTP answers with the list; a watch waits for its time.
+// ServeHTTP answers with the empty list, after the hold time if the request has one.
 func (s *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
 	s.pollTimes = append(s.pollTimes, time.Now())
@@ -53,7 +53,7 @@
 	_, _ = io.WriteString(w, `{"generation":1,"reset":true,"instances":[]}`)
 }
 
-// pollLatency is how long after a time it was asked first.
+// pollLatency returns how long after from the stub was first polled; polled is false if it was not.
 func (s *discoveryStub) pollLatency(from time.Time) (latency time.Duration, polled bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,19 +65,19 @@
 	return 0, false
 }
 
-// realLimiter is the limiter's program, and two stand-ins between which it is moved.
+// realLimiter is a process of the limiter program, with the two discovery stubs between which it is moved.
 type realLimiter struct {
 	*Process
 	number      int
 	port        *ports.Kept
 	discoveries [2]*discoveryStub
-	current     int // the place that was published last
+	current     int // index of the discovery that was published last
 }
 
-// scope is the part of the fleet that is this limiter alone.
+// scope returns the distribution scope that covers this limiter alone.
 func (l *realLimiter) scope() string { return fmt.Sprintf("real-%d", l.number) }
 
-// moveMutation is the mutation that moves the limiter to its other place.
+// moveMutation switches current, and returns the mutation that moves the limiter to that discovery.
 func (l *realLimiter) moveMutation() distribution.Mutation {
 	l.current = 1 - l.current
 	return distribution.Mutation{
@@ -94,7 +94,7 @@
 		l.discoveries[i], err = startDiscoveryStub()
 		if err != nil {
 			l.stop()
-			return nil, &StartError{What: "a stand-in of discovery", Cause: err}
+			return nil, &StartError{What: "a discovery stub", Cause: err}
 		}
 	}
 	l.port, err = ports.Keep()
@@ -116,7 +116,8 @@
 	return l, nil
 }
 
-// writeFiles writes the limiter's writeFiles, and gives the variables that name them.
+// writeFiles writes the limiter's configuration and operator file, and returns the environment variables that name
+// them.
 func (l *realLimiter) writeFiles(dir string, servers [2]string) ([]string, error) {
 	stateDir := filepath.Join(dir, l.scope())
 	if err := os.MkdirAll(stateDir, 0o755); err != nil {
--- a/internal/lab/distbench/run.go
+++ b/internal/lab/distbench/run.go
@@ -11,16 +11,16 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// Loads are what the parts of the fleet used over a time.
+// Loads are the loads of the fleet's parts over a period.
 type Loads struct {
 	During  string `json:"during"`
-	Limiter Load   `json:"limiter"` // the mean of the hollow ones
-	Real    Load   `json:"real"`    // the mean of the real ones, their list service's traffic in it
-	Relay   Load   `json:"relay"`   // the mean
+	Limiter Load   `json:"limiter"` // mean of the hollow limiters
+	Real    Load   `json:"real"`    // mean of the real limiters, including their traffic with discovery
+	Relay   Load   `json:"relay"`   // mean of the relays
 	Source  Load   `json:"source"`
 }
 
-// Report is a run's outcome.
+// Report is the result of a run.
 type Report struct {
 	Date        string         `json:"date"`
 	Command     string         `json:"command"`
@@ -31,14 +31,14 @@
 	Entries     int            `json:"entries"`
 	LoadBefore  string         `json:"machine_load_before"`
 	LoadAfter   string         `json:"machine_load_behind"`
-	StartedCold LatencySummary `json:"started_cold"` // from the fleet's start, beside the case cold
+	StartedCold LatencySummary `json:"started_cold"` // from the fleet's start; not part of the case cold
 	Cases       []Case         `json:"cases"`
 	Loads       []Loads        `json:"loads"`
 	NotRun      []string       `json:"not_run,omitempty"`
 }
 
-// Run plays cases on one fleet; all where none is named. A report of what was measured comes with an error too. Errors:
-// *UnknownCaseError, *StartError, *procfs.Error, *ports.KeepError, those of transport.Client.
+// Run runs cases on one fleet, all cases if names is empty. With an error, the report holds what was measured until
+// then. Errors: *UnknownCaseError, *StartError, *procfs.Error, *ports.KeepError, and those of transport.Client.
 func Run(names []string, isShort bool, options Options) (*Report, error) {
 	if len(names) == 0 {
 		names = CaseNames
@@ -82,10 +82,12 @@
 	return report, nil
 }
 
-// runCaseWithLoads plays a case; the load is measured over an idle time before calm, over changes and over a cold start.
+// runCaseWithLoads runs a case. It measures the load over an idle period before the case calm, during the case changes
+// and during a cold start.
 func (f *Fleet) runCaseWithLoads(name string, parameters caseParameters) (cases []Case, loads []Loads, err error) {
 	if name == "calm" {
-		idle, err := f.measureLoads(fmt.Sprintf("idle for %v", parameters.idleTime), func() error { time.Sleep(parameters.idleTime); return nil })
+		idle, err := f.measureLoads(fmt.Sprintf("idle for %v", parameters.idleTime),
+			func() error { time.Sleep(parameters.idleTime); return nil })
 		if err != nil {
 			return nil, nil, err
 		}
@@ -103,7 +105,7 @@
 	return cases, append(loads, used), err
 }
 
-// runColdWithLoads plays the case cold. Relays and hosts are new processes, which had used nothing before it.
+// runColdWithLoads runs the case cold. Its relays and hosts are new processes, so their usage before the case is zero.
 func (f *Fleet) runColdWithLoads(parameters caseParameters) ([]Case, []Loads, error) {
 	before, err := f.readUsages()
 	if err != nil {
@@ -121,7 +123,7 @@
 	return cases, []Loads{f.loadsBetween("a cold start until all have the state", before, after)}, nil
 }
 
-// measureLoads is what the fleet's processes use while something runs.
+// measureLoads returns the loads of the fleet's processes while run runs.
 func (f *Fleet) measureLoads(during string, run func() error) (Loads, error) {
 	before, err := f.readUsages()
 	if err != nil {
@@ -147,7 +149,7 @@
 		Source: loadBetween(before.source, after.source, 1)}
 }
 
-// usages are those of the fleet's parts, each summed up.
+// usages are the usages of the fleet's parts, each summed over the processes of the part.
 type usages struct{ hosts, real, relays, source usage }
 
 func (f *Fleet) readUsages() (totals usages, err error) {
@@ -183,7 +185,7 @@
 	u.bytes += other.bytes
 }
 
-// WriteTable writes the report as tables for a page.
+// WriteTable writes the report as Markdown tables.
 func (r *Report) WriteTable(out io.Writer) error {
 	text := fmt.Sprintf(
 		"`%s` on %s: %d hollow limiters in %d processes, %d real ones, %d relays, %d entries; load of the machine %s before, %s behind.\n\n",
@@ -199,7 +201,8 @@
 	)
 	text += "| case | times measured | p50 s | p99 s | max s | late at 18 s | never | real: p50 s | real: max s | real: late |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
-	for _, c := range append([]Case{{Name: "the run's own start, processes and first reads", Hollow: r.StartedCold}}, r.Cases...) {
+	for _, c := range append(
+		[]Case{{Name: "the run's own start, processes and first reads", Hollow: r.StartedCold}}, r.Cases...) {
 		real := "- | - | -"
 		if c.Real.Samples > 0 {
 			real = fmt.Sprintf("%.3f | %.3f | %d", c.Real.P50, c.Real.Max, c.Real.Late)
@@ -222,7 +225,8 @@
 		for _, part := range []struct {
 			name string
 			Load
-		}{{"a hollow limiter", l.Limiter}, {"a real limiter, its discovery's calls in it", l.Real}, {"a relay", l.Relay}, {"the source", l.Source}} {
+		}{{"a hollow limiter", l.Limiter}, {"a real limiter, its discovery's calls in it", l.Real},
+			{"a relay", l.Relay}, {"the source", l.Source}} {
 			text += fmt.Sprintf(
 				"| %s | %s | %.0f | %.3f |\n",
 				l.During,
@@ -239,7 +243,7 @@
 	return err
 }
 
-// Save writes the report to a folder, as distribution.json.
+// Save writes the report to distribution.json in a directory, and returns the file's path.
 func (r *Report) Save(dir string) (path string, err error) {
 	path = filepath.Join(dir, "distribution.json")
 	text, err := json.MarshalIndent(r, "", " ")
