--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -14,7 +14,8 @@
 	"ospreycroft/internal/lab/runner"
 )
 
-// extraClients are those beside the load: they leave, send several requests at once, say nothing or send what is no command.
+// extraClients are the clients that run in addition to the experiment's load: some disconnect before they are answered,
+// some pipeline requests, some stay idle and some send malformed input.
 type extraClients struct {
 	scenario *Scenario
 	lab      *runner.Lab
@@ -24,12 +25,13 @@
 
 const (
 	dialTimeout            = time.Second
-	maxPipelined           = 6                      // requests that a client sends at once
-	maxStayBeforeLeaving   = 150 * time.Millisecond // how long one stays that leaves
-	malformedClientTimeout = 4 * time.Second        // a malformed client is owed an error or a close within 3 s
+	maxPipelined           = 6                      // requests that a client pipelines at most
+	maxStayBeforeLeaving   = 150 * time.Millisecond // upper bound of the time until a leaving client disconnects
+	malformedClientTimeout = 4 * time.Second        // the limiter owes an error or a close within 3 s
 )
 
-// run has all of them come and go until stop.
+// run runs all extra clients until stop is closed. Each client starts a session, and after it a new one, with a random
+// pause of less than 100 ms before each.
 func (c *extraClients) run() {
 	var running sync.WaitGroup
 	startClients := func(count int, salt uint64, session func(rng *rand.Rand)) {
@@ -52,7 +54,7 @@
 	running.Wait()
 }
 
-// waitOrStopped waits, and tells whether the run is over.
+// waitOrStopped waits, and reports whether stop was closed before the wait was over.
 func (c *extraClients) waitOrStopped(wait time.Duration) bool {
 	select {
 	case <-c.stop:
@@ -62,7 +64,7 @@
 	}
 }
 
-// dial connects to a limiter that the front would use, nil where there is none.
+// dial connects to a limiter. It returns nil if the front would send no client there, or if the dial fails.
 func (c *extraClients) dial(limiter int) *net.TCPConn {
 	if !c.lab.Open(limiter) {
 		return nil
@@ -74,7 +76,8 @@
 	return conn.(*net.TCPConn)
 }
 
-// sendAndLeave sends some requests at once and leaves soon, with an end or a reset.
+// sendAndLeave pipelines some requests and disconnects soon after, by FIN or by RST. The requests are recorded as given
+// up.
 func (c *extraClients) sendAndLeave(rng *rand.Rand) {
 	conn, requests, text := c.preparePipelined(rng)
 	if conn == nil {
@@ -95,7 +98,7 @@
 	}
 }
 
-// sendPipelined sends some requests at once, with more time and with less, and waits for all answers.
+// sendPipelined pipelines some requests with different deadlines and waits for all answers.
 func (c *extraClients) sendPipelined(rng *rand.Rand) {
 	conn, requests, text := c.preparePipelined(rng)
 	if conn == nil {
@@ -109,7 +112,8 @@
 	}
 }
 
-// preparePipelined draws some requests of one customer and connects to one of its limiters; nil where that cannot be reached.
+// preparePipelined draws some requests of one customer and connects to one of its limiters. text holds the encoded
+// requests. conn is nil if the limiter cannot be reached.
 func (c *extraClients) preparePipelined(rng *rand.Rand) (conn *net.TCPConn, requests []history.Request, text []byte) {
 	e := c.scenario.Experiment
 	customer := e.Load.Customers[rng.IntN(len(e.Load.Customers))]
@@ -132,13 +136,15 @@
 	return conn, requests, text
 }
 
-// malformedMessages is what malformed clients send.
+// malformedMessages are the messages that malformed clients send.
 var malformedMessages = []string{
 	"GET / HTTP/1.1\r\n\r\n", "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000", "*0\r\n", "*99999999\r\n", "$3\r\nabc\r\n",
-	"*1\r\n$4\r\nNONE\r\n", "*4\r\n$9\r\nSVC.QUERY\r\n$1\r\nx\r\n$1\r\ny\r\n$3\r\nc=z\r\n", "\x00\x01\x02\r\n", "*1\r\n$-1\r\n",
+	"*1\r\n$4\r\nNONE\r\n", "*4\r\n$9\r\nSVC.QUERY\r\n$1\r\nx\r\n$1\r\ny\r\n$3\r\nc=z\r\n", "\x00\x01\x02\r\n",
+	"*1\r\n$-1\r\n",
 }
 
-// sendMalformed sends what is no command, or half of one, and waits for its error or close.
+// sendMalformed sends an invalid or truncated command. Half of the time it then disconnects at once, otherwise it waits
+// for an error or a close.
 func (c *extraClients) sendMalformed(rng *rand.Rand) {
 	conn := c.dial(rng.IntN(c.scenario.Experiment.Limiters.Count))
 	if conn == nil {
@@ -153,7 +159,7 @@
 	_, _ = conn.Read(make([]byte, 64))
 }
 
-// holdIdle holds a connection and says nothing until it is closed.
+// holdIdle holds a connection open without sending anything, until the limiter closes it or stop is closed.
 func (c *extraClients) holdIdle(rng *rand.Rand) {
 	conn := c.dial(rng.IntN(c.scenario.Experiment.Limiters.Count))
 	if conn == nil {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -11,39 +11,42 @@
 	"ospreycroft/internal/lab/syscallshim"
 )
 
-// systemCallFaults draws what becomes of a limiter's system calls. It is asked on one goroutine a process.
+// systemCallFaults draws faults for the system calls of all limiters. decide is called on one goroutine per limiter
+// process.
 type systemCallFaults struct {
 	mutex      sync.Mutex
 	rng        *rand.Rand
-	faultShare float64 // of calls that fail or are cut short
-	// failingDir is where files are that a full or broken disk refuses while diskFails is set.
+	faultShare float64 // share of calls that fail or are cut short, 0 to 1
+	// failingDir is the directory whose files cannot be written or synced while diskFails is set, as on a full or
+	// broken disk; empty for none.
 	failingDir    string
 	diskFails     atomic.Bool
-	isLimiterPort func(port int) bool // tells whether clients connect to a port
+	isLimiterPort func(port int) bool // reports whether a limiter listens for clients on port
 }
 
-// maxCutBytes bounds how much of a read or write that is cut short is done.
+// maxCutBytes is the most that a read or write that is cut short transfers, bytes.
 const maxCutBytes = 40
 
-// chance draws whether something happens.
+// chance returns true with probability share.
 func (f *systemCallFaults) chance(share float64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.rng.Float64() < share
 }
 
+// randomUpTo draws an integer from 1 to limit.
 func (f *systemCallFaults) randomUpTo(limit int) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return 1 + f.rng.IntN(limit)
 }
 
-// randomError draws randomError of some errors.
+// randomError returns a decision that fails the call with one of errors.
 func (f *systemCallFaults) randomError(errors ...unix.Errno) syscallshim.Decision {
 	return syscallshim.Decision{Errno: errors[f.randomUpTo(len(errors))-1]}
 }
 
-// decide is a syscallshim.Decide.
+// decide implements syscallshim.Decide.
 func (f *systemCallFaults) decide(call syscallshim.Call) syscallshim.Decision {
 	if f.diskFails.Load() {
 		if decision := f.diskFault(call); decision.Errno != 0 {
@@ -66,11 +69,11 @@
 	return syscallshim.Decision{}
 }
 
-// connectionBreakShare is the share of the faults of a read or write that break the connection.
+// connectionBreakShare is the share of read and write faults that break the connection.
 const connectionBreakShare = 0.05
 
-// transferFault draws a fault of a read or write of a socket. Only connections that the limiter has dialled break: a client's
-// would be the client's loss.
+// transferFault draws a fault of a read or write on a socket. Only connections that the limiter has dialled are broken,
+// since breaking a client's connection would lose that client its answers.
 func (f *systemCallFaults) transferFault(call syscallshim.Call) syscallshim.Decision {
 	if !call.IsSocket() {
 		return syscallshim.Decision{}
@@ -89,7 +92,7 @@
 	return syscallshim.Decision{Bytes: f.randomUpTo(maxCutBytes)}
 }
 
-// isClient tells whether a call is on a client's connection, or on one that cannot be told.
+// isClient reports whether a call is on a client's connection. It returns true also if that cannot be determined.
 func (f *systemCallFaults) isClient(call syscallshim.Call) bool {
 	fd, err := call.Descriptor()
 	if err != nil {
@@ -104,7 +107,7 @@
 	return !isIPv4 || f.isLimiterPort(address.Port)
 }
 
-// diskFault refuses writes and syncs of the files in the directory.
+// diskFault fails writes and syncs of files in failingDir, and nothing else.
 func (f *systemCallFaults) diskFault(call syscallshim.Call) syscallshim.Decision {
 	switch call.Number {
 	case unix.SYS_WRITE, unix.SYS_FSYNC:
--- a/internal/lab/soak/memory.go
+++ b/internal/lab/soak/memory.go
@@ -10,23 +10,23 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// memorySampleInterval is how often the processes' memory is looked at.
+// memorySampleInterval is the time between two samples of the processes' memory.
 const memorySampleInterval = 100 * time.Millisecond
 
-// memoryMeter finds the most memory that one of the limiters' processes has held.
+// memoryMeter measures the peak resident memory of the limiter processes, as the maximum over the processes.
 type memoryMeter struct {
 	mutex     sync.Mutex
 	processes []measuredProcess
-	peakBytes int64 // bytes
+	peakBytes int64
 }
 
-// measuredProcess is a process and the program that it is to run: its launcher does not count.
+// measuredProcess is a process with the program that it will run. It is not measured while it still runs the launcher.
 type measuredProcess struct {
 	command *exec.Cmd
-	program os.FileInfo // nil where there is none
+	program os.FileInfo // nil if the file does not exist; then the process is never measured
 }
 
-// add has the process of a command looked at, which has started.
+// add starts to measure the process of a command that has been started.
 func (m *memoryMeter) add(command *exec.Cmd, program string) {
 	info, _ := os.Stat(program)
 	m.mutex.Lock()
@@ -34,7 +34,7 @@
 	m.processes = append(m.processes, measuredProcess{command, info})
 }
 
-// run looks at the processes until stop.
+// run samples the processes until stop is closed.
 func (m *memoryMeter) run(stop <-chan struct{}) {
 	for {
 		select {
@@ -46,6 +46,7 @@
 	}
 }
 
+// sample updates the peak from all processes that run their program by now.
 func (m *memoryMeter) sample() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -61,14 +62,14 @@
 	}
 }
 
-// peak is the most that one process has held, bytes.
+// peak returns the peak resident memory of any one process, in bytes.
 func (m *memoryMeter) peak() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peakBytes
 }
 
-// memoryFindings finds that a process held more than its limit, in MB.
+// memoryFindings returns a finding if the peak exceeds the memory limit.
 func memoryFindings(peakBytes int64, limitMB int) []Finding {
 	if peakBytes <= int64(limitMB)<<20 {
 		return nil
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -22,60 +22,62 @@
 )
 
 const (
-	// leaveGrace and timeLeftSlack are what the operators allow.
+	// leaveGrace is how long after its client has left an attempt may still begin, and timeLeftSlack by how much the time
+	// left that an attempt tells its server may exceed what its client has left. The operators allow both.
 	leaveGrace    = 100 * time.Millisecond
 	timeLeftSlack = 150 * time.Millisecond
-	// recordMargin is what the lab itself takes to write a time down, on a machine that plays all parties; what it is seen
-	// to take beyond that is added.
+	// recordMargin is added to both for the lab's own delay in recording a time, on a machine that runs all parties. The
+	// runner adds the measured lag of the lab on top of it.
 	recordMargin = 20 * time.Millisecond
-	// lagInterval is how often the lab's own lag is measured.
+	// lagInterval is the time between two measurements of the lab's own lag.
 	lagInterval = 5 * time.Millisecond
 )
 
-// Finding is something that a run must not show.
+// Finding is one reason for which a run fails.
 type Finding struct {
-	What   string // a broken rule, a process that failed, a line of a log
+	What   string // the broken rule, "process", "memory" or the log file
 	Detail string
 }
 
-// Report is what a run left.
+// Report is the result of a run.
 type Report struct {
 	Scenario   *Scenario
 	Result     *runner.Result
 	Calls      *syscallshim.Counts
-	Lag        time.Duration // of the lab itself, at most
-	PeakMemory int64         // that one limiter's process held at most, bytes
+	Lag        time.Duration // largest scheduling delay of the lab's own goroutines
+	PeakMemory int64         // peak resident memory of any one limiter process, bytes
 	Findings   []Finding
-	Directory  string
+	Directory  string // with the run's files
 }
 
-// Pass tells whether the run showed nothing that it must not.
+// Pass reports whether the run has no findings.
 func (r *Report) Pass() bool { return len(r.Findings) == 0 }
 
-// Write writes the report in a few lines.
+// Write writes the report: a line for the scenario, one for the verdict and one for each finding.
 func (r *Report) Write(w io.Writer) {
 	outcome := "pass"
 	if !r.Pass() {
 		outcome = "FAIL"
 	}
-	_, _ = fmt.Fprintf(w, "soak=%s %v calls_seen=%d calls_failed=%d calls_short=%d lab_lag=%v memory_mb=%d\n", outcome, r.Scenario,
-		r.Calls.Seen.Load(), r.Calls.Failed.Load(), r.Calls.Short.Load(), r.Lag.Round(time.Millisecond), r.PeakMemory>>20)
+	_, _ = fmt.Fprintf(w, "soak=%s %v calls_seen=%d calls_failed=%d calls_short=%d lab_lag=%v memory_mb=%d\n",
+		outcome, r.Scenario, r.Calls.Seen.Load(), r.Calls.Failed.Load(), r.Calls.Short.Load(),
+		r.Lag.Round(time.Millisecond), r.PeakMemory>>20)
 	_, _ = fmt.Fprintf(w, "  %s\n", r.Result.Verdict.Line())
 	for _, f := range r.Findings {
 		_, _ = fmt.Fprintf(w, "  finding %s: %s\n", f.What, f.Detail)
 	}
 }
 
-// Options are how seeds are played.
+// Options configure how seeds are run.
 type Options struct {
-	Program  string  // the limiter
-	Launcher string  // a program that calls syscallshim.LaunchIfAsked first
+	Program  string  // path of the limiter program
+	Launcher string  // path of a program that calls syscallshim.LaunchIfAsked first
 	Length   float64 // seconds of load
-	Dir      string  // for the runs' files
-	Limiters int     // in place of what the seeds draw; 0 for that
+	Dir      string  // for the runs' files, in a directory for each seed
+	Limiters int     // number of limiters; if 0, each seed draws it
 }
 
-// Play plays one seed. An error says that there was no run.
+// Play runs one seed. An error means that the run did not take place; a run that fails is reported by findings.
 func Play(seed uint64, o Options) (*Report, error) {
 	scenario, err := Draw(seed, o.Length, o.Program, o.Limiters)
 	if err != nil {
@@ -90,14 +92,15 @@
 		return nil, err
 	}
 	result, err := runner.RunWith(scenario.Experiment, dir, slog.New(slog.DiscardHandler), nil, runner.Extras{
-		Command: p.command, Beside: p.runAlongside, LeaveGrace: leaveGrace + recordMargin, TimeLeftSlack: timeLeftSlack + recordMargin,
+		Command: p.command, Beside: p.runAlongside,
+		LeaveGrace: leaveGrace + recordMargin, TimeLeftSlack: timeLeftSlack + recordMargin,
 		Lag: func() time.Duration { return time.Duration(p.maxLag.Load()) },
 	})
 	if err != nil {
 		return nil, err
 	}
-	report := &Report{Scenario: scenario, Result: result, Calls: p.counts, Lag: time.Duration(p.maxLag.Load()), PeakMemory: p.memory.peak(),
-		Directory: dir}
+	report := &Report{Scenario: scenario, Result: result, Calls: p.counts, Lag: time.Duration(p.maxLag.Load()),
+		PeakMemory: p.memory.peak(), Directory: dir}
 	for _, breach := range result.Verdict.Breaches {
 		report.Findings = append(report.Findings, Finding{
 			What:   fmt.Sprintf("rule %d at %.3f s", breach.Rule, float64(breach.At)/1e9),
@@ -112,21 +115,21 @@
 	return report, nil
 }
 
-// seedRun is one run.
+// seedRun is the run of one seed.
 type seedRun struct {
 	scenario     *Scenario
 	options      Options
 	dir          string
-	clock        *clockstep.Clock // nil where the wall clock does not step
-	faults       *systemCallFaults
+	clock        *clockstep.Clock  // nil if the wall clock is not stepped
+	faults       *systemCallFaults // nil if the limiters run without the system call shim
 	counts       *syscallshim.Counts
 	memory       memoryMeter
-	maxLag       atomic.Int64 // the longest time for which the lab's own goroutines had no processor, nanoseconds
+	maxLag       atomic.Int64 // longest time that a goroutine of the lab waited for a processor, nanoseconds
 	mutex        sync.Mutex
-	limiterPorts map[int]bool // on which limiters listen
+	limiterPorts map[int]bool // ports on which limiters listen; guarded by mutex
 }
 
-// prepare makes what limiters are started with.
+// prepare creates the clock, the system call faults and the operator file that limiters are started with.
 func (p *seedRun) prepare() error {
 	if p.scenario.ClockSteps {
 		library, err := clockstep.Build(p.dir)
@@ -138,8 +141,8 @@
 		}
 	}
 	if p.scenario.SystemCallFaultShare > 0 || p.scenario.DiskFaults {
-		p.faults = &systemCallFaults{rng: rand.New(rand.NewPCG(p.scenario.Seed, 0x5ca1)), faultShare: p.scenario.SystemCallFaultShare,
-			isLimiterPort: p.isLimiterPort}
+		p.faults = &systemCallFaults{rng: rand.New(rand.NewPCG(p.scenario.Seed, 0x5ca1)),
+			faultShare: p.scenario.SystemCallFaultShare, isLimiterPort: p.isLimiterPort}
 	}
 	if !p.scenario.DiskFaults {
 		return nil
@@ -154,14 +157,15 @@
 
 func (p *seedRun) operatorPath() string { return filepath.Join(p.dir, "operator.toml") }
 
-// isLimiterPort tells whether clients connect to a port.
+// isLimiterPort reports whether a limiter listens for clients on a port.
 func (p *seedRun) isLimiterPort(port int) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.limiterPorts[port]
 }
 
-// command prepares a limiter's command: with its clock, its operator's file and the shim.
+// command prepares a limiter's command with the stepped clock, the operator file and the system call shim, as far as
+// the scenario has them. The caller calls started once the process has been started.
 func (p *seedRun) command(_ int, command *exec.Cmd) (started func() error, err error) {
 	p.recordPort(command.Env)
 	if p.clock != nil {
@@ -182,7 +186,7 @@
 	}, nil
 }
 
-// recordPort notes the port on which the limiter will listen.
+// recordPort records the port on which a limiter will listen, from its environment.
 func (p *seedRun) recordPort(environment []string) {
 	for _, variable := range environment {
 		address, found := strings.CutPrefix(variable, "GW_LISTEN=")
@@ -197,7 +201,8 @@
 	}
 }
 
-// runAlongside plays what is runAlongside the experiment until stop.
+// runAlongside runs the extra clients, clock steps, disk faults and measurements during the experiment, until stop is
+// closed.
 func (p *seedRun) runAlongside(lab *runner.Lab, stop <-chan struct{}) {
 	var running sync.WaitGroup
 	start := func(task func()) {
@@ -215,7 +220,7 @@
 	running.Wait()
 }
 
-// measureLag measures how late the lab's own goroutines wake.
+// measureLag measures how late the lab's own timers fire.
 func (p *seedRun) measureLag(stop <-chan struct{}) {
 	for {
 		began := time.Now()
@@ -228,12 +233,12 @@
 	}
 }
 
-// clockSteps are the offsets of the wall clock that are drawn from.
+// clockSteps are the offsets to which the wall clock is stepped.
 var clockSteps = []time.Duration{
 	0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second, 500 * time.Millisecond, -500 * time.Millisecond,
 }
 
-// stepClock steps the wall clock now and then.
+// stepClock steps the wall clock at random times, 0.5 to 3.5 s apart.
 func (p *seedRun) stepClock(stop <-chan struct{}) {
 	if p.clock == nil {
 		return
@@ -249,7 +254,7 @@
 	}
 }
 
-// failDisk has the disk refuse writes for some seconds, again and again.
+// failDisk makes the disk fail and recover at random times, 0.3 to 2.8 s apart.
 func (p *seedRun) failDisk(stop <-chan struct{}) {
 	if !p.scenario.DiskFaults {
 		return
@@ -266,10 +271,10 @@
 	}
 }
 
-// forbiddenLogTexts are the beginnings of what no log may hold.
+// forbiddenLogTexts are texts that show a failure in a limiter's log.
 var forbiddenLogTexts = []string{"event=panic", "panic:", "fatal error:", "event=failed"}
 
-// readLogs finds what the limiters' logs may not hold.
+// readLogs returns a finding for each log line with a forbidden text and for each log that cannot be opened.
 func (p *seedRun) readLogs() (findings []Finding) {
 	logs, _ := filepath.Glob(filepath.Join(p.dir, "n*.log"))
 	for _, path := range logs {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,22 +14,25 @@
 	"ospreycroft/internal/lab/syscallshim"
 )
 
+// TestMain lets the test binary serve as the launcher of the system call shim.
 func TestMain(m *testing.M) {
 	syscallshim.LaunchIfAsked()
 	os.Exit(m.Run())
 }
 
-// ciSeeds are the seeds that CI plays: between them failing system calls, clock steps, a disk that refuses writes, a crowd,
-// clients that leave or send several requests at once, and a quiet spell.
+// ciSeeds are the seeds that CI runs. Between them they have failing system calls, clock steps, disk faults, idle
+// clients, leaving and pipelining clients, and a quiet period.
 var ciSeeds = []uint64{5, 17, 59, 120}
 
-// ciSeconds is the load of each in CI.
+// ciSeconds is the duration of the load of each seed in CI, seconds.
 const ciSeconds = 7
 
-// TestSoak plays the seeds one after the other against the real program.
+// TestSoak runs the CI seeds one after the other against the real limiter program. It guards against any finding: a
+// broken rule, a failed process, too much memory or a failure in a log.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "ospreycroft")
-	output, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", program, "ospreycroft/cmd/ospreycroft").CombinedOutput()
+	output, err := exec.Command(
+		"go", "build", "-ldflags=-linkmode=external", "-o", program, "ospreycroft/cmd/ospreycroft").CombinedOutput()
 	require.NoError(t, err, string(output))
 	for _, seed := range ciSeeds {
 		report, err := Play(seed, Options{Program: program, Launcher: os.Args[0], Length: ciSeconds, Dir: t.TempDir()})
@@ -42,7 +45,8 @@
 	}
 }
 
-// TestDrawIsDeterministic: a seed draws the same scenario each time, and the seeds of CI have every kind between them.
+// TestDrawIsDeterministic checks that a seed draws the same scenario each time, so that a failed seed can be run again,
+// and that the CI seeds cover every kind of condition.
 func TestDrawIsDeterministic(t *testing.T) {
 	var systemCalls, steps, disk, crowd, leavers, pipelines, quiet bool
 	for _, seed := range ciSeeds {
@@ -59,10 +63,12 @@
 		pipelines = pipelines || first.PipeliningClients > 0
 		quiet = quiet || first.Quiet
 	}
-	require.Equal(t, []bool{true, true, true, true, true, true, true}, []bool{systemCalls, steps, disk, crowd, leavers, pipelines, quiet})
+	require.Equal(t, []bool{true, true, true, true, true, true, true},
+		[]bool{systemCalls, steps, disk, crowd, leavers, pipelines, quiet})
 }
 
-// TestDrawnExperimentsAreValid: what is drawn passes the experiment's own checks, also for a fleet of a given size.
+// TestDrawnExperimentsAreValid guards against seeds whose experiment is rejected by its own validation, also for a
+// fleet of a given size.
 func TestDrawnExperimentsAreValid(t *testing.T) {
 	for seed := range uint64(300) {
 		_, err := Draw(seed, 12, "program", 0)
@@ -73,7 +79,8 @@
 	}
 }
 
-// TestMemoryFindings: a process past its limit is a finding, and the meter sees what a process holds.
+// TestMemoryFindings checks that memory above the limit is a finding, and that the meter measures a process only while
+// it runs its program.
 func TestMemoryFindings(t *testing.T) {
 	require.Empty(t, memoryFindings(64<<20, 64))
 	require.Equal(t, []Finding{{What: "memory", Detail: "a limiter held 65 MB"}}, memoryFindings(65<<20, 64))
@@ -86,12 +93,12 @@
 	var other, same memoryMeter
 	other.add(sleeper, os.Args[0])
 	other.sample()
-	require.Zero(t, other.peak(), "it is not the program that was to run")
+	require.Zero(t, other.peak(), "measured a process that runs another program")
 	same.add(sleeper, sleeper.Path)
 	require.Eventually(t, func() bool { same.sample(); return same.peak() > 0 }, 5*time.Second, time.Millisecond)
 }
 
-// TestReadLogsFindsFailures: a log with a panic, a fatal error or a failed start is a finding.
+// TestReadLogsFindsFailures checks that log lines with a panic or a fatal error are findings, and that others are not.
 func TestReadLogsFindsFailures(t *testing.T) {
 	dir := t.TempDir()
 	text := "time=x level=INFO event=started name=n0\ntime=x level=ERROR event=panic error=y\nfatal error: all goroutines are asleep\n"
@@ -100,7 +107,8 @@
 	require.Len(t, findings, 2)
 }
 
-// TestDiskFaultsAffectOnlyTheDirectory: writes elsewhere go on.
+// TestDiskFaultsAffectOnlyTheDirectory guards against disk faults that hit files outside the failing directory, such as
+// logs.
 func TestDiskFaultsAffectOnlyTheDirectory(t *testing.T) {
 	dir := t.TempDir()
 	inside, err := os.Create(filepath.Join(dir, "n0.snapshot.new"))
