--- a/internal/lab/distbench/cases.go
+++ b/internal/lab/distbench/cases.go
@@ -124,19 +124,20 @@
 
 // runCalm publishes changes one by one, each after the previous one has been measured.
 func (f *Fleet) runCalm(parameters caseParameters) ([]Case, error) {
-	var all []publication
-	var last Case
+	var publications []publication
+	var lastCase Case
 	for range parameters.calmChanges {
 		p, err := f.publish()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, p)
-		last = f.measure("", f.hollowNumbers(anyLimiter), p)
-		f.measureReal(&last, p)
+		publications = append(publications, p)
+		lastCase = f.measure("", f.hollowNumbers(anyLimiter), p)
+		f.measureReal(&lastCase, p)
 	}
-	c := f.measure(fmt.Sprintf("calm, %d changes", parameters.calmChanges), f.hollowNumbers(anyLimiter), all...)
-	c.Real = last.Real
+	c := f.measure(fmt.Sprintf("calm, %d changes", parameters.calmChanges),
+		f.hollowNumbers(anyLimiter), publications...)
+	c.Real = lastCase.Real
 	return []Case{c}, nil
 }
 
@@ -200,33 +201,33 @@
 		return nil, err
 	}
 	started := time.Now()
-	var all []publication
+	var publications []publication
 	for range changes {
 		time.Sleep(duration / time.Duration(changes+1))
 		p, err := f.publish()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, p)
+		publications = append(publications, p)
 	}
 	outsideCase := f.measure(
 		name+": outside, from publication",
 		f.hollowNumbers(func(l hollowLimiter) bool { return !inside(l.zone.name) }),
-		all...)
+		publications...)
 	time.Sleep(time.Until(started.Add(duration)))
 	insideLimiters := f.hollowNumbers(func(l hollowLimiter) bool { return inside(l.zone.name) })
 	earlyCount := 0
 	for _, limiter := range insideLimiters {
-		if _, found := f.applyLog.applyLatency(limiter, all[0].version, all[0].at); found {
+		if _, found := f.applyLog.applyLatency(limiter, publications[0].version, publications[0].at); found {
 			earlyCount++
 		}
 	}
-	healed := publication{f.latest, time.Now()}
+	afterHeal := publication{f.latest, time.Now()}
 	if err := f.setPartition(false, inside); err != nil {
 		return nil, err
 	}
 	insideCase := f.measure(
-		fmt.Sprintf("%s: inside, from the heal (%d had it before)", name, earlyCount), insideLimiters, healed)
+		fmt.Sprintf("%s: inside, from the heal (%d had it before)", name, earlyCount), insideLimiters, afterHeal)
 	return []Case{outsideCase, insideCase}, nil
 }
 
@@ -258,26 +259,26 @@
 	if err != nil {
 		return nil, err
 	}
-	all := f.measure("a tenth restarting from disk: all", f.hollowNumbers(anyLimiter), p)
-	f.measureReal(&all, p)
-	return []Case{all, f.measure("a tenth restarting from disk: that tenth", restarted, p)}, nil
+	allCase := f.measure("a tenth restarting from disk: all", f.hollowNumbers(anyLimiter), p)
+	f.measureReal(&allCase, p)
+	return []Case{allCase, f.measure("a tenth restarting from disk: that tenth", restarted, p)}, nil
 }
 
 // runChanges publishes changes at a fixed interval, without waiting for the limiters in between.
 func (f *Fleet) runChanges(parameters caseParameters) ([]Case, error) {
 	started := time.Now()
-	var all []publication
+	var publications []publication
 	for i := range parameters.changes {
 		time.Sleep(time.Until(started.Add(time.Duration(i) * parameters.changeInterval)))
 		p, err := f.publish()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, p)
+		publications = append(publications, p)
 	}
 	name := fmt.Sprintf("%d changes in %v", parameters.changes,
 		time.Duration(parameters.changes)*parameters.changeInterval)
-	return []Case{f.measure(name, f.hollowNumbers(anyLimiter), all...)}, nil
+	return []Case{f.measure(name, f.hollowNumbers(anyLimiter), publications...)}, nil
 }
 
 // runCold kills all relays and hosts and starts them together, without saved state. The time runs from the restart.
--- a/internal/lab/distbench/run.go
+++ b/internal/lab/distbench/run.go
@@ -66,8 +66,8 @@
 		return report, err
 	}
 	defer fleet.Stop()
-	first := fleet.measure("", fleet.hollowNumbers(anyLimiter), publication{fleet.latest, started})
-	report.StartedCold = first.Hollow
+	coldStart := fleet.measure("", fleet.hollowNumbers(anyLimiter), publication{fleet.latest, started})
+	report.StartedCold = coldStart.Hollow
 	time.Sleep(parameters.settleTime)
 	for i, name := range names {
 		cases, loads, err := fleet.runCaseWithLoads(name, parameters)
@@ -187,7 +187,7 @@
 
 // WriteTable writes the report as Markdown tables.
 func (r *Report) WriteTable(out io.Writer) error {
-	text := fmt.Sprintf(
+	table := fmt.Sprintf(
 		"`%s` on %s: %d hollow limiters in %d processes, %d real ones, %d relays, %d entries; load of the machine %s before, %s behind.\n\n",
 		r.Command,
 		r.Date,
@@ -199,7 +199,7 @@
 		r.LoadBefore,
 		r.LoadAfter,
 	)
-	text += "| case | times measured | p50 s | p99 s | max s | late at 18 s | never | real: p50 s | real: max s | real: late |\n" +
+	table += "| case | times measured | p50 s | p99 s | max s | late at 18 s | never | real: p50 s | real: max s | real: late |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 	for _, c := range append(
 		[]Case{{Name: "the run's own start, processes and first reads", Hollow: r.StartedCold}}, r.Cases...) {
@@ -207,27 +207,27 @@
 		if c.Real.Samples > 0 {
 			real = fmt.Sprintf("%.3f | %.3f | %d", c.Real.P50, c.Real.Max, c.Real.Late)
 		}
-		h := c.Hollow
-		text += fmt.Sprintf(
+		hollow := c.Hollow
+		table += fmt.Sprintf(
 			"| %s | %d | %.3f | %.3f | %.3f | %d | %d | %s |\n",
 			c.Name,
-			h.Samples,
-			h.P50,
-			h.P99,
-			h.Max,
-			h.Late,
-			h.Never,
+			hollow.Samples,
+			hollow.P50,
+			hollow.P99,
+			hollow.Max,
+			hollow.Late,
+			hollow.Never,
 			real,
 		)
 	}
-	text += "\n| during | part | bytes/s | % of a core |\n| --- | --- | --- | --- |\n"
+	table += "\n| during | part | bytes/s | % of a core |\n| --- | --- | --- | --- |\n"
 	for _, l := range r.Loads {
 		for _, part := range []struct {
 			name string
 			Load
 		}{{"a hollow limiter", l.Limiter}, {"a real limiter, its discovery's calls in it", l.Real},
 			{"a relay", l.Relay}, {"the source", l.Source}} {
-			text += fmt.Sprintf(
+			table += fmt.Sprintf(
 				"| %s | %s | %.0f | %.3f |\n",
 				l.During,
 				part.name,
@@ -237,9 +237,9 @@
 		}
 	}
 	for _, name := range r.NotRun {
-		text += "\nNot run: " + name
+		table += "\nNot run: " + name
 	}
-	_, err := io.WriteString(out, text)
+	_, err := io.WriteString(out, table)
 	return err
 }
 
