--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	// leaveGrace is how long after its client has left an attempt may still begin, and timeLeftSlack by how much the time
-	// left that an attempt tells its server may exceed what its client has left. The operators allow both.
+	// leaveGrace is how long after its client has left an attempt may still begin, and timeLeftSlack by how much the
+	// time left that an attempt tells its server may exceed what its client has left. The operators allow both.
 	leaveGrace    = 100 * time.Millisecond
 	timeLeftSlack = 150 * time.Millisecond
-	// recordMargin is added to both for the lab's own delay in recording a time, on a machine that runs all parties. The
-	// runner adds the measured lag of the lab on top of it.
+	// recordMargin is added to both for the lab's own delay in recording a time, on a machine that runs all parties.
+	// The runner adds the measured lag of the lab on top of it.
 	recordMargin = 20 * time.Millisecond
 	// lagInterval is the time between two measurements of the lab's own lag.
 	lagInterval = 5 * time.Millisecond
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -48,7 +48,7 @@
 // TestDrawIsDeterministic checks that a seed draws the same scenario each time, so that a failed seed can be run again,
 // and that the CI seeds cover every kind of condition.
 func TestDrawIsDeterministic(t *testing.T) {
-	var systemCalls, steps, disk, crowd, leavers, pipelines, quiet bool
+	var systemCalls, steps, disk, idleClients, leavingClients, pipeliningClients, quiet bool
 	for _, seed := range ciSeeds {
 		first, err := Draw(seed, ciSeconds, "program", 0)
 		require.NoError(t, err)
@@ -58,13 +58,13 @@
 		systemCalls = systemCalls || first.SystemCallFaultShare > 0
 		steps = steps || first.ClockSteps
 		disk = disk || first.DiskFaults
-		crowd = crowd || first.IdleClients > 0
-		leavers = leavers || first.LeavingClients > 0
-		pipelines = pipelines || first.PipeliningClients > 0
+		idleClients = idleClients || first.IdleClients > 0
+		leavingClients = leavingClients || first.LeavingClients > 0
+		pipeliningClients = pipeliningClients || first.PipeliningClients > 0
 		quiet = quiet || first.Quiet
 	}
 	require.Equal(t, []bool{true, true, true, true, true, true, true},
-		[]bool{systemCalls, steps, disk, crowd, leavers, pipelines, quiet})
+		[]bool{systemCalls, steps, disk, idleClients, leavingClients, pipeliningClients, quiet})
 }
 
 // TestDrawnExperimentsAreValid guards against seeds whose experiment is rejected by its own validation, also for a
