--- a/internal/lab/distbench/hollow.go
+++ b/internal/lab/distbench/hollow.go
@@ -15,17 +15,18 @@
 	"ospreycroft/internal/distribution/transport"
 )
 
-// HostVariable is set in the environment of a process that is to be a host of hollow limiters (HostMain).
+// HostVariable is the environment variable that makes a program a host of hollow limiters. A program that finds it set
+// calls HostMain.
 const HostVariable = "TESTLAB_DISTRIBUTION_HOST"
 
-const dialTimeout = 250 * time.Millisecond // of limiters, as in the lab's configurations
+const dialTimeout = 250 * time.Millisecond // of hollow limiters; the same as in the lab's limiter configurations
 
-// hollowSpec is one hollow limiter: a real follower over real connections, with an applier that records what comes in
-// force.
+// hollowSpec describes one hollow limiter: a real follower over real connections, with an applier that records which
+// versions it applies.
 type hollowSpec struct {
-	Number  int       `json:"number"` // among all
+	Number  int       `json:"number"` // unique in the fleet
 	Scope   string    `json:"scope"`
-	Servers [2]string `json:"servers"`
+	Servers [2]string `json:"servers"` // addresses of its relays
 }
 
 func (s hollowSpec) name() string { return fmt.Sprintf("hollow-%d", s.Number) }
@@ -33,38 +34,40 @@
 // hostSpec is the first line that a host reads.
 type hostSpec struct {
 	Limiters []hollowSpec `json:"limiters"`
-	StateDir string       `json:"state_dir"` // for limiters that restart
+	StateDir string       `json:"state_dir"` // where limiters save their state when they restart
 }
 
-// restart is a further line: these limiters end, and begin again with the state that they left on the disk.
-type restart struct {
+// restartCommand is each further line that a host reads: it stops these limiters and starts them again with the state
+// that they saved to disk.
+type restartCommand struct {
 	Limiters []int `json:"limiters"`
 }
 
-// applied is a line that a host writes: a version came in force at a limiter.
-type applied struct {
+// appliedVersion is a line that a host writes: a limiter applied a version.
+type appliedVersion struct {
 	Limiter int                  `json:"limiter"`
 	Version distribution.Version `json:"version"`
 	At      int64                `json:"at"` // Unix time in nanoseconds
 }
 
-// HostMain runs hollow limiters as in tells until it ends, and writes to out what comes in force.
+// HostMain runs the hollow limiters that in describes and writes each version that they apply to out. It returns nil
+// when in ends, and an error if a limiter cannot be started.
 func HostMain(in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(bufio.NewReader(in))
 	var spec hostSpec
 	if err := decoder.Decode(&spec); err != nil {
 		return err
 	}
-	h := &host{stateDir: spec.StateDir, encoder: json.NewEncoder(out), limiters: map[int]*hollow{}}
-	for _, one := range spec.Limiters {
-		if err := h.start(one); err != nil {
+	h := &host{stateDir: spec.StateDir, encoder: json.NewEncoder(out), limiters: map[int]*hollowFollower{}}
+	for _, limiter := range spec.Limiters {
+		if err := h.start(limiter); err != nil {
 			return err
 		}
 	}
 	for {
-		var command restart
+		var command restartCommand
 		if err := decoder.Decode(&command); err != nil {
-			return nil // the harness has ended
+			return nil // the harness has closed the pipe
 		}
 		for _, number := range command.Limiters {
 			if err := h.restart(number); err != nil {
@@ -74,89 +77,90 @@
 	}
 }
 
-// host is a process's hollow limiters.
+// host runs the hollow limiters of one process.
 type host struct {
 	stateDir string
-	limiters map[int]*hollow
-	mutex    sync.Mutex // over encoder
+	limiters map[int]*hollowFollower
+	mutex    sync.Mutex // guards encoder
 	encoder  *json.Encoder
 }
 
-// hollow is one that runs.
-type hollow struct {
+// hollowFollower is a running hollow limiter.
+type hollowFollower struct {
 	hollowSpec
-	follower *transport.Follower
-	place    statefile.Place
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	follower  *transport.Follower
+	stateFile statefile.Place
+	cancel    context.CancelFunc
+	running   sync.WaitGroup
 }
 
-// recorder is the applier of one hollow limiter.
+// recorder is the applier of one hollow limiter. It writes the versions that it is given to the harness.
 type recorder struct {
 	host   *host
 	number int
 }
 
-// Apply writes the version down as in force.
+// Apply reports the update's version as applied.
 func (r *recorder) Apply(update *distribution.Update) error {
 	r.host.mutex.Lock()
 	defer r.host.mutex.Unlock()
-	return r.host.encoder.Encode(applied{Limiter: r.number, Version: update.To, At: time.Now().UnixNano()})
+	return r.host.encoder.Encode(appliedVersion{Limiter: r.number, Version: update.To, At: time.Now().UnixNano()})
 }
 
+// start starts a hollow limiter, with its saved state if there is one.
 func (h *host) start(spec hollowSpec) error {
 	scope, err := distribution.ParseScope(spec.Scope)
 	if err != nil {
 		return err
 	}
-	start := time.Now()
-	clock := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
+	started := time.Now()
+	clock := func() int64 { return started.UnixNano() + int64(time.Since(started)) }
 	subscriber := distribution.NewSubscriber(clock(), distribution.SubscriberOptions{Name: spec.name(), Scope: scope,
 		Applier: &recorder{h, spec.Number}})
-	one := &hollow{
+	limiter := &hollowFollower{
 		hollowSpec: spec,
-		place: statefile.Place{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
+		stateFile: statefile.Place{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
 			MaxAge: int64(time.Hour), Files: atomicfile.Disk{}},
 	}
-	held, err := one.place.Load(clock())
+	saved, err := limiter.stateFile.Load(clock())
 	if err != nil {
 		return err
 	}
-	if held != nil {
-		state, err := distribution.NewStateOf(held.Entries)
+	if saved != nil {
+		state, err := distribution.NewStateOf(saved.Entries)
 		if err != nil {
 			return err
 		}
-		if err := subscriber.Restore(held.Version, state, max(clock()-held.TakenAt, 0)); err != nil {
+		if err := subscriber.Restore(saved.Version, state, max(clock()-saved.TakenAt, 0)); err != nil {
 			return err
 		}
 	}
-	one.follower = transport.NewFollower(
+	limiter.follower = transport.NewFollower(
 		subscriber,
 		transport.FollowerOptions{Servers: spec.Servers, DialTimeout: dialTimeout,
 			Position: spec.Number, Clock: clock},
 	)
 	ctx, cancel := context.WithCancel(context.Background())
-	one.cancel = cancel
-	one.running.Go(func() { one.follower.Run(ctx) })
-	h.limiters[spec.Number] = one
+	limiter.cancel = cancel
+	limiter.running.Go(func() { limiter.follower.Run(ctx) })
+	h.limiters[spec.Number] = limiter
 	return nil
 }
 
-// restart ends a limiter, with its state on the disk, and starts it again.
+// restart stops a limiter, saves its state to disk and starts it again.
 func (h *host) restart(number int) error {
-	one := h.limiters[number]
-	if one == nil {
-		return fmt.Errorf("limiter %d is of another host", number)
+	limiter := h.limiters[number]
+	if limiter == nil {
+		return fmt.Errorf("limiter %d does not run in this host", number)
 	}
-	var held *distribution.Snapshot
-	one.follower.Do(func(now int64, s *distribution.Subscriber) { held = s.Snapshot(now) })
-	one.cancel()
-	one.running.Wait()
-	if held != nil {
-		if err := one.place.Save(held); err != nil {
+	var snapshot *distribution.Snapshot
+	limiter.follower.Do(func(now int64, s *distribution.Subscriber) { snapshot = s.Snapshot(now) })
+	limiter.cancel()
+	limiter.running.Wait()
+	if snapshot != nil {
+		if err := limiter.stateFile.Save(snapshot); err != nil {
 			return err
 		}
 	}
-	return h.start(one.hollowSpec)
+	return h.start(limiter.hollowSpec)
 }
--- a/internal/lab/soak/memory.go
+++ b/internal/lab/soak/memory.go
@@ -10,43 +10,44 @@
 	"ospreycroft/internal/lab/procfs"
 )
 
-// memoryInterval is how often the processes' memory is looked at.
-const memoryInterval = 100 * time.Millisecond
+// memorySampleInterval is the time between two samples of the processes' memory.
+const memorySampleInterval = 100 * time.Millisecond
 
-// memoryMeter finds the most memory that one of the limiters' processes has held.
+// memoryMeter measures the peak resident memory of the limiter processes, as the maximum over the processes.
 type memoryMeter struct {
 	mutex     sync.Mutex
-	processes []measured
-	most      int64 // bytes
+	processes []measuredProcess
+	peakBytes int64
 }
 
-// measured is a process and the program that it is to run: its launcher does not count.
-type measured struct {
+// measuredProcess is a process with the program that it will run. It is not measured while it still runs the launcher.
+type measuredProcess struct {
 	command *exec.Cmd
-	program os.FileInfo // nil where there is none
+	program os.FileInfo // nil if the file does not exist; then the process is never measured
 }
 
-// add has the process of a command looked at, which has started.
+// add starts to measure the process of a command that has been started.
 func (m *memoryMeter) add(command *exec.Cmd, program string) {
 	info, _ := os.Stat(program)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.processes = append(m.processes, measured{command, info})
+	m.processes = append(m.processes, measuredProcess{command, info})
 }
 
-// run looks at the processes until stop.
+// run samples the processes until stop is closed.
 func (m *memoryMeter) run(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(memoryInterval):
+		case <-time.After(memorySampleInterval):
 		}
-		m.look()
+		m.sample()
 	}
 }
 
-func (m *memoryMeter) look() {
+// sample updates the peak from all processes that run their program by now.
+func (m *memoryMeter) sample() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, process := range m.processes {
@@ -55,23 +56,23 @@
 		if err != nil || !os.SameFile(running, process.program) {
 			continue
 		}
-		if held, err := procfs.PeakResident(pid); err == nil {
-			m.most = max(m.most, held)
+		if resident, err := procfs.PeakResident(pid); err == nil {
+			m.peakBytes = max(m.peakBytes, resident)
 		}
 	}
 }
 
-// peak is the most that one process has held, bytes.
+// peak returns the peak resident memory of any one process, in bytes.
 func (m *memoryMeter) peak() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.most
+	return m.peakBytes
 }
 
-// overMemory finds that a process held more than its limit, in MB.
-func overMemory(most int64, limit int) []Finding {
-	if most <= int64(limit)<<20 {
+// memoryFindings returns a finding if the peak exceeds the memory limit.
+func memoryFindings(peakBytes int64, limitMB int) []Finding {
+	if peakBytes <= int64(limitMB)<<20 {
 		return nil
 	}
-	return []Finding{{What: "memory", Detail: fmt.Sprintf("a limiter held %d MB", most>>20)}}
+	return []Finding{{What: "memory", Detail: fmt.Sprintf("a limiter held %d MB", peakBytes>>20)}}
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,22 +14,25 @@
 	"ospreycroft/internal/lab/syscallshim"
 )
 
+// TestMain lets the test binary serve as the launcher of the system call shim.
 func TestMain(m *testing.M) {
 	syscallshim.LaunchIfAsked()
 	os.Exit(m.Run())
 }
 
-// ciSeeds are the seeds that CI plays: between them failing system calls, clock steps, a disk that refuses writes, a crowd,
-// clients that leave or send several requests at once, and a quiet spell.
+// ciSeeds are the seeds that CI runs. Between them they have failing system calls, clock steps, disk faults, idle
+// clients, leaving and pipelining clients, and a quiet period.
 var ciSeeds = []uint64{5, 17, 59, 120}
 
-// ciSeconds is the load of each in CI.
+// ciSeconds is the duration of the load of each seed in CI, seconds.
 const ciSeconds = 7
 
-// TestSoak plays the seeds one after the other against the real program.
+// TestSoak runs the CI seeds one after the other against the real limiter program. It guards against any finding: a
+// broken rule, a failed process, too much memory or a failure in a log.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "ospreycroft")
-	output, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", program, "ospreycroft/cmd/ospreycroft").CombinedOutput()
+	output, err := exec.Command(
+		"go", "build", "-ldflags=-linkmode=external", "-o", program, "ospreycroft/cmd/ospreycroft").CombinedOutput()
 	require.NoError(t, err, string(output))
 	for _, seed := range ciSeeds {
 		report, err := Play(seed, Options{Program: program, Launcher: os.Args[0], Length: ciSeconds, Dir: t.TempDir()})
@@ -42,28 +45,31 @@
 	}
 }
 
-// TestDrawIsTheSame: a seed draws the same scenario each time, and the seeds of CI have every kind between them.
-func TestDrawIsTheSame(t *testing.T) {
-	var calls, steps, disk, crowd, leavers, pipelines, quiet bool
+// TestDrawIsDeterministic checks that a seed draws the same scenario each time, so that a failed seed can be run again,
+// and that the CI seeds cover every kind of condition.
+func TestDrawIsDeterministic(t *testing.T) {
+	var systemCalls, steps, disk, idleClients, leavingClients, pipeliningClients, quiet bool
 	for _, seed := range ciSeeds {
-		one, err := Draw(seed, ciSeconds, "program", 0)
+		first, err := Draw(seed, ciSeconds, "program", 0)
 		require.NoError(t, err)
-		two, err := Draw(seed, ciSeconds, "program", 0)
+		second, err := Draw(seed, ciSeconds, "program", 0)
 		require.NoError(t, err)
-		require.Equal(t, one, two)
-		calls = calls || one.SystemCalls > 0
-		steps = steps || one.ClockSteps
-		disk = disk || one.Disk
-		crowd = crowd || one.Crowd > 0
-		leavers = leavers || one.Leavers > 0
-		pipelines = pipelines || one.Pipelines > 0
-		quiet = quiet || one.Quiet
+		require.Equal(t, first, second)
+		systemCalls = systemCalls || first.SystemCallFaultShare > 0
+		steps = steps || first.ClockSteps
+		disk = disk || first.DiskFaults
+		idleClients = idleClients || first.IdleClients > 0
+		leavingClients = leavingClients || first.LeavingClients > 0
+		pipeliningClients = pipeliningClients || first.PipeliningClients > 0
+		quiet = quiet || first.Quiet
 	}
-	require.Equal(t, []bool{true, true, true, true, true, true, true}, []bool{calls, steps, disk, crowd, leavers, pipelines, quiet})
+	require.Equal(t, []bool{true, true, true, true, true, true, true},
+		[]bool{systemCalls, steps, disk, idleClients, leavingClients, pipeliningClients, quiet})
 }
 
-// TestEverySeedCanBePlayed: what is drawn passes the experiment's own checks, also for a fleet of a given size.
-func TestEverySeedCanBePlayed(t *testing.T) {
+// TestDrawnExperimentsAreValid guards against seeds whose experiment is rejected by its own validation, also for a
+// fleet of a given size.
+func TestDrawnExperimentsAreValid(t *testing.T) {
 	for seed := range uint64(300) {
 		_, err := Draw(seed, 12, "program", 0)
 		require.NoError(t, err)
@@ -73,10 +79,11 @@
 	}
 }
 
-// TestOverMemoryFinds: a process past its limit is a finding, and the meter sees what a process holds.
-func TestOverMemoryFinds(t *testing.T) {
-	require.Empty(t, overMemory(64<<20, 64))
-	require.Equal(t, []Finding{{What: "memory", Detail: "a limiter held 65 MB"}}, overMemory(65<<20, 64))
+// TestMemoryFindings checks that memory above the limit is a finding, and that the meter measures a process only while
+// it runs its program.
+func TestMemoryFindings(t *testing.T) {
+	require.Empty(t, memoryFindings(64<<20, 64))
+	require.Equal(t, []Finding{{What: "memory", Detail: "a limiter held 65 MB"}}, memoryFindings(65<<20, 64))
 	sleeper := exec.Command("sleep", "60")
 	require.NoError(t, sleeper.Start())
 	t.Cleanup(func() {
@@ -85,23 +92,24 @@
 	})
 	var other, same memoryMeter
 	other.add(sleeper, os.Args[0])
-	other.look()
-	require.Zero(t, other.peak(), "it is not the program that was to run")
+	other.sample()
+	require.Zero(t, other.peak(), "measured a process that runs another program")
 	same.add(sleeper, sleeper.Path)
-	require.Eventually(t, func() bool { same.look(); return same.peak() > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { same.sample(); return same.peak() > 0 }, 5*time.Second, time.Millisecond)
 }
 
-// TestReadLogsFinds: a log with a panic, a fatal error or a failed start is a finding.
-func TestReadLogsFinds(t *testing.T) {
+// TestReadLogsFindsFailures checks that log lines with a panic or a fatal error are findings, and that others are not.
+func TestReadLogsFindsFailures(t *testing.T) {
 	dir := t.TempDir()
 	text := "time=x level=INFO event=started name=n0\ntime=x level=ERROR event=panic error=y\nfatal error: all goroutines are asleep\n"
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "n0.log"), []byte(text), 0o600))
-	findings := (&play{dir: dir}).readLogs()
+	findings := (&seedRun{dir: dir}).readLogs()
 	require.Len(t, findings, 2)
 }
 
-// TestDiskFaultsHitTheDirectoryAlone: writes elsewhere go on.
-func TestDiskFaultsHitTheDirectoryAlone(t *testing.T) {
+// TestDiskFaultsAffectOnlyTheDirectory guards against disk faults that hit files outside the failing directory, such as
+// logs.
+func TestDiskFaultsAffectOnlyTheDirectory(t *testing.T) {
 	dir := t.TempDir()
 	inside, err := os.Create(filepath.Join(dir, "n0.snapshot.new"))
 	require.NoError(t, err)
@@ -111,11 +119,11 @@
 	defer func() { _ = outside.Close() }()
 	scenario, err := Draw(1, ciSeconds, "program", 0)
 	require.NoError(t, err)
-	scenario.Disk = true
-	p := &play{scenario: scenario, dir: dir, ports: map[int]bool{}}
+	scenario.DiskFaults = true
+	p := &seedRun{scenario: scenario, dir: dir, limiterPorts: map[int]bool{}}
 	require.NoError(t, p.prepare())
-	p.faults.dir = dir
-	p.faults.share = 0
+	p.faults.failingDir = dir
+	p.faults.faultShare = 0
 	write := func(file *os.File) syscallshim.Decision {
 		return p.faults.decide(syscallshim.Call{
 			PID: os.Getpid(), Number: unix.SYS_WRITE, Args: [6]uint64{uint64(file.Fd()), 0, 10},
