--- a/cmd/configdist/configdist_test.go
+++ b/cmd/configdist/configdist_test.go
@@ -31,7 +31,7 @@
 const runMainVariable = "CONFIGDIST_IS_THE_PROGRAM"
 
 func TestMain(m *testing.M) {
-	syscallshim.LaunchIfAsked()
+	syscallshim.LaunchIfRequested()
 	if os.Getenv(runMainVariable) != "" {
 		main()
 		return
@@ -52,19 +52,19 @@
 	t.Helper()
 	p, err := distbench.Start(os.Args[0], nil, arguments...)
 	require.NoError(t, err)
-	ended, err := p.Ended(testTimeout)
+	ended, err := p.WaitForExit(testTimeout)
 	require.True(t, ended, p.Log())
 	return p.Log(), err == nil
 }
 
 func startSource(t *testing.T, programs distbench.Programs, dir string, more ...string) (*distbench.Process, string) {
 	t.Helper()
-	port := testbed.KeepPort(t)
+	port := testbed.ReservePort(t)
 	return startSourceAt(t, programs, dir, port, more...), port.Address()
 }
 
 func startSourceAt(
-	t *testing.T, programs distbench.Programs, dir string, port *ports.Kept, more ...string,
+	t *testing.T, programs distbench.Programs, dir string, port *ports.Reserved, more ...string,
 ) *distbench.Process {
 	t.Helper()
 	p, err := programs.StartSource(dir, port, more...)
@@ -75,12 +75,12 @@
 
 func startRelay(t *testing.T, programs distbench.Programs, source, zone string) (*distbench.Process, string) {
 	t.Helper()
-	port := testbed.KeepPort(t)
+	port := testbed.ReservePort(t)
 	p, err := programs.StartRelay(source, zone, "r", port)
 	require.NoError(t, err)
 	t.Cleanup(p.Kill)
 	// A limiter that calls a relay without a version switches to its other relay, and both would count it for a while.
-	require.True(t, p.Wrote("event=config-version", 1, testTimeout), p.Log())
+	require.True(t, p.WaitForOutput("event=config-version", 1, testTimeout), p.Log())
 	return p, port.Address()
 }
 
@@ -217,7 +217,7 @@
 // and a start with an epoch that has been used fails.
 func TestSourceRestart(t *testing.T) {
 	programs, dir := testPrograms(t), t.TempDir()
-	port := testbed.KeepPort(t)
+	port := testbed.ReservePort(t)
 	source := port.Address()
 	p := startSourceAt(t, programs, dir, port)
 	_, relay := startRelay(t, programs, source, "a")
@@ -343,7 +343,7 @@
 		errno  unix.Errno
 	}{"full": {unix.SYS_WRITE, unix.ENOSPC}, "broken": {unix.SYS_FSYNC, unix.EIO}} {
 		t.Run(name, func(t *testing.T) {
-			programs, dir, port := testPrograms(t), t.TempDir(), testbed.KeepPort(t)
+			programs, dir, port := testPrograms(t), t.TempDir(), testbed.ReservePort(t)
 			source := port.Address()
 			var failing atomic.Bool
 			p, err := distbench.StartUnder(
@@ -357,7 +357,7 @@
 			)
 			require.NoError(t, err)
 			t.Cleanup(p.Kill)
-			require.True(t, p.Wrote("event=listening", 1, testTimeout), p.Log())
+			require.True(t, p.WaitForOutput("event=listening", 1, testTimeout), p.Log())
 			publish := func(key string) (string, bool) {
 				return runCommand(t, "publish", "--source", source, "--kind", "plans", "--key", key, "--value", "x")
 			}
@@ -380,7 +380,7 @@
 // TestSourceWaitsForPort checks that a source retries to listen while another listener, such as its previous
 // incarnation, still has the port.
 func TestSourceWaitsForPort(t *testing.T) {
-	programs, port := testPrograms(t), testbed.KeepPort(t)
+	programs, port := testPrograms(t), testbed.ReservePort(t)
 	earlier, err := port.Listen()
 	require.NoError(t, err)
 	time.AfterFunc(500*time.Millisecond, func() { _ = earlier.Close() })
@@ -418,7 +418,7 @@
 	require.Eventually(t, applied.isNewest(1, 1), testTimeout, 10*time.Millisecond)
 	for _, p := range []*distbench.Process{relay, source} {
 		require.NoError(t, p.Signal(syscall.SIGTERM))
-		ended, err := p.Ended(3 * time.Second)
+		ended, err := p.WaitForExit(3 * time.Second)
 		require.True(t, ended, p.Log())
 		require.NoError(t, err, p.Log())
 	}
--- a/cmd/configdist/persist.go
+++ b/cmd/configdist/persist.go
@@ -28,7 +28,7 @@
 type persistingHandler struct {
 	mutex     sync.Mutex // serializes writes
 	log       *distribution.Log
-	stateFile statefile.Place
+	stateFile statefile.Store
 	clock     func() int64
 	next      http.Handler
 	// unsaved is set while the last save has failed.
@@ -44,7 +44,7 @@
 func newPersistingHandler(options *sourceOptions, clock func() int64) (*persistingHandler, *distribution.Log, error) {
 	h := &persistingHandler{
 		clock: clock,
-		stateFile: statefile.Place{Dir: options.dir, Installation: options.installation, Subscriber: options.name,
+		stateFile: statefile.Store{Dir: options.dir, Installation: options.installation, Subscriber: options.name,
 			MaxAge: math.MaxInt64, Files: atomicfile.Disk{}},
 	}
 	var saved *distribution.Snapshot
--- a/cmd/configdist/persist_test.go
+++ b/cmd/configdist/persist_test.go
@@ -21,7 +21,7 @@
 	clock := func() int64 { now++; return now }
 	h := &persistingHandler{
 		clock: clock, log: distribution.NewLog(distribution.Retention{}),
-		stateFile: statefile.Place{Dir: "dir", Subscriber: "source", MaxAge: 1 << 60, Files: disk},
+		stateFile: statefile.Store{Dir: "dir", Subscriber: "source", MaxAge: 1 << 60, Files: disk},
 	}
 	source := distribution.NewSource(distribution.NewLog(distribution.Retention{}), distribution.Budget{})
 	change, err := source.Open(clock(), 1)
@@ -47,17 +47,17 @@
 			disk := memfs.New()
 			h := newTestHandler(t, disk)
 			require.Equal(t, http.StatusOK, publishTo(h, "127.0.0.1:1"))
-			disk.Fail = step
+			disk.FailingOperation = step
 			require.Equal(t, http.StatusInternalServerError, publishTo(h, "127.0.0.1:2"))
 			head := h.log.Head()
 			require.Equal(t, http.StatusInternalServerError, publishTo(h, "127.0.0.1:3"))
 			require.Equal(t, head, h.log.Head(), "a further change was accepted while the disk failed")
-			disk.Fail = ""
+			disk.FailingOperation = ""
 			require.NoError(t, h.saveIfUnsaved())
 			require.False(t, h.unsaved)
-			require.Contains(t, string(disk.Held[h.stateFile.Path()]), "127.0.0.1:2")
+			require.Contains(t, string(disk.Files[h.stateFile.Path()]), "127.0.0.1:2")
 			require.Equal(t, http.StatusOK, publishTo(h, "127.0.0.1:3"))
-			require.Contains(t, string(disk.Held[h.stateFile.Path()]), "127.0.0.1:3")
+			require.Contains(t, string(disk.Files[h.stateFile.Path()]), "127.0.0.1:3")
 		})
 	}
 }
--- a/cmd/configdist/relay.go
+++ b/cmd/configdist/relay.go
@@ -55,8 +55,8 @@
 		relay,
 		server,
 		transport.FollowerOptions{Servers: [2]string{o.source, o.source},
-			DialTimeout: o.dialTimeout, Position: positionOf(name), Clock: clock, Report: newCallErrorLogger(clock),
-			Changed: func(s *distribution.Snapshot) {
+			DialTimeout: o.dialTimeout, Position: positionOf(name), Clock: clock, OnError: newCallErrorLogger(clock),
+			OnVersion: func(s *distribution.Snapshot) {
 				slog.Info("config-version", "epoch", s.Version.Epoch, "version", s.Version.Number)
 			}},
 	)
--- a/cmd/ospreycroft/broken_connections_test.go
+++ b/cmd/ospreycroft/broken_connections_test.go
@@ -30,7 +30,7 @@
 		return syscallshim.Decision{}
 	}
 	b.breaks.Add(1)
-	return syscallshim.Decision{Errno: b.errno, Break: true}
+	return syscallshim.Decision{Errno: b.errno, Shutdown: true}
 }
 
 // startWithConnBreaker starts the program with one server and accepts its connection to the counter.
@@ -64,14 +64,14 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			b := &connBreaker{errno: errno}
 			h, server, counterConn := startWithConnBreaker(t, b)
-			h.client.Say(t, testbed.Request("id", "read", 3000))
-			counterConn.Line(t)
-			counterConn.Say(t, "ok 1\r\n")
+			h.client.Send(t, testbed.Request("id", "read", 3000))
+			counterConn.ReadLine(t)
+			counterConn.Send(t, "ok 1\r\n")
 			serverConn := server.Accept(t)
-			serverConn.Command(t)
+			serverConn.ReadCommand(t)
 			b.peerAddress.Store(server.Address)
-			serverConn.Serve(t, "value")
-			require.Contains(t, h.client.Answer(t), "-BUSY") // there is no other server to retry on
+			serverConn.SendServed(t, "value")
+			require.Contains(t, h.client.ReadAnswer(t), "-BUSY") // there is no other server to retry on
 			require.Positive(t, b.breaks.Load())
 		})
 	}
@@ -85,26 +85,26 @@
 			b := &connBreaker{errno: errno}
 			h, server, counterConn := startWithConnBreaker(t, b)
 			other := (&testbed.Rig{Address: h.client.TCP.RemoteAddr().String()}).Dial(t)
-			h.client.Say(t, testbed.Request("gone", "read", 3000))
-			counterConn.Line(t)
-			counterConn.Say(t, "ok 1\r\n")
+			h.client.Send(t, testbed.Request("gone", "read", 3000))
+			counterConn.ReadLine(t)
+			counterConn.Send(t, "ok 1\r\n")
 			first := server.Accept(t)
-			require.Equal(t, "gone", first.Command(t)[2])
+			require.Equal(t, "gone", first.ReadCommand(t)[2])
 
 			b.peerAddress.Store(h.client.TCP.LocalAddr().String())
-			h.client.Say(t, "*1\r\n$4\r\nPING\r\n") // makes the program read the connection
-			_, err := h.client.Rest(t)
+			h.client.Send(t, "*1\r\n$4\r\nPING\r\n") // makes the program read the connection
+			_, err := h.client.ReadToEnd(t)
 			require.NoError(t, err, "the connection is closed without an answer")
 			require.Positive(t, b.breaks.Load())
 			require.NoError(t, first.TCP.Close())
 
-			other.Say(t, testbed.Request("stays", "read", 3000))
-			counterConn.Line(t) // settles the abandoned request's units, or reserves this one's
-			counterConn.Say(t, "ok 1\r\n")
+			other.Send(t, testbed.Request("stays", "read", 3000))
+			counterConn.ReadLine(t) // settles the abandoned request's units, or reserves this one's
+			counterConn.Send(t, "ok 1\r\n")
 			second := server.Accept(t)
-			require.Equal(t, "stays", second.Command(t)[2], "the abandoned request is not retried")
-			second.Serve(t, "value")
-			require.Equal(t, "$value", other.Answer(t))
+			require.Equal(t, "stays", second.ReadCommand(t)[2], "the abandoned request is not retried")
+			second.SendServed(t, "value")
+			require.Equal(t, "$value", other.ReadAnswer(t))
 		})
 	}
 }
@@ -116,21 +116,21 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			b := &connBreaker{errno: errno}
 			h, server, counterConn := startWithConnBreaker(t, b)
-			h.client.Say(t, testbed.Request("id", "read", 3000))
-			require.Contains(t, counterConn.Line(t), "tally ")
+			h.client.Send(t, testbed.Request("id", "read", 3000))
+			require.Contains(t, counterConn.ReadLine(t), "tally ")
 			b.peerAddress.Store(h.counter.Address)
-			counterConn.Say(t, "ok 1\r\n")
+			counterConn.Send(t, "ok 1\r\n")
 			serverConn := server.Accept(t)
-			require.Equal(t, "id", serverConn.Command(t)[2])
+			require.Equal(t, "id", serverConn.ReadCommand(t)[2])
 			b.peerAddress.Store("")
-			serverConn.Serve(t, "value")
-			require.Equal(t, "$value", h.client.Answer(t))
+			serverConn.SendServed(t, "value")
+			require.Equal(t, "$value", h.client.ReadAnswer(t))
 			require.Positive(t, b.breaks.Load())
 
-			h.client.Say(t, testbed.Request("next", "read", 3000))
+			h.client.Send(t, testbed.Request("next", "read", 3000))
 			newCounterConn := h.counter.Accept(t)
-			require.Contains(t, newCounterConn.Line(t), "tally ")
-			newCounterConn.Say(t, "ok 1\r\n")
+			require.Contains(t, newCounterConn.ReadLine(t), "tally ")
+			newCounterConn.Send(t, "ok 1\r\n")
 		})
 	}
 }
--- a/cmd/ospreycroft/clock_test.go
+++ b/cmd/ospreycroft/clock_test.go
@@ -55,29 +55,29 @@
 	second := (&testbed.Rig{Address: h.client.TCP.RemoteAddr().String()}).Dial(t)
 
 	sent := time.Now()
-	h.client.Say(t, testbed.Request("out", "read", int(timeout.Milliseconds())))
-	firstTally := strings.Fields(counter.Line(t))
-	counter.Say(t, "ok 1\r\n")
-	require.Equal(t, "out", server.Accept(t).Command(t)[2])
+	h.client.Send(t, testbed.Request("out", "read", int(timeout.Milliseconds())))
+	firstTally := strings.Fields(counter.ReadLine(t))
+	counter.Send(t, "ok 1\r\n")
+	require.Equal(t, "out", server.Accept(t).ReadCommand(t)[2])
 
 	require.NoError(t, clock.Step(step))
-	second.Say(t, testbed.Request("next", "read", int(timeout.Milliseconds())))
-	secondTally := strings.Fields(counter.Line(t))
-	counter.Say(t, "ok 2\r\n")
+	second.Send(t, testbed.Request("next", "read", int(timeout.Milliseconds())))
+	secondTally := strings.Fields(counter.ReadLine(t))
+	counter.Send(t, "ok 2\r\n")
 	serverConn := server.Accept(t)
-	words := serverConn.Command(t)
+	words := serverConn.ReadCommand(t)
 	require.Equal(t, "next", words[2])
 	toldMs, err := strconv.Atoi(timeLeftField.FindStringSubmatch(words[3])[1])
 	require.NoError(t, err)
 	require.InDelta(t, timeout.Milliseconds(), toldMs, float64(slack.Milliseconds()))
-	serverConn.Serve(t, "value")
-	require.Equal(t, "$value", second.Answer(t))
+	serverConn.SendServed(t, "value")
+	require.Equal(t, "$value", second.ReadAnswer(t))
 
-	require.Contains(t, h.client.Answer(t), "-BUSY")
+	require.Contains(t, h.client.ReadAnswer(t), "-BUSY")
 	elapsed := time.Since(sent)
 	require.Less(t, elapsed, timeout)
 	require.Greater(t, elapsed, timeout-2*slack)
-	second.Quiet(t, slack)
+	second.ExpectNothing(t, slack)
 	requireLogTime(t, h, readLog, time.Now().Add(step))
 	return firstTally[1] == secondTally[1]
 }
@@ -91,10 +91,10 @@
 	require.Eventually(t, func() bool {
 		lines = strings.Split(strings.TrimSpace(readLog()), "\n")
 		return strings.Contains(lines[len(lines)-1], "event=trace")
-	}, testbed.Patience, 10*time.Millisecond)
+	}, testbed.Timeout, 10*time.Millisecond)
 	logTime, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(strings.Fields(lines[len(lines)-1])[0], "time="))
 	require.NoError(t, err)
-	require.WithinDuration(t, want, logTime, testbed.Patience)
+	require.WithinDuration(t, want, logTime, testbed.Timeout)
 }
 
 // useSteppedClock gives the programs that the test starts a wall clock that the test can step.
@@ -123,7 +123,7 @@
 			require.Eventually(t, func() bool {
 				_, err := os.Stat(snapshots)
 				return err == nil
-			}, testbed.Patience, 10*time.Millisecond)
+			}, testbed.Timeout, 10*time.Millisecond)
 			require.NoError(t, program.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, <-ended)
 
@@ -197,8 +197,8 @@
 		conn := (&testbed.Rig{Address: address}).Dial(t)
 		running.Go(func() {
 			for n := 0; !stopping.Load(); n++ {
-				conn.Say(t, string(request(fmt.Sprintf("caller-%d-%d", i, n), 2000)))
-				conn.Answer(t)
+				conn.Send(t, string(request(fmt.Sprintf("caller-%d-%d", i, n), 2000)))
+				conn.ReadAnswer(t)
 			}
 		})
 	}
--- a/cmd/ospreycroft/counting_server_test.go
+++ b/cmd/ospreycroft/counting_server_test.go
@@ -45,7 +45,7 @@
 
 func (s *countingServer) start(t *testing.T, name string) *countingServer {
 	t.Helper()
-	listener, err := testbed.KeepPort(t).Listen()
+	listener, err := testbed.ReservePort(t).Listen()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	s.received = map[string]int{}
@@ -59,7 +59,7 @@
 }
 
 func (s *countingServer) serve(conn net.Conn) {
-	_ = emulator.Commands(conn, func(words [][]byte) bool {
+	_ = emulator.ReadCommands(conn, func(words [][]byte) bool {
 		s.count(string(words[2]))
 		if s.hangs {
 			return true
--- a/cmd/ospreycroft/crash_test.go
+++ b/cmd/ospreycroft/crash_test.go
@@ -41,12 +41,12 @@
 	require.NoError(t, err)
 	defer func() { _ = log.Close() }()
 	h := startHarness(t, testbed.Listen(t).Address, log)
-	h.client.Say(t, testbed.Request("traced", "read", 3000))
+	h.client.Send(t, testbed.Request("traced", "read", 3000))
 	counterConn := h.counter.Accept(t)
-	counterConn.Line(t)
+	counterConn.ReadLine(t)
 	require.NoError(t, h.program.Process.Signal(syscall.SIGUSR1))
 	require.Eventually(t, func() bool {
 		text, err := os.ReadFile(log.Name())
 		return err == nil && bytes.Contains(text, []byte("step=accepted request=traced"))
-	}, testbed.Patience, time.Millisecond)
+	}, testbed.Timeout, time.Millisecond)
 }
--- a/cmd/ospreycroft/descriptors_test.go
+++ b/cmd/ospreycroft/descriptors_test.go
@@ -98,7 +98,7 @@
 	discovery string,
 ) (address string, program *exec.Cmd, logFile *os.File) {
 	t.Helper()
-	address = testbed.KeepPort(t).Address()
+	address = testbed.ReservePort(t).Address()
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	config := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"ff","limits":{"memory_mb":192,"sockets":%d},
@@ -129,11 +129,11 @@
 func TestIdleClientsInOutage(t *testing.T) {
 	for _, c := range []struct{ descriptors, configured int }{{96, 96}, {64, 1024}} {
 		t.Run(fmt.Sprintf("%d descriptors, %d configured", c.descriptors, c.configured), func(t *testing.T) {
-			discovery := testbed.KeepPort(t)
+			discovery := testbed.ReservePort(t)
 			address, program, log := startWithDescriptorLimit(t, c.descriptors, c.configured, discovery.Address())
 			sendRequest := func(client *testbed.Conn, id string) string {
-				client.Say(t, testbed.Request(id, "read", 1000))
-				return client.Answer(t)
+				client.Send(t, testbed.Request(id, "read", 1000))
+				return client.ReadAnswer(t)
 			}
 			require.Eventually(t, func() bool {
 				client, err := net.Dial("tcp", address)
@@ -141,7 +141,7 @@
 					_ = client.Close()
 				}
 				return err == nil
-			}, testbed.Patience, 10*time.Millisecond)
+			}, testbed.Timeout, 10*time.Millisecond)
 			openClient := (&testbed.Rig{Address: address}).Dial(t)
 			require.Regexp(t, "^-BUSY", sendRequest(openClient, "first"))
 			startIdleClients(t, address, 3*c.descriptors)
@@ -171,11 +171,11 @@
 			}
 			time.Sleep(50 * time.Millisecond) // until the list is read
 			sent := time.Now()
-			openClient.Say(t, testbed.Request("served", "read", 1000))
+			openClient.Send(t, testbed.Request("served", "read", 1000))
 			serverConn := server.Accept(t)
-			require.Equal(t, "served", serverConn.Command(t)[2])
-			serverConn.Serve(t, "value")
-			require.Equal(t, "$value", openClient.Answer(t))
+			require.Equal(t, "served", serverConn.ReadCommand(t)[2])
+			serverConn.SendServed(t, "value")
+			require.Equal(t, "$value", openClient.ReadAnswer(t))
 			require.Less(t, time.Since(serviceBack), recoveryTimeout)
 			text, err := os.ReadFile(log.Name())
 			require.NoError(t, err)
--- a/cmd/ospreycroft/distribution.go
+++ b/cmd/ospreycroft/distribution.go
@@ -112,7 +112,7 @@
 	*transport.Follower
 	subscriber *distribution.Subscriber
 	configs    *configUpdates
-	stateFile  *statefile.Place                          // nil if no state is kept on disk
+	stateFile  *statefile.Store                          // nil if no state is kept on disk
 	writer     *atomicfile.Writer[distribution.Snapshot] // nil if no state is kept on disk
 	restored   bool                                      // a state from the disk was put in force at the start
 	startedAt  int64                                     // when the follower was created
@@ -134,7 +134,7 @@
 		return nil
 	}
 	scope, _ := distribution.ParseScope(options.Distribution.Scope) // validated by package operator
-	applier := &distribution.LimiterApplier{Move: configs.setAddresses}
+	applier := &distribution.LimiterApplier{ChangeAddresses: configs.setAddresses}
 	f := &follower{configs: configs, clock: clock, startedAt: clock(), lastLogged: map[string]int64{}}
 	f.subscriber = distribution.NewSubscriber(
 		clock(),
@@ -142,9 +142,9 @@
 	)
 	f.Follower = transport.NewFollower(f.subscriber, transport.FollowerOptions{Servers: options.Distribution.Relays,
 		DialTimeout: time.Duration(config.Settings.DialTimeout), Position: position(config), Clock: clock,
-		Report: f.reportError, Changed: f.versionChanged})
+		OnError: f.reportError, OnVersion: f.versionChanged})
 	if options.Distribution.StatePath != "" {
-		f.stateFile = &statefile.Place{
+		f.stateFile = &statefile.Store{
 			Dir:          options.Distribution.StatePath,
 			Installation: options.Installation,
 			Subscriber:   config.Name,
@@ -269,7 +269,7 @@
 // status returns the subscriber's status and whether its version is unconfirmed. A version from the disk is unconfirmed
 // until this process has heard from the source: until then its age is at least the time since the start.
 func (f *follower) status() (status distribution.Status, unconfirmed bool) {
-	f.Do(func(now int64, s *distribution.Subscriber) {
+	f.WithSubscriber(func(now int64, s *distribution.Subscriber) {
 		status = s.Status(now)
 		unconfirmed = status.Condition == distribution.Unconfirmed || f.restored && status.Age >= now-f.startedAt
 	})
@@ -279,7 +279,7 @@
 // save passes the state to the writer. It does so under the subscriber's lock, so that an older state cannot replace a
 // newer one.
 func (f *follower) save() {
-	f.Do(func(now int64, s *distribution.Subscriber) {
+	f.WithSubscriber(func(now int64, s *distribution.Subscriber) {
 		if snapshot := s.Snapshot(now); snapshot != nil {
 			f.writer.Save(snapshot)
 		}
--- a/cmd/ospreycroft/distribution_network_test.go
+++ b/cmd/ospreycroft/distribution_network_test.go
@@ -57,7 +57,7 @@
 	sourceAddress  string
 	links          [2]*faultproxy.Proxy
 	relays         [2]*distbench.Process
-	relayPorts     [2]*ports.Kept // stay reserved while a relay is down
+	relayPorts     [2]*ports.Reserved // stay reserved while a relay is down
 	relayAddresses [2]string
 	configDir      string // the limiter's configuration and operator's file
 	stateDir       string // the limiter's distribution.state_path
@@ -95,7 +95,7 @@
 	n.stateDir = filepath.Join(n.configDir, "state")
 	require.NoError(t, os.Mkdir(n.stateDir, 0o700))
 	var err error
-	port := testbed.KeepPort(t)
+	port := testbed.ReservePort(t)
 	n.sourceAddress = port.Address()
 	n.source, err = n.programs.StartSource(t.TempDir(), port)
 	require.NoError(t, err)
@@ -110,7 +110,7 @@
 		)
 		require.NoError(t, err)
 		t.Cleanup(n.links[i].Close)
-		n.relayPorts[i] = testbed.KeepPort(t)
+		n.relayPorts[i] = testbed.ReservePort(t)
 		n.relayAddresses[i] = n.relayPorts[i].Address()
 		n.startRelay(t, i)
 	}
@@ -123,7 +123,7 @@
 	n.relays[i], err = n.programs.StartRelay(n.links[i].Address(), []string{"a", "b"}[i], "r", n.relayPorts[i])
 	require.NoError(t, err)
 	t.Cleanup(n.relays[i].Kill)
-	require.True(t, n.relays[i].Wrote("event=config-version", 1, eventTimeout), n.relays[i].Log())
+	require.True(t, n.relays[i].WaitForOutput("event=config-version", 1, eventTimeout), n.relays[i].Log())
 }
 
 // setPartitioned cuts both relays off from the source, or restores the links.
@@ -175,7 +175,7 @@
 	t.Helper()
 	known, err := json.Marshal([]emulator.Instance{discovery.server.Instance})
 	require.NoError(t, err)
-	port := testbed.KeepPort(t)
+	port := testbed.ReservePort(t)
 	l := &limiterProcess{address: port.Address(), configPath: filepath.Join(n.configDir, "config.json")}
 	l.config = fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"ff","limits":{"memory_mb":192,"sockets":1024},
 		"known":{"generation":1,"reset":true,"instances":%s},
@@ -200,8 +200,8 @@
 	)
 	require.NoError(t, err)
 	t.Cleanup(l.Kill)
-	require.NoError(t, l.Reachable(l.address))
-	require.True(t, l.Wrote("event=ready", 1, eventTimeout), l.Log()) // the platform sends no clients earlier
+	require.NoError(t, l.WaitUntilReachable(l.address))
+	require.True(t, l.WaitForOutput("event=ready", 1, eventTimeout), l.Log()) // the platform sends no clients earlier
 	return l
 }
 
--- a/cmd/ospreycroft/distribution_test.go
+++ b/cmd/ospreycroft/distribution_test.go
@@ -32,19 +32,19 @@
 	l.awaitRequestsTo(t, first, eventTimeout)
 	number := n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
 	l.awaitRequestsTo(t, second, addressChangeTimeout)
-	require.True(t, l.Wrote(fmt.Sprintf("event=config-version epoch=1 version=%d\n", number), 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput(fmt.Sprintf("event=config-version epoch=1 version=%d\n", number), 1, eventTimeout), l.Log())
 	_ = n.publishAddress(t, distribution.EndpointDiscovery, "nowhere")
-	require.True(t, l.Wrote("event=config-refused", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-refused", 1, eventTimeout), l.Log())
 	require.Contains(t, l.Log(), `is \"nowhere\", which is no address" hint="publish a change that corrects`)
 	l.awaitRequestsTo(t, second, eventTimeout)
 	require.NotContains(t, l.Log(), fmt.Sprintf("version=%d\n", number+1), "the refused version is not in force")
 	require.NoError(t, l.Signal(syscall.SIGHUP))
-	require.True(t, l.Wrote("event=config-addresses-kept discovery="+second.Address(0), 1, eventTimeout), l.Log())
-	require.True(t, l.Wrote("event=config-read discovery="+second.Address(0), 2, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-addresses-kept discovery="+second.Address(0), 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-read discovery="+second.Address(0), 2, eventTimeout), l.Log())
 	l.awaitRequestsTo(t, second, eventTimeout)
 	c.stopAndCheck(t, l, first, second)
 	require.NoError(t, l.Signal(syscall.SIGTERM))
-	ended, err := l.Ended(eventTimeout)
+	ended, err := l.WaitForExit(eventTimeout)
 	require.True(t, ended && err == nil, l.Log())
 }
 
@@ -56,17 +56,17 @@
 	first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
 	l := n.startLimiter(t, first, n.relayAddresses)
 	c := l.startClient(t)
-	require.True(t, l.Wrote("event=config-version epoch=1 version=1\n", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-version epoch=1 version=1\n", 1, eventTimeout), l.Log())
 	_ = n.publishAddress(t, distribution.EndpointDiscovery, "nowhere")
-	require.True(t, l.Wrote("is \\\"nowhere\\\", which is no address", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("is \\\"nowhere\\\", which is no address", 1, eventTimeout), l.Log())
 	l.awaitRequestsTo(t, first, eventTimeout)
 	_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
 	l.awaitRequestsTo(t, second, addressChangeTimeout)
-	require.True(t, l.Wrote("event=config-version epoch=1 version=3\n", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-version epoch=1 version=3\n", 1, eventTimeout), l.Log())
 	_ = n.publishAddress(t, "listen", "127.0.0.1:1")
-	require.True(t, l.Wrote("endpoints//listen cannot change while the limiter runs", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("endpoints//listen cannot change while the limiter runs", 1, eventTimeout), l.Log())
 	_ = n.publishMutation(t, distribution.Mutation{Entry: distribution.Entry{Key: endpointKey("listen")}, Delete: true})
-	require.True(t, l.Wrote("event=config-version epoch=1 version=5\n", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-version epoch=1 version=5\n", 1, eventTimeout), l.Log())
 	c.stopAndCheck(t, l, first, second)
 }
 
@@ -100,7 +100,7 @@
 			first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
 			l := n.startLimiter(t, first, n.relayAddresses)
 			client := l.startClient(t)
-			require.True(t, l.Wrote("event=config-version", 1, eventTimeout), l.Log())
+			require.True(t, l.WaitForOutput("event=config-version", 1, eventTimeout), l.Log())
 			c.fault(t, n)
 			_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
 			l.awaitRequestsTo(t, second, addressChangeTimeout)
@@ -118,7 +118,7 @@
 	first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
 	l := n.startLimiter(t, first, n.relayAddresses)
 	c := l.startClient(t)
-	require.True(t, l.Wrote("event=config-version", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-version", 1, eventTimeout), l.Log())
 	n.setPartitioned(t, true)
 	_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
 	time.Sleep(3 * time.Second)
@@ -129,10 +129,10 @@
 	for _, relay := range n.relays {
 		relay.Kill()
 	}
-	require.True(t, l.Wrote("event=config-unconfirmed epoch=1 version=2 age_s=1", 1, 2*eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-unconfirmed epoch=1 version=2 age_s=1", 1, 2*eventTimeout), l.Log())
 	l.awaitRequestsTo(t, second, eventTimeout)
 	n.startRelay(t, 0)
-	require.True(t, l.Wrote("event=config-confirmed epoch=1 version=2", 1, addressChangeTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-confirmed epoch=1 version=2", 1, addressChangeTimeout), l.Log())
 	c.stopAndCheck(t, l, first, second)
 }
 
@@ -145,7 +145,7 @@
 	first, second := startDiscovery(t, "first"), startDiscovery(t, "second")
 	l := n.startLimiter(t, first, n.relayAddresses)
 	_ = n.publishAddress(t, distribution.EndpointDiscovery, second.Address(0))
-	require.True(t, l.Wrote("event=config-version epoch=1 version=2", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-version epoch=1 version=2", 1, eventTimeout), l.Log())
 	stateFile := filepath.Join(n.stateDir, "n.distribution")
 	require.Eventually(t, func() bool {
 		text, err := os.ReadFile(stateFile)
@@ -163,12 +163,12 @@
 	require.Contains(t, l.Log(), "event=config-unconfirmed epoch=1 version=2 age_s=")
 	require.False(
 		t,
-		l.Wrote("event=config-confirmed", 1, 3*statusCheckInterval/2),
+		l.WaitForOutput("event=config-confirmed", 1, 3*statusCheckInterval/2),
 		"no relay has confirmed it: %s",
 		l.Log(),
 	)
 	n.startRelay(t, 0)
-	require.True(t, l.Wrote("event=config-confirmed epoch=1 version=2", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-confirmed epoch=1 version=2", 1, eventTimeout), l.Log())
 	n.relays[0].Kill()
 	l.Kill()
 
@@ -185,7 +185,7 @@
 	require.NoError(t, os.RemoveAll(n.stateDir))
 	_ = n.publishAddress(t, distribution.EndpointDiscovery, first.Address(0))
 	l.awaitRequestsTo(t, first, addressChangeTimeout)
-	require.True(t, l.Wrote("event=config-state-unwritten", 1, eventTimeout), l.Log())
+	require.True(t, l.WaitForOutput("event=config-state-unwritten", 1, eventTimeout), l.Log())
 	c.stopAndCheck(t, l, first, second)
 }
 
@@ -308,7 +308,7 @@
 	_ = configs.start()
 	defer f.start()()
 	savedAt := func() int64 {
-		file := statefile.Place{
+		file := statefile.Store{
 			Dir:          n.stateDir,
 			Installation: "i",
 			Subscriber:   "n",
--- a/cmd/ospreycroft/program_test.go
+++ b/cmd/ospreycroft/program_test.go
@@ -78,7 +78,7 @@
 	environment ...string,
 ) *programHarness {
 	t.Helper()
-	listen := testbed.KeepPort(t).Address()
+	listen := testbed.ReservePort(t).Address()
 	h := &programHarness{
 		t:           t,
 		config:      filepath.Join(t.TempDir(), "config.json"),
@@ -108,7 +108,7 @@
 			_ = c.Close()
 		}
 		return err == nil
-	}, testbed.Patience, 20*time.Millisecond)
+	}, testbed.Timeout, 20*time.Millisecond)
 	h.client = (&testbed.Rig{Address: listen}).Dial(t)
 	h.writeConfig(listen, h.nextCounter.Address, server) // for the next SIGHUP
 	return h
@@ -134,7 +134,7 @@
 			t.Parallel()
 			server := testbed.Listen(t)
 			if state == "dialling" {
-				server = testbed.Full(t)
+				server = testbed.ListenFull(t)
 			}
 			log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 			require.NoError(t, err)
@@ -145,18 +145,18 @@
 				require.Eventually(t, func() bool {
 					all, err := os.ReadFile(log.Name())
 					return err == nil && strings.Count(string(all), text) == times
-				}, testbed.Patience, time.Millisecond, text)
+				}, testbed.Timeout, time.Millisecond, text)
 			}
 			counterConn := h.counter.Accept(t)
-			h.client.Say(t, testbed.Request("id", "read", 3000))
-			require.Contains(t, counterConn.Line(t), "tally ")
+			h.client.Send(t, testbed.Request("id", "read", 3000))
+			require.Contains(t, counterConn.ReadLine(t), "tally ")
 			var serverConn *testbed.Conn
 			if state != "reserving" {
-				counterConn.Say(t, "ok 1\r\n")
+				counterConn.Send(t, "ok 1\r\n")
 			}
 			if state == "sent" {
 				serverConn = server.Accept(t)
-				serverConn.Command(t)
+				serverConn.ReadCommand(t)
 			}
 			stopSent := time.Now()
 			for i, next := range []struct {
@@ -174,22 +174,22 @@
 			}
 			time.Sleep(time.Until(stopSent.Add(900 * time.Millisecond))) // an idle limiter has exited by then
 			if state == "reserving" {
-				counterConn.Say(t, "ok 1\r\n")
+				counterConn.Send(t, "ok 1\r\n")
 			}
 			if state == "dialling" {
 				_ = server.Accept(t)
 			}
 			if serverConn == nil {
 				serverConn = server.Accept(t)
-				serverConn.Command(t)
+				serverConn.ReadCommand(t)
 			}
-			serverConn.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
-			require.Equal(t, "$value", h.client.Answer(t))
+			serverConn.Send(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+			require.Equal(t, "$value", h.client.ReadAnswer(t))
 			counterConn = h.nextCounter.Accept(t)
-			require.Contains(t, counterConn.Line(t), "tally ")
+			require.Contains(t, counterConn.ReadLine(t), "tally ")
 			require.NoError(t, h.program.Process.Signal(syscall.SIGHUP)) // fails if the process has exited
 			awaitLogged("event=config-read", 3)
-			counterConn.Say(t, "ok 3\r\n")
+			counterConn.Send(t, "ok 3\r\n")
 			h.requireExit(time.Until(stopSent.Add(3700 * time.Millisecond)))
 		})
 	}
@@ -209,7 +209,7 @@
 			mask, err := strconv.ParseUint(string(caught[1]), 16, 64)
 			require.NoError(t, err)
 			return mask&(1<<(syscall.SIGUSR1-1)) != 0
-		}, testbed.Patience, time.Millisecond/10)
+		}, testbed.Timeout, time.Millisecond/10)
 		for range 100 {
 			_ = program.Process.Signal(syscall.SIGUSR1)
 			time.Sleep(time.Millisecond)
@@ -229,17 +229,17 @@
 	h := startHarness(t, server.Address, write)
 	require.NoError(t, write.Close())
 	counterConn := h.counter.Accept(t)
-	h.client.Say(t, testbed.Request("id", "read", 3000))
-	counterConn.Line(t)
-	counterConn.Say(t, "ok 1\r\n")
+	h.client.Send(t, testbed.Request("id", "read", 3000))
+	counterConn.ReadLine(t)
+	counterConn.Send(t, "ok 1\r\n")
 	serverConn := server.Accept(t)
-	serverConn.Command(t)
+	serverConn.ReadCommand(t)
 	require.NoError(t, read.Close())
 	require.NoError(t, h.program.Process.Signal(syscall.SIGTERM))
 	time.Sleep(100 * time.Millisecond)
-	serverConn.Serve(t, "value")
-	require.Equal(t, "$value", h.client.Answer(t))
-	h.requireExit(testbed.Patience)
+	serverConn.SendServed(t, "value")
+	require.Equal(t, "$value", h.client.ReadAnswer(t))
+	h.requireExit(testbed.Timeout)
 }
 
 // TestLogPipeFull guards against clients left without answers while servers and counter are well: the collector of the
@@ -279,7 +279,7 @@
 	}
 	require.ErrorIs(t, err, unix.EAGAIN)
 	require.NoError(t, h.program.Process.Signal(syscall.SIGTERM))
-	h.requireExit(testbed.Patience)
+	h.requireExit(testbed.Timeout)
 }
 
 // suspend stops the program and returns once all its threads are stopped.
@@ -301,5 +301,5 @@
 			_, rest, _ := strings.Cut(string(text), ") ") // after the process's name
 			return !strings.HasPrefix(rest, "T")
 		})
-	}, testbed.Patience, time.Millisecond)
+	}, testbed.Timeout, time.Millisecond)
 }
--- a/cmd/ospreycroft/reload_test.go
+++ b/cmd/ospreycroft/reload_test.go
@@ -35,7 +35,7 @@
 		strings.Replace(changed, `"attempts-cap":3`, `"attempts-cap":0`, 1),
 		strings.Replace(changed, `"aim":2`, `"aim":"2"`, 1), strings.Replace(changed, second.Address, "nowhere", 1)} {
 		reload(bad)
-		second.None(t, 100*time.Millisecond)
+		second.ExpectNoConnection(t, 100*time.Millisecond)
 	}
 	reload(changed)
 	_ = second.Accept(t)
--- a/cmd/ospreycroft/run.go
+++ b/cmd/ospreycroft/run.go
@@ -49,7 +49,7 @@
 	follower := newFollower(config, options, configs, clock)
 	config = configs.start()
 	go reloadOn(reloads, configs)
-	if err := sockets.Descriptors(config.Sockets); err != nil { // serve with as many as there are
+	if err := sockets.CheckDescriptors(config.Sockets); err != nil { // serve with as many as there are
 		slog.Warn("descriptors-short", hint.Attrs(err)...)
 	}
 	listener, err := listen(config)
--- a/cmd/ospreycroft/snapshots.go
+++ b/cmd/ospreycroft/snapshots.go
@@ -26,7 +26,7 @@
 	if options.SnapshotPath == "" {
 		return func() {}
 	}
-	file := snapshot.Place{
+	file := snapshot.Store{
 		Dir:          options.SnapshotPath,
 		Installation: options.Installation,
 		Limiter:      config.Name,
--- a/cmd/ospreycroft/stop_test.go
+++ b/cmd/ospreycroft/stop_test.go
@@ -28,7 +28,7 @@
 // TestMain runs the program itself in place of the tests where OSPREYCROFT_IS_THE_PROGRAM is set, so that tests can
 // start the test binary as the program.
 func TestMain(m *testing.M) {
-	syscallshim.LaunchIfAsked()
+	syscallshim.LaunchIfRequested()
 	if os.Getenv("OSPREYCROFT_IS_THE_PROGRAM") != "" {
 		os.Args = os.Args[:1]
 		main()
@@ -65,7 +65,7 @@
 	servers ...emulator.Instance,
 ) (address string, program *exec.Cmd, exited chan error, log *strings.Builder) {
 	t.Helper()
-	address = testbed.KeepPort(t).Address()
+	address = testbed.ReservePort(t).Address()
 	path := filepath.Join(t.TempDir(), "config.json")
 	known, err := json.Marshal(servers)
 	require.NoError(t, err)
@@ -110,14 +110,14 @@
 		entries[i] = all[i].Instance
 	}
 	address, program, exited, log := startProgram(t, "127.0.0.1:1", entries...)
-	clients := make([]loadgen.Holder, 8)
+	clients := make([]loadgen.PersistentClient, 8)
 	var running sync.WaitGroup
 	startClient := func(i int, firstDelay time.Duration) {
-		clients[i] = loadgen.Holder{
-			Name:    fmt.Sprint("caller", i),
-			First:   firstDelay,
-			Second:  70 * time.Millisecond,
-			Patient: 8 * time.Second,
+		clients[i] = loadgen.PersistentClient{
+			Name:          fmt.Sprint("caller", i),
+			FirstDelay:    firstDelay,
+			SecondDelay:   70 * time.Millisecond,
+			AnswerTimeout: 8 * time.Second,
 		}
 		running.Go(func() { clients[i].Run(address, func(id string) []byte { return request(id, 2000) }) })
 	}
@@ -144,13 +144,13 @@
 	}
 	running.Wait()
 	for i, c := range clients {
-		for _, id := range c.Lost {
+		for _, id := range c.Unanswered {
 			for _, s := range all {
 				assert.Zero(t, s.timesReceived(id), "%s was forwarded and has no answer", id)
 			}
 		}
-		assert.True(t, i >= 7 || c.Served != 0, "%s: %d answers, none served", c.Name, c.Answered)
-		t.Logf("%s: %d answered, %d served, %d without an answer", c.Name, c.Answered, c.Served, len(c.Lost))
+		assert.True(t, i >= 7 || c.Succeeded != 0, "%s: %d answers, none served", c.Name, c.Answered)
+		t.Logf("%s: %d answered, %d served, %d without an answer", c.Name, c.Answered, c.Succeeded, len(c.Unanswered))
 	}
 }
 
@@ -181,13 +181,13 @@
 	}
 	class := fmt.Sprintf(`{"name":"c","aim":0.2,"deadline":%v,"effect":"free","group":"all"}`, deadline.Seconds())
 	address, program, exited, log := startProgramWithShim(t, nil, class, "127.0.0.1:1", entries...)
-	clients := make([]loadgen.Holder, 12)
+	clients := make([]loadgen.PersistentClient, 12)
 	var running sync.WaitGroup
 	for i := range clients {
-		clients[i] = loadgen.Holder{
-			Name:    fmt.Sprint("caller", i),
-			Second:  40 * time.Millisecond,
-			Patient: 8 * time.Second,
+		clients[i] = loadgen.PersistentClient{
+			Name:          fmt.Sprint("caller", i),
+			SecondDelay:   40 * time.Millisecond,
+			AnswerTimeout: 8 * time.Second,
 		}
 		running.Go(func() {
 			clients[i].Run(address, func(id string) []byte { return request(id, int(deadline.Milliseconds())) })
@@ -209,12 +209,12 @@
 	require.Positive(t, hangs.requestCount())
 	for _, c := range clients {
 		assert.Positive(t, c.Answered, c.Name)
-		if sent := c.Answered + len(c.Lost); reachedAny(all[1:], c.Name, sent) {
-			assert.Positive(t, c.Served, c.Name)
+		if sent := c.Answered + len(c.Unanswered); reachedAny(all[1:], c.Name, sent) {
+			assert.Positive(t, c.Succeeded, c.Name)
 		} else {
 			t.Logf("%s: of its %d requests, all that were forwarded went to the hanging server", c.Name, sent)
 		}
-		for _, id := range c.Lost {
+		for _, id := range c.Unanswered {
 			for _, s := range all {
 				assert.Zero(t, s.timesReceived(id), "%s was forwarded and has no answer", id)
 			}
--- a/cmd/ospreycroft/suspended_shutdown_test.go
+++ b/cmd/ospreycroft/suspended_shutdown_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	defer func() { _ = log.Close() }()
 	h := startHarness(t, testbed.Listen(t).Address, log)
-	require.Eventually(t, func() bool { return ping(t, h.client) == "+PONG" }, testbed.Patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return ping(t, h.client) == "+PONG" }, testbed.Timeout, 20*time.Millisecond)
 	clients := []*testbed.Conn{h.client}
 	for len(clients) < 20 {
 		c := (&testbed.Rig{Address: h.client.TCP.RemoteAddr().String()}).Dial(t)
@@ -34,23 +34,23 @@
 	time.Sleep(time.Until(stopSent.Add(300 * time.Millisecond)))
 	require.NoError(t, h.program.Process.Signal(syscall.SIGSTOP))
 	for i, c := range clients {
-		c.Say(t, testbed.Request(fmt.Sprint("id", i), "none", 3000))
+		c.Send(t, testbed.Request(fmt.Sprint("id", i), "none", 3000))
 	}
 	time.Sleep(time.Until(stopSent.Add(560 * time.Millisecond)))
 	require.NoError(t, h.program.Process.Signal(syscall.SIGCONT))
 	unanswered := 0
 	for _, c := range clients {
-		if text, _ := c.Rest(t); text == "" {
+		if text, _ := c.ReadToEnd(t); text == "" {
 			unanswered++
 		}
 	}
 	assert.Zero(t, unanswered, "of %d requests", len(clients))
-	h.requireExit(testbed.Patience)
+	h.requireExit(testbed.Timeout)
 }
 
 // ping returns the answer to PING.
 func ping(t *testing.T, c *testbed.Conn) string {
 	t.Helper()
-	c.Say(t, "*1\r\n$4\r\nPING\r\n")
-	return c.Answer(t)
+	c.Send(t, "*1\r\n$4\r\nPING\r\n")
+	return c.ReadAnswer(t)
 }
--- a/cmd/ospreycroft/system_calls_test.go
+++ b/cmd/ospreycroft/system_calls_test.go
@@ -38,14 +38,14 @@
 func requireServed(t *testing.T, h *programHarness, server *testbed.Peer) {
 	t.Helper()
 	counterConn := h.counter.Accept(t)
-	h.client.Say(t, testbed.Request("id", "read", 3000))
-	require.Contains(t, counterConn.Line(t), "tally ")
-	counterConn.Say(t, "ok 1\r\n")
+	h.client.Send(t, testbed.Request("id", "read", 3000))
+	require.Contains(t, counterConn.ReadLine(t), "tally ")
+	counterConn.Send(t, "ok 1\r\n")
 	serverConn := server.Accept(t)
-	require.Equal(t, "id", serverConn.Command(t)[2])
+	require.Equal(t, "id", serverConn.ReadCommand(t)[2])
 	value := strings.Repeat("value", 1000)
-	serverConn.Serve(t, value)
-	require.Equal(t, "$"+value, h.client.Answer(t))
+	serverConn.SendServed(t, value)
+	require.Equal(t, "$"+value, h.client.ReadAnswer(t))
 }
 
 // TestPartialReadsAndWrites: each read and write of a socket transfers seven bytes at most, and every third one is
@@ -61,7 +61,7 @@
 		if calls++; calls%3 == 0 {
 			return syscallshim.Decision{Errno: unix.EINTR}
 		}
-		return syscallshim.Decision{Bytes: 7}
+		return syscallshim.Decision{MaxBytes: 7}
 	})
 	requireServed(t, h, server)
 }
@@ -199,17 +199,17 @@
 				first.Address(0),
 				first.server.Instance,
 			)
-			require.Eventually(t, func() bool { return failures.Load() > 1 }, testbed.Patience, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return failures.Load() > 1 }, testbed.Timeout, 10*time.Millisecond)
 			client := (&testbed.Rig{Address: address}).Dial(t)
-			client.Say(t, string(request("id", 2000)))
-			require.Equal(t, "$v", client.Answer(t))
+			client.Send(t, string(request("id", 2000)))
+			require.Equal(t, "$v", client.ReadAnswer(t))
 			require.NoFileExists(t, snapshots)
 
 			failing.Store(false)
 			require.Eventually(t, func() bool {
 				_, err := os.Stat(snapshots)
 				return err == nil
-			}, testbed.Patience, 10*time.Millisecond)
+			}, testbed.Timeout, 10*time.Millisecond)
 			require.NoError(t, program.Process.Kill())
 			require.Error(t, <-exited)
 			_, program, exited, log := startProgram(t, first.Address(0), first.server.Instance)
@@ -236,7 +236,7 @@
 	require.Eventually(t, func() bool {
 		_, err := os.Stat(snapshots)
 		return err == nil
-	}, testbed.Patience, 10*time.Millisecond)
+	}, testbed.Timeout, 10*time.Millisecond)
 	killOnSync.Store(true)
 	first.Set(startCountingServer(t, "second").Instance)
 	require.Error(t, <-exited)
--- a/cmd/ospreycroft/time_left_test.go
+++ b/cmd/ospreycroft/time_left_test.go
@@ -39,16 +39,16 @@
 	}
 	newConn := (&testbed.Rig{Address: address}).Dial(t)
 	sent := time.Now()
-	h.client.Say(t, testbed.Request("open", "read", int(timeout.Milliseconds())))
-	newConn.Say(t, testbed.Request("fresh", "read", int(timeout.Milliseconds())))
+	h.client.Send(t, testbed.Request("open", "read", int(timeout.Milliseconds())))
+	newConn.Send(t, testbed.Request("fresh", "read", int(timeout.Milliseconds())))
 	time.Sleep(suspension)
 	require.NoError(t, h.program.Process.Signal(syscall.SIGCONT))
 	for range 2 {
-		counterConn.Line(t)
-		counterConn.Say(t, "ok 1\r\n")
+		counterConn.ReadLine(t)
+		counterConn.Send(t, "ok 1\r\n")
 	}
 	for range 2 {
-		words := server.Accept(t).Command(t)
+		words := server.Accept(t).ReadCommand(t)
 		left, err := strconv.Atoi(regexp.MustCompile(`,d=(\d+),`).FindStringSubmatch(words[3])[1])
 		require.NoError(t, err)
 		require.LessOrEqual(t, time.Duration(left)*time.Millisecond, timeout-time.Since(sent)+slack, words[2])
@@ -59,7 +59,7 @@
 func pingUntilReady(t *testing.T, c *testbed.Conn) string {
 	t.Helper()
 	answer := ping(t, c)
-	for end := time.Now().Add(testbed.Patience); answer != "+PONG" && time.Now().Before(end); answer = ping(t, c) {
+	for end := time.Now().Add(testbed.Timeout); answer != "+PONG" && time.Now().Before(end); answer = ping(t, c) {
 		time.Sleep(20 * time.Millisecond)
 	}
 	return answer
--- a/cmd/testlab/distribution.go
+++ b/cmd/testlab/distribution.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			options.Host = []string{executable, "distribution-host"}
+			options.HostCommand = []string{executable, "distribution-host"}
 			if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 				return err
 			}
--- a/cmd/testlab/main.go
+++ b/cmd/testlab/main.go
@@ -22,7 +22,7 @@
 )
 
 func main() {
-	syscallshim.LaunchIfAsked()
+	syscallshim.LaunchIfRequested()
 	if err := rootCommand().Execute(); err != nil {
 		os.Exit(1)
 	}
@@ -107,11 +107,11 @@
 			if err != nil {
 				return err
 			}
-			e, err := experiment.SettingsOnly(r.Settings)
+			e, err := experiment.DecodeSettings(r.Settings)
 			if err != nil {
 				return err
 			}
-			v := invariants.JudgeRun(r, e, invariants.Terms{Late: 50e6,
+			v := invariants.JudgeRun(r, e, invariants.Tolerances{Late: 50e6,
 				Grace: experiment.Nanos(grace), Slack: experiment.Nanos(slack)})
 			runner.Summarise(os.Stdout, &runner.Result{Run: r, Verdict: v})
 			if !v.Pass {
--- a/cmd/testlab/soak.go
+++ b/cmd/testlab/soak.go
@@ -23,7 +23,7 @@
 			}
 			failed := 0
 			for seed := first; seed < first+uint64(seeds); seed++ {
-				report, err := soak.Play(seed, options)
+				report, err := soak.Run(seed, options)
 				if err != nil {
 					return err
 				}
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -54,9 +54,9 @@
 		t.Run(step, func(t *testing.T) {
 			disk := memfs.New()
 			require.NoError(t, Write(disk, "/d/file", []byte("old")))
-			disk.Fail = step
+			disk.FailingOperation = step
 			require.Error(t, Write(disk, "/d/file", []byte("new")))
-			require.Equal(t, map[string][]byte{"/d/file": []byte("old")}, disk.Held)
+			require.Equal(t, map[string][]byte{"/d/file": []byte("old")}, disk.Files)
 		})
 	}
 }
--- a/internal/atomicfile/errors.go
+++ b/internal/atomicfile/errors.go
@@ -36,7 +36,7 @@
 
 // Hint implements hint.Error.
 func (e *TruncatedError) Hint() string {
-	return e.Kind.Replaced + "; if it happens again, the disk loses writes that it has confirmed"
+	return e.Kind.RecoveryHint + "; if it happens again, the disk loses writes that it has confirmed"
 }
 
 // ChecksumError reports a file whose contents are not what was written: the first line is malformed, the checksum does
@@ -57,7 +57,7 @@
 
 // Hint implements hint.Error.
 func (e *ChecksumError) Hint() string {
-	return e.Kind.Replaced + "; if it happens again, check the disk, and which other process writes to " + e.Path
+	return e.Kind.RecoveryHint + "; if it happens again, check the disk, and which other process writes to " + e.Path
 }
 
 // FormatError reports a file with a version of its format that this program does not read.
@@ -76,7 +76,9 @@
 }
 
 // Hint implements hint.Error.
-func (e *FormatError) Hint() string { return e.Kind.Replaced + " with one in this program's format" }
+func (e *FormatError) Hint() string {
+	return e.Kind.RecoveryHint + " with one in this program's format"
+}
 
 // WriteError reports a value that could not be written to the disk, or whose new directory entry could not be synced.
 // The file holds the previous value; after a failed sync it may hold the new one.
@@ -97,5 +99,5 @@
 // Hint implements hint.Error.
 func (e *WriteError) Hint() string {
 	return "make room on the disk and let the program's user write there; until then a restart begins with " +
-		e.Kind.Older
+		e.Kind.Fallback
 }
--- a/internal/atomicfile/files.go
+++ b/internal/atomicfile/files.go
@@ -11,9 +11,9 @@
 	"path/filepath"
 )
 
-// Files is the set of disk operations that this package needs. Disk implements it with the operating system's files;
-// tests use other implementations.
-type Files interface {
+// FileSystem is the set of disk operations that this package needs. Disk implements it with the operating system's
+// files; tests use other implementations.
+type FileSystem interface {
 	// Read returns the contents of a file. If there is no such file, the error wraps fs.ErrNotExist.
 	Read(path string) ([]byte, error)
 	// Write creates or overwrites a file and returns once its contents are synced to the disk.
@@ -31,7 +31,7 @@
 
 // Write replaces the file at path atomically. If it fails before the rename, the previous file is unchanged; if only
 // the final sync of the directory fails, the file may already be the new one.
-func Write(files Files, path string, text []byte) error {
+func Write(files FileSystem, path string, text []byte) error {
 	temporary := path + temporarySuffix
 	if err := files.Write(temporary, text); err != nil { // synced, as a rename may reach the disk before the contents
 		_ = files.Remove(temporary)
--- a/internal/atomicfile/kind.go
+++ b/internal/atomicfile/kind.go
@@ -12,16 +12,17 @@
 	Format Format
 	// Name stands before the path in an error, for example "snapshot".
 	Name string
-	// Replaced begins the hint for a file that cannot be used: what the operator has to do, and what replaces the file.
-	Replaced string
-	// Older ends the hint for a file that cannot be written: what a restarted program loads meanwhile, for example
+	// RecoveryHint begins the hint for a file that cannot be used: what the operator has to do, and what replaces the
+	// file.
+	RecoveryHint string
+	// Fallback ends the hint for a file that cannot be written: what a restarted program loads meanwhile, for example
 	// "an older list".
-	Older string
+	Fallback string
 }
 
 // Load decodes a file into value, a pointer. Errors: fs.ErrNotExist if there is no file, *UnreadableError,
 // *TruncatedError, *ChecksumError, *FormatError.
-func (k *Kind) Load(files Files, path string, value any) error {
+func (k *Kind) Load(files FileSystem, path string, value any) error {
 	text, err := files.Read(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -46,7 +47,7 @@
 }
 
 // Save replaces the file at path with the encoded value, as Write does. Errors: *WriteError.
-func (k *Kind) Save(files Files, path string, value any) error {
+func (k *Kind) Save(files FileSystem, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err == nil {
 		err = Write(files, path, k.Format.Frame(body))
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -14,12 +14,12 @@
 // Bytes returns the unconsumed bytes. The slice is valid until the buffer is next modified.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Size returns the memory that the buffer occupies, in bytes.
-func (b *Buffer) Size() int { return len(b.data) }
+// Cap returns the memory that the buffer occupies, in bytes.
+func (b *Buffer) Cap() int { return len(b.data) }
 
-// Space returns a slice of n bytes behind the content, for the caller to read into. It moves the content to the front
+// Reserve returns a slice of n bytes behind the content, for the caller to read into. It moves the content to the front
 // of the buffer if there is too little room behind it, and allocates a larger array if that is not enough.
-func (b *Buffer) Space(n int) []byte {
+func (b *Buffer) Reserve(n int) []byte {
 	if b.start > 0 && len(b.data)-b.end < n {
 		b.end = copy(b.data, b.data[b.start:b.end])
 		b.start = 0
@@ -33,12 +33,12 @@
 	return b.data[b.end : b.end+n]
 }
 
-// Filled adds to the content the first n bytes of the slice that was last returned for reading into.
-func (b *Buffer) Filled(n int) { b.end += n }
+// Commit adds to the content the first n bytes of the slice that was last returned for reading into.
+func (b *Buffer) Commit(n int) { b.end += n }
 
-// Use removes the first n bytes of the content. A buffer that becomes empty releases its memory if that exceeds
+// Consume removes the first n bytes of the content. A buffer that becomes empty releases its memory if that exceeds
 // MinCapacity, so that one large value does not occupy memory afterwards.
-func (b *Buffer) Use(n int) {
+func (b *Buffer) Consume(n int) {
 	b.start += n
 	if b.start < b.end {
 		return
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -122,14 +122,14 @@
 type Server struct {
 	ID        string
 	StartedAt int64 // time of its latest start in nanoseconds, 0 if that is long ago or unknown
-	Leaving   bool  // it is draining or gone and must get no new requests
+	Draining  bool  // it is draining or gone and must get no new requests
 }
 
 // Event is the input of Step. Only ListRestored and ListReceived have a list.
 type Event struct {
-	Kind    Kind
-	Whole   bool // Servers is the complete list: servers missing from it are removed. False for changes only.
-	Servers []Server
+	Kind     Kind
+	Complete bool // Servers is the complete list: servers missing from it are removed. False for changes only.
+	Servers  []Server
 }
 
 // Start is the state of one limiter's start. It is not safe for concurrent use.
@@ -292,7 +292,7 @@
 
 // mergeList updates the servers from a list. The latest known start of a server is kept if the list has an earlier one.
 func (s *Start) mergeList(e Event) {
-	if e.Whole {
+	if e.Complete {
 		listed := map[string]bool{}
 		for _, v := range e.Servers {
 			listed[v.ID] = true
@@ -306,11 +306,11 @@
 			func(a Server, id string) int { return cmp.Compare(a.ID, id) },
 		)
 		switch {
-		case found && v.Leaving:
+		case found && v.Draining:
 			s.servers = slices.Delete(s.servers, i, i+1)
 		case found:
 			s.servers[i].StartedAt = max(s.servers[i].StartedAt, v.StartedAt)
-		case !v.Leaving:
+		case !v.Draining:
 			s.servers = slices.Insert(s.servers, i, v)
 		}
 	}
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -69,7 +69,7 @@
 	s, err := New(now, settings)
 	require.NoError(f.t, err)
 	f.starts[i], f.callEndsAt[i], f.firstListAt[i] = s, 0, 0
-	f.step(i, now, Event{Kind: ListRestored, Whole: true, Servers: f.list(now)})
+	f.step(i, now, Event{Kind: ListRestored, Complete: true, Servers: f.list(now)})
 }
 
 // list returns a random list of up to 3 servers, some of which are cold or draining.
@@ -113,7 +113,7 @@
 				f.step(i, now, Event{Kind: CallFailed})
 				f.callEndsAt[i] = 0
 			case f.callEndsAt[i] > 0 && now >= f.callEndsAt[i]:
-				f.step(i, now, Event{Kind: ListReceived, Whole: f.rng.Intn(2) == 0, Servers: f.list(now)})
+				f.step(i, now, Event{Kind: ListReceived, Complete: f.rng.Intn(2) == 0, Servers: f.list(now)})
 				if f.callEndsAt[i] = 0; f.firstListAt[i] == 0 {
 					f.firstListAt[i] = now
 				}
@@ -239,7 +239,7 @@
 		set.CeilingLeadTime = c.ceilingLeadTime
 		s, _ := New(epoch, set)
 		for _, k := range c.kinds {
-			s.Step(epoch, Event{Kind: k, Whole: true, Servers: make([]Server, c.servers)})
+			s.Step(epoch, Event{Kind: k, Complete: true, Servers: make([]Server, c.servers)})
 		}
 		assert.Equal(t, c.want, s.ReadyAt()-epoch, c.name)
 	}
@@ -252,7 +252,7 @@
 	set.CeilingLeadTime = 0
 	s, _ := New(epoch, set)
 	list := func(since ...int64) Event {
-		e := Event{Kind: ListReceived, Whole: true}
+		e := Event{Kind: ListReceived, Complete: true}
 		for i, at := range since {
 			e.Servers = append(e.Servers, Server{ID: fmt.Sprint(i), StartedAt: max(0, epoch*min(at, 1)+at)})
 		}
@@ -267,7 +267,7 @@
 		{0, list(1, 1), 0.25, Warming}, {second, Event{}, 0.3, Warming}, {16 * second, Event{}, 1, Steady},
 		{20 * second, list(0, 0, 0, 0, 0, 0, 0, 0, 20*second), 1, Steady}, {21 * second, list(0, 21*second), 0.625, Warming},
 		{22 * second, list(0, 0), 0.65, Warming}, // the later start from the list before is kept
-		{23 * second, Event{Kind: ListReceived, Servers: []Server{{ID: "1", Leaving: true}}}, 1, Steady},
+		{23 * second, Event{Kind: ListReceived, Servers: []Server{{ID: "1", Draining: true}}}, 1, Steady},
 		{40 * second, Event{Kind: CallMade}, 1, Steady}, {60 * second, Event{}, 1, Syncing},
 		{61 * second, list(0, 0), 1, Steady},
 	} {
--- a/internal/coldstart/deadline_test.go
+++ b/internal/coldstart/deadline_test.go
@@ -66,7 +66,7 @@
 func longestNotification(t *testing.T, set Settings, n, failuresInRow int) (longest int64) {
 	s, err := New(epoch, set)
 	require.NoError(t, err)
-	s.Step(epoch, Event{Kind: ListRestored, Whole: true, Servers: []Server{{ID: "a"}}})
+	s.Step(epoch, Event{Kind: ListRestored, Complete: true, Servers: []Server{{ID: "a"}}})
 	for i := range failuresInRow {
 		startsAt := s.NextSlot()
 		s.Step(startsAt, Event{Kind: CallMade})
@@ -105,7 +105,7 @@
 	for _, budget := range []float64{0.5, 2, 4, 12, 100} {
 		for position := range 12 {
 			s, _ := New(epoch, testSettings(12, position, budget))
-			s.Step(epoch, Event{Kind: ListRestored, Whole: true, Servers: []Server{{ID: "a"}}})
+			s.Step(epoch, Event{Kind: ListRestored, Complete: true, Servers: []Server{{ID: "a"}}})
 			for _, kind := range []Kind{TimePassed, CallFailed} {
 				s.Step(epoch, Event{Kind: kind})
 				for sixteenths := range int64(4) {
--- a/internal/distribution/acknowledgement.go
+++ b/internal/distribution/acknowledgement.go
@@ -8,13 +8,13 @@
 
 // Limits and intervals of acknowledgements and summaries. Times are in nanoseconds.
 const (
-	MaxReasonBytes       = 200
-	MaxRelayLimiters     = 4096
-	MaxSummaryVersions   = 8
-	MaxSummaryRefusals   = 4
-	AcknowledgementTTL   = 15 * second // how long an acknowledgement or a summary counts
-	AcknowledgementEvery = 5 * second  // interval at which a limiter repeats its acknowledgement
-	SummaryEvery         = second      // minimum interval between the summaries of a relay
+	MaxReasonBytes          = 200
+	MaxRelayLimiters        = 4096
+	MaxSummaryVersions      = 8
+	MaxSummaryRefusals      = 4
+	AcknowledgementTTL      = 15 * second // how long an acknowledgement or a summary counts
+	AcknowledgementInterval = 5 * second  // interval at which a limiter repeats its acknowledgement
+	SummaryInterval         = second      // minimum interval between the summaries of a relay
 )
 
 // Acknowledgement tells which version a limiter has applied, and which one it refused.
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -51,12 +51,12 @@
 	if request.Piece != nil {
 		piece, err := s.Piece(now, *request.Piece)
 		require.NoError(t, err)
-		require.NoError(t, sub.TakePiece(now, piece))
+		require.NoError(t, sub.HandlePiece(now, piece))
 		return
 	}
 	delta, err := s.Changes(now, *request.Changes)
 	require.NoError(t, err)
-	require.NoError(t, sub.TakeChanges(now, delta))
+	require.NoError(t, sub.HandleChanges(now, delta))
 }
 
 // isHintedError reports whether err wraps an E with an error text and a hint.
@@ -147,7 +147,7 @@
 	sub := NewSubscriber(1, SubscriberOptions{Name: "n", Applier: &recordingApplier{}})
 	for i := range 2000 {
 		piece := &Piece{Version: Version{1, 9}, Entries: []Entry{{Key{KindPlans, "", fmt.Sprintf("%09d", i)}, value}}}
-		if err = sub.TakePiece(1, piece); err != nil {
+		if err = sub.HandlePiece(1, piece); err != nil {
 			require.Less(t, i, 1100)
 			break
 		}
@@ -235,7 +235,7 @@
 			require.NoError(t, err)
 			copied := &Delta{}
 			require.NoError(t, json.Unmarshal(text, copied))
-			err = sub.TakeChanges(2, c.alter(copied))
+			err = sub.HandleChanges(2, c.alter(copied))
 			require.True(t, c.matches(err), "%T: %v", err, err)
 			require.Equal(t, c.after, sub.Status(2).Condition)
 			if err != nil {
@@ -278,12 +278,12 @@
 				SubscriberOptions{Name: "n", Scope: Scope{Names: []string{"eu"}}, Applier: &recordingApplier{}},
 			)
 			require.NoError(t, sub.Restore(Version{2, 3}, NewState(), 0))
-			sub.TakeError(&CompactedError{})
-			require.NoError(t, sub.TakePiece(1, first()))
+			sub.HandleError(&CompactedError{})
+			require.NoError(t, sub.HandlePiece(1, first()))
 			require.NotNil(t, sub.Next(1).Piece.After)
 			piece := first()
 			c.alter(piece)
-			err := sub.TakePiece(1, piece)
+			err := sub.HandlePiece(1, piece)
 			require.True(t, c.matches(err), "%T: %v", err, err)
 			require.Equal(t, Version{2, 3}, sub.Version())
 			if next := sub.Next(1); next.Piece != nil {
@@ -366,12 +366,12 @@
 			require.NoError(t, err)
 			applier.refuses = true
 			if complete {
-				sub.TakeError(&CompactedError{})
+				sub.HandleError(&CompactedError{})
 				poll(t, sub, s, 2)
 			}
 			delta, err := s.Changes(2, *sub.Next(2).Changes)
 			require.NoError(t, err)
-			require.True(t, isHintedError[*RefusedError](sub.TakeChanges(2, delta)))
+			require.True(t, isHintedError[*RefusedError](sub.HandleChanges(2, delta)))
 			require.Equal(t, Version{1, 2}, sub.Version())
 			require.Equal(t, "0", applier.state[Key{KindPlans, "", "a"}])
 			a := sub.Acknowledgement(2)
@@ -379,14 +379,14 @@
 			require.Equal(t, "refused by the test", a.Reason)
 			applier.refuses, applier.applied = false, 0
 			next := sub.Next(3)
-			require.True(t, next.Hold && !s.Newer(*next.Changes), "%+v", next.Changes)
+			require.True(t, next.Hold && !s.HasNewer(*next.Changes), "%+v", next.Changes)
 			poll(t, sub, s, 3) // the server holds the call and then answers without changes
 			require.Zero(t, applier.applied, "retried before RefusedRetry")
 			require.Equal(t, Version{1, 2}, sub.Version())
 			require.Equal(t, int64(0), sub.Status(3).Age, "the answer without changes still confirms the state")
 			again := 2 + DefaultRefusedRetry
 			next = sub.Next(again)
-			require.True(t, !next.Hold || s.Newer(*next.Changes), "%+v", next.Changes)
+			require.True(t, !next.Hold || s.HasNewer(*next.Changes), "%+v", next.Changes)
 			poll(t, sub, s, again)
 			require.Equal(t, 1, applier.applied)
 			require.Equal(t, Version{1, 3}, sub.Version())
@@ -396,11 +396,11 @@
 			require.NoError(t, err)
 			delta, err = s.Changes(again, *sub.Next(again).Changes)
 			require.NoError(t, err)
-			require.Error(t, sub.TakeChanges(again, delta))
+			require.Error(t, sub.HandleChanges(again, delta))
 			_, err = s.Publish(2, 1, nil, []Mutation{put(KindPlans, "", "a", "3")})
 			require.NoError(t, err)
 			applier.refuses = false
-			require.True(t, s.Newer(*sub.Next(again).Changes))
+			require.True(t, s.HasNewer(*sub.Next(again).Changes))
 			poll(t, sub, s, again)
 			require.Equal(t, "3", applier.state[Key{KindPlans, "", "a"}])
 		})
@@ -479,7 +479,7 @@
 			bytes += change.size()
 		}
 		require.LessOrEqual(t, bytes, MaxDeltaBytes)
-		require.NoError(t, sub.TakeChanges(1, delta))
+		require.NoError(t, sub.HandleChanges(1, delta))
 		require.True(t, before.Less(sub.Version()))
 	}
 	require.Equal(t, 5, answers)
@@ -722,7 +722,7 @@
 func TestLimiterApplier(t *testing.T) {
 	var moved []Addresses
 	var moveError error
-	a := &LimiterApplier{Move: func(to Addresses) error {
+	a := &LimiterApplier{ChangeAddresses: func(to Addresses) error {
 		if moveError != nil {
 			return moveError
 		}
@@ -746,10 +746,10 @@
 	for name, err := range map[string]error{
 		"a fixed key after a changed one":  apply(counter("127.0.0.1:4"), fixed),
 		"the counter deleted":              apply(deletion(KindEndpoints, "", EndpointCounter)),
-		"no discovery in a complete state": a.Apply(&Update{Whole: stateOf(t, counter("127.0.0.1:4"))}),
-		"a fixed key in a complete state": a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"),
+		"no discovery in a complete state": a.Apply(&Update{FullState: stateOf(t, counter("127.0.0.1:4"))}),
+		"a fixed key in a complete state": a.Apply(&Update{FullState: stateOf(t, discovery("127.0.0.1:4"),
 			counter("127.0.0.1:4"), fixed)}),
-		"no counter in a complete state": a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:4"))}),
+		"no counter in a complete state": a.Apply(&Update{FullState: stateOf(t, discovery("127.0.0.1:4"))}),
 	} {
 		require.True(t, isHintedError[*FixedKeyError](err), "%s: %v", name, err)
 	}
@@ -763,7 +763,7 @@
 	moveError = nil
 	require.Equal(t, want, moved, "a rejected update must not change an address")
 	require.NoError(t, apply(deletion(KindEndpoints, "eu", EndpointDiscovery)), "the entry for all limiters applies again")
-	require.NoError(t, a.Apply(&Update{Whole: stateOf(t, discovery("127.0.0.1:7"), counter("127.0.0.1:8"))}))
+	require.NoError(t, a.Apply(&Update{FullState: stateOf(t, discovery("127.0.0.1:7"), counter("127.0.0.1:8"))}))
 	require.Equal(
 		t,
 		append(want, Addresses{"127.0.0.1:1", "127.0.0.1:2"}, Addresses{"127.0.0.1:7", "127.0.0.1:8"}),
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -17,9 +17,9 @@
 type Server interface {
 	// Head returns the newest version that the server has.
 	Head() Version
-	// Newer reports whether the server has changes that the request does not know of. If it returns false, the caller
-	// may hold the request until there are some.
-	Newer(ChangesRequest) bool
+	// HasNewer reports whether the server has changes that the request does not know of. If it returns false, the
+	// caller may hold the request until there are some.
+	HasNewer(ChangesRequest) bool
 	// Changes returns the changes that follow request.From. The Delta has no changes if there are none. Errors:
 	// *CompactedError, *BehindError, *NotReadyError, *ScopeError.
 	Changes(now int64, request ChangesRequest) (*Delta, error)
@@ -51,6 +51,6 @@
 	From, To Version
 	// Changes are the changes after From up to and including To. Empty if Whole is set.
 	Changes []Change
-	// Whole is the complete state at To, which replaces the applied one. Nil if the update consists of Changes.
-	Whole *State
+	// FullState is the complete state at To, which replaces the applied one. Nil if the update consists of Changes.
+	FullState *State
 }
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -15,11 +15,11 @@
 // Head implements Server.
 func (f *logServer) Head() Version { return f.log.Head() }
 
-// Newer implements Server.
-func (f *logServer) Newer(request ChangesRequest) bool {
+// HasNewer implements Server.
+func (f *logServer) HasNewer(request ChangesRequest) bool {
 	known := request.From
-	if known.Less(request.Seen) {
-		known = request.Seen
+	if known.Less(request.RefusedVersion) {
+		known = request.RefusedVersion
 	}
 	return known.Less(f.log.head)
 }
@@ -32,7 +32,7 @@
 		return nil, &NotReadyError{}
 	}
 	until := f.log.head
-	if !f.Newer(request) {
+	if !f.HasNewer(request) {
 		until = request.From // a change that the subscriber has refused is not sent again
 	}
 	delta, err := f.log.changes(request.From, until, request.Scope)
--- a/internal/distribution/limiterapplier.go
+++ b/internal/distribution/limiterapplier.go
@@ -24,11 +24,11 @@
 // An endpoint entry with a scope takes precedence over the one for all limiters. Among several scopes, the one whose
 // name sorts last takes precedence.
 type LimiterApplier struct {
-	// Move makes the limiter use other addresses between two requests, without waiting for I/O. If it returns an error,
-	// neither address has changed. It is called only if an address differs.
-	Move      func(Addresses) error
-	endpoints map[Key]string
-	current   Addresses
+	// ChangeAddresses makes the limiter use other addresses between two requests, without waiting for I/O. If it
+	// returns an error, neither address has changed. It is called only if an address differs.
+	ChangeAddresses func(Addresses) error
+	endpoints       map[Key]string
+	current         Addresses
 }
 
 // Apply implements Applier. Errors: *FixedKeyError, *KeyError, and those of Move.
@@ -42,7 +42,7 @@
 		return err
 	}
 	if next != a.current {
-		if err := a.Move(next); err != nil {
+		if err := a.ChangeAddresses(next); err != nil {
 			return err
 		}
 	}
@@ -56,8 +56,8 @@
 func (a *LimiterApplier) resultingEndpoints(update *Update) (map[Key]string, error) {
 	endpoints := map[Key]string{}
 	mutations := []Mutation{}
-	if update.Whole != nil {
-		for _, e := range update.Whole.Entries() {
+	if update.FullState != nil {
+		for _, e := range update.FullState.Entries() {
 			mutations = append(mutations, Mutation{Entry: e})
 		}
 	} else {
--- a/internal/distribution/log.go
+++ b/internal/distribution/log.go
@@ -111,12 +111,12 @@
 
 // applyUpdate applies an update that a relay's subscriber has checked.
 func (l *Log) applyUpdate(update *Update) {
-	if update.Whole != nil {
+	if update.FullState != nil {
 		l.head = update.To
 		l.oldest = update.To
 		l.records = nil
 		l.bytes = 0
-		l.state = update.Whole.Clone()
+		l.state = update.FullState.Clone()
 		return
 	}
 	for _, change := range update.Changes {
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -13,10 +13,10 @@
 // ChangesRequest requests the changes that follow a version.
 type ChangesRequest struct {
 	From Version
-	// Seen is a version that the subscriber's Applier has refused; the server treats everything up to it as known.
-	// The zero value means that none was refused.
-	Seen  Version
-	Scope Scope
+	// RefusedVersion is a version that the subscriber's Applier has refused; the server treats everything up to it as
+	// known. The zero value means that none was refused.
+	RefusedVersion Version
+	Scope          Scope
 }
 
 // Delta is the response to a ChangesRequest: the changes from one version to another.
--- a/internal/distribution/poller.go
+++ b/internal/distribution/poller.go
@@ -47,38 +47,38 @@
 // Call is one call to make.
 type Call struct {
 	Request
-	Server  int   // 0 for the first server, 1 for the second
-	Hold    int64 // how long the server may hold the call, in nanoseconds; 0 to answer at once
-	Timeout int64 // timeout of the whole call, in nanoseconds
-	Dial    int64 // timeout of connecting to the server, in nanoseconds
+	Server      int   // 0 for the first server, 1 for the second
+	Hold        int64 // how long the server may hold the call, in nanoseconds; 0 to answer at once
+	Timeout     int64 // timeout of the whole call, in nanoseconds
+	DialTimeout int64 // timeout of connecting to the server, in nanoseconds
 }
 
-// First returns the delay before the first call, in nanoseconds.
-func (p *Poller) First() int64 { return p.pacer.FirstDelay() }
+// FirstDelay returns the delay before the first call, in nanoseconds.
+func (p *Poller) FirstDelay() int64 { return p.pacer.FirstDelay() }
 
 // Server returns the server to call now: 0 for the first, 1 for the second.
 func (p *Poller) Server(now int64) int { return p.selector.Selected(now) }
 
 // Call returns the call to make now.
 func (p *Poller) Call(now int64) Call {
-	call := Call{Request: p.Next(now), Server: p.selector.Selected(now), Dial: p.pacer.DialTimeout()}
+	call := Call{Request: p.Next(now), Server: p.selector.Selected(now), DialTimeout: p.pacer.DialTimeout()}
 	call.Hold, call.Timeout = p.pacer.NextPoll(now, !call.Request.Hold)
 	return call
 }
 
-// TakeChanges calls Subscriber.TakeChanges, and returns the delay before the next call in nanoseconds.
-func (p *Poller) TakeChanges(now int64, delta *Delta) (wait int64, err error) {
-	if err := p.Subscriber.TakeChanges(now, delta); err != nil {
-		return p.TakeError(now, err), err
+// HandleChanges calls Subscriber.HandleChanges, and returns the delay before the next call in nanoseconds.
+func (p *Poller) HandleChanges(now int64, delta *Delta) (wait int64, err error) {
+	if err := p.Subscriber.HandleChanges(now, delta); err != nil {
+		return p.HandleError(now, err), err
 	}
 	p.recordAnswer(now, delta.Age)
 	return 0, nil
 }
 
-// TakePiece calls Subscriber.TakePiece, and returns the delay before the next call in nanoseconds.
-func (p *Poller) TakePiece(now int64, piece *Piece) (wait int64, err error) {
-	if err := p.Subscriber.TakePiece(now, piece); err != nil {
-		return p.TakeError(now, err), err
+// HandlePiece calls Subscriber.HandlePiece, and returns the delay before the next call in nanoseconds.
+func (p *Poller) HandlePiece(now int64, piece *Piece) (wait int64, err error) {
+	if err := p.Subscriber.HandlePiece(now, piece); err != nil {
+		return p.HandleError(now, err), err
 	}
 	p.recordAnswer(now, piece.Age)
 	return 0, nil
@@ -94,15 +94,15 @@
 	}
 }
 
-// TakeError handles a failed call: an error that the server returned, a failure to reach the server, or an answer that
-// the subscriber did not accept. It returns the delay before the next call in nanoseconds.
-func (p *Poller) TakeError(now int64, err error) (wait int64) {
+// HandleError handles a failed call: an error that the server returned, a failure to reach the server, or an answer
+// that the subscriber did not accept. It returns the delay before the next call in nanoseconds.
+func (p *Poller) HandleError(now int64, err error) (wait int64) {
 	var throttled *ThrottledError
 	var compacted *CompactedError
 	var refused *RefusedError
 	switch {
 	case errors.As(err, &compacted):
-		p.Subscriber.TakeError(err)
+		p.Subscriber.HandleError(err)
 		return 0 // the next call requests a piece, which the server's byte budget paces
 	case errors.As(err, &refused):
 		p.pacer.ResponseReceived(now)
--- a/internal/distribution/poller_test.go
+++ b/internal/distribution/poller_test.go
@@ -28,7 +28,7 @@
 		sub := NewSubscriber(1, SubscriberOptions{Applier: &recordingApplier{}})
 		waits = append(
 			waits,
-			NewPoller(1, sub, PollerOptions{DialTimeout: testDialTimeout, Hold: LimiterHold, Position: i}).First(),
+			NewPoller(1, sub, PollerOptions{DialTimeout: testDialTimeout, Hold: LimiterHold, Position: i}).FirstDelay(),
 		)
 	}
 	slices.Sort(waits)
@@ -47,8 +47,8 @@
 	require.Equal(t, LimiterHold, call.Hold)
 	require.Greater(t, call.Timeout, LimiterHold+2*testDialTimeout)
 	require.Less(t, call.Timeout, LimiterHold+2*second)
-	require.Equal(t, testDialTimeout, call.Dial)
-	p.TakeError(1, &CompactedError{})
+	require.Equal(t, testDialTimeout, call.DialTimeout)
+	p.HandleError(1, &CompactedError{})
 	call = p.Call(1)
 	require.NotNil(t, call.Piece)
 	require.Zero(t, call.Hold)
@@ -73,7 +73,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newSyncedPoller(t, newOpenSource(t), &recordingApplier{}, 3)
-			wait := p.TakeError(2, c.err)
+			wait := p.HandleError(2, c.err)
 			require.GreaterOrEqual(t, wait, c.minWait)
 			require.LessOrEqual(t, wait, c.maxWait)
 			require.Equal(t, c.server, p.Call(2+wait).Server)
@@ -83,7 +83,7 @@
 	p := newSyncedPoller(t, newOpenSource(t), &recordingApplier{}, 3)
 	last := int64(0)
 	for range 12 {
-		last = p.TakeError(2, errors.New("refused"))
+		last = p.HandleError(2, errors.New("refused"))
 	}
 	require.Greater(t, last, second/2, "the delay grows")
 	require.Less(t, last, 2*second)
@@ -100,14 +100,14 @@
 	good, err := s.Changes(1, *p.Call(1).Changes)
 	require.NoError(t, err)
 	applier.refuses = true
-	wait, err := p.TakeChanges(1, good)
+	wait, err := p.HandleChanges(1, good)
 	require.True(t, isHintedError[*RefusedError](err) && wait == 0 && p.Server(1) == 0, "%d, %v", wait, err)
 	applier.refuses = false
 	bad := *good
 	bad.Digest[0]++
-	wait, err = p.TakeChanges(1, &bad)
+	wait, err = p.HandleChanges(1, &bad)
 	require.True(t, isHintedError[*DigestError](err) && wait > 0 && p.Server(1) == 1, "%d, %v", wait, err)
-	wait, err = p.TakePiece(1, &Piece{Version: Version{1, 3}})
+	wait, err = p.HandlePiece(1, &Piece{Version: Version{1, 3}})
 	require.True(t, isHintedError[*SkipError](err) && wait > 0 && p.Server(1) == 0, "%d, %v", wait, err)
 }
 
@@ -119,11 +119,11 @@
 	delta, err := s.Changes(1, *p.Call(1).Changes)
 	require.NoError(t, err)
 	delta.Age = DefaultUnconfirmedAfter - 1
-	_, err = p.TakeChanges(1, delta)
+	_, err = p.HandleChanges(1, delta)
 	require.NoError(t, err)
 	require.Equal(t, 0, p.Server(1))
 	delta.Age = DefaultUnconfirmedAfter
-	_, err = p.TakeChanges(1, delta)
+	_, err = p.HandleChanges(1, delta)
 	require.NoError(t, err)
 	require.Equal(t, 1, p.Server(1))
 	require.Equal(t, Current, p.Status(1).Condition, "the source was polled directly before")
@@ -141,7 +141,7 @@
 		waits := map[int64]bool{}
 		minWait, maxWait := int64(1)<<62, int64(0)
 		for _, p := range pollers {
-			wait := p.TakeError(1, &ThrottledError{RetryAfter: 7})
+			wait := p.HandleError(1, &ThrottledError{RetryAfter: 7})
 			waits[wait] = true
 			minWait, maxWait = min(minWait, wait), max(maxWait, wait)
 		}
--- a/internal/distribution/random_faults_test.go
+++ b/internal/distribution/random_faults_test.go
@@ -48,9 +48,9 @@
 		return errors.New("refused by the test")
 	}
 	f.applied++
-	if update.Whole != nil {
+	if update.FullState != nil {
 		f.state = modelState{}
-		for _, e := range update.Whole.Entries() {
+		for _, e := range update.FullState.Entries() {
 			f.state[e.Key] = e.Value
 		}
 		return nil
@@ -160,7 +160,7 @@
 	if request.Piece != nil {
 		piece, err := server.Piece(f.now, *request.Piece)
 		if err != nil {
-			m.TakeError(err)
+			m.HandleError(err)
 			return err
 		}
 		bytes := int64(0)
@@ -173,14 +173,14 @@
 		if !delivered {
 			return nil
 		}
-		return m.TakePiece(f.now, piece)
+		return m.HandlePiece(f.now, piece)
 	}
-	if request.Hold && !server.Newer(*request.Changes) {
+	if request.Hold && !server.HasNewer(*request.Changes) {
 		f.now += second / 10 // the server holds the call and then answers without changes
 	}
 	delta, err := server.Changes(f.now, *request.Changes)
 	if err != nil {
-		m.TakeError(err)
+		m.HandleError(err)
 		return err
 	}
 	m.deltas = append(m.deltas, delta)
@@ -188,7 +188,7 @@
 	if !delivered {
 		return nil
 	}
-	return m.TakeChanges(f.now, delta)
+	return m.HandleChanges(f.now, delta)
 }
 
 func asIs[T any](answer T) (T, bool) { return answer, true }
--- a/internal/distribution/resync_test.go
+++ b/internal/distribution/resync_test.go
@@ -32,7 +32,7 @@
 			if request.Piece != nil {
 				piece, err := server.Piece(1, *request.Piece)
 				require.NoError(t, err)
-				require.NoError(t, sub.TakePiece(1, piece))
+				require.NoError(t, sub.HandlePiece(1, piece))
 				return
 			}
 			delta, err := server.Changes(1, *request.Changes)
@@ -40,7 +40,7 @@
 				return
 			}
 			require.NoError(t, err)
-			require.NoError(t, sub.TakeChanges(1, delta))
+			require.NoError(t, sub.HandleChanges(1, delta))
 		}
 		follow := func() {
 			for relay.Version() != source.log.Head() {
@@ -87,11 +87,11 @@
 	sub.state.put(Entry{Key{KindPlans, "", "diverged"}, "x"})
 	delta, err := s.Changes(1, *sub.Next(1).Changes)
 	require.NoError(t, err)
-	require.True(t, isHintedError[*DigestError](sub.TakeChanges(1, delta)))
+	require.True(t, isHintedError[*DigestError](sub.HandleChanges(1, delta)))
 	poll(t, sub, r, 1)
 	delta, err = r.Changes(1, *sub.Next(1).Changes)
 	require.NoError(t, err)
-	err = sub.TakeChanges(1, delta)
+	err = sub.HandleChanges(1, delta)
 	require.True(t, isHintedError[*StaleAnswerError](err), "%v", err)
 	require.Equal(t, Version{1, 2}, sub.Version())
 	require.Equal(t, 1, applier.applied)
@@ -109,9 +109,9 @@
 	}
 	_, err = s.Changes(1, *sub.Next(1).Changes)
 	require.True(t, isHintedError[*CompactedError](err), "%v", err)
-	sub.TakeError(&BehindError{})
+	sub.HandleError(&BehindError{})
 	require.Nil(t, sub.Next(1).Piece)
-	sub.TakeError(fmt.Errorf("over a wire: %w", err))
+	sub.HandleError(fmt.Errorf("over a wire: %w", err))
 	require.NotNil(t, sub.Next(1).Piece)
 	require.Equal(t, Syncing, sub.Status(1).Condition)
 	poll(t, sub, s, 1)
--- a/internal/distribution/statefile/statefile.go
+++ b/internal/distribution/statefile/statefile.go
@@ -18,20 +18,20 @@
 
 // fileKind is the atomicfile.Kind of state files.
 var fileKind = &atomicfile.Kind{
-	Format:   atomicfile.Format{Name: "ospreycroft-distribution", Version: 1},
-	Name:     "the state file",
-	Replaced: recoveryHint,
-	Older:    "an older state",
+	Format:       atomicfile.Format{Name: "ospreycroft-distribution", Version: 1},
+	Name:         "the state file",
+	RecoveryHint: recoveryHint,
+	Fallback:     "an older state",
 }
 
-// Place loads and saves the state file of one subscriber. It is not safe for concurrent use.
-type Place struct {
+// Store loads and saves the state file of one subscriber. It is not safe for concurrent use.
+type Store struct {
 	Dir          string
 	Installation string
 	Subscriber   string
 	Scope        distribution.Scope
 	MaxAge       int64 // nanoseconds, above 0; Load refuses a state that was confirmed longer ago
-	Files        atomicfile.Files
+	Files        atomicfile.FileSystem
 	// Clock is the origin of the clock of this incarnation. The wall clock may have been stepped since the previous one.
 	Clock         machineclock.Origin
 	newestVersion distribution.Version // the newest version loaded or saved; Save refuses older ones
@@ -48,13 +48,13 @@
 }
 
 // Path returns the path of the file. Its name is the subscriber's, so that subscribers may share a directory.
-func (p *Place) Path() string {
+func (p *Store) Path() string {
 	return filepath.Join(p.Dir, url.PathEscape(p.Subscriber)+".distribution")
 }
 
 // Load reads the stored snapshot. It returns nil without an error if there is no file. now is the time by Clock, in
 // nanoseconds, and so is the TakenAt of the result. Errors: those of atomicfile.Kind, *OwnerError, *StaleError.
-func (p *Place) Load(now int64) (*distribution.Snapshot, error) {
+func (p *Store) Load(now int64) (*distribution.Snapshot, error) {
 	path := p.Path()
 	content := &fileContent{}
 	err := fileKind.Load(p.Files, path, content)
@@ -94,7 +94,7 @@
 
 // Save replaces the stored snapshot. If that fails, the file keeps either the previous snapshot or the new one, each
 // complete. A snapshot older than the last one loaded or saved is refused. Errors: *OlderError, *atomicfile.WriteError.
-func (p *Place) Save(snapshot *distribution.Snapshot) error {
+func (p *Store) Save(snapshot *distribution.Snapshot) error {
 	path := p.Path()
 	if snapshot.Version.Less(p.newestVersion) {
 		return &OlderError{Path: path, Stored: p.newestVersion, Given: snapshot.Version}
@@ -114,6 +114,6 @@
 
 // NewWriter starts a writer that saves snapshots to place on its own goroutine; see atomicfile.NewWriter. The caller
 // must not use place any more.
-func NewWriter(place *Place, report func(error)) *atomicfile.Writer[distribution.Snapshot] {
+func NewWriter(place *Store, report func(error)) *atomicfile.Writer[distribution.Snapshot] {
 	return atomicfile.NewWriter(place.Save, report)
 }
--- a/internal/distribution/statefile/statefile_test.go
+++ b/internal/distribution/statefile/statefile_test.go
@@ -22,8 +22,8 @@
 
 const takenAt = int64(1e18)
 
-func newPlace(files atomicfile.Files) *Place {
-	return &Place{
+func newPlace(files atomicfile.FileSystem) *Store {
+	return &Store{
 		Dir:          "/d",
 		Installation: "east",
 		Subscriber:   "n/1",
@@ -57,8 +57,8 @@
 	require.True(t, s == nil && err == nil, "without a file: %v, %v", s, err)
 	require.NoError(t, p.Save(snapshotNumbered(7)))
 	require.Equal(t, "read write rename sync", strings.Join(disk.Log, " "))
-	require.Len(t, disk.Held, 1)
-	saved := string(disk.Held[p.Path()])
+	require.Len(t, disk.Files, 1)
+	saved := string(disk.Files[p.Path()])
 	s, err = p.Load(takenAt + 3600e9)
 	require.NoError(t, err)
 	require.Equal(t, snapshotNumbered(7), s)
@@ -86,25 +86,25 @@
 			hasType[*atomicfile.ChecksumError]},
 		{"no JSON", framed("{"), takenAt, hasType[*atomicfile.ChecksumError]},
 	} {
-		disk.Held[p.Path()] = []byte(c.text)
+		disk.Files[p.Path()] = []byte(c.text)
 		s, err := p.Load(c.now)
 		require.Nil(t, s, c.name)
 		require.True(t, c.matches(err), "%s: %T: %v", c.name, err, err)
 	}
 	for i := range len(saved) {
-		disk.Held[p.Path()] = []byte(saved[:i])
+		disk.Files[p.Path()] = []byte(saved[:i])
 		s, err := p.Load(takenAt)
 		require.True(t, s == nil && hasType[*atomicfile.TruncatedError](err), "%d bytes: %v", i, err)
 		for bit := range 8 {
 			flipped := []byte(saved)
 			flipped[i] ^= 1 << bit
-			disk.Held[p.Path()] = flipped
+			disk.Files[p.Path()] = flipped
 			s, err := p.Load(takenAt)
 			require.True(t, s == nil && err != nil, "loaded with bit %d of byte %d flipped: %q", bit, i, flipped)
 		}
 	}
-	disk.Held[p.Path()] = []byte(saved)
-	disk.Fail = "read"
+	disk.Files[p.Path()] = []byte(saved)
+	disk.FailingOperation = "read"
 	_, err = p.Load(takenAt)
 	require.True(t, hasType[*atomicfile.UnreadableError](err), "%v", err)
 }
@@ -117,15 +117,15 @@
 			disk := memfs.New()
 			p := newPlace(disk)
 			require.NoError(t, p.Save(snapshotNumbered(7)))
-			disk.Fail, disk.Keep = step, keep
+			disk.FailingOperation, disk.PartialWriteBytes = step, keep
 			err := p.Save(snapshotNumbered(8))
 			require.True(
 				t,
-				hasType[*atomicfile.WriteError](err) && errors.Is(err, syscall.ENOSPC) && len(disk.Held) == 1,
+				hasType[*atomicfile.WriteError](err) && errors.Is(err, syscall.ENOSPC) && len(disk.Files) == 1,
 				"%s: %v, %v",
 				step,
 				err,
-				disk.Held,
+				disk.Files,
 			)
 			s, err := p.Load(takenAt)
 			require.NoError(t, err)
@@ -184,16 +184,16 @@
 // and that only the first of several errors in a row is reported.
 func TestWriter(t *testing.T) {
 	slowDisk := memfs.New()
-	slowDisk.Gate = make(chan bool)
+	slowDisk.WriteGate = make(chan bool)
 	p := newPlace(slowDisk)
 	w := NewWriter(p, func(err error) { t.Error(err) })
 	w.Save(snapshotNumbered(1))
-	slowDisk.Gate <- true // the write of the first snapshot has begun, and the others wait
+	slowDisk.WriteGate <- true // the write of the first snapshot has begun, and the others wait
 	w.Save(snapshotNumbered(2))
 	w.Save(snapshotNumbered(3))
-	go func() { slowDisk.Gate <- true }()
+	go func() { slowDisk.WriteGate <- true }()
 	w.Close()
-	require.Contains(t, string(slowDisk.Held[p.Path()]), "value 3")
+	require.Contains(t, string(slowDisk.Files[p.Path()]), "value 3")
 
 	p = newPlace(atomicfile.Disk{})
 	p.Dir = t.TempDir() + "/none"
--- a/internal/distribution/statefile/stored_test.go
+++ b/internal/distribution/statefile/stored_test.go
@@ -33,7 +33,7 @@
 		t.Run(c.subscriber, func(t *testing.T) {
 			scope, err := distribution.ParseScope(c.scope)
 			require.NoError(t, err)
-			place := &Place{
+			place := &Store{
 				Dir:          "testdata",
 				Installation: "east",
 				Subscriber:   c.subscriber,
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -79,7 +79,7 @@
 			return &KeyError{Key: key, Why: "is outside the subscriber's scope"}
 		}
 	}
-	update := &Update{To: version, Whole: state}
+	update := &Update{To: version, FullState: state}
 	if err := s.options.Applier.Apply(update); err != nil {
 		return &RefusedError{Version: version, Cause: err}
 	}
@@ -148,7 +148,7 @@
 	}
 	request := &ChangesRequest{From: s.version, Scope: s.options.Scope}
 	if s.refused != nil && s.refusedRecently(now, s.refused.Version) {
-		request.Seen = s.refused.Version
+		request.RefusedVersion = s.refused.Version
 	}
 	return Request{Changes: request, Hold: true}
 }
@@ -158,9 +158,9 @@
 	return s.refused != nil && s.refused.Version == version && now-s.refusedAt < s.options.RefusedRetry
 }
 
-// TakePiece handles the answer to a call for a piece. After an error the resync starts over. Errors: *StaleAnswerError,
-// *SkipError, *KeyError, *KindError, *TooLargeError.
-func (s *Subscriber) TakePiece(now int64, piece *Piece) error {
+// HandlePiece handles the answer to a call for a piece. After an error the resync starts over. Errors:
+// *StaleAnswerError, *SkipError, *KeyError, *KindError, *TooLargeError.
+func (s *Subscriber) HandlePiece(now int64, piece *Piece) error {
 	if s.resync == nil {
 		s.resync = newResync()
 	}
@@ -175,9 +175,9 @@
 	return nil
 }
 
-// TakeChanges handles the answer to a call for changes. An error leaves the applied version unchanged. Errors:
+// HandleChanges handles the answer to a call for changes. An error leaves the applied version unchanged. Errors:
 // *StaleAnswerError, *SkipError, *DigestError, *KeyError, *KindError, *TooLargeError, *RefusedError.
-func (s *Subscriber) TakeChanges(now int64, delta *Delta) error {
+func (s *Subscriber) HandleChanges(now int64, delta *Delta) error {
 	from := s.version
 	if s.resync != nil {
 		from = s.resync.reached
@@ -260,7 +260,7 @@
 	}
 	// If the Applier refuses the state, the resync is kept: later changes may correct the state.
 	state := s.resync.state
-	if err := s.options.Applier.Apply(&Update{From: s.version, To: delta.To, Whole: state}); err != nil {
+	if err := s.options.Applier.Apply(&Update{From: s.version, To: delta.To, FullState: state}); err != nil {
 		return s.recordRefusal(now, delta.To, err)
 	}
 	s.version, s.state, s.refused, s.resync = delta.To, state, nil, nil
@@ -282,9 +282,9 @@
 	}
 }
 
-// TakeError handles an error that a server returned. After *CompactedError the subscriber reads the complete state.
+// HandleError handles an error that a server returned. After *CompactedError the subscriber reads the complete state.
 // Other errors change nothing.
-func (s *Subscriber) TakeError(err error) {
+func (s *Subscriber) HandleError(err error) {
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
 		s.resync = newResync()
--- a/internal/distribution/transport/follower.go
+++ b/internal/distribution/transport/follower.go
@@ -21,10 +21,10 @@
 	Position int
 	// Clock returns the time in nanoseconds. It must be monotonic.
 	Clock func() int64
-	// Report is called with the error of each failed poll, on the follower's goroutine. It may be nil.
-	Report func(error)
-	// Changed is called with a snapshot of each new version, on the follower's goroutine. It may be nil.
-	Changed func(*distribution.Snapshot)
+	// OnError is called with the error of each failed poll, on the follower's goroutine. It may be nil.
+	OnError func(error)
+	// OnVersion is called with a snapshot of each new version, on the follower's goroutine. It may be nil.
+	OnVersion func(*distribution.Snapshot)
 }
 
 // Follower keeps a subscriber up to date by polling its servers on its own goroutines. The subscriber's applier runs on
@@ -80,8 +80,8 @@
 	return f
 }
 
-// Do calls run with the subscriber under the lock that the follower takes itself.
-func (f *Follower) Do(run func(now int64, subscriber *distribution.Subscriber)) {
+// WithSubscriber calls run with the subscriber under the lock that the follower takes itself.
+func (f *Follower) WithSubscriber(run func(now int64, subscriber *distribution.Subscriber)) {
 	f.withLock(func(now int64) { run(now, f.poller.Subscriber) })
 }
 
@@ -93,7 +93,7 @@
 	} else {
 		reporting.Go(func() { f.sendSummaries(ctx) })
 	}
-	for wait := f.poller.First(); sleep(ctx, wait); {
+	for wait := f.poller.FirstDelay(); sleep(ctx, wait); {
 		wait = f.pollOnce(ctx)
 	}
 	reporting.Wait()
@@ -138,22 +138,22 @@
 		before := f.poller.Version()
 		switch {
 		case err != nil:
-			wait = f.poller.TakeError(now, err)
+			wait = f.poller.HandleError(now, err)
 		case piece != nil:
-			wait, err = f.poller.TakePiece(now, piece)
+			wait, err = f.poller.HandlePiece(now, piece)
 		default:
-			wait, err = f.poller.TakeChanges(now, delta)
+			wait, err = f.poller.HandleChanges(now, delta)
 		}
-		if f.poller.Version() != before && f.options.Changed != nil {
+		if f.poller.Version() != before && f.options.OnVersion != nil {
 			snapshot = f.poller.Snapshot(now)
 		}
 		f.queueAcknowledgement(now)
 	})
-	if err != nil && f.options.Report != nil {
-		f.options.Report(err)
+	if err != nil && f.options.OnError != nil {
+		f.options.OnError(err)
 	}
 	if snapshot != nil {
-		f.options.Changed(snapshot)
+		f.options.OnVersion(snapshot)
 	}
 	return wait
 }
@@ -165,7 +165,7 @@
 		return
 	}
 	acknowledgement := f.poller.Acknowledgement(now)
-	if equalExceptAge(acknowledgement, f.last) && now-f.lastAt < distribution.AcknowledgementEvery {
+	if equalExceptAge(acknowledgement, f.last) && now-f.lastAt < distribution.AcknowledgementInterval {
 		return
 	}
 	f.last = acknowledgement
@@ -202,7 +202,7 @@
 const reportTimeout = 2 * time.Second
 
 func (f *Follower) sendSummaries(ctx context.Context) {
-	for sleep(ctx, distribution.SummaryEvery) {
+	for sleep(ctx, distribution.SummaryInterval) {
 		var summary distribution.Summary
 		var server int
 		f.withLock(func(now int64) { summary, server = f.summary(now), f.poller.Server(now) })
--- a/internal/distribution/transport/query.go
+++ b/internal/distribution/transport/query.go
@@ -16,9 +16,9 @@
 	q := url.Values{}
 	q.Set("epoch", strconv.FormatUint(request.From.Epoch, 10))
 	q.Set("from", strconv.FormatUint(request.From.Number, 10))
-	if (request.Seen != distribution.Version{}) {
-		q.Set("seen_epoch", strconv.FormatUint(request.Seen.Epoch, 10))
-		q.Set("seen", strconv.FormatUint(request.Seen.Number, 10))
+	if (request.RefusedVersion != distribution.Version{}) {
+		q.Set("seen_epoch", strconv.FormatUint(request.RefusedVersion.Epoch, 10))
+		q.Set("seen", strconv.FormatUint(request.RefusedVersion.Number, 10))
 	}
 	if hold > 0 {
 		q.Set("hold_ms", strconv.FormatInt(hold/int64(time.Millisecond), 10))
@@ -34,7 +34,7 @@
 func readChangesQuery(q url.Values) (request distribution.ChangesRequest, hold time.Duration, err error) {
 	r := queryReader{query: q}
 	request.From = distribution.Version{Epoch: r.number("epoch"), Number: r.number("from")}
-	request.Seen = distribution.Version{Epoch: r.number("seen_epoch"), Number: r.number("seen")}
+	request.RefusedVersion = distribution.Version{Epoch: r.number("seen_epoch"), Number: r.number("seen")}
 	milliseconds := min(r.number("hold_ms"), uint64(MaxHold/time.Millisecond))
 	request.Scope = r.scope()
 	return request, time.Duration(milliseconds) * time.Millisecond, r.err
--- a/internal/distribution/transport/server.go
+++ b/internal/distribution/transport/server.go
@@ -135,7 +135,7 @@
 	}
 	s.heldCalls++
 	defer func() { s.heldCalls-- }()
-	for !s.backend.Newer(request) {
+	for !s.backend.HasNewer(request) {
 		versionChanged := s.versionChanged
 		s.mutex.Unlock()
 		done := false
--- a/internal/distribution/transport/transport_test.go
+++ b/internal/distribution/transport/transport_test.go
@@ -37,7 +37,7 @@
 // testServer is an HTTP server on a loopback port.
 type testServer struct {
 	address string
-	port    *ports.Kept
+	port    *ports.Reserved
 	server  *http.Server
 	done    chan struct{}
 }
@@ -46,10 +46,10 @@
 // started on it.
 func startServer(t *testing.T, server *http.Server) *testServer {
 	t.Helper()
-	return startServerAt(t, server, testbed.KeepPort(t))
+	return startServerAt(t, server, testbed.ReservePort(t))
 }
 
-func startServerAt(t *testing.T, server *http.Server, port *ports.Kept) *testServer {
+func startServerAt(t *testing.T, server *http.Server, port *ports.Reserved) *testServer {
 	t.Helper()
 	listener, err := port.Listen()
 	require.NoError(t, err)
@@ -127,7 +127,7 @@
 func startRelay(
 	t *testing.T,
 	name string,
-	port *ports.Kept,
+	port *ports.Reserved,
 	source string,
 	middleware func(http.Handler) http.Handler,
 ) *testRelay {
@@ -171,9 +171,9 @@
 	if l.applyError != nil {
 		return l.applyError
 	}
-	if update.Whole != nil {
+	if update.FullState != nil {
 		clear(l.values)
-		for _, e := range update.Whole.Entries() {
+		for _, e := range update.FullState.Entries() {
 			l.values[e.Name] = e.Value
 		}
 	}
@@ -213,7 +213,7 @@
 }
 
 func (l *testLimiter) status() (status distribution.Status) {
-	l.Do(func(now int64, s *distribution.Subscriber) { status = s.Status(now) })
+	l.WithSubscriber(func(now int64, s *distribution.Subscriber) { status = s.Status(now) })
 	return status
 }
 
@@ -227,11 +227,11 @@
 	l.Follower = NewFollower(
 		subscriber,
 		FollowerOptions{Servers: servers, DialTimeout: dialTimeout, Hold: 200 * time.Millisecond, Clock: clock,
-			Report: func(err error) {
+			OnError: func(err error) {
 				l.mutex.Lock()
 				defer l.mutex.Unlock()
 				l.reports = append(l.reports, err)
-			}, Changed: func(s *distribution.Snapshot) {
+			}, OnVersion: func(s *distribution.Snapshot) {
 				l.mutex.Lock()
 				defer l.mutex.Unlock()
 				l.snapshots = append(l.snapshots, s)
@@ -257,8 +257,8 @@
 	t.Parallel()
 	s := startSource(t)
 	s.publish("one")
-	a := startRelay(t, "a", testbed.KeepPort(t), s.address, nil)
-	b := startRelay(t, "b", testbed.KeepPort(t), s.address, nil)
+	a := startRelay(t, "a", testbed.ReservePort(t), s.address, nil)
+	b := startRelay(t, "b", testbed.ReservePort(t), s.address, nil)
 	var limiters []*testLimiter
 	for i := range 6 {
 		servers := [2]string{a.address, b.address}
@@ -439,8 +439,8 @@
 			s.publish("zero")
 			s.publish("one")
 			f := &faultInjector{}
-			a := startRelay(t, "a", testbed.KeepPort(t), s.address, f.wrap)
-			b := startRelay(t, "b", testbed.KeepPort(t), s.address, nil)
+			a := startRelay(t, "a", testbed.ReservePort(t), s.address, f.wrap)
+			b := startRelay(t, "b", testbed.ReservePort(t), s.address, nil)
 			l := startLimiter(t, "n", [2]string{a.address, b.address})
 			eventually(t, func() bool { return l.value() == "one" }, "the initial version in force")
 			f.setFault(c.fault)
@@ -460,8 +460,8 @@
 	t.Parallel()
 	s := startSource(t)
 	s.publish("one")
-	a := startRelay(t, "a", testbed.KeepPort(t), s.address, nil)
-	b := startRelay(t, "b", testbed.KeepPort(t), s.address, nil)
+	a := startRelay(t, "a", testbed.ReservePort(t), s.address, nil)
+	b := startRelay(t, "b", testbed.ReservePort(t), s.address, nil)
 	l := startLimiter(t, "n", [2]string{a.address, b.address})
 	eventually(t, func() bool { return l.value() == "one" }, "one")
 	a.close()
@@ -509,7 +509,7 @@
 	s.publish("one")
 	saved := s.core.Snapshot(1)
 	old := s.core
-	a := startRelay(t, "a", testbed.KeepPort(t), s.address, nil)
+	a := startRelay(t, "a", testbed.ReservePort(t), s.address, nil)
 	l := startLimiter(t, "n", [2]string{a.address, a.address})
 	s.publish("lost")
 	eventually(t, func() bool { return l.value() == "lost" }, "lost")
@@ -732,10 +732,10 @@
 			planMutation(fmt.Sprint("n", i), strings.Repeat("\x01", 5000))}}, testTimeout)
 		require.NoError(t, err)
 	}
-	a := startRelay(t, "a", testbed.KeepPort(t), s.address, nil)
+	a := startRelay(t, "a", testbed.ReservePort(t), s.address, nil)
 	l := startLimiter(t, "n", [2]string{a.address, a.address})
 	eventually(t, func() bool { return l.status().Version == s.core.Head() }, "the source's version in force")
-	l.Do(func(_ int64, sub *distribution.Subscriber) {
+	l.WithSubscriber(func(_ int64, sub *distribution.Subscriber) {
 		require.Equal(t, s.core.State().Entries(), sub.State().Entries())
 	})
 	require.Empty(t, l.matchingErrors(func(err error) bool { return !hasType[*distribution.NotReadyError](err) }))
@@ -759,9 +759,9 @@
 	scope := distribution.Scope{Kinds: []distribution.Kind{distribution.KindPlans}, Names: []string{"eu", "us-1"}}
 	for _, want := range []distribution.ChangesRequest{
 		{
-			From:  distribution.Version{Epoch: 1<<64 - 1, Number: 7},
-			Seen:  distribution.Version{Epoch: 3, Number: 9},
-			Scope: scope,
+			From:           distribution.Version{Epoch: 1<<64 - 1, Number: 7},
+			RefusedVersion: distribution.Version{Epoch: 3, Number: 9},
+			Scope:          scope,
 		}, {},
 	} {
 		got, hold, err := readChangesQuery(changesQuery(want, int64(5*time.Second)))
@@ -784,7 +784,7 @@
 // *UnansweredError.
 func TestDialTimeout(t *testing.T) {
 	t.Parallel()
-	unresponsive := testbed.Full(t)
+	unresponsive := testbed.ListenFull(t)
 	client := NewClient(unresponsive.Address, 100*time.Millisecond)
 	defer client.Close()
 	_, err := client.Piece(context.Background(), distribution.PieceRequest{}, testTimeout)
@@ -841,7 +841,7 @@
 		}
 	}
 	require.True(t, queued(now))
-	require.False(t, queued(now+distribution.AcknowledgementEvery-1))
-	require.True(t, queued(now+distribution.AcknowledgementEvery))
-	require.False(t, queued(now+distribution.AcknowledgementEvery+1))
+	require.False(t, queued(now+distribution.AcknowledgementInterval-1))
+	require.True(t, queued(now+distribution.AcknowledgementInterval))
+	require.False(t, queued(now+distribution.AcknowledgementInterval+1))
 }
--- a/internal/hint/hint_test.go
+++ b/internal/hint/hint_test.go
@@ -135,7 +135,7 @@
 		{"address in use", listenError(occupied.Addr().String()),
 			matchType[*sockets.AddressInUseError], occupied.Addr().String()},
 		{"address of another machine", listenError("203.0.113.1:1"), matchType[*sockets.AddressError], "203.0.113.1:1"},
-		{"more descriptors than the kernel allows", sockets.Descriptors(1 << 60),
+		{"more descriptors than the kernel allows", sockets.CheckDescriptors(1 << 60),
 			matchType[*sockets.DescriptorsError], "1152921504606846976"},
 		{"line of another protocol", malformedReply, matchType[*counterwire.MalformedError], `what\r\n`},
 	} {
--- a/internal/lab/distbench/distbench_test.go
+++ b/internal/lab/distbench/distbench_test.go
@@ -33,7 +33,7 @@
 	report, err := Run(
 		[]string{"calm", "zone", "killed", "restart", "changes", "cold"},
 		true,
-		Options{Programs: programs, Host: []string{os.Args[0]}, Dir: t.TempDir(), Hollow: 40, Hosts: 2, Real: 1,
+		Options{Programs: programs, HostCommand: []string{os.Args[0]}, Dir: t.TempDir(), Hollow: 40, Hosts: 2, Real: 1,
 			RelaysInZone: 1, Entries: 90, Log: os.Stderr},
 	)
 	require.NoError(t, err)
--- a/internal/lab/distbench/fleet.go
+++ b/internal/lab/distbench/fleet.go
@@ -32,7 +32,7 @@
 // Options describe the fleet of a run and its size.
 type Options struct {
 	Programs     Programs
-	Host         []string // command and arguments of a host process; it is started with HostVariable set
+	HostCommand  []string // command and arguments of a host process; it is started with HostVariable set
 	Dir          string   // for the run's files
 	Hollow       int      // number of hollow limiters
 	Hosts        int      // number of host processes over which the hollow limiters are spread
@@ -48,7 +48,7 @@
 	distribution.RelayAddress
 	region     string
 	sourceLink *link
-	port       *ports.Kept // the relay's port, reserved also while the relay is down
+	port       *ports.Reserved // the relay's port, reserved also while the relay is down
 }
 
 // link is a proxied connection path that can be cut and restored, up to maxCuts times.
@@ -102,7 +102,7 @@
 type Fleet struct {
 	options        Options
 	source         *Process
-	sourcePort     *ports.Kept // on which the source listens
+	sourcePort     *ports.Reserved // on which the source listens
 	client         *transport.Client
 	relays         []*relayProcess
 	relayLinks     map[[2]string]*link // links from a zone to a relay in another zone, by zone and relay name
@@ -130,7 +130,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	f.sourcePort, err = ports.Keep()
+	f.sourcePort, err = ports.Reserve()
 	if err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 	if err != nil {
 		return err
 	}
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	if err != nil {
 		sourceLink.Close()
 		return err
@@ -304,7 +304,7 @@
 	if err := os.MkdirAll(stateDir, 0o755); err != nil {
 		return err
 	}
-	h.command = exec.Command(f.options.Host[0], f.options.Host[1:]...)
+	h.command = exec.Command(f.options.HostCommand[0], f.options.HostCommand[1:]...)
 	h.command.Env = append(os.Environ(), HostVariable+"=1")
 	h.command.Stderr = f.options.Log
 	h.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/lab/distbench/hollow.go
+++ b/internal/lab/distbench/hollow.go
@@ -89,7 +89,7 @@
 type hollowFollower struct {
 	hollowSpec
 	follower  *transport.Follower
-	stateFile statefile.Place
+	stateFile statefile.Store
 	cancel    context.CancelFunc
 	running   sync.WaitGroup
 }
@@ -119,7 +119,7 @@
 		Applier: &recorder{h, spec.Number}})
 	limiter := &hollowFollower{
 		hollowSpec: spec,
-		stateFile: statefile.Place{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
+		stateFile: statefile.Store{Dir: h.stateDir, Installation: "distlab", Subscriber: spec.name(), Scope: scope,
 			MaxAge: int64(time.Hour), Files: atomicfile.Disk{}},
 	}
 	saved, err := limiter.stateFile.Load(clock())
@@ -154,7 +154,7 @@
 		return fmt.Errorf("limiter %d does not run in this host", number)
 	}
 	var snapshot *distribution.Snapshot
-	limiter.follower.Do(func(now int64, s *distribution.Subscriber) { snapshot = s.Snapshot(now) })
+	limiter.follower.WithSubscriber(func(now int64, s *distribution.Subscriber) { snapshot = s.Snapshot(now) })
 	limiter.cancel()
 	limiter.running.Wait()
 	if snapshot != nil {
--- a/internal/lab/distbench/process.go
+++ b/internal/lab/distbench/process.go
@@ -130,9 +130,9 @@
 	<-p.ended
 }
 
-// Ended waits until the process exits of its own accord, and reports whether it did within the timeout. err is the
-// result of exec.Cmd.Wait.
-func (p *Process) Ended(timeout time.Duration) (ended bool, err error) {
+// WaitForExit waits until the process exits of its own accord, and reports whether it did within the timeout. err is
+// the result of exec.Cmd.Wait.
+func (p *Process) WaitForExit(timeout time.Duration) (ended bool, err error) {
 	select {
 	case <-p.ended:
 		return true, p.exitErr
@@ -141,9 +141,9 @@
 	}
 }
 
-// Wrote waits until the process's output contains a text at least a number of times, and reports whether it did within
-// the timeout.
-func (p *Process) Wrote(text string, times int, timeout time.Duration) bool {
+// WaitForOutput waits until the process's output contains a text at least a number of times, and reports whether it did
+// within the timeout.
+func (p *Process) WaitForOutput(text string, times int, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		if strings.Count(p.Log(), text) >= times {
 			return true
@@ -160,21 +160,21 @@
 		if strings.Contains(p.Log(), "event=listening address=") {
 			return nil
 		}
-		if ended, err := p.Ended(0); ended {
+		if ended, err := p.WaitForExit(0); ended {
 			return &StartError{What: p.command.Path, Log: p.Log(), Cause: err}
 		}
 	}
 	return &StartError{What: p.command.Path, Log: p.Log(), Cause: os.ErrDeadlineExceeded}
 }
 
-// Reachable waits until a connection to an address succeeds, which the process is expected to listen on. Errors:
-// *StartError, if the process exits first or the wait times out.
-func (p *Process) Reachable(address string) error {
+// WaitUntilReachable waits until a connection to an address succeeds, which the process is expected to listen on.
+// Errors: *StartError, if the process exits first or the wait times out.
+func (p *Process) WaitUntilReachable(address string) error {
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if conn, err := net.Dial("tcp", address); err == nil {
 			return conn.Close()
 		}
-		if ended, err := p.Ended(0); ended {
+		if ended, err := p.WaitForExit(0); ended {
 			return &StartError{What: p.command.Path, Log: p.Log(), Cause: err}
 		}
 	}
@@ -183,13 +183,13 @@
 
 // StartSource starts a source that keeps its state in a directory. The port is a reserved one, so that the source can
 // be restarted on the same address. Errors: *StartError.
-func (programs Programs) StartSource(dir string, port *ports.Kept, extraArguments ...string) (*Process, error) {
+func (programs Programs) StartSource(dir string, port *ports.Reserved, extraArguments ...string) (*Process, error) {
 	return programs.startListening(
 		append([]string{"source", "--listen", port.Address(), "--dir", dir}, extraArguments...))
 }
 
 // StartRelay starts a relay on a reserved port, like StartSource. Errors: *StartError.
-func (programs Programs) StartRelay(source, zone, name string, port *ports.Kept) (*Process, error) {
+func (programs Programs) StartRelay(source, zone, name string, port *ports.Reserved) (*Process, error) {
 	return programs.startListening(
 		[]string{"relay", "--listen", port.Address(), "--source", source, "--zone", zone, "--name", name},
 	)
--- a/internal/lab/distbench/real.go
+++ b/internal/lab/distbench/real.go
@@ -69,7 +69,7 @@
 type realLimiter struct {
 	*Process
 	number      int
-	port        *ports.Kept
+	port        *ports.Reserved
 	discoveries [2]*discoveryStub
 	current     int // index of the discovery that was published last
 }
@@ -97,7 +97,7 @@
 			return nil, &StartError{What: "a discovery stub", Cause: err}
 		}
 	}
-	l.port, err = ports.Keep()
+	l.port, err = ports.Reserve()
 	if err != nil {
 		l.stop()
 		return nil, err
@@ -107,7 +107,7 @@
 		l.Process, err = Start(programs.Limiter, environment)
 	}
 	if err == nil {
-		err = l.Reachable(l.port.Address())
+		err = l.WaitUntilReachable(l.port.Address())
 	}
 	if err != nil {
 		l.stop()
--- a/internal/lab/emulator/counter.go
+++ b/internal/lab/emulator/counter.go
@@ -29,11 +29,11 @@
 	applied     map[int]bool       // script indexes of resets and splits that have begun
 	activeSplit int                // script index of the split in effect, -1 if none
 	calls       int64
-	observer    func(Tally)
+	observer    func(CounterCall)
 }
 
-// Tally is one counter call as it was answered. Times are nanoseconds on the run's clock.
-type Tally struct {
+// CounterCall is one counter call as it was answered. Times are nanoseconds on the run's clock.
+type CounterCall struct {
 	Limiter  int
 	Name     string
 	Read     int64 // when the complete call had been read
@@ -64,7 +64,7 @@
 
 // Observe makes the counter pass each answered call to observer, on the goroutine of the call's connection. It must be
 // called before Start.
-func (k *Counter) Observe(observer func(Tally)) { k.observer = observer }
+func (k *Counter) Observe(observer func(CounterCall)) { k.observer = observer }
 
 // Start listens on one loopback port per limiter. A restart after Stop uses the same ports.
 func (k *Counter) Start() error {
@@ -163,7 +163,7 @@
 			return
 		}
 		if k.observer != nil && len(fields) == 4 {
-			k.observer(Tally{Limiter: limiter, Name: fields[1], Read: now, Answered: answered})
+			k.observer(CounterCall{Limiter: limiter, Name: fields[1], Read: now, Answered: answered})
 		}
 	}
 }
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -44,7 +44,7 @@
 	clock    *history.Clock
 	recorder *history.Recorder
 	script   []Fault // slow, chunked and busy; the caller applies down
-	ports    []*ports.Kept
+	ports    []*ports.Reserved
 
 	mu         sync.Mutex
 	generation int64
@@ -70,7 +70,7 @@
 	d := &Discovery{clock: clock, recorder: recorder, script: script, generation: 1, instances: map[string]Instance{},
 		changed: make(chan struct{}), changedAt: map[string]int64{}, terminated: map[string]Instance{}}
 	for range limiters {
-		p, err := ports.Keep()
+		p, err := ports.Reserve()
 		if err != nil {
 			d.Close()
 			return nil, err
@@ -83,9 +83,11 @@
 // Address returns the address that limiter i connects to.
 func (d *Discovery) Address(i int) string { return d.ports[i].Address() }
 
-// Reach sets the function that returns the address listed for an instance in answers to a limiter. It must be called
-// before Start.
-func (d *Discovery) Reach(lookup func(limiter int, in Instance) string) { d.addressOf = lookup }
+// SetAddressFunc sets the function that returns the address listed for an instance in answers to a limiter. It must be
+// called before Start.
+func (d *Discovery) SetAddressFunc(lookup func(limiter int, in Instance) string) {
+	d.addressOf = lookup
+}
 
 // limiterKey is the context key of the number of the limiter that made a call.
 type limiterKey struct{}
@@ -149,16 +151,16 @@
 	return d.generation
 }
 
-// TellChanges makes a watch from a generation above 0 return only the changed entries, including removed ones.
-func (d *Discovery) TellChanges() {
+// SendDeltas makes a watch from a generation above 0 return only the changed entries, including removed ones.
+func (d *Discovery) SendDeltas() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deltas = true
 }
 
-// Down sets whether the service is down. While it is, calls stay open without any response, as with the agent while
+// SetDown sets whether the service is down. While it is, calls stay open without any response, as with the agent while
 // discovery is down.
-func (d *Discovery) Down(on bool) {
+func (d *Discovery) SetDown(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = on
@@ -166,8 +168,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Whole returns the current full list as a limiter gets it, in order of id.
-func (d *Discovery) Whole(limiter int) List {
+// FullList returns the current full list as a limiter gets it, in order of id.
+func (d *Discovery) FullList(limiter int) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fullList(limiter)
@@ -241,10 +243,10 @@
 	d.Traffic.Calls.Add(1)
 	limiter, _ := r.Context().Value(limiterKey{}).(int)
 	call := history.Call{
-		Limiter: limiter,
-		At:      d.clock.Now(),
-		Whole:   !r.URL.Query().Has("hold_ms"),
-		End:     history.CallerGone,
+		Limiter:  limiter,
+		At:       d.clock.Now(),
+		FullList: !r.URL.Query().Has("hold_ms"),
+		End:      history.CallerGone,
 	}
 	defer func() { call.EndedAt = d.clock.Now(); d.recorder.AddCall(call) }()
 	if d.throttled() {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -181,7 +181,7 @@
 func TestDiscoveryWatch(t *testing.T) {
 	d, _ := startDiscovery(t, 2, Fault{Kind: "chunked"})
 	d.Set(Instance{ID: "s1", HostPort: "127.0.0.1:1", Lifecycle: "in_service"})
-	from := d.Whole(1).Generation
+	from := d.FullList(1).Generation
 	go func() { time.Sleep(100 * time.Millisecond); d.Set(Instance{ID: "s1", Lifecycle: "terminating"}) }()
 	began := time.Now()
 	answer, err := http.Get("http://" + d.Address(1) + "/discovery/hosts?from=" + itoa(from) + "&hold_ms=5000")
@@ -199,7 +199,7 @@
 // Each discovery call is recorded with the limiter that made it and how it ended.
 func TestDiscoveryRecordsCalls(t *testing.T) {
 	d, recorder := startDiscovery(t, 3)
-	d.Reach(func(limiter int, in Instance) string { return itoa(int64(limiter)) })
+	d.SetAddressFunc(func(limiter int, in Instance) string { return itoa(int64(limiter)) })
 	d.Set(Instance{ID: "s1", Lifecycle: "in_service"})
 	call := func(limiter int, query string) (l List) {
 		client := http.Client{Timeout: 300 * time.Millisecond}
@@ -217,29 +217,29 @@
 	}
 	call(1, "?from=2&hold_ms=5000")   // the client times out before a change
 	time.Sleep(50 * time.Millisecond) // the server notices the closed connection a little later
-	d.Down(true)
+	d.SetDown(true)
 	call(1, "?from=1&hold_ms=50")
-	d.Down(false)
+	d.SetDown(false)
 	d.script = []Fault{{Kind: "busy", Factor: 0.001}}
 	call(0, "")
 	time.Sleep(50 * time.Millisecond)
 	calls, _, _ := recorder.DiscoveryAndServers()
 	want := []history.Call{
-		{Limiter: 0, Whole: true, End: history.Answered, Generation: 2},
+		{Limiter: 0, FullList: true, End: history.Answered, Generation: 2},
 		{Limiter: 2, End: history.Answered, Generation: 2},
 		{
 			Limiter: 1,
 			End:     history.CallerGone,
 		},
 		{Limiter: 1, End: history.NoResponse},
-		{Limiter: 0, Whole: true, End: history.Throttled},
+		{Limiter: 0, FullList: true, End: history.Throttled},
 	}
 	require.True(t, len(calls) == len(want), "%+v", calls)
 	for i, c := range calls {
 		w := want[i]
-		if c.Limiter != w.Limiter || c.Whole != w.Whole || c.End != w.End || c.Generation != w.Generation ||
+		if c.Limiter != w.Limiter || c.FullList != w.FullList || c.End != w.End || c.Generation != w.Generation ||
 			c.EndedAt < c.At ||
-			(c.Until > c.At) == c.Whole {
+			(c.Until > c.At) == c.FullList {
 			t.Errorf("call %d: %+v, want %+v", i, c, w)
 		}
 	}
@@ -251,7 +251,7 @@
 func TestColdServerCrashesOnce(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		s, recorder := startServer(t, ServerSpec{Name: "s1", Work: 100 * time.Millisecond, Capacity: 8, ColdFrom: 0.25,
-			WarmWithin: time.Hour, Warm: warm, Fall: time.Second}, nil)
+			WarmWithin: time.Hour, Warm: warm, CrashWindow: time.Second}, nil)
 		for i := range 60 {
 			capacity, cold := s.capacityAt(s.started + 1)
 			if crash, crashes := s.crashesUnderLoad(int64(i), "j", capacity, cold); crashes {
--- a/internal/lab/emulator/observe_test.go
+++ b/internal/lab/emulator/observe_test.go
@@ -64,7 +64,7 @@
 // response cached for an earlier generation must not be sent again.
 func TestDiscoverySendsDeltas(t *testing.T) {
 	d := newDiscovery(t)
-	d.TellChanges()
+	d.SendDeltas()
 	require.NoError(t, d.Start())
 	whole, _ := fetchList(t, d, "")
 	require.True(t, whole.Reset)
@@ -99,7 +99,7 @@
 func TestDiscoveryDownSendsNothing(t *testing.T) {
 	d := newDiscovery(t)
 	require.NoError(t, d.Start())
-	d.Down(true)
+	d.SetDown(true)
 	c, err := net.Dial("tcp", d.Address(0))
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
@@ -135,8 +135,8 @@
 // The observer of a counter gets each answered call, and the call's bytes are counted.
 func TestCounterObserved(t *testing.T) {
 	k := NewCounter(history.NewClock(), &history.Recorder{}, nil, 1)
-	observed := make(chan Tally, 4)
-	k.Observe(func(event Tally) { observed <- event })
+	observed := make(chan CounterCall, 4)
+	k.Observe(func(event CounterCall) { observed <- event })
 	require.NoError(t, k.Start())
 	t.Cleanup(k.Close)
 	const call, answer = "tally 77 2 1000\r\n", "ok 2\r\n"
@@ -154,9 +154,9 @@
 
 // The observer of a server gets each executed request with its times and whether it was the first of its connection.
 func TestServerObserved(t *testing.T) {
-	clock, observed := history.NewClock(), make(chan Handled, 4)
+	clock, observed := history.NewClock(), make(chan ServedCommand, 4)
 	s := NewServer(ServerSpec{Name: "s1", Work: 5 * time.Millisecond, Warm: true}, clock, &history.Recorder{}, nil)
-	s.Observe(func(command Handled) { observed <- command })
+	s.Observe(func(command ServedCommand) { observed <- command })
 	require.NoError(t, s.Start())
 	t.Cleanup(s.Close)
 	c, err := net.Dial("tcp", s.Address())
--- a/internal/lab/emulator/port.go
+++ b/internal/lab/emulator/port.go
@@ -11,7 +11,7 @@
 // port is an emulator's listening socket with its accepted connections. It keeps its address across restarts.
 type port struct {
 	mu       sync.Mutex
-	reserved *ports.Kept
+	reserved *ports.Reserved
 	listener net.Listener
 	conns    map[net.Conn]struct{}
 	up       bool
@@ -22,7 +22,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reserved == nil {
-		p.reserved, err = ports.Keep()
+		p.reserved, err = ports.Reserve()
 		if err != nil {
 			return err
 		}
@@ -107,9 +107,9 @@
 	_ = c.Close()
 }
 
-// Commands reads RESP2 commands from c and passes each to handle, in order. It returns nil once c ends or handle
+// ReadCommands reads RESP2 commands from c and passes each to handle, in order. It returns nil once c ends or handle
 // returns false, and the parser's error for bytes that are not a command.
-func Commands(c net.Conn, handle func(words [][]byte) bool) error {
+func ReadCommands(c net.Conn, handle func(words [][]byte) bool) error {
 	var buffer []byte
 	chunk := make([]byte, 16<<10)
 	for {
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -35,19 +35,19 @@
 
 // ServerSpec configures an emulated server.
 type ServerSpec struct {
-	Name       string
-	Zone       string
-	Work       time.Duration // mean of the exponentially distributed service time
-	Capacity   int           // concurrent requests that a warm server can take; 0 means 64
-	ColdFrom   float64       // share of Capacity that it can take just after a start
-	WarmWithin time.Duration // time from a start to full capacity; 0 means that it is always warm
-	Report     bool          // whether answers carry a load report
-	Conns      int           // connections that it serves, commands on further ones get -BUSY; 0 means no limit
-	Slots      int           // requests that it executes at a time, further ones wait; 0 means no limit
-	Warm       bool          // its first start counts as long before the run
-	Fall       time.Duration // window within which commands over its budget crash a cold server; 0 means never
-	Script     []Fault
-	Seed       uint64 // of the random service times and fault shares
+	Name        string
+	Zone        string
+	Work        time.Duration // mean of the exponentially distributed service time
+	Capacity    int           // concurrent requests that a warm server can take; 0 means 64
+	ColdFrom    float64       // share of Capacity that it can take just after a start
+	WarmWithin  time.Duration // time from a start to full capacity; 0 means that it is always warm
+	Report      bool          // whether answers carry a load report
+	MaxConns    int           // connections that it serves, commands on further ones get -BUSY; 0 means no limit
+	Slots       int           // requests that it executes at a time, further ones wait; 0 means no limit
+	Warm        bool          // its first start counts as long before the run
+	CrashWindow time.Duration // window within which commands over its budget crash a cold server; 0 means never
+	Script      []Fault
+	Seed        uint64 // of the random service times and fault shares
 }
 
 // Server is an emulated RESP2 server on a loopback port.
@@ -69,11 +69,11 @@
 	arrivalIDs         []string // ids of the same commands
 	crashed            bool     // since the last start
 	meanServiceSeconds float64  // exponentially weighted mean of the service times
-	observer           func(Handled)
+	observer           func(ServedCommand)
 }
 
-// Handled is one request that was executed and answered. Times are nanoseconds on the run's clock.
-type Handled struct {
+// ServedCommand is one request that was executed and answered. Times are nanoseconds on the run's clock.
+type ServedCommand struct {
 	ID       string
 	Read     int64 // when the complete command had been read
 	Answered int64 // just before the answer was written
@@ -82,7 +82,7 @@
 
 // Observe makes the server pass each answered request to observer, on the goroutine of the request's connection. It
 // must be called before Start.
-func (s *Server) Observe(observer func(Handled)) { s.observer = observer }
+func (s *Server) Observe(observer func(ServedCommand)) { s.observer = observer }
 
 // NewServer returns a stopped server that records its attempts in recorder. With a nil deduplication, requests with a
 // known idempotency key are executed again.
@@ -155,7 +155,7 @@
 					return
 				case r := <-next:
 					if s.observer != nil && r.id != "" {
-						s.observer(Handled{ID: r.id, Read: r.read, Answered: s.clock.Now(), First: first})
+						s.observer(ServedCommand{ID: r.id, Read: r.read, Answered: s.clock.Now(), First: first})
 						first = false
 					}
 					if _, err := c.Write(r.text); err != nil {
@@ -171,9 +171,9 @@
 	}()
 	defer close(done)
 	s.mu.Lock()
-	overConnLimit := s.spec.Conns > 0 && len(s.conns) > s.spec.Conns
+	overConnLimit := s.spec.MaxConns > 0 && len(s.conns) > s.spec.MaxConns
 	s.mu.Unlock()
-	err := Commands(c, func(words [][]byte) bool {
+	err := ReadCommands(c, func(words [][]byte) bool {
 		answer := make(chan reply, 1)
 		select {
 		case pending <- answer:
--- a/internal/lab/emulator/server_cold.go
+++ b/internal/lab/emulator/server_cold.go
@@ -17,14 +17,14 @@
 // time. By Little's law a server that can take b concurrent requests, each of the mean service time, completes
 // b * window / service time of them in the window. s.mu must be held.
 func (s *Server) crashesUnderLoad(now int64, id string, capacity float64, cold bool) (history.OverloadCrash, bool) {
-	if s.spec.Fall <= 0 || s.spec.Work <= 0 || !cold || s.crashed {
+	if s.spec.CrashWindow <= 0 || s.spec.Work <= 0 || !cold || s.crashed {
 		return history.OverloadCrash{}, false
 	}
 	s.arrivals, s.arrivalIDs = append(s.arrivals, now), append(s.arrivalIDs, id)
-	for s.arrivals[0] <= now-int64(s.spec.Fall) {
+	for s.arrivals[0] <= now-int64(s.spec.CrashWindow) {
 		s.arrivals, s.arrivalIDs = s.arrivals[1:], s.arrivalIDs[1:]
 	}
-	windowCapacity := capacity * float64(s.spec.Fall) / float64(s.spec.Work)
+	windowCapacity := capacity * float64(s.spec.CrashWindow) / float64(s.spec.Work)
 	s.crashed = float64(len(s.arrivals)) > slowstart.Budget(windowCapacity)
 	return history.OverloadCrash{
 		Server:   s.spec.Name,
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -69,12 +69,12 @@
 	WarmWithin float64 `toml:"warm_within"` // seconds from a start to full capacity; 0 means always warm
 	Repeats    float64 `toml:"repeats"`     // seconds for which a zone drops duplicate idempotency keys; 0 means never
 	Report     bool    `toml:"report"`      // whether answers carry a load report: backlog, throughput and recent_ms
-	Conns      int     `toml:"connections"` // connections that a server serves, others get -BUSY; 0 means no limit
+	MaxConns   int     `toml:"connections"` // connections that a server serves, others get -BUSY; 0 means no limit
 	Cold       bool    `toml:"cold"`        // whether the servers start cold with the run; else they are warm
-	// Fall is the window, in seconds, within which commands over its slow-start budget crash a cold server; 0 means
-	// never.
-	Fall  float64 `toml:"fall"`
-	Slots int     `toml:"slots"` // requests that a server executes at a time; 0 means no limit
+	// CrashWindow is the window, in seconds, within which commands over its slow-start budget crash a cold server; 0
+	// means never.
+	CrashWindow float64 `toml:"fall"`
+	Slots       int     `toml:"slots"` // requests that a server executes at a time; 0 means no limit
 }
 
 // Counter says whether the fleet has a shared counter.
@@ -86,7 +86,7 @@
 type Load struct {
 	Rate      float64    `toml:"rate"`
 	Customers []Customer `toml:"customers"`
-	Tracks    []ClassMix `toml:"tracks"`
+	Classes   []ClassMix `toml:"tracks"`
 	Retry     float64    `toml:"retry"`   // share of rejected requests that a client retries after the Retry-After time
 	GiveUp    float64    `toml:"give_up"` // share of requests whose client disconnects at half its deadline
 }
@@ -102,10 +102,10 @@
 
 // ClassMix is one class of the load.
 type ClassMix struct {
-	Name   string  `toml:"name"`
-	Share  float64 `toml:"share"`   // weight among the classes' requests
-	Units  float64 `toml:"units"`   // units of each request
-	CutOff float64 `toml:"cut_off"` // seconds from a request to its client's deadline
+	Name    string  `toml:"name"`
+	Share   float64 `toml:"share"`   // weight among the classes' requests
+	Units   float64 `toml:"units"`   // units of each request
+	Timeout float64 `toml:"cut_off"` // seconds from a request to its client's deadline
 }
 
 // Fault is one entry of the timeline. Target names a server ("server:NAME"), a pool ("pool:NAME"), "counter",
@@ -209,7 +209,7 @@
 		return fmt.Errorf("load.rate: %v is not above 0", e.Load.Rate)
 	case len(e.Servers) == 0:
 		return fmt.Errorf("servers: none")
-	case len(e.Load.Customers) == 0 || len(e.Load.Tracks) == 0:
+	case len(e.Load.Customers) == 0 || len(e.Load.Classes) == 0:
 		return fmt.Errorf("load: customers or tracks are missing")
 	}
 	return nil
@@ -248,8 +248,8 @@
 			return nil, fmt.Errorf("servers[%d]: a value is missing, repeated or too low: name %q, count %d, work %v",
 				i, p.Name, p.Count, p.Work)
 		}
-		if p.Fall < 0 {
-			return nil, &EntryError{fmt.Sprintf("servers[%d].fall", i), fmt.Sprintf("%v seconds is below 0", p.Fall)}
+		if p.CrashWindow < 0 {
+			return nil, &EntryError{fmt.Sprintf("servers[%d].fall", i), fmt.Sprintf("%v seconds is below 0", p.CrashWindow)}
 		}
 		if p.ColdFrom < 0 || p.ColdFrom > 1 || p.WarmWithin < 0 {
 			return nil, fmt.Errorf("servers[%d].cold_from: %v is not within 0 to 1, or warm_within %v is below 0",
@@ -274,13 +274,13 @@
 				i, c.Share, c.Spread, c.First)
 		}
 	}
-	for i, t := range e.Load.Tracks {
+	for i, t := range e.Load.Classes {
 		if e.Settings.Classes[t.Name] == nil {
 			return fmt.Errorf("load.tracks[%d].name: %q is not in settings.classes", i, t.Name)
 		}
-		if t.Share <= 0 || t.Units <= 0 || t.CutOff <= 0 {
+		if t.Share <= 0 || t.Units <= 0 || t.Timeout <= 0 {
 			return fmt.Errorf("load.tracks[%d]: a value is not above 0: share %v, units %v, cut_off %v",
-				i, t.Share, t.Units, t.CutOff)
+				i, t.Share, t.Units, t.Timeout)
 		}
 	}
 	return nil
@@ -380,8 +380,8 @@
 	return nil
 }
 
-// SettingsOnly decodes the settings of a run's record with the limiter's own decoder.
-func SettingsOnly(text json.RawMessage) (*settings.Settings, error) {
+// DecodeSettings decodes the settings of a run's record with the limiter's own decoder.
+func DecodeSettings(text json.RawMessage) (*settings.Settings, error) {
 	decoded, err := settings.Decode(text)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -389,9 +389,9 @@
 	return decoded, nil
 }
 
-// Resize checks the experiment again and derives its settings anew, after a change of the number of limiters or of the
-// load.
-func (e *Experiment) Resize() error {
+// Revalidate checks the experiment again and derives its settings anew, after a change of the number of limiters or of
+// the load.
+func (e *Experiment) Revalidate() error {
 	raw, ok := e.RawSettings.(map[string]any)
 	if !ok {
 		return fmt.Errorf("settings: missing")
--- a/internal/lab/experiment/links.go
+++ b/internal/lab/experiment/links.go
@@ -11,11 +11,11 @@
 
 // The kinds of peer at the other end of a limiter's link.
 const (
-	Clients   = "client"
-	Discovery = "discovery"
-	Counting  = "counter"
-	Pools     = "pool" // all servers of a pool
-	Servers   = "server"
+	PeerClient    = "client"
+	PeerDiscovery = "discovery"
+	PeerCounter   = "counter"
+	PeerPool      = "pool" // all servers of a pool
+	PeerServer    = "server"
 )
 
 // LinkPeer is the other end of the limiter links that a fault names. The target is "link:client-limiter:2" for links
@@ -44,16 +44,16 @@
 	}
 	near, far, _ := strings.Cut(text, "-")
 	numbers, isLimiter := strings.CutPrefix(near, "limiter:")
-	if near == Clients {
+	if near == PeerClient {
 		numbers, isLimiter = strings.CutPrefix(far, "limiter:")
-		f.Link = &LinkPeer{Kind: Clients}
+		f.Link = &LinkPeer{Kind: PeerClient}
 	} else {
 		kind, name, _ := strings.Cut(far, ":")
 		f.Link = &LinkPeer{Kind: kind, Name: name}
 		pool, _, _ := strings.Cut(name, "-")
 		switch {
-		case kind == Discovery && name == "", kind == Pools && pools[name], kind == Servers && pools[pool]:
-		case kind == Counting && name == "":
+		case kind == PeerDiscovery && name == "", kind == PeerPool && pools[name], kind == PeerServer && pools[pool]:
+		case kind == PeerCounter && name == "":
 			if !e.Counter.On {
 				return &emulator.FaultError{Key: "target", Why: "the experiment has no counter"}
 			}
@@ -85,17 +85,17 @@
 	}
 }
 
-// Script returns the faults of the link between a limiter and a peer. For a server, name is the server's name and pool
-// that of its pool; for other kinds both are empty. Faults with a Share affect only the limiters that the seed
+// LinkFaults returns the faults of the link between a limiter and a peer. For a server, name is the server's name and
+// pool that of its pool; for other kinds both are empty. Faults with a Share affect only the limiters that the seed
 // selects.
-func (e *Experiment) Script(limiter int, kind, pool, name string) []faultproxy.Fault {
+func (e *Experiment) LinkFaults(limiter int, kind, pool, name string) []faultproxy.Fault {
 	var out []faultproxy.Fault
 	for i, f := range e.Faults {
 		if f.Link == nil {
 			continue
 		}
 		matches := f.Link.Kind == kind && f.Link.Name == name ||
-			kind == Servers && f.Link.Kind == Pools && f.Link.Name == pool
+			kind == PeerServer && f.Link.Kind == PeerPool && f.Link.Name == pool
 		if order, size := e.drawLimiters(i); matches && slices.Contains(order[:size], limiter) {
 			out = append(out, f.linkFault())
 		}
--- a/internal/lab/experiment/steps.go
+++ b/internal/lab/experiment/steps.go
@@ -118,11 +118,11 @@
 	return out
 }
 
-// LongestCutOff returns the longest client deadline of the load's classes, in nanoseconds after a request is sent.
-func (e *Experiment) LongestCutOff() int64 {
+// LongestTimeout returns the longest client deadline of the load's classes, in nanoseconds after a request is sent.
+func (e *Experiment) LongestTimeout() int64 {
 	longest := 0.0
-	for _, t := range e.Load.Tracks {
-		longest = max(longest, t.CutOff)
+	for _, t := range e.Load.Classes {
+		longest = max(longest, t.Timeout)
 	}
 	return Nanos(longest)
 }
--- a/internal/lab/experiment/steps_test.go
+++ b/internal/lab/experiment/steps_test.go
@@ -93,17 +93,17 @@
 	require.NoError(t, err)
 	hit := 0
 	for n := range 30 {
-		if s := e.Script(n, Counting, "", ""); len(s) > 0 {
+		if s := e.LinkFaults(n, PeerCounter, "", ""); len(s) > 0 {
 			hit++
 			assert.True(t, n <= 14 && s[0].Kind == "cut_from" && s[0].From == 1e9, "limiter %d: %+v", n, s)
 		}
 	}
 	assert.True(t, hit == 5, "%d of 15 limiters affected, want a third", hit)
-	slow := e.Script(3, Servers, "hall2", "hall2-r1")
+	slow := e.LinkFaults(3, PeerServer, "hall2", "hall2-r1")
 	assert.True(t, len(slow) == 1 && slow[0].Delay == 20e6 && slow[0].Until == 4e9, "%+v", slow)
-	for _, got := range [][]int{{len(e.Script(3, Servers, "hall1", "hall1-0")), 1},
-		{len(e.Script(3, Servers, "hall1", "hall1-1")), 0}, {len(e.Script(2, Clients, "", "")), 1},
-		{len(e.Script(3, Clients, "", "")), 0}, {len(e.Script(2, Discovery, "", "")), 0}} {
+	for _, got := range [][]int{{len(e.LinkFaults(3, PeerServer, "hall1", "hall1-0")), 1},
+		{len(e.LinkFaults(3, PeerServer, "hall1", "hall1-1")), 0}, {len(e.LinkFaults(2, PeerClient, "", "")), 1},
+		{len(e.LinkFaults(3, PeerClient, "", "")), 0}, {len(e.LinkFaults(2, PeerDiscovery, "", "")), 0}} {
 		assert.True(t, got[0] == got[1], "%d faults, want %d", got[0], got[1])
 	}
 }
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Holds reports whether the fault is active at now.
-func (f Fault) Holds(now int64) bool { return now >= f.From && (f.Until == 0 || now < f.Until) }
+// ActiveAt reports whether the fault is active at now.
+func (f Fault) ActiveAt(now int64) bool { return now >= f.From && (f.Until == 0 || now < f.Until) }
 
 // condition is the combined effect of the active faults on one connection, or on new ones.
 type condition struct {
@@ -86,7 +86,7 @@
 func conditionOf(script []Fault, now int64, affected func(i int) bool) condition {
 	var c condition
 	for i, f := range script {
-		if !f.Holds(now) || !affected(i) {
+		if !f.ActiveAt(now) || !affected(i) {
 			continue
 		}
 		switch f.Kind {
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -37,7 +37,7 @@
 	address   string // where the far side listens
 	script    []Fault
 	seed      uint64
-	port      *ports.Kept
+	port      *ports.Reserved
 
 	mu       sync.Mutex
 	now      int64
@@ -51,7 +51,7 @@
 // New returns a proxy that listens for the near side and forwards to the far side's address. Its errors are
 // *ListenError.
 func New(near, far, address string, script []Fault, seed uint64) (*Proxy, error) {
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	if err != nil {
 		return nil, &ListenError{near, far, err}
 	}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -112,7 +112,7 @@
 type Call struct {
 	Limiter    int    `json:"limiter"`
 	At         int64  `json:"at"`
-	Whole      bool   `json:"whole,omitempty"` // a request for the complete list; otherwise a watch
+	FullList   bool   `json:"whole,omitempty"` // a request for the complete list; otherwise a watch
 	Until      int64  `json:"until,omitempty"` // when the hold time of a watch ends
 	EndedAt    int64  `json:"done"`            // when the call ended; for an answered call, when the list was written
 	End        string `json:"end"`
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -20,9 +20,9 @@
 	"ospreycroft/internal/settings"
 )
 
-// Terms are the tolerances of the rules. Durations are in nanoseconds. A field that is 0 allows no tolerance, except as
-// stated.
-type Terms struct {
+// Tolerances are the tolerances of the rules. Durations are in nanoseconds. A field that is 0 allows no tolerance,
+// except as stated.
+type Tolerances struct {
 	Late       int64   // how long after the deadline an answer may come; the protocol allows 50 ms
 	Grace      int64   // how long after the notification of a drain an attempt may begin
 	Slack      int64   // duration; a ceiling may be exceeded by the units that its rate allows in it
@@ -106,14 +106,14 @@
 	attempts []history.Attempt,
 	events []history.Event,
 	set *settings.Settings,
-	t Terms,
+	t Tolerances,
 ) *Verdict {
 	return JudgeRun(&history.Run{Requests: requests, Attempts: attempts, Events: events}, set, t)
 }
 
 // JudgeRun checks the complete record of a run. It sorts the record's attempts by time. Rules 3 and 4 take into account
 // when each limiter was notified of a change of the endpoint list.
-func JudgeRun(r *history.Run, set *settings.Settings, t Terms) *Verdict {
+func JudgeRun(r *history.Run, set *settings.Settings, t Tolerances) *Verdict {
 	requests := r.Requests
 	attempts := r.Attempts
 	events := r.Events
@@ -189,7 +189,7 @@
 
 // checkClientTime checks the part of rule 1 about the client's remaining time: no attempt begins after its client has
 // disconnected, and none states more remaining time to its server than its client has.
-func checkClientTime(v *Verdict, attempts []history.Attempt, byID map[string]*history.Request, t Terms) {
+func checkClientTime(v *Verdict, attempts []history.Attempt, byID map[string]*history.Request, t Tolerances) {
 	for _, attempt := range attempts {
 		request := byID[attempt.ID]
 		if request == nil {
@@ -249,7 +249,7 @@
 
 // affectedByLinkFault tells whether a request was in flight while the clients' link to its limiter had a fault. The
 // fault may have delayed or lost the request or its answer, so the limiter is not to blame for the outcome.
-func affectedByLinkFault(request history.Request, faults []history.LinkFault, t Terms) bool {
+func affectedByLinkFault(request history.Request, faults []history.LinkFault, t Tolerances) bool {
 	for _, fault := range faults {
 		if fault.From <= request.Answered && (fault.Until == 0 || fault.Until+t.Late >= request.Sent) {
 			return true
@@ -259,7 +259,7 @@
 }
 
 // checkAnswer checks rule 1 from the client's side: the request got an answer, in time.
-func checkAnswer(v *Verdict, request history.Request, kills map[string][]downtime, t Terms) {
+func checkAnswer(v *Verdict, request history.Request, kills map[string][]downtime, t Tolerances) {
 	switch request.Outcome {
 	case history.NotAccepted:
 		return
@@ -292,7 +292,7 @@
 	byID map[string]*history.Request,
 	excused map[string]bool,
 	set *settings.Settings,
-	t Terms,
+	t Tolerances,
 ) {
 	mayHaveRun := map[string]history.Attempt{} // by request, the first attempt that may have been executed
 	for _, attempt := range attempts {
@@ -338,7 +338,7 @@
 // units, and the bucket drains at the rate of the plan's ceiling. Its level may not exceed the ceiling's burst plus the
 // tolerances.
 func checkCeilings(
-	v *Verdict, attempts []history.Attempt, byID map[string]*history.Request, set *settings.Settings, t Terms) {
+	v *Verdict, attempts []history.Attempt, byID map[string]*history.Request, set *settings.Settings, t Tolerances) {
 	type bucket struct {
 		level float64
 		at    int64
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -16,7 +16,7 @@
  "family-info":{"units-top":6},"contract":{"cold-from":0.25,"warm-within":15},
  "permissions":{"attempts-cap":3,"dial-timeout":0.25,"idle-close":15}}`
 
-var terms = Terms{Late: 50e6, Grace: 300e6, Slack: 150e6}
+var terms = Tolerances{Late: 50e6, Grace: 300e6, Slack: 150e6}
 
 // judgeRecords checks a run of which only requests, attempts and events are known.
 func judgeRecords(
@@ -147,9 +147,9 @@
 		attempts = append(attempts, newAttempt(id, "s1", "a", "fetch", int64(i), true))
 	}
 	// The limit is 20 + 4 + 1.5 units.
-	units := Judge(requests, attempts, nil, set, Terms{Slack: 150e6, SlackUnits: 4})
+	units := Judge(requests, attempts, nil, set, Tolerances{Slack: 150e6, SlackUnits: 4})
 	// The limit is 22 + 1.5 units; units 24 and 25 exceed it.
-	share := Judge(requests, attempts, nil, set, Terms{Slack: 150e6, SlackShare: 0.1})
+	share := Judge(requests, attempts, nil, set, Tolerances{Slack: 150e6, SlackShare: 0.1})
 	if !units.Pass || share.Counts[5] != 2 {
 		t.Fatalf("tolerance in units: %s; as a share: %s", units.Line(), share.Line())
 	}
--- a/internal/lab/invariants/notifications.go
+++ b/internal/lab/invariants/notifications.go
@@ -19,7 +19,7 @@
 // checkDrains checks rule 3: no attempt at a server begins later than the grace period after its limiter was notified
 // that the server drains or is gone. If the record has no processes of the limiter, the limiter counts as notified at
 // the time of the change.
-func checkDrains(v *Verdict, r *history.Run, byID map[string]*history.Request, t Terms) {
+func checkDrains(v *Verdict, r *history.Run, byID map[string]*history.Request, t Tolerances) {
 	type drainPeriod struct {
 		change history.Event
 		back   int64 // when the server returned, 0 if it did not
--- a/internal/lab/invariants/outages.go
+++ b/internal/lab/invariants/outages.go
@@ -15,8 +15,8 @@
 	outageMinDuration = 4e9
 	// outageMinRequests is the smallest number of requests in an outage.
 	outageMinRequests = 15
-	// OutageGate is the largest share of limiters that may have an outage on calm days and in rolling restarts.
-	OutageGate = 0.1
+	// MaxOutageShare is the largest share of limiters that may have an outage on calm days and in rolling restarts.
+	MaxOutageShare = 0.1
 )
 
 // OutageKind is how a process failed to serve requests during an outage.
@@ -46,7 +46,7 @@
 }
 
 // ServiceOf returns the requests without an answer in time, and the outages, in the record of a run.
-func ServiceOf(r *history.Run, t Terms) Service {
+func ServiceOf(r *history.Run, t Tolerances) Service {
 	return Service{Limiters: r.Limiters, Unanswered: UnansweredOf(r, t), Outages: OutagesOf(r, t)}
 }
 
@@ -136,7 +136,7 @@
 }
 
 // OutagesOf returns the outages in the record of a run, ordered by limiter and time.
-func OutagesOf(r *history.Run, t Terms) []Outage {
+func OutagesOf(r *history.Run, t Tolerances) []Outage {
 	byLimiter, finder, byID := newProcesses(r), newCauseFinder(r, t), map[string]*history.Request{}
 	for i := range r.Requests {
 		request := &r.Requests[i]
--- a/internal/lab/invariants/quota.go
+++ b/internal/lab/invariants/quota.go
@@ -10,12 +10,12 @@
 // QuotaUsage compares one customer's usage with its quota over a run. It is a measurement and breaks no rule. As for
 // ceilings, the first attempt of a request adds the request's units to a bucket, which drains at the plan's rate.
 type QuotaUsage struct {
-	Customer string  `json:"customer"`
-	Plan     string  `json:"plan"`
-	Sent     float64 `json:"sent"`     // units that reached servers
-	Excess   float64 `json:"excess"`   // largest excess of the bucket's level over the plan's burst
-	Rejected int     `json:"rejected"` // rejected requests
-	Wrongly  int     `json:"wrongly"`  // rejected requests whose units the quota still allowed
+	Customer        string  `json:"customer"`
+	Plan            string  `json:"plan"`
+	Sent            float64 `json:"sent"`     // units that reached servers
+	Excess          float64 `json:"excess"`   // largest excess of the bucket's level over the plan's burst
+	Rejected        int     `json:"rejected"` // rejected requests
+	WronglyRejected int     `json:"wrongly"`  // rejected requests whose units the quota still allowed
 	// WronglyRejectedAt are the times of the rejections of requests whose units the quota still allowed, in nanoseconds
 	// on the run's clock.
 	WronglyRejectedAt []int64 `json:"wrongly_at,omitempty"`
@@ -66,7 +66,7 @@
 		if !e.forwarded {
 			b.use.Rejected++
 			if b.level+e.request.Units <= plan.Burst {
-				b.use.Wrongly++
+				b.use.WronglyRejected++
 				b.use.WronglyRejectedAt = append(b.use.WronglyRejectedAt, e.at)
 			}
 			continue
--- a/internal/lab/invariants/unanswered.go
+++ b/internal/lab/invariants/unanswered.go
@@ -63,10 +63,10 @@
 type causeFinder struct {
 	linkFaults          map[int][]history.LinkFault
 	terminations, stops map[string][]downtime
-	terms               Terms
+	terms               Tolerances
 }
 
-func newCauseFinder(r *history.Run, t Terms) *causeFinder {
+func newCauseFinder(r *history.Run, t Tolerances) *causeFinder {
 	c := &causeFinder{
 		linkFaults:   map[int][]history.LinkFault{},
 		terminations: terminations(r.Events),
@@ -119,7 +119,7 @@
 }
 
 // UnansweredOf counts the requests of a run that had no answer by their deadline, ordered by limiter and cause.
-func UnansweredOf(r *history.Run, t Terms) []Unanswered {
+func UnansweredOf(r *history.Run, t Tolerances) []Unanswered {
 	type key struct {
 		limiter int
 		cause   Cause
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -38,12 +38,12 @@
 // Fleet gives the driver's clients access to the limiters, which are identified by number.
 type Fleet interface {
 	Address(limiter int) string // current address for clients
-	// Open reports whether clients may open new connections to the limiter. If not, they still use the connections that
-	// are open.
-	Open(limiter int) bool
-	// Dead reports whether the limiter's process was killed or crashed, or the clients' link to it has a fault. A
+	// AcceptsConnections reports whether clients may open new connections to the limiter. If not, they still use the
+	// connections that are open.
+	AcceptsConnections(limiter int) bool
+	// Disrupted reports whether the limiter's process was killed or crashed, or the clients' link to it has a fault. A
 	// broken connection is then not taken for the race with an idle close (see Driver.send).
-	Dead(limiter int) bool
+	Disrupted(limiter int) bool
 }
 
 // New returns a driver for the load of e.
@@ -118,17 +118,17 @@
 	d.mu.Lock() // retries call this from their own goroutines
 	defer d.mu.Unlock()
 	c := pick(d.rng, d.e.Load.Customers, func(c experiment.Customer) float64 { return c.Share })
-	class := pick(d.rng, d.e.Load.Tracks, func(t experiment.ClassMix) float64 { return t.Share })
+	class := pick(d.rng, d.e.Load.Classes, func(t experiment.ClassMix) float64 { return t.Share })
 	if retry {
 		for _, other := range d.e.Load.Customers {
 			if other.ID == customer {
 				c = other
 			}
 		}
-		class = d.e.Load.Tracks[classIndex]
+		class = d.e.Load.Classes[classIndex]
 	}
 	index := 0
-	for i, t := range d.e.Load.Tracks {
+	for i, t := range d.e.Load.Classes {
 		if t.Name == class.Name {
 			index = i
 		}
@@ -140,7 +140,7 @@
 		NonIdempotent: d.e.Settings.Classes[class.Name].Idempotency == choice.NonIdempotent}
 	giveUp := d.rng.Float64() < d.e.Load.GiveUp
 	willRetry := d.rng.Float64() < d.e.Load.Retry
-	timeout := time.Duration(class.CutOff * float64(time.Second))
+	timeout := time.Duration(class.Timeout * float64(time.Second))
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
@@ -173,7 +173,7 @@
 		if reuse {
 			conn = d.idleConn(limiter)
 		}
-		if conn != nil || d.fleet.Open(limiter) {
+		if conn != nil || d.fleet.AcceptsConnections(limiter) {
 			return limiter, conn
 		}
 	}
@@ -264,7 +264,7 @@
 		request.Outcome = history.GaveUp
 	case request.Outcome == history.ConnectionBroken:
 		_ = conn.Close()
-		return reused && request.Answered-request.Sent < int64(closeRaceWindow) && !d.fleet.Dead(request.Limiter)
+		return reused && request.Answered-request.Sent < int64(closeRaceWindow) && !d.fleet.Disrupted(request.Limiter)
 	case err == nil:
 		select {
 		case d.idle[request.Limiter] <- conn:
--- a/internal/lab/memfs/memfs.go
+++ b/internal/lab/memfs/memfs.go
@@ -1,5 +1,5 @@
-// Package memfs is an in-memory implementation of atomicfile.Files in which each operation can be made to fail, for
-// tests of code that stores files.
+// Package memfs is an in-memory implementation of atomicfile.FileSystem in which each operation can be made to fail,
+// for tests of code that stores files.
 package memfs
 
 import (
@@ -8,23 +8,24 @@
 	"syscall"
 )
 
-// Disk holds files by path. Its methods implement atomicfile.Files; each appends the name of its operation to Log:
+// Disk holds files by path. Its methods implement atomicfile.FileSystem; each appends the name of its operation to Log:
 // read, write, rename, remove or sync. It is not safe for concurrent use.
 type Disk struct {
-	Held map[string][]byte
-	Log  []string
-	// Fail is the operation that fails, with a *fs.PathError that wraps syscall.ENOSPC as on a full disk; "" for none.
-	Fail string
-	Keep int       // the bytes that a failing write still stores
-	Gate chan bool // if not nil, each write waits to receive from it
+	Files map[string][]byte
+	Log   []string
+	// FailingOperation is the operation that fails, with a *fs.PathError that wraps syscall.ENOSPC as on a full disk;
+	// "" for none.
+	FailingOperation  string
+	PartialWriteBytes int       // the bytes that a failing write still stores
+	WriteGate         chan bool // if not nil, each write waits to receive from it
 }
 
 // New returns an empty disk on which no operation fails.
-func New() *Disk { return &Disk{Held: map[string][]byte{}} }
+func New() *Disk { return &Disk{Files: map[string][]byte{}} }
 
 func (d *Disk) begin(op, path string) error {
 	d.Log = append(d.Log, op)
-	if op == d.Fail {
+	if op == d.FailingOperation {
 		return &fs.PathError{Op: op, Path: path, Err: syscall.ENOSPC}
 	}
 	return nil
@@ -35,7 +36,7 @@
 	if err := d.begin("read", path); err != nil {
 		return nil, err
 	}
-	data, exists := d.Held[path]
+	data, exists := d.Files[path]
 	if !exists {
 		return nil, fs.ErrNotExist
 	}
@@ -44,14 +45,14 @@
 
 // Write stores the contents of a file. A write that fails stores the first Keep bytes only.
 func (d *Disk) Write(path string, data []byte) error {
-	if d.Gate != nil {
-		<-d.Gate
+	if d.WriteGate != nil {
+		<-d.WriteGate
 	}
 	err := d.begin("write", path)
 	if err != nil {
-		data = data[:d.Keep]
+		data = data[:d.PartialWriteBytes]
 	}
-	d.Held[path] = slices.Clone(data)
+	d.Files[path] = slices.Clone(data)
 	return err
 }
 
@@ -60,13 +61,13 @@
 	if err := d.begin("rename", to); err != nil {
 		return err
 	}
-	d.Held[to] = d.Held[from]
-	delete(d.Held, from)
+	d.Files[to] = d.Files[from]
+	delete(d.Files, from)
 	return nil
 }
 
 // Remove deletes a file. The file is deleted even if the operation is set to fail.
-func (d *Disk) Remove(path string) error { delete(d.Held, path); return d.begin("remove", path) }
+func (d *Disk) Remove(path string) error { delete(d.Files, path); return d.begin("remove", path) }
 
 // Sync stands for the fsync of a directory, which makes renames in it durable.
 func (d *Disk) Sync(dir string) error { return d.begin("sync", dir) }
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -24,26 +24,26 @@
 // uses neither the shared counter nor discovery.
 const (
 	// after a short wait without an answer it retries at the next server, even a non-idempotent request (breaks rule 2)
-	Again = "again"
-	Drop  = "drop"  // it exits at once on SIGTERM and loses the requests in flight (breaks rule 1)
-	Deaf  = "deaf"  // it watches the endpoint list and ignores every change (breaks rule 3)
-	Cold  = "cold"  // it forwards only to servers that the list gives a start time (breaks rule 4)
-	Over  = "over"  // it accepts every request (breaks rule 5)
-	Crash = "crash" // it exits by itself after two seconds
-	Stay  = "stay"  // on SIGTERM it does not exit while clients stay connected
-	Busy  = "busy"  // it rejects every request (an outage)
-	Mute  = "mute"  // it answers PING and no request (lost requests, an outage)
-	Late  = "late"  // it answers 100 ms after the request's deadline (late requests)
-	Await = "await" // it does not become ready before discovery has answered it
+	RetryUnsafely  = "again"
+	ExitAtOnce     = "drop"  // it exits at once on SIGTERM and loses the requests in flight (breaks rule 1)
+	IgnoreList     = "deaf"  // it watches the endpoint list and ignores every change (breaks rule 3)
+	PreferCold     = "cold"  // it forwards only to servers that the list gives a start time (breaks rule 4)
+	ExceedCeiling  = "over"  // it accepts every request (breaks rule 5)
+	Crash          = "crash" // it exits by itself after two seconds
+	WaitForClients = "stay"  // on SIGTERM it does not exit while clients stay connected
+	RejectAll      = "busy"  // it rejects every request (an outage)
+	AnswerPingOnly = "mute"  // it answers PING and no request (lost requests, an outage)
+	Late           = "late"  // it answers 100 ms after the request's deadline (late requests)
+	Await          = "await" // it does not become ready before discovery has answered it
 )
 
-// Name is the prefix of the mutant's program name. The mode follows, as in "mutant-drop".
-const Name = "mutant-"
+// NamePrefix is the prefix of the mutant's program name. The mode follows, as in "mutant-drop".
+const NamePrefix = "mutant-"
 
 // Mode returns the mode in the program name at the end of path, or "" if the program is no mutant.
 func Mode(path string) string {
 	base := path[strings.LastIndexByte(path, '/')+1:]
-	if mode, is := strings.CutPrefix(base, Name); is {
+	if mode, is := strings.CutPrefix(base, NamePrefix); is {
 		return mode
 	}
 	return ""
@@ -64,7 +64,7 @@
 		return err
 	}
 	servers := config.Known.Instances
-	if mode == Cold {
+	if mode == PreferCold {
 		var cold []emulator.Instance
 		for _, s := range servers {
 			if s.StartedMs > 0 {
@@ -80,10 +80,10 @@
 	if mode == Crash {
 		time.AfterFunc(2*time.Second, func() { os.Exit(3) })
 	}
-	if mode != Drop {
+	if mode != ExitAtOnce {
 		go exitAfterClients(l)
 	}
-	if mode == Deaf {
+	if mode == IgnoreList {
 		go watchAndDiscard(config.Discovery, config.Known.Generation)
 	}
 	if mode == Await {
@@ -158,16 +158,16 @@
 // serve answers the commands of one client connection until it ends.
 func serve(c net.Conn, servers []emulator.Instance, mode string) {
 	defer func() { _ = c.Close() }()
-	_ = emulator.Commands(c, func(words [][]byte) bool {
+	_ = emulator.ReadCommands(c, func(words [][]byte) bool {
 		if string(words[0]) == "PING" {
 			_, err := c.Write([]byte("+PONG\r\n"))
 			return err == nil
 		}
 		switch mode {
-		case Busy:
+		case RejectAll:
 			_, err := c.Write([]byte("-BUSY 100\r\n"))
 			return err == nil
-		case Mute:
+		case AnswerPingOnly:
 			return true
 		case Late:
 			time.Sleep(clientTimeout(words) + lateDelay)
@@ -175,7 +175,7 @@
 			return err == nil
 		}
 		value, firstServer, attempts, wait := "-ERR no server\r\n", int(nextServer.Add(1)), 1, 2*time.Second
-		if mode == Again {
+		if mode == RetryUnsafely {
 			attempts = 3
 			wait = 300 * time.Millisecond
 		}
@@ -208,7 +208,7 @@
 	for {
 		n, err := conn.Read(buf)
 		received = append(received, buf[:n]...)
-		if v, used, perr := resp.ReadAnswer(received); perr == nil && used > 0 && len(v.List) > 0 {
+		if v, used, perr := resp.ReadReply(received); perr == nil && used > 0 && len(v.List) > 0 {
 			return string(resp.AppendBulk(nil, v.List[0].Text)), true
 		} else if perr != nil || err != nil {
 			return "", false
--- a/internal/lab/ports/ports.go
+++ b/internal/lab/ports/ports.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Kept is a reserved loopback port. It stays reserved until Close.
-type Kept struct {
+// Reserved is a reserved loopback port. It stays reserved until Close.
+type Reserved struct {
 	address   string
 	fd        int
 	closeOnce sync.Once
@@ -41,8 +41,8 @@
 // Unwrap returns Cause.
 func (e *KeepError) Unwrap() error { return e.Cause }
 
-// Keep reserves a free port of 127.0.0.1. Its errors are *KeepError.
-func Keep() (*Kept, error) {
+// Reserve reserves a free port of 127.0.0.1. Its errors are *KeepError.
+func Reserve() (*Reserved, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, &KeepError{"socket", err}
@@ -63,30 +63,30 @@
 		_ = syscall.Close(fd)
 		return nil, &KeepError{"getsockname", err}
 	}
-	return &Kept{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", inet.Port)}, nil
+	return &Reserved{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", inet.Port)}, nil
 }
 
 // Address returns the reserved address as HOST:PORT.
-func (k *Kept) Address() string { return k.address }
+func (k *Reserved) Address() string { return k.address }
 
 // Listen listens on the port with plain TCP. Go's default for listeners, multipath TCP, does not support the socket
 // filter by which package faultproxy drops connections.
-func (k *Kept) Listen() (net.Listener, error) {
+func (k *Reserved) Listen() (net.Listener, error) {
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
 	return config.Listen(context.Background(), "tcp", k.address)
 }
 
 // Close releases the port.
-func (k *Kept) Close() { k.closeOnce.Do(func() { _ = syscall.Close(k.fd) }) }
+func (k *Reserved) Close() { k.closeOnce.Do(func() { _ = syscall.Close(k.fd) }) }
 
 const (
 	pingDialTimeout  = 200 * time.Millisecond // a limiter that takes longer to accept a connection is not ready
 	pingReplyTimeout = time.Second            // a limiter that takes longer to answer is not ready
 )
 
-// Pong reports whether the limiter at an address is ready, which it shows by answering PING with +PONG.
-func Pong(address string) bool {
+// AnswersPing reports whether the limiter at an address is ready, which it shows by answering PING with +PONG.
+func AnswersPing(address string) bool {
 	c, err := net.DialTimeout("tcp", address, pingDialTimeout)
 	if err != nil {
 		return false
--- a/internal/lab/ports/ports_test.go
+++ b/internal/lab/ports/ports_test.go
@@ -10,12 +10,12 @@
 // A reserved port must not be handed to anyone who asks for any free port, has to refuse connections while no process
 // listens, and has to allow listening more than once.
 func TestReservedPortIsNotHandedOut(t *testing.T) {
-	k, err := Keep()
+	k, err := Reserve()
 	require.NoError(t, err)
 	defer k.Close()
 	seen := map[string]bool{k.Address(): true}
 	for range 2000 {
-		other, err := Keep()
+		other, err := Reserve()
 		require.NoError(t, err)
 		defer other.Close()
 		require.False(t, seen[other.Address()], "%s was reserved twice", other.Address())
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -199,8 +199,8 @@
 func section(l Labelled) (Section, error) {
 	s := Bucket(l.Run)
 	sec := Section{Label: l.Label, Line: l.Verdict.Line(), Breaches: l.Verdict.Breaches, Latencies: latencies(l.Run),
-		Events: l.Run.Events, Service: invariants.ServiceOf(l.Run, invariants.Terms{Late: lateTolerance}),
-		OutGate: invariants.OutageGate}
+		Events: l.Run.Events, Service: invariants.ServiceOf(l.Run, invariants.Tolerances{Late: lateTolerance}),
+		OutGate: invariants.MaxOutageShare}
 	sec.Late, sec.Lost = sec.Service.Missed()
 	sec.OutShare = sec.Service.OutageShare()
 	var outcomes []line
--- a/internal/lab/runner/cold_few_test.go
+++ b/internal/lab/runner/cold_few_test.go
@@ -44,7 +44,7 @@
 // crashes a cold server.
 func TestFewLimitersThatOverrunColdServersAreCaught(t *testing.T) {
 	t.Parallel()
-	e := coldFewExperiment(t, brokenLimiter(t, mutants.Cold), 1)
+	e := coldFewExperiment(t, brokenLimiter(t, mutants.PreferCold), 1)
 	e.Length = 3
 	r, _ := runExperiment(t, e)
 	require.NotEmpty(t, r.Run.OverloadCrashes)
--- a/internal/lab/runner/fleet_test.go
+++ b/internal/lab/runner/fleet_test.go
@@ -75,7 +75,7 @@
 // TestReadyTimeoutNamesLimiterAndLog: the error and the event about a limiter that never answers PING must name the
 // limiter and its log.
 func TestReadyTimeoutNamesLimiterAndLog(t *testing.T) {
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/runner/process.go
+++ b/internal/lab/runner/process.go
@@ -28,9 +28,9 @@
 
 // limiter is one limiter of the run, across the restarts of its process.
 type limiter struct {
-	index                 int         // number of the limiter, from 0
-	name, config, logPath string      // config and logPath are paths of files
-	port                  *ports.Kept // address of all its processes
+	index                 int             // number of the limiter, from 0
+	name, config, logPath string          // config and logPath are paths of files
+	port                  *ports.Reserved // address of all its processes
 
 	mu    sync.Mutex
 	state state
@@ -103,7 +103,7 @@
 // writeConfig writes the configuration of the limiter's next process and adds that process to the record. The last
 // Limiters.Moved limiters get the settings of the table moved.
 func (l *Lab) writeConfig(lim *limiter, oldList bool) error {
-	list := l.discovery.Whole(lim.index)
+	list := l.discovery.FullList(lim.index)
 	knownList, listGeneration := lim.knownList, lim.listGeneration
 	if !oldList || knownList == nil {
 		knownList, _ = json.Marshal(list)
@@ -228,7 +228,7 @@
 	deadline := time.Now().Add(l.readyTimeout)
 	pollInterval := 20 * time.Millisecond
 	for time.Now().Before(deadline) {
-		if ports.Pong(lim.port.Address()) {
+		if ports.AnswersPing(lim.port.Address()) {
 			l.updateProcess(entry, func(p *history.Process) { p.Ready = l.clock.Now() })
 			l.transition(lim, readyEvent, nil)
 			l.inRotation[lim.index].Store(true)
@@ -255,7 +255,7 @@
 // has timed out. It returns the errors joined.
 func (l *Lab) startAll() error {
 	for index := range l.exp.Limiters.Count {
-		port, err := ports.Keep()
+		port, err := ports.Reserve()
 		if err != nil {
 			return err
 		}
@@ -351,7 +351,7 @@
 	ended := lim.ended
 	l.recorder.AddEvent(history.Event{At: l.clock.Now(), Kind: "term", Target: target})
 	l.afterUnlessEnded(rotationDelay, ended, stop, func() { l.inRotation[lim.index].Store(false) })
-	l.afterUnlessEnded(time.Duration(l.exp.LongestCutOff())+killMargin, ended, stop, func() {
+	l.afterUnlessEnded(time.Duration(l.exp.LongestTimeout())+killMargin, ended, stop, func() {
 		if l.transitionAndSignal(lim, killEvent, syscall.SIGKILL) {
 			l.recorder.AddEvent(history.Event{At: l.clock.Now(), Kind: "term-kill", Target: target})
 		}
--- a/internal/lab/runner/processes_test.go
+++ b/internal/lab/runner/processes_test.go
@@ -47,7 +47,7 @@
 		c := &e.Load.Customers[i]
 		c.Spread, c.First = min(c.Spread, limiters), c.First%limiters
 	}
-	if err := e.Resize(); err != nil {
+	if err := e.Revalidate(); err != nil {
 		t.Fatal(err)
 	}
 	return e
@@ -91,7 +91,7 @@
 // TestRollingRestartThatDropsRequestsIsCaught runs a limiter that drops its requests at SIGTERM.
 func TestRollingRestartThatDropsRequestsIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := runExperiment(t, resize(t, loadExample(t, "rolling", brokenLimiter(t, mutants.Drop)), 10, 5))
+	r, _ := runExperiment(t, resize(t, loadExample(t, "rolling", brokenLimiter(t, mutants.ExitAtOnce)), 10, 5))
 	wantBreach(t, r, 1)
 }
 
@@ -144,7 +144,7 @@
 	t.Parallel()
 	r, _ := runExperiment(
 		t,
-		resize(t, loadExample(t, "links", brokenLimiter(t, mutants.Deaf),
+		resize(t, loadExample(t, "links", brokenLimiter(t, mutants.IgnoreList),
 			"from = 3.5\nuntil = 7.5", "from = 1.0\nuntil = 1.2",
 			"from = 4.0", "from = 1.5"), 12, 4),
 	)
@@ -225,7 +225,7 @@
 // TestLimiterThatOverrunsColdServersIsCaught runs a limiter that prefers servers that have just started.
 func TestLimiterThatOverrunsColdServersIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := runExperiment(t, coldStartExperiment(t, brokenLimiter(t, mutants.Cold), 3))
+	r, _ := runExperiment(t, coldStartExperiment(t, brokenLimiter(t, mutants.PreferCold), 3))
 	wantBreach(t, r, 4)
 }
 
@@ -260,7 +260,7 @@
 	}
 	cutLimiters, callsBefore, callsDuring := 0, 0, 0
 	for n := range e.Limiters.Count {
-		if len(e.Script(n, experiment.Counting, "", "")) == 0 {
+		if len(e.LinkFaults(n, experiment.PeerCounter, "", "")) == 0 {
 			continue
 		}
 		cutLimiters++
@@ -289,7 +289,7 @@
 // TestLimiterExceedingCeilingIsCaught runs a limiter that admits every request.
 func TestLimiterExceedingCeilingIsCaught(t *testing.T) {
 	t.Parallel()
-	r, _ := runExperiment(t, resize(t, loadExample(t, "countcut", brokenLimiter(t, mutants.Over)), 12, 5))
+	r, _ := runExperiment(t, resize(t, loadExample(t, "countcut", brokenLimiter(t, mutants.ExceedCeiling)), 12, 5))
 	wantBreach(t, r, 5)
 }
 
@@ -299,7 +299,7 @@
 	t.Parallel()
 	r, _ := runExperiment(
 		t,
-		resize(t, loadExample(t, "rolling", brokenLimiter(t, mutants.Stay),
+		resize(t, loadExample(t, "rolling", brokenLimiter(t, mutants.WaitForClients),
 			"from = 2.0\nuntil = 3.0", "from = 0.5\nuntil = 1.0",
 			"every = 1.2", "every = 9.0", "cut_off = 2.5", "cut_off = 1.5"), 2, 4),
 	)
--- a/internal/lab/runner/restart_test.go
+++ b/internal/lab/runner/restart_test.go
@@ -102,7 +102,7 @@
 				t.Errorf("%+v of %d limiters", restarts, limiters)
 			}
 			s := &r.Verdict.Service
-			if late, lost := s.Missed(); late+lost > 0 || s.OutageShare() > invariants.OutageGate {
+			if late, lost := s.Missed(); late+lost > 0 || s.OutageShare() > invariants.MaxOutageShare {
 				t.Errorf("%d late, %d lost, outages %+v", late, lost, s.Outages)
 			}
 		})
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -24,9 +24,10 @@
 	// Command prepares the command of limiter n before it is started, and returns a function that is called right after
 	// the start. nil means no preparation.
 	Command func(n int, command *exec.Cmd) (started func() error, err error)
-	// Beside runs on a goroutine of its own while the load runs, and must return once stop is closed. nil means none.
-	Beside func(lab *Lab, stop <-chan struct{})
-	// LeaveGrace and TimeLeftSlack are the allowances of the same names in invariants.Terms.
+	// Background runs on a goroutine of its own while the load runs, and must return once stop is closed. nil means
+	// none.
+	Background func(lab *Lab, stop <-chan struct{})
+	// LeaveGrace and TimeLeftSlack are the allowances of the same names in invariants.Tolerances.
 	LeaveGrace, TimeLeftSlack time.Duration
 	// Lag returns how late the lab itself may have recorded a time. It is called once the load has ended, and its
 	// result is added to LeaveGrace, to TimeLeftSlack and to how late an answer may arrive. nil means 0.
@@ -92,7 +93,7 @@
 		inRotation: make([]atomic.Bool, exp.Limiters.Count), network: faultproxy.NewNetwork(exp.Seed),
 		readyTimeout: defaultReadyTimeout}
 	for n := range exp.Limiters.Count {
-		lab.clientScripts = append(lab.clientScripts, exp.Script(n, experiment.Clients, "", ""))
+		lab.clientScripts = append(lab.clientScripts, exp.LinkFaults(n, experiment.PeerClient, "", ""))
 	}
 	defer lab.close()
 	if err := lab.startEmulator(); err != nil {
@@ -114,7 +115,7 @@
 	run.Processes = append(run.Processes, lab.processes...)
 	failures := append([]error(nil), lab.failures...)
 	lab.mu.Unlock()
-	terms := invariants.Terms{Late: int64(50*time.Millisecond + extras.lag()), Grace: experiment.Nanos(exp.Grace),
+	terms := invariants.Tolerances{Late: int64(50*time.Millisecond + extras.lag()), Grace: experiment.Nanos(exp.Grace),
 		Slack: experiment.Nanos(exp.Slack), SlackShare: exp.SlackShare, SlackUnits: exp.SlackUnits,
 		LeaveGrace: int64(extras.LeaveGrace + extras.lag()), TimeLeftSlack: int64(extras.TimeLeftSlack + extras.lag())}
 	verdict := invariants.JudgeRun(run, exp.Settings, terms)
@@ -125,18 +126,18 @@
 
 // Address returns the address at which clients reach limiter n.
 func (l *Lab) Address(n int) string {
-	return l.network.Address(experiment.Clients, targetOf(n), l.limiters[n].port.Address())
+	return l.network.Address(experiment.PeerClient, targetOf(n), l.limiters[n].port.Address())
 }
 
 // Record returns the recorder of the requests and the clock that their times refer to.
 func (l *Lab) Record() (*history.Recorder, *history.Clock) { return l.recorder, l.clock }
 
-// Open reports whether clients open new connections to limiter n.
-func (l *Lab) Open(n int) bool { return l.inRotation[n].Load() }
+// AcceptsConnections reports whether clients open new connections to limiter n.
+func (l *Lab) AcceptsConnections(n int) bool { return l.inRotation[n].Load() }
 
-// Dead reports whether limiter n was killed or crashed and has not been started again, or its link to the clients has a
-// fault.
-func (l *Lab) Dead(n int) bool {
+// Disrupted reports whether limiter n was killed or crashed and has not been started again, or its link to the clients
+// has a fault.
+func (l *Lab) Disrupted(n int) bool {
 	lim := l.limiters[n]
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
@@ -147,15 +148,15 @@
 func (l *Lab) clientLinkFaulty(n int) bool {
 	now := l.clock.Now()
 	for _, f := range l.clientScripts[n] {
-		if f.Holds(now) {
+		if f.ActiveAt(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// runLoad generates the load, with the timeline and Extras.Beside running alongside, and returns once all of them and
-// all tasks have ended.
+// runLoad generates the load, with the timeline and Extras.Background running alongside, and returns once all of them
+// and all tasks have ended.
 func (l *Lab) runLoad(progress func(float64)) {
 	driver := loadgen.New(l.exp, l.clock, l.recorder, l)
 	stop := make(chan struct{})
@@ -166,8 +167,8 @@
 	backgroundDone := make(chan struct{})
 	go func() {
 		defer close(backgroundDone)
-		if l.extras.Beside != nil {
-			l.extras.Beside(l, stop)
+		if l.extras.Background != nil {
+			l.extras.Background(l, stop)
 		}
 	}()
 	driver.Run(progress)
@@ -183,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	l.discovery.Reach(
+	l.discovery.SetAddressFunc(
 		func(n int, in emulator.Instance) string { return l.network.Address(targetOf(n), in.ID, in.HostPort) },
 	)
 	if err := l.discovery.Start(); err != nil {
@@ -215,35 +216,35 @@
 
 // discoveryAddress and counterAddress return the addresses at which limiter n reaches discovery and the counter.
 func (l *Lab) discoveryAddress(n int) string {
-	return l.network.Address(targetOf(n), experiment.Discovery, l.discovery.Address(n))
+	return l.network.Address(targetOf(n), experiment.PeerDiscovery, l.discovery.Address(n))
 }
 func (l *Lab) counterAddress(n int) string {
-	return l.network.Address(targetOf(n), experiment.Counting, l.counter.Address(n))
+	return l.network.Address(targetOf(n), experiment.PeerCounter, l.counter.Address(n))
 }
 
 // addLinks creates the links between limiter n and discovery, the counter and the clients for which the experiment has
 // faults. addServer creates those to servers.
 func (l *Lab) addLinks(n int) error {
-	script := l.exp.Script(n, experiment.Discovery, "", "")
-	if err := l.network.Join(targetOf(n), experiment.Discovery, l.discovery.Address(n), script); err != nil {
+	script := l.exp.LinkFaults(n, experiment.PeerDiscovery, "", "")
+	if err := l.network.Join(targetOf(n), experiment.PeerDiscovery, l.discovery.Address(n), script); err != nil {
 		return err
 	}
 	if l.counter != nil {
 		err := l.network.Join(
 			targetOf(n),
-			experiment.Counting,
+			experiment.PeerCounter,
 			l.counter.Address(n),
-			l.exp.Script(n, experiment.Counting, "", ""),
+			l.exp.LinkFaults(n, experiment.PeerCounter, "", ""),
 		)
 		if err != nil {
 			return err
 		}
 	}
 	return l.network.Join(
-		experiment.Clients,
+		experiment.PeerClient,
 		targetOf(n),
 		l.limiters[n].port.Address(),
-		l.exp.Script(n, experiment.Clients, "", ""),
+		l.exp.LinkFaults(n, experiment.PeerClient, "", ""),
 	)
 }
 
@@ -251,10 +252,10 @@
 // from discovery because of a fault of their link or of discovery itself.
 func (l *Lab) linkFaultsAndSilences() (linkFaults []history.LinkFault, silences []history.Silence) {
 	for n := range l.exp.Limiters.Count {
-		for _, f := range l.exp.Script(n, experiment.Clients, "", "") {
+		for _, f := range l.exp.LinkFaults(n, experiment.PeerClient, "", "") {
 			linkFaults = append(linkFaults, history.LinkFault{Limiter: n, Kind: f.Kind, From: f.From, Until: f.Until})
 		}
-		for _, f := range l.exp.Script(n, experiment.Discovery, "", "") {
+		for _, f := range l.exp.LinkFaults(n, experiment.PeerDiscovery, "", "") {
 			s := history.Silence{Limiter: n, From: f.From, Until: f.Until, Lost: f.Kind != faultproxy.CutTo,
 				Held: f.Kind == faultproxy.CutFrom || f.Kind == faultproxy.Stall}
 			if f.Kind == faultproxy.Cut || f.Kind == faultproxy.CutTo || s.Held {
@@ -289,10 +290,10 @@
 // servers of a zone; nil means that the server does not deduplicate.
 func (l *Lab) addServer(pool experiment.Pool, name string, dedup *emulator.Deduplication, warm bool) error {
 	spec := emulator.ServerSpec{Name: name, Zone: pool.Zone, Work: time.Duration(pool.Work * float64(time.Second)),
-		Capacity: pool.Capacity, Report: pool.Report, Slots: pool.Slots, Conns: pool.Conns, ColdFrom: pool.ColdFrom,
+		Capacity: pool.Capacity, Report: pool.Report, Slots: pool.Slots, MaxConns: pool.MaxConns, ColdFrom: pool.ColdFrom,
 		WarmWithin: time.Duration(experiment.Nanos(pool.WarmWithin)), Warm: warm,
-		Fall:   time.Duration(experiment.Nanos(pool.Fall)),
-		Script: l.faultScript("server:"+name, "pool:"+pool.Name), Seed: l.exp.Seed ^ uint64(len(l.servers)+1)<<8}
+		CrashWindow: time.Duration(experiment.Nanos(pool.CrashWindow)),
+		Script:      l.faultScript("server:"+name, "pool:"+pool.Name), Seed: l.exp.Seed ^ uint64(len(l.servers)+1)<<8}
 	s := emulator.NewServer(spec, l.clock, l.recorder, dedup)
 	if err := s.Start(); err != nil {
 		return err
@@ -300,7 +301,7 @@
 	l.servers = append(l.servers, s)
 	for n := range l.exp.Limiters.Count {
 		if err := l.network.Join(
-			targetOf(n), name, s.Address(), l.exp.Script(n, experiment.Servers, pool.Name, name),
+			targetOf(n), name, s.Address(), l.exp.LinkFaults(n, experiment.PeerServer, pool.Name, name),
 		); err != nil {
 			return err
 		}
--- a/internal/lab/runner/runner_test.go
+++ b/internal/lab/runner/runner_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(t.TempDir(), mutants.Name+mode)
+	path := filepath.Join(t.TempDir(), mutants.NamePrefix+mode)
 	if err := os.Symlink(self, path); err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 // second attempts in the servers' records.
 func TestBrokenLimiterIsCaught(t *testing.T) {
 	t.Parallel()
-	e := defaultExperiment(t, brokenLimiter(t, mutants.Again), func(s string) string {
+	e := defaultExperiment(t, brokenLimiter(t, mutants.RetryUnsafely), func(s string) string {
 		s = strings.Replace(s, "length = 20.0", "length = 4.0", 1)
 		s = strings.Replace(s, "from = 3.0\nuntil = 6.0", "from = 0.5\nuntil = 3.0", 1)
 		return s
--- a/internal/lab/runner/service_test.go
+++ b/internal/lab/runner/service_test.go
@@ -42,7 +42,7 @@
 // summary must report the outage.
 func TestLimiterRejectingAllIsReported(t *testing.T) {
 	t.Parallel()
-	r, _ := runExperiment(t, pairExperiment(t, brokenLimiter(t, mutants.Busy), 5))
+	r, _ := runExperiment(t, pairExperiment(t, brokenLimiter(t, mutants.RejectAll), 5))
 	s := &r.Verdict.Service
 	if !r.Verdict.Pass || len(s.Outages) != 2 || s.OutageShare() != 1 {
 		t.Fatalf("pass %v, %+v", r.Verdict.Pass, s)
@@ -60,7 +60,7 @@
 // in flight then must count as lost by a killed limiter, all others as lost by a live one.
 func TestSilentLimiterIsReported(t *testing.T) {
 	t.Parallel()
-	e := pairExperiment(t, brokenLimiter(t, mutants.Mute), 4, experiment.Fault{Kind: "kill", Target: "limiter:1", From: 3})
+	e := pairExperiment(t, brokenLimiter(t, mutants.AnswerPingOnly), 4, experiment.Fault{Kind: "kill", Target: "limiter:1", From: 3})
 	r, _ := runExperiment(t, e)
 	causes := map[invariants.Unanswered]bool{}
 	for _, u := range r.Verdict.Service.Unanswered {
--- a/internal/lab/runner/summary.go
+++ b/internal/lab/runner/summary.go
@@ -66,7 +66,7 @@
 		restarts.Write(w)
 	}
 	writeService(w, &r.Verdict.Service)
-	settings, err := experiment.SettingsOnly(r.Run.Settings)
+	settings, err := experiment.DecodeSettings(r.Run.Settings)
 	if err == nil {
 		quotaUses := invariants.Quotas(r.Run.Requests, r.Run.Attempts, settings)
 		for _, u := range quotaUses {
@@ -78,7 +78,7 @@
 				u.Sent,
 				u.Excess,
 				u.Rejected,
-				u.Wrongly,
+				u.WronglyRejected,
 			)
 		}
 		if first, last, seen := counterFaults(r.Run.Events); seen {
@@ -118,8 +118,8 @@
 		s.LimitersOut(),
 		s.Limiters,
 		share,
-		invariants.OutageGate,
-		share <= invariants.OutageGate,
+		invariants.MaxOutageShare,
+		share <= invariants.MaxOutageShare,
 	)
 	for _, o := range s.Outages {
 		_, _ = fmt.Fprintf(
--- a/internal/lab/runner/sweep.go
+++ b/internal/lab/runner/sweep.go
@@ -71,7 +71,7 @@
 			c := &sized.Load.Customers[i]
 			c.Spread, c.First = min(c.Spread, n), c.First%n
 		}
-		if err := sized.Resize(); err != nil {
+		if err := sized.Revalidate(); err != nil {
 			return points, err
 		}
 		sizeDir := filepath.Join(dir, fmt.Sprintf("size-%d", n))
--- a/internal/lab/runner/timeline.go
+++ b/internal/lab/runner/timeline.go
@@ -59,7 +59,7 @@
 			wasUp := l.counter.Up()
 			l.counter.Tick(now)
 			if l.counter.Up() != wasUp {
-				l.setRefusing(experiment.Counting, wasUp)
+				l.setRefusing(experiment.PeerCounter, wasUp)
 			}
 		}
 		if err := l.network.Step(now); err != nil {
@@ -131,7 +131,7 @@
 	l.log.Info("fault", "kind", fault.Kind, "target", fault.Target, "at_ns", now)
 	switch {
 	case fault.Kind == "down" && fault.Target == "discovery":
-		l.discovery.Down(true)
+		l.discovery.SetDown(true)
 		l.recorder.AddEvent(history.Event{At: now, Kind: "discovery-down", Target: "discovery"})
 	case fault.Kind == "drain" || fault.Kind == "gone" || fault.Kind == "replace":
 		for _, s := range l.targetServers(fault.Target) {
@@ -188,7 +188,7 @@
 			l.setLifecycle(s, "in_service", "back", now)
 		}
 	case fault.Kind == "down" && fault.Target == "discovery":
-		l.discovery.Down(false)
+		l.discovery.SetDown(false)
 		l.recorder.AddEvent(history.Event{At: now, Kind: "discovery-up", Target: "discovery"})
 	default:
 		l.recorder.AddEvent(history.Event{At: now, Kind: fault.Kind, Target: fault.Target, Detail: "ends"})
--- a/internal/lab/scale/estimate_test.go
+++ b/internal/lab/scale/estimate_test.go
@@ -87,12 +87,12 @@
 	const customer, clockOffset = uint64(77), int64(1e18)
 	name := countName(customer, 1e6+clockOffset, counterWindow)
 	observed := newObservations()
-	observed.calls[name] = []emulator.Tally{
+	observed.calls[name] = []emulator.CounterCall{
 		{Read: 0.5e6, Answered: 0.6e6}, // of an earlier request
 		{Read: 2e6, Answered: 3e6},
 	}
-	observed.handled["a"] = emulator.Handled{ID: "a", Read: 5e6, Answered: 10e6}
-	observed.handled["b"] = emulator.Handled{ID: "b", Read: 5e6, Answered: 10e6}
+	observed.handled["a"] = emulator.ServedCommand{ID: "a", Read: 5e6, Answered: 10e6}
+	observed.handled["b"] = emulator.ServedCommand{ID: "b", Read: 5e6, Answered: 10e6}
 	w := observed.join([]requestResult{
 		{id: "a", customer: customer, sentAt: 1e6, answeredAt: 12e6, firstByte: '$'},
 		{id: "b", customer: customer + 1, sentAt: 1e6, answeredAt: 12e6, firstByte: '$'}, // no call of its customer
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -150,7 +150,7 @@
 func (r *worstRun) discoveryOutage() error {
 	const tenMinutes = 600
 	restarted := min(RestartsPerDay*tenMinutes/(2*3600), len(r.s.list))
-	r.s.discovery.Down(true)
+	r.s.discovery.SetDown(true)
 	time.Sleep(r.h.duration(10 * time.Second)) // stands for 10 min: after 2 s of silence only the changes matter
 	var changed []emulator.Instance
 	for _, instance := range r.s.list[:restarted] {
@@ -164,7 +164,7 @@
 	r.addFigure("discovery silent: calls", "/s", silent.discoveryCalls/r.h.duration(4*time.Second).Seconds())
 	return r.measureChange(
 		fmt.Sprintf("a region heals with %d changed servers", restarted),
-		func() { r.s.discovery.Down(false) },
+		func() { r.s.discovery.SetDown(false) },
 	)
 }
 
@@ -208,7 +208,7 @@
 }
 
 // generation returns the list's current generation at discovery.
-func (s *standIns) generation() int64 { return s.discovery.Whole(0).Generation }
+func (s *standIns) generation() int64 { return s.discovery.FullList(0).Generation }
 
 // awaitApplied waits until all limiters have applied a generation of the list and returns the seconds that it took,
 // counted from since, a time on the run's clock in nanoseconds. A limiter has applied an answer once it calls
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -130,8 +130,8 @@
 // the name on which they count.
 type observations struct {
 	mutex   sync.Mutex
-	handled map[string]emulator.Handled
-	calls   map[uint64][]emulator.Tally
+	handled map[string]emulator.ServedCommand
+	calls   map[uint64][]emulator.CounterCall
 }
 
 func newObservations() *observations {
@@ -143,17 +143,17 @@
 func (o *observations) clear() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.handled = map[string]emulator.Handled{}
-	o.calls = map[uint64][]emulator.Tally{}
+	o.handled = map[string]emulator.ServedCommand{}
+	o.calls = map[uint64][]emulator.CounterCall{}
 }
 
-func (o *observations) addHandled(observation emulator.Handled) {
+func (o *observations) addHandled(observation emulator.ServedCommand) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.handled[observation.ID] = observation
 }
 
-func (o *observations) addCall(call emulator.Tally) {
+func (o *observations) addCall(call emulator.CounterCall) {
 	name, err := strconv.ParseUint(call.Name, 10, 64)
 	if err != nil {
 		return
@@ -190,7 +190,7 @@
 
 // counterCall finds the call to the counter that was made for a request: a call on one of its customer's names, after
 // the client sent the request and before the server read it.
-func (o *observations) counterCall(request requestResult, clockOffset, serverRead int64) (emulator.Tally, bool) {
+func (o *observations) counterCall(request requestResult, clockOffset, serverRead int64) (emulator.CounterCall, bool) {
 	for _, at := range []int64{request.sentAt, serverRead} {
 		for _, tally := range o.calls[countName(request.customer, at+clockOffset, counterWindow)] {
 			if tally.Read >= request.sentAt && tally.Answered <= serverRead {
@@ -198,11 +198,11 @@
 			}
 		}
 	}
-	return emulator.Tally{}, false
+	return emulator.CounterCall{}, false
 }
 
 // add appends one request's latencies.
-func (w *latencyWindow) add(request requestResult, tally emulator.Tally, server emulator.Handled) {
+func (w *latencyWindow) add(request requestResult, tally emulator.CounterCall, server emulator.ServedCommand) {
 	ms := func(from, to int64) float64 { return float64(to-from) / 1e6 }
 	w.parts[toCounter] = append(w.parts[toCounter], ms(request.sentAt, tally.Read))
 	w.parts[atCounter] = append(w.parts[atCounter], ms(tally.Read, tally.Answered))
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -113,14 +113,14 @@
 	*process
 	config     limiterConfig
 	configPath string // configuration file
-	port       *ports.Kept
+	port       *ports.Reserved
 	address    string
 }
 
 // startRealLimiter starts limiter n against the stand-ins and waits until it answers PING with +PONG. The Go runtime
 // logs each garbage collection, from which heapBytes reads the heap.
 func (h *Harness) startRealLimiter(s *standIns, n, sockets int, known []byte) (*realLimiter, error) {
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 		return nil, &StartError{h.options.Program, log, err}
 	}
 	deadline := time.Now().Add(startTimeout)
-	for !ports.Pong(l.address) {
+	for !ports.AnswersPing(l.address) {
 		if expired := time.Now().After(deadline); expired || !l.running() {
 			l.stop()
 			return nil, &StartError{h.options.Program, log, errors.New("it did not answer PING with +PONG")}
@@ -195,7 +195,7 @@
 // starting the limiters took.
 type host struct {
 	*process
-	ports        []*ports.Kept
+	ports        []*ports.Reserved
 	commands     *json.Encoder
 	answers      *bufio.Reader
 	startSeconds float64
@@ -244,10 +244,10 @@
 }
 
 func (h *Harness) startHost(s *standIns, from, to int, known []byte, memory int64) (*host, error) {
-	var reserved []*ports.Kept
+	var reserved []*ports.Reserved
 	spec := hostSpec{Known: known, Processors: 2, MemoryBytes: memory}
 	for n := from; n < to; n++ {
-		port, err := ports.Keep()
+		port, err := ports.Reserve()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/scale/standins.go
+++ b/internal/lab/scale/standins.go
@@ -29,8 +29,8 @@
 	servers       int // number of servers on the list
 	serviceTime   time.Duration
 	counterFaults []emulator.Fault // faults that the counter plays
-	onTally       func(emulator.Tally)
-	onHandled     func(emulator.Handled)
+	onTally       func(emulator.CounterCall)
+	onHandled     func(emulator.ServedCommand)
 	wholeList     bool // answer a poll with the whole list, not the changed entries alone
 }
 
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	if !spec.wholeList {
-		s.discovery.TellChanges()
+		s.discovery.SendDeltas()
 	}
 	s.discovery.SetAll(s.list)
 	err = s.discovery.Start()
@@ -94,7 +94,7 @@
 
 // encodedList returns the current list in the form of a configuration's known list.
 func (s *standIns) encodedList() []byte {
-	text, err := json.Marshal(s.discovery.Whole(0))
+	text, err := json.Marshal(s.discovery.FullList(0))
 	if err != nil {
 		panic(err) // impossible: the list holds strings and numbers only
 	}
--- a/internal/lab/scenarios/distribution.go
+++ b/internal/lab/scenarios/distribution.go
@@ -165,7 +165,7 @@
 	p.upstreams = [2]*peer{n.sourcePeer, n.sourcePeer}
 	p.poller = distribution.NewPoller(n.now(), p.relay.Subscriber,
 		distribution.PollerOptions{DialTimeout: dialTimeout, Hold: distribution.RelayHold, Position: position})
-	n.scheduleWhileAlive(p, p.poller.First(), func() { n.poll(p) })
+	n.scheduleWhileAlive(p, p.poller.FirstDelay(), func() { n.poll(p) })
 }
 
 // startLimiter starts a limiter's subscriber. It restores the saved state; nil starts without one.
@@ -173,7 +173,7 @@
 	p.incarnation++
 	p.down = false
 	p.applier = &distribution.LimiterApplier{
-		Move: func(to distribution.Addresses) error { return n.applyAddresses(p.limiter, to) },
+		ChangeAddresses: func(to distribution.Addresses) error { return n.applyAddresses(p.limiter, to) },
 	}
 	subscriber := n.newSubscriber(p)
 	if saved != nil {
@@ -187,7 +187,7 @@
 	}
 	n.attachPoller(p, subscriber)
 	n.recordStatus(p)
-	n.scheduleWhileAlive(p, p.poller.First(), func() { n.poll(p) })
+	n.scheduleWhileAlive(p, p.poller.FirstDelay(), func() { n.poll(p) })
 	return nil
 }
 
@@ -243,7 +243,7 @@
 // poll sends a subscriber's next call.
 func (n *network) poll(p *peer) {
 	c := &pollCall{Call: p.poller.Call(n.now()), from: p, fromIncarnation: p.incarnation}
-	n.transcript.Add([]byte(p.name), n.now(), int64(c.Server), c.Hold, c.Timeout, c.Dial)
+	n.transcript.Add([]byte(p.name), n.now(), int64(c.Server), c.Hold, c.Timeout, c.DialTimeout)
 	c.to = p.upstreams[c.Server]
 	if n.fault == keepsToFirstRelay {
 		c.to = p.upstreams[0]
@@ -251,7 +251,7 @@
 	c.toIncarnation = c.to.incarnation
 	switch {
 	case n.partitioned(p, c.to):
-		n.failAfter(c, c.Dial, errDialTimeout)
+		n.failAfter(c, c.DialTimeout, errDialTimeout)
 		return
 	case c.to.down:
 		n.failAfter(c, 2*n.latency(p, c.to), errConnectionRefused)
@@ -272,7 +272,7 @@
 	if !c.canBeAnswered() || n.partitioned(c.from, c.to) {
 		return
 	}
-	if c.Hold > 0 && !c.to.server.Newer(*c.Changes) {
+	if c.Hold > 0 && !c.to.server.HasNewer(*c.Changes) {
 		c.to.heldCalls = append(c.to.heldCalls, c)
 		n.schedule(c.Hold, func() { n.respond(c) })
 		return
@@ -284,7 +284,7 @@
 func (n *network) failAfter(c *pollCall, delay int64, err error) {
 	n.schedule(delay, func() {
 		if c.finish() {
-			n.scheduleNextPoll(c.from, c.from.poller.TakeError(n.now(), err))
+			n.scheduleNextPoll(c.from, c.from.poller.HandleError(n.now(), err))
 		}
 	})
 }
@@ -343,11 +343,11 @@
 	switch {
 	case err != nil && n.acceptOlderState(p, server, err):
 	case err != nil:
-		delay = p.poller.TakeError(n.now(), err)
+		delay = p.poller.HandleError(n.now(), err)
 	case piece != nil:
-		delay, _ = p.poller.TakePiece(n.now(), piece) // the delay accounts for an error
+		delay, _ = p.poller.HandlePiece(n.now(), piece) // the delay accounts for an error
 	default:
-		delay, _ = p.poller.TakeChanges(n.now(), delta)
+		delay, _ = p.poller.HandleChanges(n.now(), delta)
 	}
 	if p.relay != nil && p.poller.Version() != before {
 		n.answerHeldCalls(p)
@@ -370,7 +370,7 @@
 // answerHeldCalls answers the held calls for which the server now has newer changes.
 func (n *network) answerHeldCalls(p *peer) {
 	for _, c := range append([]*pollCall{}, p.heldCalls...) {
-		if p.server.Newer(*c.Changes) {
+		if p.server.HasNewer(*c.Changes) {
 			n.respond(c)
 		}
 	}
--- a/internal/lab/scenarios/steps.go
+++ b/internal/lab/scenarios/steps.go
@@ -16,13 +16,13 @@
 	w := &World{}
 	s.Given(`^a fleet of (\d+) limiters and (\d+) servers, seed (\d+), whose list is pushed$`,
 		func(limiters, servers, seed int) error {
-			w.Options = simfleet.Plain(uint64(seed), limiters, servers)
+			w.Options = simfleet.DefaultOptions(uint64(seed), limiters, servers)
 			return nil
 		})
 	s.Given(`^a fleet of (\d+) limiters and (\d+) servers, seed (\d+), `+
 		`whose list is polled from a service that answers (\d+) calls a second$`,
 		func(limiters, servers, seed, budget int) error {
-			w.Options = simfleet.Plain(uint64(seed), limiters, servers)
+			w.Options = simfleet.DefaultOptions(uint64(seed), limiters, servers)
 			w.Options.Mode = simfleet.Polled
 			w.Options.DiscoveryCallRate = float64(budget)
 			return nil
--- a/internal/lab/scenarios/walk.go
+++ b/internal/lab/scenarios/walk.go
@@ -19,7 +19,7 @@
 // SIGTERM. The limiters get the defects in broken; without any they are sound.
 func Walk(t *rapid.T, broken ...simfleet.Broken) (w *World, descriptions []string) {
 	const limiters, servers, end = 5, 6, 11.0
-	options := simfleet.Plain(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), limiters, servers)
+	options := simfleet.DefaultOptions(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), limiters, servers)
 	options.Mode = rapid.SampledFrom([]simfleet.Mode{simfleet.Pushed, simfleet.Polled}).Draw(t, "mode")
 	rate := rapid.SampledFrom([]float64{150, 500}).Draw(t, "rate") // requests a second; the servers' capacity is 900
 	options.Load.Rate = rate
--- a/internal/lab/simdistribution/calls.go
+++ b/internal/lab/simdistribution/calls.go
@@ -13,14 +13,14 @@
 	c := &call{Call: n.poller.Call(f.queue.now), from: n, fromIncarnation: n.incarnation}
 	c.to = n.upstreams[c.Server]
 	c.toIncarnation = c.to.incarnation
-	f.options.Transcript.Add([]byte(n.name), f.queue.now, int64(c.Server), c.Hold, c.Timeout, c.Dial)
+	f.options.Transcript.Add([]byte(n.name), f.queue.now, int64(c.Server), c.Hold, c.Timeout, c.DialTimeout)
 	n.bytes += headerBytes
 	if n.relay == nil {
 		f.calls++
 	}
 	switch {
 	case f.partitioned(n, c.to):
-		f.failAfter(c, c.Dial, errDialTimeout)
+		f.failAfter(c, c.DialTimeout, errDialTimeout)
 		return
 	case c.to.down:
 		f.failAfter(c, 2*f.latency(n, c.to), errConnectionRefused)
@@ -31,7 +31,7 @@
 		if c.done || f.partitioned(n, c.to) || c.to.down || c.to.stalled || c.to.incarnation != c.toIncarnation {
 			return
 		}
-		if c.Hold > 0 && !c.to.server.Newer(*c.Changes) {
+		if c.Hold > 0 && !c.to.server.HasNewer(*c.Changes) {
 			c.to.heldCalls = append(c.to.heldCalls, c)
 			f.queue.schedule(c.Hold, func() { f.respond(c) })
 			return
@@ -44,7 +44,7 @@
 func (f *Fleet) failAfter(c *call, delay int64, err error) {
 	f.queue.schedule(delay, func() {
 		if f.finish(c) {
-			f.scheduleNextPoll(c.from, c.from.poller.TakeError(f.queue.now, err))
+			f.scheduleNextPoll(c.from, c.from.poller.HandleError(f.queue.now, err))
 		}
 	})
 }
@@ -105,13 +105,13 @@
 	var delay int64
 	switch {
 	case err != nil:
-		delay = n.poller.TakeError(f.queue.now, err)
+		delay = n.poller.HandleError(f.queue.now, err)
 	case piece != nil:
 		n.bytes += size(piece)
-		delay, _ = n.poller.TakePiece(f.queue.now, piece)
+		delay, _ = n.poller.HandlePiece(f.queue.now, piece)
 	default:
 		n.bytes += size(delta)
-		delay, _ = n.poller.TakeChanges(f.queue.now, delta)
+		delay, _ = n.poller.HandleChanges(f.queue.now, delta)
 	}
 	if n.relay != nil && n.poller.Version() != before {
 		f.answerHeldCalls(n)
@@ -143,7 +143,7 @@
 // answerHeldCalls answers the held calls for which the server now has newer changes.
 func (f *Fleet) answerHeldCalls(n *node) {
 	for _, c := range append([]*call{}, n.heldCalls...) {
-		if n.server.Newer(*c.Changes) {
+		if n.server.HasNewer(*c.Changes) {
 			f.respond(c)
 		}
 	}
@@ -163,14 +163,14 @@
 }
 
 // acknowledge sends a limiter's acknowledgement to its relay if the version or the condition has changed, or if the
-// last one is distribution.AcknowledgementEvery old.
+// last one is distribution.AcknowledgementInterval old.
 func (f *Fleet) acknowledge(n *node) {
 	if n.relay != nil {
 		return
 	}
 	a := n.poller.Acknowledgement(f.queue.now)
 	same := a.Version == n.acknowledged.Version && a.Condition == n.acknowledged.Condition
-	if same && f.queue.now-n.acknowledgedAt < distribution.AcknowledgementEvery {
+	if same && f.queue.now-n.acknowledgedAt < distribution.AcknowledgementInterval {
 		return
 	}
 	n.acknowledged = a
@@ -185,7 +185,7 @@
 	})
 }
 
-// sendSummaries sends a relay's summary to the source every distribution.SummaryEvery.
+// sendSummaries sends a relay's summary to the source every distribution.SummaryInterval.
 func (f *Fleet) sendSummaries(n *node) {
 	s := n.relay.Summary(f.queue.now)
 	f.transcribe(s)
@@ -193,5 +193,5 @@
 		f.summaries++
 		f.queue.schedule(f.latency(n, f.sourceNode), func() { _ = f.source.Summarize(f.queue.now, s) })
 	}
-	f.scheduleWhileAlive(n, distribution.SummaryEvery, func() { f.sendSummaries(n) })
+	f.scheduleWhileAlive(n, distribution.SummaryInterval, func() { f.sendSummaries(n) })
 }
--- a/internal/lab/simdistribution/fleet.go
+++ b/internal/lab/simdistribution/fleet.go
@@ -220,8 +220,8 @@
 	n.heldCalls = nil
 	n.down = false
 	n.stalled = false
-	f.scheduleWhileAlive(n, n.poller.First(), func() { f.poll(n) })
-	f.scheduleWhileAlive(n, distribution.SummaryEvery, func() { f.sendSummaries(n) })
+	f.scheduleWhileAlive(n, n.poller.FirstDelay(), func() { f.poll(n) })
+	f.scheduleWhileAlive(n, distribution.SummaryInterval, func() { f.sendSummaries(n) })
 }
 
 // startLimiter starts limiter i. It restores the saved state; nil starts without one.
@@ -243,7 +243,7 @@
 	n.poller = distribution.NewPoller(f.queue.now, subscriber,
 		distribution.PollerOptions{DialTimeout: dialTimeout, Hold: distribution.LimiterHold, Position: i})
 	f.recordInForce(n)
-	f.scheduleWhileAlive(n, n.poller.First(), func() { f.poll(n) })
+	f.scheduleWhileAlive(n, n.poller.FirstDelay(), func() { f.poll(n) })
 	return nil
 }
 
--- a/internal/lab/simfleet/coldload_test.go
+++ b/internal/lab/simfleet/coldload_test.go
@@ -37,7 +37,7 @@
 
 // options returns the options of a row. It has enough customers that their quotas do not limit the burst.
 func (c coldFleet) options(seed uint64) Options {
-	o := Plain(seed, c.limiters, c.servers)
+	o := DefaultOptions(seed, c.limiters, c.servers)
 	for i := range o.Servers {
 		o.Servers[i].Slots, o.Servers[i].ServiceTime = coldSlots, int64(coldSlots/c.warmRate*1e9)
 	}
@@ -163,7 +163,7 @@
 
 // TestColdPeaks checks the measurement itself on attempts whose windows are known.
 func TestColdPeaks(t *testing.T) {
-	f, err := New(Plain(1, 2, 1)) // a server does 150 requests per second, a quarter of that when it starts
+	f, err := New(DefaultOptions(1, 2, 1)) // a server does 150 requests per second, a quarter of that when it starts
 	require.NoError(t, err)
 	f.At(10*second, func() { f.RestartServer("s0") })
 	f.Run(10 * second)
--- a/internal/lab/simfleet/judge.go
+++ b/internal/lab/simfleet/judge.go
@@ -103,7 +103,7 @@
 func (f *Fleet) Finish() *Result {
 	f.Run(max(f.q.now, f.options.Load.Until) + f.longestDeadline + 2*lateAnswerWindow)
 	attempts := make([]history.Attempt, len(f.attempts))
-	terms := invariants.Terms{Late: 50e6, Grace: f.options.Grace, Slack: 150e6}
+	terms := invariants.Tolerances{Late: 50e6, Grace: f.options.Grace, Slack: 150e6}
 	for i, s := range f.attempts {
 		// An attempt that a network fault held up is judged by when it was sent, since a limiter cannot take it back.
 		attempts[i] = s.Attempt
@@ -168,7 +168,7 @@
 
 // judgeDrains judges rule 3 for each process of each limiter and adds what it finds to the verdict. An attempt is
 // judged by when it was sent and by when that process was notified of the drain.
-func (f *Fleet) judgeDrains(v *invariants.Verdict, terms invariants.Terms) {
+func (f *Fleet) judgeDrains(v *invariants.Verdict, terms invariants.Tolerances) {
 	if len(f.drains) == 0 {
 		return
 	}
--- a/internal/lab/simfleet/options.go
+++ b/internal/lab/simfleet/options.go
@@ -27,7 +27,7 @@
 	// window of 1.5 s.
 	OverloadMultiple float64
 	OverloadWindow   int64    // over which the load on a cold server is counted
-	Grace            int64    // invariants.Terms.Grace, for rule 3; 0 for 0.3 s
+	Grace            int64    // invariants.Tolerances.Grace, for rule 3; 0 for 0.3 s
 	Broken           []Broken // the ways in which the limiters are broken on purpose
 	// Transcript records each packet that crosses the network; nil for no record.
 	Transcript *transcript.Transcript
--- a/internal/lab/simfleet/plain.go
+++ b/internal/lab/simfleet/plain.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Plain returns the options that most scenarios start from: servers in two zones, each of which does 150 requests per
-// second once it is warm, and clients that request half of the total capacity from 3 s on. The requests of each
-// customer are spread over ten limiters, or all if there are fewer.
-func Plain(seed uint64, limiters, servers int) Options {
+// DefaultOptions returns the options that most scenarios start from: servers in two zones, each of which does 150
+// requests per second once it is warm, and clients that request half of the total capacity from 3 s on. The requests of
+// each customer are spread over ten limiters, or all if there are fewer.
+func DefaultOptions(seed uint64, limiters, servers int) Options {
 	o := Options{
 		Seed:              seed,
 		Limiters:          limiters,
