--- a/internal/lab/simfleet/simfleet_test.go
+++ b/internal/lab/simfleet/simfleet_test.go
@@ -26,7 +26,7 @@
 // runWithFaults runs a small fleet in which nearly all kinds of faults occur.
 func runWithFaults(t *testing.T, seed uint64, mode Mode) *Result {
 	t.Helper()
-	o := Plain(seed, 6, 8)
+	o := DefaultOptions(seed, 6, 8)
 	o.Mode, o.Load.KeepConnections = mode, true
 	o.Load.Until = 16 * second
 	for i := range o.Load.Customers {
@@ -75,7 +75,7 @@
 // one, and are blamed because they were notified of its start. Correct limiters crash none.
 func TestColdServerOverload(t *testing.T) {
 	for _, broken := range [][]Broken{nil, {OverloadsNewServers}} {
-		o := Plain(3, 60, 4)
+		o := DefaultOptions(3, 60, 4)
 		o.Load.Rate, o.Load.Until, o.Broken, o.OverloadMultiple, o.OverloadWindow = 520, 14*second, broken, 1, 1500e6
 		for i := range 16 { // with few customers their quotas would limit the load
 			o.Load.Customers = append(
@@ -100,7 +100,7 @@
 // some seconds of processor time.
 func TestLargeFleet(t *testing.T) {
 	began := time.Now()
-	f, err := New(Plain(1, 300, 20))
+	f, err := New(DefaultOptions(1, 300, 20))
 	require.NoError(t, err)
 	f.StartAll(0)
 	f.Run(20 * second)
@@ -215,7 +215,7 @@
 
 // TestNotifiedAt checks from when a change of the endpoint list counts as notified.
 func TestNotifiedAt(t *testing.T) {
-	o := Plain(1, 1, 1)
+	o := DefaultOptions(1, 1, 1)
 	pushed, err := New(o)
 	o.Mode = Polled
 	polled, polledErr := New(o)
--- a/internal/lab/simfleet/transcript_test.go
+++ b/internal/lab/simfleet/transcript_test.go
@@ -26,7 +26,7 @@
 // transcriptOptions returns the options for a seed: with and without a counter, with pushed and polled endpoint lists,
 // with and without operator options, with and without health checks.
 func transcriptOptions(seed uint64) Options {
-	options := Plain(seed, transcriptLimiters, transcriptServers)
+	options := DefaultOptions(seed, transcriptLimiters, transcriptServers)
 	options.Mode = []Mode{Pushed, Polled}[seed%2]
 	options.Load.Until = transcriptUntil
 	options.Load.KeepConnections = seed%4 < 2
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -66,7 +66,7 @@
 
 // dial connects to a limiter. It returns nil if the front would send no client there, or if the dial fails.
 func (c *extraClients) dial(limiter int) *net.TCPConn {
-	if !c.lab.Open(limiter) {
+	if !c.lab.AcceptsConnections(limiter) {
 		return nil
 	}
 	conn, err := net.DialTimeout("tcp", c.lab.Address(limiter), dialTimeout)
@@ -125,8 +125,8 @@
 	_, clock := c.lab.Record()
 	requests = make([]history.Request, 1+rng.IntN(maxPipelined))
 	for i := range requests {
-		track := e.Load.Tracks[rng.IntN(len(e.Load.Tracks))]
-		cutOff := time.Duration(experiment.Nanos(track.CutOff))
+		track := e.Load.Classes[rng.IntN(len(e.Load.Classes))]
+		cutOff := time.Duration(experiment.Nanos(track.Timeout))
 		requests[i] = history.Request{
 			ID: fmt.Sprintf("1%015x", c.nextID.Add(1)), Customer: customer.ID, Plan: customer.Plan, Class: track.Name,
 			Units: track.Units, Limiter: limiter, Sent: clock.Now(), Deadline: clock.Now() + int64(cutOff),
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -84,12 +84,12 @@
 			return syscallshim.Decision{}
 		}
 		broken := f.randomError(unix.ETIMEDOUT, unix.EHOSTUNREACH)
-		broken.Break = true
+		broken.Shutdown = true
 		return broken
 	case f.chance(0.3):
 		return syscallshim.Decision{Errno: unix.EINTR}
 	}
-	return syscallshim.Decision{Bytes: f.randomUpTo(maxCutBytes)}
+	return syscallshim.Decision{MaxBytes: f.randomUpTo(maxCutBytes)}
 }
 
 // isClient reports whether a call is on a client's connection. It returns true also if that cannot be determined.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -71,14 +71,14 @@
 // Options configure how seeds are run.
 type Options struct {
 	Program  string  // path of the limiter program
-	Launcher string  // path of a program that calls syscallshim.LaunchIfAsked first
+	Launcher string  // path of a program that calls syscallshim.LaunchIfRequested first
 	Length   float64 // seconds of load
 	Dir      string  // for the runs' files, in a directory for each seed
 	Limiters int     // number of limiters; if 0, each seed draws it
 }
 
-// Play runs one seed. An error means that the run did not take place; a run that fails is reported by findings.
-func Play(seed uint64, o Options) (*Report, error) {
+// Run runs one seed. An error means that the run did not take place; a run that fails is reported by findings.
+func Run(seed uint64, o Options) (*Report, error) {
 	scenario, err := Draw(seed, o.Length, o.Program, o.Limiters)
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	result, err := runner.RunWith(scenario.Experiment, dir, slog.New(slog.DiscardHandler), nil, runner.Extras{
-		Command: p.command, Beside: p.runAlongside,
+		Command: p.command, Background: p.runAlongside,
 		LeaveGrace: leaveGrace + recordMargin, TimeLeftSlack: timeLeftSlack + recordMargin,
 		Lag: func() time.Duration { return time.Duration(p.maxLag.Load()) },
 	})
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -16,7 +16,7 @@
 
 // TestMain lets the test binary serve as the launcher of the system call shim.
 func TestMain(m *testing.M) {
-	syscallshim.LaunchIfAsked()
+	syscallshim.LaunchIfRequested()
 	os.Exit(m.Run())
 }
 
@@ -35,7 +35,7 @@
 		"go", "build", "-ldflags=-linkmode=external", "-o", program, "ospreycroft/cmd/ospreycroft").CombinedOutput()
 	require.NoError(t, err, string(output))
 	for _, seed := range ciSeeds {
-		report, err := Play(seed, Options{Program: program, Launcher: os.Args[0], Length: ciSeconds, Dir: t.TempDir()})
+		report, err := Run(seed, Options{Program: program, Launcher: os.Args[0], Length: ciSeconds, Dir: t.TempDir()})
 		require.NoError(t, err)
 		var text strings.Builder
 		report.Write(&text)
--- a/internal/lab/syscallshim/launch.go
+++ b/internal/lab/syscallshim/launch.go
@@ -18,8 +18,8 @@
 // ChannelFD is the file descriptor over which Launch sends the seccomp listener to the lab.
 const ChannelFD = 3
 
-// LaunchVariable is the environment variable that tells LaunchIfAsked to call Launch, for programs that are their own
-// launcher.
+// LaunchVariable is the environment variable that tells LaunchIfRequested to call Launch, for programs that are their
+// own launcher.
 const LaunchVariable = "OSPREYCROFT_SYSCALL_SHIM"
 
 // Error reports a step of setting up the shim that failed.
@@ -94,9 +94,9 @@
 	return &Error{"exec", unix.Exec(program, arguments, environment)}
 }
 
-// LaunchIfAsked calls Launch with the program in the process's arguments if the process was started by Command, and
+// LaunchIfRequested calls Launch with the program in the process's arguments if the process was started by Command, and
 // exits if that fails. Otherwise it does nothing.
-func LaunchIfAsked() {
+func LaunchIfRequested() {
 	if os.Getenv(LaunchVariable) == "" {
 		return
 	}
--- a/internal/lab/syscallshim/supervise.go
+++ b/internal/lab/syscallshim/supervise.go
@@ -21,10 +21,10 @@
 // Decision is how a call is handled. The zero value lets it continue unchanged.
 type Decision struct {
 	Errno unix.Errno // if not 0, the call fails with this error and is not performed
-	// Bytes limits a read or write of a socket to this many bytes; 0 means no limit.
-	Bytes int
-	// Break also shuts the socket down, so that it stays unusable after the error. It has no effect without Errno.
-	Break bool
+	// MaxBytes limits a read or write of a socket to this many bytes; 0 means no limit.
+	MaxBytes int
+	// Shutdown also shuts the socket down, so that it stays unusable after the error. It has no effect without Errno.
+	Shutdown bool
 }
 
 // Decide returns the decision for a call. It is called from one goroutine per process.
@@ -51,9 +51,9 @@
 	flags uint32
 }
 
-// Command prepares a command to run under the shim. launcher is a program that calls LaunchIfAsked first; the command's
-// process becomes the program itself by exec. The caller has to call started once it has started the command, or has
-// failed to. Errors of both are *Error.
+// Command prepares a command to run under the shim. launcher is a program that calls LaunchIfRequested first; the
+// command's process becomes the program itself by exec. The caller has to call started once it has started the command,
+// or has failed to. Errors of both are *Error.
 func Command(command *exec.Cmd, launcher string, decide Decide, counts *Counts) (started func() error, err error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -139,7 +139,7 @@
 		return continueCall
 	}
 	if decision.Errno != 0 {
-		if decision.Break {
+		if decision.Shutdown {
 			if fd, err := call.Descriptor(); err == nil {
 				_ = unix.Shutdown(fd, unix.SHUT_RDWR)
 				_ = unix.Close(fd)
@@ -148,7 +148,7 @@
 		counts.Failed.Add(1)
 		return response{errno: -int32(decision.Errno)}
 	}
-	transferred, errno, done := call.transferPartial(decision.Bytes)
+	transferred, errno, done := call.transferPartial(decision.MaxBytes)
 	if !done {
 		return continueCall
 	}
--- a/internal/lab/syscallshim/syscallshim_test.go
+++ b/internal/lab/syscallshim/syscallshim_test.go
@@ -18,7 +18,7 @@
 const clientAddressVariable = "SHIM_TEST_ACT"
 
 func TestMain(m *testing.M) {
-	LaunchIfAsked()
+	LaunchIfRequested()
 	if address := os.Getenv(clientAddressVariable); address != "" {
 		runClient(address)
 		return
@@ -76,7 +76,7 @@
 	require.Positive(t, counts.Seen.Load())
 	text, counts = runUnderShim(t, func(c Call) Decision {
 		if (c.Number == unix.SYS_READ || c.Number == unix.SYS_WRITE) && c.IsSocket() {
-			return Decision{Bytes: 7}
+			return Decision{MaxBytes: 7}
 		}
 		return Decision{}
 	})
@@ -97,7 +97,7 @@
 	} {
 		text, counts := runUnderShim(t, func(call Call) Decision {
 			if call.Number == c.number && (c.number != unix.SYS_READ || call.IsSocket()) {
-				return Decision{Errno: c.errno, Break: true}
+				return Decision{Errno: c.errno, Shutdown: true}
 			}
 			return Decision{}
 		})
--- a/internal/lab/testbed/answers_test.go
+++ b/internal/lab/testbed/answers_test.go
@@ -29,7 +29,7 @@
 // listenLimitedBuffers is Listen with limitBuffers applied to accepted connections.
 func listenLimitedBuffers(t testing.TB) *Peer {
 	t.Helper()
-	ln, err := (&net.ListenConfig{Control: limitBuffers}).Listen(context.Background(), "tcp", KeepPort(t).Address())
+	ln, err := (&net.ListenConfig{Control: limitBuffers}).Listen(context.Background(), "tcp", ReservePort(t).Address())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	return &Peer{Address: ln.Addr().String(), ln: ln}
@@ -48,7 +48,7 @@
 // acceptFromEither returns the limiter's next connection to one of two peers, and the other peer.
 func acceptFromEither(t testing.TB, a, b *Peer) (*Conn, *Peer) {
 	t.Helper()
-	for range int(Patience / (2 * time.Millisecond)) {
+	for range int(Timeout / (2 * time.Millisecond)) {
 		for i, p := range []*Peer{a, b} {
 			_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 			if c, err := p.ln.Accept(); err == nil {
@@ -70,15 +70,15 @@
 			a, b := listenLimitedBuffers(t), listenLimitedBuffers(t)
 			r := Start(t, Config(a, b))
 			client := r.Dial(t)
-			client.Say(t, maxSizeRequest("id", "write", 3000))
+			client.Send(t, maxSizeRequest("id", "write", 3000))
 			first, other := acceptFromEither(t, a, b)
-			require.Equal(t, "*5", first.Line(t))
-			first.Say(t, early)
+			require.Equal(t, "*5", first.ReadLine(t))
+			first.Send(t, early)
 			second := other.Accept(t)
-			require.Equal(t, "id", second.Command(t)[2])
-			second.Serve(t, "value")
-			require.Equal(t, "$value", client.Answer(t))
-			text, _ := first.Rest(t)
+			require.Equal(t, "id", second.ReadCommand(t)[2])
+			second.SendServed(t, "value")
+			require.Equal(t, "$value", client.ReadAnswer(t))
+			text, _ := first.ReadToEnd(t)
 			require.Less(t, len(text), resp.MaxValueBytes, "the server has received the complete request")
 		})
 	}
@@ -161,12 +161,12 @@
 				if !tc.readsRequest {
 					request = maxSizeRequest
 				}
-				client.Say(t, request("id", class, 3000))
+				client.Send(t, request("id", class, 3000))
 				first, other := acceptFromEither(t, one, two)
 				if tc.readsRequest {
-					first.Command(t)
+					first.ReadCommand(t)
 				} else {
-					first.Line(t)
+					first.ReadLine(t)
 				}
 				done := make(chan struct{})
 				go func() {
@@ -183,14 +183,14 @@
 					want = "-BUSY"
 				default:
 					second := other.Accept(t)
-					require.Equal(t, "id", second.Command(t)[2])
-					second.Serve(t, "second")
-					require.Equal(t, "$second", client.Answer(t))
+					require.Equal(t, "id", second.ReadCommand(t)[2])
+					second.SendServed(t, "second")
+					require.Equal(t, "$second", client.ReadAnswer(t))
 					<-done
 					return
 				}
-				require.True(t, strings.HasPrefix(client.Answer(t), want), want)
-				other.None(t, 10*time.Millisecond)
+				require.True(t, strings.HasPrefix(client.ReadAnswer(t), want), want)
+				other.ExpectNoConnection(t, 10*time.Millisecond)
 				<-done
 			})
 		}
@@ -206,15 +206,15 @@
 	require.NoError(t, err)
 	client := &Conn{TCP: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
 	defer func() { _ = conn.Close() }()
-	client.Say(t, Request("0", "write", 3000)+Request("1", "keyed", 3000)+Request("2", "read", 3000))
+	client.Send(t, Request("0", "write", 3000)+Request("1", "keyed", 3000)+Request("2", "read", 3000))
 	var serverConns [3]*Conn
 	for range serverConns {
 		c := server.Accept(t)
-		serverConns[c.Command(t)[2][0]-'0'] = c
+		serverConns[c.ReadCommand(t)[2][0]-'0'] = c
 	}
 	value := func(i int) string { return strings.Repeat(string(rune('a'+i)), resp.MaxValueBytes) }
 	for _, i := range []int{2, 0, 1} {
-		serverConns[i].Serve(t, value(i))
+		serverConns[i].SendServed(t, value(i))
 	}
 	_, err = client.reader.Peek(1)
 	require.NoError(t, err)
@@ -225,13 +225,13 @@
 	case <-time.After(800 * time.Millisecond): // longer than a stopping limiter accepts clients
 	}
 	for i := range serverConns {
-		require.Equal(t, "$"+value(i), client.Answer(t))
+		require.Equal(t, "$"+value(i), client.ReadAnswer(t))
 	}
-	rest, err := client.Rest(t)
+	rest, err := client.ReadToEnd(t)
 	require.NoError(t, err)
 	require.Empty(t, rest)
 	_ = conn.Close()
-	r.WaitDone(t, Patience)
+	r.WaitDone(t, Timeout)
 }
 
 // TestPartialAnswerAtStop checks that a limiter which is told to stop after it received half an answer still waits for
@@ -245,18 +245,18 @@
 		server := Listen(t)
 		r := Start(t, Config(server))
 		client := r.Dial(t)
-		client.Say(t, Request("id", "write", 3000))
+		client.Send(t, Request("id", "write", 3000))
 		c := server.Accept(t)
-		c.Command(t)
-		c.Say(t, firstPart)
+		c.ReadCommand(t)
+		c.Send(t, firstPart)
 		r.Stop()
 		time.Sleep(20 * time.Millisecond) // long enough for a limiter without open requests to close its connections
 		action(c)
-		require.Equal(t, want, client.Answer(t))
-		_, err := client.Rest(t)
+		require.Equal(t, want, client.ReadAnswer(t))
+		_, err := client.ReadToEnd(t)
 		require.NoError(t, err)
 		_ = client.TCP.Close()
-		r.WaitDone(t, Patience)
+		r.WaitDone(t, Timeout)
 	}
 }
 
@@ -270,13 +270,13 @@
 			if name == "refused" {
 				server.Close()
 			} else {
-				server = Full(t)
+				server = ListenFull(t)
 			}
 			r := Start(t, Config(server))
 			client := r.Dial(t)
 			for _, class := range []string{"read", "write", "keyed"} {
-				client.Say(t, Request("id-"+class, class, 3000))
-				answer := client.Answer(t)
+				client.Send(t, Request("id-"+class, class, 3000))
+				answer := client.ReadAnswer(t)
 				require.True(t, strings.HasPrefix(answer, "-BUSY"), "%s: %s", class, answer)
 			}
 		})
@@ -305,15 +305,15 @@
 		config.Counter, config.Settings.CounterTimeout = counter.Address, int64(100*time.Millisecond)
 		r := Start(t, config)
 		counterConn, client := counter.Accept(t), r.Dial(t)
-		client.Say(t, Request("id", "write", 3000))
-		require.Contains(t, counterConn.Line(t), "tally ")
-		counterConn.Say(t, tc.sends)
+		client.Send(t, Request("id", "write", 3000))
+		require.Contains(t, counterConn.ReadLine(t), "tally ")
+		counterConn.Send(t, tc.sends)
 		tc.action(counterConn)
 		if tc.want == "$value" {
 			c := server.Accept(t)
-			c.Command(t)
-			c.Serve(t, "value")
+			c.ReadCommand(t)
+			c.SendServed(t, "value")
 		}
-		require.True(t, strings.HasPrefix(client.Answer(t), tc.want), "%q", tc.sends)
+		require.True(t, strings.HasPrefix(client.ReadAnswer(t), tc.want), "%q", tc.sends)
 	}
 }
--- a/internal/lab/testbed/client_gone_test.go
+++ b/internal/lab/testbed/client_gone_test.go
@@ -23,15 +23,15 @@
 				config := Config(server)
 				config.Settings.DialTimeout = int64(3 * time.Second)
 				client := Start(t, config).Dial(t)
-				client.Say(t, Request("id", class, 4000))
+				client.Send(t, Request("id", class, 4000))
 				// the limiter has dialled by now; the kernel repeats the SYN a second after the first one
 				time.Sleep(300 * time.Millisecond)
 				disconnect(client)
-				conn := accept(Patience) // makes room in the queue, so that the next SYN is accepted
+				conn := accept(Timeout) // makes room in the queue, so that the next SYN is accepted
 				require.NotNil(t, conn)
-				conn.Quiet(t, 300*time.Millisecond)
+				conn.ExpectNothing(t, 300*time.Millisecond)
 				if name == "half-close" {
-					text, err := client.Rest(t)
+					text, err := client.ReadToEnd(t)
 					require.NoError(t, err)
 					require.Empty(t, text)
 				}
--- a/internal/lab/testbed/clients_test.go
+++ b/internal/lab/testbed/clients_test.go
@@ -78,7 +78,7 @@
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		return len(s.amounts) >= calls
-	}, Patience, time.Millisecond)
+	}, Timeout, time.Millisecond)
 	return s.amounts[0]
 }
 
@@ -88,7 +88,7 @@
 	require.Eventually(
 		t,
 		func() bool { return math.Abs(s.total()-units) < 1e-6 },
-		Patience,
+		Timeout,
 		time.Millisecond,
 		"want %v",
 		units,
@@ -117,14 +117,14 @@
 			defer func() { _ = first.Close() }()
 			close(counter.release)
 			client := Start(t, config).Dial(t)
-			client.Say(t, Request("dialled", "write", 4000))
+			client.Send(t, Request("dialled", "write", 4000))
 			reserved := counter.waitForCalls(t, 1)
 			time.Sleep(discardDelay) // the limiter has dialled by now; it does not dial a server that is gone from the list
 			_ = client.TCP.Close()
 			time.Sleep(discardDelay)
 			require.InDelta(t, reserved, counter.total(), 1e-6)
 			server.Accept(t)
-			server.Accept(t).Quiet(t, discardDelay) // the kernel repeats the SYN a second after the dial
+			server.Accept(t).ExpectNothing(t, discardDelay) // the kernel repeats the SYN a second after the dial
 			counter.requireTotal(t, 0)
 		},
 		"one request forwarded, others waiting for the counter": func(
@@ -132,19 +132,19 @@
 		) {
 			r := Start(t, config)
 			client := r.Dial(t)
-			client.Say(t, Request("out", "write", 4000))
+			client.Send(t, Request("out", "write", 4000))
 			reserved := counter.waitForCalls(t, 1)
 			counter.release <- struct{}{}
 			serverConn := server.Accept(t)
-			require.Equal(t, "out", serverConn.Command(t)[2])
-			client.Say(t, Request("w1", "write", 4000)+Request("w2", "read", 4000)+Request("w3", "keyed", 4000))
+			require.Equal(t, "out", serverConn.ReadCommand(t)[2])
+			client.Send(t, Request("w1", "write", 4000)+Request("w2", "read", 4000)+Request("w3", "keyed", 4000))
 			counter.waitForCalls(t, 4)
 			_ = client.TCP.Close()
 			time.Sleep(discardDelay)
-			serverConn.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+			serverConn.Send(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
 			close(counter.release)
-			server.None(t, discardDelay)
-			serverConn.Quiet(t, discardDelay)
+			server.ExpectNoConnection(t, discardDelay)
+			serverConn.ExpectNothing(t, discardDelay)
 			counter.requireTotal(t, 3*reserved)
 		},
 		"many clients, all waiting for the counter": func(
@@ -156,7 +156,7 @@
 			clients := make([]*Conn, clientCount)
 			for i := range clients {
 				clients[i] = r.Dial(t)
-				clients[i].Say(t, Request(fmt.Sprint("many", i), "write", 4000))
+				clients[i].Send(t, Request(fmt.Sprint("many", i), "write", 4000))
 			}
 			counter.waitForCalls(t, clientCount)
 			for i, c := range clients {
@@ -168,7 +168,7 @@
 			}
 			time.Sleep(discardDelay)
 			close(counter.release)
-			server.None(t, discardDelay)
+			server.ExpectNoConnection(t, discardDelay)
 			counter.requireTotal(t, 0)
 		},
 	} {
@@ -214,8 +214,8 @@
 		t.Helper()
 		c := r.Dial(t)
 		defer func() { _ = c.TCP.Close() }()
-		c.Say(t, Request(id, "read", 2000))
-		require.Equal(t, "$value", c.Answer(t))
+		c.Send(t, Request(id, "read", 2000))
+		require.Equal(t, "$value", c.ReadAnswer(t))
 	}
 	requireServed("first")
 	goroutinesBefore, descriptorsBefore := runtime.NumGoroutine(), openDescriptors(t)
@@ -227,8 +227,8 @@
 	for i := range flooders {
 		c := r.Dial(t)
 		// to make room, the limiter first closes clients that have sent no request
-		c.Say(t, Request(fmt.Sprint("flood", i), "read", 2000))
-		require.Equal(t, "$value", c.Answer(t))
+		c.Send(t, Request(fmt.Sprint("flood", i), "read", 2000))
+		require.Equal(t, "$value", c.ReadAnswer(t))
 		if flooders[i] = c; i < len(flooders)-1 {
 			go func() { _, _ = io.Copy(io.Discard, c.TCP) }()
 		}
@@ -252,9 +252,9 @@
 		"",
 	}
 	for i := range 500 {
-		c, err := net.DialTimeout("tcp", r.Address, Patience)
+		c, err := net.DialTimeout("tcp", r.Address, Timeout)
 		require.NoError(t, err)
-		_ = c.SetWriteDeadline(time.Now().Add(Patience))
+		_ = c.SetWriteDeadline(time.Now().Add(Timeout))
 		_, _ = io.WriteString(c, payloads[i%len(payloads)]) // fails if the limiter has reset the connection
 		if i%3 == 0 {
 			_ = c.(*net.TCPConn).SetLinger(0)
@@ -267,7 +267,7 @@
 		func() bool {
 			return openDescriptors(t) <= descriptorsBefore+2 && runtime.NumGoroutine() <= goroutinesBefore+2
 		},
-		2*Patience,
+		2*Timeout,
 		10*time.Millisecond,
 	)
 	runtime.GC()
--- a/internal/lab/testbed/counter_settlement_test.go
+++ b/internal/lab/testbed/counter_settlement_test.go
@@ -24,16 +24,16 @@
 	server, counter := Listen(t), Listen(t)
 	r := Start(t, configWithCounter(counter, server))
 	client := r.Dial(t)
-	client.Say(t, Request("a", "read", 3000))
+	client.Send(t, Request("a", "read", 3000))
 	counterConn := counter.Accept(t)
 	window, reserved := counterConn.readTally(t)
-	counterConn.Say(t, "busy\r\n")
+	counterConn.Send(t, "busy\r\n")
 	c := server.Accept(t)
-	require.Equal(t, "a", c.Command(t)[2])
+	require.Equal(t, "a", c.ReadCommand(t)[2])
 	r.Stop()
-	counterConn.Quiet(t, 700*time.Millisecond) // nothing is settled while the attempt is in flight
-	c.Serve(t, "value")
-	require.Equal(t, "$value", client.Answer(t))
+	counterConn.ExpectNothing(t, 700*time.Millisecond) // nothing is settled while the attempt is in flight
+	c.SendServed(t, "value")
+	require.Equal(t, "$value", client.ReadAnswer(t))
 	windowAtEnd, added := counterConn.readTally(t)
 	sameWindow = window == windowAtEnd
 	if sameWindow {
@@ -44,11 +44,11 @@
 		t.Fatal("the limiter finished before the counter answered")
 	case <-time.After(50 * time.Millisecond):
 	}
-	counterConn.Say(t, "ok 1\r\n")
-	_, err := client.Rest(t)
+	counterConn.Send(t, "ok 1\r\n")
+	_, err := client.ReadToEnd(t)
 	require.NoError(t, err)
 	_ = client.TCP.Close()
-	r.WaitDone(t, Patience)
-	counterConn.Quiet(t, 50*time.Millisecond) // the units are added once only
+	r.WaitDone(t, Timeout)
+	counterConn.ExpectNothing(t, 50*time.Millisecond) // the units are added once only
 	return sameWindow
 }
--- a/internal/lab/testbed/deadlines_test.go
+++ b/internal/lab/testbed/deadlines_test.go
@@ -57,7 +57,7 @@
 // waitReadable waits until data has arrived on one of the connections and returns that connection.
 func waitReadable(t testing.TB, conns ...*Conn) *Conn {
 	t.Helper()
-	for end := time.Now().Add(Patience); time.Now().Before(end); {
+	for end := time.Now().Add(Timeout); time.Now().Before(end); {
 		for _, c := range conns {
 			_ = c.TCP.SetReadDeadline(time.Now().Add(time.Millisecond))
 			if _, err := c.reader.Peek(1); err == nil {
@@ -124,7 +124,7 @@
 			}
 		}
 		return want == noConnection
-	}, Patience, 50*time.Millisecond) // reading the table takes long
+	}, Timeout, 50*time.Millisecond) // reading the table takes long
 }
 
 // listEntry is a server in an endpoint list.
@@ -153,19 +153,19 @@
 func (d *discoveryStub) awaitPoll(t testing.TB) {
 	t.Helper()
 	for {
-		_ = d.conn.TCP.SetReadDeadline(time.Now().Add(Patience))
+		_ = d.conn.TCP.SetReadDeadline(time.Now().Add(Timeout))
 		line, err := d.conn.reader.ReadString('\n')
 		// on a loaded machine the limiter may have timed out and polls again on a new connection
 		if err != nil {
 			d.conn = d.listener.Accept(t)
 			continue
 		}
-		for d.conn.Line(t) != "" {
+		for d.conn.ReadLine(t) != "" {
 		}
 		if strings.Contains(line, fmt.Sprintf("from=%d&", d.generation)) {
 			return
 		}
-		d.conn.Say(t, d.lastAnswer)
+		d.conn.Send(t, d.lastAnswer)
 	}
 }
 
@@ -175,7 +175,7 @@
 	d.generation++
 	body := fullList(d.generation, entries...)
 	d.lastAnswer = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	d.conn.Say(t, d.lastAnswer)
+	d.conn.Send(t, d.lastAnswer)
 	d.awaitPoll(t)
 }
 
@@ -228,9 +228,9 @@
 // the connection to s0.
 func (s *attemptFixture) startAttempt(t testing.TB, text string, more ...listEntry) *Conn {
 	t.Helper()
-	s.client.Say(t, text)
+	s.client.Send(t, text)
 	c := s.s0.Accept(t)
-	c.Command(t)
+	c.ReadCommand(t)
 	if len(more) > 0 {
 		s.discovery.publish(t, append([]listEntry{s.s0Entry()}, more...)...)
 	}
@@ -245,7 +245,7 @@
 // requirePartialCommand fails the test unless the server has received a part of a largeRequest, but not all of it.
 func requirePartialCommand(t testing.TB, c *Conn) {
 	t.Helper()
-	text, _ := c.Rest(t)
+	text, _ := c.ReadToEnd(t)
 	require.NotEmpty(t, text)
 	require.Less(t, len(text), 60000, "the command was completed")
 }
@@ -262,7 +262,7 @@
 	firstAttempt := func(class string, deadlineMillis int) func(*testing.T, *attemptFixture, listEntry) {
 		return func(t *testing.T, s *attemptFixture, last listEntry) {
 			s.discovery.publish(t, last)
-			s.client.Say(t, Request("id", class, deadlineMillis))
+			s.client.Send(t, Request("id", class, deadlineMillis))
 		}
 	}
 	clientResets := func(t *testing.T, s *attemptFixture, _ listEntry) { s.client.Reset() }
@@ -324,26 +324,26 @@
 				c.event(t, s, last)
 			}
 			if c.notConnected {
-				require.Contains(t, s.client.Answer(t), c.answer)
+				require.Contains(t, s.client.ReadAnswer(t), c.answer)
 				require.Nil(t, accept(1200*time.Millisecond), "the limiter has opened a connection")
 				return
 			}
-			conn := accept(Patience)
+			conn := accept(Timeout)
 			require.NotNil(t, conn)
 			switch {
 			case name == "client disconnects":
-				conn.Quiet(t, 100*time.Millisecond)
+				conn.ExpectNothing(t, 100*time.Millisecond)
 			case c.answer != "": // the attempt was not sent, and there is no further one
-				require.Contains(t, s.client.Answer(t), c.answer)
-				conn.Quiet(t, 20*time.Millisecond)
+				require.Contains(t, s.client.ReadAnswer(t), c.answer)
+				conn.ExpectNothing(t, 20*time.Millisecond)
 			default:
 				var left int
-				words := conn.Command(t)
+				words := conn.ReadCommand(t)
 				_, err := fmt.Sscanf(words[3][strings.Index(words[3], "d="):], "d=%d", &left)
 				require.NoError(t, err)
 				require.LessOrEqual(t, left, 19000, "remaining time")
-				conn.Serve(t, "value")
-				require.Equal(t, "$value", s.client.Answer(t))
+				conn.SendServed(t, "value")
+				require.Equal(t, "$value", s.client.ReadAnswer(t))
 			}
 		})
 	}
@@ -356,9 +356,9 @@
 	s := newAttemptFixture(t, time.Second, func(c *settings.Config) {
 		c.Known = []byte(fullList(1, inService("s0", server, "a")))
 	})
-	s.client.Say(t, largeRequest("id", "write", 400))
+	s.client.Send(t, largeRequest("id", "write", 400))
 	c := server.Accept(t)
-	require.Equal(t, "-ERR written off", s.client.Answer(t))
+	require.Equal(t, "-ERR written off", s.client.ReadAnswer(t))
 	waitForState(t, c.TCP.RemoteAddr().String(), server.Address, noConnection) // the limiter has closed it
 	requirePartialCommand(t, c)
 }
@@ -372,7 +372,7 @@
 	})
 	var conns []*Conn // at least one connection to each server, with small send buffers
 	for connected := map[*Peer]bool{}; len(connected) < 2; {
-		s.client.Say(t, Request(fmt.Sprint("id-", len(conns)), "read", 20000))
+		s.client.Send(t, Request(fmt.Sprint("id-", len(conns)), "read", 20000))
 		for n := len(conns); len(conns) == n; {
 			for _, p := range servers {
 				_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
@@ -384,18 +384,18 @@
 		}
 	}
 	for _, c := range conns {
-		c.Command(t)
-		c.Serve(t, "value")
-		require.Equal(t, "$value", s.client.Answer(t))
+		c.ReadCommand(t)
+		c.SendServed(t, "value")
+		require.Equal(t, "$value", s.client.ReadAnswer(t))
 		c.shrinkPeerSendBuffer(t)
 	}
 	time.Sleep(50 * time.Millisecond) // the connections become idle
-	s.client.Say(t, largeRequest("id", "keyed", 30000))
+	s.client.Send(t, largeRequest("id", "keyed", 30000))
 	first := waitReadable(t, conns...)
-	first.Command(t)
+	first.ReadCommand(t)
 	first.Reset()
 	second := waitReadable(t, slices.DeleteFunc(conns, func(c *Conn) bool { return c == first })...)
-	require.Regexp(t, "^-BUSY", s.client.Answer(t))
+	require.Regexp(t, "^-BUSY", s.client.ReadAnswer(t))
 	requirePartialCommand(t, second)
 }
 
@@ -406,11 +406,11 @@
 	server := Listen(t)
 	first := s.startAttempt(t, Request("id", "keyed", 5000), inService("s1", server, "b"))
 	time.Sleep(150 * time.Millisecond)
-	first.Say(t, "-BUSY\r\n")
+	first.Send(t, "-BUSY\r\n")
 	c := server.Accept(t)
-	c.Command(t)
-	c.Serve(t, "value")
-	require.Equal(t, "$value", s.client.Answer(t))
+	c.ReadCommand(t)
+	c.SendServed(t, "value")
+	require.Equal(t, "$value", s.client.ReadAnswer(t))
 }
 
 // TestServerChangesZone checks that a retry stays within the zone in which the previous attempt may have run, even if
@@ -421,7 +421,7 @@
 	first := s.startAttempt(t, Request("id", "near", 5000))
 	s.discovery.publish(t, inService("s0", s.s0, "b"), inService("s1", server, "b"))
 	first.Reset()
-	require.Equal(t, "-ERR written off", s.client.Answer(t))
+	require.Equal(t, "-ERR written off", s.client.ReadAnswer(t))
 	c := server.Accept(t)
-	c.Quiet(t, 50*time.Millisecond)
+	c.ExpectNothing(t, 50*time.Millisecond)
 }
--- a/internal/lab/testbed/evict_test.go
+++ b/internal/lab/testbed/evict_test.go
@@ -25,11 +25,11 @@
 	var idle []*Conn
 	for i := range 4 { // idle clients that have sent a request
 		c := r.Dial(t)
-		c.Say(t, Request(fmt.Sprint("first", i), "read", 4000))
+		c.Send(t, Request(fmt.Sprint("first", i), "read", 4000))
 		serving := server.Accept(t)
-		serving.Command(t)
-		serving.Serve(t, "v")
-		require.Equal(t, "$v", c.Answer(t))
+		serving.ReadCommand(t)
+		serving.SendServed(t, "v")
+		require.Equal(t, "$v", c.ReadAnswer(t))
 		serving.Reset() // so that each open request gets a connection of its own
 		idle = append(idle, c)
 	}
@@ -38,15 +38,15 @@
 	serving := map[string]*Conn{}
 	for i := range open {
 		open[i] = r.Dial(t)
-		open[i].Say(t, Request(fmt.Sprint("open", i), classes[i%3], 4000))
+		open[i].Send(t, Request(fmt.Sprint("open", i), classes[i%3], 4000))
 		c := server.Accept(t)
-		serving[c.Command(t)[2]] = c
+		serving[c.ReadCommand(t)[2]] = c
 	}
 	for _, class := range classes {
 		rejected := r.Dial(t)
 		start := time.Now()
-		rejected.Say(t, Request("more", class, 4000))
-		require.Regexp(t, "^-BUSY", rejected.Answer(t))
+		rejected.Send(t, Request("more", class, 4000))
+		require.Regexp(t, "^-BUSY", rejected.ReadAnswer(t))
 		require.Less(t, time.Since(start), time.Second)
 		idle = append(idle, rejected)
 	}
@@ -54,15 +54,15 @@
 		idle = append(idle, r.Dial(t))
 	}
 	for i, c := range idle {
-		rest, err := c.Rest(t)
+		rest, err := c.ReadToEnd(t)
 		require.True(t, rest == "" && err == nil, "idle client %d: %q, %v", i, rest, err)
 	}
-	server.None(t, time.Millisecond)
+	server.ExpectNoConnection(t, time.Millisecond)
 	for i, c := range open {
 		id := fmt.Sprint("open", i)
-		serving[id].Quiet(t, time.Millisecond)
-		serving[id].Serve(t, id)
-		require.Equal(t, "$"+id, c.Answer(t))
+		serving[id].ExpectNothing(t, time.Millisecond)
+		serving[id].SendServed(t, id)
+		require.Equal(t, "$"+id, c.ReadAnswer(t))
 	}
 }
 
@@ -73,20 +73,20 @@
 		t.Run(class, func(t *testing.T) {
 			f := newWatchFixture(t)
 			client := f.Dial(t)
-			client.Say(t, Request("out", class, 4000))
+			client.Send(t, Request("out", class, 4000))
 			old := f.s0.Accept(t)
-			require.Equal(t, "out", old.Command(t)[2])
-			f.pollConn.Say(t, okResponse(listJSON(2, true, entryJSON("s1", f.s1, "in_service", 0))))
+			require.Equal(t, "out", old.ReadCommand(t)[2])
+			f.pollConn.Send(t, okResponse(listJSON(2, true, entryJSON("s1", f.s1, "in_service", 0))))
 			require.Equal(t, "2", f.pollConn.readPoll(t))
 			f.requireServed(t, f.s1)
-			old.Quiet(t, time.Millisecond)
-			old.Serve(t, "late")
-			require.Equal(t, "$late", client.Answer(t))
-			rest, err := old.Rest(t)
+			old.ExpectNothing(t, time.Millisecond)
+			old.SendServed(t, "late")
+			require.Equal(t, "$late", client.ReadAnswer(t))
+			rest, err := old.ReadToEnd(t)
 			require.True(t, rest == "" && err == nil, "%q, %v", rest, err)
-			f.s0.None(t, time.Millisecond)
+			f.s0.ExpectNoConnection(t, time.Millisecond)
 			f.Sockets.Halt()
-			f.WaitDone(t, Patience)
+			f.WaitDone(t, Timeout)
 			pools := reflect.ValueOf(f.Limiter).Elem().FieldByName("servers").FieldByName("pools")
 			require.Equal(t, 1, pools.Len(), "%v", pools.MapKeys())
 		})
--- a/internal/lab/testbed/notification_test.go
+++ b/internal/lab/testbed/notification_test.go
@@ -335,8 +335,8 @@
 	t.Helper()
 	_, countS0 := f.s0.lastRequest()
 	_, countS1 := f.s1.lastRequest()
-	f.client.Say(t, Request(fmt.Sprint("id-", countS0+countS1), "read", 2000))
-	require.Equal(t, "$value", f.client.Answer(t))
+	f.client.Send(t, Request(fmt.Sprint("id-", countS0+countS1), "read", 2000))
+	require.Equal(t, "$value", f.client.ReadAnswer(t))
 	time.Sleep(requestInterval)
 }
 
--- a/internal/lab/testbed/reload_test.go
+++ b/internal/lab/testbed/reload_test.go
@@ -39,7 +39,7 @@
 		defer l.mutex.Unlock()
 		text = l.text.String()
 		return strings.Contains(text, "event=config-read")
-	}, Patience, time.Millisecond)
+	}, Timeout, time.Millisecond)
 	for line := range strings.Lines(text) {
 		if _, key, found := strings.Cut(strings.TrimSpace(line), "event=config-kept key="); found {
 			keys = append(keys, strings.Trim(key, `"`))
@@ -79,15 +79,15 @@
 	r := Start(t, config)
 	counterConn, client := counter.Accept(t), r.Dial(t)
 	serve := func(id string, c *Conn) *Conn {
-		client.Say(t, Request(id, "read", 2000))
-		require.True(t, strings.HasPrefix(counterConn.Line(t), "tally "), "no tally was sent to the counter")
-		counterConn.Say(t, "ok 1\r\n")
+		client.Send(t, Request(id, "read", 2000))
+		require.True(t, strings.HasPrefix(counterConn.ReadLine(t), "tally "), "no tally was sent to the counter")
+		counterConn.Send(t, "ok 1\r\n")
 		if c == nil {
 			c = server.Accept(t)
 		}
-		require.Equal(t, id, c.Command(t)[2])
-		c.Serve(t, "value")
-		require.Equal(t, "$value", client.Answer(t))
+		require.Equal(t, id, c.ReadCommand(t)[2])
+		c.SendServed(t, "value")
+		require.Equal(t, "$value", client.ReadAnswer(t))
 		return c
 	}
 	c := serve("first", nil)
@@ -119,9 +119,9 @@
 		logged.keptKeys(t),
 	)
 	serve("second", c)
-	counter.None(t, 20*time.Millisecond)
-	client.Say(t, Request("unknown", "new", 2000))
-	require.Equal(t, "-ERR unknown class", client.Answer(t))
+	counter.ExpectNoConnection(t, 20*time.Millisecond)
+	client.Send(t, Request("unknown", "new", 2000))
+	require.Equal(t, "-ERR unknown class", client.ReadAnswer(t))
 }
 
 // blockingLog is a log writer that blocks the reducer. The write of the line that contains trigger closes blocked and
@@ -161,11 +161,11 @@
 		r := Start(t, config)
 		poll, client := discovery.Accept(t), r.Dial(t)
 		poll.readPoll(t)
-		client.Say(t, Request("first", "read", 2000))
+		client.Send(t, Request("first", "read", 2000))
 		conn := server.Accept(t)
-		conn.Command(t)
-		conn.Serve(t, "value")
-		require.Equal(t, "$value", client.Answer(t))
+		conn.ReadCommand(t)
+		conn.SendServed(t, "value")
+		require.Equal(t, "$value", client.ReadAnswer(t))
 		time.Sleep(50 * time.Millisecond) // the server connection becomes idle
 		s := &blockingLog{trigger: "event=config-read", blocked: make(chan struct{}), release: make(chan struct{})}
 		redirectLog(t, s)
@@ -173,21 +173,21 @@
 		<-s.blocked
 		body := `{"generation":2,"instances":[{"instanceId":"s0","lifecycle":"terminating"}]}`
 		drainResponse := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		client.Say(t, Request("second", "read", 2000))
+		client.Send(t, Request("second", "read", 2000))
 		time.Sleep(20 * time.Millisecond) // the request arrives before the list
-		poll.Say(t, drainResponse)
+		poll.Send(t, drainResponse)
 		time.Sleep(c.block)
 		close(s.release)
 		newPoll := discovery.Accept(t)
 		newPoll.readPoll(t)
-		newPoll.Say(t, drainResponse)
-		sent, err := conn.Rest(t)
+		newPoll.Send(t, drainResponse)
+		sent, err := conn.ReadToEnd(t)
 		require.NoError(t, err)
 		require.Empty(t, sent, "a request was forwarded after the drain grace")
-		require.Regexp(t, "^-BUSY", client.Answer(t))
+		require.Regexp(t, "^-BUSY", client.ReadAnswer(t))
 		client.Reset()
 		r.Stop()
-		defer r.WaitDone(t, Patience) // the limiter dials while it stops, and Halt does not wait for dials
+		defer r.WaitDone(t, Timeout) // the limiter dials while it stops, and Halt does not wait for dials
 	}
 }
 
@@ -248,7 +248,7 @@
 			for conn, err := server.ln.Accept(); err == nil; conn, err = server.ln.Accept() {
 				go func() {
 					defer func() { _ = conn.Close() }()
-					_ = emulator.Commands(conn, func([][]byte) bool {
+					_ = emulator.ReadCommands(conn, func([][]byte) bool {
 						_, err := io.WriteString(conn, ServedAnswer("value"))
 						return err == nil
 					})
@@ -257,8 +257,8 @@
 		}()
 		client := r.Dial(t)
 		for _, class := range []string{"read", "write", "keyed"} {
-			client.Say(t, Request("id-"+class, class, 1000))
-			require.Regexp(t, c.answer, client.Answer(t), class)
+			client.Send(t, Request("id-"+class, class, 1000))
+			require.Regexp(t, c.answer, client.ReadAnswer(t), class)
 		}
 	}
 }
--- a/internal/lab/testbed/stop_test.go
+++ b/internal/lab/testbed/stop_test.go
@@ -34,7 +34,7 @@
 // amount.
 func (c *Conn) readTally(t testing.TB) (name string, amount float64) {
 	t.Helper()
-	words := strings.Fields(c.Line(t))
+	words := strings.Fields(c.ReadLine(t))
 	require.Len(t, words, 4)
 	amount, err := strconv.ParseFloat(words[2], 64)
 	require.NoError(t, err)
@@ -60,23 +60,23 @@
 			t.Run(fmt.Sprintf("%s, client gone %v", phase, clientGone), func(t *testing.T) {
 				counter, server := Listen(t), Listen(t)
 				if phase == "dialling" {
-					server = Full(t)
+					server = ListenFull(t)
 				}
 				config := configWithCounter(counter, server)
 				config.Settings.DialTimeout = 12e8 // longer than a process without open work takes to end
 				r := Start(t, config)
 				t.Parallel() // after Start, which sets a package variable of nbio
 				counterConn, client := counter.Accept(t), r.Dial(t)
-				client.Say(t, Request("id", "read", 4000))
+				client.Send(t, Request("id", "read", 4000))
 				reserved := counterConn.readTallyAmount(t)
 				require.Positive(t, reserved)
 				var c *Conn
 				if phase != "reserving" {
-					counterConn.Say(t, "ok 1\r\n")
+					counterConn.Send(t, "ok 1\r\n")
 				}
 				if phase == "sent" {
 					c = server.Accept(t)
-					c.Command(t)
+					c.ReadCommand(t)
 				}
 				stopped := time.Now()
 				r.Stop()
@@ -85,30 +85,30 @@
 				}
 				r.requireRunning(t, stopped)
 				if phase == "reserving" {
-					counterConn.Say(t, "ok 1\r\n")
+					counterConn.Send(t, "ok 1\r\n")
 				}
 				if !clientGone && phase == "reserving" {
 					c = server.Accept(t)
-					c.Command(t)
+					c.ReadCommand(t)
 				}
 				if c != nil {
-					c.Say(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
+					c.Send(t, "*3\r\n$5\r\nvalue\r\n$6\r\ncost=3\r\n$-1\r\n")
 					require.InDelta(t, 2, counterConn.readTallyAmount(t)/reserved, 1e-6, "the actual units less the reserved ones")
 				} else { // no server received the request, so all units are returned
 					require.InDelta(t, -1, counterConn.readTallyAmount(t)/reserved, 1e-6)
 				}
 				if !clientGone && c != nil {
-					require.Equal(t, "$value", client.Answer(t))
+					require.Equal(t, "$value", client.ReadAnswer(t))
 				} else if !clientGone {
-					require.Contains(t, client.Answer(t), "-BUSY")
+					require.Contains(t, client.ReadAnswer(t), "-BUSY")
 				}
 				select { // the limiter has to wait for the counter's answer
 				case <-r.Done():
 					t.Fatal("the limiter finished before the counter answered")
 				case <-time.After(50 * time.Millisecond):
 				}
-				counterConn.Say(t, "ok 1\r\n")
-				r.WaitDone(t, Patience)
+				counterConn.Send(t, "ok 1\r\n")
+				r.WaitDone(t, Timeout)
 			})
 		}
 	}
@@ -131,8 +131,8 @@
 		_, err = io.WriteString(c, strings.Repeat("*1\r\n$4\r\nECHO\r\n", answers))
 		require.NoError(t, err)
 		barrier := r.Dial(t) // once it has an answer, the limiter has read the commands of c
-		barrier.Say(t, "*1\r\n$4\r\nPING\r\n")
-		_ = barrier.Answer(t)
+		barrier.Send(t, "*1\r\n$4\r\nPING\r\n")
+		_ = barrier.ReadAnswer(t)
 	}
 	// repeat runs action every 60 ms until it fails or the limiter has finished.
 	repeat := func(r *Rig, action func() error) {
@@ -154,12 +154,12 @@
 		"answers unread, in the kernel's buffer":  func(t *testing.T, r *Rig, _ *Peer) { floodUnread(t, r, 1e3) },
 		"partial command at all times": func(t *testing.T, r *Rig, server *Peer) {
 			client := r.Dial(t)
-			client.Say(t, Request("id", "read", 2000))
+			client.Send(t, Request("id", "read", 2000))
 			c := server.Accept(t)
-			c.Command(t)
-			c.Serve(t, "v")
-			require.Equal(t, "$v", client.Answer(t))
-			client.Say(t, "*1\r\n")
+			c.ReadCommand(t)
+			c.SendServed(t, "v")
+			require.Equal(t, "$v", client.ReadAnswer(t))
+			client.Send(t, "*1\r\n")
 			repeat(r, func() error {
 				_, err := client.TCP.Write([]byte("$4\r\nPING\r\n*1\r\n"))
 				return err
@@ -193,22 +193,22 @@
 	server := Listen(t)
 	r := Start(t, Config(server))
 	idle, active := r.Dial(t), r.Dial(t)
-	active.Say(t, Request("a0", "write", 3000))
+	active.Send(t, Request("a0", "write", 3000))
 	c := server.Accept(t)
-	require.Equal(t, "a0", c.Command(t)[2])
+	require.Equal(t, "a0", c.ReadCommand(t)[2])
 	r.Stop()
-	_, err := idle.Rest(t)
+	_, err := idle.ReadToEnd(t)
 	require.NoError(t, err)
-	idle.Say(t, Request("r0", "write", 3000))
-	active.Say(t, Request("a1", "write", 3000))
-	server.None(t, 20*time.Millisecond)
-	c.Serve(t, "value")
-	require.Equal(t, "$value", active.Answer(t))
-	require.Contains(t, active.Answer(t), "-BUSY", "a request sent during the shutdown")
-	_, err = active.Rest(t)
+	idle.Send(t, Request("r0", "write", 3000))
+	active.Send(t, Request("a1", "write", 3000))
+	server.ExpectNoConnection(t, 20*time.Millisecond)
+	c.SendServed(t, "value")
+	require.Equal(t, "$value", active.ReadAnswer(t))
+	require.Contains(t, active.ReadAnswer(t), "-BUSY", "a request sent during the shutdown")
+	_, err = active.ReadToEnd(t)
 	require.NoError(t, err)
-	active.Say(t, Request("a2", "write", 3000)) // the limiter has closed its side only, so the write succeeds
+	active.Send(t, Request("a2", "write", 3000)) // the limiter has closed its side only, so the write succeeds
 	r.WaitDone(t, 2*time.Second)
-	server.None(t, 10*time.Millisecond)
-	c.Quiet(t, 10*time.Millisecond) // nothing more was forwarded
+	server.ExpectNoConnection(t, 10*time.Millisecond)
+	c.ExpectNothing(t, 10*time.Millisecond) // nothing more was forwarded
 }
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -32,8 +32,8 @@
 	Fatal(args ...any)
 }
 
-// Patience is how long a test waits for an event that must happen before it fails.
-const Patience = 5 * time.Second
+// Timeout is how long a test waits for an event that must happen before it fails.
+const Timeout = 5 * time.Second
 
 // maxDescriptors sizes nbio's table of descriptors. The table has to cover all descriptors of the process, and limiters
 // that have finished keep theirs until the tests end.
@@ -91,7 +91,7 @@
 	t.Helper()
 	startMutex.Lock() // sockets.Listen sets a package variable of nbio
 	defer startMutex.Unlock()
-	r := &Rig{Address: KeepPort(t).Address(), stopRequested: make(chan struct{}), done: make(chan struct{}),
+	r := &Rig{Address: ReservePort(t).Address(), stopRequested: make(chan struct{}), done: make(chan struct{}),
 		reloads: make(chan *settings.Config), config: *config}
 	var err error
 	r.Sockets, err = sockets.Listen(r.Address, limiter.MaxClients(config), maxDescriptors)
@@ -109,7 +109,7 @@
 		r.Sockets.Halt()
 		select {
 		case <-r.done:
-		case <-time.After(Patience): // nbio may wait forever for a connection to close while it stops
+		case <-time.After(Timeout): // nbio may wait forever for a connection to close while it stops
 		}
 	})
 	return r
@@ -138,10 +138,10 @@
 	}
 }
 
-// KeepPort reserves a loopback port until the end of the test. Listeners may be opened on it repeatedly.
-func KeepPort(t T) *ports.Kept {
+// ReservePort reserves a loopback port until the end of the test. Listeners may be opened on it repeatedly.
+func ReservePort(t T) *ports.Reserved {
 	t.Helper()
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	require.NoError(t, err)
 	t.Cleanup(port.Close)
 	return port
@@ -157,15 +157,15 @@
 // that another program could get the port and accept them.
 func Listen(t T) *Peer {
 	t.Helper()
-	ln, err := KeepPort(t).Listen()
+	ln, err := ReservePort(t).Listen()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	return &Peer{Address: ln.Addr().String(), ln: ln}
 }
 
-// Full opens a Peer whose accept queue is full, so that connection attempts time out. Each Accept takes one connection
-// from the queue and makes room for the next attempt.
-func Full(t T) *Peer {
+// ListenFull opens a Peer whose accept queue is full, so that connection attempts time out. Each Accept takes one
+// connection from the queue and makes room for the next attempt.
+func ListenFull(t T) *Peer {
 	t.Helper()
 	peer := Listen(t)
 	raw, err := peer.ln.(*net.TCPListener).SyscallConn()
@@ -182,18 +182,18 @@
 	}
 }
 
-// Accept returns the next connection to the peer, and fails the test if none comes within Patience.
+// Accept returns the next connection to the peer, and fails the test if none comes within Timeout.
 func (p *Peer) Accept(t T) *Conn {
 	t.Helper()
-	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patience))
+	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(Timeout))
 	c, err := p.ln.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
 	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
-// None fails the test if the limiter opens a connection to the peer within the given time.
-func (p *Peer) None(t T, within time.Duration) {
+// ExpectNoConnection fails the test if the limiter opens a connection to the peer within the given time.
+func (p *Peer) ExpectNoConnection(t T, within time.Duration) {
 	t.Helper()
 	_ = p.ln.(*net.TCPListener).SetDeadline(time.Now().Add(within))
 	if c, err := p.ln.Accept(); err == nil {
@@ -214,7 +214,7 @@
 // Dial opens a client connection to the limiter.
 func (r *Rig) Dial(t T) *Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", r.Address, Patience)
+	c, err := net.DialTimeout("tcp", r.Address, Timeout)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
 	return &Conn{TCP: c.(*net.TCPConn), reader: bufio.NewReader(c)}
@@ -232,18 +232,18 @@
 	return string(resp.AppendCommand(nil, words...))
 }
 
-// Say writes text, and fails the test on an error.
-func (c *Conn) Say(t T, text string) {
+// Send writes text, and fails the test on an error.
+func (c *Conn) Send(t T, text string) {
 	t.Helper()
-	_ = c.TCP.SetWriteDeadline(time.Now().Add(Patience))
+	_ = c.TCP.SetWriteDeadline(time.Now().Add(Timeout))
 	_, err := io.WriteString(c.TCP, text)
 	require.NoError(t, err)
 }
 
-// Serve answers a command successfully with value.
-func (c *Conn) Serve(t T, value string) {
+// SendServed answers a command successfully with value.
+func (c *Conn) SendServed(t T, value string) {
 	t.Helper()
-	c.Say(t, ServedAnswer(value))
+	c.Send(t, ServedAnswer(value))
 }
 
 // ServedAnswer returns a server's complete successful answer with value and two null fields.
@@ -251,20 +251,20 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// Line reads one line and returns it without the line break.
-func (c *Conn) Line(t T) string {
+// ReadLine reads one line and returns it without the line break.
+func (c *Conn) ReadLine(t T) string {
 	t.Helper()
-	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
+	_ = c.TCP.SetReadDeadline(time.Now().Add(Timeout))
 	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err, "read %q", line)
 	return strings.TrimRight(line, "\r\n")
 }
 
-// Command reads one complete command and returns its words.
-func (c *Conn) Command(t T) []string {
+// ReadCommand reads one complete command and returns its words.
+func (c *Conn) ReadCommand(t T) []string {
 	t.Helper()
 	var n int
-	_, err := fmt.Sscanf(c.Line(t), "*%d", &n)
+	_, err := fmt.Sscanf(c.ReadLine(t), "*%d", &n)
 	require.NoError(t, err)
 	words := make([]string, n)
 	for i := range words {
@@ -276,7 +276,7 @@
 func (c *Conn) readBulk(t T) string {
 	t.Helper()
 	var n int
-	_, err := fmt.Sscanf(c.Line(t), "$%d", &n)
+	_, err := fmt.Sscanf(c.ReadLine(t), "$%d", &n)
 	require.NoError(t, err)
 	text := make([]byte, n+2)
 	_, err = io.ReadFull(c.reader, text)
@@ -284,10 +284,10 @@
 	return string(text[:n])
 }
 
-// Answer reads one answer to a client. It returns "$" followed by the value, or the line of an error with its "-".
-func (c *Conn) Answer(t T) string {
+// ReadAnswer reads one answer to a client. It returns "$" followed by the value, or the line of an error with its "-".
+func (c *Conn) ReadAnswer(t T) string {
 	t.Helper()
-	line := c.Line(t)
+	line := c.ReadLine(t)
 	if !strings.HasPrefix(line, "$") {
 		return line
 	}
@@ -300,17 +300,17 @@
 	return "$" + string(text[:n])
 }
 
-// Rest reads until the connection ends. It returns the text read, and the error with which the connection ended, nil
-// for a graceful close.
-func (c *Conn) Rest(t T) (string, error) {
+// ReadToEnd reads until the connection ends. It returns the text read, and the error with which the connection ended,
+// nil for a graceful close.
+func (c *Conn) ReadToEnd(t T) (string, error) {
 	t.Helper()
-	_ = c.TCP.SetReadDeadline(time.Now().Add(Patience))
+	_ = c.TCP.SetReadDeadline(time.Now().Add(Timeout))
 	text, err := io.ReadAll(c.reader)
 	return string(text), err
 }
 
-// Quiet fails the test if data arrives or the connection ends within the given time.
-func (c *Conn) Quiet(t T, within time.Duration) {
+// ExpectNothing fails the test if data arrives or the connection ends within the given time.
+func (c *Conn) ExpectNothing(t T, within time.Duration) {
 	t.Helper()
 	_ = c.TCP.SetReadDeadline(time.Now().Add(within))
 	_, err := c.reader.Peek(1)
--- a/internal/lab/testbed/testbed_test.go
+++ b/internal/lab/testbed/testbed_test.go
@@ -17,19 +17,19 @@
 	client := r.Dial(t)
 	var c *Conn
 	for _, class := range []string{"read", "write", "keyed"} {
-		client.Say(t, Request("id-"+class, class, 2000))
+		client.Send(t, Request("id-"+class, class, 2000))
 		if c == nil {
 			c = server.Accept(t)
 		}
-		require.Equal(t, "id-"+class, c.Command(t)[2])
-		c.Serve(t, "value")
-		require.Equal(t, "$value", client.Answer(t))
+		require.Equal(t, "id-"+class, c.ReadCommand(t)[2])
+		c.SendServed(t, "value")
+		require.Equal(t, "$value", client.ReadAnswer(t))
 		time.Sleep(50 * time.Millisecond) // the server connection becomes idle
 	}
 	r.Stop()
-	_, err := client.Rest(t)
+	_, err := client.ReadToEnd(t)
 	require.NoError(t, err)
-	r.WaitDone(t, Patience)
+	r.WaitDone(t, Timeout)
 }
 
 // TestClosedPeerKeepsItsPort checks that no other program can get the port of a closed peer until the test ends.
@@ -41,7 +41,7 @@
 	for name, listen := range map[string]func() *Peer{
 		"plain":         func() *Peer { return Listen(t) },
 		"small buffers": func() *Peer { return listenLimitedBuffers(t) },
-		"full":          func() *Peer { return Full(t) },
+		"full":          func() *Peer { return ListenFull(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer := listen()
--- a/internal/lab/testbed/watch_test.go
+++ b/internal/lab/testbed/watch_test.go
@@ -40,8 +40,8 @@
 // for.
 func (c *Conn) readPoll(t testing.TB) string {
 	t.Helper()
-	first := c.Line(t)
-	for line := "-"; line != ""; line = c.Line(t) {
+	first := c.ReadLine(t)
+	for line := "-"; line != ""; line = c.ReadLine(t) {
 	}
 	if strings.HasPrefix(first, "GET /discovery/hosts HTTP/1.1") {
 		return "whole"
@@ -94,11 +94,11 @@
 func (f *watchFixture) requireServed(t *testing.T, server *Peer) *Conn {
 	t.Helper()
 	client := f.Dial(t)
-	client.Say(t, Request("id", "write", 2000))
+	client.Send(t, Request("id", "write", 2000))
 	c := server.Accept(t)
-	require.Equal(t, "id", c.Command(t)[2])
-	c.Serve(t, "value")
-	require.Equal(t, "$value", client.Answer(t))
+	require.Equal(t, "id", c.ReadCommand(t)[2])
+	c.SendServed(t, "value")
+	require.Equal(t, "$value", client.ReadAnswer(t))
 	return c
 }
 
@@ -124,16 +124,16 @@
 			return f.discovery
 		}, "1"},
 		{"partial list, then silence", func(t *testing.T, f *watchFixture) *Peer {
-			f.pollConn.Say(t, partialList(f))
+			f.pollConn.Send(t, partialList(f))
 			return f.discovery
 		}, "1"},
 		{"partial list, then reset", func(t *testing.T, f *watchFixture) *Peer {
-			f.pollConn.Say(t, partialList(f))
+			f.pollConn.Send(t, partialList(f))
 			f.pollConn.Reset()
 			return f.discovery
 		}, "1"},
 		{"partial list, then closed", func(t *testing.T, f *watchFixture) *Peer {
-			f.pollConn.Say(t, partialList(f))
+			f.pollConn.Send(t, partialList(f))
 			_ = f.pollConn.TCP.CloseWrite()
 			return f.discovery
 		}, "1"},
@@ -146,7 +146,7 @@
 		}, "1"},
 		{"moved", func(t *testing.T, f *watchFixture) *Peer { to := Listen(t); f.moveDiscovery(to); return to }, "whole"},
 		{"moved in the middle of a response", func(t *testing.T, f *watchFixture) *Peer {
-			f.pollConn.Say(t, partialList(f))
+			f.pollConn.Send(t, partialList(f))
 			to := Listen(t)
 			f.moveDiscovery(to)
 			return to
@@ -179,13 +179,13 @@
 			)
 			var indented bytes.Buffer
 			require.NoError(t, json.Indent(&indented, []byte(f.drainList(3)), "", "\t"))
-			next.Say(t, okResponse(indented.String()))
+			next.Send(t, okResponse(indented.String()))
 			require.Equal(t, "3", next.readPoll(t))
 			rest, _ := strings.CutPrefix(okResponse(listJSON(9, true, entryJSON("s0", f.s0, "in_service", 0))), partialList(f))
 			_, _ = io.WriteString(f.pollConn.TCP, rest) // the limiter may have closed it
 			time.Sleep(5 * time.Millisecond)
 			f.requireServed(t, f.s1)
-			f.s0.None(t, time.Millisecond)
+			f.s0.ExpectNoConnection(t, time.Millisecond)
 		})
 	}
 }
@@ -212,7 +212,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newWatchFixture(t)
 			text := c.head + f.drainList(2)
-			f.pollConn.Say(t, text[:len(text)-c.missingBytes])
+			f.pollConn.Send(t, text[:len(text)-c.missingBytes])
 			c.end(f.pollConn)
 			start := time.Now()
 			next := f.discovery.Accept(t)
@@ -232,22 +232,22 @@
 func TestDrainInOutage(t *testing.T) {
 	for _, class := range []string{"read", "write", "keyed"} {
 		t.Run(class, func(t *testing.T) {
-			f := &watchFixture{s0: Full(t), s1: Listen(t), discovery: Listen(t), dialTimeout: Patience}
+			f := &watchFixture{s0: ListenFull(t), s1: Listen(t), discovery: Listen(t), dialTimeout: Timeout}
 			f.start(t)
 			f.pollConn.Reset()
 			pollConn := f.discovery.Accept(t)
 			require.Equal(t, "1", pollConn.readPoll(t))
 			client := f.Dial(t)
-			client.Say(t, "*1\r\n$4\r\nPING\r\n"+Request("id", class, 2000))
-			client.Line(t) // the limiter has read the request together with the PING
-			pollConn.Say(t, okResponse(f.drainList(3)))
+			client.Send(t, "*1\r\n$4\r\nPING\r\n"+Request("id", class, 2000))
+			client.ReadLine(t) // the limiter has read the request together with the PING
+			pollConn.Send(t, okResponse(f.drainList(3)))
 			c := f.s1.Accept(t)
-			require.Equal(t, "id", c.Command(t)[2])
-			c.Serve(t, "value")
-			require.Equal(t, "$value", client.Answer(t))
+			require.Equal(t, "id", c.ReadCommand(t)[2])
+			c.SendServed(t, "value")
+			require.Equal(t, "$value", client.ReadAnswer(t))
 			filler := f.s0.Accept(t)
-			filler.Quiet(t, time.Millisecond)
-			f.s0.None(t, 10*time.Millisecond)
+			filler.ExpectNothing(t, time.Millisecond)
+			f.s0.ExpectNoConnection(t, 10*time.Millisecond)
 		})
 	}
 }
@@ -257,7 +257,7 @@
 func TestListGenerationDecreases(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		f := newWatchFixture(t)
-		f.pollConn.Say(
+		f.pollConn.Send(
 			t,
 			okResponse(
 				listJSON(0, whole, entryJSON("s0", f.s0, "terminating", 0), entryJSON("s1", f.s1, "in_service", 0)),
@@ -265,7 +265,7 @@
 		)
 		require.Equal(t, map[bool]string{true: "0", false: "whole"}[whole], f.pollConn.readPoll(t))
 		f.requireServed(t, f.s1)
-		f.s0.None(t, time.Millisecond)
+		f.s0.ExpectNoConnection(t, time.Millisecond)
 	}
 }
 
@@ -282,10 +282,10 @@
 			if addressChanges {
 				to, startedMillis = f.s1, 0
 			}
-			f.pollConn.Say(t, okResponse(listJSON(2, true, entryJSON("s0", to, "in_service", startedMillis))))
+			f.pollConn.Send(t, okResponse(listJSON(2, true, entryJSON("s0", to, "in_service", startedMillis))))
 			require.Equal(t, "2", f.pollConn.readPoll(t))
 			f.requireServed(t, to)
-			rest, err := old.Rest(t)
+			rest, err := old.ReadToEnd(t)
 			require.True(t, rest == "" && err == nil, "%q, %v", rest, err)
 		})
 	}
--- a/internal/limiter/cold_start.go
+++ b/internal/limiter/cold_start.go
@@ -221,12 +221,12 @@
 
 // listApplied records a list that was applied, and saves it if snapshots are saved.
 func (s *coldStart) listApplied(kind coldstart.Kind, list *discovery.List) {
-	e := coldstart.Event{Kind: kind, Whole: list.Complete, Servers: make([]coldstart.Server, len(list.Endpoints))}
+	e := coldstart.Event{Kind: kind, Complete: list.Complete, Servers: make([]coldstart.Server, len(list.Endpoints))}
 	for i, entry := range list.Endpoints {
 		e.Servers[i] = coldstart.Server{
 			ID:        entry.ID,
 			StartedAt: entry.StartedAt,
-			Leaving:   entry.State != choice.EndpointReady,
+			Draining:  entry.State != choice.EndpointReady,
 		}
 	}
 	s.step(e)
--- a/internal/limiter/conn.go
+++ b/internal/limiter/conn.go
@@ -57,8 +57,8 @@
 	if c == nil {
 		return
 	}
-	l.effects.Read(c.input.Space(e.Size))
-	c.input.Filled(e.Size)
+	l.effects.Read(c.input.Reserve(e.Size))
+	c.input.Commit(e.Size)
 	c.receivedAt = l.now - e.Age
 	if c.open {
 		l.consume(c)
@@ -76,11 +76,11 @@
 		if err != nil || used == 0 {
 			break
 		}
-		c.input.Use(used)
+		c.input.Consume(used)
 	}
 	if l.conns[c.id] == c {
-		l.bufferedBytes += int64(c.input.Size()) - c.countedInputBytes
-		c.countedInputBytes = int64(c.input.Size())
+		l.bufferedBytes += int64(c.input.Cap()) - c.countedInputBytes
+		c.countedInputBytes = int64(c.input.Cap())
 		if cl, ok := c.handler.(*client); ok && cl.closing {
 			cl.closeWhenAnswered()
 		}
--- a/internal/limiter/server_answer_test.go
+++ b/internal/limiter/server_answer_test.go
@@ -30,7 +30,7 @@
 		{"-ERR failed inflight=7\r\n", choice.ServerError, 0, 0, 0},
 	} {
 		t.Run(strconv.Quote(c.in), func(t *testing.T) {
-			v, _, err := resp.ReadAnswer([]byte(c.in))
+			v, _, err := resp.ReadReply([]byte(c.in))
 			r, _ := decodeAnswer(v, 8)
 			if err != nil || r.Outcome != c.outcome || r.ActualUnits != c.units || r.Load.InFlight != c.inFlight ||
 				r.Load.Throughput != c.throughput ||
--- a/internal/limiter/server_conn.go
+++ b/internal/limiter/server_conn.go
@@ -147,7 +147,7 @@
 	if sc.attempt == nil && sc.healthCheckTimer == nil {
 		return 0, errUnexpectedResponse
 	}
-	parse := resp.ReadAnswer
+	parse := resp.ReadReply
 	if sc.healthCheckTimer != nil {
 		parse = resp.ReadValue
 	}
--- a/internal/limiter/stored_test.go
+++ b/internal/limiter/stored_test.go
@@ -17,7 +17,7 @@
 	config, err := settings.ReadFile("../settings/testdata/config.json")
 	require.NoError(t, err)
 	config.Name, config.Discovery = "limiter-a", "127.0.0.1:18500"
-	place := snapshot.Place{
+	place := snapshot.Store{
 		Dir:          "../snapshot/testdata",
 		Installation: "east",
 		Limiter:      config.Name,
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -152,10 +152,10 @@
 	return v, rest, nil
 }
 
-// ReadAnswer decodes a server's reply and returns the number of bytes consumed, 0 if the reply is incomplete. A reply
+// ReadReply decodes a server's reply and returns the number of bytes consumed, 0 if the reply is incomplete. A reply
 // is an error, or an array of three bulk strings of which the first, the result, is not null. Input that does not
 // begin like a reply is rejected without waiting for its end, which may never come.
-func ReadAnswer(b []byte) (Value, int, error) {
+func ReadReply(b []byte) (Value, int, error) {
 	if len(b) == 0 || b[0] == '-' {
 		return ReadValue(b)
 	}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -67,14 +67,14 @@
 		{"a result of 3 GB", "*3\r\n$3000000000\r\nxxx", 0, ErrTooLong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, used, err := ReadAnswer([]byte(c.in)); used != c.used || !errors.Is(err, c.err) {
+			if _, used, err := ReadReply([]byte(c.in)); used != c.used || !errors.Is(err, c.err) {
 				t.Fatalf("used %d, error %v", used, err)
 			}
 		})
 	}
 	t.Run("every prefix is incomplete, not malformed", func(t *testing.T) {
 		for i := range complete {
-			if _, used, err := ReadAnswer([]byte(complete[:i])); used != 0 || err != nil {
+			if _, used, err := ReadReply([]byte(complete[:i])); used != 0 || err != nil {
 				t.Fatalf("%d bytes: used %d, error %v", i, used, err)
 			}
 		}
@@ -84,7 +84,7 @@
 func FuzzReadAnswer(f *testing.F) {
 	f.Add([]byte("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if v, used, err := ReadAnswer(b); used > len(b) || err == nil && used > 0 && v.Kind != '-' && len(v.List) != 3 {
+		if v, used, err := ReadReply(b); used > len(b) || err == nil && used > 0 && v.Kind != '-' && len(v.List) != 3 {
 			t.Fatalf("value %+v, used %d of %d", v, used, len(b))
 		}
 	})
--- a/internal/snapshot/errors_test.go
+++ b/internal/snapshot/errors_test.go
@@ -34,7 +34,7 @@
 
 func TestLoadRejectsInvalidJSON(t *testing.T) {
 	disk := memfs.New()
-	disk.Held[testPlace.Path()] = fileKind.Format.Frame([]byte("{"))
+	disk.Files[testPlace.Path()] = fileKind.Format.Frame([]byte("{"))
 	_, err := testPlace.Load(disk, 1e18)
 	var checksum *atomicfile.ChecksumError
 	require.ErrorAs(t, err, &checksum)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Place is the directory of a limiter's snapshot and the identity of its owner.
-type Place struct {
+// Store is the directory of a limiter's snapshot and the identity of its owner.
+type Store struct {
 	Dir          string
 	Installation string
 	Limiter      string
@@ -63,19 +63,19 @@
 
 // fileKind describes snapshot files.
 var fileKind = &atomicfile.Kind{
-	Format:   atomicfile.Format{Name: "ospreycroft-snapshot", Version: 1},
-	Name:     "snapshot",
-	Replaced: "nothing: the next list replaces it",
-	Older:    "an older list",
+	Format:       atomicfile.Format{Name: "ospreycroft-snapshot", Version: 1},
+	Name:         "snapshot",
+	RecoveryHint: "nothing: the next list replaces it",
+	Fallback:     "an older list",
 }
 
 // Path returns the path of the snapshot file. Limiters on one machine may share a directory.
-func (p *Place) Path() string { return filepath.Join(p.Dir, url.PathEscape(p.Limiter)+".snapshot") }
+func (p *Store) Path() string { return filepath.Join(p.Dir, url.PathEscape(p.Limiter)+".snapshot") }
 
 // Load reads the snapshot and converts its times to the clock of the current process, which shows now, a Unix time in
 // nanoseconds. It returns nil and no error if there is no file. Errors: those of atomicfile.Kind, *OwnerError,
 // *StaleError.
-func (p *Place) Load(disk atomicfile.Files, now int64) (*Snapshot, error) {
+func (p *Store) Load(disk atomicfile.FileSystem, now int64) (*Snapshot, error) {
 	path := p.Path()
 	loaded := &Snapshot{}
 	err := fileKind.Load(disk, path, loaded)
@@ -96,7 +96,7 @@
 }
 
 // Save sets the owner and the clock of s and replaces the snapshot file atomically. Errors: *atomicfile.WriteError.
-func (p *Place) Save(disk atomicfile.Files, s *Snapshot) error {
+func (p *Store) Save(disk atomicfile.FileSystem, s *Snapshot) error {
 	s.Installation = p.Installation
 	s.Limiter = p.Limiter
 	s.Clock = p.Clock
@@ -104,6 +104,6 @@
 }
 
 // NewWriter starts a goroutine that writes snapshots to place; see atomicfile.NewWriter.
-func NewWriter(disk atomicfile.Files, place Place, report func(error)) *atomicfile.Writer[Snapshot] {
+func NewWriter(disk atomicfile.FileSystem, place Store, report func(error)) *atomicfile.Writer[Snapshot] {
 	return atomicfile.NewWriter(func(s *Snapshot) error { return place.Save(disk, s) }, report)
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -16,7 +16,7 @@
 	"ospreycroft/internal/machineclock"
 )
 
-var testPlace = Place{Dir: "/d", Installation: "east", Limiter: "n/1", MaxAge: 3600e9}
+var testPlace = Store{Dir: "/d", Installation: "east", Limiter: "n/1", MaxAge: 3600e9}
 
 func newSnapshot(generation int64) *Snapshot {
 	return &Snapshot{
@@ -34,14 +34,14 @@
 		t.Fatalf("without a file: %v, %v", s, err)
 	}
 	err := testPlace.Save(disk, newSnapshot(7))
-	if err != nil || strings.Join(disk.Log, " ") != "read write rename sync" || len(disk.Held) != 1 {
-		t.Fatalf("%v, %v, %v", err, disk.Log, disk.Held)
+	if err != nil || strings.Join(disk.Log, " ") != "read write rename sync" || len(disk.Files) != 1 {
+		t.Fatalf("%v, %v, %v", err, disk.Log, disk.Files)
 	}
-	contents := string(disk.Held[testPlace.Path()])
-	requireLoadError := func(now int64, p Place, text string, want error) {
+	contents := string(disk.Files[testPlace.Path()])
+	requireLoadError := func(now int64, p Store, text string, want error) {
 		t.Helper()
 		if text != "" {
-			disk.Held[testPlace.Path()] = []byte(text)
+			disk.Files[testPlace.Path()] = []byte(text)
 		}
 		s, err := p.Load(disk, now)
 		if s != nil || reflect.TypeOf(err) != reflect.TypeOf(want) || err.(interface{ Hint() string }).Hint() == "" ||
@@ -54,12 +54,12 @@
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for i := range len(contents) {
-		disk.Held[testPlace.Path()] = []byte{}
+		disk.Files[testPlace.Path()] = []byte{}
 		requireLoadError(1e18, testPlace, contents[:i], &atomicfile.TruncatedError{})
 		for bit := range 8 {
 			flipped := []byte(contents)
 			flipped[i] ^= 1 << bit
-			disk.Held[testPlace.Path()] = flipped
+			disk.Files[testPlace.Path()] = flipped
 			s, err := testPlace.Load(disk, 1e18)
 			require.True(t, s == nil && err != nil, "accepted with bit %d of byte %d flipped: %q", bit, i, flipped)
 		}
@@ -70,23 +70,23 @@
 		&atomicfile.FormatError{})
 	requireLoadError(1e18+3600e9+1, testPlace, contents, &StaleError{})
 	requireLoadError(1e18-3600e9-1, testPlace, contents, &StaleError{})
-	requireLoadError(1e18, Place{Dir: "/d", Installation: "west", Limiter: "n/1", MaxAge: 3600e9}, contents,
+	requireLoadError(1e18, Store{Dir: "/d", Installation: "west", Limiter: "n/1", MaxAge: 3600e9}, contents,
 		&OwnerError{})
-	other := Place{Dir: "/d", Installation: "east", Limiter: "n/2", MaxAge: 3600e9}
-	disk.Held[other.Path()] = []byte(contents)
+	other := Store{Dir: "/d", Installation: "east", Limiter: "n/2", MaxAge: 3600e9}
+	disk.Files[other.Path()] = []byte(contents)
 	requireLoadError(1e18, other, "", &OwnerError{})
-	disk.Fail = "read"
+	disk.FailingOperation = "read"
 	requireLoadError(1e18, testPlace, contents, &atomicfile.UnreadableError{})
 	// If the disk is full or another step fails, the file holds either the previous list or the new one, complete.
-	for _, disk.Fail = range []string{"write", "rename", "sync"} {
-		for _, disk.Keep = range []int{0, 10, 200} {
-			disk.Held = map[string][]byte{testPlace.Path(): []byte(contents)}
+	for _, disk.FailingOperation = range []string{"write", "rename", "sync"} {
+		for _, disk.PartialWriteBytes = range []int{0, 10, 200} {
+			disk.Files = map[string][]byte{testPlace.Path(): []byte(contents)}
 			err := testPlace.Save(disk, newSnapshot(8))
 			var unwritten *atomicfile.WriteError
-			require.True(t, errors.As(err, &unwritten) && errors.Is(err, syscall.ENOSPC) && len(disk.Held) == 1,
-				"%s: %v, %v", disk.Fail, err, disk.Held)
-			if s, err := testPlace.Load(disk, 1e18); err != nil || s.Generation != 7 && disk.Fail != "sync" {
-				t.Fatalf("%s: %+v, %v", disk.Fail, s, err)
+			require.True(t, errors.As(err, &unwritten) && errors.Is(err, syscall.ENOSPC) && len(disk.Files) == 1,
+				"%s: %v, %v", disk.FailingOperation, err, disk.Files)
+			if s, err := testPlace.Load(disk, 1e18); err != nil || s.Generation != 7 && disk.FailingOperation != "sync" {
+				t.Fatalf("%s: %+v, %v", disk.FailingOperation, s, err)
 			}
 		}
 	}
@@ -94,14 +94,14 @@
 
 func TestWriter(t *testing.T) {
 	slow := memfs.New()
-	slow.Gate = make(chan bool)
+	slow.WriteGate = make(chan bool)
 	slowWriter := NewWriter(slow, testPlace, func(err error) { t.Error(err) })
 	slowWriter.Save(newSnapshot(1))
-	slow.Gate <- true // the first list is being written; the second is pending meanwhile
+	slow.WriteGate <- true // the first list is being written; the second is pending meanwhile
 	slowWriter.Save(newSnapshot(2))
-	go func() { slow.Gate <- true }()
+	go func() { slow.WriteGate <- true }()
 	slowWriter.Close()
-	require.Contains(t, string(slow.Held["/d/n%2F1.snapshot"]), `"generation":2`, "Close must write the pending list")
+	require.Contains(t, string(slow.Files["/d/n%2F1.snapshot"]), `"generation":2`, "Close must write the pending list")
 	onDisk := testPlace
 	onDisk.Dir = t.TempDir()
 	requireGeneration := func(generation int64) {
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -14,7 +14,7 @@
 
 // TestLoadFileOfEarlierVersion: a snapshot that an earlier version wrote must remain readable.
 func TestLoadFileOfEarlierVersion(t *testing.T) {
-	place := Place{Dir: "testdata", Installation: "east", Limiter: "limiter-a", MaxAge: int64(time.Hour)}
+	place := Store{Dir: "testdata", Installation: "east", Limiter: "limiter-a", MaxAge: int64(time.Hour)}
 	loaded, err := place.Load(atomicfile.Disk{}, storedFileTakenAt+int64(time.Minute))
 	require.NoError(t, err)
 	require.Equal(t, &Snapshot{
--- a/internal/sockets/disconnect_test.go
+++ b/internal/sockets/disconnect_test.go
@@ -138,7 +138,7 @@
 // closed earlier, so that no other process answers there.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	require.NoError(t, err)
 	t.Cleanup(port.Close)
 	ln, err := port.Listen()
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -83,8 +83,9 @@
 	return "none if it stops by itself; otherwise check which processes use up descriptors and memory (sysctl fs.file-nr)"
 }
 
-// Descriptors returns a *DescriptorsError if the process may open fewer than need file descriptors, and nil otherwise.
-func Descriptors(need int) error {
+// CheckDescriptors returns a *DescriptorsError if the process may open fewer than need file descriptors, and nil
+// otherwise.
+func CheckDescriptors(need int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(need) {
 		return nil // an unknown limit shows up as EMFILE when it is reached
--- a/internal/sockets/errors_test.go
+++ b/internal/sockets/errors_test.go
@@ -29,7 +29,7 @@
 		require.ErrorAs(t, err, c.want)
 		require.ErrorIs(t, err, c.errno)
 	}
-	require.NoError(t, Descriptors(1))
+	require.NoError(t, CheckDescriptors(1))
 }
 
 // TestListenErrorLeaksNoGoroutine: a failed Listen stops the goroutines that it started.
--- a/internal/sockets/halt_test.go
+++ b/internal/sockets/halt_test.go
@@ -13,7 +13,7 @@
 // TestDialWhileHalting: a connection that is established while Halt is called must be closed and not be added to the
 // engine, which would panic on an addition while it stops.
 func TestDialWhileHalting(t *testing.T) {
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	require.NoError(t, err)
 	defer port.Close()
 	s, err := Listen(port.Address(), 8, 256)
@@ -32,7 +32,7 @@
 // tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (one, other net.Conn) {
 	t.Helper()
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	require.NoError(t, err)
 	t.Cleanup(port.Close)
 	listener, err := port.Listen()
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -30,7 +30,7 @@
 // listenWithLimit is listen with a number of file descriptors to pass to Listen.
 func listenWithLimit(t *testing.T, clients, descriptors int) (*Sockets, string) {
 	t.Helper()
-	port, err := ports.Keep()
+	port, err := ports.Reserve()
 	require.NoError(t, err)
 	t.Cleanup(port.Close)
 	address := port.Address()
