--- a/deploy/sites/layout.sh
+++ b/deploy/sites/layout.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Lays variants of site files out: each NAME.variant beside this script, or those named, becomes out/NAME/NAME.toml,
-# with the real.json, wire.json and unlock.txt of the site that it comes from beside it. Nothing of the kit is kept in
-# the repository: a variant holds addresses and new values only, one to a line:
+# Generates variants of site files: each NAME.variant in this script's directory, or only those named as arguments, becomes
+# out/NAME/NAME.toml, and the original site's real.json, wire.json and unlock.txt are copied next to it. The repository holds
+# no part of the given site files: a variant has only the locations of keys and their new values, one per line:
 #
 #     from PATH                  the site file, under ../given
-#     set SECTION KEY VALUE      the key has to stand there, once
-#     add SECTION KEY VALUE      the key must not stand there
-#     drop SECTION KEY           the key has to stand there, once
+#     set SECTION KEY VALUE      the key must occur exactly once
+#     add SECTION KEY VALUE      the key must not occur
+#     drop SECTION KEY           the key must occur exactly once
 #
-# SECTION is a table's name ('.' before the first table); of a list of tables one is meant: class:NAME by the name
-# that the site gives it, fam.plan:3 by its place. Lines that begin with # and blank ones say nothing.
+# SECTION is the name of a table ('.' for the part before the first table). An element of a list of tables is selected by
+# its name, as in class:NAME, or by its position, as in fam.plan:3. Blank lines and lines that begin with # are ignored.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 given=$here/../../../given
