--- a/internal/distribution/limiterapplier.go
+++ b/internal/distribution/limiterapplier.go
@@ -31,7 +31,7 @@
 	current         Addresses
 }
 
-// Apply implements Applier. Errors: *FixedKeyError, *KeyError, and those of Move.
+// Apply implements Applier. Errors: *FixedKeyError, *KeyError, and those of ChangeAddresses.
 func (a *LimiterApplier) Apply(update *Update) error {
 	endpoints, err := a.resultingEndpoints(update)
 	if err != nil {
--- a/internal/distribution/transport/follower.go
+++ b/internal/distribution/transport/follower.go
@@ -158,8 +158,8 @@
 	return wait
 }
 
-// queueAcknowledgement queues the subscriber's acknowledgement if it differs from the last one or AcknowledgementEvery
-// has passed since. It does not block. A relay queues none: it sends summaries.
+// queueAcknowledgement queues the subscriber's acknowledgement if it differs from the last one or
+// AcknowledgementInterval has passed since. It does not block. A relay queues none: it sends summaries.
 func (f *Follower) queueAcknowledgement(now int64) {
 	if f.summary != nil {
 		return
@@ -189,7 +189,7 @@
 	for {
 		select {
 		case next := <-f.pending:
-			// The error is ignored: a lost acknowledgement is repeated after AcknowledgementEvery, and a failing
+			// The error is ignored: a lost acknowledgement is repeated after AcknowledgementInterval, and a failing
 			// server also fails the calls for changes, whose errors are reported.
 			_ = f.clients[next.server].Acknowledge(ctx, next.Acknowledgement, reportTimeout)
 		case <-ctx.Done():
--- a/internal/distribution/transport/transport_test.go
+++ b/internal/distribution/transport/transport_test.go
@@ -814,7 +814,7 @@
 	require.True(t, equalExceptAge(older, base))
 }
 
-// TestAcknowledgementRepeated checks that an unchanged acknowledgement is queued again after AcknowledgementEvery.
+// TestAcknowledgementRepeated checks that an unchanged acknowledgement is queued again after AcknowledgementInterval.
 // Otherwise the relay would stop counting the limiter, and another relay would not begin to.
 func TestAcknowledgementRepeated(t *testing.T) {
 	t.Parallel()
