--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink lets the bench drive the decision module over standard input and output.
+// Command benchlink runs the controller for the simulator: it reads batches of events from standard input and writes
+// the controller's actions to standard output.
 package main
 
 import (
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -1,12 +1,12 @@
-// Package coldstart holds the state and the rules of one limiter's start, among hundreds that may start within the
-// same second with nothing but the list of their configuration. It does no I/O: the caller tells what happened with
-// the clock in nanoseconds, and reads off when to ask the list service, whether clients may come, and what share to
-// send.
+// Package coldstart is the state machine of one limiter's start, for fleets in which hundreds of limiters may start
+// within the same second with only the endpoint list of their configuration. It does no I/O: the caller passes events
+// and the time in nanoseconds, and reads when to poll discovery, whether the limiter is ready for clients, and which
+// fraction of the servers' capacity is certain to be available.
 //
-// What all limiters do together is bounded without a word between them. All read one clock, so it is cut into periods
-// of the same length at all of them, and each limiter owns one slot of a period, by its place. It calls the list
-// service at that slot or not at all. How often limiters are killed and started again adds nothing: whoever comes
-// back finds its own slot. (docs/coldstart.md has the options weighed and the arithmetic.)
+// The load of all limiters together is bounded without communication between them. Their system clocks agree, so all
+// divide time into the same periods, and each limiter owns one slot of a period, given by its position. It polls
+// discovery in that slot only. Restarts add no calls, since a limiter that comes back finds the same slot.
+// docs/coldstart.md compares the alternatives and derives the bounds.
 package coldstart
 
 import (
@@ -16,78 +16,86 @@
 	"slices"
 )
 
-// Settings are what a start is computed from; times are nanoseconds. Every other figure here is a ratio to one of them.
+// Settings are the parameters of a start. Times are nanoseconds. All other durations of this package are multiples or
+// fractions of them.
 type Settings struct {
-	Limiters        int
-	Position        int     // this limiter's number among them, from 0; below 0 where it is not given
-	Jitter          float64 // in [0, 1), drawn at the start, in the place of a number that is not given
-	DialTimeout     int64
-	PollInterval    int64 // the longest time between calls where lists are asked for, 0 where they are pushed
+	Limiters     int     // in the fleet
+	Position     int     // this limiter's number in the fleet, from 0; negative if unknown
+	Jitter       float64 // random, in [0, 1); places the limiter's slot if Position is unknown
+	DialTimeout  int64
+	PollInterval int64 // maximum time between polls of discovery, 0 if lists are pushed
+	// ColdCapacity is the part of its capacity that a server has just after its start, in [0, 1]. It grows to the whole
+	// capacity within SlowStartWindow.
 	ColdCapacity    float64
 	SlowStartWindow int64
-	// what a silent list service has to tell counts as notified so long after the silence began
+	// NotificationDeadline is the time after discovery becomes unreachable at which its changes count as delivered,
+	// whether they arrived or not.
 	NotificationDeadline int64
-	ReadinessDeadline    int64 // a limiter that is not ready by then after its start has failed
-	CeilingLeadTime      int64 // how long this limiter's parts of the ceilings fill before clients should come
-	// calls a second that the list service bears from all limiters, 0 where that is not stated
+	ReadinessDeadline    int64 // maximum time from start to ready; a limiter that takes longer has failed
+	CeilingLeadTime      int64 // time for which this limiter's parts of the ceilings fill before it accepts clients
+	// CallRate is the rate of calls that discovery sustains from all limiters, in calls per second; 0 if not stated.
 	CallRate float64
-	// new connections a second that a server bears from all limiters, 0 where that is not stated
+	// ConnectionRate is the rate of new connections that a server sustains from all limiters, in connections per
+	// second; 0 if not stated.
 	ConnectionRate float64
 }
 
 const (
-	// answerDialTimeouts is how many dial time-outs after a call's slot its answer has come, where all is well.
+	// answerDialTimeouts is the time from a call's slot to its answer without faults, in dial timeouts: a dial and a
+	// response.
 	answerDialTimeouts = 2
-	// minPeriodDialTimeouts: a period is so many dial time-outs at least. However much is borne, more brings no news.
+	// minPeriodDialTimeouts is the minimum period, in dial timeouts. More frequent calls deliver changes no sooner,
+	// whatever call rate discovery sustains.
 	minPeriodDialTimeouts = 1
-	// initialSpreadPeriods is the number of periods from which the next slot is drawn: less than one, so that a single call
-	// that is throttled changes nothing.
+	// initialSpreadPeriods is the number of periods from which the next slot is drawn. It is below 1, so that a single
+	// throttled call does not change the schedule.
 	initialSpreadPeriods = 1. / 2
-	// maxSpreadPeriods bounds that number, which doubles with each throttled call in a row.
+	// maxSpreadPeriods limits the number of periods from which the next slot is drawn, which doubles with each throttled
+	// call.
 	maxSpreadPeriods = 4
-	// spreadDecay is the factor on that number for each call that is answered.
+	// spreadDecay is the factor by which that number shrinks with each answered call.
 	spreadDecay = 7. / 8
-	// holdDeadlineDivisor: what a call that may be held missed counts as notified this part of the notification deadline
-	// after its hold, if that is later.
+	// holdDeadlineDivisor: a change that a held call missed counts as delivered NotificationDeadline/holdDeadlineDivisor
+	// after the end of the hold, or at the usual deadline if that is later.
 	holdDeadlineDivisor = 3
-	// timeoutMarginDivisor: a call is given up this part of the resume lead before a slot.
+	// timeoutMarginDivisor: a call times out resumeLead/timeoutMarginDivisor before a slot.
 	timeoutMarginDivisor = 8
-	// maxMissedSlots: after so many missed slots in a row a limiter calls however late it is.
+	// maxMissedSlots is the number of missed slots in a row after which a limiter calls however late it is.
 	maxMissedSlots = 4
-	// resumeDialDivisor: a held call comes back this part of a dial time-out before the next slot,
-	resumeDialDivisor = 1
-	// resumePeriodDivisor: or this part of a period if that is less, so that the next call goes on with the watch.
+	// resumeDialDivisor and resumePeriodDivisor: a held call returns DialTimeout/resumeDialDivisor before the next slot,
+	// or a period/resumePeriodDivisor if that is shorter, so that the next call can continue the watch in that slot.
+	resumeDialDivisor   = 1
 	resumePeriodDivisor = 4
-	// maxHold is the longest time that the protocol holds a call, nanoseconds.
+	// maxHold is the longest hold of a call that the protocol allows, in nanoseconds.
 	maxHold = 60e9
-	// queueDialTimeouts is how many dial time-outs a call is waited for beyond its hold, where it stands in a queue.
+	// queueDialTimeouts is how long a call may wait in discovery's queue beyond its hold, in dial timeouts.
 	queueDialTimeouts = 8
-	// maxReadyWaitFraction is the part of the readiness deadline after which a limiter waits for no list any more.
+	// maxReadyWaitFraction is the part of the readiness deadline after which a limiter becomes ready without a list.
 	maxReadyWaitFraction = 2. / 3
-	// setbackThreshold: with less than this share of what its servers can do for sure a limiter goes back to warming.
+	// setbackThreshold is the fraction of the servers' full capacity below which a steady limiter returns to warming.
 	setbackThreshold = 7. / 8
 )
 
-// Phase is how far a start has come.
+// Phase is a state of the start.
 type Phase uint8
 
 // The phases of a start.
 const (
-	// Starting is not ready.
+	// Starting is the phase before the limiter is ready.
 	Starting Phase = iota
-	// Syncing is ready with a list that nobody has confirmed, or whose service has gone silent.
+	// Syncing is ready, but discovery has not confirmed the list yet or has been silent past the notification deadline.
 	Syncing
-	// Warming has a confirmed list, of which many servers are warming up.
+	// Warming has a confirmed list, many of whose servers are warming up.
 	Warming
-	// Steady has a confirmed list, whose servers have their whole capacity.
+	// Steady has a confirmed list whose servers have nearly their full capacity.
 	Steady
 )
 
-// String gives the word for log lines.
+// String returns the phase's word in log lines.
 func (p Phase) String() string { return [...]string{"starting", "syncing", "warming", "steady"}[p] }
 
-// transitions are the only ways from phase to phase. Nothing leads back to starting: a limiter that has said that it is ready
-// stays so, and one that was killed begins a new Start.
+// transitions lists the phases that may follow each phase. None returns to Starting: a limiter that has reported ready
+// stays ready, and a restarted one creates a new Start.
 var transitions = [...][]Phase{
 	Starting: {Syncing},
 	Syncing:  {Warming},
@@ -95,57 +103,57 @@
 	Steady:   {Warming, Syncing},
 }
 
-// Kind says what happened.
+// Kind is the kind of an event.
 type Kind uint8
 
 // The kinds of events.
 const (
-	TimePassed     Kind = iota // time has passed
-	ListRestored               // a list from the configuration or the disk, which may be old
-	CallMade                   // a call has gone out to the list service
-	ListReceived               // with a list, perhaps with no changes
-	CallThrottled              // turned away: the service has too much to do
-	CallFailed                 // no answer, or one that cannot be read
-	DiscoveryMoved             // the service has moved to another address
-	SlotMissed                 // the slot of a call has passed, see MissedSlot
+	TimePassed     Kind = iota // nothing but the time has changed
+	ListRestored               // a list was read from the configuration or a snapshot; it may be outdated
+	CallMade                   // a call was sent to discovery
+	ListReceived               // discovery answered with a list, which may have no changes
+	CallThrottled              // discovery rejected the call because it is overloaded
+	CallFailed                 // the call got no answer, or one that cannot be parsed
+	DiscoveryMoved             // discovery has a new address
+	SlotMissed                 // the slot of the next call has passed, see MissedSlot
 )
 
-// Server is what a start knows of one server.
+// Server is a server of the list.
 type Server struct {
 	ID        string
-	StartedAt int64 // its latest start, 0 for long ago
-	Leaving   bool  // it is to get no more requests
+	StartedAt int64 // time of its latest start in nanoseconds, 0 if that is long ago or unknown
+	Leaving   bool  // it is draining or gone and must get no new requests
 }
 
-// Event is what has happened; Servers and Whole go with lists: only with Whole is what a list does not name gone.
+// Event is the input of Step. Only ListRestored and ListReceived have a list.
 type Event struct {
 	Kind    Kind
-	Whole   bool
+	Whole   bool // Servers is the complete list: servers missing from it are removed. False for changes only.
 	Servers []Server
 }
 
 // Start is the state of one limiter's start. It is not safe for concurrent use.
 type Start struct {
 	settings        Settings
-	period          int64
-	slotOffset      int64 // of this limiter's slot in a period
+	period          int64 // length of a period, 0 if lists are pushed
+	slotOffset      int64 // start of this limiter's slot within a period
 	startedAt       int64
 	phase           Phase
-	servers         []Server // by ID
-	hasList         bool     // some list is held
-	answered        bool     // the service has answered since the start
-	nextSlot        int64    // the slot of the next call
-	lastCall        int64    // the slot of the latest call, the start before there is one
+	servers         []Server // sorted by ID
+	hasList         bool     // servers is not empty
+	answered        bool     // discovery has answered since the start
+	nextSlot        int64    // time of the next call
+	lastCall        int64    // time of the latest call, or the start before the first call
 	retrying        bool     // no answer has come since a call failed
-	completedCalls  int      // that have ended
-	missedSlots     int      // slots in a row that were slept through
-	spreadPeriods   float64  // the periods from which the next slot is drawn
-	unansweredSince int64    // since when the service owes an answer, 0 while it does not
-	share           float64  // while Warming, as of the latest Step
-	Setbacks        int      // how often a list has thrown the share back
+	completedCalls  int      // calls that have ended, with or without an answer
+	missedSlots     int      // in a row
+	spreadPeriods   float64  // number of periods from which the next slot is drawn
+	unansweredSince int64    // time since which an answer is overdue, 0 if none is
+	share           float64  // see Share
+	Setbacks        int      // number of times the share was reduced by a new list
 }
 
-// New begins a start at now. Errors: see Settings.Check.
+// New returns the state of a start at now. Errors: *SettingError.
 func New(now int64, set Settings) (*Start, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -160,16 +168,17 @@
 	}
 	s.slotOffset = int64(set.positionFraction() * float64(s.period))
 	if set.PollInterval == 0 {
-		s.nextSlot = now // the agent is asked at no cost
+		s.nextSlot = now // polling the local agent costs nothing
 		return s, nil
 	}
 	s.nextSlot = s.slotAtOrAfter(now)
 	return s, nil
 }
 
-// positionFraction is this limiter's place in a period, in [0, 1). Places go by steps of the golden section, so that
-// limiters next to each other in number, which share customers and are restarted together, ask far apart; they go by
-// rank among those of all limiters, so that they are evenly apart at every size.
+// positionFraction returns the offset of this limiter's slot as a fraction of a period, in [0, 1). Positions are
+// ordered by the fractional part of their multiples of the golden ratio: limiters with adjacent positions, which share
+// customers and are restarted together, poll far apart. The rank in that order is used rather than the fractional part
+// itself, so that slots are evenly spaced for any fleet size.
 func (s *Settings) positionFraction() float64 {
 	if s.Position < 0 {
 		return s.Jitter
@@ -184,9 +193,9 @@
 	return float64(rank) / float64(s.Limiters)
 }
 
-// Period is the time in which each limiter may call once, 0 where lists are pushed: limiters over budget. Where no
-// budget is stated it is what the settings imply: limiters over ask-every, or a whole number of times that where the
-// list's clock asks for more.
+// Period returns the time in which each limiter may poll once, in nanoseconds: the number of limiters divided by the
+// stated call rate. Without a stated rate it is the poll interval, divided by a whole number if the notification
+// deadline requires more frequent polls. It is 0 if lists are pushed.
 func (s *Settings) Period() int64 {
 	switch {
 	case s.PollInterval == 0:
@@ -198,8 +207,8 @@
 	return s.PollInterval / ((s.PollInterval + answerBudget - 1) / answerBudget)
 }
 
-// slotAtOrAfter is the first of this limiter's slots that is not before a time. What the caller's clock counts from must
-// be the same at all limiters: the system's time is.
+// slotAtOrAfter returns this limiter's first slot that is not before earliest. All limiters must use a clock with the
+// same epoch, such as the system time.
 func (s *Start) slotAtOrAfter(earliest int64) int64 {
 	elapsed := (earliest - s.slotOffset) % s.period
 	if elapsed < 0 {
@@ -211,7 +220,7 @@
 	return earliest - elapsed + s.period
 }
 
-// Step takes one event. It is the only function that changes a Start.
+// Step applies one event at now. It is the only method that changes a Start.
 func (s *Start) Step(now int64, e Event) {
 	switch e.Kind {
 	case ListRestored:
@@ -236,7 +245,7 @@
 		s.callFailed(now)
 	case CallFailed:
 		s.callFailed(now)
-	case DiscoveryMoved: // what the new address has to tell counts as notified soon; a stated budget goes before that
+	case DiscoveryMoved: // the notification deadline after a move is short, but a stated call rate takes precedence
 		s.nextSlot = now
 		if s.settings.PollInterval > 0 && s.settings.CallRate > 0 {
 			s.nextSlot = s.slotAfter(now)
@@ -245,8 +254,7 @@
 	s.advance(now)
 }
 
-// callFailed notes a call without an answer: since its service owes one, the list may be older than it counts as
-// notified.
+// callFailed records a call without an answer. From then on the list may lack changes that count as delivered.
 func (s *Start) callFailed(now int64) {
 	s.unansweredSince = min(s.unansweredSince, now)
 	if s.unansweredSince == 0 {
@@ -256,18 +264,18 @@
 	s.nextSlot = s.slotAfter(now)
 }
 
-// retryPeriods is the number of periods within which a call behind a failed one has to go out, 1 at least: then what
-// the service has when it can be reached again is here before it counts as notified, unless LateNotificationError says
-// otherwise.
+// retryPeriods returns the number of periods, at least 1, within which a retry must be sent so that the changes that
+// discovery has when it recovers arrive by the notification deadline. LateNotificationError reports settings for which
+// even 1 period is too long.
 func (s *Settings) retryPeriods() int64 {
 	return max(1, (s.NotificationDeadline-answerDialTimeouts*s.DialTimeout)/s.Period())
 }
 
-// slotAfter is when the next call goes out behind one that has ended. Where lists are asked for that is a slot of this
-// limiter's behind that of the latest call. Calls that are throttled again and again say that the service bears less
-// than was stated or implied: then it is drawn from several periods, by place, so that fewer limiters ask in a period,
-// and others in each. Where a budget is stated that is from no more periods than keep the deadline of what the service
-// has.
+// slotAfter returns the time of the next call after one that has ended. If lists are polled that is a slot of this
+// limiter after the one of the latest call. Repeated throttling shows that discovery sustains fewer calls than stated
+// or implied; the slot is then drawn from several periods, by position and number of calls, so that fewer limiters call
+// in each period, and different ones. With a stated call rate the slot is never so late that a retry would miss the
+// notification deadline.
 func (s *Start) slotAfter(now int64) int64 {
 	if s.settings.PollInterval == 0 {
 		return now
@@ -282,7 +290,7 @@
 	return slot + int64(fraction*spread)*s.period
 }
 
-// mergeList draws a list in. A server of which a later start is known than the list tells keeps that.
+// mergeList updates the servers from a list. The latest known start of a server is kept if the list has an earlier one.
 func (s *Start) mergeList(e Event) {
 	if e.Whole {
 		listed := map[string]bool{}
@@ -309,7 +317,7 @@
 	s.hasList = len(s.servers) > 0
 }
 
-// advance moves along the edges as far as things stand now.
+// advance updates the phase and the share to now.
 func (s *Start) advance(now int64) {
 	if s.phase == Starting && now >= s.ReadyAt() {
 		s.transitionTo(Syncing)
@@ -328,7 +336,7 @@
 		s.transitionTo(Warming)
 	}
 	if s.phase == Steady {
-		capacity = 1 // a few cold servers are the rotation's matter: their turns are fewer
+		capacity = 1 // the rotation already gives the few cold servers fewer turns
 	}
 	if capacity < s.share {
 		s.Setbacks++
@@ -341,14 +349,14 @@
 
 func (s *Start) transitionTo(to Phase) {
 	if !slices.Contains(transitions[s.phase], to) {
-		panic(fmt.Sprintf("a start goes from %s to %s", s.phase, to))
+		panic(fmt.Sprintf("coldstart: invalid transition from %s to %s", s.phase, to))
 	}
 	s.phase = to
 }
 
-// capacityFraction is the share of what the listed servers can do warm that they can do for sure at a time. A server that
-// is cold when all limiters begin gets its part of the sum of them all: with all of them cold each limiter begins with
-// cold-from.
+// capacityFraction returns the capacity that the listed servers are certain to have at now, as a fraction of their
+// capacity when warm. All limiters apply the same fraction, so a fleet that starts together does not exceed the
+// capacity of its servers; if all servers are cold the fraction is ColdCapacity. It is 1 if there are no servers.
 func (s *Start) capacityFraction(now int64) float64 {
 	sum := 0.0
 	for _, v := range s.servers {
@@ -365,28 +373,29 @@
 	return sum / float64(len(s.servers))
 }
 
-// Phase is how far the start has come, as of the latest Step.
+// Phase returns the phase as of the latest Step.
 func (s *Start) Phase() Phase { return s.phase }
 
-// Share is the share of its part that the limiter sends, in (0, 1], as of the latest Step.
+// Share returns the part of the servers' warm capacity that is certain to be available, in (0, 1], as of the latest
+// Step. It is 1 in Steady.
 func (s *Start) Share() float64 { return s.share }
 
-// NextSlot is when the list service is to be asked next; while a call is out, and where lists are pushed, it tells
-// nothing.
+// NextSlot returns the time of the next call to discovery. It has no meaning while a call is in flight or if lists are
+// pushed.
 func (s *Start) NextSlot() int64 { return s.nextSlot }
 
-// MissedSlot tells whether the slot of the next call has passed so long ago that a call now would be at another's.
-// All that were stopped for a while and go on together would call at once. One that is always late calls late, once it
-// has missed a few.
+// MissedSlot reports whether the slot of the next call has passed by more than its length, so that a call at now would
+// fall into the slot of another limiter. Limiters that were suspended and resume together would otherwise all call at
+// once. After maxMissedSlots missed slots in a row it returns false, so that a limiter that is always late still calls.
 func (s *Start) MissedSlot(now int64) bool {
 	return s.settings.PollInterval > 0 && s.missedSlots < maxMissedSlots &&
 		now > s.nextSlot+s.period/int64(s.settings.Limiters)
 }
 
-// HoldTime is how long a call that goes out at now lets the service hold it, and how long after that it is given up.
-// It is held up to the last slot of this limiter within ask-every, or to the next one if that is later: news comes
-// at once meanwhile, and where there is none the next call goes on with the watch. A retry is held within the deadline
-// of what the service has when it can be reached again.
+// HoldTime returns how long discovery may hold a call that is sent at now, and how much longer its answer may take, in
+// nanoseconds. A call is held until shortly before this limiter's last slot within the poll interval, or its next slot
+// if that is later. A change ends the hold at once; without one the next call continues the watch. A retry is held only
+// as long as the notification deadline for changes made before discovery recovered allows.
 func (s *Start) HoldTime(now int64) (hold, grace int64) {
 	if s.settings.PollInterval == 0 || !s.hasList {
 		return 0, queueDialTimeouts * s.settings.DialTimeout
@@ -399,14 +408,15 @@
 	return max(0, min(until-now-s.resumeLead(), maxHold)), queueDialTimeouts * s.settings.DialTimeout
 }
 
-// resumeLead is how long before a slot a held call comes back.
+// resumeLead returns how long before a slot a held call returns.
 func (s *Start) resumeLead() int64 {
 	return min(s.settings.DialTimeout/resumeDialDivisor, s.period/resumePeriodDivisor)
 }
 
-// ResponseTimeout is after how long a call that goes out at now and may wait for hold is given up if it is still
-// unanswered: just before the last slot from which the next call brings what this one missed before it counts as
-// told, or before the first slot behind the hold where that one is too late as well.
+// ResponseTimeout returns the response timeout of a call that is sent at now and may be held for hold, in nanoseconds.
+// The call times out just before the last slot in which the next call still delivers the changes missed by this one
+// before the notification deadline. If there is no such slot after the hold, it times out just before the first slot
+// after the hold.
 func (s *Start) ResponseTimeout(now, hold int64) int64 {
 	notifiedAt := now + s.settings.NotificationDeadline
 	if hold > 0 && !s.retrying {
@@ -417,9 +427,10 @@
 	return max(lastSlot, s.slotAtOrAfter(now+hold+margin+1)) - margin - now
 }
 
-// ReadyAt is when the limiter says that it is ready, as things stand. With a list, however old, it waits for its parts
-// of the ceilings and for its first word from the list service, which it does not wait for longer than a connection
-// takes; with none it would only turn requests away, so it waits for one, though not for ever.
+// ReadyAt returns the time at which the limiter becomes ready, as far as is known now. With a list, however old, it
+// waits until its parts of the ceilings are filled, and for the first answer of discovery for up to a dial timeout.
+// Without a list it could only reject requests, so it waits for one until maxReadyWaitFraction of the readiness
+// deadline.
 func (s *Start) ReadyAt() int64 {
 	deadline := s.startedAt + int64(maxReadyWaitFraction*float64(s.settings.ReadinessDeadline))
 	if s.answered {
--- a/internal/coldstart/connections.go
+++ b/internal/coldstart/connections.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// What package choice gives a limiter: sixteen limiters share a server, and a limiter has eight servers at least.
+// The rule by which package choice assigns subsets of the servers to limiters: each server is shared by 16 limiters,
+// and each limiter has at least 8 servers.
 const (
 	limitersPerServer = 16
 	minSubsetSize     = 8
 )
 
-// LimitersPerServer is the number of limiters whose circles hold one server, of so many servers: a mean, which no
-// server passes by more than one where the limiters know their places; where they do not, each has all servers.
+// LimitersPerServer returns the mean number of limiters whose subset contains a given server, out of the given number
+// of servers. No server exceeds the mean by more than one. Limiters that do not know their position use all servers.
 func (s *Settings) LimitersPerServer(servers int) int {
 	if s.Position < 0 {
 		return s.Limiters
@@ -18,30 +19,34 @@
 	return max(1, min(s.Limiters, (s.Limiters*subsetSize(s.Limiters, servers)+servers-1)/servers))
 }
 
+// subsetSize returns the number of servers in a limiter's subset.
 func subsetSize(limiters, servers int) int {
 	return min(servers, max(minSubsetSize, (limitersPerServer*servers+limiters-1)/limiters))
 }
 
-// Bucket holds the new connections that a limiter may open to one server: one at most, and it fills at the limiter's
-// part of what a server bears from all. Of limiters that share a server and start together, each with the bucket of
-// its place, all open no more in any second than the server bears, and one. After a lull all of them hold one, so then
-// it is their number more.
+// Bucket is the token bucket that limits the connections one limiter opens to one server. It holds at most one token
+// and fills at the limiter's part of the connection rate of the server. Buckets start at levels that differ by limiter,
+// so limiters that share a server and start together open, in any second, at most one connection more than the server's
+// rate. After an idle time all buckets are full, and the excess can be one connection per limiter. The zero Bucket does
+// not limit.
 type Bucket struct {
-	rate      float64 // a second
+	rate      float64 // tokens per second, 0 for no limit
 	tokens    float64
-	updatedAt int64
+	updatedAt int64 // nanoseconds
 }
 
-// NewBucket is the bucket of one of so many servers; the zero Bucket, like one where no bound is stated, holds nothing
-// back. Limiters that share a server stand in one arc of the ring, so it is by their places in that arc that they
-// begin apart.
+// NewBucket returns the bucket of one of the given number of servers; it does not limit if set.ConnectionRate is 0.
+// Limiters that share a server are neighbors on the hash ring, so the initial level follows the limiter's position
+// within that part of the ring.
 func NewBucket(now int64, set *Settings, servers int) Bucket {
 	servers = max(servers, 1)
 	_, initialTokens := math.Modf(set.positionFraction() * float64(servers) / float64(subsetSize(set.Limiters, servers)))
-	return Bucket{rate: set.ConnectionRate / float64(set.LimitersPerServer(servers)), tokens: initialTokens, updatedAt: now}
+	return Bucket{
+		rate: set.ConnectionRate / float64(set.LimitersPerServer(servers)), tokens: initialTokens, updatedAt: now,
+	}
 }
 
-// Take tells whether a connection may be opened at now and counts it.
+// Take reports whether a connection may be opened at now, in nanoseconds, and takes a token for it.
 func (b *Bucket) Take(now int64) bool {
 	if b.rate == 0 {
 		return true
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,5 @@
-// Package discovery reads and writes discovery's calls: HTTP/1.1 with JSON lists of servers.
+// Package discovery encodes the requests to the discovery service and decodes its responses: HTTP/1.1 with JSON lists
+// of servers.
 package discovery
 
 import (
@@ -14,7 +15,7 @@
 const (
 	maxHeadBytes = 16 << 10
 	maxBodyBytes = 4 << 20
-	// maxStartedMs is the last start of a server, in milliseconds, whose nanoseconds an int64 holds.
+	// maxStartedMs is the latest start time of a server, in milliseconds, whose nanoseconds fit into an int64.
 	maxStartedMs = math.MaxInt64 / 1e6
 )
 
@@ -22,25 +23,26 @@
 	"in_service": choice.EndpointReady, "terminating": choice.EndpointDraining, "terminated": choice.EndpointGone,
 }
 
-// Endpoint is one server of a list, with the address at which this limiter reaches it.
+// Endpoint is one server of a list.
 type Endpoint struct {
 	choice.Endpoint
-	Address string
+	Address string // host:port at which limiters connect to it; may be empty if the server is not ready
 }
 
-// List is the whole list or its changes.
+// List is the endpoint list, or the changes to it.
 type List struct {
 	Version   int64
-	Complete  bool
+	Complete  bool // Endpoints is the complete list, not only changes
 	Endpoints []Endpoint
 }
 
-// AppendFetch writes the call for the whole list.
+// AppendFetch appends the request for the complete list to dst.
 func AppendFetch(dst []byte, host string) []byte {
 	return fmt.Appendf(dst, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", host)
 }
 
-// AppendWatch writes the call that waits, for hold nanoseconds at most, for something newer than a version.
+// AppendWatch appends to dst the request for the changes after version. Discovery holds it for up to hold nanoseconds
+// until there are any.
 func AppendWatch(dst []byte, host string, version, hold int64) []byte {
 	return fmt.Appendf(
 		dst,
@@ -51,14 +53,14 @@
 	)
 }
 
-// wireList is a list by the keys of the wire.
+// wireList is a list as encoded in JSON.
 type wireList struct {
 	Version   *int64         `json:"generation"`
 	Complete  bool           `json:"reset"`
 	Endpoints []wireEndpoint `json:"instances"`
 }
 
-// wireEndpoint is one entry of a list by the keys of the wire.
+// wireEndpoint is one entry of a list as encoded in JSON.
 type wireEndpoint struct {
 	ID        string  `json:"instanceId"`
 	Address   string  `json:"hostPort"`
@@ -69,7 +71,8 @@
 	StartedMs float64 `json:"startedAtMs"`
 }
 
-// DecodeList reads a list and refuses one that cannot be used, whole. Errors: *ListMalformedError, *ListRefusedError.
+// DecodeList decodes a list. It rejects the complete list if any part of it is invalid. Errors: *ListMalformedError,
+// *ListRefusedError.
 func DecodeList(text []byte) (*List, error) {
 	var w wireList
 	if err := json.Unmarshal(text, &w); err != nil {
@@ -79,8 +82,8 @@
 		return nil, &ListRefusedError{Key: "generation", Why: "missing"}
 	}
 	if w.Complete && w.Endpoints == nil {
-		// Taken at its word it would end all servers. A complete list of none is written [].
-		return nil, &ListRefusedError{Key: "instances", Why: "missing in a whole list"}
+		// It would remove all servers. An intended empty list has the value [].
+		return nil, &ListRefusedError{Key: "instances", Why: "missing in a complete list"}
 	}
 	list := &List{Version: *w.Version, Complete: w.Complete}
 	for i := range w.Endpoints {
@@ -93,7 +96,7 @@
 	return list, nil
 }
 
-// decode checks an entry, which stands at a place in the list.
+// decode checks and converts an entry. index is its index in the list. Errors: *ListRefusedError.
 func (w *wireEndpoint) decode(index int) (Endpoint, error) {
 	state, known := endpointStates[w.State]
 	if !known {
@@ -121,7 +124,7 @@
 	}}, nil
 }
 
-// entryName is how an error names an entry: by its id, or by its place in the list, from 0, where it has none.
+// entryName returns the name of an entry in errors: its ID, or its index in the list if it has none.
 func entryName(index int, id string) string {
 	if id == "" {
 		return strconv.Itoa(index)
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,90 +5,90 @@
 	"net/http"
 )
 
-// MalformedError is for an answer that is no HTTP/1 that can be read.
+// MalformedError reports a response that is not valid HTTP/1.
 type MalformedError struct {
-	Why   string // what is wrong, empty where the cause says it
-	Cause error  // what net/http says, or nil
+	Why   string // what is wrong, empty if Cause tells it
+	Cause error  // the error of net/http, or nil
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *MalformedError) Error() string {
-	return "discovery's answer is malformed" + detail(e.Why, e.Cause)
+	return "discovery's response is malformed" + detail(e.Why, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *MalformedError) Hint() string {
-	return "check that the list service, and nothing else, answers at the configuration's discovery address"
+	return "check that the discovery service, and nothing else, answers at the configuration's discovery address"
 }
 
-// TooLongError is for an answer with a part that passes its limit.
+// TooLongError reports a response whose head or body exceeds its size limit.
 type TooLongError struct {
 	Part string // "head" or "body"
-	Max  int    // bytes
+	Max  int    // the limit, in bytes
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("discovery's answer is too long: its %s passes %d bytes", e.Part, e.Max)
+	return fmt.Sprintf("discovery's response is too long: its %s exceeds %d bytes", e.Part, e.Max)
 }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *TooLongError) Hint() string {
-	return "check what the list service sends; a fleet whose list is really so long needs smaller tiers"
+	return "check what the discovery service sends; a fleet whose list is really so long needs smaller tiers"
 }
 
-// ThrottledError is for a call that discovery has no time for now.
+// ThrottledError reports a call that discovery rejected because it is overloaded.
 type ThrottledError struct{ Status int }
 
-// Error says what happened.
+// Error implements error.
 func (e *ThrottledError) Error() string {
-	return fmt.Sprintf("discovery turned the call away with status %d", e.Status)
+	return fmt.Sprintf("discovery throttled the call with status %d", e.Status)
 }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *ThrottledError) Hint() string {
-	return "nothing if it is rare, the call comes again later and later; at many limiters, give discovery more room"
+	return "nothing if it is rare: calls are retried with backoff; if many limiters log it, give discovery more capacity"
 }
 
-// StatusError is for an answer with any other status that brings no list.
+// StatusError reports a response without a list, with a status other than those of ThrottledError.
 type StatusError struct{ Status int }
 
-// Error says what happened.
+// Error implements error.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("discovery answered with status %d %s", e.Status, http.StatusText(e.Status))
 }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *StatusError) Hint() string {
-	return "look at the list service, and check that it has this protocol"
+	return "check the discovery service, and that it supports this protocol"
 }
 
-// ListMalformedError is for a list that is no JSON of the right shape.
+// ListMalformedError reports a list that is not valid JSON or has values of wrong types.
 type ListMalformedError struct{ Cause error }
 
-// Error says what happened.
+// Error implements error.
 func (e *ListMalformedError) Error() string { return "the list is malformed" + detail("", e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *ListMalformedError) Unwrap() error { return e.Cause }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *ListMalformedError) Hint() string {
-	return "look at who writes the list: its JSON does not have the form of discovery's lists"
+	return "check the program that writes the list: its JSON does not have the form of discovery's lists"
 }
 
-// ListRefusedError is for a list that has the right shape and says what cannot be; none of it is used.
+// ListRefusedError reports a list with a missing or invalid value. No part of the list is used.
 type ListRefusedError struct {
-	Server string // its id, or its place in the list where that is missing; empty where the list itself is at fault
-	Key    string // of the JSON
-	Why    string // empty where the cause says it
+	Server string // the server's ID, or its index in the list if the ID is missing; empty for a key of the list itself
+	Key    string // the JSON key
+	Why    string // what is wrong, empty if Cause tells it
 	Cause  error  // or nil
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *ListRefusedError) Error() string {
 	where := e.Key
 	if e.Server != "" {
@@ -97,18 +97,18 @@
 	return "the list cannot be used: " + where + detail(e.Why, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *ListRefusedError) Unwrap() error { return e.Cause }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *ListRefusedError) Hint() string {
 	if e.Server == "" {
-		return fmt.Sprintf("have the list say %s", e.Key)
+		return fmt.Sprintf("add %s to the list", e.Key)
 	}
-	return fmt.Sprintf("mend %s of server %s in the list", e.Key, e.Server)
+	return fmt.Sprintf("correct %s of server %s in the list", e.Key, e.Server)
 }
 
-// Err tells why an answer brings no list, by its status; nil where it does.
+// Err returns nil if the status is 200, which comes with a list. Errors: *ThrottledError, *StatusError.
 func (r Response) Err() error {
 	switch r.Status {
 	case http.StatusOK:
@@ -119,7 +119,7 @@
 	return &StatusError{Status: r.Status}
 }
 
-// detail is the end of a message: why, and the cause underneath, as far as there are any.
+// detail returns the end of an error message: why and cause, each after a colon if present.
 func detail(why string, cause error) string {
 	text := ""
 	if why != "" {
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -9,12 +9,13 @@
 	"net/http/httputil"
 )
 
-// Response is one HTTP answer; the body points into the bytes it was read from, or is a copy where it came in chunks.
+// Response is one HTTP response.
 type Response struct {
 	Status     int
-	Body       []byte
-	CloseAfter bool // the connection ends behind it
-	// Date is when the service says that it answered, nanoseconds of Unix time in whole seconds; 0 where it does not tell
+	Body       []byte // a slice of the bytes that were parsed, or a copy if the body was chunked
+	CloseAfter bool   // the connection ends after this response
+	// Date is the value of the Date header in Unix nanoseconds, with a resolution of a second; 0 if it is missing or
+	// invalid.
 	Date int64
 }
 
@@ -23,15 +24,17 @@
 	headEnd     = []byte("\r\n\r\n")
 )
 
-// ReadResponse reads one answer from all bytes that have come so far and tells how many it took: 0 while it is not
-// whole. What cannot become an answer is told as soon as it shows. The reading itself is net/http's; how much to wait
-// for, and what no list service sends, is settled here. An answer without a length is never whole here: see ReadEnded.
+// ReadResponse parses one response at the start of b, which holds all bytes received so far. It returns the response's
+// size in bytes, 0 while it is incomplete, and an error as soon as b cannot become a valid response. Parsing is done by
+// net/http; this package decides when a response is complete and rejects forms that no discovery service sends. A
+// response without a length is never complete here, see ReadClosedResponse. Errors: *MalformedError, *TooLongError.
 func ReadResponse(b []byte) (r Response, size int, err error) { return parseResponse(b, false) }
 
-// ReadClosedResponse is the same where nothing comes behind the bytes: the other side has ended the connection in
-// order, which ends an answer without a length. A connection that was broken off, or that we gave up, ends none.
+// ReadClosedResponse is like ReadResponse, but for a connection that the service has closed gracefully, which completes
+// a response without a length. It must not be used after a reset or a timeout.
 func ReadClosedResponse(b []byte) (r Response, size int, err error) { return parseResponse(b, true) }
 
+// parseResponse implements ReadResponse and, if closed is true, ReadClosedResponse.
 func parseResponse(b []byte, closed bool) (response Response, size int, err error) {
 	parsed, headSize, err := parseHead(b)
 	if err != nil || parsed == nil {
@@ -44,9 +47,9 @@
 	}
 	rest := b[headSize:]
 	switch {
-	case parsed.Body == http.NoBody: // by its status, whatever its fields say, or by a length of 0
+	case parsed.Body == http.NoBody: // the status allows no body, whatever the header says, or the length is 0
 		return response, headSize, nil
-	case len(parsed.TransferEncoding) > 0: // net/http knows no other than chunked
+	case len(parsed.TransferEncoding) > 0: // net/http accepts only chunked
 		response.Body, size, err = joinChunks(rest)
 		if size > 0 {
 			size += headSize
@@ -65,10 +68,11 @@
 	return response, headSize + len(response.Body), nil
 }
 
-// parseHead reads the head of an answer and tells how many bytes it took; nil while it is not whole.
+// parseHead parses the status line and the header at the start of b, and returns their size in bytes. The response is
+// nil while they are incomplete.
 func parseHead(b []byte) (response *http.Response, size int, err error) {
 	if k := min(len(b), len(httpVersion)); !bytes.Equal(b[:k], httpVersion[:k]) {
-		return nil, 0, &MalformedError{Why: "it is no HTTP/1"}
+		return nil, 0, &MalformedError{Why: "it is not HTTP/1"}
 	}
 	end := bytes.Index(b[:min(len(b), maxHeadBytes)], headEnd)
 	if end < 0 {
@@ -78,23 +82,23 @@
 		return nil, 0, err
 	}
 	size = end + len(headEnd)
-	// Only the head is given to it: it is short, so to read it again with each piece of a long body costs little.
+	// net/http gets the head only. It is short, so parsing it again with each segment of a long body costs little.
 	reader := bufio.NewReaderSize(bytes.NewReader(b[:size]), size)
 	response, err = http.ReadResponse(reader, nil)
 	switch {
 	case err != nil:
 		return nil, 0, &MalformedError{Cause: err}
-	case reader.Buffered() > 0: // lines that end without a return: where the body begins is not sure
+	case reader.Buffered() > 0: // lines end in a bare \n, so it is ambiguous where the body begins
 		return nil, 0, &MalformedError{Why: "its head ends twice"}
 	case response.StatusCode < 100:
-		return nil, 0, &MalformedError{Why: "its status is " + response.Status}
+		return nil, 0, &MalformedError{Why: "its status is invalid: " + response.Status}
 	}
 	return response, size, nil
 }
 
-// joinChunks puts the chunks of a body together; it takes 0 bytes while the body is not whole.
+// joinChunks decodes a chunked body at the start of b. encodedSize is its size in b, 0 while the body is incomplete.
 func joinChunks(b []byte) (body []byte, encodedSize int, err error) {
-	// Nothing is kept until the last chunk is there: most calls find that more is to come.
+	// The first pass only checks whether the body is complete, since most calls find that it is not.
 	decodedSize, encodedSize, err := readChunks(b, io.Discard)
 	if err != nil || encodedSize == 0 {
 		return nil, 0, err
@@ -104,7 +108,8 @@
 	return buffer.Bytes(), encodedSize, err
 }
 
-// readChunks writes the content of chunks and tells its size and how many bytes they took.
+// readChunks writes the content of a chunked body to dst. It returns the size of the content and of the encoded body in
+// bytes, both 0 while the body is incomplete.
 func readChunks(b []byte, dst io.Writer) (decodedSize int64, encodedSize int, err error) {
 	source := bytes.NewReader(b)
 	reader := bufio.NewReader(source)
@@ -117,10 +122,10 @@
 	case err != nil:
 		return 0, 0, &MalformedError{Cause: err}
 	}
-	// Fields behind the trailer chunk are not for us; a server that sends them is not understood.
+	// Trailer fields are not supported.
 	trailer, _ := reader.Peek(2)
 	if !bytes.HasPrefix([]byte("\r\n"), trailer) {
-		return 0, 0, &MalformedError{Why: "fields stand behind its last chunk"}
+		return 0, 0, &MalformedError{Why: "it has trailer fields after its last chunk"}
 	}
 	if len(trailer) < 2 {
 		return 0, 0, nil
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file: what an installation states beside the configuration that the platform
-// writes. The variable GW_OPERATOR names it; without it all that it switches on is off. deploy/operator.toml is an
-// example.
+// Package operator reads the operator's file: options of an installation beyond the configuration that the platform
+// writes. The environment variable GW_OPERATOR has its path. Without it, all features that the file enables are off.
+// deploy/operator.toml is an example.
 package operator
 
 import (
@@ -18,67 +18,78 @@
 	"ospreycroft/internal/distribution"
 )
 
-// Variable names the file.
+// Variable is the environment variable with the path of the operator's file.
 const Variable = "GW_OPERATOR"
 
-// Options is what the file states; the zero value states nothing.
+// Options are the contents of the file. The zero value has all features off.
 type Options struct {
-	DiscoveryCallRate float64 // list_calls_per_s: calls a second that the list service bears from all limiters
-	// start.connections_per_s: new connections a second that one server bears from all limiters
+	// DiscoveryCallRate (list_calls_per_s) is the rate of calls that discovery sustains from all limiters, in calls per
+	// second; 0 if not stated.
+	DiscoveryCallRate float64
+	// ConnectionRate (start.connections_per_s) is the rate of new connections that one server sustains from all
+	// limiters, in connections per second; 0 if not stated.
 	ConnectionRate float64
-	Installation   string // installation: tells this fleet's snapshots from another's
-	SnapshotPath   string // snapshot.path: the directory of the limiters' snapshots, empty for none
-	SnapshotMaxAge int64  // snapshot.oldest_s, in nanoseconds here
+	// Installation (installation) distinguishes this fleet's snapshots and states from those of other fleets.
+	Installation string
+	// SnapshotPath (snapshot.path) is the directory of the limiters' snapshots; empty for no snapshots.
+	SnapshotPath string
+	// SnapshotMaxAge (snapshot.oldest_s) is the age up to which a snapshot is used, in nanoseconds.
+	SnapshotMaxAge int64
 	Distribution   Distribution
 }
 
-// Distribution is how the limiter follows the configuration distribution; the zero value is not at all.
+// Distribution configures how the limiter follows the configuration distribution. It does not if the value is zero.
 type Distribution struct {
-	// distribution.relays: host and port of the limiter's two relays, the one of its own zone first
-	Relays      [2]string
-	Scope       string // distribution.scope, as distribution.ParseScope reads it; empty for everything
-	StatePath   string // distribution.state_path: the directory of the limiters' states, empty for none
-	StateMaxAge int64  // distribution.oldest_s, in nanoseconds here
-}
-
-// UnreadableError is a file that GW_OPERATOR names and that cannot be read, or is no TOML.
+	// Relays (distribution.relays) are the addresses, host:port, of the limiter's two relays, the one of its own zone
+	// first.
+	Relays [2]string
+	// Scope (distribution.scope) has the format of distribution.ParseScope; empty for everything.
+	Scope string
+	// StatePath (distribution.state_path) is the directory of the limiters' stored states; empty for none.
+	StatePath string
+	// StateMaxAge (distribution.oldest_s) is the age up to which a stored state is used, in nanoseconds.
+	StateMaxAge int64
+}
+
+// UnreadableError reports that the operator's file cannot be read or is not valid TOML.
 type UnreadableError struct {
 	Path  string
 	Cause error
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *UnreadableError) Error() string {
 	return fmt.Sprintf("operator's file %s: %v", e.Path, e.Cause)
 }
 
-// Hint is what to do.
+// Hint returns what an operator can do.
 func (e *UnreadableError) Hint() string {
-	return "mend " + e.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
+	return "correct " + e.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// KeyError is a key that is not known, or whose value cannot work.
+// KeyError reports an unknown key, or a key whose value is missing or invalid.
 type KeyError struct {
-	Path  string
+	Path  string // of the file
 	Key   string
-	Value any
-	Want  string
+	Value any    // as decoded from TOML, "missing" if the key is missing
+	Want  string // a description of the valid values
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *KeyError) Error() string {
 	return fmt.Sprintf("operator's file %s: %s is %v, not %s", e.Path, e.Key, e.Value, e.Want)
 }
 
-// Hint is what to do.
+// Hint returns what an operator can do.
 func (e *KeyError) Hint() string {
 	return fmt.Sprintf("set %s to %s in %s, or leave it out", e.Key, e.Want, e.Path)
 }
 
-// Read reads the file that GW_OPERATOR names; nothing is stated where it is not set. Errors: *UnreadableError, *KeyError.
+// Read reads the file at the path in GW_OPERATOR. It returns zero Options if that is not set. Errors: *UnreadableError,
+// *KeyError.
 func Read() (*Options, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
@@ -91,10 +102,10 @@
 	return Parse(path, text)
 }
 
-// maxNumber bounds the numbers of the file: nobody means a larger one.
+// maxNumber is the largest valid number in the file. A larger one is taken for a mistake.
 const maxNumber = 1e6
 
-// Parse checks the text of the file at path. Errors: *UnreadableError, *KeyError.
+// Parse decodes and checks text. path is the file's path in errors. Errors: *UnreadableError, *KeyError.
 func Parse(path string, text []byte) (*Options, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
@@ -144,17 +155,18 @@
 	return options, nil
 }
 
-// readText reads a text. It tells what the value should be where it is none.
+// readText stores a text that is not blank in dst. If value is not one it returns a description of the valid values.
 func readText(value any, dst *string) (want string) {
 	text, isText := value.(string)
 	if !isText || strings.TrimSpace(text) == "" {
-		return "a text"
+		return "a text that is not blank"
 	}
 	*dst = text
 	return ""
 }
 
-// readNumber reads a number, whole or not, as readWord does a text.
+// readNumber stores a number, integer or float, in dst. If value is not a valid one it returns a description of the
+// valid values.
 func readNumber(value any, dst *float64) (want string) {
 	switch number := value.(type) {
 	case float64:
@@ -168,7 +180,7 @@
 	return ""
 }
 
-// readRelays reads the relays, as readWord does a text.
+// readRelays stores the relays. If value is not a valid list of them it returns a description of the valid values.
 func (d *Distribution) readRelays(value any) (want string) {
 	var valid bool
 	d.Relays, valid = parseRelays(value)
@@ -178,7 +190,7 @@
 	return ""
 }
 
-// checkSnapshot refuses keys of the snapshot that do not go together. Errors: *KeyError.
+// checkSnapshot returns a *KeyError if a key is missing that snapshot.path requires.
 func checkSnapshot(path string, options *Options) error {
 	switch {
 	case options.SnapshotPath != "" && options.Installation == "":
@@ -191,7 +203,7 @@
 
 const relaysKey = "distribution.relays"
 
-// parseRelays reads a list of two addresses. Both may be the same where there is one relay.
+// parseRelays converts a list of two addresses. They may be equal, for an installation with one relay.
 func parseRelays(value any) (addresses [2]string, valid bool) {
 	list, valid := value.([]any)
 	if !valid || len(list) != len(addresses) {
@@ -209,7 +221,8 @@
 	return addresses, true
 }
 
-// checkDistribution refuses keys of the distribution that do not go together. Errors: *KeyError.
+// checkDistribution returns a *KeyError if the scope is invalid, or if a key is missing that other keys of distribution
+// require.
 func checkDistribution(path string, options *Options) error {
 	d := options.Distribution
 	if _, err := distribution.ParseScope(d.Scope); err != nil {
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReadsAFileOfAnEarlierVersion: the file in testdata is the example of version f99e54e, with every key that it had.
+// TestReadsAFileOfAnEarlierVersion checks that a file of an earlier version is still accepted. The file in testdata is
+// the example of version f99e54e, with every key that it had.
 func TestReadsAFileOfAnEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/operator.toml")
 	require.NoError(t, err)
--- a/internal/pollpacer/pollpacer.go
+++ b/internal/pollpacer/pollpacer.go
@@ -1,83 +1,89 @@
-// Package pollpacer decides how often a limiter asks discovery, and for what. It does no I/O: the caller tells how each
-// call ended and is told how long to wait before the next one, in nanoseconds.
+// Package pollpacer decides when a limiter polls discovery, how long discovery may hold a poll, and when a poll times
+// out. It does no I/O: the caller reports how each call ended and gets the delay of the next one. Times are
+// nanoseconds.
 //
-// A call that is asked again at once is harmless in one limiter. In a fleet that starts together it keeps discovery
-// overbooked for good: each call that is throttled comes again before the others have had their turn.
+// An immediate retry is harmless from one limiter. In a fleet that starts together it keeps discovery overloaded for
+// good, since each throttled call is repeated before the others have been served.
 package pollpacer
 
 import "math"
 
-// Failure is how a call to discovery ended that brought no list.
+// Failure is the way in which a call to discovery ended without a list.
 type Failure uint8
 
 // The failures.
 const (
-	Throttled Failure = iota // throttled: discovery has too much to do
-	Failed                   // no answer, or one that cannot be read
+	Throttled Failure = iota // discovery rejected the call because it is overloaded
+	Failed                   // no answer, or one that cannot be parsed
 )
 
-// When news counts as notified to a limiter, whether it came or not; the figures are the protocol's, in nanoseconds.
+// Notification deadlines of the protocol, in nanoseconds: the time at which a change of the list counts as delivered to
+// a limiter, whether it arrived or not.
 const (
-	// notifiedAfterSilence is how long after discovery fell silent.
+	// notifiedAfterSilence is the deadline after discovery becomes unreachable.
 	notifiedAfterSilence = 6e9
-	// notifiedAfterHold: where a call may be held, no sooner than so long after its hold.
+	// notifiedAfterHold is the earliest deadline after the end of a call's hold.
 	notifiedAfterHold = 2e9
-	// notifiedAfterMove is how long after a new configuration.
+	// notifiedAfterMove is the deadline after a new configuration moves discovery to another address.
 	notifiedAfterMove = 4e9
 )
 
 const (
-	// firstFailurePauseDivisor: after a failure the next call comes after this part of a dial time-out,
+	// firstFailurePauseDivisor: the mean pause after a first failed call is a dial timeout divided by
+	// firstFailurePauseDivisor.
 	firstFailurePauseDivisor = 4
-	// maxFailurePauseDialTimeouts: and after further failures later and later, up to so many dial time-outs.
+	// maxFailurePauseDialTimeouts limits that mean, which doubles with each further failure, in dial timeouts.
 	maxFailurePauseDialTimeouts = 4
-	// firstThrottledPauseDialTimeouts: after discovery throttled a call the next one comes after so many dial time-outs,
+	// firstThrottledPauseDialTimeouts is the mean pause after a first throttled call, in dial timeouts.
 	firstThrottledPauseDialTimeouts = 8
-	// maxThrottledPauseDialTimeouts: and after further ones later and later, up to so many.
+	// maxThrottledPauseDialTimeouts limits that mean, which doubles with each further failure, in dial timeouts.
 	maxThrottledPauseDialTimeouts = 32
-	// firstCallDivisor: where discovery is polled the first call comes within this part of the poll interval.
+	// firstCallDivisor: if lists are polled, the first calls are spread over the poll interval divided by
+	// firstCallDivisor.
 	firstCallDivisor = 2
 
-	// pushedGraceDivisor: where changes are pushed, what the own machine's agent has counts at once, so the next call
-	// comes within this part of the grace,
+	// pushedGraceDivisor: if changes are pushed, a change counts as delivered as soon as the agent on this machine has
+	// it, so the mean pause after a failed call is at most the drain grace divided by pushedGraceDivisor.
 	pushedGraceDivisor = 5
-	// maxPushedPause: and after no longer than that, nanoseconds, as it costs nothing there,
+	// maxPushedPause is the maximum of that bound, in nanoseconds. Calls to the local agent cost almost nothing.
 	maxPushedPause = 50e6
-	// minPushedPause: nor sooner than that.
+	// minPushedPause is the minimum of that bound, in nanoseconds.
 	minPushedPause = 1e6
-	// pushedHoldDialTimeouts: there a watch is held for so many dial time-outs, since one that is never answered hides all news,
+	// pushedHoldDialTimeouts is the hold of a call if changes are pushed, in dial timeouts. It is short because a call
+	// that is never answered hides all changes.
 	pushedHoldDialTimeouts = 4
-	// pushedResponseDialTimeouts: and is given up if no answer comes for so many more.
+	// pushedResponseDialTimeouts is how long after its hold such a call times out, in dial timeouts.
 	pushedResponseDialTimeouts = 2
 
-	// maxDialTimeout: no dial to discovery, and no answer that could come at once, is waited for longer, nanoseconds.
+	// maxDialTimeout is the longest wait for a connection to discovery, or for a response to a call without a hold, in
+	// nanoseconds.
 	maxDialTimeout = 500e6
-	// processingMargin is what all that is not waiting takes together, nanoseconds.
+	// processingMargin is the time allowed for everything but waiting between a failed call and the end of the next
+	// one, in nanoseconds.
 	processingMargin = 100e6
 )
 
-// noCall stands for the time of a call where none is out.
+// noCall is the value of callMadeAt while no call is in flight.
 const noCall = math.MaxInt64
 
-// Pacer is one limiter's way of asking. The zero value is not of use; see New.
+// Pacer schedules the calls of one limiter to discovery. The zero value is not usable; see New.
 type Pacer struct {
-	dialTimeout int64 // a dial time-out
-	// the longest time between calls where they are work for discovery, 0 where changes are pushed
-	pollInterval       int64
-	pushedPause        int64   // the longest between them where they are none
-	positionFraction   float64 // this limiter's place among all, in [0, 1)
+	dialTimeout        int64
+	pollInterval       int64   // maximum time between polls, 0 if changes are pushed
+	pushedPause        int64   // maximum mean pause after a failed call if changes are pushed
+	positionFraction   float64 // this limiter's place in the fleet, in [0, 1)
 	failures           int     // calls in a row without an answer
-	lastResponse       int64   // when the list that is held was last known to be discovery's
-	holdUntil          int64   // until when the latest call may wait
-	notifiedAt         int64   // from when on what is missed counts as notified, 0 while nothing is
-	earlyCallAvailable bool    // one call may come early for that
-	retrying           bool    // the next call is a retry: no answer has come since a call failed
-	callMadeAt         int64   // when the call that is out was made, noCall while none is
-	plannedCallAt      int64   // when the next call would have come without that one, 0 where there was none
+	lastResponse       int64   // latest time at which the held list was known to be current
+	holdUntil          int64   // end of the latest call's hold
+	notifiedAt         int64   // time at which missed changes count as delivered, 0 if none are missed
+	earlyCallAvailable bool    // one call may be sent early to meet notifiedAt
+	retrying           bool    // no answer has come since a call failed
+	callMadeAt         int64   // start of the call in flight, noCall if there is none
+	plannedCallAt      int64   // time planned for the next call before an early call was inserted, 0 if none was
 }
 
-// New makes the pace of the limiter with this number among all. dialTimeout is in nanoseconds and above 0; every is the
-// settings' longest time between calls where discovery tells only those that ask, and 0 where it tells all.
+// New returns the pacer of the limiter with the given position in the fleet. dialTimeout must be above 0. interval is
+// the maximum time between polls, or 0 if changes are pushed.
 func New(now, dialTimeout int64, position int, interval int64) *Pacer {
 	_, fraction := math.Modf(float64(position) * math.Phi)
 	return &Pacer{
@@ -90,43 +96,44 @@
 	}
 }
 
-// SetNotificationBound takes the settings' grace: how late what is told may be acted on, 0 where they do not say.
+// SetNotificationBound sets the grace: how long after notice that a server drains it may still get requests. 0 means
+// that the settings do not limit it.
 func (p *Pacer) SetNotificationBound(grace int64) {
 	if grace > 0 {
 		p.pushedPause = max(min(maxPushedPause, grace/pushedGraceDivisor), minPushedPause)
 	}
 }
 
-// FirstDelay is how long to wait before the first call. Limiters that start together would overbook a discovery that
-// takes their calls in turn, and what it cannot answer in time is work in vain: by their places they come evenly. The
-// list of the configuration holds until then, but not for longer than its news takes to count as notified.
+// FirstDelay returns the delay of the first call. It spreads the calls of limiters that start together evenly, by
+// position: discovery would be overloaded by all at once, and the work on calls that it cannot answer in time is
+// wasted. The list of the configuration is used until then, so the delay must meet the notification deadline.
 func (p *Pacer) FirstDelay() int64 {
 	return int64(
 		p.positionFraction * float64(min(p.pollInterval/firstCallDivisor, notifiedAfterSilence-p.retryAllowance())),
 	)
 }
 
-// DialTimeout is how long a connection to discovery may take to come up.
+// DialTimeout returns the timeout of a dial to discovery.
 func (p *Pacer) DialTimeout() int64 { return p.dialTimeout }
 
-// PartialResponseTimeout is how long the rest of an answer that has begun may take.
+// PartialResponseTimeout returns the timeout for the rest of a response that has begun to arrive.
 func (p *Pacer) PartialResponseTimeout() int64 { return 2 * p.dialTimeout }
 
-// retryAllowance is what has to be left when a call is given up: a dial that is never answered, the pause after it, a
-// dial and an answer.
+// retryAllowance returns the time that must remain before a notification deadline when a call times out: a dial that
+// times out, the pause after it, and the dial and the response of the next call.
 func (p *Pacer) retryAllowance() int64 {
 	return 3*p.dialTimeout + p.dialTimeout/firstFailurePauseDivisor*3/2 + processingMargin
 }
 
-// MaxBackoff is the longest pause behind a failed call that keeps the notification deadline. Discovery may come back
-// just after a dial that it will never answer: that dial's time-out, the pause, and the dial and the answer of the
-// next call come before what discovery has counts as notified.
+// MaxBackoff returns the longest pause after a failed call that meets the notification deadline. Discovery may recover
+// just after a dial that will time out. That timeout, the pause, and the dial and the response of the next call must
+// all end before the changes that discovery has count as delivered.
 func (p *Pacer) MaxBackoff() int64 { return notifiedAfterSilence - 3*p.dialTimeout - processingMargin }
 
-// NextPoll tells how long a call that is made now is to wait for news, and after how long it is given up if it is
-// still unanswered. A call for the whole list does not wait. To give one up that stands in discovery's queue and ask
-// again adds to the queue, so where it is asked it is held for as long as leaves room before news counts as notified. A
-// retry waits for less, so that it is over within the deadline for what discovery has when it can be reached again.
+// NextPoll returns the hold and the timeout of a call that is sent at now. A call for the complete list has no hold.
+// The timeout is as long as the notification deadline allows, since abandoning a call in discovery's queue and sending
+// another lengthens the queue. A retry has a shorter hold, so that it ends by the deadline for the changes that
+// discovery has when it recovers.
 func (p *Pacer) NextPoll(now int64, complete bool) (hold, timeout int64) {
 	switch {
 	case complete:
@@ -140,7 +147,7 @@
 	return hold, p.responseTimeout(now, complete, hold)
 }
 
-// responseTimeout is after how long a call with this wait is given up.
+// responseTimeout returns the timeout of a call that is sent at now, and records the call as in flight.
 func (p *Pacer) responseTimeout(now int64, complete bool, hold int64) (timeout int64) {
 	deadline := now + notifiedAfterSilence
 	if complete && p.notifiedAt-p.retryAllowance()-now >= p.dialTimeout {
@@ -158,7 +165,7 @@
 	return max(timeout, hold+p.dialTimeout)
 }
 
-// ResponseReceived notes a list: nothing is missed.
+// ResponseReceived records that a list was received: no changes are missed.
 func (p *Pacer) ResponseReceived(now int64) {
 	p.failures = 0
 	p.lastResponse = now
@@ -169,17 +176,17 @@
 	p.callMadeAt = noCall
 }
 
-// ConnectionLost notes that a connection that has served ended from the other side with a call out. The call is made
-// again at once, as a retry. A connection that ends within a dial time-out of its latest answer is one that discovery
-// closes behind each answer.
+// ConnectionLost records that discovery closed a connection that had served calls before while a call was in flight.
+// The caller repeats the call at once, as a retry. A connection closed within a dial timeout of the call is not a
+// failure: discovery closes it after each response.
 func (p *Pacer) ConnectionLost(now int64) {
 	if p.callMadeAt != noCall && now-p.callMadeAt >= p.dialTimeout {
 		p.retrying = true
 	}
 }
 
-// ServiceMoved notes that discovery is at a new address, from which nothing has come yet. As at the start, all
-// limiters ask it together, so no call comes early.
+// ServiceMoved records that discovery has a new address, which has not answered yet. All limiters call it at the same
+// time, as at a start, so no call may be sent early.
 func (p *Pacer) ServiceMoved(now int64) {
 	p.failures = 0
 	p.notifiedAt = now + notifiedAfterMove
@@ -187,11 +194,11 @@
 	p.plannedCallAt = 0
 }
 
-// RetryDelay takes the end of a call that brought no list and tells how long to wait before the next one: longer with
-// each in a row. Limiters that failed together come again apart: the wait is between half and one and a half of its
-// span, by the limiter's place, which steps on with each failure. Where the next call would come after what is missed
-// counts as notified, one comes before that, apart again: one more a limiter and outage, and the others stay where they
-// were.
+// RetryDelay records that a call ended without a list at now and returns the delay of the next one, an exponential
+// backoff with jitter. The jitter, from half to one and a half of the mean, follows from the limiter's position and the
+// number of failures, so that limiters that failed together retry apart. If the next call would be sent after the
+// missed changes count as delivered, one call per outage is sent before that deadline, again with jitter; the calls
+// planned after it keep their times.
 func (p *Pacer) RetryDelay(now int64, failure Failure) int64 {
 	if p.notifiedAt == 0 {
 		p.notifiedAt = p.lastResponse + notifiedAfterSilence
@@ -210,7 +217,8 @@
 	p.failures++
 	_, fraction := math.Modf(p.positionFraction + float64(p.failures)*math.Phi)
 	pause := p.jittered(mean, p.maxPause(now, madeAt, failure), fraction)
-	if remaining := p.notifiedAt - now - 2*p.dialTimeout - processingMargin; p.earlyCallAvailable && pause > remaining && remaining > 0 {
+	if remaining := p.notifiedAt - now - 2*p.dialTimeout - processingMargin; p.earlyCallAvailable &&
+		pause > remaining && remaining > 0 {
 		p.earlyCallAvailable = false
 		p.plannedCallAt = now + pause
 		return remaining/4 + int64(fraction*float64(remaining*3/4))
@@ -218,8 +226,8 @@
 	return pause
 }
 
-// meanBackoff is the mean pause behind a failed call where the notification deadline leaves it, longer with each
-// failure in a row.
+// meanBackoff returns the mean pause after a failed call before the notification deadline is applied. It doubles with
+// each failure in a row.
 func (p *Pacer) meanBackoff(failure Failure) int64 {
 	mean := p.dialTimeout / firstFailurePauseDivisor
 	longest := maxFailurePauseDialTimeouts * p.dialTimeout
@@ -239,10 +247,10 @@
 	return mean
 }
 
-// maxPause is the longest pause behind a call that was made at asked and ends now. A call without an answer may have
-// been lost as discovery came back, so the next one is over within the deadline from when that one was made; it is
-// never sooner than the first pause of all. A call that was throttled has had an answer: discovery was not back
-// before that.
+// maxPause returns the longest pause after a call that was sent at madeAt and ended at now. A call without an answer
+// may have been lost just as discovery recovered, so the next one must end within the notification deadline counted
+// from madeAt; the result is never below the longest first pause. A throttled call was answered, so discovery cannot
+// have recovered before now.
 func (p *Pacer) maxPause(now, madeAt int64, failure Failure) int64 {
 	longest := p.MaxBackoff()
 	if failure == Failed && madeAt != noCall {
@@ -251,9 +259,9 @@
 	return max(longest, p.dialTimeout/firstFailurePauseDivisor*3/2)
 }
 
-// jittered draws a pause from between half and one and a half of a span, or from the upper half of what is allowed
-// where that would be longer. Half of the draw is the limiter's place then: pauses of one mean would keep a fleet in
-// step for good. part is in [0, 1).
+// jittered returns a pause between half and one and a half of mean, or between half of longest and longest if the
+// former range exceeds longest. In the second case half of the choice is the limiter's position: with the same mean
+// pause for all, a fleet would keep calling in step. fraction is in [0, 1).
 func (p *Pacer) jittered(mean, longest int64, fraction float64) int64 {
 	shortest := mean / 2
 	upper := mean/2 + mean
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -1,24 +1,24 @@
 package settings
 
-// Bounds of figures. Nobody means one beyond them, and the arithmetic in nanoseconds holds within them: what is
-// shorter would round to no time at all, and what is longer would overflow.
+// Bounds of numbers in the settings. Values beyond them are mistakes, and would break the arithmetic in nanoseconds:
+// shorter times round to 0, longer ones overflow.
 const (
 	minTime  = 1e-4 // seconds
 	maxTime  = 1e8  // seconds
-	maxUnits = 1e9  // the wire's largest amount
-	maxRate  = 1e12
-	maxCount = 1e6
+	maxUnits = 1e9  // the largest amount that the protocols allow
+	maxRate  = 1e12 // units per second; also limits units, weights and the numbers of attempts
+	maxCount = 1e6  // limiters
 )
 
-// boundedValue is a number by its key, and what it may be; 0 stands for one that is not given, where that may be.
+// boundedValue is the value of a key with its bounds.
 type boundedValue struct {
 	key        string
 	value      float64
 	min, max   float64
-	mayBeUnset bool
+	mayBeUnset bool // 0 is valid too and means that the key is not set
 }
 
-// checkBounds refuses the first figure that is out of its bounds, by its key behind that of the part.
+// checkBounds returns a *KeyError for the first value that is out of its bounds. part is the prefix of the keys.
 func checkBounds(part string, figures ...boundedValue) error {
 	for _, f := range figures {
 		inBounds := f.min <= f.value && f.value <= f.max
@@ -29,13 +29,13 @@
 	return nil
 }
 
-// checkName refuses a class or a plan without a name, or with one that is taken already.
+// checkName returns a *KeyError if name is empty or is already used by another class or plan.
 func checkName(part, name string, taken bool) error {
 	switch {
 	case name == "":
 		return keyError(part+": name", "missing")
 	case taken:
-		return keyError(part+": "+name, "there twice")
+		return keyError(part+": "+name, "is defined twice")
 	}
 	return nil
 }
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -9,43 +9,53 @@
 	"strconv"
 )
 
-// Config is the configuration of one real limiter, as DEPLOY.md describes it.
+// Config is the configuration of one limiter, as described in DEPLOY.md. Addresses have the form host:port.
 type Config struct {
 	Name      string
-	Listen    string
-	Discovery string
-	Counter   string // empty where there is none
-	Seed      int64
-	Memory    int64 // bytes
-	Sockets   int
-	Known     json.RawMessage // the list as it was last held, in discovery's form
+	Listen    string          // address for clients; the host may be empty
+	Discovery string          // address
+	Counter   string          // address, empty if there is no shared counter
+	Seed      int64           // of the limiter's random choices
+	Memory    int64           // limit, in bytes
+	Sockets   int             // limit
+	Known     json.RawMessage // the endpoint list to start with, in discovery's format
 	Settings  *Settings
 }
 
-// comparedValue is one figure of two configurations, by its key.
+// comparedValue is the value of one key in two configurations.
 type comparedValue struct {
 	key      string
 	old, new any
 }
 
-// NeedRestart names every key that differs in another configuration and cannot change before the next start, a class
-// or a plan by its name. Discovery and the counter may move, but a counter is neither added nor taken away.
+// NeedRestart returns the keys whose values differ in other and take effect only at the next start. Classes and plans
+// are compared as a whole, by name. The addresses of discovery and of the counter can change at any time, but a counter
+// cannot be added or removed.
 func (c *Config) NeedRestart(other *Config) (keys []string) {
 	current := c.Settings
 	changed := other.Settings
 	values := []comparedValue{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen},
 		{"counter", c.fixedCounter(c, other), other.fixedCounter(c, other)}, {"seed", c.Seed, other.Seed},
 		{"limits: memory_mb", c.Memory, other.Memory}, {"limits: sockets", c.Sockets, other.Sockets}}
-	for _, s := range []comparedValue{{"balancers", current.Limiters, changed.Limiters}, {"position", current.Position, changed.Position},
-		{"family-info: count-wait", current.CounterTimeout, changed.CounterTimeout}, {"family-info: units-top", current.MaxRequestUnits, changed.MaxRequestUnits},
-		{"family-info: trued-up", current.MaxActualUnits > 0, changed.MaxActualUnits > 0}, {"contract: cold-from", current.ColdCapacity, changed.ColdCapacity},
-		{"contract: warm-within", current.SlowStartWindow, changed.SlowStartWindow}, {"contract: ask-every", current.PollInterval, changed.PollInterval},
+	for _, s := range []comparedValue{
+		{"balancers", current.Limiters, changed.Limiters},
+		{"position", current.Position, changed.Position},
+		{"family-info: count-wait", current.CounterTimeout, changed.CounterTimeout},
+		{"family-info: units-top", current.MaxRequestUnits, changed.MaxRequestUnits},
+		{"family-info: trued-up", current.MaxActualUnits > 0, changed.MaxActualUnits > 0},
+		{"contract: cold-from", current.ColdCapacity, changed.ColdCapacity},
+		{"contract: warm-within", current.SlowStartWindow, changed.SlowStartWindow},
+		{"contract: ask-every", current.PollInterval, changed.PollInterval},
 		{"contract: stop-sending-within", current.DrainGrace, changed.DrainGrace},
-		{"permissions: attempts-cap", current.MaxAttempts, changed.MaxAttempts}, {"permissions: dial-timeout", current.DialTimeout, changed.DialTimeout},
-		{"permissions: idle-close", current.IdleClose, changed.IdleClose}, {"permissions: max-retry-after", current.MaxRetryAfter, changed.MaxRetryAfter},
-		{"permissions: probes", current.HealthChecks, changed.HealthChecks}, {"permissions: cancelling", current.CanCancel, changed.CanCancel},
+		{"permissions: attempts-cap", current.MaxAttempts, changed.MaxAttempts},
+		{"permissions: dial-timeout", current.DialTimeout, changed.DialTimeout},
+		{"permissions: idle-close", current.IdleClose, changed.IdleClose},
+		{"permissions: max-retry-after", current.MaxRetryAfter, changed.MaxRetryAfter},
+		{"permissions: probes", current.HealthChecks, changed.HealthChecks},
+		{"permissions: cancelling", current.CanCancel, changed.CanCancel},
 		{"classes: deadline", current.LongestDeadline, changed.LongestDeadline},
-		{"granularity", current.TimerResolution, changed.TimerResolution}} {
+		{"granularity", current.TimerResolution, changed.TimerResolution},
+	} {
 		values = append(values, comparedValue{"settings: " + s.key, s.old, s.new})
 	}
 	values = append(
@@ -59,7 +69,8 @@
 	return keys
 }
 
-// fixedCounter is the address where it cannot move: the settings that hold have no fixedCounter, or none is named any more.
+// fixedCounter returns the counter's address if it must not change, because that would add or remove the counter, and
+// an empty text if it may.
 func (c *Config) fixedCounter(current, other *Config) string {
 	if current.Settings.CounterTimeout > 0 && other.Counter != "" {
 		return ""
@@ -67,7 +78,8 @@
 	return c.Counter
 }
 
-// compareNamed are the classes or plans of two configurations: one that is in only one of them differs.
+// compareNamed pairs the classes or plans of two configurations by name. An item that is missing from one of them has
+// the value nil there.
 func compareNamed[T comparable](part string, a, b map[string]*T) (values []comparedValue) {
 	names := maps.Clone(a)
 	maps.Copy(names, b)
@@ -85,13 +97,13 @@
 }
 
 const (
-	minSockets = 32      // a connection for each party beside what the runtime and the poller hold themselves
-	maxSockets = 1 << 20 // a table of all descriptors is held
-	minMemory  = 1       // MB: a part of it has to hold the largest command
-	maxMemory  = 1 << 30
+	minSockets = 32      // one connection for each peer, and the descriptors of the runtime and the poller
+	maxSockets = 1 << 20 // a table with an entry for each descriptor is allocated
+	minMemory  = 1       // MB; a part of it must hold the largest command
+	maxMemory  = 1 << 30 // MB
 )
 
-// wireConfig is the configuration by the keys of its file.
+// wireConfig is the configuration as encoded in its file.
 type wireConfig struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -106,7 +118,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// DecodeConfig decodes a configuration and refuses one that cannot work. Errors: *MalformedError, *KeyError, which names the key.
+// DecodeConfig decodes and checks a configuration. Errors: *MalformedError, *KeyError.
 func DecodeConfig(text []byte) (*Config, error) {
 	var w wireConfig
 	if err := json.Unmarshal(text, &w); err != nil {
@@ -141,10 +153,11 @@
 	}, nil
 }
 
-// checkAddresses refuses an address that cannot be. The counter's may be empty where the settings have no counter.
+// checkAddresses returns a *KeyError for the first invalid address. The counter's address may be empty if the settings
+// have no counter.
 func (w *wireConfig) checkAddresses(hasCounter bool) error {
 	if w.Counter == "" && hasCounter {
-		return keyError("counter", "missing, but the settings have one")
+		return keyError("counter", "missing, but the settings have a counter")
 	}
 	if err := checkAddress("listen", w.Listen, true); err != nil {
 		return err
@@ -158,12 +171,12 @@
 	return checkAddress("counter", w.Counter, false)
 }
 
-// checkAddress refuses an address without a port, or without a host where it needs one.
+// checkAddress returns a *KeyError if address has no port above 0, or if it has no host and anyHost is false.
 func checkAddress(key, address string, anyHost bool) error {
 	host, port, err := net.SplitHostPort(address)
 	number, portErr := strconv.ParseUint(port, 10, 16)
 	if err != nil || portErr != nil || number == 0 || host == "" && !anyHost {
-		return &KeyError{Key: key, Why: fmt.Sprintf("%q is no address", address), Cause: err}
+		return &KeyError{Key: key, Why: fmt.Sprintf("%q is not a valid address", address), Cause: err}
 	}
 	return nil
 }
--- a/internal/settings/deadline_test.go
+++ b/internal/settings/deadline_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLongestDeadline: the longest of all classes, and none where a class does not tell its own.
+// TestLongestDeadline checks that the longest deadline of all classes is used, and 0 if a class has none.
 func TestLongestDeadline(t *testing.T) {
 	one, three := 1.0, 3.5
 	w := wireSettings{Classes: []wireClass{{Deadline: &one}, {Deadline: &three}}}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// UnreadableError is for a configuration that cannot be read from its file.
+// UnreadableError reports a failure to read the configuration's file.
 type UnreadableError struct {
-	Path  string
+	Path  string // empty if GW_CONFIG is not set
 	Cause error
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *UnreadableError) Error() string {
 	return "the configuration cannot be read: " + e.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *UnreadableError) Hint() string {
 	if e.Path == "" {
 		return "set GW_CONFIG to the path of the configuration"
@@ -31,28 +31,28 @@
 	return "check the path in GW_CONFIG and that this user may read the file"
 }
 
-// MalformedError is for a text that is no JSON object at all.
+// MalformedError reports a text that is not a JSON object.
 type MalformedError struct{ Cause error }
 
-// Error says what happened.
+// Error implements error.
 func (e *MalformedError) Error() string { return "the configuration is malformed: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *MalformedError) Hint() string {
-	return "mend the JSON; `ospreycroft check` reads it again without starting"
+	return "correct the JSON; `ospreycroft check` reads it again without starting"
 }
 
-// KeyError is for a key that is missing or whose value cannot work.
+// KeyError reports a key that is missing or has an invalid value.
 type KeyError struct {
-	Key   string // its path, with ": " between the steps: "settings: tariffs: small: rate"; empty for the whole text
-	Why   string // empty where the cause says it
+	Key   string // the key's path, such as "settings: tariffs: small: rate"; empty for the text as a whole
+	Why   string // what is wrong, empty if Cause tells it
 	Cause error  // or nil
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *KeyError) Error() string {
 	parts := []string{e.Key, e.Why}
 	if e.Cause != nil {
@@ -61,23 +61,24 @@
 	return strings.Join(slices.DeleteFunc(parts, func(p string) bool { return p == "" }), ": ")
 }
 
-// Unwrap gives the cause.
+// Unwrap returns Cause.
 func (e *KeyError) Unwrap() error { return e.Cause }
 
-// Hint says what an operator can do.
+// Hint returns what an operator can do.
 func (e *KeyError) Hint() string {
 	return fmt.Sprintf(
-		"mend the key %q of the configuration; `ospreycroft check` reads it again without starting",
+		"correct the key %q of the configuration; `ospreycroft check` reads it again without starting",
 		e.Key,
 	)
 }
 
-// keyError is the error of a key whose value cannot work.
+// keyError returns a *KeyError. why is a format for values.
 func keyError(key, why string, values ...any) error {
 	return &KeyError{Key: key, Why: fmt.Sprintf(why, values...)}
 }
 
-// decodeError makes an error of what encoding/json says: of one key where only that has a value of a wrong kind.
+// decodeError converts an error of encoding/json: to a *KeyError if the value of a key has a wrong type, otherwise to a
+// *MalformedError.
 func decodeError(err error) error {
 	var kind *json.UnmarshalTypeError
 	if errors.As(err, &kind) && kind.Field != "" {
@@ -86,7 +87,7 @@
 	return &MalformedError{Cause: err}
 }
 
-// nestedError puts the key of an error of a part under the part's own.
+// nestedError returns a *KeyError for err with the key part in front of err's own key.
 func nestedError(part string, err error) error {
 	var key *KeyError
 	if errors.As(err, &key) && key.Key == "" {
@@ -97,7 +98,7 @@
 	return &KeyError{Key: part, Cause: err}
 }
 
-// ReadFile reads and checks the configuration at a path.
+// ReadFile reads and checks the configuration file at path. Errors: *UnreadableError, *MalformedError, *KeyError.
 func ReadFile(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings decodes what a limiter is told at its start: the settings, which the simulator's first message and
-// the configuration of a real limiter hold alike (settings.go, wire.go), and that configuration (config.go). Keys keep
-// the names of the operators' pages; the Go fields have the terms of the code. Both programs use it, and the
-// configuration is read again on SIGHUP.
+// Package settings decodes a limiter's configuration (config.go) and the settings in it (settings.go, wire.go), which
+// the simulator's first message contains too. JSON keys have the names of the operators' pages, Go fields have the
+// terms of the code. The limiter reads its configuration again on SIGHUP.
 package settings
 
 import (
@@ -11,27 +10,27 @@
 	"ospreycroft/choice"
 )
 
-// maxLease is the wire's own limit on a count's lifetime, nanoseconds.
+// maxLease is the longest lifetime of a name on the shared counter that the protocol allows, in nanoseconds.
 const maxLease = 60e9
 
-// positionUnset stands for a limiter's position that the settings do not give.
+// positionUnset is the position of a limiter whose settings have none.
 const positionUnset = -1
 
-// polledMode is the word of registry-mode for a discovery that tells only those that ask.
+// polledMode is the value of registry-mode if discovery has to be polled.
 const polledMode = "on_request"
 
-// Settings are the controller's settings and, beside them, what only sockets read. Times are nanoseconds.
+// Settings are the controller's settings, and those that only the networking code uses. Times are nanoseconds.
 type Settings struct {
 	*choice.Settings
-	IdleClose    int64 // a server closes a connection that has been idle for so long
-	PollInterval int64 // the longest time between calls to discovery where it tells only those that ask, else 0
-	// how long after notice that it drains a server may still be sent to; 0 where it is not given
+	IdleClose    int64 // time after which a server closes an idle connection; 0 if not given
+	PollInterval int64 // maximum time between polls of discovery; 0 if it pushes changes
+	// DrainGrace is how long after the notice that a server drains it may still get requests; 0 if not given.
 	DrainGrace      int64
-	LongestDeadline int64   // the longest time that a client gives a request, of all classes; 0 where some class does not tell
-	MaxActualUnits  float64 // the most units that an answer can say a request took; 0 where requests tell their own
+	LongestDeadline int64   // longest request deadline of all classes; 0 if some class has none
+	MaxActualUnits  float64 // largest units that a response may report; 0 if requests state their exact units
 }
 
-// Decode reads the settings and refuses what cannot work. Errors: *MalformedError, *KeyError.
+// Decode decodes and checks the settings. Errors: *MalformedError, *KeyError.
 func Decode(text []byte) (*Settings, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, &KeyError{Why: "missing"}
@@ -83,5 +82,5 @@
 	return decoded, nil
 }
 
-// nanoseconds converts a wire's seconds.
+// nanoseconds converts seconds to nanoseconds.
 func nanoseconds(seconds float64) int64 { return int64(math.Round(seconds * 1e9)) }
--- a/internal/settings/stored_test.go
+++ b/internal/settings/stored_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReadsAConfigurationOfAnEarlierVersion: the file in testdata is the example of version f99e54e.
+// TestReadsAConfigurationOfAnEarlierVersion checks that a configuration of an earlier version is still accepted. The
+// file in testdata is the example of version f99e54e.
 func TestReadsAConfigurationOfAnEarlierVersion(t *testing.T) {
 	config, err := ReadFile("testdata/config.json")
 	require.NoError(t, err)
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -6,15 +6,17 @@
 	"ospreycroft/choice"
 )
 
+// idempotencies are the values of the key effect.
 var idempotencies = map[string]choice.Idempotency{
 	"free": choice.Idempotent, "guarded": choice.IdempotentWithKey, "single_shot": choice.NonIdempotent,
 }
 
+// scopes are the values of the key group.
 var scopes = map[string]choice.DeduplicationScope{
 	"all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell,
 }
 
-// wireSettings are the settings by the keys of the wire. Times are seconds.
+// wireSettings are the settings as encoded in JSON. Times are seconds, in the types below too.
 type wireSettings struct {
 	Limiters        int             `json:"balancers"`
 	Position        *int            `json:"position"`
@@ -34,7 +36,7 @@
 	Idempotency         string   `json:"effect"`
 	DeduplicationScope  string   `json:"group"`
 	DeduplicationWindow float64  `json:"dedup-window"`
-	PriorityWeight      float64  `json:"worth"` // 0 where it is not given
+	PriorityWeight      float64  `json:"worth"` // 0 if not given
 }
 
 type wirePlan struct {
@@ -73,10 +75,10 @@
 	CanCancel     bool    `json:"cancelling"`
 }
 
-// defaultWeight is the priority weight of a class or plan that does not tell its own: as good as any.
+// defaultWeight is the priority weight of a class or plan that has none.
 const defaultWeight = 1
 
-// classes gives the classes by their names.
+// classes decodes and checks the classes, and returns them by name.
 func (w *wireSettings) classes() (map[string]*choice.Class, error) {
 	classes := map[string]*choice.Class{}
 	for i := range w.Classes {
@@ -99,7 +101,7 @@
 	return classes, nil
 }
 
-// longestDeadline is the longest deadline of all classes, 0 where some class does not tell its own.
+// longestDeadline returns the longest deadline of all classes in nanoseconds, 0 if some class has none.
 func (w *wireSettings) longestDeadline() int64 {
 	longest := int64(0)
 	for i := range w.Classes {
@@ -116,7 +118,7 @@
 	idempotency, known := idempotencies[c.Idempotency]
 	scope, scopeKnown := scopes[c.DeduplicationScope]
 	if !known || idempotency == choice.IdempotentWithKey && !scopeKnown {
-		return nil, keyError("classes: "+c.Name, "effect %q, group %q: not known", c.Idempotency, c.DeduplicationScope)
+		return nil, keyError("classes: "+c.Name, "effect %q, group %q: unknown", c.Idempotency, c.DeduplicationScope)
 	}
 	decoded := &choice.Class{
 		LatencyObjective: nanoseconds(c.LatencyObjective), Idempotency: idempotency, DeduplicationScope: scope,
@@ -137,13 +139,14 @@
 	); err != nil {
 		return err
 	}
-	if c.Deadline != nil && *c.Deadline <= 0 { // it comes with each request, but a class without time is no class
+	// Each request carries its own deadline, but a class that allows no time is invalid.
+	if c.Deadline != nil && *c.Deadline <= 0 {
 		return keyError(part+": deadline", "is %v", *c.Deadline)
 	}
 	return nil
 }
 
-// plans gives the plans by their names.
+// plans decodes and checks the plans, and returns them by name.
 func (w *wireSettings) plans() (map[string]*choice.Plan, error) {
 	plans := map[string]*choice.Plan{}
 	for i := range w.Plans {
@@ -162,7 +165,7 @@
 	return plans, nil
 }
 
-// weight is the plan's priority weight.
+// weight returns the plan's priority weight.
 func (p *wirePlan) weight() float64 {
 	if p.PriorityWeight == nil {
 		return defaultWeight
@@ -193,7 +196,7 @@
 		return err
 	}
 	if p.MaxInFlight != math.Trunc(p.MaxInFlight) {
-		return keyError(part+": parallel", "is %v, no whole number", p.MaxInFlight)
+		return keyError(part+": parallel", "is %v, not a whole number", p.MaxInFlight)
 	}
 	if err := checkBucket(part+": most-at-once", p.Burst, p.Rate); err != nil {
 		return err
@@ -201,7 +204,8 @@
 	return checkBucket(part+": never-over-depth", p.CeilingBurst, p.CeilingRate)
 }
 
-// checkBucket refuses a bucket that holds nothing, or takes years to fill. One without a rate is none.
+// checkBucket returns a *KeyError if a bucket with a rate has no burst, or takes longer than maxTime to fill. Without a
+// rate there is no bucket.
 func checkBucket(key string, burst, rate float64) error {
 	if rate > 0 && !(burst > 0 && burst <= rate*maxTime) {
 		return keyError(key, "is %v, with a rate of %v", burst, rate)
@@ -209,7 +213,7 @@
 	return nil
 }
 
-// check refuses what cannot work beside classes and plans.
+// check returns a *KeyError for the first invalid value outside of classes and plans.
 func (w *wireSettings) check() error {
 	return checkBounds("",
 		boundedValue{"family-info: units-top", w.Family.MaxRequestUnits, math.SmallestNonzeroFloat64, maxUnits, false},
@@ -227,13 +231,13 @@
 	)
 }
 
-// position is the limiter's number among all, notTold where the settings do not give it.
+// position returns the limiter's number in the fleet, from 0, or positionUnset if the settings have none.
 func (w *wireSettings) position() (int, error) {
 	if w.Position == nil {
 		return positionUnset, nil
 	}
 	if *w.Position < 0 || *w.Position >= w.Limiters {
-		return 0, keyError("position", "is %d, of %d balancers", *w.Position, w.Limiters)
+		return 0, keyError("position", "is %d, must be 0 or more and below the %d balancers", *w.Position, w.Limiters)
 	}
 	return *w.Position, nil
 }
