--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -9,12 +9,13 @@
 	"net/http/httputil"
 )
 
-// Response is one HTTP answer; the body points into the bytes it was read from, or is a copy where it came in chunks.
+// Response is one HTTP response.
 type Response struct {
 	Status     int
-	Body       []byte
-	CloseAfter bool // the connection ends behind it
-	// Date is when the service says that it answered, nanoseconds of Unix time in whole seconds; 0 where it does not tell
+	Body       []byte // a slice of the bytes that were parsed, or a copy if the body was chunked
+	CloseAfter bool   // the connection ends after this response
+	// Date is the value of the Date header in Unix nanoseconds, with a resolution of a second; 0 if it is missing or
+	// invalid.
 	Date int64
 }
 
@@ -23,52 +24,55 @@
 	headEnd     = []byte("\r\n\r\n")
 )
 
-// ReadResponse reads one answer from all bytes that have come so far and tells how many it took: 0 while it is not
-// whole. What cannot become an answer is told as soon as it shows. The reading itself is net/http's; how much to wait
-// for, and what no list service sends, is settled here. An answer without a length is never whole here: see ReadEnded.
-func ReadResponse(b []byte) (a Response, n int, err error) { return parseResponse(b, false) }
+// ReadResponse parses one response at the start of b, which holds all bytes received so far. It returns the response's
+// size in bytes, 0 while it is incomplete, and an error as soon as b cannot become a valid response. Parsing is done by
+// net/http; this package decides when a response is complete and rejects forms that no discovery service sends. A
+// response without a length is never complete here, see ReadClosedResponse. Errors: *MalformedError, *TooLongError.
+func ReadResponse(b []byte) (r Response, size int, err error) { return parseResponse(b, false) }
 
-// ReadClosedResponse is the same where nothing comes behind the bytes: the other side has ended the connection in
-// order, which ends an answer without a length. A connection that was broken off, or that we gave up, ends none.
-func ReadClosedResponse(b []byte) (a Response, n int, err error) { return parseResponse(b, true) }
+// ReadClosedResponse is like ReadResponse, but for a connection that the service has closed gracefully, which completes
+// a response without a length. It must not be used after a reset or a timeout.
+func ReadClosedResponse(b []byte) (r Response, size int, err error) { return parseResponse(b, true) }
 
-func parseResponse(b []byte, ended bool) (a Response, n int, err error) {
-	r, head, err := parseHead(b)
-	if err != nil || r == nil {
-		return a, 0, err
+// parseResponse implements ReadResponse and, if closed is true, ReadClosedResponse.
+func parseResponse(b []byte, closed bool) (response Response, size int, err error) {
+	parsed, headSize, err := parseHead(b)
+	if err != nil || parsed == nil {
+		return response, 0, err
 	}
-	a.Status = r.StatusCode
-	a.CloseAfter = r.Close || r.ProtoMinor == 0
-	if date, err := http.ParseTime(r.Header.Get("Date")); err == nil {
-		a.Date = date.UnixNano()
+	response.Status = parsed.StatusCode
+	response.CloseAfter = parsed.Close || parsed.ProtoMinor == 0
+	if date, err := http.ParseTime(parsed.Header.Get("Date")); err == nil {
+		response.Date = date.UnixNano()
 	}
-	rest := b[head:]
+	rest := b[headSize:]
 	switch {
-	case r.Body == http.NoBody: // by its status, whatever its fields say, or by a length of 0
-		return a, head, nil
-	case len(r.TransferEncoding) > 0: // net/http knows no other than chunked
-		a.Body, n, err = joinChunks(rest)
-		if n > 0 {
-			n += head
+	case parsed.Body == http.NoBody: // the status allows no body, whatever the header says, or the length is 0
+		return response, headSize, nil
+	case len(parsed.TransferEncoding) > 0: // net/http accepts only chunked
+		response.Body, size, err = joinChunks(rest)
+		if size > 0 {
+			size += headSize
 		}
-		return a, n, err
-	case r.ContentLength > maxBodyBytes, r.ContentLength < 0 && len(rest) > maxBodyBytes:
-		return a, 0, &TooLongError{Part: "body", Max: maxBodyBytes}
-	case r.ContentLength < 0 && ended:
-		a.Body = rest
-		a.CloseAfter = true
-		return a, len(b), nil
-	case r.ContentLength < 0, int64(len(rest)) < r.ContentLength:
-		return a, 0, nil
+		return response, size, err
+	case parsed.ContentLength > maxBodyBytes, parsed.ContentLength < 0 && len(rest) > maxBodyBytes:
+		return response, 0, &TooLongError{Part: "body", Max: maxBodyBytes}
+	case parsed.ContentLength < 0 && closed:
+		response.Body = rest
+		response.CloseAfter = true
+		return response, len(b), nil
+	case parsed.ContentLength < 0, int64(len(rest)) < parsed.ContentLength:
+		return response, 0, nil
 	}
-	a.Body = rest[:r.ContentLength]
-	return a, head + len(a.Body), nil
+	response.Body = rest[:parsed.ContentLength]
+	return response, headSize + len(response.Body), nil
 }
 
-// parseHead reads the head of an answer and tells how many bytes it took; nil while it is not whole.
-func parseHead(b []byte) (r *http.Response, n int, err error) {
+// parseHead parses the status line and the header at the start of b, and returns their size in bytes. The response is
+// nil while they are incomplete.
+func parseHead(b []byte) (response *http.Response, size int, err error) {
 	if k := min(len(b), len(httpVersion)); !bytes.Equal(b[:k], httpVersion[:k]) {
-		return nil, 0, &MalformedError{Why: "it is no HTTP/1"}
+		return nil, 0, &MalformedError{Why: "it is not HTTP/1"}
 	}
 	end := bytes.Index(b[:min(len(b), maxHeadBytes)], headEnd)
 	if end < 0 {
@@ -77,53 +81,54 @@
 		}
 		return nil, 0, err
 	}
-	n = end + len(headEnd)
-	// Only the head is given to it: it is short, so to read it again with each piece of a long body costs little.
-	from := bufio.NewReaderSize(bytes.NewReader(b[:n]), n)
-	r, err = http.ReadResponse(from, nil)
+	size = end + len(headEnd)
+	// net/http gets the head only. It is short, so parsing it again with each segment of a long body costs little.
+	reader := bufio.NewReaderSize(bytes.NewReader(b[:size]), size)
+	response, err = http.ReadResponse(reader, nil)
 	switch {
 	case err != nil:
 		return nil, 0, &MalformedError{Cause: err}
-	case from.Buffered() > 0: // lines that end without a return: where the body begins is not sure
+	case reader.Buffered() > 0: // lines end in a bare \n, so it is ambiguous where the body begins
 		return nil, 0, &MalformedError{Why: "its head ends twice"}
-	case r.StatusCode < 100:
-		return nil, 0, &MalformedError{Why: "its status is " + r.Status}
+	case response.StatusCode < 100:
+		return nil, 0, &MalformedError{Why: "its status is invalid: " + response.Status}
 	}
-	return r, n, nil
+	return response, size, nil
 }
 
-// joinChunks puts the chunks of a body together; it takes 0 bytes while the body is not whole.
-func joinChunks(b []byte) (body []byte, took int, err error) {
-	// Nothing is kept until the last chunk is there: most calls find that more is to come.
-	size, took, err := readChunks(b, io.Discard)
-	if err != nil || took == 0 {
+// joinChunks decodes a chunked body at the start of b. encodedSize is its size in b, 0 while the body is incomplete.
+func joinChunks(b []byte) (body []byte, encodedSize int, err error) {
+	// The first pass only checks whether the body is complete, since most calls find that it is not.
+	decodedSize, encodedSize, err := readChunks(b, io.Discard)
+	if err != nil || encodedSize == 0 {
 		return nil, 0, err
 	}
-	whole := bytes.NewBuffer(make([]byte, 0, size))
-	_, took, err = readChunks(b, whole)
-	return whole.Bytes(), took, err
+	buffer := bytes.NewBuffer(make([]byte, 0, decodedSize))
+	_, encodedSize, err = readChunks(b, buffer)
+	return buffer.Bytes(), encodedSize, err
 }
 
-// readChunks writes the content of chunks and tells its size and how many bytes they took.
-func readChunks(b []byte, to io.Writer) (size int64, took int, err error) {
-	under := bytes.NewReader(b)
-	from := bufio.NewReader(under)
-	size, err = io.Copy(to, io.LimitReader(httputil.NewChunkedReader(from), maxBodyBytes+1))
+// readChunks writes the content of a chunked body to dst. It returns the size of the content and of the encoded body in
+// bytes, both 0 while the body is incomplete.
+func readChunks(b []byte, dst io.Writer) (decodedSize int64, encodedSize int, err error) {
+	source := bytes.NewReader(b)
+	reader := bufio.NewReader(source)
+	decodedSize, err = io.Copy(dst, io.LimitReader(httputil.NewChunkedReader(reader), maxBodyBytes+1))
 	switch {
-	case size > maxBodyBytes:
+	case decodedSize > maxBodyBytes:
 		return 0, 0, &TooLongError{Part: "body", Max: maxBodyBytes}
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return 0, 0, nil
 	case err != nil:
 		return 0, 0, &MalformedError{Cause: err}
 	}
-	// Fields behind the last chunk are not for us; a server that sends them is not understood.
-	last, _ := from.Peek(2)
-	if !bytes.HasPrefix([]byte("\r\n"), last) {
-		return 0, 0, &MalformedError{Why: "fields stand behind its last chunk"}
+	// Trailer fields are not supported.
+	trailer, _ := reader.Peek(2)
+	if !bytes.HasPrefix([]byte("\r\n"), trailer) {
+		return 0, 0, &MalformedError{Why: "it has trailer fields after its last chunk"}
 	}
-	if len(last) < 2 {
+	if len(trailer) < 2 {
 		return 0, 0, nil
 	}
-	return size, len(b) - under.Len() - from.Buffered() + 2, nil
+	return decodedSize, len(b) - source.Len() - reader.Buffered() + 2, nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file: what an installation states beside the configuration that the platform
-// writes. The variable GW_OPERATOR names it; without it all that it switches on is off. deploy/operator.toml is an
-// example.
+// Package operator reads the operator's file: options of an installation beyond the configuration that the platform
+// writes. The environment variable GW_OPERATOR has its path. Without it, all features that the file enables are off.
+// deploy/operator.toml is an example.
 package operator
 
 import (
@@ -18,67 +18,78 @@
 	"ospreycroft/internal/distribution"
 )
 
-// Variable names the file.
+// Variable is the environment variable with the path of the operator's file.
 const Variable = "GW_OPERATOR"
 
-// Options is what the file states; the zero value states nothing.
+// Options are the contents of the file. The zero value has all features off.
 type Options struct {
-	DiscoveryCallRate float64 // list_calls_per_s: calls a second that the list service bears from all limiters
-	// start.connections_per_s: new connections a second that one server bears from all limiters
+	// DiscoveryCallRate (list_calls_per_s) is the rate of calls that discovery sustains from all limiters, in calls per
+	// second; 0 if not stated.
+	DiscoveryCallRate float64
+	// ConnectionRate (start.connections_per_s) is the rate of new connections that one server sustains from all
+	// limiters, in connections per second; 0 if not stated.
 	ConnectionRate float64
-	Installation   string // installation: tells this fleet's snapshots from another's
-	SnapshotPath   string // snapshot.path: the directory of the limiters' snapshots, empty for none
-	SnapshotMaxAge int64  // snapshot.oldest_s, in nanoseconds here
+	// Installation (installation) distinguishes this fleet's snapshots and states from those of other fleets.
+	Installation string
+	// SnapshotPath (snapshot.path) is the directory of the limiters' snapshots; empty for no snapshots.
+	SnapshotPath string
+	// SnapshotMaxAge (snapshot.oldest_s) is the age up to which a snapshot is used, in nanoseconds.
+	SnapshotMaxAge int64
 	Distribution   Distribution
 }
 
-// Distribution is how the limiter follows the configuration distribution; the zero value is not at all.
+// Distribution configures how the limiter follows the configuration distribution. It does not if the value is zero.
 type Distribution struct {
-	// distribution.relays: host and port of the limiter's two relays, the one of its own zone first
-	Relays      [2]string
-	Scope       string // distribution.scope, as distribution.ParseScope reads it; empty for everything
-	StatePath   string // distribution.state_path: the directory of the limiters' states, empty for none
-	StateMaxAge int64  // distribution.oldest_s, in nanoseconds here
-}
-
-// UnreadableError is a file that GW_OPERATOR names and that cannot be read, or is no TOML.
+	// Relays (distribution.relays) are the addresses, host:port, of the limiter's two relays, the one of its own zone
+	// first.
+	Relays [2]string
+	// Scope (distribution.scope) has the format of distribution.ParseScope; empty for everything.
+	Scope string
+	// StatePath (distribution.state_path) is the directory of the limiters' stored states; empty for none.
+	StatePath string
+	// StateMaxAge (distribution.oldest_s) is the age up to which a stored state is used, in nanoseconds.
+	StateMaxAge int64
+}
+
+// UnreadableError reports that the operator's file cannot be read or is not valid TOML.
 type UnreadableError struct {
 	Path  string
 	Cause error
 }
 
-// Error says what happened.
-func (u *UnreadableError) Error() string {
-	return fmt.Sprintf("operator's file %s: %v", u.Path, u.Cause)
+// Error implements error.
+func (e *UnreadableError) Error() string {
+	return fmt.Sprintf("operator's file %s: %v", e.Path, e.Cause)
 }
 
-// Hint is what to do.
-func (u *UnreadableError) Hint() string {
-	return "mend " + u.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
+// Hint returns what an operator can do.
+func (e *UnreadableError) Hint() string {
+	return "correct " + e.Path + " (deploy/operator.toml is an example), or unset " + Variable + " to start without it"
 }
 
-// Unwrap gives the cause.
-func (u *UnreadableError) Unwrap() error { return u.Cause }
+// Unwrap returns Cause.
+func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// KeyError is a key that is not known, or whose value cannot work.
+// KeyError reports an unknown key, or a key whose value is missing or invalid.
 type KeyError struct {
-	Path  string
+	Path  string // of the file
 	Key   string
-	Value any
-	Want  string
+	Value any    // as decoded from TOML, "missing" if the key is missing
+	Want  string // a description of the valid values
 }
 
-// Error says what happened.
-func (b *KeyError) Error() string {
-	return fmt.Sprintf("operator's file %s: %s is %v, not %s", b.Path, b.Key, b.Value, b.Want)
+// Error implements error.
+func (e *KeyError) Error() string {
+	return fmt.Sprintf("operator's file %s: %s is %v, not %s", e.Path, e.Key, e.Value, e.Want)
 }
 
-// Hint is what to do.
-func (b *KeyError) Hint() string {
-	return fmt.Sprintf("set %s to %s in %s, or leave it out", b.Key, b.Want, b.Path)
+// Hint returns what an operator can do.
+func (e *KeyError) Hint() string {
+	return fmt.Sprintf("set %s to %s in %s, or leave it out", e.Key, e.Want, e.Path)
 }
 
-// Read reads the file that GW_OPERATOR names; nothing is stated where it is not set. Errors: *UnreadableError, *KeyError.
+// Read reads the file at the path in GW_OPERATOR. It returns zero Options if that is not set. Errors: *UnreadableError,
+// *KeyError.
 func Read() (*Options, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
@@ -91,28 +102,28 @@
 	return Parse(path, text)
 }
 
-// maxNumber bounds the numbers of the file: nobody means a larger one.
+// maxNumber is the largest valid number in the file. A larger one is taken for a mistake.
 const maxNumber = 1e6
 
-// Parse checks the text of the file at path. Errors: *UnreadableError, *KeyError.
+// Parse decodes and checks text. path is the file's path in errors. Errors: *UnreadableError, *KeyError.
 func Parse(path string, text []byte) (*Options, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(text), toml.Parser()); err != nil {
 		return nil, &UnreadableError{path, err}
 	}
-	o := &Options{}
+	options := &Options{}
 	var snapshotAge, stateAge float64 // seconds
 	numbers := map[string]*float64{
-		"list_calls_per_s":        &o.DiscoveryCallRate,
-		"start.connections_per_s": &o.ConnectionRate,
+		"list_calls_per_s":        &options.DiscoveryCallRate,
+		"start.connections_per_s": &options.ConnectionRate,
 		"snapshot.oldest_s":       &snapshotAge,
 		"distribution.oldest_s":   &stateAge,
 	}
-	words := map[string]*string{
-		"installation":            &o.Installation,
-		"snapshot.path":           &o.SnapshotPath,
-		"distribution.scope":      &o.Distribution.Scope,
-		"distribution.state_path": &o.Distribution.StatePath,
+	texts := map[string]*string{
+		"installation":            &options.Installation,
+		"snapshot.path":           &options.SnapshotPath,
+		"distribution.scope":      &options.Distribution.Scope,
+		"distribution.state_path": &options.Distribution.StatePath,
 	}
 	keys := k.Keys()
 	slices.Sort(keys)
@@ -120,12 +131,12 @@
 		value := k.Get(key)
 		var want string
 		switch {
-		case words[key] != nil:
-			want = readWord(value, words[key])
+		case texts[key] != nil:
+			want = readText(value, texts[key])
 		case numbers[key] != nil:
 			want = readNumber(value, numbers[key])
 		case key == relaysKey:
-			want = o.Distribution.readRelays(value)
+			want = options.Distribution.readRelays(value)
 		default:
 			want = "a key of this file"
 		}
@@ -133,57 +144,58 @@
 			return nil, &KeyError{path, key, value, want}
 		}
 	}
-	o.SnapshotMaxAge = int64(snapshotAge * 1e9)
-	o.Distribution.StateMaxAge = int64(stateAge * 1e9)
-	if err := checkSnapshot(path, o); err != nil {
+	options.SnapshotMaxAge = int64(snapshotAge * 1e9)
+	options.Distribution.StateMaxAge = int64(stateAge * 1e9)
+	if err := checkSnapshot(path, options); err != nil {
 		return nil, err
 	}
-	if err := checkDistribution(path, o); err != nil {
+	if err := checkDistribution(path, options); err != nil {
 		return nil, err
 	}
-	return o, nil
+	return options, nil
 }
 
-// readWord reads a text. It tells what the value should be where it is none.
-func readWord(value any, to *string) (want string) {
-	text, is := value.(string)
-	if !is || strings.TrimSpace(text) == "" {
-		return "a text"
+// readText stores a text that is not blank in dst. If value is not one it returns a description of the valid values.
+func readText(value any, dst *string) (want string) {
+	text, isText := value.(string)
+	if !isText || strings.TrimSpace(text) == "" {
+		return "a text that is not blank"
 	}
-	*to = text
+	*dst = text
 	return ""
 }
 
-// readNumber reads a number, whole or not, as readWord does a text.
-func readNumber(value any, to *float64) (want string) {
+// readNumber stores a number, integer or float, in dst. If value is not a valid one it returns a description of the
+// valid values.
+func readNumber(value any, dst *float64) (want string) {
 	switch number := value.(type) {
 	case float64:
-		*to = number
+		*dst = number
 	case int64:
-		*to = float64(number)
+		*dst = float64(number)
 	}
-	if !(*to > 0 && *to <= maxNumber) {
+	if !(*dst > 0 && *dst <= maxNumber) {
 		return "a number above 0 and up to a million"
 	}
 	return ""
 }
 
-// readRelays reads the relays, as readWord does a text.
+// readRelays stores the relays. If value is not a valid list of them it returns a description of the valid values.
 func (d *Distribution) readRelays(value any) (want string) {
-	var is bool
-	d.Relays, is = relays(value)
-	if !is {
+	var valid bool
+	d.Relays, valid = parseRelays(value)
+	if !valid {
 		return "a list of two addresses, host:port"
 	}
 	return ""
 }
 
-// checkSnapshot refuses keys of the snapshot that do not go together. Errors: *KeyError.
-func checkSnapshot(path string, o *Options) error {
+// checkSnapshot returns a *KeyError if a key is missing that snapshot.path requires.
+func checkSnapshot(path string, options *Options) error {
 	switch {
-	case o.SnapshotPath != "" && o.Installation == "":
+	case options.SnapshotPath != "" && options.Installation == "":
 		return &KeyError{path, "installation", "missing", "a name, as snapshot.path is set"}
-	case o.SnapshotPath != "" && o.SnapshotMaxAge == 0:
+	case options.SnapshotPath != "" && options.SnapshotMaxAge == 0:
 		return &KeyError{path, "snapshot.oldest_s", "missing", "a number of seconds, as snapshot.path is set"}
 	}
 	return nil
@@ -191,17 +203,17 @@
 
 const relaysKey = "distribution.relays"
 
-// relays reads a list of two addresses. Both may be the same where there is one relay.
-func relays(value any) (addresses [2]string, is bool) {
-	list, is := value.([]any)
-	if !is || len(list) != len(addresses) {
+// parseRelays converts a list of two addresses. They may be equal, for an installation with one relay.
+func parseRelays(value any) (addresses [2]string, valid bool) {
+	list, valid := value.([]any)
+	if !valid || len(list) != len(addresses) {
 		return addresses, false
 	}
-	for i, one := range list {
-		text, is := one.(string)
+	for i, entry := range list {
+		text, isText := entry.(string)
 		host, port, err := net.SplitHostPort(text)
-		number, bad := strconv.ParseUint(port, 10, 16)
-		if !is || err != nil || bad != nil || number == 0 || host == "" {
+		number, portErr := strconv.ParseUint(port, 10, 16)
+		if !isText || err != nil || portErr != nil || number == 0 || host == "" {
 			return addresses, false
 		}
 		addresses[i] = text
@@ -209,16 +221,17 @@
 	return addresses, true
 }
 
-// checkDistribution refuses keys of the distribution that do not go together. Errors: *KeyError.
-func checkDistribution(path string, o *Options) error {
-	d := o.Distribution
+// checkDistribution returns a *KeyError if the scope is invalid, or if a key is missing that other keys of distribution
+// require.
+func checkDistribution(path string, options *Options) error {
+	d := options.Distribution
 	if _, err := distribution.ParseScope(d.Scope); err != nil {
 		return &KeyError{path, "distribution.scope", d.Scope, "a scope (kinds, '@', names, with commas)"}
 	}
 	switch {
 	case d != (Distribution{}) && d.Relays == [2]string{}:
 		return &KeyError{path, relaysKey, "missing", "a list of two addresses, as other keys of distribution are set"}
-	case d.StatePath != "" && o.Installation == "":
+	case d.StatePath != "" && options.Installation == "":
 		return &KeyError{path, "installation", "missing", "a name, as distribution.state_path is set"}
 	case d.StatePath != "" && d.StateMaxAge == 0:
 		return &KeyError{
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -6,15 +6,17 @@
 	"ospreycroft/choice"
 )
 
+// idempotencies are the values of the key effect.
 var idempotencies = map[string]choice.Idempotency{
 	"free": choice.Idempotent, "guarded": choice.IdempotentWithKey, "single_shot": choice.NonIdempotent,
 }
 
+// scopes are the values of the key group.
 var scopes = map[string]choice.DeduplicationScope{
 	"all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell,
 }
 
-// wireSettings are the settings by the keys of the wire. Times are seconds.
+// wireSettings are the settings as encoded in JSON. Times are seconds, in the types below too.
 type wireSettings struct {
 	Limiters        int             `json:"balancers"`
 	Position        *int            `json:"position"`
@@ -34,7 +36,7 @@
 	Idempotency         string   `json:"effect"`
 	DeduplicationScope  string   `json:"group"`
 	DeduplicationWindow float64  `json:"dedup-window"`
-	PriorityWeight      float64  `json:"worth"` // 0 where it is not given
+	PriorityWeight      float64  `json:"worth"` // 0 if not given
 }
 
 type wirePlan struct {
@@ -73,10 +75,10 @@
 	CanCancel     bool    `json:"cancelling"`
 }
 
-// defaultWeight is the priority weight of a class or plan that does not tell its own: as good as any.
+// defaultWeight is the priority weight of a class or plan that has none.
 const defaultWeight = 1
 
-// classes gives the classes by their names.
+// classes decodes and checks the classes, and returns them by name.
 func (w *wireSettings) classes() (map[string]*choice.Class, error) {
 	classes := map[string]*choice.Class{}
 	for i := range w.Classes {
@@ -99,7 +101,7 @@
 	return classes, nil
 }
 
-// longestDeadline is the longest deadline of all classes, 0 where some class does not tell its own.
+// longestDeadline returns the longest deadline of all classes in nanoseconds, 0 if some class has none.
 func (w *wireSettings) longestDeadline() int64 {
 	longest := int64(0)
 	for i := range w.Classes {
@@ -114,9 +116,9 @@
 
 func (c *wireClass) decode() (*choice.Class, error) {
 	idempotency, known := idempotencies[c.Idempotency]
-	scope, scoped := scopes[c.DeduplicationScope]
-	if !known || idempotency == choice.IdempotentWithKey && !scoped {
-		return nil, keyError("classes: "+c.Name, "effect %q, group %q: not known", c.Idempotency, c.DeduplicationScope)
+	scope, scopeKnown := scopes[c.DeduplicationScope]
+	if !known || idempotency == choice.IdempotentWithKey && !scopeKnown {
+		return nil, keyError("classes: "+c.Name, "effect %q, group %q: unknown", c.Idempotency, c.DeduplicationScope)
 	}
 	decoded := &choice.Class{
 		LatencyObjective: nanoseconds(c.LatencyObjective), Idempotency: idempotency, DeduplicationScope: scope,
@@ -130,20 +132,21 @@
 
 func (c *wireClass) check() error {
 	part := "classes: " + c.Name
-	if err := checkFigures(part,
-		figure{": aim", c.LatencyObjective, minTime, maxTime, false},
-		figure{": worth", c.PriorityWeight, 0, maxRate, false},
-		figure{": dedup-window", c.DeduplicationWindow, minTime, maxTime, true},
+	if err := checkBounds(part,
+		boundedValue{": aim", c.LatencyObjective, minTime, maxTime, false},
+		boundedValue{": worth", c.PriorityWeight, 0, maxRate, false},
+		boundedValue{": dedup-window", c.DeduplicationWindow, minTime, maxTime, true},
 	); err != nil {
 		return err
 	}
-	if c.Deadline != nil && *c.Deadline <= 0 { // it comes with each request, but a class without time is no class
+	// Each request carries its own deadline, but a class that allows no time is invalid.
+	if c.Deadline != nil && *c.Deadline <= 0 {
 		return keyError(part+": deadline", "is %v", *c.Deadline)
 	}
 	return nil
 }
 
-// plans gives the plans by their names.
+// plans decodes and checks the plans, and returns them by name.
 func (w *wireSettings) plans() (map[string]*choice.Plan, error) {
 	plans := map[string]*choice.Plan{}
 	for i := range w.Plans {
@@ -162,7 +165,7 @@
 	return plans, nil
 }
 
-// weight is the plan's priority weight.
+// weight returns the plan's priority weight.
 func (p *wirePlan) weight() float64 {
 	if p.PriorityWeight == nil {
 		return defaultWeight
@@ -180,20 +183,20 @@
 
 func (p *wirePlan) check() error {
 	part := "tariffs: " + p.Name
-	if err := checkFigures(part,
-		figure{": rate", p.Rate, 0, maxRate, false},
-		figure{": hard-rate", p.CeilingRate, 0, maxRate, false},
-		figure{": most-at-once", p.Burst, 0, maxRate, false},
-		figure{": never-over-depth", p.CeilingBurst, 0, maxRate, false},
-		figure{": parallel", p.MaxInFlight, 0, maxRate, false},
-		figure{": extra-worth", p.OverQuotaRevenue, 0, maxRate, false},
-		figure{": beyond-costs", p.OverQuotaPenalty, 0, maxRate, false},
-		figure{": value-factor", p.weight(), 0, maxRate, false},
+	if err := checkBounds(part,
+		boundedValue{": rate", p.Rate, 0, maxRate, false},
+		boundedValue{": hard-rate", p.CeilingRate, 0, maxRate, false},
+		boundedValue{": most-at-once", p.Burst, 0, maxRate, false},
+		boundedValue{": never-over-depth", p.CeilingBurst, 0, maxRate, false},
+		boundedValue{": parallel", p.MaxInFlight, 0, maxRate, false},
+		boundedValue{": extra-worth", p.OverQuotaRevenue, 0, maxRate, false},
+		boundedValue{": beyond-costs", p.OverQuotaPenalty, 0, maxRate, false},
+		boundedValue{": value-factor", p.weight(), 0, maxRate, false},
 	); err != nil {
 		return err
 	}
 	if p.MaxInFlight != math.Trunc(p.MaxInFlight) {
-		return keyError(part+": parallel", "is %v, no whole number", p.MaxInFlight)
+		return keyError(part+": parallel", "is %v, not a whole number", p.MaxInFlight)
 	}
 	if err := checkBucket(part+": most-at-once", p.Burst, p.Rate); err != nil {
 		return err
@@ -201,7 +204,8 @@
 	return checkBucket(part+": never-over-depth", p.CeilingBurst, p.CeilingRate)
 }
 
-// checkBucket refuses a bucket that holds nothing, or takes years to fill. One without a rate is none.
+// checkBucket returns a *KeyError if a bucket with a rate has no burst, or takes longer than maxTime to fill. Without a
+// rate there is no bucket.
 func checkBucket(key string, burst, rate float64) error {
 	if rate > 0 && !(burst > 0 && burst <= rate*maxTime) {
 		return keyError(key, "is %v, with a rate of %v", burst, rate)
@@ -209,31 +213,31 @@
 	return nil
 }
 
-// check refuses what cannot work beside classes and plans.
+// check returns a *KeyError for the first invalid value outside of classes and plans.
 func (w *wireSettings) check() error {
-	return checkFigures("",
-		figure{"family-info: units-top", w.Family.MaxRequestUnits, math.SmallestNonzeroFloat64, maxUnits, false},
-		figure{"granularity", w.TimerResolution, minTime, maxTime, false},
-		figure{"permissions: attempts-cap", float64(w.Permissions.MaxAttempts), 1, maxRate, false},
-		figure{"permissions: dial-timeout", w.Permissions.DialTimeout, minTime, maxTime, true},
-		figure{"permissions: idle-close", w.Permissions.IdleClose, minTime, maxTime, true},
-		figure{"permissions: max-retry-after", w.Permissions.MaxRetryAfter, 0, maxTime, false},
-		figure{"balancers", float64(w.Limiters), 1, maxCount, false},
-		figure{"family-info: count-wait", w.Family.CounterTimeout, minTime, maxTime, !w.Family.HasCounter},
-		figure{"contract: cold-from", w.Contract.ColdCapacity, 0, 1, false},
-		figure{"contract: stop-sending-within", w.Contract.DrainGrace, minTime, maxTime, true},
-		figure{"contract: ask-every", w.Contract.PollInterval, minTime, maxTime, w.Mode != polledMode},
-		figure{"contract: warm-within", w.Contract.SlowStartWindow, minTime, maxTime, false},
+	return checkBounds("",
+		boundedValue{"family-info: units-top", w.Family.MaxRequestUnits, math.SmallestNonzeroFloat64, maxUnits, false},
+		boundedValue{"granularity", w.TimerResolution, minTime, maxTime, false},
+		boundedValue{"permissions: attempts-cap", float64(w.Permissions.MaxAttempts), 1, maxRate, false},
+		boundedValue{"permissions: dial-timeout", w.Permissions.DialTimeout, minTime, maxTime, true},
+		boundedValue{"permissions: idle-close", w.Permissions.IdleClose, minTime, maxTime, true},
+		boundedValue{"permissions: max-retry-after", w.Permissions.MaxRetryAfter, 0, maxTime, false},
+		boundedValue{"balancers", float64(w.Limiters), 1, maxCount, false},
+		boundedValue{"family-info: count-wait", w.Family.CounterTimeout, minTime, maxTime, !w.Family.HasCounter},
+		boundedValue{"contract: cold-from", w.Contract.ColdCapacity, 0, 1, false},
+		boundedValue{"contract: stop-sending-within", w.Contract.DrainGrace, minTime, maxTime, true},
+		boundedValue{"contract: ask-every", w.Contract.PollInterval, minTime, maxTime, w.Mode != polledMode},
+		boundedValue{"contract: warm-within", w.Contract.SlowStartWindow, minTime, maxTime, false},
 	)
 }
 
-// position is the limiter's number among all, notTold where the settings do not give it.
+// position returns the limiter's number in the fleet, from 0, or positionUnset if the settings have none.
 func (w *wireSettings) position() (int, error) {
 	if w.Position == nil {
-		return notTold, nil
+		return positionUnset, nil
 	}
 	if *w.Position < 0 || *w.Position >= w.Limiters {
-		return 0, keyError("position", "is %d, of %d balancers", *w.Position, w.Limiters)
+		return 0, keyError("position", "is %d, must be 0 or more and below the %d balancers", *w.Position, w.Limiters)
 	}
 	return *w.Position, nil
 }
