--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -44,8 +44,8 @@
 		if err != nil {
 			continue // the thread has ended
 		}
-		ran, _, _ := strings.Cut(string(text), " ")
-		nanoseconds, err := strconv.ParseInt(ran, 10, 64)
+		runTime, _, _ := strings.Cut(string(text), " ")
+		nanoseconds, err := strconv.ParseInt(runTime, 10, 64)
 		if err != nil {
 			return 0, &Error{pid, err}
 		}
--- a/internal/lab/syscallshim/launch.go
+++ b/internal/lab/syscallshim/launch.go
@@ -54,8 +54,8 @@
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 	}
 	allow := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_ALLOW}
-	equals := func(value uint32, skip, skipUnless uint8) unix.SockFilter {
-		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: value, Jt: skip, Jf: skipUnless}
+	equals := func(value uint32, jumpTrue, jumpFalse uint8) unix.SockFilter {
+		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: value, Jt: jumpTrue, Jf: jumpFalse}
 	}
 	program := []unix.SockFilter{load(offsetArchitecture), equals(unix.AUDIT_ARCH_X86_64, 1, 0), allow, load(offsetNumber)}
 	for _, number := range intercepted {
--- a/internal/lab/syscallshim/process.go
+++ b/internal/lab/syscallshim/process.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// threadGroup is the process of a thread; 0 where it has ended.
-func threadGroup(thread int) int {
+// processOf is the process of a thread; 0 where it has ended.
+func processOf(thread int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", thread))
 	if err != nil {
 		return 0
